--- a/libs/circulation/src/circulation/readings.py
+++ b/libs/circulation/src/circulation/readings.py
@@ -9,7 +9,7 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from messaging import Long, Message, Origin, Part, Text
+from messaging import Message, Origin, Part
 
 __all__ = ["Readings", "Sent"]
 
@@ -21,8 +21,8 @@
 class Sent(Message):
     """A prompt was sent to this worker; `tokens` are those that it has probably not cached."""
 
-    worker: Text
-    tokens: Long
+    worker: str
+    tokens: int
 
 
 class Readings(Part):
--- a/libs/circulation/src/circulation/worker.py
+++ b/libs/circulation/src/circulation/worker.py
@@ -6,7 +6,7 @@
 
 import math
 
-from messaging import Flag, Long, Message, Real, Text, array_of
+from messaging import Message
 
 __all__ = ["Worker", "WorkerNews"]
 
@@ -16,17 +16,17 @@
 class WorkerNews(Message):
     """A worker's heartbeat or leave, as edges flood it; `cache_use` is a share from 0 to 1."""
 
-    identity: Text
-    incarnation: Long
-    address: Text
-    zone: Text
-    labels: array_of(Text)
-    beat: Long
-    running: Long
-    waiting: Long
-    slots: Long
-    cache_use: Real
-    leaving: Flag
+    identity: str
+    incarnation: int
+    address: str
+    zone: str
+    labels: list[str]
+    beat: int
+    running: int
+    waiting: int
+    slots: int
+    cache_use: float
+    leaving: bool
 
 
 class Worker:
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -3,7 +3,7 @@
 Each key has its own rising numbers. A node's place in the feed is the sum of its numbers.
 """
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = ["Digest", "News", "NewsItem"]
 
@@ -14,16 +14,16 @@
     `body` is the whole JSON body if `base_number` is 0, otherwise a merge patch on that number.
     """
 
-    key: Text
-    number: Long
-    base_number: Long
-    body: Text
+    key: str
+    number: int
+    base_number: int
+    body: str
 
 
 class News(Message):
     """A batch of encoded `NewsItem`s."""
 
-    items: array_of(Blob)
+    items: list[bytes]
 
 
 class Digest(Message):
@@ -36,12 +36,12 @@
     sender first; in a digest to a node that reports, how many edges there are in all.
     """
 
-    identity: Text
-    role: Text
-    sure: Flag
-    keys: array_of(Text)
-    numbers: array_of(Long)
-    low_keys: array_of(Text)
-    lows: array_of(Long)
-    rank: Long
-    edges: Long
+    identity: str
+    role: str
+    sure: bool
+    keys: list[str]
+    numbers: list[int]
+    low_keys: list[str]
+    lows: list[int]
+    rank: int
+    edges: int
--- a/libs/control_store/src/control_store/messages.py
+++ b/libs/control_store/src/control_store/messages.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import Any
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = [
     "Accept",
@@ -61,11 +61,11 @@
     none). `change_bases` defaults to NO_BASE for each change.
     """
 
-    version: Long
-    body: Text
-    change_ids: array_of(Text)
-    change_versions: array_of(Long)
-    change_bases: array_of(Long)
+    version: int
+    body: str
+    change_ids: list[str]
+    change_versions: list[int]
+    change_bases: list[int]
 
     def __init__(self, **values: Any) -> None:
         values.setdefault("change_bases", [NO_BASE] * len(values["change_ids"]))
@@ -75,29 +75,29 @@
 class Prepare(Message):
     """First phase of a ballot: asks a voter to promise to accept nothing below it."""
 
-    key: Text
-    epoch: Long
-    by: Text
-    list_number: Long
+    key: str
+    epoch: int
+    by: str
+    list_number: int
 
 
 class Confirm(Message):
     """Asks a voter whether a ballot is still its highest promise; writes nothing to disk."""
 
-    key: Text
-    epoch: Long
-    by: Text
-    list_number: Long
+    key: str
+    epoch: int
+    by: str
+    list_number: int
 
 
 class Accept(Message):
     """Second phase of a ballot: asks a voter to accept an encoded `Value` under it."""
 
-    key: Text
-    epoch: Long
-    by: Text
-    value: Blob
-    list_number: Long
+    key: str
+    epoch: int
+    by: str
+    value: bytes
+    list_number: int
 
 
 class Voted(Message):
@@ -110,15 +110,15 @@
     version is told, without a body.
     """
 
-    identity: Text
-    ok: Flag
-    reason: Text
-    promised_epoch: Long
-    promised_by: Text
-    accepted_epoch: Long
-    accepted_by: Text
-    value: Blob
-    list_body: Text
+    identity: str
+    ok: bool
+    reason: str
+    promised_epoch: int
+    promised_by: str
+    accepted_epoch: int
+    accepted_by: str
+    value: bytes
+    list_body: str
 
 
 class KeyRow(Message):
@@ -128,55 +128,55 @@
     snapshot.
     """
 
-    key: Text
-    promised_epoch: Long
-    promised_by: Text
-    accepted_epoch: Long
-    accepted_by: Text
-    value: Blob
-    flushed_bytes: Long
+    key: str
+    promised_epoch: int
+    promised_by: str
+    accepted_epoch: int
+    accepted_by: str
+    value: bytes
+    flushed_bytes: int
 
 
 class ListKeys(Message):
     """Asks a voter for the names of all keys that it has a register of."""
 
-    list_number: Long
+    list_number: int
 
 
 class KeyList(Message):
     """Reply to ListKeys; `ok` only if both sides use the same list of voters."""
 
-    identity: Text
-    ok: Flag
-    keys: array_of(Text)
+    identity: str
+    ok: bool
+    keys: list[str]
 
 
 class VoterMeta(Message):
     """A voter's durable identity, its vote for the first list of voters, and its present list."""
 
-    identity: Text
-    found_vote: Text
-    list_body: Text
+    identity: str
+    found_vote: str
+    list_body: str
 
 
 class Found(Message):
     """Asks a blank node to vote for `members` (JSON rows) as the first list of voters."""
 
-    members: Text
+    members: str
 
 
 class FoundVote(Message):
     """Reply to Found; `list_body` is the node's list of voters if it already has one."""
 
-    identity: Text
-    ok: Flag
-    list_body: Text
+    identity: str
+    ok: bool
+    list_body: str
 
 
 class Founded(Message):
     """Announces a list of voters, as JSON, to a node on it."""
 
-    list_body: Text
+    list_body: str
 
 
 class Change(Message):
@@ -187,12 +187,12 @@
     defaults to NO_BASE. `hops` counts how often the message was forwarded.
     """
 
-    key: Text
-    version: Long
-    change_id: Text
-    body: Text
-    hops: Long
-    base: Long
+    key: str
+    version: int
+    change_id: str
+    body: str
+    hops: int
+    base: int
 
     def __init__(self, **values: Any) -> None:
         values.setdefault("base", NO_BASE)
@@ -207,19 +207,19 @@
     caller does not know are NO_BASE.
     """
 
-    key: Text
-    change_id: Text
-    version: Long
-    base: Long
-    number: Long
-    hops: Long
+    key: str
+    change_id: str
+    version: int
+    base: int
+    number: int
+    hops: int
 
 
 class ReadKey(Message):
     """Asks the key's owner for the newest value, confirmed by a majority of the voters."""
 
-    key: Text
-    hops: Long
+    key: str
+    hops: int
 
 
 class Changed(Message):
@@ -229,7 +229,7 @@
     or LOST.
     """
 
-    outcome: Text
-    version: Long
-    body: Text
-    reason: Text
+    outcome: str
+    version: int
+    body: str
+    reason: str
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from messaging import Blob, Flag, Message, Origin, Part, Text, array_of, decode, encode
+from messaging import Message, Origin, Part, decode, encode
 
 from control_store.owner import Owner
 from control_store.voter import Voter
@@ -28,20 +28,20 @@
     `WorkerReport`s that may change the list.
     """
 
-    identities: array_of(Text)
-    reports: array_of(Blob)
+    identities: list[str]
+    reports: list[bytes]
 
 
 class WorkerLeaves(Message):
     """Passes a worker's report that it drains or ends, encoded, to the key's owner."""
 
-    report: Blob
+    report: bytes
 
 
 class WorkerNoted(Message):
     """Reply to WorkersHeard and WorkerLeaves; `ok` if the replying node owns the key."""
 
-    ok: Flag
+    ok: bool
 
 
 class WorkerList(Part):
--- a/libs/control_store/src/control_store/worker_rows.py
+++ b/libs/control_store/src/control_store/worker_rows.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from messaging import Long, Message, Text
+from messaging import Message
 
 __all__ = ["WORKERS_KEY", "WorkerReport", "apply_reports", "empty_list", "same_row"]
 
@@ -29,14 +29,14 @@
     number, and `models` a JSON list of the models that it has loaded.
     """
 
-    identity: Text
-    address: Text
-    zone: Text
-    label: Text
-    slots: Long
-    state: Text
-    seq: Long
-    models: Text
+    identity: str
+    address: str
+    zone: str
+    label: str
+    slots: int
+    state: str
+    seq: int
+    models: str
 
 
 def empty_list() -> dict[str, Any]:
--- a/libs/ledger/src/ledger/entries.py
+++ b/libs/ledger/src/ledger/entries.py
@@ -5,7 +5,7 @@
 `_ms` are milliseconds of the log's own time; `epoch` is that of a lot's baton.
 """
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = [
     "AttemptFailed",
@@ -32,13 +32,13 @@
 class LotAdmitted(Message):
     """A lot was admitted; an item that isn't `safe` must not be run twice."""
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    items: array_of(Text)
-    safe: Flag
-    due_ms: Long
-    at_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    items: list[str]
+    safe: bool
+    due_ms: int
+    at_ms: int
 
 
 class ForwardLotAdmitted(Message):
@@ -48,17 +48,17 @@
     `version` is the number of the profiles at the holder that admitted the lot.
     """
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    item_ids: array_of(Text)
-    tokens: array_of(Long)
-    calls: array_of(Blob)
-    attempts: Long
-    due_ms: Long
-    expires_ms: Long
-    version: Long
-    at_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    item_ids: list[str]
+    tokens: list[int]
+    calls: list[bytes]
+    attempts: int
+    due_ms: int
+    expires_ms: int
+    version: int
+    at_ms: int
 
 
 class RolloutAdmitted(Message):
@@ -68,23 +68,23 @@
     the rollout ends then.
     """
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    items: array_of(Text)
-    samples: Long
-    weights: Text
-    expires_ms: Long
-    at_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    items: list[str]
+    samples: int
+    weights: str
+    expires_ms: int
+    at_ms: int
 
 
 class ItemsClaimed(Message):
     """Items of one forwarded lot were claimed for one edge."""
 
-    lot_id: Text
-    edge: Text
-    indexes: array_of(Long)
-    numbers: array_of(Long)
+    lot_id: str
+    edge: str
+    indexes: list[int]
+    numbers: list[int]
 
 
 class AttemptFailed(Message):
@@ -93,11 +93,11 @@
     `worker` is avoided when the item is dealt again.
     """
 
-    lot_id: Text
-    index: Long
-    number: Long
-    failures: Long
-    worker: Text
+    lot_id: str
+    index: int
+    number: int
+    failures: int
+    worker: str
 
 
 class ResultListed(Message):
@@ -107,90 +107,90 @@
     order of the results.
     """
 
-    lot_id: Text
-    index: Long
-    outcome: Text
-    text: Blob
-    worker: Text
-    edge: Text
-    epoch: Long
+    lot_id: str
+    index: int
+    outcome: str
+    text: bytes
+    worker: str
+    edge: str
+    epoch: int
 
 
 class ItemClaimed(Message):
     """An item was claimed for an edge, under a number that rises with each claim."""
 
-    lot_id: Text
-    index: Long
-    edge: Text
-    number: Long
+    lot_id: str
+    index: int
+    edge: str
+    number: int
 
 
 class ItemFinished(Message):
     """An item ended; its result may be listed."""
 
-    lot_id: Text
-    index: Long
-    outcome: Text
-    body: Text
-    worker: Text
+    lot_id: str
+    index: int
+    outcome: str
+    body: str
+    worker: str
 
 
 class ItemReturned(Message):
     """The claim of this number was returned; the item waits again."""
 
-    lot_id: Text
-    index: Long
-    number: Long
+    lot_id: str
+    index: int
+    number: int
 
 
 class BatonPassed(Message):
     """The right to list a lot's results passed to an edge, under a higher epoch."""
 
-    lot_id: Text
-    edge: Text
-    epoch: Long
+    lot_id: str
+    edge: str
+    epoch: int
 
 
 class ResultsPlaced(Message):
     """Results were listed up to a position; void unless `epoch` is the baton's."""
 
-    lot_id: Text
-    up_to: Long
-    epoch: Long
+    lot_id: str
+    up_to: int
+    epoch: int
 
 
 class LotEnded(Message):
     """A lot was ended before all of its results were listed."""
 
-    lot_id: Text
-    at_ms: Long
+    lot_id: str
+    at_ms: int
 
 
 class LotForgotten(Message):
     """A lot that is over left the ledger, because its retention time has passed."""
 
-    lot_id: Text
+    lot_id: str
 
 
 class KeyOpened(Message):
     """A transaction that isn't safe to repeat was opened under a key."""
 
-    key: Text
-    digest: Text
-    edge: Text
-    transaction: Text
-    at_ms: Long
+    key: str
+    digest: str
+    edge: str
+    transaction: str
+    at_ms: int
 
 
 class KeyClosed(Message):
     """A transaction ended, or its outcome is in doubt, as `state` says."""
 
-    key: Text
-    transaction: Text
-    state: Text
-    status: Long
-    body: Text
-    at_ms: Long
+    key: str
+    transaction: str
+    state: str
+    status: int
+    body: str
+    at_ms: int
 
 
 class LotShelved(Message):
@@ -200,21 +200,21 @@
     index of the first result in each.
     """
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    safe: Flag
-    due_ms: Long
-    at_ms: Long
-    total: Long
-    finished: Long
-    placed: Long
-    ended: Flag
-    ended_at_ms: Long
-    file: Text
-    places: array_of(Long)
-    sizes: array_of(Long)
-    firsts: array_of(Long)
+    lot_id: str
+    digest: str
+    path: str
+    safe: bool
+    due_ms: int
+    at_ms: int
+    total: int
+    finished: int
+    placed: int
+    ended: bool
+    ended_at_ms: int
+    file: str
+    places: list[int]
+    sizes: list[int]
+    firsts: list[int]
 
 
 class KeyShelved(Message):
@@ -223,18 +223,18 @@
     `place` and `size` are the offset and length in bytes of its leaf.
     """
 
-    key: Text
-    digest: Text
-    edge: Text
-    transaction: Text
-    status: Long
-    at_ms: Long
-    file: Text
-    place: Long
-    size: Long
+    key: str
+    digest: str
+    edge: str
+    transaction: str
+    status: int
+    at_ms: int
+    file: str
+    place: int
+    size: int
 
 
 class KeyForgotten(Message):
     """A key left the ledger, because its retention time has passed."""
 
-    key: Text
+    key: str
--- a/libs/ledger/src/ledger/messages.py
+++ b/libs/ledger/src/ledger/messages.py
@@ -12,7 +12,7 @@
 unknown.
 """
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = [
     "Baton",
@@ -54,228 +54,228 @@
 class EdgeBeat(Message):
     """An edge's heartbeat: free slots, their paths, and the items it runs as LOT#INDEX."""
 
-    edge: Text
-    address: Text
-    room: Long
-    paths: array_of(Text)
-    running: array_of(Text)
+    edge: str
+    address: str
+    room: int
+    paths: list[str]
+    running: list[str]
 
 
 class RolloutBeat(Message):
     """An EdgeBeat that also tells how many samples of rollouts may start, and on which paths."""
 
-    edge: Text
-    address: Text
-    room: Long
-    paths: array_of(Text)
-    running: array_of(Text)
-    sample_room: Long
-    sample_paths: array_of(Text)
+    edge: str
+    address: str
+    room: int
+    paths: list[str]
+    running: list[str]
+    sample_room: int
+    sample_paths: list[str]
 
 
 class Work(Message):
     """An item for an edge to run; `number` is that of its claim."""
 
-    lot_id: Text
-    index: Long
-    number: Long
-    path: Text
-    safe: Flag
-    body: Text
-    due_ms: Long
+    lot_id: str
+    index: int
+    number: int
+    path: str
+    safe: bool
+    body: str
+    due_ms: int
 
 
 class RolloutWork(Message):
     """A sample for an edge to run; `index` is `prompt` * samples of each prompt + `sample`."""
 
     safe = True
-    lot_id: Text
-    index: Long
-    number: Long
-    path: Text
-    body: Text
-    prompt: Long
-    sample: Long
-    weights: Text
+    lot_id: str
+    index: int
+    number: int
+    path: str
+    body: str
+    prompt: int
+    sample: int
+    weights: str
 
 
 class Baton(Message):
     """Tells an edge that it may list the results of a lot up to a position."""
 
-    lot_id: Text
-    epoch: Long
-    up_to: Long
+    lot_id: str
+    epoch: int
+    up_to: int
 
 
 class HolderBeat(Message):
     """The answer to EdgeBeat: work, batons, lots to stop, and how much waits on which paths."""
 
-    epoch: Long
-    holder_ms: Long
-    work: array_of(Blob)
-    batons: array_of(Blob)
-    stops: array_of(Text)
-    waiting: Long
-    paths: array_of(Text)
+    epoch: int
+    holder_ms: int
+    work: list[bytes]
+    batons: list[bytes]
+    stops: list[str]
+    waiting: int
+    paths: list[str]
 
 
 class RolloutAnswer(Message):
     """A HolderBeat with how many samples are out, and whether lots need their slots back."""
 
-    epoch: Long
-    holder_ms: Long
-    work: array_of(Blob)
-    batons: array_of(Blob)
-    stops: array_of(Text)
-    waiting: Long
-    paths: array_of(Text)
-    samples_out: Long
-    recalled: Flag
+    epoch: int
+    holder_ms: int
+    work: list[bytes]
+    batons: list[bytes]
+    stops: list[str]
+    waiting: int
+    paths: list[str]
+    samples_out: int
+    recalled: bool
 
 
 class NotHolder(Message):
     """The answer of a store that isn't the holder, with who is as far as it knows."""
 
-    epoch: Long
-    address: Text
+    epoch: int
+    address: str
 
 
 class HandIn(Message):
     """Submit a lot; `digest`, that of the content, recognises the same submission sent again."""
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    items: array_of(Text)
-    safe: Flag
-    due_ms: Long
-    epoch: Long
-    holder_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    items: list[str]
+    safe: bool
+    due_ms: int
+    epoch: int
+    holder_ms: int
 
 
 class RolloutHandIn(Message):
     """Submit a rollout; `due_ms` is from now, 0 for no deadline."""
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    items: array_of(Text)
-    samples: Long
-    weights: Text
-    due_ms: Long
-    epoch: Long
-    holder_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    items: list[str]
+    samples: int
+    weights: str
+    due_ms: int
+    epoch: int
+    holder_ms: int
 
 
 class LotReceipt(Message):
     """The state of a lot, or why there is none."""
 
-    outcome: Text
-    lot_id: Text
-    digest: Text
-    path: Text
-    total: Long
-    finished: Long
-    placed: Long
-    running: Long
-    due_ms: Long
-    ended: Flag
+    outcome: str
+    lot_id: str
+    digest: str
+    path: str
+    total: int
+    finished: int
+    placed: int
+    running: int
+    due_ms: int
+    ended: bool
 
 
 class ReadLot(Message):
     """Ask for the state of a lot."""
 
-    lot_id: Text
+    lot_id: str
 
 
 class EndLot(Message):
     """End a lot: what hasn't finished is not run any more."""
 
-    lot_id: Text
+    lot_id: str
 
 
 class ReadResults(Message):
     """Ask for listed results from an index on."""
 
-    lot_id: Text
-    from_index: Long
-    limit: Long
+    lot_id: str
+    from_index: int
+    limit: int
 
 
 class ResultRow(Message):
     """One result of a lot, at the index of its item."""
 
-    index: Long
-    outcome: Text
-    body: Text
+    index: int
+    outcome: str
+    body: str
 
 
 class ResultsReceipt(Message):
     """A page of results: encoded ResultRows, and that `placed` of `total` are listed."""
 
-    outcome: Text
-    rows: array_of(Blob)
-    placed: Long
-    total: Long
-    ended: Flag
+    outcome: str
+    rows: list[bytes]
+    placed: int
+    total: int
+    ended: bool
 
 
 class Finish(Message):
     """Report an item's end; the outcome `again` returns the claim, as it has not run."""
 
-    lot_id: Text
-    index: Long
-    number: Long
-    outcome: Text
-    body: Text
-    worker: Text
-    edge: Text
+    lot_id: str
+    index: int
+    number: int
+    outcome: str
+    body: str
+    worker: str
+    edge: str
 
 
 class FinishReceipt(Message):
     """The answer to Finish, Place and EndItems; a `baton_epoch` above 0 grants a baton."""
 
-    ok: Flag
-    baton_epoch: Long
-    up_to: Long
+    ok: bool
+    baton_epoch: int
+    up_to: int
 
 
 class Place(Message):
     """List the results of a lot up to a position, under the baton's epoch."""
 
-    lot_id: Text
-    edge: Text
-    epoch: Long
-    up_to: Long
+    lot_id: str
+    edge: str
+    epoch: int
+    up_to: int
 
 
 class OpenKey(Message):
     """Open a transaction that isn't safe to repeat, under a client's key."""
 
-    key: Text
-    digest: Text
-    edge: Text
-    transaction: Text
-    epoch: Long
-    holder_ms: Long
+    key: str
+    digest: str
+    edge: str
+    transaction: str
+    epoch: int
+    holder_ms: int
 
 
 class CloseKey(Message):
     """Record how a transaction ended: its state, HTTP status and body."""
 
-    key: Text
-    transaction: Text
-    state: Text
-    status: Long
-    body: Text
+    key: str
+    transaction: str
+    state: str
+    status: int
+    body: str
 
 
 class KeyReceipt(Message):
     """The answer to OpenKey and CloseKey, with the final answer if it is recorded."""
 
-    outcome: Text
-    status: Long
-    body: Text
+    outcome: str
+    status: int
+    body: str
 
 
 class ForwardItem(Message):
@@ -285,15 +285,15 @@
     order.
     """
 
-    item_id: Text
-    target: Text
-    host: Text
-    headers: array_of(Text)
-    body: Blob
-    part_ids: array_of(Text)
-    part_tokens: array_of(Long)
-    tokens_in: Long
-    tokens_out: Long
+    item_id: str
+    target: str
+    host: str
+    headers: list[str]
+    body: bytes
+    part_ids: list[str]
+    part_tokens: list[int]
+    tokens_in: int
+    tokens_out: int
 
 
 class ForwardHandIn(Message):
@@ -303,37 +303,37 @@
     number of the profiles at the edge.
     """
 
-    lot_id: Text
-    digest: Text
-    path: Text
-    item_ids: array_of(Text)
-    tokens: array_of(Long)
-    calls: array_of(Blob)
-    attempts: Long
-    due_ms: Long
-    keep_ms: Long
-    version: Long
-    epoch: Long
-    holder_ms: Long
+    lot_id: str
+    digest: str
+    path: str
+    item_ids: list[str]
+    tokens: list[int]
+    calls: list[bytes]
+    attempts: int
+    due_ms: int
+    keep_ms: int
+    version: int
+    epoch: int
+    holder_ms: int
 
 
 class Stale(Message):
     """The stamp of a request is too old or of another epoch; this one would do."""
 
-    epoch: Long
-    holder_ms: Long
+    epoch: int
+    holder_ms: int
 
 
 class ForwardWork(Message):
     """A forwarded item to run within `left_ms`; `avoid` are the workers that failed on it."""
 
-    lot_id: Text
-    index: Long
-    number: Long
-    path: Text
-    call: Blob
-    avoid: array_of(Text)
-    left_ms: Long
+    lot_id: str
+    index: int
+    number: int
+    path: str
+    call: bytes
+    avoid: list[str]
+    left_ms: int
 
 
 class ItemEnd(Message):
@@ -342,56 +342,56 @@
     `outcome` is finished, dead (no worker can do it), failed (an attempt) or again (no attempt).
     """
 
-    lot_id: Text
-    index: Long
-    number: Long
-    outcome: Text
-    text: Blob
-    worker: Text
+    lot_id: str
+    index: int
+    number: int
+    outcome: str
+    text: bytes
+    worker: str
 
 
 class EndItems(Message):
     """Report the ends of several forwarded items; `rows` are encoded ItemEnds."""
 
-    edge: Text
-    rows: array_of(Blob)
+    edge: str
+    rows: list[bytes]
 
 
 class ReadPage(Message):
     """Ask for forwarded results; answered once there is one or after `wait_ms`."""
 
-    lot_id: Text
-    from_position: Long
-    limit_bytes: Long
-    wait_ms: Long
+    lot_id: str
+    from_position: int
+    limit_bytes: int
+    wait_ms: int
 
 
 class ForwardRow(Message):
     """One result of a forwarded lot."""
 
-    item_id: Text
-    outcome: Text
-    text: Blob
+    item_id: str
+    outcome: str
+    text: bytes
 
 
 class PageReceipt(Message):
     """A page of encoded ForwardRows; `over` says that no more will come."""
 
-    outcome: Text
-    rows: array_of(Blob)
-    total: Long
-    over: Flag
+    outcome: str
+    rows: list[bytes]
+    total: int
+    over: bool
 
 
 class ReadItem(Message):
     """Ask for the call of an item that hasn't ended."""
 
-    lot_id: Text
-    item_id: Text
+    lot_id: str
+    item_id: str
 
 
 class ItemReceipt(Message):
     """The answer to ReadItem: an encoded ForwardItem."""
 
-    outcome: Text
-    call: Blob
+    outcome: str
+    call: bytes
--- a/libs/loans/src/loans/borrowing.py
+++ b/libs/loans/src/loans/borrowing.py
@@ -13,7 +13,7 @@
 
 from circulation import Budget, Carriage, Carrier, Roster, Step, Transaction, Worker
 from ledger import messages as m
-from messaging import Long, Message, Origin, Part, Text
+from messaging import Message, Origin, Part
 
 from loans.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
 from loans.slots import LendableSlots
@@ -27,8 +27,8 @@
 class PlaceWanted(Message):
     """Asks other edges for slots at a worker, where calls found no free place."""
 
-    worker: Text
-    places: Long
+    worker: str
+    places: int
 
 
 class _Sample:
--- a/libs/loans/src/loans/load.py
+++ b/libs/loans/src/loans/load.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from messaging import Flag, Long, Message, Text
+from messaging import Message
 
 __all__ = ["EdgeLoad", "LiveLoad", "load_report"]
 
@@ -24,11 +24,11 @@
     may be used, and samples running. `waiting` is the number of live calls that wait at the edge.
     """
 
-    edge: Text
-    number: Long
-    workers: Text
-    waiting: Long
-    lots_at_risk: Flag
+    edge: str
+    number: int
+    workers: str
+    waiting: int
+    lots_at_risk: bool
 
 
 def load_report(edge: str, number: int, roster: Any, carrier: Any, lots_at_risk: bool) -> EdgeLoad:
--- a/libs/membership/src/membership/cards.py
+++ b/libs/membership/src/membership/cards.py
@@ -4,7 +4,7 @@
 how fresh a forwarded card is. Cards travel in exchanges of partial views and in direct heartbeats.
 """
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = ["Beat", "Card", "Shuffle", "Shuffled"]
 
@@ -16,33 +16,33 @@
     voters; `ready` says whether the node takes requests; `name` is for operators.
     """
 
-    identity: Text
-    address: Text
-    http: Text
-    role: Text
-    zone: Text
-    region: Text
-    beat: Long
-    ready: Flag
-    deaf: Flag
-    name: Text
+    identity: str
+    address: str
+    http: str
+    role: str
+    zone: str
+    region: str
+    beat: int
+    ready: bool
+    deaf: bool
+    name: str
 
 
 class Shuffle(Message):
     """Opens an exchange of views: the sender's card and a sample of the cards that it knows."""
 
-    card: Blob
-    cards: array_of(Blob)
+    card: bytes
+    cards: list[bytes]
 
 
 class Shuffled(Message):
     """Answers a Shuffle with the same content from the other side."""
 
-    card: Blob
-    cards: array_of(Blob)
+    card: bytes
+    cards: list[bytes]
 
 
 class Beat(Message):
     """A direct heartbeat with the sender's card."""
 
-    card: Blob
+    card: bytes
--- a/libs/messaging/src/messaging/__init__.py
+++ b/libs/messaging/src/messaging/__init__.py
@@ -5,32 +5,15 @@
 """
 
 from messaging.cores import Env, Node, Origin, Part
-from messaging.message import (
-    Blob,
-    Flag,
-    Long,
-    Message,
-    Real,
-    Text,
-    array_of,
-    decode,
-    encode,
-    optional,
-)
+from messaging.message import BadMessageError, Message, decode, encode
 
 __all__ = [
-    "array_of",
-    "Blob",
+    "BadMessageError",
     "Env",
-    "Flag",
-    "Long",
     "Message",
     "Node",
-    "optional",
     "Origin",
     "Part",
-    "Real",
-    "Text",
     "decode",
     "encode",
 ]
--- a/libs/messaging/src/messaging/message.py
+++ b/libs/messaging/src/messaging/message.py
@@ -1,80 +1,102 @@
 """Typed messages in Avro encoding.
 
-A message is a class with `__slots__` whose annotations are Avro schemas; the class statement alone
-registers the type and its schema. On the wire and on disk a message is the name of its type,
-followed by its record.
+A message type is a class whose annotations are its fields. The class statement derives the Avro
+schema from them and registers the type. On the wire and on disk a message is the wire name of its
+type, followed by its record; the fields are written in order, without their names.
 """
 
 import io
-from typing import Any
+import types
+import typing
+from typing import Any, ClassVar
 
 from fastavro import parse_schema, schemaless_reader, schemaless_writer
 
-__all__ = [
-    "array_of",
-    "BadMessageError",
-    "Blob",
-    "Flag",
-    "Long",
-    "Message",
-    "optional",
-    "Real",
-    "Text",
-    "decode",
-    "encode",
-]
+__all__ = ["BadMessageError", "Message", "decode", "encode"]
 
-Text = "string"
-Long = "long"
-Real = "double"
-Flag = "boolean"
-Blob = "bytes"
+_PRIMITIVES = {
+    str: "string",
+    int: "long",
+    float: "double",
+    bool: "boolean",
+    bytes: "bytes",
+}
 
-_KINDS: dict[str, type] = {}
-_KIND = parse_schema({"type": "string"})
+_TYPES: dict[str, type["Message"]] = {}
+_WIRE_NAME_SCHEMA = parse_schema({"type": "string"})
 
 
-def array_of(items: Any) -> dict:
-    """Return the schema of an array."""
-    return {"type": "array", "items": items}
+class BadMessageError(ValueError):
+    """The bytes do not encode a message of a known type."""
 
 
-def optional(inner: Any) -> list:
-    """Return the schema of a value that may be None."""
-    return ["null", inner]
+def _avro_schema(annotation: Any) -> Any:
+    """Return the Avro schema of a field's type: a primitive, `list[T]` or `T | None`."""
+    if annotation in _PRIMITIVES:
+        return _PRIMITIVES[annotation]
+    arguments = typing.get_args(annotation)
+    if typing.get_origin(annotation) is list:
+        return {"type": "array", "items": _avro_schema(arguments[0])}
+    if isinstance(annotation, types.UnionType) and arguments[1:] == (types.NoneType,):
+        return ["null", _avro_schema(arguments[0])]
+    raise TypeError(f"{annotation!r} is not a type that a message's field may have")
 
 
-class _Kind(type):
+@typing.dataclass_transform(kw_only_default=True)
+class _MessageType(type):
     """Metaclass that turns a class body's annotations into slots and a registered schema."""
 
-    def __new__(mcs, name: str, bases: tuple, space: dict) -> type:
-        fields = dict(space.get("__annotations__", {}))
-        space["__slots__"] = tuple(fields)
-        space["FIELDS"] = tuple(fields)
-        cls = super().__new__(mcs, name, bases, space)
+    FIELDS: tuple[str, ...]
+    SCHEMA: Any
+    WIRE_PREFIX: bytes
+
+    def __new__(
+        mcs, name: str, bases: tuple[type, ...], namespace: dict[str, Any], wire_name: str = ""
+    ) -> "_MessageType":
+        fields = dict(namespace.get("__annotations__", {})) if bases else {}
+        namespace["__slots__"] = tuple(fields)
+        cls = super().__new__(mcs, name, bases, namespace)
+        cls.FIELDS = tuple(fields)
         if bases:
-            if name in _KINDS:
-                raise TypeError(f"two messages are called {name}")
-            cls.SCHEMA = parse_schema(
-                {
-                    "type": "record",
-                    "name": name,
-                    "fields": [{"name": field, "type": schema} for field, schema in fields.items()],
-                }
-            )
-            page = io.BytesIO()
-            schemaless_writer(page, _KIND, name)
-            cls.HEAD = page.getvalue()
-            _KINDS[name] = cls
+            mcs._register(cls, wire_name or name, fields)
         return cls
 
+    def __init__(
+        cls, name: str, bases: tuple[type, ...], namespace: dict[str, Any], wire_name: str = ""
+    ) -> None:
+        super().__init__(name, bases, namespace)
+
+    def _register(cls, wire_name: str, fields: dict[str, Any]) -> None:
+        if wire_name in _TYPES:
+            raise TypeError(f"two message types have the wire name {wire_name}")
+        cls.SCHEMA = parse_schema(
+            {
+                "type": "record",
+                "name": wire_name,
+                "fields": [
+                    {"name": field, "type": _avro_schema(annotation)}
+                    for field, annotation in fields.items()
+                ],
+            }
+        )
+        buffer = io.BytesIO()
+        schemaless_writer(buffer, _WIRE_NAME_SCHEMA, wire_name)
+        cls.WIRE_PREFIX = buffer.getvalue()
+        _TYPES[wire_name] = typing.cast("type[Message]", cls)
+
 
-class Message(metaclass=_Kind):
+class Message(metaclass=_MessageType):
     """Base class of all messages.
 
-    All fields are given by keyword. A missing field raises KeyError, an unknown one TypeError.
+    All fields are given by keyword. A missing field raises KeyError, an unknown one TypeError. A
+    type keeps the wire name that it first had; one that was renamed since gives it in its class
+    statement: `class Submit(Message, wire_name="HandIn")`.
     """
 
+    FIELDS: ClassVar[tuple[str, ...]]
+    SCHEMA: ClassVar[Any]
+    WIRE_PREFIX: ClassVar[bytes]
+
     def __init__(self, **values: Any) -> None:
         for field in self.FIELDS:
             setattr(self, field, values.pop(field))
@@ -86,38 +108,39 @@
         return {field: getattr(self, field) for field in self.FIELDS}
 
     def __eq__(self, other: object) -> bool:
-        return type(self) is type(other) and self.as_dict() == other.as_dict()
+        return (
+            isinstance(other, Message)
+            and type(self) is type(other)
+            and self.as_dict() == other.as_dict()
+        )
 
     def __hash__(self) -> int:
         return hash(encode(self))
 
     def __repr__(self) -> str:
-        return (
-            f"{type(self).__name__}({', '.join(f'{k}={v!r}' for k, v in self.as_dict().items())})"
-        )
+        fields = ", ".join(f"{name}={value!r}" for name, value in self.as_dict().items())
+        return f"{type(self).__name__}({fields})"
 
 
 def encode(message: Message) -> bytes:
     """Return a message as bytes."""
-    page = io.BytesIO()
+    buffer = io.BytesIO()
     kind = type(message)
-    page.write(kind.HEAD)
-    schemaless_writer(page, kind.SCHEMA, {field: getattr(message, field) for field in kind.FIELDS})
-    return page.getvalue()
-
-
-class BadMessageError(ValueError):
-    """The bytes are no message of a known type."""
+    buffer.write(kind.WIRE_PREFIX)
+    schemaless_writer(
+        buffer, kind.SCHEMA, {field: getattr(message, field) for field in kind.FIELDS}
+    )
+    return buffer.getvalue()
 
 
 def decode(data: bytes) -> Message:
     """Return the message that the bytes encode. Raises BadMessageError."""
     try:
-        page = io.BytesIO(data)
-        cls = _KINDS[schemaless_reader(page, _KIND, None)]
-        values = schemaless_reader(page, cls.SCHEMA, None)
-        message = cls.__new__(cls)
-        for field in cls.FIELDS:
+        buffer = io.BytesIO(data)
+        kind = _TYPES[schemaless_reader(buffer, _WIRE_NAME_SCHEMA, None)]
+        values = schemaless_reader(buffer, kind.SCHEMA, None)
+        message = kind.__new__(kind)
+        for field in kind.FIELDS:
             setattr(message, field, values[field])
         return message
     except (
--- a/libs/replicated_log/src/replicated_log/mending.py
+++ b/libs/replicated_log/src/replicated_log/mending.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ledger import messages as m
-from messaging import Blob, Flag, Long, Message, Origin, Part, Text, array_of, encode
+from messaging import Message, Origin, Part, encode
 
 from replicated_log.local import LocalLog
 from replicated_log.shelves import SHELF
@@ -24,24 +24,24 @@
 class FetchShelf(Message):
     """Ask for an archive file from the byte `offset` on."""
 
-    file: Text
-    offset: Long
+    file: str
+    offset: int
 
 
 class ShelfPart(Message):
     """The answer to FetchShelf: a part of the file and its whole size in bytes."""
 
-    ok: Flag
-    data: Blob
-    total: Long
+    ok: bool
+    data: bytes
+    total: int
 
 
 class GetKept(Message):
     """Ask for the archived rows of a lot or a key (`kind`), from an index on."""
 
-    kind: Text
-    name: Text
-    from_index: Long
+    kind: str
+    name: str
+    from_index: int
 
 
 class Kept(Message):
@@ -50,9 +50,9 @@
     `ok` is false if the answering replica has no intact copy.
     """
 
-    ok: Flag
-    rows: array_of(Blob)
-    placed: Long
+    ok: bool
+    rows: list[bytes]
+    placed: int
 
 
 class Mending(Part):
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -7,7 +7,7 @@
 epochs of the leader, here called the holder.
 """
 
-from messaging import Blob, Flag, Long, Message, Text, array_of
+from messaging import Message
 
 __all__ = [
     "Append",
@@ -35,10 +35,10 @@
 class StoredEntry(Message):
     """The payload of a frame in a queue file: one encoded ledger entry and its place in the log."""
 
-    epoch: Long
-    stamp_ms: Long
-    seq: Long
-    body: Blob
+    epoch: int
+    stamp_ms: int
+    seq: int
+    body: bytes
 
 
 class Record(Message):
@@ -48,14 +48,14 @@
     TRUNCATE on the first record of a file tells the receiver to empty the file first.
     """
 
-    epoch: Long
-    stamp_ms: Long
-    seq: Long
-    file: Text
-    flags: Long
-    nbytes: Long
-    bytes: Blob
-    offset: Long
+    epoch: int
+    stamp_ms: int
+    seq: int
+    file: str
+    flags: int
+    nbytes: int
+    bytes: bytes
+    offset: int
 
     @property
     def stamp(self) -> tuple[int, int]:
@@ -66,10 +66,10 @@
 class SnapshotHead(Message):
     """The first frame of a snapshot: the last record that it covers and how many frames follow."""
 
-    seq: Long
-    epoch: Long
-    stamp_ms: Long
-    count: Long
+    seq: int
+    epoch: int
+    stamp_ms: int
+    count: int
 
 
 class LogMeta(Message):
@@ -79,9 +79,9 @@
     epoch of the last recovery that its copy of the log has taken over.
     """
 
-    identity: Text
-    fence: Long
-    log_epoch: Long
+    identity: str
+    fence: int
+    log_epoch: int
 
 
 class Append(Message):
@@ -93,15 +93,15 @@
     returned as it came.
     """
 
-    epoch: Long
-    base_seq: Long
-    prev_seq: Long
-    prev_epoch: Long
-    prev_ms: Long
-    records: array_of(Blob)
-    settled_seq: Long
-    flush: Flag
-    probe: Long
+    epoch: int
+    base_seq: int
+    prev_seq: int
+    prev_epoch: int
+    prev_ms: int
+    records: list[bytes]
+    settled_seq: int
+    flush: bool
+    probe: int
 
 
 class Appended(Message):
@@ -113,20 +113,20 @@
     a snapshot, that the answer is about. `roomy` says that its disk has room.
     """
 
-    identity: Text
-    ok: Flag
-    reason: Text
-    fence: Long
-    log_epoch: Long
-    last_seq: Long
-    flushed_seq: Long
-    stamp_epoch: Long
-    stamp_ms: Long
-    reception_ms: Long
-    probe: Long
-    asked_seq: Long
-    snap_seq: Long
-    roomy: Flag
+    identity: str
+    ok: bool
+    reason: str
+    fence: int
+    log_epoch: int
+    last_seq: int
+    flushed_seq: int
+    stamp_epoch: int
+    stamp_ms: int
+    reception_ms: int
+    probe: int
+    asked_seq: int
+    snap_seq: int
+    roomy: bool
 
 
 class Install(Message):
@@ -135,17 +135,17 @@
     `offset` and `total` are bytes of the whole snapshot.
     """
 
-    epoch: Long
-    snapshot: Blob
-    offset: Long
-    total: Long
-    probe: Long
+    epoch: int
+    snapshot: bytes
+    offset: int
+    total: int
+    probe: int
 
 
 class Start(Message):
     """From a recovering replica: raise your fence to `epoch` and say what you hold."""
 
-    epoch: Long
+    epoch: int
 
 
 class Started(Message):
@@ -154,13 +154,13 @@
     `ok` says that its fence is exactly the epoch asked for.
     """
 
-    identity: Text
-    ok: Flag
-    fence: Long
-    log_epoch: Long
-    snap_seq: Long
-    last_seq: Long
-    count: Long
+    identity: str
+    ok: bool
+    fence: int
+    log_epoch: int
+    snap_seq: int
+    last_seq: int
+    count: int
 
 
 class FetchTail(Message):
@@ -169,10 +169,10 @@
     The lists describe records of the asking replica, each by its sequence number and its stamp.
     """
 
-    epoch: Long
-    seqs: array_of(Long)
-    stamp_epochs: array_of(Long)
-    stamps_ms: array_of(Long)
+    epoch: int
+    seqs: list[int]
+    stamp_epochs: list[int]
+    stamps_ms: list[int]
 
 
 class Pulse(Message):
@@ -182,9 +182,9 @@
     members, the holder included, have on disk what was settled one heartbeat ago.
     """
 
-    epoch: Long
-    sure: Flag
-    level: Long
+    epoch: int
+    sure: bool
+    level: int
 
 
 class Poll(Message):
@@ -193,8 +193,8 @@
     `identity` is the asking replica and `epoch` the epoch that it knows.
     """
 
-    identity: Text
-    epoch: Long
+    identity: str
+    epoch: int
 
 
 class Polled(Message):
@@ -205,11 +205,11 @@
     shutting down and won't become the holder.
     """
 
-    identity: Text
-    epoch: Long
-    holds: Flag
-    hears: Flag
-    leaving: Flag
+    identity: str
+    epoch: int
+    holds: bool
+    hears: bool
+    leaving: bool
 
 
 class Succeed(Message):
@@ -218,16 +218,16 @@
     `number` is the version and `body` the JSON value of the key.
     """
 
-    number: Long
-    body: Text
+    number: int
+    body: str
 
 
 class Fetch(Message):
     """Ask for records from `from_seq` on, or for the snapshot from the byte `offset` on."""
 
-    epoch: Long
-    from_seq: Long
-    offset: Long
+    epoch: int
+    from_seq: int
+    offset: int
 
 
 class Fetched(Message):
@@ -237,9 +237,9 @@
     then the whole snapshot's size in bytes. `last_seq` is the end of the answering replica's log.
     """
 
-    identity: Text
-    ok: Flag
-    snapshot: Blob
-    total: Long
-    records: array_of(Blob)
-    last_seq: Long
+    identity: str
+    ok: bool
+    snapshot: bytes
+    total: int
+    records: list[bytes]
+    last_seq: int
--- a/libs/replicated_log/src/replicated_log/shelves.py
+++ b/libs/replicated_log/src/replicated_log/shelves.py
@@ -13,7 +13,7 @@
 
 from ledger import entries as e
 from ledger.fold import Key, Lot
-from messaging import Blob, Message, Text, array_of, decode, encode
+from messaging import Message, decode, encode
 from storage import DiskFullError, frame, walk
 
 __all__ = ["Leaf", "SHELF", "Shelves", "files_of"]
@@ -29,8 +29,8 @@
     `name` is the lot or key, so that a leaf found in another's place is recognised.
     """
 
-    name: Text
-    rows: array_of(Blob)
+    name: str
+    rows: list[bytes]
 
 
 def _packed(leaf: Leaf) -> bytes:
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -4,7 +4,7 @@
 import random
 
 from membership.cards import Beat, Shuffle
-from messaging import Blob, Flag, Long, Message, Real, Text, array_of, decode, encode, optional
+from messaging import Message, decode, encode
 from messaging.links import Switchboard, _frames, _pack, _Queue
 from messaging.message import BadMessageError
 from testtools import TestCase
@@ -12,13 +12,13 @@
 
 
 class Everything(Message):
-    text: Text
-    number: Long
-    share: Real
-    yes: Flag
-    blob: Blob
-    rows: array_of(Text)
-    perhaps: optional(Long)
+    text: str
+    number: int
+    share: float
+    yes: bool
+    blob: bytes
+    rows: list[str]
+    perhaps: int | None
 
 
 class Messages(TestCase):
