--- a/libs/ledger/src/ledger/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -5,7 +5,7 @@
 a lot; its epoch is a fencing token, so an edge that lost it can list nothing.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = ["Desk", "Item", "Key", "Ledger", "Lot", "entries", "messages"]
 
--- a/libs/ledger/src/ledger/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -11,10 +11,10 @@
 
 from messaging import Message, Origin
 
-from ledger import entries as e
-from ledger import messages as m
-from ledger.answers import KEPT, Answers
-from ledger.lot_receipts import lot_receipt
+from batch_state import entries as e
+from batch_state import messages as m
+from batch_state.answers import KEPT, Answers
+from batch_state.lot_receipts import lot_receipt
 
 __all__ = ["Admission"]
 
--- a/libs/ledger/src/ledger/dealing.py
+++ b/libs/batch_state/src/batch_state/dealing.py
@@ -13,11 +13,11 @@
 
 from messaging import Message, encode
 
-from ledger import entries as e
-from ledger import messages as m
-from ledger.endings import Endings
-from ledger.lots import Lot
-from ledger.picking import Picker
+from batch_state import entries as e
+from batch_state import messages as m
+from batch_state.endings import Endings
+from batch_state.lots import Lot
+from batch_state.picking import Picker
 
 __all__ = ["Dealer"]
 
--- a/libs/ledger/src/ledger/desk.py
+++ b/libs/batch_state/src/batch_state/desk.py
@@ -12,15 +12,15 @@
 
 from messaging import Message, Origin, Part
 
-from ledger import entries as e
-from ledger import messages as m
-from ledger.admission import Admission
-from ledger.answers import KEPT, Answers
-from ledger.dealing import Dealer
-from ledger.fold import Ledger
-from ledger.lot_receipts import LotReader, lot_receipt
-from ledger.lots import Lot
-from ledger.reading import Reading
+from batch_state import entries as e
+from batch_state import messages as m
+from batch_state.admission import Admission
+from batch_state.answers import KEPT, Answers
+from batch_state.dealing import Dealer
+from batch_state.fold import Ledger
+from batch_state.lot_receipts import LotReader, lot_receipt
+from batch_state.lots import Lot
+from batch_state.reading import Reading
 
 __all__ = ["Desk"]
 
--- a/libs/ledger/src/ledger/endings.py
+++ b/libs/batch_state/src/batch_state/endings.py
@@ -11,9 +11,9 @@
 
 from messaging import Message, decode
 
-from ledger import entries as e
-from ledger import messages as m
-from ledger.lots import Lot
+from batch_state import entries as e
+from batch_state import messages as m
+from batch_state.lots import Lot
 
 __all__ = ["Endings"]
 
--- a/libs/ledger/src/ledger/fold.py
+++ b/libs/batch_state/src/batch_state/fold.py
@@ -10,8 +10,8 @@
 
 from messaging import Message, encode
 
-from ledger import entries as e
-from ledger.lots import Item, Lot
+from batch_state import entries as e
+from batch_state.lots import Item, Lot
 
 __all__ = ["Item", "Key", "Ledger", "Lot"]
 
--- a/libs/ledger/src/ledger/lot_receipts.py
+++ b/libs/batch_state/src/batch_state/lot_receipts.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import messages as m
-from ledger.fold import Ledger
-from ledger.lots import Lot
+from batch_state import messages as m
+from batch_state.fold import Ledger
+from batch_state.lots import Lot
 
 __all__ = ["LotReader", "lot_receipt"]
 
--- a/libs/ledger/src/ledger/lots.py
+++ b/libs/batch_state/src/batch_state/lots.py
@@ -6,8 +6,8 @@
 
 from messaging import Message, encode
 
-from ledger import entries as e
-from ledger import messages as m
+from batch_state import entries as e
+from batch_state import messages as m
 
 __all__ = ["Item", "Lot"]
 
--- a/libs/ledger/src/ledger/picking.py
+++ b/libs/batch_state/src/batch_state/picking.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import messages as m
-from ledger.lots import Lot
+from batch_state import messages as m
+from batch_state.lots import Lot
 
 __all__ = ["Picker"]
 
--- a/libs/ledger/src/ledger/reading.py
+++ b/libs/batch_state/src/batch_state/reading.py
@@ -10,9 +10,9 @@
 
 from messaging import Message
 
-from ledger import messages as m
-from ledger.fold import Ledger
-from ledger.lots import Lot
+from batch_state import messages as m
+from batch_state.fold import Ledger
+from batch_state.lots import Lot
 
 __all__ = ["Reading"]
 
--- a/libs/loans/src/loans/__init__.py
+++ b/libs/capacity_sharing/src/capacity_sharing/__init__.py
@@ -5,11 +5,11 @@
 free.
 """
 
-from loans.borrowing import Borrowing
-from loans.lending import LoanOutcome, NodeLoans
-from loans.lent import LentWorkers
-from loans.outlook import LotOutlook
-from loans.rows import LOANS_KEY, LoanState
+from capacity_sharing.borrowing import Borrowing
+from capacity_sharing.lending import LoanOutcome, NodeLoans
+from capacity_sharing.lent import LentWorkers
+from capacity_sharing.outlook import LotOutlook
+from capacity_sharing.rows import LOANS_KEY, LoanState
 
 __all__ = [
     "LOANS_KEY",
--- a/libs/loans/src/loans/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from circulation import Budget, Carriage, Carrier, Roster, Step, Transaction, Worker
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Message, Origin, Part
+from request_routing import Budget, Carriage, Carrier, Roster, Step, Transaction, Worker
 
-from loans.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
-from loans.slots import LendableSlots
+from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
+from capacity_sharing.slots import LendableSlots
 
 __all__ = ["Borrowing", "PlaceWanted"]
 
--- a/libs/loans/src/loans/lending.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lending.py
@@ -17,8 +17,8 @@
 from membership import Neighbours
 from messaging import Origin, Part
 
-from loans.load import EdgeLoad, LiveLoad
-from loans.rows import (
+from capacity_sharing.load import EdgeLoad, LiveLoad
+from capacity_sharing.rows import (
     LOANS_KEY,
     LoanState,
     drained,
--- a/libs/loans/src/loans/lent.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from circulation import Carrier, Roster
 from config_feed import ConfigFeed
 from messaging import Origin, Part
+from request_routing import Carrier, Roster
 
-from loans.load import EdgeLoad, LiveLoad, load_report
-from loans.rows import LOANS_KEY, withheld
+from capacity_sharing.load import EdgeLoad, LiveLoad, load_report
+from capacity_sharing.rows import LOANS_KEY, withheld
 
 __all__ = ["LentWorkers"]
 
--- a/libs/loans/src/loans/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from circulation.calls import Call
-from circulation.carriage import Send
-from circulation.exchange import Exchange, Fate
-from circulation.placement import prefix_of
-from circulation.roster import Roster, Worker
-from circulation.sending import choose_worker, new_exchange, worker_request
+from request_routing.calls import Call
+from request_routing.carriage import Send
+from request_routing.exchange import Exchange, Fate
+from request_routing.placement import prefix_of
+from request_routing.roster import Roster, Worker
+from request_routing.sending import choose_worker, new_exchange, worker_request
 
 __all__ = [
     "OTHER_WEIGHTS",
--- a/libs/loans/src/loans/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import Carrier, Roster, Transaction, Worker
+from request_routing import Carrier, Roster, Transaction, Worker
 
-from loans.entitlement import Entitlements
-from loans.sampling import unstarted
+from capacity_sharing.entitlement import Entitlements
+from capacity_sharing.sampling import unstarted
 
 __all__ = ["LendableSlots"]
 
--- a/libs/registrar/src/registrar/__init__.py
+++ b/libs/control_plane/src/control_plane/__init__.py
@@ -1,6 +1,6 @@
-"""Registrar: the control plane's process, and the operators' command line."""
+"""Control plane: the control plane's process, and the operators' command line."""
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = ["ControlNode"]
 
--- a/libs/registrar/src/registrar/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -8,17 +8,17 @@
 from pathlib import Path
 from typing import Annotated, Literal
 
-from colophon import load_params
 from cyclopts import App, Parameter
-from readingroom.cli import call, read_json, serve_flags
-from readingroom.process import run_process, settings_or_exit
+from data_plane.cli import call, read_json, serve_flags
+from data_plane.process import run_process, settings_or_exit
+from runtime import load_params
 
-from registrar.process import ControlProcess
-from registrar.usage import export_usage
+from control_plane.process import ControlProcess
+from control_plane.usage import export_usage
 
 __all__ = ["main"]
 
-app = App(name="registrar", help="vaneledge's control plane, and the operators' commands.")
+app = App(name="vaneledge-control", help="vaneledge's control plane, and the operators' commands.")
 profiles = App(name="profiles", help="Show, send, patch and explain the tree of profiles.")
 usage = App(name="usage", help="Export usage.")
 loans = App(name="loans", help="Show, grant and recall loans of whole workers.")
@@ -79,7 +79,7 @@
     try:
         written, unread = export_usage(logs, out, form)
     except ModuleNotFoundError as error:
-        sys.stderr.write(f"{error}; install the extra: pip install 'registrar[usage]'\n")
+        sys.stderr.write(f"{error}; install the extra: pip install 'control_plane[usage]'\n")
         raise SystemExit(2) from error
     except OSError as error:
         sys.stderr.write(f"{error}\n")
--- a/libs/registrar/src/registrar/loan_desk.py
+++ b/libs/control_plane/src/control_plane/loan_desk.py
@@ -7,11 +7,11 @@
 from typing import Annotated, Any
 
 from aiohttp import web
-from colophon import Refusal, doubtful, refused
-from loans import LoanOutcome
+from capacity_sharing import LoanOutcome
+from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
 from messaging.shell import awaited
 from pydantic import BaseModel, ConfigDict, Field
-from readingroom.desk_http import HttpDesk, answer_refusal, json_answer, read_call
+from runtime import Refusal, doubtful, refused
 
 __all__ = ["LoanDesk"]
 
--- a/libs/registrar/src/registrar/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -8,16 +8,16 @@
 import json
 from typing import Any
 
+from capacity_sharing import LOANS_KEY, NodeLoans
 from config_feed import ConfigFeed, candidates
 from control_store import Founding, Owner, ReadBarrier, Roll, Tree, Voter, WorkerList
-from loans import LOANS_KEY, NodeLoans
+from data_plane.keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
 from membership import Neighbours
 from messaging import Env, Node
-from readingroom.keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
 from storage import Disk
 
-from registrar.retirement import Retirement
-from registrar.tree_changes import TreeChanges
+from control_plane.retirement import Retirement
+from control_plane.tree_changes import TreeChanges
 
 __all__ = ["ControlNode"]
 
--- a/libs/registrar/src/registrar/operators.py
+++ b/libs/control_plane/src/control_plane/operators.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from aiohttp import web
-from colophon import Refusal, doubtful, refused
 from config_feed.patches import apply_patch
 from control_store import (
     NO_BASE,
@@ -22,13 +21,20 @@
     check_tree,
     explain,
 )
+from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
+from data_plane.keys import PROFILES_KEY, RETIRED_KEY
 from messaging.shell import awaited
-from readingroom.desk_http import HttpDesk, answer_refusal, json_answer, read_call
-from readingroom.keys import PROFILES_KEY, RETIRED_KEY
+from runtime import Refusal, doubtful, refused
 
-from registrar.operator_calls import ForgetOrder, RetirementOrder, TreePatch, TreeSent, identity_of
-from registrar.retirement import retired_body
-from registrar.words import says, says_edge
+from control_plane.operator_calls import (
+    ForgetOrder,
+    RetirementOrder,
+    TreePatch,
+    TreeSent,
+    identity_of,
+)
+from control_plane.retirement import retired_body
+from control_plane.words import says, says_edge
 
 __all__ = ["Operators"]
 
--- a/libs/registrar/src/registrar/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -2,13 +2,13 @@
 
 from typing import Any
 
-from readingroom.desk_http import HttpDesk
-from readingroom.process import NodeProcess
+from data_plane.desk_http import HttpDesk
+from data_plane.process import NodeProcess
 
-from registrar.loan_desk import LoanDesk
-from registrar.nodes import ControlNode
-from registrar.operators import Operators
-from registrar.worker_desk import WorkerDesk
+from control_plane.loan_desk import LoanDesk
+from control_plane.nodes import ControlNode
+from control_plane.operators import Operators
+from control_plane.worker_desk import WorkerDesk
 
 __all__ = ["ControlProcess"]
 
--- a/libs/registrar/src/registrar/worker_desk.py
+++ b/libs/control_plane/src/control_plane/worker_desk.py
@@ -8,11 +8,11 @@
 from typing import Annotated, Any, Literal
 
 from aiohttp import web
-from colophon import Refusal, doubtful, refused
 from control_store import WorkerReport
+from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
 from messaging.shell import awaited
 from pydantic import BaseModel, ConfigDict, Field
-from readingroom.desk_http import HttpDesk, answer_refusal, json_answer, read_call
+from runtime import Refusal, doubtful, refused
 
 __all__ = ["WorkerDesk"]
 
--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -5,7 +5,7 @@
 list of workers, the list of voters and the roster of edges and stores.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = [
     "Change",
--- a/libs/readingroom/src/readingroom/__init__.py
+++ b/libs/data_plane/src/data_plane/__init__.py
@@ -1,9 +1,9 @@
-"""Readingroom: the data plane's nodes and processes.
+"""Data plane: the data plane's nodes and processes.
 
 Edges serve clients and workers; stores keep the replicated log.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = ["EdgeNode", "StoreNode"]
 
--- a/libs/readingroom/src/readingroom/answers.py
+++ b/libs/data_plane/src/data_plane/answers.py
@@ -7,9 +7,9 @@
 import json
 from typing import Any
 
-from circulation import Step
-from colophon import Refusal, doubtful, refused
 from messaging import decode
+from request_routing import Step
+from runtime import Refusal, doubtful, refused
 
 __all__ = [
     "Answer",
--- a/libs/readingroom/src/readingroom/calls.py
+++ b/libs/data_plane/src/data_plane/calls.py
@@ -6,9 +6,9 @@
 import json
 from typing import Annotated, Any, Literal, TypeVar
 
-from colophon import Refusal, refused
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
+from runtime import Refusal, refused
 
 __all__ = ["Beat", "CompletionCall", "HandInCall", "LOT_ID", "Leave", "parse"]
 
--- a/libs/readingroom/src/readingroom/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -11,17 +11,18 @@
 from typing import Annotated, Any, Literal
 
 import aiohttp
-from colophon import load_params
 from cyclopts import App, Parameter
+from runtime import load_params
 
-from readingroom.process import run_process, settings_or_exit
-from readingroom.replay import compare, load_recording, play
-from readingroom.roles import EdgeProcess, StoreProcess
+from data_plane.process import run_process, settings_or_exit
+from data_plane.replay import compare, load_recording, play
+from data_plane.roles import EdgeProcess, StoreProcess
 
 __all__ = ["call", "main", "serve_flags"]
 
 app = App(
-    name="readingroom", help="vaneledge's data plane: edges and stores, and a visitor's commands."
+    name="vaneledge-data",
+    help="vaneledge's data plane: edges, stores and a client's commands.",
 )
 lot = App(name="lot", help="Hand in, follow, read and end lots.")
 rollout = App(name="rollout", help="Hand in, follow, read and end training rollouts.")
--- a/libs/readingroom/src/readingroom/counter.py
+++ b/libs/data_plane/src/data_plane/counter.py
@@ -8,7 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import (
+from batch_state import messages as m
+from messaging import Part
+from request_routing import (
     Budget,
     Call,
     Carriage,
@@ -19,11 +21,9 @@
     Transaction,
     prefix_of,
 )
-from colophon import refused
-from ledger import messages as m
-from messaging import Part
+from runtime import refused
 
-from readingroom.answers import (
+from data_plane.answers import (
     Answer,
     hand_in_answer,
     live_answer,
--- a/libs/readingroom/src/readingroom/desk_http.py
+++ b/libs/data_plane/src/data_plane/desk_http.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from aiohttp import web
-from colophon import Refusal, doubtful, log, refused
 from mode import Service
+from runtime import Refusal, doubtful, log, refused
 
-from readingroom.answers import Answer
-from readingroom.calls import parse
-from readingroom.metrics import CONTENT_TYPE, Metrics
+from data_plane.answers import Answer
+from data_plane.calls import parse
+from data_plane.metrics import CONTENT_TYPE, Metrics
 
 __all__ = ["HttpDesk", "answer_refusal", "json_answer", "read_call", "write_answer"]
 
--- a/libs/readingroom/src/readingroom/forward_http.py
+++ b/libs/data_plane/src/data_plane/forward_http.py
@@ -12,9 +12,9 @@
 
 from aiohttp import HttpVersion11, web
 from aiohttp.web_protocol import RequestHandler
-from circulation import Carriage, ForwardCall, Step
-from colophon import Refusal, log, refused
 from mode import Service
+from request_routing import Carriage, ForwardCall, Step
+from runtime import Refusal, log, refused
 
 __all__ = ["ForwardDesk", "RequestReader", "answer_of"]
 
--- a/libs/readingroom/src/readingroom/forwards.py
+++ b/libs/data_plane/src/data_plane/forwards.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import Carriage, Carrier, ForwardCall, ForwardTransaction, Step
-from colophon import refused
 from messaging import Part
+from request_routing import Carriage, Carrier, ForwardCall, ForwardTransaction, Step
+from runtime import refused
 
 __all__ = ["ForwardCounter"]
 
--- a/libs/readingroom/src/readingroom/lot_counter.py
+++ b/libs/data_plane/src/data_plane/lot_counter.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from circulation import HolderClient, LotRunner
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Part, encode
+from request_routing import HolderClient, LotRunner
 
-from readingroom.answers import Answer, ended_answer, item_answer, page_answer, taken_answer
+from data_plane.answers import Answer, ended_answer, item_answer, page_answer, taken_answer
 
 __all__ = ["LotCounter"]
 
--- a/libs/readingroom/src/readingroom/nodes.py
+++ b/libs/data_plane/src/data_plane/nodes.py
@@ -7,20 +7,20 @@
 import json
 from typing import Any
 
-from circulation import Carrier, HolderClient, Items, LotRunner, Readings, Roster
+from batch_state import Desk
+from batch_state import messages as m
+from capacity_sharing import Borrowing, LentWorkers, LotOutlook
 from config_feed import ConfigFeed, candidates
 from control_store import ControlClient, Tree, profiles_digest
-from ledger import Desk
-from ledger import messages as m
-from loans import Borrowing, LentWorkers, LotOutlook
 from membership import Neighbours, duty_order
 from messaging import Env, Node
 from replicated_log import LocalLog, Mending, StoreLog
+from request_routing import Carrier, HolderClient, Items, LotRunner, Readings, Roster
 from storage import Disk
 
-from readingroom.counter import Counter
-from readingroom.forwards import ForwardCounter
-from readingroom.keys import (
+from data_plane.counter import Counter
+from data_plane.forwards import ForwardCounter
+from data_plane.keys import (
     CONTROL_KEY,
     LOG_KEY,
     PROFILES_KEY,
@@ -28,8 +28,8 @@
     WORKERS_KEY,
     open_or_set_aside,
 )
-from readingroom.lot_counter import LotCounter
-from readingroom.rollouts import RolloutCounter
+from data_plane.lot_counter import LotCounter
+from data_plane.rollouts import RolloutCounter
 
 _FEW_EDGES = 12
 
--- a/libs/readingroom/src/readingroom/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from colophon import Params, load_params, log, set_up_logs
-from colophon.params import changed_params
 from expression import Result
 from messaging.links import Switchboard
 from messaging.shell import ProcessEnv, Shell
 from mode import Service
+from runtime import Params, load_params, log, set_up_logs
+from runtime.params import changed_params
 from storage import FolderDisk
 
 __all__ = ["NodeProcess", "run_loaded", "run_process", "settings_or_exit"]
--- a/libs/readingroom/src/readingroom/recorder.py
+++ b/libs/data_plane/src/data_plane/recorder.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from aiohttp import web
-from colophon import boot_ms, log, wall_ms
+from runtime import boot_ms, log, wall_ms
 
 __all__ = ["FORMAT", "Recorder", "sealed"]
 
--- a/libs/readingroom/src/readingroom/replay.py
+++ b/libs/data_plane/src/data_plane/replay.py
@@ -16,7 +16,7 @@
 
 import aiohttp
 
-from readingroom.recorder import FORMAT
+from data_plane.recorder import FORMAT
 
 __all__ = ["compare", "load_recording", "play"]
 
--- a/libs/readingroom/src/readingroom/roles.py
+++ b/libs/data_plane/src/data_plane/roles.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-from colophon import Params
+from runtime import Params
 
-from readingroom.desk_http import HttpDesk
-from readingroom.nodes import EdgeNode, StoreNode
-from readingroom.process import NodeProcess
-from readingroom.recorder import Recorder
-from readingroom.rollouts import Rollouts
-from readingroom.sender import HttpSender
-from readingroom.visitors import Visitors
-from readingroom.workers import WorkerCalls
+from data_plane.desk_http import HttpDesk
+from data_plane.nodes import EdgeNode, StoreNode
+from data_plane.process import NodeProcess
+from data_plane.recorder import Recorder
+from data_plane.rollouts import Rollouts
+from data_plane.sender import HttpSender
+from data_plane.visitors import Visitors
+from data_plane.workers import WorkerCalls
 
 __all__ = ["EdgeProcess", "StoreProcess"]
 
@@ -112,7 +112,7 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """Return the edge's numbers by name; `readingroom.metrics.HELP` explains them."""
+        """Return the edge's numbers by name; `data_plane.metrics.HELP` explains them."""
         node = self.node
         rows = {f"edge_{name}_total": count for name, count in node.carrier.counts.items()}
         for desk in self.desks:
@@ -206,7 +206,7 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """Return the store's numbers by name; `readingroom.metrics.HELP` explains them."""
+        """Return the store's numbers by name; `data_plane.metrics.HELP` explains them."""
         local = self.node.log.log
         rows = {f"store_asked_{name}_total": count for name, count in self.node.desk.counts.items()}
         holder = self.node.log.holder
--- a/libs/readingroom/src/readingroom/rollouts.py
+++ b/libs/data_plane/src/data_plane/rollouts.py
@@ -10,17 +10,17 @@
 from typing import Annotated, Any
 
 from aiohttp import web
-from circulation import HolderClient, LotRunner
-from colophon import Refusal, refused
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Part
 from messaging.shell import awaited
 from pydantic import BaseModel, ConfigDict, Field, model_validator
+from request_routing import HolderClient, LotRunner
+from runtime import Refusal, refused
 
-from readingroom.answers import Answer, hand_in_answer, lot_answer, results_answer
-from readingroom.calls import LOT_ID, LotItem, Name
-from readingroom.counter import Counter, Told
-from readingroom.desk_http import HttpDesk, answer_refusal, read_call, write_answer
+from data_plane.answers import Answer, hand_in_answer, lot_answer, results_answer
+from data_plane.calls import LOT_ID, LotItem, Name
+from data_plane.counter import Counter, Told
+from data_plane.desk_http import HttpDesk, answer_refusal, read_call, write_answer
 
 __all__ = ["RolloutCall", "RolloutCounter", "Rollouts", "log_name"]
 
--- a/libs/readingroom/src/readingroom/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 import aiohttp
-from circulation import Send
-from colophon import log
 from messaging.shell import awaited
+from request_routing import Send
+from runtime import log
 from yarl import URL
 
-from readingroom.pool import CURRENT, Outgoing, WorkerPool, pooled_session
+from data_plane.pool import CURRENT, Outgoing, WorkerPool, pooled_session
 
 __all__ = ["HttpSender"]
 
--- a/libs/readingroom/src/readingroom/visitors.py
+++ b/libs/data_plane/src/data_plane/visitors.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from aiohttp import web
-from circulation import Step
-from colophon import Refusal, boot_ms, refused
 from messaging.shell import awaited
+from request_routing import Step
+from runtime import Refusal, boot_ms, refused
 
-from readingroom.answers import Answer
-from readingroom.calls import LOT_ID, CompletionCall, HandInCall
-from readingroom.counter import Counter
-from readingroom.desk_http import HttpDesk, answer_refusal, read_call, write_answer
+from data_plane.answers import Answer
+from data_plane.calls import LOT_ID, CompletionCall, HandInCall
+from data_plane.counter import Counter
+from data_plane.desk_http import HttpDesk, answer_refusal, read_call, write_answer
 
 __all__ = ["Visitors"]
 
--- a/libs/readingroom/src/readingroom/workers.py
+++ b/libs/data_plane/src/data_plane/workers.py
@@ -3,11 +3,11 @@
 from typing import Any
 
 from aiohttp import web
-from circulation import WorkerNews
-from colophon import Refusal, refused
+from request_routing import WorkerNews
+from runtime import Refusal, refused
 
-from readingroom.calls import Beat, Leave
-from readingroom.desk_http import HttpDesk, answer_refusal, json_answer, read_call
+from data_plane.calls import Beat, Leave
+from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
 
 __all__ = ["WorkerCalls"]
 
--- a/libs/messaging/src/messaging/cores.py
+++ b/libs/messaging/src/messaging/cores.py
@@ -92,7 +92,7 @@
 class Node:
     """A set of parts with one clock, one address and one table of open requests.
 
-    `params` are the settings (colophon.Params).
+    `params` are the settings (runtime.Params).
     """
 
     __slots__ = ("_asks", "_last_tick_ms", "_next_ref", "_paths", "env", "params", "parts")
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from colophon import log
 from fastavro import parse_schema, schemaless_reader, schemaless_writer
 from mode import Service
+from runtime import log
 
 from messaging.message import BadMessageError, Message, decode, encode
 
--- a/libs/messaging/src/messaging/shell.py
+++ b/libs/messaging/src/messaging/shell.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from colophon import boot_ms, log, wall_ms
 from mode import Service
+from runtime import boot_ms, log, wall_ms
 
 from messaging.cores import Node
 from messaging.links import Switchboard
--- a/libs/modelcheck/src/modelcheck/__init__.py
+++ b/libs/modelcheck/src/modelcheck/__init__.py
@@ -4,7 +4,7 @@
 separate checker decides whether a recorded history is linearizable.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = [
     "Bounds",
--- a/libs/modelcheck/src/modelcheck/control_keys.py
+++ b/libs/modelcheck/src/modelcheck/control_keys.py
@@ -17,11 +17,11 @@
 from itertools import combinations
 from typing import Any
 
-from colophon import Params
 from control_store import Change, Owner, Voter
 from control_store.messages import Accept, Changed, Prepare, Voted, VoterMeta
 from control_store.rounds import Round
 from messaging import Node, decode, encode
+from runtime import Params
 from storage import frame, scan
 
 from modelcheck.stand_ins import NoFeed, Trusted
--- a/libs/modelcheck/src/modelcheck/store_log.py
+++ b/libs/modelcheck/src/modelcheck/store_log.py
@@ -15,14 +15,14 @@
 from collections.abc import Hashable
 from typing import Any
 
-from colophon import Params
+from batch_state.entries import LotEnded
 from control_store import Change, ControlClient, Owner, Voter
 from control_store.messages import VoterMeta
-from ledger.entries import LotEnded
 from messaging import Node, encode
 from replicated_log import Holder, LocalLog, Outcome, StoreLog
 from replicated_log.local import entry_of
 from replicated_log.messages import Appended, Pulse, Started
+from runtime import Params
 from storage import frame
 
 from modelcheck.actions import Kind
--- a/libs/facsimile/src/facsimile/platform_days/__init__.py
+++ b/libs/platform_testbed/src/platform_testbed/__init__.py
@@ -4,7 +4,7 @@
 programs on loopback addresses, and an oracle with the rules of the platform's pages.
 """
 
-from facsimile.platform_days.engine import Engine
-from facsimile.platform_days.engine_messages import EngineSheet
+from platform_testbed.engine import Engine
+from platform_testbed.engine_messages import EngineSheet
 
 __all__ = ["Engine", "EngineSheet"]
--- a/libs/facsimile/src/facsimile/platform_days/asker.py
+++ b/libs/platform_testbed/src/platform_testbed/asker.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 import aiohttp
+from simulator.history import History
 
-from facsimile.platform_days.worker_calls import digest
-from facsimile.sim.history import History
+from platform_testbed.worker_calls import digest
 
 __all__ = ["Asker"]
 
--- a/libs/facsimile/src/facsimile/platform_days/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -3,11 +3,11 @@
 import json
 from pathlib import Path
 
-from facsimile.platform_days.day import run_platform_day
-from facsimile.platform_days.days import PLATFORM_DAYS, day_of
-from facsimile.platform_days.sheet import ALL_SHAPES
-from facsimile.platform_days.starved import starved_ms
-from facsimile.platform_days.worth import day_worth
+from platform_testbed.day import run_platform_day
+from platform_testbed.days import PLATFORM_DAYS, day_of
+from platform_testbed.sheet import ALL_SHAPES
+from platform_testbed.starved import starved_ms
+from platform_testbed.worth import day_worth
 
 __all__ = ["ALL_SHAPES", "PLATFORM_DAYS", "play_day"]
 
--- a/libs/facsimile/src/facsimile/platform_days/crew.py
+++ b/libs/platform_testbed/src/platform_testbed/crew.py
@@ -4,10 +4,11 @@
 import random
 from typing import Any
 
-from facsimile.platform_days.engine_messages import EngineSheet
-from facsimile.platform_days.sheet import Sheet
-from facsimile.platform_days.workers import StandInEngine
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.engine_messages import EngineSheet
+from platform_testbed.sheet import Sheet
+from platform_testbed.workers import StandInEngine
 
 __all__ = ["Crew"]
 
--- a/libs/facsimile/src/facsimile/platform_days/day.py
+++ b/libs/platform_testbed/src/platform_testbed/day.py
@@ -12,17 +12,17 @@
 from typing import Any
 
 import aiohttp
-
-from facsimile.platform_days.crew import Crew
-from facsimile.platform_days.entry import Entry
-from facsimile.platform_days.live import LiveClients
-from facsimile.platform_days.lots import LotClients
-from facsimile.platform_days.machines import Machine, Machines
-from facsimile.platform_days.operators import Operator
-from facsimile.platform_days.oracle import judge_day
-from facsimile.platform_days.sheet import Sheet
-from facsimile.platform_days.starved import starved_ms
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.crew import Crew
+from platform_testbed.entry import Entry
+from platform_testbed.live import LiveClients
+from platform_testbed.lots import LotClients
+from platform_testbed.machines import Machine, Machines
+from platform_testbed.operators import Operator
+from platform_testbed.oracle import judge_day
+from platform_testbed.sheet import Sheet
+from platform_testbed.starved import starved_ms
 
 __all__ = ["STARVED_MS", "Day", "Step", "run_platform_day"]
 
@@ -211,7 +211,7 @@
     Evidence that is `due` is asked for only where no machine was long kept from running by other
     load on the host.
     """
-    day = Day(shape, seed, folder, root or Path(__file__).resolve().parents[5], ills)
+    day = Day(shape, seed, folder, root or Path(__file__).resolve().parents[4], ills)
     await day.play(steps, seconds)
     counts, broken = judge_day(day.history, due if starved_ms(day.history) < STARVED_MS else ())
     return day, counts, broken
--- a/libs/facsimile/src/facsimile/platform_days/engine.py
+++ b/libs/platform_testbed/src/platform_testbed/engine.py
@@ -10,8 +10,8 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from facsimile.platform_days.engine_calls import Call, PromptPart
-from facsimile.platform_days.engine_messages import (
+from platform_testbed.engine_calls import Call, PromptPart
+from platform_testbed.engine_messages import (
     Asked,
     Begun,
     Drained,
--- a/libs/facsimile/src/facsimile/platform_days/engine_calls.py
+++ b/libs/platform_testbed/src/platform_testbed/engine_calls.py
@@ -1,6 +1,6 @@
 """What the engine of a simulated worker keeps of a call and of a part of a prompt."""
 
-from facsimile.platform_days.engine_messages import Asked
+from platform_testbed.engine_messages import Asked
 
 __all__ = ["Call", "PromptPart"]
 
--- a/libs/facsimile/src/facsimile/platform_days/entry.py
+++ b/libs/platform_testbed/src/platform_testbed/entry.py
@@ -9,8 +9,7 @@
 from typing import Any
 
 import aiohttp
-
-from facsimile.sim.history import History
+from simulator.history import History
 
 __all__ = ["Entry"]
 
--- a/libs/facsimile/src/facsimile/platform_days/live.py
+++ b/libs/platform_testbed/src/platform_testbed/live.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 import aiohttp
+from simulator.history import History
 
-from facsimile.platform_days.asker import Asker
-from facsimile.platform_days.entry import Entry
-from facsimile.platform_days.sheet import Kind, Sheet
-from facsimile.platform_days.worker_calls import digest
-from facsimile.sim.history import History
+from platform_testbed.asker import Asker
+from platform_testbed.entry import Entry
+from platform_testbed.sheet import Kind, Sheet
+from platform_testbed.worker_calls import digest
 
 __all__ = ["LiveClients", "PROMISES"]
 
--- a/libs/facsimile/src/facsimile/platform_days/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -16,9 +16,10 @@
 from pathlib import Path
 from typing import Any
 
-from facsimile.platform_days.sheet import Sheet
-from facsimile.platform_days.starved import Starved
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.sheet import Sheet
+from platform_testbed.starved import Starved
 
 __all__ = ["Machine", "Machines", "loopback_net"]
 
--- a/libs/facsimile/src/facsimile/platform_days/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 import aiohttp
+from simulator.history import History
 
-from facsimile.platform_days.sheet import Sheet
-from facsimile.sim.history import History
+from platform_testbed.sheet import Sheet
 
 __all__ = ["Operator", "patched"]
 
--- a/libs/facsimile/src/facsimile/platform_days/oracle.py
+++ b/libs/platform_testbed/src/platform_testbed/oracle.py
@@ -7,11 +7,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from facsimile.platform_days import rules_live as live
-from facsimile.platform_days import rules_lots as lots
-from facsimile.platform_days import rules_settings as settings
-from facsimile.platform_days.rules_live import Found
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed import rules_live as live
+from platform_testbed import rules_lots as lots
+from platform_testbed import rules_settings as settings
+from platform_testbed.rules_live import Found
 
 __all__ = ["PLATFORM_RULES", "judge_day"]
 
--- a/libs/facsimile/src/facsimile/platform_days/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -7,10 +7,11 @@
 from collections import defaultdict
 from typing import Any
 
-from facsimile.platform_days.live import PROMISES
-from facsimile.platform_days.sheet import allowed_services
-from facsimile.platform_days.touch import Touch, of_tries
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.live import PROMISES
+from platform_testbed.sheet import allowed_services
+from platform_testbed.touch import Touch, of_tries
 
 __all__ = [
     "denied",
--- a/libs/facsimile/src/facsimile/platform_days/rules_lots.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_lots.py
@@ -6,10 +6,11 @@
 
 from typing import Any
 
-from facsimile.platform_days.live import PROMISES
-from facsimile.platform_days.rules_live import Found, runs_by_id, sequence
-from facsimile.platform_days.touch import Touch
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.live import PROMISES
+from platform_testbed.rules_live import Found, runs_by_id, sequence
+from platform_testbed.touch import Touch
 
 __all__ = [
     "lot_lost",
--- a/libs/facsimile/src/facsimile/platform_days/rules_settings.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_settings.py
@@ -6,10 +6,11 @@
 
 from typing import Any
 
-from facsimile.platform_days.rules_live import Found, runs_by_id
-from facsimile.platform_days.sheet import allowed_services, route_of
-from facsimile.platform_days.touch import Touch, of_tries
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.rules_live import Found, runs_by_id
+from platform_testbed.sheet import allowed_services, route_of
+from platform_testbed.touch import Touch, of_tries
 
 __all__ = ["acks", "in_force", "later_routes", "losers", "never_back", "read_back", "recovered"]
 
--- a/libs/facsimile/src/facsimile/platform_days/sheet.py
+++ b/libs/platform_testbed/src/platform_testbed/sheet.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from facsimile.platform_days.engine_messages import EngineSheet
+from platform_testbed.engine_messages import EngineSheet
 
 __all__ = ["ALL_SHAPES", "Kind", "Sheet", "allowed_services", "route_of"]
 
--- a/libs/facsimile/src/facsimile/platform_days/starved.py
+++ b/libs/platform_testbed/src/platform_testbed/starved.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from facsimile.sim.history import History
+from simulator.history import History
 
 __all__ = ["Starved", "starved_ms"]
 
--- a/libs/facsimile/src/facsimile/platform_days/touch.py
+++ b/libs/platform_testbed/src/platform_testbed/touch.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from facsimile.sim.history import History
+from simulator.history import History
 
 __all__ = ["Touch", "of_tries"]
 
--- a/libs/facsimile/src/facsimile/platform_days/worker_calls.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_calls.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from facsimile.platform_days.engine_messages import Asked
+from platform_testbed.engine_messages import Asked
 
 __all__ = ["Turn", "digest", "parse_request"]
 
--- a/libs/facsimile/src/facsimile/platform_days/workers.py
+++ b/libs/platform_testbed/src/platform_testbed/workers.py
@@ -13,9 +13,10 @@
 import aiohttp
 from aiohttp import web
 from mode import Service
+from simulator.history import History
 
-from facsimile.platform_days.engine import Engine
-from facsimile.platform_days.engine_messages import (
+from platform_testbed.engine import Engine
+from platform_testbed.engine_messages import (
     Begun,
     Drained,
     Dropped,
@@ -24,8 +25,7 @@
     Over,
     TurnedAway,
 )
-from facsimile.platform_days.worker_calls import Turn, digest, parse_request
-from facsimile.sim.history import History
+from platform_testbed.worker_calls import Turn, digest, parse_request
 
 __all__ = ["StandInEngine"]
 
--- a/libs/facsimile/src/facsimile/platform_days/worth.py
+++ b/libs/platform_testbed/src/platform_testbed/worth.py
@@ -7,8 +7,9 @@
 from collections import Counter
 from typing import Any
 
-from facsimile.platform_days.touch import of_tries
-from facsimile.sim.history import History
+from simulator.history import History
+
+from platform_testbed.touch import of_tries
 
 __all__ = ["day_worth"]
 
--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -5,7 +5,7 @@
 kept of the published scheme and what was changed.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = [
     "Append",
--- a/libs/replicated_log/src/replicated_log/holder.py
+++ b/libs/replicated_log/src/replicated_log/holder.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import Ledger
-from ledger.entries import LotShelved
+from batch_state import Ledger
+from batch_state.entries import LotShelved
 from messaging import Message, encode
 from storage import DiskFullError
 
--- a/libs/replicated_log/src/replicated_log/local.py
+++ b/libs/replicated_log/src/replicated_log/local.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import Ledger
+from batch_state import Ledger
 from messaging import Message, decode, encode
 from storage import DamageError, Disk, frame, over_hole, walk
 
--- a/libs/replicated_log/src/replicated_log/mending.py
+++ b/libs/replicated_log/src/replicated_log/mending.py
@@ -9,7 +9,7 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Message, Origin, Part, encode
 
 from replicated_log.local import LocalLog
--- a/libs/replicated_log/src/replicated_log/shelves.py
+++ b/libs/replicated_log/src/replicated_log/shelves.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import entries as e
-from ledger.fold import Key, Lot
+from batch_state import entries as e
+from batch_state.fold import Key, Lot
 from messaging import Message, decode, encode
 from storage import DiskFullError, frame, walk
 
--- a/libs/circulation/src/circulation/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -1,11 +1,11 @@
-"""Circulation: how an edge carries one request to a worker and judges the answer.
+"""Request routing: how an edge carries one request to a worker and judges the answer.
 
 It has the state machine of a transaction, the placement of requests on workers, the registry of
 workers, the checks of streams, the running of batch items, and the client of the log's leader. None
 of it has a socket.
 """
 
-from colophon.lazy import lazy
+from runtime.lazy import lazy
 
 __all__ = [
     "Budget",
--- a/libs/circulation/src/circulation/carriage.py
+++ b/libs/request_routing/src/request_routing/carriage.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from circulation.calls import Call, ForwardCall
-from circulation.chart import Step, Transaction
-from circulation.exchange import Exchange
-from circulation.forward import ForwardExchange
-from circulation.roster import Worker
+from request_routing.calls import Call, ForwardCall
+from request_routing.chart import Step, Transaction
+from request_routing.exchange import Exchange
+from request_routing.forward import ForwardExchange
+from request_routing.roster import Worker
 
 __all__ = ["Carriage", "Send", "Sender"]
 
--- a/libs/circulation/src/circulation/carrier.py
+++ b/libs/request_routing/src/request_routing/carrier.py
@@ -9,18 +9,18 @@
 
 from messaging import Part
 
-from circulation.affinity import PartMap
-from circulation.calls import Call, Dialect, ForwardCall
-from circulation.carriage import Carriage, Send, Sender
-from circulation.chart import Step, Transaction
-from circulation.exchange import Fate
-from circulation.key_asks import ask_close, ask_open
-from circulation.outcomes import log_end, note_failure, outcome_after
-from circulation.pace import Pace
-from circulation.roster import Roster, Worker
-from circulation.sending import allowed_workers, choose_worker, new_exchange, worker_request
-from circulation.silence import silence_fate
-from circulation.waiting import WaitingLine
+from request_routing.affinity import PartMap
+from request_routing.calls import Call, Dialect, ForwardCall
+from request_routing.carriage import Carriage, Send, Sender
+from request_routing.chart import Step, Transaction
+from request_routing.exchange import Fate
+from request_routing.key_asks import ask_close, ask_open
+from request_routing.outcomes import log_end, note_failure, outcome_after
+from request_routing.pace import Pace
+from request_routing.roster import Roster, Worker
+from request_routing.sending import allowed_workers, choose_worker, new_exchange, worker_request
+from request_routing.silence import silence_fate
+from request_routing.waiting import WaitingLine
 
 __all__ = ["Carrier"]
 
--- a/libs/circulation/src/circulation/chart.py
+++ b/libs/request_routing/src/request_routing/chart.py
@@ -8,9 +8,9 @@
 from enum import StrEnum
 from typing import Any
 
-from colophon import Refusal, Verdict, doubtful, refused
+from runtime import Refusal, Verdict, doubtful, refused
 
-from circulation.placement import Budget
+from request_routing.placement import Budget
 
 __all__ = ["State", "Step", "Transaction"]
 
--- a/libs/circulation/src/circulation/exchange.py
+++ b/libs/request_routing/src/request_routing/exchange.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from circulation.streams import END, StreamCheck, check_whole
+from request_routing.streams import END, StreamCheck, check_whole
 
 __all__ = ["Exchange", "Fate"]
 
--- a/libs/circulation/src/circulation/forward.py
+++ b/libs/request_routing/src/request_routing/forward.py
@@ -8,8 +8,8 @@
 import re
 from collections.abc import Iterable
 
-from circulation.calls import Dialect, end_to_end
-from circulation.exchange import Fate
+from request_routing.calls import Dialect, end_to_end
+from request_routing.exchange import Fate
 
 __all__ = ["NO_CONNECTION", "EventCheck", "ForwardExchange"]
 
--- a/libs/circulation/src/circulation/forward_chart.py
+++ b/libs/request_routing/src/request_routing/forward_chart.py
@@ -7,11 +7,11 @@
 
 from typing import Any
 
-from colophon import Refusal, doubtful, refused
+from runtime import Refusal, doubtful, refused
 
-from circulation.chart import State, Step, Transaction
-from circulation.forward import NO_CONNECTION
-from circulation.placement import Budget
+from request_routing.chart import State, Step, Transaction
+from request_routing.forward import NO_CONNECTION
+from request_routing.placement import Budget
 
 __all__ = ["ForwardTransaction"]
 
--- a/libs/circulation/src/circulation/holding.py
+++ b/libs/request_routing/src/request_routing/holding.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Message, Part
 
 __all__ = ["HolderClient"]
--- a/libs/circulation/src/circulation/item_run.py
+++ b/libs/request_routing/src/request_routing/item_run.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import decode
 
-from circulation.calls import ForwardCall
-from circulation.carrier import Carriage, Carrier
-from circulation.chart import State, Step
-from circulation.forward_chart import ForwardTransaction
+from request_routing.calls import ForwardCall
+from request_routing.carrier import Carriage, Carrier
+from request_routing.chart import State, Step
+from request_routing.forward_chart import ForwardTransaction
 
 __all__ = ["ItemRun", "data_of"]
 
--- a/libs/circulation/src/circulation/items.py
+++ b/libs/request_routing/src/request_routing/items.py
@@ -9,17 +9,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from colophon import Verdict
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Part
-
-from circulation.calls import Call
-from circulation.carriage import Carriage
-from circulation.carrier import Carrier
-from circulation.chart import Step, Transaction
-from circulation.item_run import ItemRun
-from circulation.placement import Budget, prefix_of
-from circulation.roster import Roster, Worker
+from runtime import Verdict
+
+from request_routing.calls import Call
+from request_routing.carriage import Carriage
+from request_routing.carrier import Carrier
+from request_routing.chart import Step, Transaction
+from request_routing.item_run import ItemRun
+from request_routing.placement import Budget, prefix_of
+from request_routing.roster import Roster, Worker
 
 __all__ = ["Items"]
 
--- a/libs/circulation/src/circulation/key_asks.py
+++ b/libs/request_routing/src/request_routing/key_asks.py
@@ -5,10 +5,10 @@
 
 from typing import Any
 
-from ledger import messages as m
+from batch_state import messages as m
 
-from circulation.carriage import Carriage
-from circulation.chart import Step
+from request_routing.carriage import Carriage
+from request_routing.chart import Step
 
 __all__ = ["ask_close", "ask_open"]
 
--- a/libs/circulation/src/circulation/lots.py
+++ b/libs/request_routing/src/request_routing/lots.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Message, Part, decode, encode
 
-from circulation.holding import HolderClient
+from request_routing.holding import HolderClient
 
 __all__ = ["LotRunner"]
 
--- a/libs/circulation/src/circulation/outcomes.py
+++ b/libs/request_routing/src/request_routing/outcomes.py
@@ -5,11 +5,11 @@
 
 from typing import Any
 
-from circulation.calls import ForwardCall
-from circulation.carriage import Carriage, Send
-from circulation.chart import Step
-from circulation.exchange import Fate
-from circulation.roster import Roster
+from request_routing.calls import ForwardCall
+from request_routing.carriage import Carriage, Send
+from request_routing.chart import Step
+from request_routing.exchange import Fate
+from request_routing.roster import Roster
 
 __all__ = ["log_end", "note_failure", "outcome_after"]
 
--- a/libs/circulation/src/circulation/placement.py
+++ b/libs/request_routing/src/request_routing/placement.py
@@ -13,7 +13,7 @@
 
 from membership.duties import score
 
-from circulation.roster import Worker
+from request_routing.roster import Worker
 
 __all__ = ["Budget", "choose", "choose_forward", "cost", "prefix_of"]
 
--- a/libs/circulation/src/circulation/roster.py
+++ b/libs/request_routing/src/request_routing/roster.py
@@ -12,7 +12,7 @@
 
 from messaging import Origin, Part
 
-from circulation.worker import Worker, WorkerNews
+from request_routing.worker import Worker, WorkerNews
 
 __all__ = ["Roster", "Worker", "WorkerNews"]
 
--- a/libs/circulation/src/circulation/sending.py
+++ b/libs/request_routing/src/request_routing/sending.py
@@ -8,11 +8,11 @@
 from functools import singledispatch
 from typing import Any
 
-from circulation.calls import Call, ForwardCall
-from circulation.exchange import Exchange
-from circulation.forward import ForwardExchange
-from circulation.placement import choose, choose_forward
-from circulation.roster import Roster, Worker
+from request_routing.calls import Call, ForwardCall
+from request_routing.exchange import Exchange
+from request_routing.forward import ForwardExchange
+from request_routing.placement import choose, choose_forward
+from request_routing.roster import Roster, Worker
 
 _READING_SHARE = 0.3
 
--- a/libs/circulation/src/circulation/silence.py
+++ b/libs/request_routing/src/request_routing/silence.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from circulation.carriage import Send
-from circulation.exchange import Fate
-from circulation.pace import Pace
+from request_routing.carriage import Send
+from request_routing.exchange import Fate
+from request_routing.pace import Pace
 
 __all__ = ["silence_fate"]
 
--- a/libs/colophon/src/colophon/__init__.py
+++ b/libs/runtime/src/runtime/__init__.py
@@ -4,10 +4,10 @@
 a request may have run.
 """
 
-from colophon.clock import boot_ms, wall_ms
-from colophon.logs import log, set_up_logs
-from colophon.params import Params, load_params
-from colophon.verdicts import Refusal, Verdict, doubtful, refused
+from runtime.clock import boot_ms, wall_ms
+from runtime.logs import log, set_up_logs
+from runtime.params import Params, load_params
+from runtime.verdicts import Refusal, Verdict, doubtful, refused
 
 __all__ = [
     "Params",
--- a/libs/facsimile/src/facsimile/sim/__init__.py
+++ b/libs/simulator/src/simulator/__init__.py
@@ -4,8 +4,8 @@
 workers and operators record a history that an oracle judges.
 """
 
-from facsimile.sim.history import History
-from facsimile.sim.oracle import evidence, judge
-from facsimile.sim.runs import run_seed
+from simulator.history import History
+from simulator.oracle import evidence, judge
+from simulator.runs import run_seed
 
 __all__ = ["History", "evidence", "judge", "run_seed"]
--- a/libs/facsimile/src/facsimile/sim/carrying.py
+++ b/libs/simulator/src/simulator/carrying.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import Send
+from request_routing import Send
 
 __all__ = ["SimSender"]
 
--- a/libs/facsimile/src/facsimile/sim/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -8,10 +8,10 @@
 
 import random
 
-from facsimile.sim.reading_workers import ReadingWorker
-from facsimile.sim.runs import Run
-from facsimile.sim.trainers import Trainers
-from facsimile.sim.visitors import Visitors
+from simulator.reading_workers import ReadingWorker
+from simulator.runs import Run
+from simulator.trainers import Trainers
+from simulator.visitors import Visitors
 
 __all__ = ["FAULTS_OF_AN_EVENING", "Evening", "play_evening"]
 
--- a/libs/facsimile/src/facsimile/sim/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-from colophon import Params
-from readingroom import EdgeNode, StoreNode
-from registrar import ControlNode
-
-from facsimile.sim.carrying import SimSender
-from facsimile.sim.disks import SimDisk
-from facsimile.sim.history import History
-from facsimile.sim.hosts import SimEnv, SimHost
-from facsimile.sim.virtual import Network, VirtualTime
-from facsimile.sim.workers import SimWorker
+from control_plane import ControlNode
+from data_plane import EdgeNode, StoreNode
+from runtime import Params
+
+from simulator.carrying import SimSender
+from simulator.disks import SimDisk
+from simulator.history import History
+from simulator.hosts import SimEnv, SimHost
+from simulator.virtual import Network, VirtualTime
+from simulator.workers import SimWorker
 
 __all__ = ["SimFleet"]
 
--- a/libs/facsimile/src/facsimile/sim/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import Step
-from readingroom.answers import Answer
+from data_plane.answers import Answer
+from request_routing import Step
 
 __all__ = ["LiveCall", "flat_body", "flat_events"]
 
--- a/libs/facsimile/src/facsimile/sim/oracle.py
+++ b/libs/simulator/src/simulator/oracle.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from facsimile.sim import rules_calls as calls
-from facsimile.sim import rules_state as state
-from facsimile.sim.history import History
+from simulator import rules_calls as calls
+from simulator import rules_state as state
+from simulator.history import History
 
 __all__ = ["RULES", "evidence", "judge"]
 
--- a/libs/facsimile/src/facsimile/sim/reading_workers.py
+++ b/libs/simulator/src/simulator/reading_workers.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import WorkerNews
+from request_routing import WorkerNews
 
-from facsimile.sim.workers import SimWorker, told_in_prompt
+from simulator.workers import SimWorker, told_in_prompt
 
 __all__ = ["ReadingWorker"]
 
--- a/libs/facsimile/src/facsimile/sim/rules_calls.py
+++ b/libs/simulator/src/simulator/rules_calls.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import Any
 
-from facsimile.sim.history import History
+from simulator.history import History
 
 __all__ = [
     "bodies",
--- a/libs/facsimile/src/facsimile/sim/rules_loans.py
+++ b/libs/simulator/src/simulator/rules_loans.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from facsimile.sim.history import History
+from simulator.history import History
 
 __all__ = ["LOAN_RULES", "first_events_ms", "judge_loans"]
 
--- a/libs/facsimile/src/facsimile/sim/rules_state.py
+++ b/libs/simulator/src/simulator/rules_state.py
@@ -5,8 +5,8 @@
 
 from collections import defaultdict
 
-from facsimile.sim.history import History
-from facsimile.sim.rules_calls import SLACK_MS, Found
+from simulator.history import History
+from simulator.rules_calls import SLACK_MS, Found
 
 __all__ = [
     "changes_kept",
--- a/libs/facsimile/src/facsimile/sim/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from facsimile.sim.faults import FAULTS, schedule
-from facsimile.sim.fleet import SimFleet
-from facsimile.sim.operators import ROOM, Operators
-from facsimile.sim.oracle import judge
-from facsimile.sim.visitors import Visitors
+from simulator.faults import FAULTS, schedule
+from simulator.fleet import SimFleet
+from simulator.operators import ROOM, Operators
+from simulator.oracle import judge
+from simulator.visitors import Visitors
 
 __all__ = ["SHAPES", "Run", "run_seed"]
 
--- a/libs/facsimile/src/facsimile/sim/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -7,8 +7,8 @@
 import json
 from typing import Any
 
-from readingroom.answers import Answer
-from readingroom.rollouts import RolloutCall
+from data_plane.answers import Answer
+from data_plane.rollouts import RolloutCall
 
 __all__ = ["Trainers"]
 
--- a/libs/facsimile/src/facsimile/sim/visitors.py
+++ b/libs/simulator/src/simulator/visitors.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from readingroom.answers import Answer
+from data_plane.answers import Answer
 
-from facsimile.sim.live_calls import LiveCall, flat_body
+from simulator.live_calls import LiveCall, flat_body
 
 __all__ = ["Visitors"]
 
--- a/libs/facsimile/src/facsimile/sim/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import WorkerNews
+from request_routing import WorkerNews
 
 __all__ = ["SimWorker", "UNSAFE", "told_in_prompt"]
 
--- a/libs/facsimile/src/facsimile/breaks/control.py
+++ b/libs/testbed/src/testbed/breaks/control.py
@@ -23,13 +23,13 @@
         _CUT_OFF + "no_item",
     ),
     "a control node that is back vouches before it has read": (
-        "registrar/src/registrar/nodes.py",
+        "control_plane/src/control_plane/nodes.py",
         "and self.read_barrier.passed()",
         "",
         _CUT_OFF + "vouches",
     ),
     "an edge begins by the word of a cut-off neighbour": (
-        "readingroom/src/readingroom/nodes.py",
+        "data_plane/src/data_plane/nodes.py",
         "and not self._hears_some_control()",
         "",
         _CUT_OFF + "neighbour",
@@ -41,7 +41,7 @@
         _CUT_OFF + "vouches",
     ),
     "a retirement is refused by a node that knows too little": (
-        "registrar/src/registrar/retirement.py",
+        "control_plane/src/control_plane/retirement.py",
         "RetirementAnswer.DOUBT if fresh else refusal",
         "refusal",
         _CUT_OFF + "retirement",
@@ -143,7 +143,7 @@
         _FOUNDING + "another_identity",
     ),
     "a change on any base is taken": (
-        "registrar/src/registrar/tree_changes.py",
+        "control_plane/src/control_plane/tree_changes.py",
         "elif _revision_of(tree) != call.order.base:",
         "elif False:",
         _DAYS + "calm",
@@ -167,19 +167,19 @@
         _ORDERS + "nobody_hands_out",
     ),
     "a patch on another version is sent on": (
-        "registrar/src/registrar/operators.py",
+        "control_plane/src/control_plane/operators.py",
         "if receipt.version != call.version:",
         "if False:",
         _OWN_ORDERS + "only_asked_after",
     ),
     "an id names any contents": (
-        "registrar/src/registrar/operator_calls.py",
+        "control_plane/src/control_plane/operator_calls.py",
         "text = json.dumps([change_id, type(contents).__name__, sent], sort_keys=True)",
         "text = change_id",
         _OWN_ORDERS + "two_contents",
     ),
     "too few is told before all can be heard": (
-        "registrar/src/registrar/retirement.py",
+        "control_plane/src/control_plane/retirement.py",
         "fresh = self.node.env.now() - self._since_ms < after_ms",
         "fresh = False",
         _OWN_ORDERS + "too_few",
--- a/libs/facsimile/src/facsimile/breaks/log.py
+++ b/libs/testbed/src/testbed/breaks/log.py
@@ -9,13 +9,13 @@
 
 BREAKS: dict[str, tuple[str, str, str, str]] = {
     "one lot too many": (
-        "ledger/src/ledger/admission.py",
+        "batch_state/src/batch_state/admission.py",
         "ledger.room_used(message.path) >= room",
         "ledger.room_used(message.path) > room",
         _LOTS + "exact",
     ),
     "late hand-ins are taken": (
-        "ledger/src/ledger/answers.py",
+        "batch_state/src/batch_state/answers.py",
         "return message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.params.fresh_ms",
         "return False",
         _LOTS + "late",
@@ -51,7 +51,7 @@
         "tests/test_recovery.py -k old_tail",
     ),
     "an unsafe report is acknowledged unsettled": (
-        "ledger/src/ledger/dealing.py",
+        "batch_state/src/batch_state/dealing.py",
         "self._holder.append(rows, not lot.safe, logged, True)",
         "self._holder.append(rows, False, logged, True)",
         _LOTS + "unsafe_report",
@@ -92,16 +92,16 @@
         "tests/test_shelves.py -k spare",
     ),
     "a lost baton stays lost": (
-        "ledger/src/ledger/dealing.py",
+        "batch_state/src/batch_state/dealing.py",
         "if lot.ready > lot.placed and not self._live(lot.baton_edge):",
         "if False:",
         _LOTS + "all_finished",
     ),
     "placed under an old baton": (
-        "ledger/src/ledger/fold.py",
+        "batch_state/src/batch_state/fold.py",
         "lot is not None and entry.epoch == lot.baton_epoch and",
         "lot is not None and",
-        "tests/test_ledger.py -k baton",
+        "tests/test_batch_state.py -k baton",
     ),
     "whoever is cut off takes the duty": (
         "replicated_log/src/replicated_log/watch.py",
--- a/libs/facsimile/src/facsimile/checking.py
+++ b/libs/testbed/src/testbed/checking.py
@@ -14,7 +14,7 @@
 from modelcheck import BreachError, Explorer, read_schedule, write_schedule
 from modelcheck.starts import STARTS
 
-from facsimile.histories import HistoryResult, check_seed
+from testbed.histories import HistoryResult, check_seed
 
 __all__ = ["explore", "histories"]
 
--- a/libs/facsimile/src/facsimile/cli.py
+++ b/libs/testbed/src/testbed/cli.py
@@ -9,30 +9,30 @@
 from pathlib import Path
 from typing import Annotated, Literal
 
-from colophon import load_params
 from cyclopts import App, Parameter
-from readingroom.process import settings_or_exit
-
-from facsimile.breaks import BREAKS, run_breaks
-from facsimile.checking import explore, histories
-from facsimile.days import DAYS, run_day
-from facsimile.measure import measure_fleet, measure_log
-from facsimile.measure_ledger import measure_ledger
-from facsimile.measure_more import measure_crowd, measure_prefix, measure_routes
-from facsimile.measure_rollouts import measure_rollouts
-from facsimile.measure_scale import measure_scale
-from facsimile.measure_units import measure_units
-from facsimile.platform_days.command import ALL_SHAPES, PLATFORM_DAYS, play_day
-from facsimile.report import day_report
-from facsimile.sim import evidence, run_seed
-from facsimile.sim.oracle import RULES
-from facsimile.surroundings import Weather, run_node
-from facsimile.trace import KINDS, trace
-from facsimile.worker import StandInWorker
+from data_plane.process import settings_or_exit
+from platform_testbed.command import ALL_SHAPES, PLATFORM_DAYS, play_day
+from runtime import load_params
+from simulator import evidence, run_seed
+from simulator.oracle import RULES
+
+from testbed.breaks import BREAKS, run_breaks
+from testbed.checking import explore, histories
+from testbed.days import DAYS, run_day
+from testbed.measure import measure_fleet, measure_log
+from testbed.measure_ledger import measure_ledger
+from testbed.measure_more import measure_crowd, measure_prefix, measure_routes
+from testbed.measure_rollouts import measure_rollouts
+from testbed.measure_scale import measure_scale
+from testbed.measure_units import measure_units
+from testbed.report import day_report
+from testbed.surroundings import Weather, run_node
+from testbed.trace import KINDS, trace
+from testbed.worker import StandInWorker
 
 __all__ = ["main"]
 
-app = App(name="facsimile", help="Stand-ins, the simulator and the test fleet of vaneledge.")
+app = App(name="vaneledge-testbed", help="Test fleets, simulation and measurements of vaneledge.")
 app.command(explore)
 app.command(histories)
 
--- a/libs/facsimile/src/facsimile/days.py
+++ b/libs/testbed/src/testbed/days.py
@@ -13,10 +13,11 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from facsimile.days_weather import WEATHER_DAYS
-from facsimile.fleet import SHAPES, Fleet, Member, until
-from facsimile.sim.oracle import judge
-from facsimile.traffic import TREE, Traffic
+from simulator.oracle import judge
+
+from testbed.days_weather import WEATHER_DAYS
+from testbed.fleet import SHAPES, Fleet, Member, until
+from testbed.traffic import TREE, Traffic
 
 __all__ = ["DAYS", "find_holder", "run_day"]
 
--- a/libs/facsimile/src/facsimile/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from facsimile.surroundings.weather import write_weather
+from testbed.surroundings.weather import write_weather
 
 __all__ = ["Fleet", "Member", "SHAPES", "until"]
 
@@ -149,13 +149,13 @@
             values["data_folder"] = str(self.folder / name)
         path = self.folder / f"{name}.toml"
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items()))
-        program = "registrar" if role == "control" else "readingroom"
+        program = "control_plane" if role == "control" else "data_plane"
         command = [sys.executable, "-m", f"{program}.cli", "serve", "--settings", str(path)]
         if self.faulty:
             command = [
                 sys.executable,
                 "-m",
-                "facsimile.cli",
+                "testbed.cli",
                 "node",
                 "--settings",
                 str(path),
@@ -179,7 +179,7 @@
         command = [
             sys.executable,
             "-m",
-            "facsimile.cli",
+            "testbed.cli",
             "worker",
             "--identity",
             name,
--- a/libs/facsimile/src/facsimile/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -23,8 +23,7 @@
     ReadValue,
     Register,
 )
-
-from facsimile.sim import History, run_seed
+from simulator import History, run_seed
 
 __all__ = ["HistoryResult", "KeyReader", "check_history", "check_seed", "key_calls", "lot_calls"]
 
--- a/libs/facsimile/src/facsimile/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -14,16 +14,16 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from colophon import Params, boot_ms, wall_ms
-from ledger import entries
+from batch_state import entries
 from replicated_log import Holder, LocalLog
 from replicated_log.peer import PeerSide
+from runtime import Params, boot_ms, wall_ms
 from storage import FolderDisk
 
-from facsimile.days import find_holder
-from facsimile.fleet import SHAPES, Fleet, until
-from facsimile.report import spread
-from facsimile.traffic import TREE, Traffic
+from testbed.days import find_holder
+from testbed.fleet import SHAPES, Fleet, until
+from testbed.report import spread
+from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_fleet", "measure_log"]
 
--- a/libs/facsimile/src/facsimile/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -11,12 +11,12 @@
 import time
 from typing import Any
 
-from colophon import Params
-from ledger import entries as e
-from ledger import messages as m
-from ledger.dealing import Dealer
+from batch_state import entries as e
+from batch_state import messages as m
+from batch_state.dealing import Dealer
 from messaging import encode
 from replicated_log import LocalLog
+from runtime import Params
 from storage import FolderDisk
 
 __all__ = ["measure_ledger"]
--- a/libs/facsimile/src/facsimile/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from circulation import Worker, WorkerNews, choose
+from request_routing import Worker, WorkerNews, choose
 
-from facsimile.fleet import SHAPES, Fleet, until
-from facsimile.report import spread
-from facsimile.traffic import TREE, Traffic
+from testbed.fleet import SHAPES, Fleet, until
+from testbed.report import spread
+from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_crowd", "measure_prefix", "measure_routes", "wide_tree"]
 
--- a/libs/facsimile/src/facsimile/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from facsimile.fleet import Fleet, until
-from facsimile.report import spread
-from facsimile.traffic import TREE
+from testbed.fleet import Fleet, until
+from testbed.report import spread
+from testbed.traffic import TREE
 
 __all__ = ["measure_rollouts"]
 
--- a/libs/facsimile/src/facsimile/measure_scale.py
+++ b/libs/testbed/src/testbed/measure_scale.py
@@ -15,16 +15,15 @@
 from types import BuiltinFunctionType, FunctionType, ModuleType
 from typing import Any
 
-from colophon import Params
 from control_store import WorkerReport
 from messaging import decode, encode
-
-from facsimile.sim.carrying import SimSender
-from facsimile.sim.disks import SimDisk
-from facsimile.sim.fleet import SimFleet
-from facsimile.sim.hosts import SimEnv, SimHost
-from facsimile.sim.operators import Operators
-from facsimile.sim.virtual import Network, VirtualTime
+from runtime import Params
+from simulator.carrying import SimSender
+from simulator.disks import SimDisk
+from simulator.fleet import SimFleet
+from simulator.hosts import SimEnv, SimHost
+from simulator.operators import Operators
+from simulator.virtual import Network, VirtualTime
 
 __all__ = [
     "SETTINGS",
--- a/libs/facsimile/src/facsimile/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -12,17 +12,17 @@
 from time import process_time
 from typing import Any
 
-from circulation import Dialect
-from circulation.forward import ForwardExchange
+from batch_state import entries as e
+from batch_state import messages as m
 from control_store import Tree, WorkerReport
-from ledger import entries as e
-from ledger import messages as m
 from messaging import decode, encode
 from messaging.links import Switchboard
+from request_routing import Dialect
+from request_routing.forward import ForwardExchange
+from simulator.operators import Operators, tree_of
 
-from facsimile.measure_scale import founded, held_bytes
-from facsimile.metered_costs import NODES, EdgeClient, MeteredCosts, big_disks, store_groups
-from facsimile.sim.operators import Operators, tree_of
+from testbed.measure_scale import founded, held_bytes
+from testbed.metered_costs import NODES, EdgeClient, MeteredCosts, big_disks, store_groups
 
 __all__ = ["item_costs", "measure_units", "wide_rows"]
 
--- a/libs/facsimile/src/facsimile/metered_costs.py
+++ b/libs/testbed/src/testbed/metered_costs.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from facsimile.measure_scale import MeteredFleet, sample
+from testbed.measure_scale import MeteredFleet, sample
 
 __all__ = ["NODES", "EdgeClient", "MeteredCosts", "big_disks", "store_groups"]
 
--- a/libs/facsimile/src/facsimile/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from facsimile.sim.oracle import evidence
+from simulator.oracle import evidence
 
 __all__ = ["day_report", "spread"]
 
--- a/libs/facsimile/src/facsimile/surroundings/__init__.py
+++ b/libs/testbed/src/testbed/surroundings/__init__.py
@@ -4,8 +4,8 @@
 can be stepped. The programs' own code is unchanged.
 """
 
-from facsimile.surroundings.disks import PowerDisk
-from facsimile.surroundings.nodes import run_node
-from facsimile.surroundings.weather import Weather, write_weather
+from testbed.surroundings.disks import PowerDisk
+from testbed.surroundings.nodes import run_node
+from testbed.surroundings.weather import Weather, write_weather
 
 __all__ = ["PowerDisk", "Weather", "run_node", "write_weather"]
--- a/libs/facsimile/src/facsimile/surroundings/nodes.py
+++ b/libs/testbed/src/testbed/surroundings/nodes.py
@@ -8,18 +8,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from circulation import Send
-from colophon import Params
+from control_plane.process import ControlProcess
+from data_plane.process import run_process
+from data_plane.roles import EdgeProcess, StoreProcess
+from data_plane.sender import HttpSender
 from messaging import Message
 from messaging.links import Switchboard
 from messaging.shell import ProcessEnv
-from readingroom.process import run_process
-from readingroom.roles import EdgeProcess, StoreProcess
-from readingroom.sender import HttpSender
-from registrar.process import ControlProcess
+from request_routing import Send
+from runtime import Params
 
-from facsimile.surroundings.disks import PowerDisk
-from facsimile.surroundings.weather import Weather
+from testbed.surroundings.disks import PowerDisk
+from testbed.surroundings.weather import Weather
 
 __all__ = ["run_node"]
 
--- a/libs/facsimile/src/facsimile/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -12,12 +12,12 @@
 
 import aiohttp
 from control_store import check_tree, profiles_digest
+from simulator.history import History
 
-from facsimile.fleet import Fleet
-from facsimile.sim.history import History
-from facsimile.traffic_answers import flat_result, take_answer
-from facsimile.traffic_runs import add_worker_runs
-from facsimile.traffic_tree import ROOM, TREE
+from testbed.fleet import Fleet
+from testbed.traffic_answers import flat_result, take_answer
+from testbed.traffic_runs import add_worker_runs
+from testbed.traffic_tree import ROOM, TREE
 
 __all__ = ["TREE", "Traffic"]
 
--- a/libs/facsimile/src/facsimile/traffic_runs.py
+++ b/libs/testbed/src/testbed/traffic_runs.py
@@ -7,8 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from facsimile.fleet import Fleet
-from facsimile.sim.history import History
+from simulator.history import History
+
+from testbed.fleet import Fleet
 
 __all__ = ["add_worker_runs"]
 
--- a/libs/facsimile/src/facsimile/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -13,8 +13,8 @@
 
 import aiohttp
 from aiohttp import web
-from circulation.placement import prefix_of
 from mode import Service
+from request_routing.placement import prefix_of
 
 __all__ = ["StandInWorker"]
 
--- a/tests/forward_ledger_stage.py
+++ b/tests/forward_ledger_stage.py
@@ -4,9 +4,9 @@
 
 from types import SimpleNamespace
 
-from ledger import Ledger
-from ledger import messages as m
-from ledger.desk import Desk
+from batch_state import Ledger
+from batch_state import messages as m
+from batch_state.desk import Desk
 from messaging import Origin, decode, encode
 
 PARAMS = SimpleNamespace(
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -6,12 +6,12 @@
 import json
 
 import edge_side
-from colophon import Params, set_up_logs
+from data_plane import EdgeNode
+from data_plane.forward_http import ForwardDesk
+from data_plane.sender import HttpSender
 from messaging.shell import ProcessEnv, Shell
 from ports import free_ports
-from readingroom import EdgeNode
-from readingroom.forward_http import ForwardDesk
-from readingroom.sender import HttpSender
+from runtime import Params, set_up_logs
 
 ROUTE = {"parent": "service", "attempts": 2, "give_up_ms": 15_000, "target_ms": 400}
 TREE = {
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -12,10 +12,10 @@
 
 import aiohttp
 from aiohttp import web
-from facsimile.platform_days.machines import loopback_net
-from facsimile.platform_days.operators import patched
-from facsimile.platform_days.sheet import allowed_services, route_of
 from hollow_lots import HollowLots
+from platform_testbed.machines import loopback_net
+from platform_testbed.operators import patched
+from platform_testbed.sheet import allowed_services, route_of
 
 HOP = {"connection", "keep-alive", "transfer-encoding", "te", "upgrade", "host", "content-length"}
 NETS = count()
--- a/tests/log_table.py
+++ b/tests/log_table.py
@@ -2,13 +2,13 @@
 can be cut off, disks can lose power, and time is set by the test.
 """
 
-from colophon import Params
-from facsimile.sim.disks import SimDisk
-from facsimile.sim.virtual import VirtualTime
-from ledger import entries
+from batch_state import entries
 from messaging import decode
 from replicated_log import Holder, LocalLog, Recovery
 from replicated_log.peer import PeerSide
+from runtime import Params
+from simulator.disks import SimDisk
+from simulator.virtual import VirtualTime
 
 PARAMS = Params(
     role="store",
--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -9,7 +9,7 @@
 from aiohttp import streams, web
 from aiohttp.test_utils import make_mocked_request
 from control_side import ControlSide
-from facsimile.sim.fleet import SimFleet
+from simulator.fleet import SimFleet
 
 SERVE = {"cut_off": "serve", "worker_beat_ms": 1200, "log_level": "WARNING"}
 
--- a/tests/platform_oracle_table.py
+++ b/tests/platform_oracle_table.py
@@ -2,8 +2,8 @@
 and how many breaches it finds.
 """
 
-from facsimile.platform_days.sheet import TIMING
-from facsimile.sim.history import History
+from platform_testbed.sheet import TIMING
+from simulator.history import History
 
 SETTINGS = {
     "revision": 3,
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -5,7 +5,7 @@
 import random
 from types import SimpleNamespace
 
-from ledger import messages as m
+from batch_state import messages as m
 from messaging import Node, Part
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_ledger.py
+++ b/tests/test_batch_state.py
@@ -2,8 +2,8 @@
 
 import random
 
-from ledger import Ledger
-from ledger import entries as e
+from batch_state import Ledger
+from batch_state import entries as e
 from messaging import decode
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_loans.py
+++ b/tests/test_capacity_sharing.py
@@ -5,14 +5,22 @@
 import json
 from types import SimpleNamespace
 
+from batch_state import entries as e
+from batch_state.fold import Ledger
+from capacity_sharing.entitlement import Entitlements
+from capacity_sharing.load import EdgeLoad, LiveLoad
+from capacity_sharing.outlook import LotOutlook
+from capacity_sharing.rows import (
+    drained,
+    empty_loans,
+    granted,
+    recalled,
+    returned,
+    withdrawn,
+    withheld,
+)
+from capacity_sharing.sampling import SampleCall, SampleExchange
 from control_store import Tree
-from ledger import entries as e
-from ledger.fold import Ledger
-from loans.entitlement import Entitlements
-from loans.load import EdgeLoad, LiveLoad
-from loans.outlook import LotOutlook
-from loans.rows import drained, empty_loans, granted, recalled, returned, withdrawn, withheld
-from loans.sampling import SampleCall, SampleExchange
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_loans_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -7,13 +7,13 @@
 from contextlib import ExitStack
 from unittest import mock
 
-from facsimile.sim import judge
-from facsimile.sim.evening import Evening, play_evening
-from facsimile.sim.rules_loans import LOAN_RULES, judge_loans
-from facsimile.sim.visitors import Visitors
-from loans import Borrowing, LentWorkers, NodeLoans
-from loans.slots import LendableSlots
-from readingroom.rollouts import RolloutCall
+from capacity_sharing import Borrowing, LentWorkers, NodeLoans
+from capacity_sharing.slots import LendableSlots
+from data_plane.rollouts import RolloutCall
+from simulator import judge
+from simulator.evening import Evening, play_evening
+from simulator.rules_loans import LOAN_RULES, judge_loans
+from simulator.visitors import Visitors
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -15,17 +15,17 @@
 import tempfile
 from pathlib import Path
 
-import circulation
+import batch_state
+import capacity_sharing
 import config_feed
 import control_store
-import ledger
-import loans
 import membership
 import replicated_log
-from colophon import Params
+import request_routing
 from control_store import Voter
 from messaging import decode, encode
 from replicated_log import LocalLog
+from runtime import Params
 from storage import FolderDisk
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -34,11 +34,11 @@
 STORED = DATA / "stored_by_472a6a3"
 _ROOM_BYTES = 1 << 26
 _WITH_MESSAGES = (
-    circulation,
+    request_routing,
     config_feed,
     control_store,
-    ledger,
-    loans,
+    batch_state,
+    capacity_sharing,
     membership,
     replicated_log,
 )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,8 +6,8 @@
 from control_store import Change, ReadKey, Tree, check_tree, explain
 from control_store.messages import Accept, Prepare, Value, Voted
 from control_store.owner import newest
-from facsimile.sim.fleet import SimFleet
 from messaging import encode
+from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Contains, Equals, HasLength
 
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -6,9 +6,9 @@
 import json
 
 from config_feed import Digest, News
+from control_plane.tree_changes import Order, Taken
 from control_store import Change, ReadKey
-from facsimile.sim.fleet import SimFleet
-from registrar.tree_changes import Order, Taken
+from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,9 +5,9 @@
 import asyncio
 import tempfile
 
-from facsimile.days import run_day
-from facsimile.surroundings import PowerDisk
 from storage import FolderDisk
+from testbed.days import run_day
+from testbed.surroundings import PowerDisk
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-from facsimile.fleet import Fleet, until
+from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -49,6 +49,13 @@
     return [] if seen == wanted else [f"{seen!r} is not {wanted!r}"]
 
 
+MODULES = {
+    "vaneledge-control": "control_plane.cli",
+    "vaneledge-data": "data_plane.cli",
+    "vaneledge-testbed": "testbed.cli",
+}
+
+
 class Docs(TestCase):
     def test_examples(self):
         async def run():
@@ -85,15 +92,11 @@
         text = "".join(
             path.read_text() for path in [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))]
         )
-        found = set(
-            re.findall(
-                r"\.venv/bin/(registrar|readingroom|facsimile) ([a-z]+(?: [a-z][a-z-]+)?)", text
-            )
-        )
+        found = set(re.findall(r"\.venv/bin/(vaneledge-\w+) ([a-z]+(?: [a-z][a-z-]+)?)", text))
         self.assertThat(len(found) > 8, Equals(True), str(found))
         for program, words in sorted(found):
             ended = subprocess.run(
-                [sys.executable, "-m", f"{program}.cli", *words.split(), "--help"],
+                [sys.executable, "-m", MODULES[program], *words.split(), "--help"],
                 capture_output=True,
                 text=True,
                 timeout=60,
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,7 +1,7 @@
 """The stand-in engine, on a virtual clock: places, urgency, memory, kept parts, deadlines, resumption and ills."""
 
-from facsimile.platform_days.engine import Engine
-from facsimile.platform_days.engine_messages import (
+from platform_testbed.engine import Engine
+from platform_testbed.engine_messages import (
     Asked,
     Begun,
     Drained,
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -6,11 +6,11 @@
 import asyncio
 import json
 
-from circulation import Budget, Call, Transaction, WorkerNews
-from colophon import Params, boot_ms, set_up_logs
+from data_plane import EdgeNode
+from data_plane.sender import HttpSender
 from messaging.shell import ProcessEnv, Shell
-from readingroom import EdgeNode
-from readingroom.sender import HttpSender
+from request_routing import Budget, Call, Transaction, WorkerNews
+from runtime import Params, boot_ms, set_up_logs
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -7,8 +7,8 @@
 
 from config_feed import Digest, News
 from control_store import Change
-from facsimile.sim.fleet import SimFleet
 from membership.cards import Shuffle, Shuffled
+from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,9 +1,9 @@
 """The feed, and when an edge takes itself to be in touch: simulated fleets, without traffic."""
 
 from config_feed import News, NewsItem
-from facsimile.sim.fleet import SimFleet
-from facsimile.sim.runs import Run
 from messaging import encode
+from simulator.fleet import SimFleet
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_forward_dealing.py
+++ b/tests/test_forward_dealing.py
@@ -1,7 +1,7 @@
 """Lots of forwarded calls at the holder: dealing, how items end, and reads of results."""
 
+from batch_state import messages as m
 from forward_ledger_stage import PARAMS, Bench, Tree
-from ledger import messages as m
 from messaging import decode
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_forward_desk.py
+++ b/tests/test_forward_desk.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
+from data_plane import pool
 from forward_stage import Client, Edge, Worker, chunk, event, good, head, made, run, three_events
-from readingroom import pool
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan, NotEquals
 
@@ -354,6 +354,6 @@
             self.assertThat(edge.desk.live_now, Equals(0))
 
     def test_the_linger_outlasts_two_missed_seconds_of_eight(self):
-        from readingroom import forward_http
+        from data_plane import forward_http
 
         self.assertThat(forward_http._LINGER_SHARE * 8, GreaterThan(3.0))
--- a/tests/test_forward_ledger.py
+++ b/tests/test_forward_ledger.py
@@ -2,10 +2,10 @@
 
 import random
 
+from batch_state import Ledger
+from batch_state import entries as e
+from batch_state import messages as m
 from forward_ledger_stage import Bench
-from ledger import Ledger
-from ledger import entries as e
-from ledger import messages as m
 from messaging import decode
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_forward_lots_sim.py
+++ b/tests/test_forward_lots_sim.py
@@ -4,9 +4,9 @@
 
 import json
 
-from circulation import Dialect
-from facsimile.sim.runs import Run
-from ledger import messages as m
+from batch_state import messages as m
+from request_routing import Dialect
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -6,12 +6,12 @@
 import asyncio
 import json
 
-from circulation import Dialect, ForwardCall, ForwardTransaction
-from colophon import Params, boot_ms, set_up_logs
+from data_plane import EdgeNode
+from data_plane.sender import HttpSender
 from messaging.shell import ProcessEnv, Shell
 from ports import free_ports
-from readingroom import EdgeNode
-from readingroom.sender import HttpSender
+from request_routing import Dialect, ForwardCall, ForwardTransaction
+from runtime import Params, boot_ms, set_up_logs
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -7,7 +7,7 @@
 
 from control_store import Change
 from control_store.succession import founding_rows, next_of_all
-from facsimile.sim.fleet import SimFleet
+from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength, LessThan
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -4,10 +4,8 @@
 
 from unittest import mock
 
+import batch_state.lots
 import control_store.owner
-import ledger.lots
-from facsimile.histories import check_history, check_seed
-from facsimile.sim import History
 from messaging import decode, encode
 from modelcheck import Call, linearize
 from modelcheck.objects import (
@@ -20,6 +18,8 @@
     ReadValue,
     Register,
 )
+from simulator import History
+from testbed.histories import check_history, check_seed
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -161,7 +161,7 @@
 
     def test_results_that_move_are_found(self):
         """Once a lot is whole its first two results change places."""
-        with mock.patch.object(ledger.lots.Lot, "row", row_moved):
+        with mock.patch.object(batch_state.lots.Lot, "row", row_moved):
             found = any(check_seed(seed, FAULTS, "small").breaches for seed in SEEDS)
         self.assertThat(found, Equals(True))
 
@@ -185,7 +185,7 @@
     WHOLE_APPLY(self, key, round_)
 
 
-WHOLE_ROW = ledger.lots.Lot.row
+WHOLE_ROW = batch_state.lots.Lot.row
 
 
 def row_moved(self, position):
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -1,7 +1,7 @@
 """The log's holder lost, cut off, slow or leaving, on simulated fleets: how long no append is settled, and who holds."""
 
-from facsimile.sim.runs import Run
-from ledger import entries
+from batch_state import entries
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -6,13 +6,13 @@
 import random
 from types import SimpleNamespace
 
-from circulation import Carrier, Dialect, Items, LotRunner, Roster
-from circulation.holding import HolderClient
-from circulation.item_run import data_of
-from colophon import Params
+from batch_state import messages as m
 from control_store import Tree
-from ledger import messages as m
 from messaging import Node, decode, encode
+from request_routing import Carrier, Dialect, Items, LotRunner, Roster
+from request_routing.holding import HolderClient
+from request_routing.item_run import data_of
+from runtime import Params
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -4,11 +4,11 @@
 
 from types import SimpleNamespace
 
-from circulation import LotRunner
+from batch_state import entries as e
+from batch_state import messages as m
 from forward_ledger_stage import Bench
-from ledger import entries as e
-from ledger import messages as m
 from messaging import encode
+from request_routing import LotRunner
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -1,6 +1,6 @@
 """Conformance of the log to the design page where disks fail: torn tails, damage, full disks, snapshots ahead or behind."""
 
-from ledger import entries
+from batch_state import entries
 from log_table import Table
 from replicated_log import Outcome
 from storage import DamageError
--- a/tests/test_lot_side.py
+++ b/tests/test_lot_side.py
@@ -5,12 +5,12 @@
 import json
 from types import SimpleNamespace
 
-from colophon import refused
-from ledger import messages as m
+from batch_state import messages as m
+from data_plane.answers import ended_answer, item_answer, page_answer, taken_answer
 from lot_side import LotSide, items_of, prompt_of
 from messaging import encode
 from multidict import CIMultiDict
-from readingroom.answers import ended_answer, item_answer, page_answer, taken_answer
+from runtime import refused
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -1,8 +1,8 @@
 """What the desk and the edges' runners promise about lots, each provoked by itself."""
 
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
-from ledger import messages as m
+from batch_state import messages as m
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -8,9 +8,9 @@
 from config_feed.patches import merge, merge_diff
 from control_store import Change, ReadKey, WorkerReport, apply_reports, empty_list
 from control_store.change_memory import REMEMBERED_ORDERS
-from facsimile.sim.fleet import SimFleet
-from facsimile.sim.virtual import Network
 from messaging import encode
+from simulator.fleet import SimFleet
+from simulator.virtual import Network
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_measure_scale.py
+++ b/tests/test_measure_scale.py
@@ -1,7 +1,7 @@
 """What the capacity page is worked out from: meters that count each node's own work, and lines through it."""
 
-from facsimile.measure_scale import founded, held_bytes, line_through, measure_one, sample
-from facsimile.measure_units import event_cost_us
+from testbed.measure_scale import founded, held_bytes, line_through, measure_one, sample
+from testbed.measure_units import event_cost_us
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -2,9 +2,9 @@
 given back; and a takeover that cannot get its answers.
 """
 
-from facsimile.sim.runs import Run
 from log_table import PARAMS, Table
 from replicated_log import Outcome, StoreLog
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -3,8 +3,8 @@
 """
 
 from control_store import Change
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -4,10 +4,10 @@
 
 import json
 
+from control_plane.words import says
 from control_store import Change
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
-from registrar.words import says
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,7 +1,7 @@
 """/metrics as collectors read it: parsed by the library's own parser, with types, help and histograms."""
 
+from data_plane.metrics import HELP, Metrics
 from prometheus_client.parser import text_string_to_metric_families
-from readingroom.metrics import HELP, Metrics
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_operator_wire.py
+++ b/tests/test_operator_wire.py
@@ -4,9 +4,9 @@
 import json
 from types import SimpleNamespace
 
+from control_plane.tree_changes import Taken, TreeOutcome
 from control_side import ControlSide
 from ports import free_ports
-from registrar.tree_changes import Taken, TreeOutcome
 from testtools import TestCase
 from testtools.matchers import Equals
 from wire_stage import reset, until
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -1,7 +1,7 @@
 """The oracle itself: a clean history passes, and for each rule a history that breaks it is caught."""
 
-from facsimile.sim import History, judge
-from facsimile.sim.oracle import RULES
+from simulator import History, judge
+from simulator.oracle import RULES
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_orders_own.py
+++ b/tests/test_orders_own.py
@@ -8,10 +8,10 @@
 from unittest import mock
 
 from aiohttp import web
+from control_plane.operators import Operators
 from control_store import Change, Changed, ReadKey
 from membership import Neighbours
 from platform_calls import Platform
-from registrar.operators import Operators
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,14 +5,14 @@
 import json
 import random
 
-from circulation import ForwardCall, ForwardTransaction, Roster, WorkerNews, end_to_end
-from circulation.affinity import PartMap
-from circulation.forward import NO_CONNECTION
-from circulation.pace import Pace
-from circulation.placement import choose_forward
-from colophon import Params
 from control_store import Tree
 from messaging import Node
+from request_routing import ForwardCall, ForwardTransaction, Roster, WorkerNews, end_to_end
+from request_routing.affinity import PartMap
+from request_routing.forward import NO_CONNECTION
+from request_routing.pace import Pace
+from request_routing.placement import choose_forward
+from runtime import Params
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -5,18 +5,18 @@
 import asyncio
 from concurrent.futures import ProcessPoolExecutor
 
-from facsimile.platform_days.crew import Crew
-from facsimile.platform_days.day import STARVED_MS
-from facsimile.platform_days.days import DUE
-from facsimile.platform_days.entry import Entry
-from facsimile.platform_days.live import LiveClients
-from facsimile.platform_days.lots import LotClients
-from facsimile.platform_days.operators import Operator
-from facsimile.platform_days.oracle import judge_day
-from facsimile.platform_days.sheet import Sheet
-from facsimile.platform_days.starved import Starved, starved_ms
-from facsimile.sim.history import History
 from hollow import HollowFleet
+from platform_testbed.crew import Crew
+from platform_testbed.day import STARVED_MS
+from platform_testbed.days import DUE
+from platform_testbed.entry import Entry
+from platform_testbed.live import LiveClients
+from platform_testbed.lots import LotClients
+from platform_testbed.operators import Operator
+from platform_testbed.oracle import judge_day
+from platform_testbed.sheet import Sheet
+from platform_testbed.starved import Starved, starved_ms
+from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -4,15 +4,15 @@
 
 import os
 
-from facsimile.platform_days import starved as starved_module
-from facsimile.platform_days.entry import Entry
-from facsimile.platform_days.operators import patched
-from facsimile.platform_days.oracle import PLATFORM_RULES, judge_day
-from facsimile.platform_days.sheet import TIMING, Sheet, allowed_services
-from facsimile.platform_days.starved import Starved, starved_ms
-from facsimile.platform_days.touch import Touch
-from facsimile.sim.history import History
 from platform_oracle_table import CASES, SETTINGS, history, start, trouble
+from platform_testbed import starved as starved_module
+from platform_testbed.entry import Entry
+from platform_testbed.operators import patched
+from platform_testbed.oracle import PLATFORM_RULES, judge_day
+from platform_testbed.sheet import TIMING, Sheet, allowed_services
+from platform_testbed.starved import Starved, starved_ms
+from platform_testbed.touch import Touch
+from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -10,9 +10,9 @@
 import tempfile
 from pathlib import Path
 
-from colophon import load_params
-from colophon.params import changed_params
-from facsimile.fleet import Fleet, until
+from runtime import load_params
+from runtime.params import changed_params
+from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 from trees import TREE
@@ -53,7 +53,7 @@
                 [
                     sys.executable,
                     "-m",
-                    "readingroom.cli",
+                    "data_plane.cli",
                     "serve",
                     "--role",
                     "edge",
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -4,14 +4,14 @@
 import re
 from pathlib import Path
 
-from facsimile.breaks import BREAKS
-from facsimile.breaks.runner import applied
-from facsimile.days import DAYS
-from facsimile.platform_days.days import PLATFORM_DAYS
-from facsimile.platform_days.oracle import PLATFORM_RULES
-from facsimile.sim.oracle import RULES
+from platform_testbed.days import PLATFORM_DAYS
+from platform_testbed.oracle import PLATFORM_RULES
+from simulator.oracle import RULES
 from test_platform_bench import BREAKS as HOLLOW_BREAKS
 from test_sim import SCHEDULES
+from testbed.breaks import BREAKS
+from testbed.breaks.runner import applied
+from testbed.days import DAYS
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -4,10 +4,10 @@
 
 from types import SimpleNamespace
 
-from circulation import Readings
-from circulation.placement import cost
-from circulation.readings import Sent
 from messaging import Origin
+from request_routing import Readings
+from request_routing.placement import cost
+from request_routing.readings import Sent
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,13 +1,13 @@
 """Rows about recovery beyond the design page's: what is fetched, what is cut, and the small files beside the log."""
 
-from facsimile.sim.disks import SimDisk
-from ledger import Ledger, entries
+from batch_state import Ledger, entries
 from log_table import PARAMS, Table
 from log_table import entry as key_opened
 from messaging import encode
 from replicated_log import Append, Install, Outcome
 from replicated_log.messages import Fetch, Fetched, FetchTail, LogMeta, Started
 from replicated_log.snapshots import read_snapshot
+from simulator.disks import SimDisk
 from storage import DamageError, frame
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -4,9 +4,9 @@
 import tempfile
 from pathlib import Path
 
-from facsimile.fleet import Fleet, until
-from readingroom.recorder import FORMAT, sealed
-from readingroom.replay import compare, load_recording, play
+from data_plane.recorder import FORMAT, sealed
+from data_plane.replay import compare, load_recording, play
+from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 from trees import TREE
--- a/tests/test_circulation.py
+++ b/tests/test_request_routing.py
@@ -2,7 +2,9 @@
 
 import json
 
-from circulation import (
+from control_store import Tree
+from messaging import Node
+from request_routing import (
     Budget,
     Roster,
     StreamCheck,
@@ -13,9 +15,7 @@
     choose,
     prefix_of,
 )
-from colophon import Params, Verdict
-from control_store import Tree
-from messaging import Node
+from runtime import Params, Verdict
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -4,9 +4,9 @@
 
 import json
 
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
 from replicated_log import replica
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
 
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -1,8 +1,8 @@
 """Lots that are over leave memory for files with checksums: read back, moved to a spare, damaged and mended."""
 
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
 from replicated_log.shelves import SHELF
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -4,8 +4,8 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from facsimile.sim import evidence, run_seed
-from facsimile.sim.oracle import RULES
+from simulator import evidence, run_seed
+from simulator.oracle import RULES
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -5,7 +5,7 @@
 import signal
 import tempfile
 
-from facsimile.fleet import SHAPES, Fleet, until
+from testbed.fleet import SHAPES, Fleet, until
 from testtools import TestCase
 from testtools.matchers import Equals
 from trees import TREE
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -1,10 +1,10 @@
 """Which stores make up the log: founding by stores that aren't told how many there are, and the spread over zones."""
 
-from colophon import Params
-from facsimile.sim.disks import SimDisk
-from facsimile.sim.virtual import VirtualTime
 from log_table import Machine
 from replicated_log import LocalLog, StoreLog, spread
+from runtime import Params
+from simulator.disks import SimDisk
+from simulator.virtual import VirtualTime
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -4,8 +4,8 @@
 import tempfile
 from pathlib import Path
 
+from control_plane.usage import FIELDS, export_usage
 from pyarrow import csv, parquet
-from registrar.usage import FIELDS, export_usage
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -9,9 +9,9 @@
 
 from control_store import Voter
 from control_store.messages import Accept, Confirm, Founded, Value
-from facsimile.sim.disks import SimDisk
-from facsimile.sim.virtual import VirtualTime
 from messaging import Origin, decode, encode
+from simulator.disks import SimDisk
+from simulator.virtual import VirtualTime
 from storage import FolderDisk
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -6,7 +6,7 @@
 
 from control_store import Change
 from control_store.succession import next_of_all
-from facsimile.sim.fleet import SimFleet
+from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,7 +1,7 @@
 """Live calls at an edge that has no slot for them: who can make it waits, who can't is told so at once."""
 
-from facsimile.sim import judge
-from facsimile.sim.runs import Run
+from simulator import judge
+from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,8 +1,8 @@
 """When a member of the log takes the holder's duty: by its own silence, the others' answers and their order."""
 
-from colophon import Params
 from replicated_log.messages import Polled
 from replicated_log.watch import Watch
+from runtime import Params
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_wire_troubles.py
+++ b/tests/test_wire_troubles.py
@@ -5,8 +5,8 @@
 import asyncio
 from unittest import mock
 
+from data_plane.forward_http import _Protocol
 from forward_stage import Client, Edge, Worker, chunk, event, good, head, run
-from readingroom.forward_http import _Protocol
 from testtools import TestCase
 from testtools.matchers import Equals
 from wire_stage import heard, ids, reset, statuses, until
