--- a/libs/batch_state/src/batch_state/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -5,15 +5,15 @@
 a lot; its epoch is a fencing token, so an edge that lost it can list nothing.
 """
 
-from runtime.lazy import lazy
+from runtime.lazy_exports import lazy_exports
 
-__all__ = ["Desk", "Item", "Key", "Ledger", "Lot", "entries", "messages"]
+__all__ = ["BatchService", "Item", "IdempotencyKey", "BatchState", "Job", "entries", "messages"]
 
-__getattr__ = lazy(
+__getattr__ = lazy_exports(
     __name__,
     {
-        "desk": ("Desk",),
-        "fold": ("Item", "Key", "Ledger", "Lot"),
+        "batch_service": ("BatchService",),
+        "state": ("Item", "IdempotencyKey", "BatchState", "Job"),
         "entries": (),
         "messages": (),
     },
--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -13,13 +13,13 @@
 
 from batch_state import entries as e
 from batch_state import messages as m
-from batch_state.answers import KEPT, Answers
-from batch_state.lot_receipts import lot_receipt
+from batch_state.job_responses import job_response
+from batch_state.leader_replies import KEPT, LeaderReplies
 
-__all__ = ["Admission"]
+__all__ = ["JobAdmission"]
 
 
-class Admission:
+class JobAdmission:
     """Admits lots in the log of one holder.
 
     `profiles` returns the number and the tree of the profiles in force here, `log_ms` the log's own
@@ -32,7 +32,7 @@
         self,
         holder: Any,
         node: Any,
-        answers: Answers,
+        answers: LeaderReplies,
         profiles: Callable[[], tuple[int, Any]],
         log_ms: Callable[[], int],
         wake: Callable[[], None],
@@ -47,7 +47,7 @@
 
     def sweep(self) -> None:
         """Forget refusals so old that no stamp from before them can still come."""
-        floor_ms = self._node.env.now() - 2 * self._node.params.fresh_ms
+        floor_ms = self._node.env.now() - 2 * self._node.settings.fresh_ms
         self._refused_ms = {
             lot_id: at_ms for lot_id, at_ms in self._refused_ms.items() if at_ms > floor_ms
         }
@@ -57,7 +57,7 @@
         raise TypeError(type(message).__name__)
 
     @_on.register
-    def _(self, message: m.HandIn, origin: Origin) -> None:
+    def _(self, message: m.SubmitJob, origin: Origin) -> None:
         ledger = self._holder.ledger
         room = self._profiles()[1].room(message.path)
         if self._known(message, origin):
@@ -65,11 +65,11 @@
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
             message.lot_id, -1
         ):
-            self._node.reply(origin, lot_receipt("stale", message.lot_id, None))
+            self._node.reply(origin, job_response("stale", message.lot_id, None))
         elif room is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: lot_receipt("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
             )
         elif ledger.room_used(message.path) >= room:
             self._refuse(message, origin)
@@ -77,7 +77,7 @@
             self._admit(
                 message,
                 origin,
-                e.LotAdmitted(
+                e.JobAdmitted(
                     lot_id=message.lot_id,
                     digest=message.digest,
                     path=message.path,
@@ -89,7 +89,7 @@
             )
 
     @_on.register
-    def _(self, message: m.RolloutHandIn, origin: Origin) -> None:
+    def _(self, message: m.SubmitRollout, origin: Origin) -> None:
         """Admit or refuse a rollout; rollouts have a queue limit of their own."""
         if self._known(message, origin):
             return
@@ -97,11 +97,11 @@
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
             message.lot_id, -1
         ):
-            self._node.reply(origin, lot_receipt("stale", message.lot_id, None))
+            self._node.reply(origin, job_response("stale", message.lot_id, None))
         elif profile is None or not profile.loan_share:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: lot_receipt("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
             )
         elif self._holder.ledger.rollouts_open(message.path) >= profile.rollout_room:
             self._refuse(message, origin)
@@ -122,7 +122,7 @@
             )
 
     @_on.register
-    def _(self, message: m.ForwardHandIn, origin: Origin) -> None:
+    def _(self, message: m.SubmitForwardJob, origin: Origin) -> None:
         """Admit or refuse a forwarded lot; its queue is limited in tokens.
 
         Profiles that are older here than at the edge refuse nothing.
@@ -135,14 +135,14 @@
             message.lot_id, -1
         ):
             self._node.reply(
-                origin, m.Stale(epoch=self._holder.epoch, holder_ms=self._node.env.now())
+                origin, m.StaleRequest(epoch=self._holder.epoch, holder_ms=self._node.env.now())
             )
         elif number < message.version:
-            self._node.reply(origin, lot_receipt("unknown", message.lot_id, None))
+            self._node.reply(origin, job_response("unknown", message.lot_id, None))
         elif profile is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: lot_receipt("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
             )
         elif not self._fits(message, profile.waiting_tokens or 0):
             self._refuse(message, origin)
@@ -150,7 +150,7 @@
             self._admit(
                 message,
                 origin,
-                e.ForwardLotAdmitted(
+                e.ForwardJobAdmitted(
                     lot_id=message.lot_id,
                     digest=message.digest,
                     path=message.path,
@@ -165,7 +165,7 @@
                 ),
             )
 
-    def _fits(self, message: m.ForwardHandIn, most: int) -> bool:
+    def _fits(self, message: m.SubmitForwardJob, most: int) -> bool:
         return (
             not most
             or self._holder.ledger.waiting_tokens.get(message.path, 0) + sum(message.tokens) <= most
@@ -177,7 +177,7 @@
             same = known.digest == message.digest
             self._answers.when_settled(
                 origin,
-                lambda ok: lot_receipt(
+                lambda ok: job_response(
                     "unknown" if not ok else "known" if same else "conflict", message.lot_id, known
                 ),
             )
@@ -186,7 +186,7 @@
     def _refuse(self, message: Any, origin: Origin) -> None:
         self._refused_ms[message.lot_id] = message.holder_ms
         self._answers.when_confirmed(
-            origin, lambda ok: lot_receipt("no_room" if ok else "unknown", message.lot_id, None)
+            origin, lambda ok: job_response("no_room" if ok else "unknown", message.lot_id, None)
         )
 
     def _admit(self, message: Any, origin: Origin, entry: Message) -> None:
@@ -194,13 +194,13 @@
         taken = self._answers.log(
             origin,
             [entry],
-            lambda outcome: lot_receipt(
+            lambda outcome: job_response(
                 "admitted" if outcome == KEPT else outcome,
                 message.lot_id,
                 ledger.lots.get(message.lot_id),
             ),
         )
-        if taken and isinstance(entry, e.ForwardLotAdmitted):
+        if taken and isinstance(entry, e.ForwardJobAdmitted):
             self._wake()
         elif not taken:
             self._refused_ms[message.lot_id] = message.holder_ms
--- a/libs/batch_state/src/batch_state/desk.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -10,24 +10,24 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from messaging import Message, Origin, Part
+from messaging import Component, Message, Origin
 
 from batch_state import entries as e
 from batch_state import messages as m
-from batch_state.admission import Admission
-from batch_state.answers import KEPT, Answers
-from batch_state.dealing import Dealer
-from batch_state.fold import Ledger
-from batch_state.lot_receipts import LotReader, lot_receipt
-from batch_state.lots import Lot
-from batch_state.reading import Reading
+from batch_state.admission import JobAdmission
+from batch_state.forward_reads import ForwardJobReader
+from batch_state.item_dispatch import ItemDispatcher
+from batch_state.job_responses import JobReader, job_response
+from batch_state.jobs import Job
+from batch_state.leader_replies import KEPT, LeaderReplies
+from batch_state.state import BatchState
 
-__all__ = ["Desk"]
+__all__ = ["BatchService"]
 
 _LOT_KEEP_FACTOR = 7
 
 
-class Desk(Part):
+class BatchService(Component):
     """Handles the requests of edges while this store holds the log.
 
     `profiles` returns the number and the tree of the profiles in force here, `who_holds` the
@@ -53,38 +53,38 @@
         "shelves",
     )
     HANDLES = (
-        m.EdgeBeat,
-        m.RolloutBeat,
-        m.RolloutHandIn,
-        m.HandIn,
-        m.ReadLot,
-        m.ReadResults,
-        m.EndLot,
-        m.Finish,
-        m.Place,
+        m.EdgeHeartbeat,
+        m.RolloutHeartbeat,
+        m.SubmitRollout,
+        m.SubmitJob,
+        m.GetJob,
+        m.ListResults,
+        m.CancelJob,
+        m.ReportResult,
+        m.AdvanceListing,
         m.OpenKey,
         m.CloseKey,
-        m.ForwardHandIn,
-        m.EndItems,
-        m.ReadPage,
-        m.ReadItem,
+        m.SubmitForwardJob,
+        m.ReportItemOutcomes,
+        m.ListForwardResults,
+        m.GetItem,
     )
 
     def __init__(
         self,
         profiles: Callable[[], tuple[int, Any]],
         who_holds: Callable[[], tuple[int, str]],
-        settled: Callable[[], Ledger],
+        settled: Callable[[], BatchState],
     ) -> None:
         self._profiles = profiles
         self._who_holds = who_holds
         self._settled = settled
         self._holder: Any = None
-        self._dealer: Dealer | None = None
-        self._reading: Reading | None = None
-        self._answers: Answers | None = None
-        self._admission: Admission | None = None
-        self._lots: LotReader | None = None
+        self._dealer: ItemDispatcher | None = None
+        self._reading: ForwardJobReader | None = None
+        self._answers: LeaderReplies | None = None
+        self._admission: JobAdmission | None = None
+        self._lots: JobReader | None = None
         self._swept_ms = 0
         self._base_ms = self._office_ms = 0
         self.counts: dict[str, int] = {}
@@ -110,8 +110,10 @@
                 for row in rows.values()
             ]
             self._base_ms = max(ages, default=self.node.env.wall())
-            self._reading = Reading(holder, self.node, self._settled, self.shelves, self.mend)
-            self._dealer = Dealer(
+            self._reading = ForwardJobReader(
+                holder, self.node, self._settled, self.shelves, self.mend
+            )
+            self._dealer = ItemDispatcher(
                 holder,
                 self.node,
                 self._log_ms,
@@ -119,20 +121,20 @@
                 self._reading.wake,
                 self.make_outlook() if self.make_outlook is not None else None,
             )
-            self._answers = Answers(holder, self.node)
-            self._admission = Admission(
+            self._answers = LeaderReplies(holder, self.node)
+            self._admission = JobAdmission(
                 holder, self.node, self._answers, self._profiles, self._log_ms, self._dealer.wake
             )
-            self._lots = LotReader(
+            self._lots = JobReader(
                 holder,
                 self._settled,
                 lambda: self.shelves,
                 lambda kind, name: self.mend(kind, name),
             )
 
-    def _not_holder(self) -> m.NotHolder:
+    def _not_holder(self) -> m.NotLeader:
         epoch, address = self._who_holds()
-        return m.NotHolder(epoch=epoch, address=address)
+        return m.NotLeader(epoch=epoch, address=address)
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Handle a request of an edge."""
@@ -157,85 +159,87 @@
 
     # -- lots ----------------------------------------------------------------------------------
 
-    @_on.register(m.HandIn)
-    @_on.register(m.RolloutHandIn)
-    @_on.register(m.ForwardHandIn)
+    @_on.register(m.SubmitJob)
+    @_on.register(m.SubmitRollout)
+    @_on.register(m.SubmitForwardJob)
     def _(self, message: Message, origin: Origin) -> None:
         self._admission.receive(message, origin)
 
     @_on.register
-    def _(self, message: m.ReadLot, origin: Origin) -> None:
+    def _(self, message: m.GetJob, origin: Origin) -> None:
         self._answers.when_confirmed(
             origin,
             lambda ok: (
                 self._lots.lot(message.lot_id)
                 if ok
-                else lot_receipt("unknown", message.lot_id, None)
+                else job_response("unknown", message.lot_id, None)
             ),
         )
 
     @_on.register
-    def _(self, message: m.ReadResults, origin: Origin) -> None:
+    def _(self, message: m.ListResults, origin: Origin) -> None:
         self._answers.when_confirmed(
             origin,
             lambda ok: (
                 self._lots.results(message)
                 if ok
-                else m.ResultsReceipt(outcome="unknown", rows=[], placed=0, total=0, ended=False)
+                else m.ListResultsResponse(
+                    outcome="unknown", rows=[], placed=0, total=0, ended=False
+                )
             ),
         )
 
     @_on.register
-    def _(self, message: m.EndLot, origin: Origin) -> None:
+    def _(self, message: m.CancelJob, origin: Origin) -> None:
         lot = self._holder.ledger.lots.get(message.lot_id)
         if lot is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: lot_receipt("missing" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("missing" if ok else "unknown", message.lot_id, None),
             )
         elif not lot.open:
             self._answers.when_settled(
-                origin, lambda ok: lot_receipt("known" if ok else "unknown", message.lot_id, lot)
+                origin, lambda ok: job_response("known" if ok else "unknown", message.lot_id, lot)
             )
         else:
             self._answers.log(
                 origin,
-                [e.LotEnded(lot_id=message.lot_id, at_ms=self._log_ms())],
+                [e.JobCancelled(lot_id=message.lot_id, at_ms=self._log_ms())],
                 lambda outcome: self._ended(lot, outcome),
                 urgent=True,
             )
 
-    def _ended(self, lot: Lot, outcome: str) -> m.LotReceipt:
+    def _ended(self, lot: Job, outcome: str) -> m.JobResponse:
         if self._dealer is not None and outcome == KEPT:
             self._dealer.wake()
             self._reading.wake({lot.lot_id})
-        return lot_receipt("known" if outcome == KEPT else outcome, lot.lot_id, lot)
+        return job_response("known" if outcome == KEPT else outcome, lot.lot_id, lot)
 
     @_on.register
-    def _(self, message: m.ReadPage, origin: Origin) -> None:
+    def _(self, message: m.ListForwardResults, origin: Origin) -> None:
         self._reading.read(message, lambda receipt: self.node.reply(origin, receipt))
 
     @_on.register
-    def _(self, message: m.ReadItem, origin: Origin) -> None:
+    def _(self, message: m.GetItem, origin: Origin) -> None:
         self._reading.item(message, lambda receipt: self.node.reply(origin, receipt))
 
     # -- items ---------------------------------------------------------------------------------
 
-    @_on.register(m.EdgeBeat)
-    @_on.register(m.RolloutBeat)
-    def _(self, message: m.EdgeBeat | m.RolloutBeat, origin: Origin) -> None:
+    @_on.register(m.EdgeHeartbeat)
+    @_on.register(m.RolloutHeartbeat)
+    def _(self, message: m.EdgeHeartbeat | m.RolloutHeartbeat, origin: Origin) -> None:
         self._dealer.beat(message, lambda receipt: self.node.reply(origin, receipt))
 
     @_on.register
-    def _(self, message: m.Finish, origin: Origin) -> None:
+    def _(self, message: m.ReportResult, origin: Origin) -> None:
         self._dealer.finish(message, lambda receipt: self.node.reply(origin, receipt))
 
     @_on.register
-    def _(self, message: m.EndItems, origin: Origin) -> None:
+    def _(self, message: m.ReportItemOutcomes, origin: Origin) -> None:
         self._dealer.end_items(message, lambda receipt: self.node.reply(origin, receipt))
 
     @_on.register
-    def _(self, message: m.Place, origin: Origin) -> None:
+    def _(self, message: m.AdvanceListing, origin: Origin) -> None:
         lot = self._holder.ledger.lots.get(message.lot_id)
         may = (
             lot is not None
@@ -245,12 +249,12 @@
             and lot.placed < message.up_to <= lot.ready
         )
         if not may:
-            self.node.reply(origin, m.FinishReceipt(ok=False, baton_epoch=0, up_to=0))
+            self.node.reply(origin, m.ReportResultResponse(ok=False, baton_epoch=0, up_to=0))
             return
         self._answers.log(
             origin,
-            [e.ResultsPlaced(lot_id=message.lot_id, up_to=message.up_to, epoch=message.epoch)],
-            lambda outcome: m.FinishReceipt(ok=outcome == KEPT, baton_epoch=0, up_to=0),
+            [e.ListingAdvanced(lot_id=message.lot_id, up_to=message.up_to, epoch=message.epoch)],
+            lambda outcome: m.ReportResultResponse(ok=outcome == KEPT, baton_epoch=0, up_to=0),
             urgent=True,
         )
 
@@ -272,16 +276,16 @@
             )
             if body is None:
                 self.mend("key", message.key)
-                self.node.reply(origin, m.KeyReceipt(outcome="unknown", status=0, body=""))
+                self.node.reply(origin, m.KeyResponse(outcome="unknown", status=0, body=""))
                 return
             self._answers.when_settled(
                 origin,
-                lambda ok: m.KeyReceipt(
+                lambda ok: m.KeyResponse(
                     outcome=outcome if ok else "unknown", status=key.status, body=body
                 ),
             )
         elif self._answers.stale(message):
-            self.node.reply(origin, m.KeyReceipt(outcome="stale", status=0, body=""))
+            self.node.reply(origin, m.KeyResponse(outcome="stale", status=0, body=""))
         else:
             entry = e.KeyOpened(
                 key=message.key,
@@ -293,7 +297,7 @@
             self._answers.log(
                 origin,
                 [entry],
-                lambda outcome: m.KeyReceipt(
+                lambda outcome: m.KeyResponse(
                     outcome="opened" if outcome == KEPT else outcome, status=0, body=""
                 ),
             )
@@ -304,7 +308,7 @@
         if key is None or key.transaction != message.transaction or key.state == message.state:
             self._answers.when_settled(
                 origin,
-                lambda ok: m.KeyReceipt(outcome="known" if ok else "unknown", status=0, body=""),
+                lambda ok: m.KeyResponse(outcome="known" if ok else "unknown", status=0, body=""),
             )
             return
         entry = e.KeyClosed(
@@ -318,7 +322,7 @@
         self._answers.log(
             origin,
             [entry],
-            lambda outcome: m.KeyReceipt(
+            lambda outcome: m.KeyResponse(
                 outcome="known" if outcome == KEPT else outcome, status=0, body=""
             ),
             urgent=True,
@@ -333,7 +337,7 @@
         self._dealer.tick()
         self._reading.tick()
         now_ms = self.node.env.now()
-        if now_ms - self._swept_ms > self.node.params.resume_ms:
+        if now_ms - self._swept_ms > self.node.settings.resume_ms:
             self._swept_ms = now_ms
             self._admission.sweep()
             self._forget()
@@ -348,14 +352,14 @@
 
     def _forget(self) -> None:
         """Remove what is over and past its retention time, by entries like any others."""
-        floor_ms = self._log_ms() - self.node.params.keep_ms
+        floor_ms = self._log_ms() - self.node.settings.keep_ms
         ledger = self._holder.ledger
         rows: list[Message] = [
-            e.KeyForgotten(key=name) for name, key in ledger.keys.items() if key.at_ms < floor_ms
+            e.KeyExpired(key=name) for name, key in ledger.keys.items() if key.at_ms < floor_ms
         ]
-        lot_floor_ms = self._log_ms() - _LOT_KEEP_FACTOR * self.node.params.keep_ms
+        lot_floor_ms = self._log_ms() - _LOT_KEEP_FACTOR * self.node.settings.keep_ms
         rows += [
-            e.LotForgotten(lot_id=lot.lot_id)
+            e.JobExpired(lot_id=lot.lot_id)
             for lot in ledger.lots.values()
             if not lot.open and lot.at_ms < lot_floor_ms
         ]
--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -9,27 +9,27 @@
 
 __all__ = [
     "AttemptFailed",
-    "BatonPassed",
-    "ForwardLotAdmitted",
+    "ListingLeaseGranted",
+    "ForwardJobAdmitted",
     "ItemClaimed",
     "ItemFinished",
     "ItemReturned",
     "ItemsClaimed",
     "KeyClosed",
-    "KeyForgotten",
+    "KeyExpired",
     "KeyOpened",
-    "KeyShelved",
-    "LotAdmitted",
-    "LotEnded",
-    "LotForgotten",
-    "LotShelved",
+    "KeyArchived",
+    "JobAdmitted",
+    "JobCancelled",
+    "JobExpired",
+    "JobArchived",
     "ResultListed",
-    "ResultsPlaced",
+    "ListingAdvanced",
     "RolloutAdmitted",
 ]
 
 
-class LotAdmitted(Message):
+class JobAdmitted(Message, wire_name="LotAdmitted"):
     """A lot was admitted; an item that isn't `safe` must not be run twice."""
 
     lot_id: str
@@ -41,7 +41,7 @@
     at_ms: int
 
 
-class ForwardLotAdmitted(Message):
+class ForwardJobAdmitted(Message, wire_name="ForwardLotAdmitted"):
     """A lot of forwarded calls was admitted.
 
     `calls` are kept as the bytes in which they came. From `expires_ms` on an item may be given up;
@@ -143,7 +143,7 @@
     number: int
 
 
-class BatonPassed(Message):
+class ListingLeaseGranted(Message, wire_name="BatonPassed"):
     """The right to list a lot's results passed to an edge, under a higher epoch."""
 
     lot_id: str
@@ -151,7 +151,7 @@
     epoch: int
 
 
-class ResultsPlaced(Message):
+class ListingAdvanced(Message, wire_name="ResultsPlaced"):
     """Results were listed up to a position; void unless `epoch` is the baton's."""
 
     lot_id: str
@@ -159,14 +159,14 @@
     epoch: int
 
 
-class LotEnded(Message):
+class JobCancelled(Message, wire_name="LotEnded"):
     """A lot was ended before all of its results were listed."""
 
     lot_id: str
     at_ms: int
 
 
-class LotForgotten(Message):
+class JobExpired(Message, wire_name="LotForgotten"):
     """A lot that is over left the ledger, because its retention time has passed."""
 
     lot_id: str
@@ -193,7 +193,7 @@
     at_ms: int
 
 
-class LotShelved(Message):
+class JobArchived(Message, wire_name="LotShelved"):
     """Only in snapshots: a lot that is over, whose results are in an archive file.
 
     `places` and `sizes` are the offsets and lengths in bytes of the file's leaves, `firsts` the
@@ -217,7 +217,7 @@
     firsts: list[int]
 
 
-class KeyShelved(Message):
+class KeyArchived(Message, wire_name="KeyShelved"):
     """Only in snapshots: a key whose final answer is in an archive file.
 
     `place` and `size` are the offset and length in bytes of its leaf.
@@ -234,7 +234,7 @@
     size: int
 
 
-class KeyForgotten(Message):
+class KeyExpired(Message, wire_name="KeyForgotten"):
     """A key left the ledger, because its retention time has passed."""
 
     key: str
--- a/libs/batch_state/src/batch_state/reading.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -11,26 +11,26 @@
 from messaging import Message
 
 from batch_state import messages as m
-from batch_state.fold import Ledger
-from batch_state.lots import Lot
+from batch_state.jobs import Job
+from batch_state.state import BatchState
 
-__all__ = ["Reading"]
+__all__ = ["ForwardJobReader"]
 
 Reply = Callable[[Message], None]
 
 
-def _nothing(outcome: str) -> m.PageReceipt:
-    return m.PageReceipt(outcome=outcome, rows=[], total=0, over=False)
+def _nothing(outcome: str) -> m.ListForwardResultsResponse:
+    return m.ListForwardResultsResponse(outcome=outcome, rows=[], total=0, over=False)
 
 
 class _Held:
     __slots__ = ("due_ms", "message", "reply")
 
-    def __init__(self, message: m.ReadPage, reply: Reply, due_ms: int) -> None:
+    def __init__(self, message: m.ListForwardResults, reply: Reply, due_ms: int) -> None:
         self.message, self.reply, self.due_ms = message, reply, due_ms
 
 
-class Reading:
+class ForwardJobReader:
     """Answers reads under one holder.
 
     `settled` returns the settled ledger; `mend` is told what can't be read from its archive file.
@@ -42,7 +42,7 @@
         self,
         holder: Any,
         node: Any,
-        settled: Callable[[], Ledger],
+        settled: Callable[[], BatchState],
         shelves: Any,
         mend: Callable[[str, str], None],
     ) -> None:
@@ -50,14 +50,14 @@
         self._shelves, self._mend = shelves, mend
         self._held: dict[str, list[_Held]] = {}
 
-    def read(self, message: m.ReadPage, reply: Reply) -> None:
+    def read(self, message: m.ListForwardResults, reply: Reply) -> None:
         """Answer a read of a page once there is something to show or its time is up."""
         due_ms = self._node.env.now() + message.wait_ms
         self._holder.read(
             lambda ok: self._confirmed(message, reply, due_ms) if ok else reply(_nothing("unknown"))
         )
 
-    def _confirmed(self, message: m.ReadPage, reply: Reply, due_ms: int) -> None:
+    def _confirmed(self, message: m.ListForwardResults, reply: Reply, due_ms: int) -> None:
         page = self._page(message)
         if page.outcome != "known" or page.rows or page.over or self._node.env.now() >= due_ms:
             reply(page)
@@ -85,7 +85,7 @@
 
     def _last(self, held: _Held) -> None:
         """Answer a read whose time is up, after one more confirmation of the epoch."""
-        self.read(m.ReadPage(**{**held.message.as_dict(), "wait_ms": 0}), held.reply)
+        self.read(m.ListForwardResults(**{**held.message.as_dict(), "wait_ms": 0}), held.reply)
 
     def stop(self, reply: Message) -> None:
         """Answer all held reads with a message, because this holder's epoch is over."""
@@ -96,7 +96,7 @@
 
     # -- building the answers ----------------------------------------------------------------------
 
-    def _page(self, message: m.ReadPage) -> m.PageReceipt:
+    def _page(self, message: m.ListForwardResults) -> m.ListForwardResultsResponse:
         lot = self._settled().lots.get(message.lot_id)
         if lot is None:
             return _nothing("unknown" if message.lot_id in self._holder.ledger.lots else "missing")
@@ -104,9 +104,11 @@
         if rows is None:
             self._mend("lot", lot.lot_id)
             return _nothing("unknown")
-        return m.PageReceipt(outcome="known", rows=rows, total=lot.total, over=not lot.open)
+        return m.ListForwardResultsResponse(
+            outcome="known", rows=rows, total=lot.total, over=not lot.open
+        )
 
-    def _rows(self, lot: Lot, message: m.ReadPage) -> list[bytes] | None:
+    def _rows(self, lot: Job, message: m.ListForwardResults) -> list[bytes] | None:
         rows: list[bytes] = []
         size_bytes = 0
         position = message.from_position
@@ -126,13 +128,13 @@
             position = message.from_position + len(rows)
         return rows
 
-    def item(self, message: m.ReadItem, reply: Reply) -> None:
+    def item(self, message: m.GetItem, reply: Reply) -> None:
         """Answer with the call of an item that hasn't ended."""
 
         def confirmed(ok: bool) -> None:
             lot = self._settled().lots.get(message.lot_id)
             if not ok or (lot is None and message.lot_id in self._holder.ledger.lots):
-                reply(m.ItemReceipt(outcome="unknown", call=b""))
+                reply(m.GetItemResponse(outcome="unknown", call=b""))
                 return
             found = (
                 None
@@ -141,7 +143,7 @@
             )
             listed = found is None or found.state == "finished"
             reply(
-                m.ItemReceipt(
+                m.GetItemResponse(
                     outcome="missing" if listed else "known", call=b"" if listed else found.body
                 )
             )
--- a/libs/batch_state/src/batch_state/endings.py
+++ b/libs/batch_state/src/batch_state/item_completion.py
@@ -13,12 +13,12 @@
 
 from batch_state import entries as e
 from batch_state import messages as m
-from batch_state.lots import Lot
+from batch_state.jobs import Job
 
-__all__ = ["Endings"]
+__all__ = ["ItemCompletion"]
 
 
-class Endings:
+class ItemCompletion:
     """Ends items of forwarded lots in the log of one holder.
 
     `log_ms` is the log's own time, `profiles` returns the number and the tree of the profiles,
@@ -40,7 +40,10 @@
         self._profiles, self._woke, self._live = profiles, woke, live
 
     def take(
-        self, message: m.EndItems, reply: Callable[[Message], None], wake: Callable[[], None]
+        self,
+        message: m.ReportItemOutcomes,
+        reply: Callable[[Message], None],
+        wake: Callable[[], None],
     ) -> None:
         """Log the reported ends in one append, then reply.
 
@@ -56,7 +59,7 @@
         freed = any(isinstance(row, (e.AttemptFailed, e.ItemReturned)) for row in rows)
 
         def logged(outcome: str) -> None:
-            reply(m.FinishReceipt(ok=outcome == "kept", baton_epoch=0, up_to=0))
+            reply(m.ReportResultResponse(ok=outcome == "kept", baton_epoch=0, up_to=0))
             if lot_ids and outcome == "kept":
                 self._woke(lot_ids)
 
@@ -64,7 +67,7 @@
         if freed:
             wake()
 
-    def _entries(self, lot: Lot, row: m.ItemEnd, edge: str) -> list[Message]:
+    def _entries(self, lot: Job, row: m.ItemOutcome, edge: str) -> list[Message]:
         """Return the entries for one report.
 
         The first report that ends an item decides. A failure or a returned claim counts only under
@@ -93,7 +96,7 @@
         return [e.ItemReturned(lot_id=lot.lot_id, index=row.index, number=row.number)]
 
     def _listed(
-        self, lot: Lot, index: int, outcome: str, text: bytes, worker: str, edge: str
+        self, lot: Job, index: int, outcome: str, text: bytes, worker: str, edge: str
     ) -> e.ResultListed:
         epoch = max(1, lot.baton_epoch + (edge != lot.baton_edge))
         return e.ResultListed(
@@ -106,7 +109,7 @@
             epoch=epoch,
         )
 
-    def _attempts(self, lot: Lot) -> int:
+    def _attempts(self, lot: Job) -> int:
         """Return the most attempts allowed by any profile that may be in force.
 
         These are the profile at admission and the present one.
@@ -114,7 +117,7 @@
         profile = self._profile(lot)
         return max(lot.attempts, profile.attempts or 0 if profile is not None else 0, 1)
 
-    def _profile(self, lot: Lot) -> Any:
+    def _profile(self, lot: Job) -> Any:
         _, tree = self._profiles()
         return tree.usable(lot.path) if tree is not None else None
 
--- a/libs/batch_state/src/batch_state/dealing.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -15,11 +15,11 @@
 
 from batch_state import entries as e
 from batch_state import messages as m
-from batch_state.endings import Endings
-from batch_state.lots import Lot
-from batch_state.picking import Picker
+from batch_state.item_completion import ItemCompletion
+from batch_state.item_selection import ItemSelector
+from batch_state.jobs import Job
 
-__all__ = ["Dealer"]
+__all__ = ["ItemDispatcher"]
 
 _UNKNOWN_BODY = (
     '{"error":{"verdict":"may_have_run","code":"edge-lost",'
@@ -35,11 +35,11 @@
 
     __slots__ = ("due_ms", "message", "reply")
 
-    def __init__(self, message: m.EdgeBeat, reply: Reply, due_ms: int) -> None:
+    def __init__(self, message: m.EdgeHeartbeat, reply: Reply, due_ms: int) -> None:
         self.message, self.reply, self.due_ms = message, reply, due_ms
 
 
-class Dealer:
+class ItemDispatcher:
     """Deals items under one holder.
 
     `log_ms` is the log's own time, `profiles` returns the number and the tree of the profiles known
@@ -81,19 +81,19 @@
         self._gone: set[str] = set()
         self._held: dict[str, _Held] = {}
         self._claimed_ms: dict[tuple[str, int], int] = {}
-        self._picker = Picker(holder, node, log_ms, outlook, lambda: self._rollouts()[1])
-        self._endings = Endings(holder, node, log_ms, profiles, woke, self._live)
+        self._picker = ItemSelector(holder, node, log_ms, outlook, lambda: self._rollouts()[1])
+        self._endings = ItemCompletion(holder, node, log_ms, profiles, woke, self._live)
 
-    def beat(self, message: m.EdgeBeat, reply: Reply) -> None:
+    def beat(self, message: m.EdgeHeartbeat, reply: Reply) -> None:
         """Answer an edge's heartbeat, at once or when there is something to say."""
         now_ms = self._node.env.now()
         self._hear(message, now_ms)
         self._return_unheard(message)
         self._held.pop(message.edge, None)
         if not self._answer(message, reply, False):
-            self._held[message.edge] = _Held(message, reply, now_ms + self._node.params.beat_ms)
+            self._held[message.edge] = _Held(message, reply, now_ms + self._node.settings.beat_ms)
 
-    def _hear(self, message: m.EdgeBeat, now_ms: int) -> None:
+    def _hear(self, message: m.EdgeHeartbeat, now_ms: int) -> None:
         """Note that an edge is alive; of two edges at one address the earlier one has ended."""
         self._edges[message.edge] = now_ms
         before = self._addresses.get(message.address, message.edge)
@@ -114,7 +114,7 @@
         for row in held.values():
             row.reply(reply)
 
-    def _answer(self, message: m.EdgeBeat, reply: Reply, now: bool) -> bool:
+    def _answer(self, message: m.EdgeHeartbeat, reply: Reply, now: bool) -> bool:
         """Answer a heartbeat; return False if it may wait for something to be said."""
         ledger = self._holder.ledger
         stops = sorted(
@@ -123,7 +123,7 @@
             if self._over(lot_id)
         )
         batons = [
-            encode(m.Baton(lot_id=lot.lot_id, epoch=lot.baton_epoch, up_to=lot.ready))
+            encode(m.ListingLease(lot_id=lot.lot_id, epoch=lot.baton_epoch, up_to=lot.ready))
             for lot in ledger.opened.values()
             if lot.ready > lot.placed and lot.baton_edge == message.edge and lot.baton_epoch
         ]
@@ -133,7 +133,7 @@
         work, safe_only = self._picker.pick(message, self._live_edges)
         waiting, paths = self._waiting()
         samples_out, recalled = self._rollouts()
-        lends = isinstance(message, m.RolloutBeat)
+        lends = isinstance(message, m.RolloutHeartbeat)
         if not (
             now
             or not message.room
@@ -158,9 +158,9 @@
                 "paths": paths,
             }
             reply(
-                m.RolloutAnswer(**told, samples_out=samples_out, recalled=recalled)
+                m.RolloutHeartbeatResponse(**told, samples_out=samples_out, recalled=recalled)
                 if lends
-                else m.HolderBeat(**told)
+                else m.EdgeHeartbeatResponse(**told)
             )
 
         if not work:
@@ -174,7 +174,7 @@
         rows: list[Message] = []
         forward: dict[str, e.ItemsClaimed] = {}
         for row in work:
-            if isinstance(row, m.ForwardWork):
+            if isinstance(row, m.ForwardAssignment):
                 if row.lot_id not in forward:
                     forward[row.lot_id] = e.ItemsClaimed(
                         lot_id=row.lot_id, edge=edge, indexes=[], numbers=[]
@@ -211,7 +211,7 @@
         out = sum(len(lot.claims) + 1 for lot in self._holder.ledger.opened.values() if lot.rollout)
         return out, self._outlook.at_risk(self._holder.ledger, self._log_ms(), self._node.env.log)
 
-    def _return_unheard(self, message: m.EdgeBeat) -> None:
+    def _return_unheard(self, message: m.EdgeHeartbeat) -> None:
         """Return claims whose notice was lost: the edge doesn't list them as running.
 
         It would no longer accept the notice.
@@ -225,7 +225,7 @@
                     continue
                 if (
                     now_ms - self._claimed_ms.get((lot.lot_id, index), self._since_ms)
-                    > 2 * self._node.params.ask_ms
+                    > 2 * self._node.settings.ask_ms
                 ):
                     rows.append(e.ItemReturned(lot_id=lot.lot_id, index=index, number=item.number))
         if rows:
@@ -238,7 +238,7 @@
         """End rollouts whose deadline has passed; their listed results stay."""
         log_ms = self._log_ms()
         rows = [
-            e.LotEnded(lot_id=lot.lot_id, at_ms=log_ms)
+            e.JobCancelled(lot_id=lot.lot_id, at_ms=log_ms)
             for lot in self._holder.ledger.opened.values()
             if lot.rollout and 0 < lot.expires_ms <= log_ms
         ]
@@ -246,12 +246,12 @@
             self._node.env.log("rollouts-out-of-time", lots=[row.lot_id for row in rows])
             self._holder.append(rows, True, lambda outcome: self.wake(), True)
 
-    def end_items(self, message: m.EndItems, reply: Reply) -> None:
+    def end_items(self, message: m.ReportItemOutcomes, reply: Reply) -> None:
         """Take in how an edge's forwarded items ended, in one append."""
         self._edges[message.edge] = self._node.env.now()
         self._endings.take(message, reply, self.wake)
 
-    def finish(self, message: m.Finish, reply: Callable[[Message], None]) -> None:
+    def finish(self, message: m.ReportResult, reply: Callable[[Message], None]) -> None:
         """Take in how an item ended, or that its claim is returned (`again`).
 
         For items that aren't safe to repeat the answer waits until this is settled: an edge that
@@ -266,7 +266,7 @@
                 [],
                 True,
                 lambda outcome: reply(
-                    m.FinishReceipt(ok=outcome == "kept", baton_epoch=0, up_to=0)
+                    m.ReportResultResponse(ok=outcome == "kept", baton_epoch=0, up_to=0)
                 ),
                 True,
             )
@@ -308,7 +308,7 @@
                     self._pass_baton(lot, message.edge)
             mine = lot.baton_edge == message.edge and lot.ready > lot.placed
             reply(
-                m.FinishReceipt(
+                m.ReportResultResponse(
                     ok=outcome == "kept",
                     baton_epoch=lot.baton_epoch if mine else 0,
                     up_to=lot.ready if mine else 0,
@@ -317,13 +317,13 @@
 
         self._holder.append(rows, not lot.safe, logged, True)
 
-    def _finished_next(self, lot: Lot, message: m.Finish) -> bool:
+    def _finished_next(self, lot: Job, message: m.ReportResult) -> bool:
         return message.index == lot.placed
 
-    def _pass_baton(self, lot: Lot, edge: str) -> None:
+    def _pass_baton(self, lot: Job, edge: str) -> None:
         if lot.baton_edge != edge:
             self._holder.append(
-                [e.BatonPassed(lot_id=lot.lot_id, edge=edge, epoch=lot.baton_epoch + 1)],
+                [e.ListingLeaseGranted(lot_id=lot.lot_id, edge=edge, epoch=lot.baton_epoch + 1)],
                 False,
                 lambda outcome: None,
                 True,
@@ -334,10 +334,10 @@
             return False
         return (
             self._node.env.now() - self._edges.get(edge, self._since_ms)
-            <= self._node.params.dead_ms
+            <= self._node.settings.dead_ms
         )
 
-    def _lost(self, lot: Lot, edge: str) -> bool:
+    def _lost(self, lot: Job, edge: str) -> bool:
         """Whether an edge has been silent for so long that its claims are lost.
 
         That is longer than any edge keeps its claims; silence from before this holder's start
@@ -350,7 +350,7 @@
             return not self._live(edge)
         return (
             self._node.env.now() - self._edges.get(edge, self._since_ms)
-            > self._node.params.reclaim_ms
+            > self._node.settings.reclaim_ms
         )
 
     def tick(self) -> None:
--- a/libs/batch_state/src/batch_state/picking.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from batch_state import messages as m
-from batch_state.lots import Lot
+from batch_state.jobs import Job
 
-__all__ = ["Picker"]
+__all__ = ["ItemSelector"]
 
 
-class Picker:
+class ItemSelector:
     """Chooses items from the ledger of one holder.
 
     `outlook` gets each edge's slots; `recalled` says whether a lot may come late beside rollouts.
@@ -33,7 +33,9 @@
         self._holder, self._node, self._log_ms = holder, node, log_ms
         self._outlook, self._recalled = outlook, recalled
 
-    def pick(self, message: m.EdgeBeat, live_edges: Callable[[], int]) -> tuple[list[Any], bool]:
+    def pick(
+        self, message: m.EdgeHeartbeat, live_edges: Callable[[], int]
+    ) -> tuple[list[Any], bool]:
         """Return the work for an edge, and whether all of it is safe to repeat.
 
         The edge gets as many items as it has room for, of forwarded lots no more than its share,
@@ -41,7 +43,7 @@
         """
         work: list[Any] = []
         safe_only = True
-        if isinstance(message, m.RolloutBeat) and self._outlook is not None:
+        if isinstance(message, m.RolloutHeartbeat) and self._outlook is not None:
             self._outlook.heard(message, self._node.env.now())
         if not message.room:
             return self._pick_samples(message, work), safe_only
@@ -67,7 +69,7 @@
                 else:
                     item = lot.items[index]
                     work.append(
-                        m.Work(
+                        m.ItemAssignment(
                             lot_id=lot.lot_id,
                             index=index,
                             number=item.number + 1,
@@ -80,11 +82,13 @@
                     safe_only = safe_only and lot.safe
         return self._pick_samples(message, work), safe_only
 
-    def _pick_samples(self, message: m.EdgeBeat | m.RolloutBeat, work: list[Any]) -> list[Any]:
+    def _pick_samples(
+        self, message: m.EdgeHeartbeat | m.RolloutHeartbeat, work: list[Any]
+    ) -> list[Any]:
         """Return samples of rollouts if no items go to this edge and no lot may come late."""
         if (
             work
-            or not isinstance(message, m.RolloutBeat)
+            or not isinstance(message, m.RolloutHeartbeat)
             or not message.sample_room
             or self._recalled()
         ):
@@ -103,7 +107,7 @@
                     return samples
                 prompt, sample = divmod(index, lot.samples)
                 samples.append(
-                    m.RolloutWork(
+                    m.RolloutAssignment(
                         lot_id=lot.lot_id,
                         index=index,
                         number=lot.items[index].number + 1,
@@ -116,9 +120,9 @@
                 )
         return samples
 
-    def _forward_work(self, lot: Lot, index: int) -> m.ForwardWork:
+    def _forward_work(self, lot: Job, index: int) -> m.ForwardAssignment:
         item = lot.items[index]
-        return m.ForwardWork(
+        return m.ForwardAssignment(
             lot_id=lot.lot_id,
             index=index,
             number=item.number + 1,
--- a/libs/batch_state/src/batch_state/lot_receipts.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -4,18 +4,18 @@
 from typing import Any
 
 from batch_state import messages as m
-from batch_state.fold import Ledger
-from batch_state.lots import Lot
+from batch_state.jobs import Job
+from batch_state.state import BatchState
 
-__all__ = ["LotReader", "lot_receipt"]
+__all__ = ["JobReader", "job_response"]
 
 _PAGE_BYTES = 1 << 20
 
 
-def lot_receipt(outcome: str, lot_id: str, lot: Lot | None) -> m.LotReceipt:
+def job_response(outcome: str, lot_id: str, lot: Job | None) -> m.JobResponse:
     """Return the state of a lot, or an empty one if there is none."""
     if lot is None:
-        return m.LotReceipt(
+        return m.JobResponse(
             outcome=outcome,
             lot_id=lot_id,
             digest="",
@@ -28,7 +28,7 @@
             ended=False,
         )
     running = 0 if lot.ended else len(lot.claims)
-    return m.LotReceipt(
+    return m.JobResponse(
         outcome=outcome,
         lot_id=lot_id,
         digest=lot.digest,
@@ -42,7 +42,7 @@
     )
 
 
-class LotReader:
+class JobReader:
     """Answers from the settled ledger; entries that aren't settled are not known yet.
 
     `mend` is told of a lot whose archive file can't be read.
@@ -53,39 +53,39 @@
     def __init__(
         self,
         holder: Any,
-        settled: Callable[[], Ledger],
+        settled: Callable[[], BatchState],
         shelves: Callable[[], Any],
         mend: Callable[[str, str], None],
     ) -> None:
         self._holder, self._settled = holder, settled
         self._shelves, self._mend = shelves, mend
 
-    def lot(self, lot_id: str) -> m.LotReceipt:
+    def lot(self, lot_id: str) -> m.JobResponse:
         """Return the state of a lot."""
         lot = self._settled().lots.get(lot_id)
         if lot is None and lot_id in self._holder.ledger.lots:
-            return lot_receipt("unknown", lot_id, None)
-        return lot_receipt("known" if lot else "missing", lot_id, lot)
+            return job_response("unknown", lot_id, None)
+        return job_response("known" if lot else "missing", lot_id, lot)
 
-    def results(self, message: m.ReadResults) -> m.ResultsReceipt:
+    def results(self, message: m.ListResults) -> m.ListResultsResponse:
         """Return a page of a lot's results, from memory or from its archive file."""
         lot = self._settled().lots.get(message.lot_id)
         if lot is None:
             outcome = "unknown" if message.lot_id in self._holder.ledger.lots else "missing"
-            return m.ResultsReceipt(outcome=outcome, rows=[], placed=0, total=0, ended=False)
+            return m.ListResultsResponse(outcome=outcome, rows=[], placed=0, total=0, ended=False)
         if message.from_index > lot.total:
-            return m.ResultsReceipt(
+            return m.ListResultsResponse(
                 outcome="beyond", rows=[], placed=lot.placed, total=lot.total, ended=lot.ended
             )
         rows = self._shelved(lot, message) if lot.shelf is not None else self._held(lot, message)
         if rows is None:
             self._mend("lot", lot.lot_id)
-            return m.ResultsReceipt(outcome="unknown", rows=[], placed=0, total=0, ended=False)
-        return m.ResultsReceipt(
+            return m.ListResultsResponse(outcome="unknown", rows=[], placed=0, total=0, ended=False)
+        return m.ListResultsResponse(
             outcome="known", rows=rows, placed=lot.placed, total=lot.total, ended=lot.ended
         )
 
-    def _shelved(self, lot: Lot, message: m.ReadResults) -> list[bytes] | None:
+    def _shelved(self, lot: Job, message: m.ListResults) -> list[bytes] | None:
         rows: list[bytes] = []
         while len(rows) < message.limit and sum(map(len, rows)) <= _PAGE_BYTES:
             more = self._shelves().results(
@@ -98,7 +98,7 @@
             rows += more
         return rows
 
-    def _held(self, lot: Lot, message: m.ReadResults) -> list[bytes]:
+    def _held(self, lot: Job, message: m.ListResults) -> list[bytes]:
         rows, size_bytes = [], 0
         for index in range(message.from_index, min(lot.placed, message.from_index + message.limit)):
             rows.append(lot.row(index))
--- a/libs/batch_state/src/batch_state/lots.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -9,7 +9,7 @@
 from batch_state import entries as e
 from batch_state import messages as m
 
-__all__ = ["Item", "Lot"]
+__all__ = ["Item", "Job"]
 
 
 class Item:
@@ -47,7 +47,7 @@
         self.worker = ""
 
 
-class Lot:
+class Job:
     """A lot and the state of its items.
 
     `pending` has the indexes of unclaimed items in the order in which they are dealt, `claims` the
@@ -85,7 +85,7 @@
         "weights",
     )
 
-    def __init__(self, entry: e.LotAdmitted | e.ForwardLotAdmitted | e.RolloutAdmitted) -> None:
+    def __init__(self, entry: e.JobAdmitted | e.ForwardJobAdmitted | e.RolloutAdmitted) -> None:
         self.lot_id = entry.lot_id
         self.digest = entry.digest
         self.path = entry.path
@@ -93,7 +93,7 @@
         self.samples, self.weights = (entry.samples, entry.weights) if self.rollout else (1, "")
         self.due_ms = entry.expires_ms if self.rollout else entry.due_ms
         self.at_ms = entry.at_ms
-        self.forward = isinstance(entry, e.ForwardLotAdmitted)
+        self.forward = isinstance(entry, e.ForwardJobAdmitted)
         if self.forward:
             self.items = [
                 Item(call, item_id, tokens)
@@ -114,7 +114,7 @@
         self.pending: dict[int, None] = dict.fromkeys(range(self.total))
         self.claims: dict[int, Item] = {}
         self.order: list[int] = []
-        self.shelf: e.LotShelved | None = None
+        self.shelf: e.JobArchived | None = None
         self.placed = 0
         self.baton_edge = ""
         self.baton_epoch = 0
@@ -150,7 +150,7 @@
         if self.forward:
             item = self.items[self.order[position]]
             return encode(
-                m.ForwardRow(item_id=item.item_id, outcome=item.outcome, text=item.result)
+                m.ForwardResult(item_id=item.item_id, outcome=item.outcome, text=item.result)
             )
         item = self.items[position]
         return encode(m.ResultRow(index=position, outcome=item.outcome, body=item.result))
@@ -186,13 +186,13 @@
         """Return entries that fold to this very lot."""
         if self.shelf is not None:
             return [
-                e.LotShelved(
+                e.JobArchived(
                     **{**self.shelf.as_dict(), "ended": self.ended, "ended_at_ms": self.ended_at_ms}
                 )
             ]
         rows = self._dump_forward() if self.forward else self._dump_own()
         if self.ended:
-            rows.append(e.LotEnded(lot_id=self.lot_id, at_ms=self.ended_at_ms))
+            rows.append(e.JobCancelled(lot_id=self.lot_id, at_ms=self.ended_at_ms))
         return rows
 
     def _dump_own(self) -> list[Message]:
@@ -218,11 +218,13 @@
                 )
         if self.baton_epoch:
             rows.append(
-                e.BatonPassed(lot_id=self.lot_id, edge=self.baton_edge, epoch=self.baton_epoch)
+                e.ListingLeaseGranted(
+                    lot_id=self.lot_id, edge=self.baton_edge, epoch=self.baton_epoch
+                )
             )
         if self.placed:
             rows.append(
-                e.ResultsPlaced(lot_id=self.lot_id, up_to=self.placed, epoch=self.baton_epoch)
+                e.ListingAdvanced(lot_id=self.lot_id, up_to=self.placed, epoch=self.baton_epoch)
             )
         return rows
 
@@ -238,7 +240,7 @@
                 expires_ms=self.expires_ms,
                 at_ms=self.at_ms,
             )
-        return e.LotAdmitted(
+        return e.JobAdmitted(
             lot_id=self.lot_id,
             digest=self.digest,
             path=self.path,
@@ -250,7 +252,7 @@
 
     def _dump_forward(self) -> list[Message]:
         rows: list[Message] = [
-            e.ForwardLotAdmitted(
+            e.ForwardJobAdmitted(
                 lot_id=self.lot_id,
                 digest=self.digest,
                 path=self.path,
--- a/libs/batch_state/src/batch_state/answers.py
+++ b/libs/batch_state/src/batch_state/leader_replies.py
@@ -9,12 +9,12 @@
 
 from messaging import Message, Origin
 
-__all__ = ["KEPT", "Answers"]
+__all__ = ["KEPT", "LeaderReplies"]
 
 KEPT = "kept"
 
 
-class Answers:
+class LeaderReplies:
     """The answers of one holder under one epoch."""
 
     __slots__ = ("_holder", "node")
@@ -28,7 +28,7 @@
         Such a request may be one whose sender has already given up on it.
         """
         age_ms = self.node.env.now() - message.holder_ms
-        return message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.params.fresh_ms
+        return message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.settings.fresh_ms
 
     def log(
         self,
--- a/libs/batch_state/src/batch_state/messages.py
+++ b/libs/batch_state/src/batch_state/messages.py
@@ -15,43 +15,43 @@
 from messaging import Message
 
 __all__ = [
-    "Baton",
+    "ListingLease",
     "CloseKey",
-    "EdgeBeat",
-    "EndItems",
-    "EndLot",
-    "Finish",
-    "FinishReceipt",
-    "ForwardHandIn",
+    "EdgeHeartbeat",
+    "ReportItemOutcomes",
+    "CancelJob",
+    "ReportResult",
+    "ReportResultResponse",
+    "SubmitForwardJob",
     "ForwardItem",
-    "ForwardRow",
-    "ForwardWork",
-    "HandIn",
-    "HolderBeat",
-    "ItemEnd",
-    "ItemReceipt",
-    "KeyReceipt",
-    "LotReceipt",
-    "NotHolder",
+    "ForwardResult",
+    "ForwardAssignment",
+    "SubmitJob",
+    "EdgeHeartbeatResponse",
+    "ItemOutcome",
+    "GetItemResponse",
+    "KeyResponse",
+    "JobResponse",
+    "NotLeader",
     "OpenKey",
-    "PageReceipt",
-    "Place",
-    "ReadItem",
-    "ReadLot",
-    "ReadPage",
-    "ReadResults",
+    "ListForwardResultsResponse",
+    "AdvanceListing",
+    "GetItem",
+    "GetJob",
+    "ListForwardResults",
+    "ListResults",
     "ResultRow",
-    "ResultsReceipt",
-    "RolloutAnswer",
-    "RolloutBeat",
-    "RolloutHandIn",
-    "RolloutWork",
-    "Stale",
-    "Work",
+    "ListResultsResponse",
+    "RolloutHeartbeatResponse",
+    "RolloutHeartbeat",
+    "SubmitRollout",
+    "RolloutAssignment",
+    "StaleRequest",
+    "ItemAssignment",
 ]
 
 
-class EdgeBeat(Message):
+class EdgeHeartbeat(Message, wire_name="EdgeBeat"):
     """An edge's heartbeat: free slots, their paths, and the items it runs as LOT#INDEX."""
 
     edge: str
@@ -61,8 +61,8 @@
     running: list[str]
 
 
-class RolloutBeat(Message):
-    """An EdgeBeat that also tells how many samples of rollouts may start, and on which paths."""
+class RolloutHeartbeat(Message, wire_name="RolloutBeat"):
+    """An EdgeHeartbeat with how many samples of rollouts may start, and on which paths."""
 
     edge: str
     address: str
@@ -73,7 +73,7 @@
     sample_paths: list[str]
 
 
-class Work(Message):
+class ItemAssignment(Message, wire_name="Work"):
     """An item for an edge to run; `number` is that of its claim."""
 
     lot_id: str
@@ -85,7 +85,7 @@
     due_ms: int
 
 
-class RolloutWork(Message):
+class RolloutAssignment(Message, wire_name="RolloutWork"):
     """A sample for an edge to run; `index` is `prompt` * samples of each prompt + `sample`."""
 
     safe = True
@@ -99,7 +99,7 @@
     weights: str
 
 
-class Baton(Message):
+class ListingLease(Message, wire_name="Baton"):
     """Tells an edge that it may list the results of a lot up to a position."""
 
     lot_id: str
@@ -107,8 +107,8 @@
     up_to: int
 
 
-class HolderBeat(Message):
-    """The answer to EdgeBeat: work, batons, lots to stop, and how much waits on which paths."""
+class EdgeHeartbeatResponse(Message, wire_name="HolderBeat"):
+    """The answer to EdgeHeartbeat: items to run, listing leases, jobs to stop, and the backlog."""
 
     epoch: int
     holder_ms: int
@@ -119,8 +119,8 @@
     paths: list[str]
 
 
-class RolloutAnswer(Message):
-    """A HolderBeat with how many samples are out, and whether lots need their slots back."""
+class RolloutHeartbeatResponse(Message, wire_name="RolloutAnswer"):
+    """An EdgeHeartbeatResponse with how many samples run, and whether jobs need their slots."""
 
     epoch: int
     holder_ms: int
@@ -133,14 +133,14 @@
     recalled: bool
 
 
-class NotHolder(Message):
+class NotLeader(Message, wire_name="NotHolder"):
     """The answer of a store that isn't the holder, with who is as far as it knows."""
 
     epoch: int
     address: str
 
 
-class HandIn(Message):
+class SubmitJob(Message, wire_name="HandIn"):
     """Submit a lot; `digest`, that of the content, recognises the same submission sent again."""
 
     lot_id: str
@@ -153,7 +153,7 @@
     holder_ms: int
 
 
-class RolloutHandIn(Message):
+class SubmitRollout(Message, wire_name="RolloutHandIn"):
     """Submit a rollout; `due_ms` is from now, 0 for no deadline."""
 
     lot_id: str
@@ -167,7 +167,7 @@
     holder_ms: int
 
 
-class LotReceipt(Message):
+class JobResponse(Message, wire_name="LotReceipt"):
     """The state of a lot, or why there is none."""
 
     outcome: str
@@ -182,19 +182,19 @@
     ended: bool
 
 
-class ReadLot(Message):
+class GetJob(Message, wire_name="ReadLot"):
     """Ask for the state of a lot."""
 
     lot_id: str
 
 
-class EndLot(Message):
+class CancelJob(Message, wire_name="EndLot"):
     """End a lot: what hasn't finished is not run any more."""
 
     lot_id: str
 
 
-class ReadResults(Message):
+class ListResults(Message, wire_name="ReadResults"):
     """Ask for listed results from an index on."""
 
     lot_id: str
@@ -210,7 +210,7 @@
     body: str
 
 
-class ResultsReceipt(Message):
+class ListResultsResponse(Message, wire_name="ResultsReceipt"):
     """A page of results: encoded ResultRows, and that `placed` of `total` are listed."""
 
     outcome: str
@@ -220,7 +220,7 @@
     ended: bool
 
 
-class Finish(Message):
+class ReportResult(Message, wire_name="Finish"):
     """Report an item's end; the outcome `again` returns the claim, as it has not run."""
 
     lot_id: str
@@ -232,15 +232,18 @@
     edge: str
 
 
-class FinishReceipt(Message):
-    """The answer to Finish, Place and EndItems; a `baton_epoch` above 0 grants a baton."""
+class ReportResultResponse(Message, wire_name="FinishReceipt"):
+    """The answer to ReportResult, AdvanceListing and ReportItemOutcomes.
+
+    A `baton_epoch` above 0 grants the listing lease.
+    """
 
     ok: bool
     baton_epoch: int
     up_to: int
 
 
-class Place(Message):
+class AdvanceListing(Message, wire_name="Place"):
     """List the results of a lot up to a position, under the baton's epoch."""
 
     lot_id: str
@@ -270,7 +273,7 @@
     body: str
 
 
-class KeyReceipt(Message):
+class KeyResponse(Message, wire_name="KeyReceipt"):
     """The answer to OpenKey and CloseKey, with the final answer if it is recorded."""
 
     outcome: str
@@ -296,7 +299,7 @@
     tokens_out: int
 
 
-class ForwardHandIn(Message):
+class SubmitForwardJob(Message, wire_name="ForwardHandIn"):
     """Submit a lot of forwarded calls.
 
     `calls` are encoded ForwardItems, `tokens` what each counts for in the queue; `version` is the
@@ -317,14 +320,14 @@
     holder_ms: int
 
 
-class Stale(Message):
+class StaleRequest(Message, wire_name="Stale"):
     """The stamp of a request is too old or of another epoch; this one would do."""
 
     epoch: int
     holder_ms: int
 
 
-class ForwardWork(Message):
+class ForwardAssignment(Message, wire_name="ForwardWork"):
     """A forwarded item to run within `left_ms`; `avoid` are the workers that failed on it."""
 
     lot_id: str
@@ -336,7 +339,7 @@
     left_ms: int
 
 
-class ItemEnd(Message):
+class ItemOutcome(Message, wire_name="ItemEnd"):
     """How an item of a forwarded lot ended.
 
     `outcome` is finished, dead (no worker can do it), failed (an attempt) or again (no attempt).
@@ -350,14 +353,14 @@
     worker: str
 
 
-class EndItems(Message):
+class ReportItemOutcomes(Message, wire_name="EndItems"):
     """Report the ends of several forwarded items; `rows` are encoded ItemEnds."""
 
     edge: str
     rows: list[bytes]
 
 
-class ReadPage(Message):
+class ListForwardResults(Message, wire_name="ReadPage"):
     """Ask for forwarded results; answered once there is one or after `wait_ms`."""
 
     lot_id: str
@@ -366,7 +369,7 @@
     wait_ms: int
 
 
-class ForwardRow(Message):
+class ForwardResult(Message, wire_name="ForwardRow"):
     """One result of a forwarded lot."""
 
     item_id: str
@@ -374,7 +377,7 @@
     text: bytes
 
 
-class PageReceipt(Message):
+class ListForwardResultsResponse(Message, wire_name="PageReceipt"):
     """A page of encoded ForwardRows; `over` says that no more will come."""
 
     outcome: str
@@ -383,15 +386,15 @@
     over: bool
 
 
-class ReadItem(Message):
+class GetItem(Message, wire_name="ReadItem"):
     """Ask for the call of an item that hasn't ended."""
 
     lot_id: str
     item_id: str
 
 
-class ItemReceipt(Message):
-    """The answer to ReadItem: an encoded ForwardItem."""
+class GetItemResponse(Message, wire_name="ItemReceipt"):
+    """The answer to GetItem: an encoded ForwardItem."""
 
     outcome: str
     call: bytes
--- a/libs/batch_state/src/batch_state/fold.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -11,12 +11,12 @@
 from messaging import Message, encode
 
 from batch_state import entries as e
-from batch_state.lots import Item, Lot
+from batch_state.jobs import Item, Job
 
-__all__ = ["Item", "Key", "Ledger", "Lot"]
+__all__ = ["Item", "IdempotencyKey", "BatchState", "Job"]
 
 
-class Key:
+class IdempotencyKey:
     """A transaction that isn't safe to repeat, under a client's key.
 
     `state` is `open`, `doubt`, `void` or `done`; `status` and `body` are its final answer, which is
@@ -43,11 +43,11 @@
         self.status = 0
         self.body = ""
         self.at_ms = entry.at_ms
-        self.shelf: e.KeyShelved | None = None
+        self.shelf: e.KeyArchived | None = None
         self.rows: list[bytes] | None = None
 
 
-class Ledger:
+class BatchState:
     """The state that the entries of the log add up to.
 
     `opened` has the lots that still run, `waiting_tokens` the tokens of forwarded items that
@@ -58,9 +58,9 @@
 
     def __init__(self) -> None:
         self.waiting_tokens: dict[str, int] = {}
-        self.lots: dict[str, Lot] = {}
-        self.keys: dict[str, Key] = {}
-        self.opened: dict[str, Lot] = {}
+        self.lots: dict[str, Job] = {}
+        self.keys: dict[str, IdempotencyKey] = {}
+        self.opened: dict[str, Job] = {}
         self.fresh: dict[tuple[str, str], None] = {}
 
     def room_used(self, path: str) -> int:
@@ -84,20 +84,20 @@
         raise TypeError(type(entry).__name__)
 
     @apply.register
-    def _(self, entry: e.LotAdmitted) -> None:
+    def _(self, entry: e.JobAdmitted) -> None:
         self._admit(entry)
 
     @apply.register
-    def _(self, entry: e.ForwardLotAdmitted) -> None:
+    def _(self, entry: e.ForwardJobAdmitted) -> None:
         self._admit(entry)
 
     @apply.register
     def _(self, entry: e.RolloutAdmitted) -> None:
         self._admit(entry)
 
-    def _admit(self, entry: e.LotAdmitted | e.ForwardLotAdmitted | e.RolloutAdmitted) -> None:
+    def _admit(self, entry: e.JobAdmitted | e.ForwardJobAdmitted | e.RolloutAdmitted) -> None:
         if entry.lot_id not in self.lots:
-            lot = self.lots[entry.lot_id] = Lot(entry)
+            lot = self.lots[entry.lot_id] = Job(entry)
             if lot.open:
                 self.opened[entry.lot_id] = lot
                 self._count_tokens(lot.path, lot.tokens)
@@ -158,14 +158,14 @@
             self.lots[entry.lot_id].give_back(entry.index)
 
     @apply.register
-    def _(self, entry: e.BatonPassed) -> None:
+    def _(self, entry: e.ListingLeaseGranted) -> None:
         lot = self._lot(entry.lot_id)
         if lot is not None and entry.epoch > lot.baton_epoch:
             lot.baton_edge = entry.edge
             lot.baton_epoch = entry.epoch
 
     @apply.register
-    def _(self, entry: e.ResultsPlaced) -> None:
+    def _(self, entry: e.ListingAdvanced) -> None:
         lot = self._lot(entry.lot_id)
         if (
             lot is not None
@@ -177,7 +177,7 @@
                 self._over(lot)
 
     @apply.register
-    def _(self, entry: e.LotEnded) -> None:
+    def _(self, entry: e.JobCancelled) -> None:
         lot = self._lot(entry.lot_id)
         if lot is not None and not lot.ended:
             lot.ended = True
@@ -187,23 +187,23 @@
             self._over(lot)
 
     @apply.register
-    def _(self, entry: e.LotForgotten) -> None:
+    def _(self, entry: e.JobExpired) -> None:
         self.lots.pop(entry.lot_id, None)
         self.opened.pop(entry.lot_id, None)
         self.fresh.pop(("lot", entry.lot_id), None)
 
-    def _over(self, lot: Lot) -> None:
+    def _over(self, lot: Job) -> None:
         self.opened.pop(lot.lot_id, None)
         if lot.shelf is None:
             self.fresh[("lot", lot.lot_id)] = None
 
     @apply.register
-    def _(self, entry: e.LotShelved) -> None:
+    def _(self, entry: e.JobArchived) -> None:
         """Drop the results of a lot that is here too, or add the lot without them."""
         lot = self.lots.get(entry.lot_id)
         if lot is None:
-            lot = self.lots[entry.lot_id] = Lot(
-                e.LotAdmitted(
+            lot = self.lots[entry.lot_id] = Job(
+                e.JobAdmitted(
                     lot_id=entry.lot_id,
                     digest=entry.digest,
                     path=entry.path,
@@ -223,10 +223,10 @@
             self.fresh.pop(("lot", entry.lot_id), None)
 
     @apply.register
-    def _(self, entry: e.KeyShelved) -> None:
+    def _(self, entry: e.KeyArchived) -> None:
         key = self.keys.get(entry.key)
         if key is None:
-            key = self.keys[entry.key] = Key(
+            key = self.keys[entry.key] = IdempotencyKey(
                 e.KeyOpened(
                     key=entry.key,
                     digest=entry.digest,
@@ -244,7 +244,7 @@
     def _(self, entry: e.KeyOpened) -> None:
         key = self.keys.get(entry.key)
         if key is None or key.state == "void":
-            self.keys[entry.key] = Key(entry)
+            self.keys[entry.key] = IdempotencyKey(entry)
 
     @apply.register
     def _(self, entry: e.KeyClosed) -> None:
@@ -262,7 +262,7 @@
                 self.fresh[("key", entry.key)] = None
 
     @apply.register
-    def _(self, entry: e.KeyForgotten) -> None:
+    def _(self, entry: e.KeyExpired) -> None:
         self.keys.pop(entry.key, None)
         self.fresh.pop(("key", entry.key), None)
 
@@ -272,7 +272,7 @@
             return None
         return lot.items[index]
 
-    def _lot(self, lot_id: str) -> Lot | None:
+    def _lot(self, lot_id: str) -> Job | None:
         """Return a lot that is about to change; its cached rows are dropped."""
         lot = self.lots.get(lot_id)
         if lot is not None:
@@ -311,9 +311,9 @@
             ]
         return held.rows
 
-    def copy(self) -> "Ledger":
+    def copy(self) -> "BatchState":
         """Return an independent ledger; lots and keys that can't change any more are shared."""
-        twin = Ledger()
+        twin = BatchState()
         for lot_id, lot in self.lots.items():
             if lot.open:
                 for row in lot.dump():
@@ -328,7 +328,7 @@
                 twin.keys[name] = key
         return twin
 
-    def _dump_key(self, name: str, key: Key) -> list[Message]:
+    def _dump_key(self, name: str, key: IdempotencyKey) -> list[Message]:
         if key.shelf is not None:
             return [key.shelf]
         rows: list[Message] = [
--- a/libs/capacity_sharing/src/capacity_sharing/__init__.py
+++ b/libs/capacity_sharing/src/capacity_sharing/__init__.py
@@ -8,7 +8,7 @@
 from capacity_sharing.borrowing import Borrowing
 from capacity_sharing.lending import LoanOutcome, NodeLoans
 from capacity_sharing.lent import LentWorkers
-from capacity_sharing.outlook import LotOutlook
+from capacity_sharing.outlook import JobOutlook
 from capacity_sharing.rows import LOANS_KEY, LoanState
 
 __all__ = [
@@ -17,6 +17,6 @@
     "LentWorkers",
     "LoanOutcome",
     "LoanState",
-    "LotOutlook",
+    "JobOutlook",
     "NodeLoans",
 ]
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -12,8 +12,16 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Message, Origin, Part
-from request_routing import Budget, Carriage, Carrier, Roster, Step, Transaction, Worker
+from messaging import Component, Message, Origin
+from request_routing import (
+    InFlightRequest,
+    RequestLifecycle,
+    RequestRouter,
+    RetryBudget,
+    Step,
+    Worker,
+    WorkerRegistry,
+)
 
 from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
 from capacity_sharing.slots import LendableSlots
@@ -34,13 +42,13 @@
 class _Sample:
     __slots__ = ("carriage", "done", "over", "work")
 
-    def __init__(self, work: m.RolloutWork, done: Done) -> None:
+    def __init__(self, work: m.RolloutAssignment, done: Done) -> None:
         self.work, self.done = work, done
-        self.carriage: Carriage | None = None
+        self.carriage: InFlightRequest | None = None
         self.over = False
 
 
-class Borrowing(Part):
+class Borrowing(Component):
     """The part of an edge that runs samples and gives slots back.
 
     `edges` gives identity and address of the other live edges; `why_unready` gives why this edge
@@ -72,8 +80,8 @@
     def __init__(
         self,
         edge: str,
-        carrier: Carrier,
-        roster: Roster,
+        carrier: RequestRouter,
+        roster: WorkerRegistry,
         tree: Callable[[], Any],
         why_unready: Callable[[], str],
         edges: Callable[[], list[tuple[str, str]]],
@@ -115,7 +123,7 @@
             return 0, frozenset()
         return self._slots.room()
 
-    def choose(self, tx: Transaction, weights: str, workers: list[Worker]) -> Worker | None:
+    def choose(self, tx: RequestLifecycle, weights: str, workers: list[Worker]) -> Worker | None:
         """Choose a worker for a sample, on the carrier's behalf; None if no worker may take it.
 
         The least loaded one is taken of those that aren't known to have other weights.
@@ -124,7 +132,7 @@
 
     # -- running -------------------------------------------------------------------------------
 
-    def start(self, work: m.RolloutWork, done: Done) -> Callable[[], None]:
+    def start(self, work: m.RolloutAssignment, done: Done) -> Callable[[], None]:
         """Run a sample and return a function that stops it.
 
         `done` gets the outcome (`ran`, `refused` or `again`), the result or the reason, and the
@@ -135,13 +143,13 @@
         if profile is None or self._recalled or self._why_unready():
             self._after_a_beat(sample)
             return lambda: self._drop(sample)
-        due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.params.force_ms)
-        tx = Transaction(
+        due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
+        tx = RequestLifecycle(
             f"{env.token()}-{work.lot_id}-{work.index}",
             profile,
             "",
             env.now(),
-            Budget(),
+            RetryBudget(),
             due_ms,
             claimed=True,
         )
@@ -156,7 +164,7 @@
             sample.carriage = carriage
         return lambda: self._drop(sample)
 
-    def _ended(self, sample: _Sample, tx: Transaction, call: SampleCall, step: Step) -> None:
+    def _ended(self, sample: _Sample, tx: RequestLifecycle, call: SampleCall, step: Step) -> None:
         if sample.over:
             return
         self._close(sample)
@@ -180,7 +188,7 @@
         def again() -> None:
             sample.done("again", "", "")
 
-        self._later.append((self.node.env.now() + self.node.params.beat_ms, again))
+        self._later.append((self.node.env.now() + self.node.settings.beat_ms, again))
 
     def _close(self, sample: _Sample) -> None:
         sample.over = True
@@ -243,7 +251,7 @@
             now_ms = self.node.env.now()
             for sample in self._at(worker):
                 if not call.lot and unstarted(
-                    sample.carriage.send, now_ms, self.node.params.beat_ms
+                    sample.carriage.send, now_ms, self.node.settings.beat_ms
                 ):
                     self._give_up(sample, "a live call comes first")
             over = math.ceil(
@@ -273,7 +281,7 @@
         """Ask other edges to keep the worker's live share free, if they have samples running."""
         if self._samples_out > len(self._samples):
             self._wanted[worker.identity] = self._wanted.get(worker.identity, 0) + 1
-            if self.node.env.now() - self._asked_ms >= self.node.params.delta_ms:
+            if self.node.env.now() - self._asked_ms >= self.node.settings.delta_ms:
                 self._ask_others()
 
     def _ask_others(self) -> None:
@@ -309,7 +317,7 @@
         self._later = [row for row in self._later if row[0] > now_ms]
         for what in due:
             what()
-        if self._wanted and now_ms - self._asked_ms >= self.node.params.delta_ms:
+        if self._wanted and now_ms - self._asked_ms >= self.node.settings.delta_ms:
             self._ask_others()
         if not self._samples:
             return
--- a/libs/capacity_sharing/src/capacity_sharing/lending.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lending.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from control_store import Change, Changed, Owner, ReadKey
+from control_store import Change, ChangeResult, KeyOwner, ReadKey
 from expression import Error, Result
-from membership import Neighbours
-from messaging import Origin, Part
+from membership import Membership
+from messaging import Component, Origin
 
 from capacity_sharing.load import EdgeLoad, LiveLoad
 from capacity_sharing.rows import (
@@ -65,7 +65,7 @@
             done(outcome)
 
 
-class NodeLoans(Part):
+class NodeLoans(Component):
     """The part of a control node that decides loans and carries them through.
 
     `tree` gives the profiles in force; `sure` says whether this node hears a majority of the
@@ -92,8 +92,8 @@
 
     def __init__(
         self,
-        owner: Owner,
-        neighbours: Neighbours,
+        owner: KeyOwner,
+        neighbours: Membership,
         config_feed: ConfigFeed,
         tree: Callable[[], Any],
         sure: Callable[[], bool],
@@ -118,7 +118,7 @@
     def attach(self, node: Any) -> None:
         """Join the node and start to watch the live load over its `load_window_ms`."""
         super().attach(node)
-        self._load = LiveLoad(node.params.dead_ms, lambda: self.node.params.load_window_ms)
+        self._load = LiveLoad(node.settings.dead_ms, lambda: self.node.settings.load_window_ms)
 
     def _published(self, key: str, number: int, body: str) -> None:
         if key == LOANS_KEY and body:
@@ -161,7 +161,7 @@
         self._decide(worker, lambda value: returned(value, worker, loan, weights), done)
 
     def _decide(self, worker: str, make: Make, done: Done) -> None:
-        call = _Call(worker, make, self.node.env.now() + self.node.params.answer_ms * 2, done)
+        call = _Call(worker, make, self.node.env.now() + self.node.settings.answer_ms * 2, done)
         if not self._sure():
             call.finish(LoanOutcome("doubt", "this node hears no majority of the voters"))
             return
@@ -173,7 +173,7 @@
             ReadKey(key=LOANS_KEY, hops=0), lambda receipt: self._have_read(call, receipt)
         )
 
-    def _have_read(self, call: _Call, receipt: Changed) -> None:
+    def _have_read(self, call: _Call, receipt: ChangeResult) -> None:
         if call.done is None:
             return
         if receipt.outcome != "ok":
@@ -194,7 +194,7 @@
             lambda found: self._changed(call, made.ok, found),
         )
 
-    def _changed(self, call: _Call, value: dict[str, Any], receipt: Changed) -> None:
+    def _changed(self, call: _Call, value: dict[str, Any], receipt: ChangeResult) -> None:
         if receipt.outcome == "ok":
             row = value["loans"][call.worker]
             self.counts[row["state"]] = self.counts.get(row["state"], 0) + 1
@@ -220,11 +220,11 @@
 
         Those are the edges heard of, and whoever is on the roll and isn't a store.
         """
-        params = self.node.params
-        stores = {card.address for card in self._neighbours.of_role("store", params.gone_ms)}
+        settings = self.node.settings
+        stores = {card.address for card in self._neighbours.of_role("store", settings.gone_ms)}
         log = self._config_feed.value("log") or {}
         stores |= {row["address"] for row in (*log.get("members", ()), *log.get("prev", ()))}
-        edges = {card.address for card in self._neighbours.of_role("edge", params.gone_ms)}
+        edges = {card.address for card in self._neighbours.of_role("edge", settings.gone_ms)}
         return edges | set(self._config_feed.roll()) - stores
 
     def _is_drained(self, worker: str) -> bool:
@@ -241,7 +241,7 @@
         if row["state"] == LoanState.LENDING:
             if self._is_drained(worker):
                 return lambda value: drained(value, worker, epoch)
-            if held_ms > _LEND_TIMES * self.node.params.force_ms:
+            if held_ms > _LEND_TIMES * self.node.settings.force_ms:
                 return lambda value: withdrawn(
                     value, worker, epoch, "edges had calls under way there, or did not answer"
                 )
@@ -260,7 +260,7 @@
             if now_ms >= call.due_ms:
                 call.finish(LoanOutcome("doubt", "no answer in time"))
         self._calls = [call for call in self._calls if call.done is not None]
-        if now_ms - self._noted_ms >= self.node.params.beat_ms:
+        if now_ms - self._noted_ms >= self.node.settings.beat_ms:
             self._noted_ms = now_ms
             self._load.note(now_ms)
             self._follow(now_ms)
@@ -289,7 +289,7 @@
     def _warn(self, worker: str, row: dict[str, Any], held_ms: int) -> None:
         if (
             row["state"] == LoanState.RECALLED
-            and 0 <= held_ms - row["recall_ms"] < self.node.params.beat_ms
+            and 0 <= held_ms - row["recall_ms"] < self.node.settings.beat_ms
         ):
             self.node.env.log(
                 "loan-overdue", "ERROR", worker=worker, borrower=row["borrower"], loan=row["loan"]
--- a/libs/capacity_sharing/src/capacity_sharing/lent.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from messaging import Origin, Part
-from request_routing import Carrier, Roster
+from messaging import Component, Origin
+from request_routing import RequestRouter, WorkerRegistry
 
 from capacity_sharing.load import EdgeLoad, LiveLoad, load_report
 from capacity_sharing.rows import LOANS_KEY, withheld
@@ -21,7 +21,7 @@
 __all__ = ["LentWorkers"]
 
 
-class LentWorkers(Part):
+class LentWorkers(Component):
     """The part of an edge that withholds lent workers and reports its load.
 
     `lends` says whether any profile lends, `at_risk` whether a lot may miss its deadline; `told`
@@ -45,8 +45,8 @@
         self,
         edge: str,
         config_feed: ConfigFeed,
-        roster: Roster,
-        carrier: Carrier,
+        roster: WorkerRegistry,
+        carrier: RequestRouter,
         lends: Callable[[], bool],
         at_risk: Callable[[], bool],
         told: Callable[[], Iterable[str]],
@@ -65,7 +65,7 @@
     def attach(self, node: Any) -> None:
         """Join the node and start to watch the live load over its `force_ms`."""
         super().attach(node)
-        self._load = LiveLoad(node.params.dead_ms, lambda: self.node.params.force_ms)
+        self._load = LiveLoad(node.settings.dead_ms, lambda: self.node.settings.force_ms)
 
     def receive(self, message: EdgeLoad, origin: Origin) -> None:
         """Take another edge's report of its load."""
@@ -100,7 +100,7 @@
     def tick(self) -> None:
         """Report this edge's load once each `beat_ms`, where slots or workers may be lent."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.params.beat_ms or not (
+        if now_ms - self._sent_ms < self.node.settings.beat_ms or not (
             self._lends() or self._roster.lent
         ):
             return
--- a/libs/capacity_sharing/src/capacity_sharing/outlook.py
+++ b/libs/capacity_sharing/src/capacity_sharing/outlook.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 from typing import Any
 
-__all__ = ["LotOutlook"]
+__all__ = ["JobOutlook"]
 
 _KNOWN = 0.2
 _GUESS = 0.05
 _MARGIN = 2.0
 
 
-class LotOutlook:
+class JobOutlook:
     """The forecast of lots' deadlines, from the room and the durations that edges report."""
 
     __slots__ = ("_dead_ms", "_item_ms", "_risk", "_rooms")
--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 from typing import Any
 
+from request_routing.attempt_requests import choose_worker, new_exchange, worker_request
 from request_routing.calls import Call
-from request_routing.carriage import Send
-from request_routing.exchange import Exchange, Fate
+from request_routing.in_flight import Attempt
 from request_routing.placement import prefix_of
-from request_routing.roster import Roster, Worker
-from request_routing.sending import choose_worker, new_exchange, worker_request
+from request_routing.worker_exchange import AttemptOutcome, WorkerExchange
+from request_routing.worker_registry import Worker, WorkerRegistry
 
 __all__ = [
     "OTHER_WEIGHTS",
@@ -43,7 +43,7 @@
         self.weights, self.told = weights, ""
 
 
-class SampleExchange(Exchange):
+class SampleExchange(WorkerExchange):
     """An exchange with a worker that fails if the worker has other weights than wanted."""
 
     __slots__ = ("_call",)
@@ -66,16 +66,16 @@
         """Whether a good answer comes from other weights than the call wants."""
         return self.good and self._call.weights not in ("", self._call.told)
 
-    def data(self, chunk: bytes) -> tuple[list[bytes], Fate | None]:
+    def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Take a chunk of the answer; fails if it comes from other weights."""
         if self.other_weights:
-            return [], Fate("failed", may_have_run=True, reason=OTHER_WEIGHTS)
+            return [], AttemptOutcome("failed", may_have_run=True, reason=OTHER_WEIGHTS)
         return super().data(chunk)
 
-    def end(self) -> Fate:
+    def end(self) -> AttemptOutcome:
         """Return the exchange's fate at the end of the answer."""
         return (
-            Fate("failed", may_have_run=True, reason=OTHER_WEIGHTS)
+            AttemptOutcome("failed", may_have_run=True, reason=OTHER_WEIGHTS)
             if self.other_weights
             else super().end()
         )
@@ -83,7 +83,7 @@
 
 @new_exchange.register
 def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> SampleExchange:
-    return SampleExchange(worker.stamp, tx.transaction_id, carrier.node.params.answer_bytes, call)
+    return SampleExchange(worker.stamp, tx.transaction_id, carrier.node.settings.answer_bytes, call)
 
 
 @worker_request.register
@@ -94,12 +94,12 @@
 
 @choose_worker.register
 def _(
-    call: SampleCall, carrier: Any, tx: Any, workers: list[Worker], roster: Roster
+    call: SampleCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
     return carrier.loans.choose(tx, call.weights, workers)
 
 
-def unstarted(send: Send, now_ms: int, reading_ms: int) -> bool:
+def unstarted(send: Attempt, now_ms: int, reading_ms: int) -> bool:
     """Return whether a worker may still be reading the prompt of a call.
 
     A stream is read until its first data. A plain call shows nothing before its end, so it counts
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from request_routing import Carrier, Roster, Transaction, Worker
+from request_routing import RequestLifecycle, RequestRouter, Worker, WorkerRegistry
 
 from capacity_sharing.entitlement import Entitlements
 from capacity_sharing.sampling import unstarted
@@ -34,8 +34,8 @@
     def __init__(
         self,
         edge: str,
-        carrier: Carrier,
-        roster: Roster,
+        carrier: RequestRouter,
+        roster: WorkerRegistry,
         tree: Callable[[], Any],
         edges: Callable[[], list[tuple[str, str]]],
         live_peak: Callable[[str], int | None],
@@ -76,7 +76,7 @@
     def _reading(self) -> set[str]:
         """Stamps of the workers that may still be reading a prompt of this edge's calls."""
         node = self._carrier.node
-        now_ms, reading_ms = node.env.now(), node.params.beat_ms
+        now_ms, reading_ms = node.env.now(), node.settings.beat_ms
         return {
             send.worker.stamp
             for send in self._carrier.sends()
@@ -93,7 +93,7 @@
 
     def usable(self, worker: Worker) -> int:
         """Return how many slots of a worker may be used before the share kept for live calls."""
-        return worker.slots - math.ceil(worker.slots * self._carrier.node.params.live_share)
+        return worker.slots - math.ceil(worker.slots * self._carrier.node.settings.live_share)
 
     def _takes(self, worker: Worker, profile: Any, reading: set[str]) -> bool:
         return (
@@ -119,9 +119,9 @@
     def has_other_weights(self, stamp: str, weights: str) -> None:
         """Offer the worker no sample that wants these weights until `force_ms` has passed."""
         node = self._carrier.node
-        self._other_weights[stamp, weights] = node.env.now() + node.params.force_ms
+        self._other_weights[stamp, weights] = node.env.now() + node.settings.force_ms
 
-    def choose(self, tx: Transaction, weights: str, workers: list[Worker]) -> Worker | None:
+    def choose(self, tx: RequestLifecycle, weights: str, workers: list[Worker]) -> Worker | None:
         """Return the least loaded worker that takes a sample of these weights, or None."""
         now_ms, reading = self._carrier.node.env.now(), self._reading()
         fit = [
--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -3,8 +3,8 @@
 Control publishes numbered versions of each key; nodes relay them and compare digests.
 """
 
-from config_feed.contacts import candidates
+from config_feed.digest_targets import candidates
 from config_feed.feed import ConfigFeed
-from config_feed.messages import Digest, News, NewsItem
+from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
 
-__all__ = ["Digest", "ConfigFeed", "News", "NewsItem", "candidates"]
+__all__ = ["VersionDigest", "ConfigFeed", "KeyUpdates", "KeyUpdate", "candidates"]
--- a/libs/config_feed/src/config_feed/contacts.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from membership import Neighbours, score
+from membership import Membership, score
 
-__all__ = ["Contacts", "candidates", "nearness"]
+__all__ = ["DigestTargets", "candidates", "nearness"]
 
 Candidate = tuple[str, str, str]
 
@@ -21,7 +21,7 @@
 
 
 def candidates(
-    listed: dict[str, Any] | None, neighbours: Neighbours, within_ms: int
+    listed: dict[str, Any] | None, neighbours: Membership, within_ms: int
 ) -> list[Candidate]:
     """Return address, zone and region of the control nodes that may be chosen as contacts.
 
@@ -37,7 +37,7 @@
     ]
 
 
-class Contacts:
+class DigestTargets:
     """The chosen contacts of one node, nearest first.
 
     `node` gives the clock, the settings and this node's address. The feed reports which contacts
@@ -77,10 +77,10 @@
         """
         node = self._node
         now_ms = node.env.now()
-        params = node.params
+        settings = node.settings
         self._rank = {
             address: (
-                nearness(zone, region, params.zone, params.region),
+                nearness(zone, region, settings.zone, settings.region),
                 -score(address, node.address),
             )
             for address, zone, region in among
@@ -88,13 +88,15 @@
         }
         before = set(self._told)
         for address in [
-            address for address, at_ms in self._asked_ms.items() if now_ms - at_ms > params.dead_ms
+            address
+            for address, at_ms in self._asked_ms.items()
+            if now_ms - at_ms > settings.dead_ms
         ]:
             self._leave(address)
         self._chosen = [address for address in self._chosen if address in self._rank][
-            : params.fan_out
+            : settings.fan_out
         ]
-        while len(self._chosen) < min(params.fan_out, len(self._rank)):
+        while len(self._chosen) < min(settings.fan_out, len(self._rank)):
             self._chosen.append(
                 min(
                     set(self._rank) - set(self._chosen),
@@ -110,7 +112,7 @@
         return until_ms if until_ms > self._node.env.now() else 0
 
     def _nearer(self, now_ms: int) -> list[str]:
-        if now_ms - self._probed_ms >= self._node.params.gone_ms:
+        if now_ms - self._probed_ms >= self._node.settings.gone_ms:
             self._probed_ms = now_ms
             best = min(self._rank, key=self._rank.__getitem__, default="")
             self._probe = best if best and best not in self._chosen else ""
@@ -142,7 +144,7 @@
 
     def _leave(self, address: str) -> None:
         self._asked_ms.pop(address, None)
-        self._left_until_ms[address] = self._node.env.now() + self._node.params.gone_ms
+        self._left_until_ms[address] = self._node.env.now() + self._node.settings.gone_ms
         if address in self._chosen:
             self._chosen.remove(address)
 
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -17,10 +17,10 @@
 
 from messaging import Message, Origin, decode, encode
 
-from config_feed.confirmations import CONFIRMERS, Confirmations
-from config_feed.contacts import Candidate, Contacts
-from config_feed.messages import Digest, News, NewsItem
+from config_feed.digest_targets import Candidate, DigestTargets
+from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
 from config_feed.patches import merge, merge_diff
+from config_feed.version_tracker import CONFIRMERS, VersionTracker
 
 __all__ = ["ConfigFeed"]
 
@@ -28,7 +28,7 @@
 _PEER_BEATS = 5
 
 
-class ConfigFeed(Confirmations):
+class ConfigFeed(VersionTracker):
     """Holds, relays and compares the versions of all keys at one node.
 
     `neighbours` returns the addresses to relay to, and `extra` further ones to exchange digests
@@ -61,7 +61,7 @@
         "sure",
         "sure_edge_ms",
     )
-    HANDLES = (Digest, News)
+    HANDLES = (VersionDigest, KeyUpdates)
 
     def __init__(
         self,
@@ -83,18 +83,18 @@
         self._neighbours = neighbours
         self._extra = extra
         self._items: dict[str, tuple[int, str]] = {}
-        self._patches: dict[str, NewsItem] = {}
+        self._patches: dict[str, KeyUpdate] = {}
         self._watchers: list[Callable[[str, int, str], None]] = []
         self._sent_ms = -1 << 40
         self._quiet_until_ms = -1 << 40
         self._beat_count = 0
-        self._contacts: Contacts | None = None
+        self._contacts: DigestTargets | None = None
         self._lows_told: dict[str, int] = {}
 
     def attach(self, node: Any) -> None:
         """Attach the node, whose settings choose the contacts."""
         super().attach(node)
-        self._contacts = Contacts(node)
+        self._contacts = DigestTargets(node)
 
     def watch(self, watcher: Callable[[str, int, str], None]) -> None:
         """Call `watcher` with key, number and body of each version that this node takes."""
@@ -133,7 +133,7 @@
         if held_number and number == held_number + 1 and len(body) > 1024:
             patch = merge_diff(held_body, body)
             if merge(held_body, patch) == body:
-                self._patches[key] = NewsItem(
+                self._patches[key] = KeyUpdate(
                     key=key, number=number, base_number=held_number, body=patch
                 )
         self._take(key, number, body, "")
@@ -145,7 +145,7 @@
             watcher(key, number, body)
         patch = self._patches.get(key)
         rows = [encode(patch if patch is not None and patch.number == number else self._whole(key))]
-        if self.node.params.fan_out:
+        if self.node.settings.fan_out:
             for address in self._onward(sender):
                 self._send(address, rows)
             return
@@ -162,7 +162,7 @@
         if not self.votes():
             return []
         voters = self._voters()
-        floor_ms = self.node.env.now() - self.node.params.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.dead_ms
         reporters = {
             row[3]
             for identity, row in self.confirmed.items()
@@ -178,14 +178,14 @@
     def _addresses(self) -> list[str]:
         return sorted((set(self._neighbours()) | set(self._extra())) - {self.node.address})
 
-    def _whole(self, key: str) -> NewsItem:
+    def _whole(self, key: str) -> KeyUpdate:
         number, body = self._items[key]
-        return NewsItem(key=key, number=number, base_number=0, body=body)
+        return KeyUpdate(key=key, number=number, base_number=0, body=body)
 
     def _send(self, address: str, rows: list[bytes]) -> None:
         if rows:
             self.sent_bytes += sum(len(row) for row in rows)
-            self.node.post(address, News(items=rows))
+            self.node.post(address, KeyUpdates(items=rows))
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
@@ -193,7 +193,7 @@
         raise TypeError(type(message).__name__)
 
     @receive.register
-    def _(self, message: News, origin: Origin) -> None:
+    def _(self, message: KeyUpdates, origin: Origin) -> None:
         before = self.numbers()
         for data in message.items:
             item = decode(data)
@@ -210,19 +210,19 @@
             else:
                 self._send_digest(origin.sender)
         if self.numbers() != before:
-            if self.node.params.fan_out and not self.votes():
+            if self.node.settings.fan_out and not self.votes():
                 self._report()
             else:
                 self._send_digest(origin.sender)
 
     # -- digests -------------------------------------------------------------------------------
 
-    def _digest(self, rank: int = 0, edges: int = 0) -> Digest:
+    def _digest(self, rank: int = 0, edges: int = 0) -> VersionDigest:
         numbers = self.numbers()
-        lows = self.lows() if self.node.params.fan_out and self.votes() else {}
-        return Digest(
+        lows = self.lows() if self.node.settings.fan_out and self.votes() else {}
+        return VersionDigest(
             identity=self.identity,
-            role=self.node.params.role,
+            role=self.node.settings.role,
             sure=self.sure(),
             keys=list(numbers),
             numbers=list(numbers.values()),
@@ -238,7 +238,7 @@
         )
 
     @receive.register
-    def _(self, message: Digest, origin: Origin) -> None:
+    def _(self, message: VersionDigest, origin: Origin) -> None:
         now_ms = self.node.env.now()
         theirs = dict(zip(message.keys, message.numbers, strict=True))
         if now_ms >= self._quiet_until_ms:
@@ -249,7 +249,7 @@
                 self.sure_edge_ms = now_ms
         before = self.confirmed.get(message.identity)
         self.confirmed[message.identity] = (message.role, now_ms, theirs, origin.sender)
-        if self.node.params.fan_out:
+        if self.node.settings.fan_out:
             self._note_report(message, origin, before is None or before[2] != theirs)
         if message.role == "control" or self.hands_out():
             self._send(
@@ -266,9 +266,9 @@
         ):
             self._send_digest(origin.sender)
 
-    def _may_give(self, message: Digest) -> bool:
+    def _may_give(self, message: VersionDigest) -> bool:
         """Whether the sender answers a digest from here with the items that this node lacks."""
-        return self.node.params.role == "control" or message.role != "control" or message.sure
+        return self.node.settings.role == "control" or message.role != "control" or message.sure
 
     def _note_control(self, sure: bool, theirs: dict[str, int], now_ms: int) -> None:
         if sure:
@@ -286,17 +286,17 @@
             self._behind_since_ms.values(), default=self.node.env.now()
         )
 
-    def _wants_digest(self, message: Digest, origin: Origin) -> bool:
+    def _wants_digest(self, message: VersionDigest, origin: Origin) -> bool:
         """Whether the sender reports to this voter, and so expects a digest as a heartbeat."""
         return (
-            bool(self.node.params.fan_out)
+            bool(self.node.settings.fan_out)
             and self.votes()
             and (message.role != "control" or origin.sender not in self._voters())
         )
 
     # -- reports to the voters (fan_out) -------------------------------------------------------
 
-    def _note_report(self, message: Digest, origin: Origin, changed: bool) -> None:
+    def _note_report(self, message: VersionDigest, origin: Origin, changed: bool) -> None:
         self._ranks[message.identity] = message.rank
         if message.role == "control":
             self._lows[message.identity] = dict(zip(message.low_keys, message.lows, strict=True))
@@ -306,7 +306,7 @@
             self._tell_voters()
 
     def _edges_for(self, address: str) -> int:
-        if not (self.node.params.fan_out and self.votes()):
+        if not (self.node.settings.fan_out and self.votes()):
             return 0
         return self._own_edges() if address in self._voters() else self.edge_count()
 
@@ -333,7 +333,7 @@
         if peers and not self.votes() and self._beat_count % _PEER_BEATS == 0:
             self._send_digest(peers[self._beat_count // _PEER_BEATS % len(peers)])
 
-    def _newer(self, key: str, their_number: int) -> NewsItem:
+    def _newer(self, key: str, their_number: int) -> KeyUpdate:
         patch = self._patches.get(key)
         if (
             patch is not None
@@ -346,13 +346,13 @@
     def tick(self) -> None:
         """Send digests every beat_ms."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.params.beat_ms:
+        if now_ms - self._sent_ms < self.node.settings.beat_ms:
             return
         self._sent_ms = now_ms
         self._since_ms = min(self._since_ms, now_ms)
         for identity in self._forget_silent(now_ms):
             self.contacts_ms.pop(identity, None)
-        if self.node.params.fan_out:
+        if self.node.settings.fan_out:
             self._tick_by_way_of_voters()
             return
         digest = self._digest()
@@ -364,7 +364,7 @@
 
         Those that waited in buffers say nothing about the present.
         """
-        self._quiet_until_ms = self.node.env.now() + self.node.params.beat_ms
+        self._quiet_until_ms = self.node.env.now() + self.node.settings.beat_ms
         self._since_ms = self.node.env.now()
         self.quorate_ms = self.sure_edge_ms = -1 << 40
         self.contacts_ms = dict.fromkeys(self.contacts_ms, -1 << 40)
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -5,10 +5,10 @@
 
 from messaging import Message
 
-__all__ = ["Digest", "News", "NewsItem"]
+__all__ = ["VersionDigest", "KeyUpdates", "KeyUpdate"]
 
 
-class NewsItem(Message):
+class KeyUpdate(Message, wire_name="NewsItem"):
     """One version of a key.
 
     `body` is the whole JSON body if `base_number` is 0, otherwise a merge patch on that number.
@@ -20,13 +20,13 @@
     body: str
 
 
-class News(Message):
-    """A batch of encoded `NewsItem`s."""
+class KeyUpdates(Message, wire_name="News"):
+    """A batch of encoded `KeyUpdate`s."""
 
     items: list[bytes]
 
 
-class Digest(Message):
+class VersionDigest(Message, wire_name="Digest"):
     """The numbers that a node holds, which is also its heartbeat in the feed.
 
     `keys` and `numbers` are parallel, as are `low_keys` and `lows`: of each confirmed key the
--- a/libs/config_feed/src/config_feed/confirmations.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from messaging import Part
+from messaging import Component
 
-__all__ = ["CONFIRMERS", "LEAST", "ROLL_KEY", "Confirmations"]
+__all__ = ["CONFIRMERS", "LEAST", "ROLL_KEY", "VersionTracker"]
 
 ROLL_KEY = "fleet"
 LEAST = 3
 CONFIRMERS = {"profiles": ("edge", "store"), "workers": ("edge",)}
 
 
-class Confirmations(Part):
+class VersionTracker(Component):
     """The part of the feed that records and counts confirmations; a subclass holds the items.
 
     `votes` returns whether this node is a voter. `confirmed` maps the identity of each node that
@@ -56,7 +56,7 @@
         silent = [
             identity
             for identity, row in self.confirmed.items()
-            if now_ms - row[1] > self.node.params.gone_ms
+            if now_ms - row[1] > self.node.settings.gone_ms
         ]
         for identity in silent:
             del self.confirmed[identity]
@@ -67,7 +67,7 @@
 
     def lows(self) -> dict[str, int]:
         """Return for each confirmed key the lowest number among the nodes that report here."""
-        floor_ms = self.node.env.now() - self.node.params.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.dead_ms
         lows: dict[str, int] = {}
         for identity, (role, at_ms, numbers, _) in self.confirmed.items():
             if at_ms >= floor_ms and self._ranks.get(identity):
@@ -77,7 +77,7 @@
         return lows
 
     def _own_edges(self) -> int:
-        floor_ms = self.node.env.now() - self.node.params.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.dead_ms
         return sum(
             1
             for identity, (role, at_ms, _, _) in self.confirmed.items()
@@ -89,7 +89,7 @@
 
         A voter adds up the counts of all voters; other nodes take the largest count they were told.
         """
-        floor_ms = self.node.env.now() - self.node.params.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.dead_ms
         told = [
             count
             for identity, count in self._edges_told.items()
@@ -115,7 +115,7 @@
             for identity, (role, at_ms, numbers, _) in self.confirmed.items()
             if role in roles
             and at_ms >= floor_ms
-            and (self._ranks.get(identity) or not self.node.params.fan_out)
+            and (self._ranks.get(identity) or not self.node.settings.fan_out)
         )
 
     def roll(self) -> frozenset[str]:
--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -11,7 +11,7 @@
 from cyclopts import App, Parameter
 from data_plane.cli import call, read_json, serve_flags
 from data_plane.process import run_process, settings_or_exit
-from runtime import load_params
+from runtime import load_settings
 
 from control_plane.process import ControlProcess
 from control_plane.usage import export_usage
@@ -58,8 +58,8 @@
         **serve_flags(link, http, zone, seed, data_folder, control_count, log_level),
         "role": "control",
     }
-    params = settings_or_exit(load_params(settings, flags))
-    run_process(ControlProcess, params, settings, flags)
+    checked = settings_or_exit(load_settings(settings, flags))
+    run_process(ControlProcess, checked, settings, flags)
 
 
 @usage.command
--- a/libs/control_plane/src/control_plane/tree_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -12,11 +12,20 @@
 from enum import StrEnum
 from typing import Any
 
-from control_store import NO_BASE, Change, Changed, FindChange, Outcome, Owner, ReadKey, check_tree
+from control_store import (
+    NO_BASE,
+    Change,
+    ChangeResult,
+    FindChange,
+    KeyOwner,
+    Outcome,
+    ReadKey,
+    check_tree,
+)
 from expression import Result
-from messaging import Part
+from messaging import Component
 
-__all__ = ["PROFILES_KEY", "Order", "Taken", "TreeChanges", "TreeOutcome"]
+__all__ = ["PROFILES_KEY", "Order", "Taken", "ConfigurationChanges", "ConfigurationOutcome"]
 
 PROFILES_KEY = "profiles"
 Make = Callable[[dict[str, Any]], Result[dict[str, Any], list[dict[str, str]]]]
@@ -58,7 +67,7 @@
         self.make = make
 
 
-class TreeOutcome:
+class ConfigurationOutcome:
     """The answer to an order or a read; `tree` is set for a read that was answered."""
 
     __slots__ = ("kind", "problems", "reason", "tree")
@@ -76,7 +85,7 @@
         self.tree = tree
 
 
-Done = Callable[[TreeOutcome], None]
+Done = Callable[[ConfigurationOutcome], None]
 
 
 class _Call:
@@ -90,7 +99,7 @@
         self.done: Done | None = done
         self.sent = False
 
-    def finish(self, outcome: TreeOutcome) -> None:
+    def finish(self, outcome: ConfigurationOutcome) -> None:
         """Call `done` with the outcome, at most once."""
         done, self.done = self.done, None
         if done is not None:
@@ -101,7 +110,7 @@
     return tree.get("about", {}).get("revision", 0)
 
 
-class TreeChanges(Part):
+class ConfigurationChanges(Component):
     """Proposes, looks up and reads trees at a control node.
 
     `sure` returns whether this node is in contact with a majority of the voters.
@@ -109,7 +118,7 @@
 
     __slots__ = ("_calls", "_owner", "_sure")
 
-    def __init__(self, owner: Owner, sure: Callable[[], bool]) -> None:
+    def __init__(self, owner: KeyOwner, sure: Callable[[], bool]) -> None:
         """Create the part; `owner` executes its operations or forwards them."""
         self._owner = owner
         self._sure = sure
@@ -127,9 +136,11 @@
 
     def _begin(self, call: _Call) -> None:
         if not self._sure():
-            call.finish(TreeOutcome(Taken.REFUSED, "this node hears no majority of the voters"))
+            call.finish(
+                ConfigurationOutcome(Taken.REFUSED, "this node hears no majority of the voters")
+            )
             return
-        call.due_ms = self.node.env.now() + self.node.params.answer_ms
+        call.due_ms = self.node.env.now() + self.node.settings.answer_ms
         self._calls.append(call)
         self._read(call)
 
@@ -138,7 +149,7 @@
             ReadKey(key=PROFILES_KEY, hops=0), lambda receipt: self._have_read(call, receipt)
         )
 
-    def _have_read(self, call: _Call, receipt: Changed) -> None:
+    def _have_read(self, call: _Call, receipt: ChangeResult) -> None:
         if call.done is None:
             return
         if receipt.outcome != Outcome.OK:
@@ -146,7 +157,7 @@
             return
         tree = json.loads(receipt.body) if receipt.body else {}
         if call.order is None:
-            call.finish(TreeOutcome(Taken.TAKEN, tree=tree))
+            call.finish(ConfigurationOutcome(Taken.TAKEN, tree=tree))
         elif _revision_of(tree) != call.order.base:
             self._find(call, tree)
         else:
@@ -160,13 +171,13 @@
             made = check_tree(made.ok, tree.get("profiles"))
         if made.is_error():
             call.finish(
-                TreeOutcome(
+                ConfigurationOutcome(
                     Taken.INVALID, f"{len(made.error)} problems; nothing was changed", made.error
                 )
             )
         elif _revision_of(made.ok) <= call.order.base:
             call.finish(
-                TreeOutcome(
+                ConfigurationOutcome(
                     Taken.INVALID,
                     "nothing was changed",
                     [
@@ -201,32 +212,32 @@
         )
         self._owner.submit(question, lambda found: self._found(call, tree, found))
 
-    def _changed(self, call: _Call, receipt: Changed) -> None:
+    def _changed(self, call: _Call, receipt: ChangeResult) -> None:
         if receipt.outcome == Outcome.OK:
-            call.finish(TreeOutcome(Taken.TAKEN))
+            call.finish(ConfigurationOutcome(Taken.TAKEN))
         elif receipt.outcome == Outcome.LOST and call.done is not None:
             self._read(call)
         else:
             self._unknown(call, receipt.reason)
 
-    def _found(self, call: _Call, tree: dict[str, Any], receipt: Changed) -> None:
+    def _found(self, call: _Call, tree: dict[str, Any], receipt: ChangeResult) -> None:
         if receipt.outcome == Outcome.OK:
-            call.finish(TreeOutcome(Taken.TAKEN))
+            call.finish(ConfigurationOutcome(Taken.TAKEN))
         elif receipt.outcome == Outcome.LOST:
             call.finish(
-                TreeOutcome(
+                ConfigurationOutcome(
                     Taken.REPLACED,
                     f"revision {_revision_of(tree)} is in force; "
                     "this change is not and will not be",
                 )
             )
         elif receipt.outcome == Outcome.FORGOTTEN:
-            call.finish(TreeOutcome(Taken.FORGOTTEN, receipt.reason))
+            call.finish(ConfigurationOutcome(Taken.FORGOTTEN, receipt.reason))
         else:
             self._unknown(call, receipt.reason)
 
     def _unknown(self, call: _Call, reason: str) -> None:
-        call.finish(TreeOutcome(Taken.DOUBT if call.sent else Taken.REFUSED, reason))
+        call.finish(ConfigurationOutcome(Taken.DOUBT if call.sent else Taken.REFUSED, reason))
 
     def tick(self) -> None:
         """Answer overdue calls."""
--- a/libs/control_plane/src/control_plane/loan_desk.py
+++ b/libs/control_plane/src/control_plane/loan_api.py
@@ -8,12 +8,12 @@
 
 from aiohttp import web
 from capacity_sharing import LoanOutcome
-from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
-from messaging.shell import awaited
+from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
 
-__all__ = ["LoanDesk"]
+__all__ = ["LoanApi"]
 
 Text = Annotated[str, Field(min_length=1, max_length=128)]
 Weights = Annotated[str, Field(max_length=128, pattern=r"^[\x21-\x7e]*$")]
@@ -45,12 +45,12 @@
     weights: Weights = ""
 
 
-class LoanDesk:
+class LoanApi:
     """Registers the handlers of `/loans` at `desk`."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, desk: HttpService) -> None:
         self._node = node
         router = desk.app.router
         router.add_get("/loans", self._show)
@@ -62,7 +62,7 @@
         return json_answer({"version": self._node.loans.number, "loans": self._node.loans.rows()})
 
     async def _grant(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.params.max_body_bytes, _Granted)
+        call = await read_call(request, self._node.settings.max_body_bytes, _Granted)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         worker = request.match_info["worker"]
@@ -76,7 +76,7 @@
         )
 
     async def _recall(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.params.max_body_bytes, _Recalled)
+        call = await read_call(request, self._node.settings.max_body_bytes, _Recalled)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         worker = request.match_info["worker"]
@@ -85,7 +85,7 @@
         )
 
     async def _return(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.params.max_body_bytes, _Returned)
+        call = await read_call(request, self._node.settings.max_body_bytes, _Returned)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         worker = request.match_info["worker"]
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -10,14 +10,22 @@
 
 from capacity_sharing import LOANS_KEY, NodeLoans
 from config_feed import ConfigFeed, candidates
-from control_store import Founding, Owner, ReadBarrier, Roll, Tree, Voter, WorkerList
-from data_plane.keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
-from membership import Neighbours
-from messaging import Env, Node
+from control_store import (
+    Acceptor,
+    Bootstrap,
+    KeyOwner,
+    ProfileTree,
+    ReadBarrier,
+    ServingSet,
+    WorkerList,
+)
+from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
+from membership import Membership
+from messaging import Environment, Node
 from storage import Disk
 
+from control_plane.configuration_changes import ConfigurationChanges
 from control_plane.retirement import Retirement
-from control_plane.tree_changes import TreeChanges
 
 __all__ = ["ControlNode"]
 
@@ -41,11 +49,11 @@
         "worker_list",
     )
 
-    def __init__(self, env: Env, params: Any, disk: Disk) -> None:
+    def __init__(self, env: Environment, settings: Any, disk: Disk) -> None:
         self.disk = disk
-        self.voter = open_or_set_aside(env, disk, lambda: Voter(disk, env.token))
+        self.voter = open_or_set_aside(env, disk, lambda: Acceptor(disk, env.token))
         identity = self.voter.identity
-        self.neighbours = Neighbours(identity)
+        self.neighbours = Membership(identity)
         self.config_feed = ConfigFeed(
             identity,
             lambda: [card.address for card in self.neighbours.view()],
@@ -53,25 +61,25 @@
             sure=self.quorate,
         )
         self.neighbours.wanted = lambda: (
-            self.voter.voters.values() or (() if params.control_count else params.seeds)
+            self.voter.voters.values() or (() if settings.control_count else settings.seeds)
         )
         self.config_feed.votes = self._is_voter
         self.config_feed.candidates = lambda: candidates(
-            self._list(), self.neighbours, params.gone_ms
+            self._list(), self.neighbours, settings.gone_ms
         )
         self.neighbours.ready = lambda: not self.why_unready()
         self.neighbours.deaf = lambda: (
-            identity in self.voter.voters and not self._hears(params.cut_ms)
+            identity in self.voter.voters and not self._hears(settings.cut_ms)
         )
-        self.owner = Owner(self.voter, self.neighbours, self.config_feed)
+        self.owner = KeyOwner(self.voter, self.neighbours, self.config_feed)
         self.read_barrier = ReadBarrier(
-            self.owner, self.config_feed, lambda: self._is_voter() and self._hears(params.cut_ms)
+            self.owner, self.config_feed, lambda: self._is_voter() and self._hears(settings.cut_ms)
         )
         self.config_feed.hands_out = lambda: (
             self.quorate() if self._is_voter() else self.hears_majority()
         )
-        self.founding = Founding(self.voter, self.owner, self.neighbours, self.config_feed)
-        self.roll = Roll(
+        self.founding = Bootstrap(self.voter, self.owner, self.neighbours, self.config_feed)
+        self.roll = ServingSet(
             self.owner,
             self.config_feed,
             lambda: self.quorate() and self.founding.steward() == identity,
@@ -79,11 +87,11 @@
         self.worker_list = WorkerList(
             self.voter, self.owner, self.config_feed, sure=self.hears_majority
         )
-        self.tree_changes = TreeChanges(self.owner, sure=self.hears_majority)
+        self.tree_changes = ConfigurationChanges(self.owner, sure=self.hears_majority)
         self.retirement = Retirement(
             self.owner, self.neighbours, self.config_feed, sure=self.hears_majority
         )
-        self._tree = (0, Tree({}))
+        self._tree = (0, ProfileTree({}))
         self.loans = NodeLoans(
             self.owner,
             self.neighbours,
@@ -94,7 +102,7 @@
         )
         super().__init__(
             env,
-            params,
+            settings,
             [
                 self.neighbours,
                 self.config_feed,
@@ -120,7 +128,7 @@
         This node need not be a voter itself.
         """
         voters = self.voter.voters
-        return bool(voters) and self._hears(self.params.dead_ms)
+        return bool(voters) and self._hears(self.settings.dead_ms)
 
     def quorate(self) -> bool:
         """Whether this node is a voter in contact with a majority and its configuration is fresh.
@@ -130,10 +138,10 @@
         """
         return (
             self._is_voter()
-            and self._hears(self.params.cut_ms)
+            and self._hears(self.settings.cut_ms)
             and self.config_feed.number(CONTROL_KEY) > 0
             and self.read_barrier.passed()
-            and self.config_feed.behind_ms() <= self.params.dead_ms
+            and self.config_feed.behind_ms() <= self.settings.dead_ms
         )
 
     def _is_voter(self) -> bool:
@@ -154,9 +162,9 @@
             return "spare: not a voter"
         return "" if self.quorate() else "hears no majority of the voters"
 
-    def tree(self) -> Tree:
+    def tree(self) -> ProfileTree:
         """Return the tree of profiles in force at this node."""
         number = self.config_feed.number(PROFILES_KEY)
         if number != self._tree[0]:
-            self._tree = (number, Tree.of_body(self.config_feed.body(PROFILES_KEY)))
+            self._tree = (number, ProfileTree.of_body(self.config_feed.body(PROFILES_KEY)))
         return self._tree[1]
--- a/libs/control_plane/src/control_plane/operators.py
+++ b/libs/control_plane/src/control_plane/operator_api.py
@@ -13,38 +13,38 @@
 from control_store import (
     NO_BASE,
     Change,
-    Changed,
+    ChangeResult,
     FindChange,
     Outcome,
+    ProfileTree,
     ReadKey,
-    Tree,
     check_tree,
     explain,
 )
-from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
-from data_plane.keys import PROFILES_KEY, RETIRED_KEY
-from messaging.shell import awaited
+from data_plane.control_keys import PROFILES_KEY, RETIRED_KEY
+from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from messaging.node_runner import awaited
 from runtime import Refusal, doubtful, refused
 
-from control_plane.operator_calls import (
+from control_plane.operator_bodies import (
+    ConfigurationBody,
+    ConfigurationPatchBody,
     ForgetOrder,
     RetirementOrder,
-    TreePatch,
-    TreeSent,
     identity_of,
 )
 from control_plane.retirement import retired_body
-from control_plane.words import says, says_edge
+from control_plane.status_text import says, says_edge
 
-__all__ = ["Operators"]
+__all__ = ["OperatorApi"]
 
 
-class Operators:
+class OperatorApi:
     """Registers the handlers of the operators' calls at `desk`."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, desk: HttpService) -> None:
         self._node = node
         router = desk.app.router
         router.add_get("/profiles", self._show)
@@ -55,15 +55,15 @@
         router.add_post("/retired", self._retire)
         router.add_post("/forgotten", self._forget)
 
-    async def _ask(self, message: Any) -> Changed:
+    async def _ask(self, message: Any) -> ChangeResult:
         return await awaited(lambda done: self._node.owner.submit(message, done))
 
     async def _parsed(self, request: web.Request, model: Any) -> Any:
-        return await read_call(request, self._node.params.max_body_bytes, model)
+        return await read_call(request, self._node.settings.max_body_bytes, model)
 
     # -- profiles ------------------------------------------------------------------------------
 
-    async def _read(self, key: str) -> Changed | Refusal:
+    async def _read(self, key: str) -> ChangeResult | Refusal:
         receipt = await self._ask(ReadKey(key=key, hops=0))
         if receipt.outcome != Outcome.OK:
             return refused(
@@ -80,13 +80,13 @@
         )
 
     async def _send(self, request: web.Request) -> web.Response:
-        call = await self._parsed(request, TreeSent)
+        call = await self._parsed(request, ConfigurationBody)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         return await self._keep(call, call.tree)
 
     async def _patch(self, request: web.Request) -> web.Response:
-        call = await self._parsed(request, TreePatch)
+        call = await self._parsed(request, ConfigurationPatchBody)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         receipt = await self._read(PROFILES_KEY)
@@ -97,7 +97,7 @@
         tree = json.loads(receipt.body or '{"profiles": {}}')
         return await self._keep(call, apply_patch(tree, call.patch))
 
-    async def _find(self, call: TreePatch) -> web.Response:
+    async def _find(self, call: ConfigurationPatchBody) -> web.Response:
         """Look up a patch that is not based on the version in force: it may be a retry."""
         change_id = call.change_id or secrets.token_hex(8)
         receipt = await self._ask(
@@ -112,7 +112,9 @@
         )
         return self._answer(receipt, change_id)
 
-    async def _keep(self, call: TreeSent | TreePatch, tree: Any) -> web.Response:
+    async def _keep(
+        self, call: ConfigurationBody | ConfigurationPatchBody, tree: Any
+    ) -> web.Response:
         checked = check_tree(tree)
         if checked.is_error():
             return answer_refusal(
@@ -136,7 +138,7 @@
         )
         return self._answer(receipt, change_id)
 
-    def _answer(self, receipt: Changed, change_id: str) -> web.Response:
+    def _answer(self, receipt: ChangeResult, change_id: str) -> web.Response:
         if receipt.outcome == Outcome.OK:
             return json_answer({"version": receipt.version, "change_id": change_id})
         if receipt.outcome == Outcome.LOST:
@@ -172,7 +174,7 @@
         if isinstance(receipt, Refusal):
             return answer_refusal(receipt)
         name = request.match_info["name"]
-        told = explain(Tree.of_body(receipt.body), name)
+        told = explain(ProfileTree.of_body(receipt.body), name)
         if not told:
             return answer_refusal(
                 refused("unknown-profile", f"no profile is called {name!r}", 404, field="name")
@@ -184,12 +186,12 @@
     async def _members(self, request: web.Request) -> web.Response:
         node = self._node
         now_ms = node.env.now()
-        params = node.params
+        settings = node.settings
         voters = node.voter.voters
         rows = []
         for role in ("control", "store", "edge"):
             for card in sorted(
-                node.neighbours.of_role(role, params.gone_ms), key=lambda row: row.address
+                node.neighbours.of_role(role, settings.gone_ms), key=lambda row: row.address
             ):
                 confirmed = node.config_feed.confirmed.get(card.identity)
                 rows.append(
@@ -208,11 +210,11 @@
         rows.append(
             {
                 "role": "control",
-                "name": params.node_name or node.address,
+                "name": settings.node_name or node.address,
                 "identity": node.voter.identity,
                 "link": node.address,
-                "http": params.http,
-                "zone": params.zone,
+                "http": settings.http,
+                "zone": settings.zone,
                 "standing": "live",
                 "ready": not node.why_unready(),
                 "feed": node.config_feed.numbers(),
@@ -265,11 +267,11 @@
             if role == "store"
             else list(node.voter.voters)
         )
-        live = [card.identity for card in node.neighbours.of_role(role, node.params.dead_ms)]
+        live = [card.identity for card in node.neighbours.of_role(role, node.settings.dead_ms)]
         spares = [name for name in live if name not in members and name not in retired]
         if role == "store":
             return says(
-                role, identity, members, log["holder"], retired, spares, node.params.store_count
+                role, identity, members, log["holder"], retired, spares, node.settings.store_count
             )
         return says(
             role,
@@ -278,7 +280,7 @@
             node.founding.steward() or "",
             retired,
             spares,
-            node.params.control_count,
+            node.settings.control_count,
         )
 
     async def _retire(self, request: web.Request) -> web.Response:
@@ -350,7 +352,7 @@
                 )
             )
         live = sorted(
-            set(call.links) & self._node.config_feed.heard_links(self._node.params.gone_ms)
+            set(call.links) & self._node.config_feed.heard_links(self._node.settings.gone_ms)
         )
         if live:
             return answer_refusal(
@@ -364,7 +366,7 @@
         cards = [
             card
             for role in ("control", "store")
-            for card in self._node.neighbours.of_role(role, self._node.params.gone_ms)
+            for card in self._node.neighbours.of_role(role, self._node.settings.gone_ms)
         ]
         return next((card.identity for card in cards if card.name == name), name)
 
--- a/libs/control_plane/src/control_plane/operator_calls.py
+++ b/libs/control_plane/src/control_plane/operator_bodies.py
@@ -6,12 +6,18 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-__all__ = ["ForgetOrder", "RetirementOrder", "TreePatch", "TreeSent", "identity_of"]
+__all__ = [
+    "ForgetOrder",
+    "RetirementOrder",
+    "ConfigurationPatchBody",
+    "ConfigurationBody",
+    "identity_of",
+]
 
 ChangeId = Annotated[str, Field(min_length=1, max_length=128)]
 
 
-class TreeSent(BaseModel):
+class ConfigurationBody(BaseModel):
     """A whole tree of profiles, based on the version that it replaces."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
@@ -20,7 +26,7 @@
     tree: dict[str, Any]
 
 
-class TreePatch(BaseModel):
+class ConfigurationPatchBody(BaseModel):
     """A merge patch of the tree of profiles, based on the version that it replaces."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -2,13 +2,13 @@
 
 from typing import Any
 
-from data_plane.desk_http import HttpDesk
+from data_plane.http_service import HttpService
 from data_plane.process import NodeProcess
 
-from control_plane.loan_desk import LoanDesk
+from control_plane.loan_api import LoanApi
 from control_plane.nodes import ControlNode
-from control_plane.operators import Operators
-from control_plane.worker_desk import WorkerDesk
+from control_plane.operator_api import OperatorApi
+from control_plane.worker_list_api import WorkerListApi
 
 __all__ = ["ControlProcess"]
 
@@ -19,17 +19,17 @@
     async def make(self) -> None:
         """Create the node and the HTTP interface."""
         self._stopping = False
-        self.node = ControlNode(self.env, self.params, self.open_disk())
-        desk = HttpDesk(
-            self.params.http,
-            self.params.max_body_bytes,
+        self.node = ControlNode(self.env, self.settings, self.open_disk())
+        desk = HttpService(
+            self.settings.http,
+            self.settings.max_body_bytes,
             self.why_unready,
             self.status,
             self.metrics,
         )
-        Operators(self.node, desk)
-        WorkerDesk(self.node, desk)
-        LoanDesk(self.node, desk)
+        OperatorApi(self.node, desk)
+        WorkerListApi(self.node, desk)
+        LoanApi(self.node, desk)
         await self.add_runtime_dependency(desk)
 
     def why_unready(self) -> str:
@@ -46,7 +46,7 @@
         return {
             "role": "control",
             "identity": node.voter.identity,
-            "zone": self.params.zone,
+            "zone": self.settings.zone,
             "ready": not self.why_unready(),
             "reason": self.why_unready(),
             "voters": node.voter.voters,
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from control_store import Change, Changed, Outcome, Owner, ReadKey
-from membership import Neighbours
-from messaging import Part
+from control_store import Change, ChangeResult, KeyOwner, Outcome, ReadKey
+from membership import Membership
+from messaging import Component
 
 __all__ = ["RETIRED_KEY", "Retirement", "RetirementAnswer", "retired_body"]
 
@@ -61,7 +61,7 @@
             done(outcome)
 
 
-class Retirement(Part):
+class Retirement(Component):
     """Takes orders to empty stores at a control node, and reports their progress.
 
     `sure` returns whether this node is in contact with a majority of the voters.
@@ -81,8 +81,8 @@
 
     def __init__(
         self,
-        owner: Owner,
-        neighbours: Neighbours,
+        owner: KeyOwner,
+        neighbours: Membership,
         config_feed: ConfigFeed,
         sure: Callable[[], bool],
     ) -> None:
@@ -148,7 +148,7 @@
             call.finish(
                 RetirementAnswer.OK
                 if name in names
-                else self._certain(RetirementAnswer.UNKNOWN, self.node.params.gone_ms)
+                else self._certain(RetirementAnswer.UNKNOWN, self.node.settings.gone_ms)
             )
             return
         if identity in retired and names.get(name) == identity:
@@ -156,11 +156,11 @@
             return
         stays = [
             card
-            for card in self._neighbours.of_role("store", self.node.params.dead_ms)
+            for card in self._neighbours.of_role("store", self.node.settings.dead_ms)
             if card.identity != identity and card.identity not in retired
         ]
-        if name not in names and len(stays) < self.node.params.store_count:
-            call.finish(self._certain(RetirementAnswer.TOO_FEW, self.node.params.dead_ms))
+        if name not in names and len(stays) < self.node.settings.store_count:
+            call.finish(self._certain(RetirementAnswer.TOO_FEW, self.node.settings.dead_ms))
             return
         names[name] = identity
         self.node.env.log("store-retires", "WARNING", name=name, identity=identity)
@@ -180,7 +180,7 @@
         fresh = self.node.env.now() - self._since_ms < after_ms
         return RetirementAnswer.DOUBT if fresh else refusal
 
-    def _ordered(self, call: _Call, name: str, receipt: Changed) -> None:
+    def _ordered(self, call: _Call, name: str, receipt: ChangeResult) -> None:
         if receipt.outcome == Outcome.OK:
             call.finish(RetirementAnswer.OK)
         elif receipt.outcome == Outcome.LOST and call.done is not None:
@@ -209,7 +209,7 @@
             return
         self._busy = True
 
-        def changed(receipt: Changed) -> None:
+        def changed(receipt: ChangeResult) -> None:
             self._busy = False
 
         self._owner.submit(
@@ -226,7 +226,7 @@
     # -- reading control keys ------------------------------------------------------------------
 
     def _with_key(self, key: str, done: Done, told: Callable[[_Call, int, dict], None]) -> None:
-        call = _Call(self.node.env.now() + self.node.params.answer_ms, done)
+        call = _Call(self.node.env.now() + self.node.settings.answer_ms, done)
         if not self._sure():
             call.finish(RetirementAnswer.DOUBT)
             return
@@ -234,7 +234,7 @@
         self._read(key, call, told)
 
     def _read(self, key: str, call: _Call, told: Callable[[_Call, int, dict], None]) -> None:
-        def have_read(receipt: Changed) -> None:
+        def have_read(receipt: ChangeResult) -> None:
             if call.done is None:
                 return
             if receipt.outcome != Outcome.OK:
@@ -254,8 +254,8 @@
         if self._since_ms < 0 or not self._sure():
             self._since_ms = now_ms
         if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.params.beat_ms
-            for card in self._neighbours.of_role("store", self.node.params.dead_ms):
+            self._next_ms = now_ms + self.node.settings.beat_ms
+            for card in self._neighbours.of_role("store", self.node.settings.dead_ms):
                 self._names[card.name] = card.identity
             self._follow()
         for call in self._calls:
--- a/libs/control_plane/src/control_plane/worker_desk.py
+++ b/libs/control_plane/src/control_plane/worker_list_api.py
@@ -9,12 +9,12 @@
 
 from aiohttp import web
 from control_store import WorkerReport
-from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
-from messaging.shell import awaited
+from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
 
-__all__ = ["WorkerDesk"]
+__all__ = ["WorkerListApi"]
 
 Text = Annotated[str, Field(min_length=1, max_length=255)]
 
@@ -41,12 +41,12 @@
     models: list[_Model] = Field(default_factory=list, max_length=256)
 
 
-class WorkerDesk:
+class WorkerListApi:
     """Registers the handlers of `/workers` at `desk`."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, desk: HttpService) -> None:
         self._node = node
         router = desk.app.router
         router.add_get("/workers", self._show)
@@ -58,7 +58,7 @@
         return json_answer({"version": node.worker_list.number, "workers": node.worker_list.rows()})
 
     async def _beat(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.params.max_body_bytes, _Beat)
+        call = await read_call(request, self._node.settings.max_body_bytes, _Beat)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         models = [row.model_dump(exclude_none=True) for row in call.models]
--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -5,24 +5,24 @@
 list of workers, the list of voters and the roster of edges and stores.
 """
 
-from runtime.lazy import lazy
+from runtime.lazy_exports import lazy_exports
 
 __all__ = [
     "Change",
-    "Changed",
+    "ChangeResult",
     "ControlClient",
     "FindChange",
-    "Founding",
+    "Bootstrap",
     "NO_BASE",
     "Outcome",
-    "Owner",
+    "KeyOwner",
     "Profile",
     "ReadBarrier",
     "ReadKey",
     "Register",
-    "Roll",
-    "Tree",
-    "Voter",
+    "ServingSet",
+    "ProfileTree",
+    "Acceptor",
     "WorkerList",
     "WorkerReport",
     "apply_reports",
@@ -32,18 +32,18 @@
     "profiles_digest",
 ]
 
-__getattr__ = lazy(
+__getattr__ = lazy_exports(
     __name__,
     {
         "client": ("ControlClient",),
-        "founding": ("Founding",),
-        "messages": ("Change", "Changed", "FindChange", "NO_BASE", "Outcome", "ReadKey"),
-        "owner": ("Owner",),
+        "bootstrap": ("Bootstrap",),
+        "messages": ("Change", "ChangeResult", "FindChange", "NO_BASE", "Outcome", "ReadKey"),
+        "key_owner": ("KeyOwner",),
         "read_barrier": ("ReadBarrier",),
-        "profiles": ("Profile", "Tree", "explain", "profiles_digest"),
-        "roll": ("Roll",),
-        "rows": ("check_tree",),
-        "voter": ("Register", "Voter"),
+        "profiles": ("Profile", "ProfileTree", "explain", "profiles_digest"),
+        "serving_set": ("ServingSet",),
+        "profile_rows": ("check_tree",),
+        "acceptor": ("Register", "Acceptor"),
         "worker_list": ("WorkerList",),
         "worker_rows": ("WorkerReport", "apply_reports", "empty_list"),
     },
--- a/libs/control_store/src/control_store/voter.py
+++ b/libs/control_store/src/control_store/acceptor.py
@@ -11,23 +11,23 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from messaging import Message, Origin, Part, decode, encode
+from messaging import Component, Message, Origin, decode, encode
 from storage import DamageError, Disk, DiskFullError, frame, scan
 
 from control_store.messages import (
     Accept,
+    AcceptorMetadata,
     Confirm,
-    Founded,
-    KeyList,
-    KeyRow,
     ListKeys,
+    ListKeysResponse,
     Prepare,
+    RegisterRecord,
     Value,
-    Voted,
-    VoterMeta,
+    Vote,
+    VoterListDecided,
 )
 
-__all__ = ["CONTROL_KEY", "Register", "Voter"]
+__all__ = ["CONTROL_KEY", "Register", "Acceptor"]
 
 CONTROL_KEY = "control"
 _META, _SNAP, _LOG = "meta", "keys-snapshot", "keys-log"
@@ -73,9 +73,9 @@
         """Return a sort key that rises with each record that a voter writes of a key."""
         return self.promised, self.accepted, self.version
 
-    def row(self, key: str, flushed_bytes: int = 0) -> KeyRow:
-        """Return the register as a record of the log; `flushed_bytes` as in `KeyRow`."""
-        return KeyRow(
+    def row(self, key: str, flushed_bytes: int = 0) -> RegisterRecord:
+        """Return the register as a record of the log; `flushed_bytes` as in `RegisterRecord`."""
+        return RegisterRecord(
             key=key,
             promised_epoch=self.promised[0],
             promised_by=self.promised[1],
@@ -86,7 +86,7 @@
         )
 
     @classmethod
-    def of(cls, row: KeyRow) -> "Register":
+    def of(cls, row: RegisterRecord) -> "Register":
         """Return the register that a record describes."""
         register = cls()
         register.promised = (row.promised_epoch, row.promised_by)
@@ -96,7 +96,7 @@
         return register
 
 
-class Voter(Part):
+class Acceptor(Component):
     """The acceptor at one control node; opening a damaged disk raises DamageError."""
 
     __slots__ = (
@@ -112,7 +112,7 @@
         "meta",
         "registers",
     )
-    HANDLES = (Prepare, Accept, Confirm, Founded, ListKeys)
+    HANDLES = (Prepare, Accept, Confirm, VoterListDecided, ListKeys)
 
     def __init__(self, disk: Disk, token: Callable[[], str]) -> None:
         self._disk = disk
@@ -128,7 +128,7 @@
 
     def _open(self, token: Callable[[], str]) -> None:
         names = self._disk.names()
-        self.meta = VoterMeta(identity=f"control-{token()}", found_vote="", list_body="")
+        self.meta = AcceptorMetadata(identity=f"control-{token()}", found_vote="", list_body="")
         if _META in names:
             frames, _, _ = scan(self._disk.read(_META))
             if not frames:
@@ -202,10 +202,13 @@
             return
 
         self.keep_meta(
-            VoterMeta(identity=self.identity, found_vote=self.meta.found_vote, list_body=body), done
+            AcceptorMetadata(
+                identity=self.identity, found_vote=self.meta.found_vote, list_body=body
+            ),
+            done,
         )
 
-    def keep_meta(self, meta: VoterMeta, done: Done) -> None:
+    def keep_meta(self, meta: AcceptorMetadata, done: Done) -> None:
         """Write `meta` to disk and adopt it, unless a newer list was adopted meanwhile."""
 
         def kept(ok: bool) -> None:
@@ -222,13 +225,13 @@
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Answer a ballot message, after checking the list of voters that it counts under."""
-        if isinstance(message, Founded):
+        if isinstance(message, VoterListDecided):
             self.take_list(message.list_body, lambda ok: None)
             return
         if isinstance(message, ListKeys):
             ok = message.list_number == self.list_number
             self.node.reply(
-                origin, KeyList(identity=self.identity, ok=ok, keys=sorted(self.registers))
+                origin, ListKeysResponse(identity=self.identity, ok=ok, keys=sorted(self.registers))
             )
             return
         if (
@@ -292,10 +295,10 @@
             done=lambda ok: self.node.reply(origin, self._voted(message.key, ok, "disk")),
         )
 
-    def _voted(self, key: str, ok: bool, reason: str, whole: bool = False) -> Voted:
+    def _voted(self, key: str, ok: bool, reason: str, whole: bool = False) -> Vote:
         register = self.registers.get(key, Register())
         accepted, version = (register.accepted, register.version) if whole else register.kept
-        return Voted(
+        return Vote(
             identity=self.identity,
             ok=ok,
             reason="" if ok else reason,
@@ -351,7 +354,7 @@
                 done(ok)
             if self._flushing:
                 return
-            if self._log_bytes > self.node.params.segment_bytes:
+            if self._log_bytes > self.node.settings.segment_bytes:
                 self._snapshot()
             if self._waiting:
                 self._flush()
@@ -371,7 +374,7 @@
     def tick(self) -> None:
         """Let the disk write, and start a snapshot if the log is longer than segment_bytes."""
         self._disk.push()
-        if self._log_bytes > self.node.params.segment_bytes and not self._flushing:
+        if self._log_bytes > self.node.settings.segment_bytes and not self._flushing:
             self._snapshot()
 
     def _snapshot(self) -> None:
--- a/libs/control_store/src/control_store/founding.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -11,22 +11,30 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from config_feed.confirmations import CONFIRMERS, ROLL_KEY
-from membership import Neighbours
-from messaging import Message, Origin, Part
-
-from control_store.messages import Change, Found, Founded, FoundVote, ListKeys, ReadKey, VoterMeta
-from control_store.owner import Owner
-from control_store.rounds import Round
-from control_store.succession import founding_rows, next_of_all, next_of_count
-from control_store.voter import CONTROL_KEY, Voter
-
-__all__ = ["Founding"]
+from config_feed.version_tracker import CONFIRMERS, ROLL_KEY
+from membership import Membership
+from messaging import Component, Message, Origin
+
+from control_store.acceptor import CONTROL_KEY, Acceptor
+from control_store.key_owner import KeyOwner
+from control_store.messages import (
+    AcceptorMetadata,
+    BootstrapRequest,
+    BootstrapVote,
+    Change,
+    ListKeys,
+    ReadKey,
+    VoterListDecided,
+)
+from control_store.quorum_round import QuorumRound
+from control_store.voter_succession import founding_rows, next_of_all, next_of_count
+
+__all__ = ["Bootstrap"]
 
 RETIRED_KEY = "retired"
 
 
-class Founding(Part):
+class Bootstrap(Component):
     """Bootstraps the list of voters at a blank node, and coordinates the lists that follow."""
 
     __slots__ = (
@@ -42,10 +50,10 @@
         "_voter",
         "_votes",
     )
-    HANDLES = (Found,)
+    HANDLES = (BootstrapRequest,)
 
     def __init__(
-        self, voter: Voter, owner: Owner, neighbours: Neighbours, config_feed: ConfigFeed
+        self, voter: Acceptor, owner: KeyOwner, neighbours: Membership, config_feed: ConfigFeed
     ) -> None:
         self._voter = voter
         self._owner = owner
@@ -77,7 +85,7 @@
             self._vote(origin, False)
         else:
             self._voter.keep_meta(
-                VoterMeta(identity=meta.identity, found_vote=message.members, list_body=""),
+                AcceptorMetadata(identity=meta.identity, found_vote=message.members, list_body=""),
                 lambda ok: self._vote(origin, ok),
             )
 
@@ -87,12 +95,14 @@
         Where no count is configured, a blank disk may also be one that was lost after the
         bootstrap.
         """
-        return self.node.params.control_count > 0 or self.node.params.first_start
+        return self.node.settings.control_count > 0 or self.node.settings.first_start
 
     def _vote(self, origin: Origin, ok: bool) -> None:
         self.node.reply(
             origin,
-            FoundVote(identity=self._voter.identity, ok=ok, list_body=self._voter.meta.list_body),
+            BootstrapVote(
+                identity=self._voter.identity, ok=ok, list_body=self._voter.meta.list_body
+            ),
         )
 
     def tick(self) -> None:
@@ -102,7 +112,7 @@
             self._awake_ms = now_ms
         if now_ms < self._next_ms:
             return
-        self._next_ms = now_ms + self.node.params.beat_ms * 2
+        self._next_ms = now_ms + self.node.settings.beat_ms * 2
         if not self._voter.meta.list_body:
             self._found()
         elif not self._busy:
@@ -131,20 +141,22 @@
                     body = json.dumps({"number": 1, "voters": json.loads(members)})
                     self.node.env.log("founded", voters=sorted(listed))
                     for address in listed.values():
-                        self.node.post(address, Founded(list_body=body))
+                        self.node.post(address, VoterListDecided(list_body=body))
 
         for address in listed.values():
-            self.node.ask(address, Found(members=members), self.node.params.ask_ms, voted)
+            self.node.ask(
+                address, BootstrapRequest(members=members), self.node.settings.ask_ms, voted
+            )
 
     def _proposed_members(self) -> str:
         """Return the first voters as JSON if this node is to propose them; otherwise empty."""
         if not self._may_found():
             return ""
-        params = self.node.params
-        cards = [*self._neighbours.of_role("control", params.dead_ms), self._neighbours.card()]
-        if not params.control_count:
-            self._next_ms = self.node.env.now() + params.beat_ms
-        rows = founding_rows(cards, params.control_count, set(params.seeds))
+        settings = self.node.settings
+        cards = [*self._neighbours.of_role("control", settings.dead_ms), self._neighbours.card()]
+        if not settings.control_count:
+            self._next_ms = self.node.env.now() + settings.beat_ms
+        rows = founding_rows(cards, settings.control_count, set(settings.seeds))
         if not rows or rows[0]["identity"] != self._voter.identity:
             return ""
         return json.dumps(rows)
@@ -190,14 +202,14 @@
             *CONFIRMERS,
             RETIRED_KEY,
             "log",
-            *(() if self.node.params.cut_off == "serve" else (ROLL_KEY,)),
+            *(() if self.node.settings.cut_off == "serve" else (ROLL_KEY,)),
         )
         for key in keys:
             if self._owner.owner_of(key) != self._voter.identity:
                 self._read_ms.pop(key, None)
             elif (
                 self._config_feed.number(key) == 0
-                and now_ms - self._read_ms.get(key, -1 << 40) > self.node.params.gone_ms
+                and now_ms - self._read_ms.get(key, -1 << 40) > self.node.settings.gone_ms
             ):
                 self._read_ms[key] = now_ms
                 self._owner.submit(
@@ -211,45 +223,45 @@
     def _following(self) -> dict[str, Any] | None:
         """Return the next list of voters, one step from the present one, or None without cause."""
         node, neighbours = self.node, self._neighbours
-        params, now_ms = node.params, node.env.now()
+        settings, now_ms = node.settings, node.env.now()
         retired = set((self._config_feed.value(RETIRED_KEY) or {}).get("identities", []))
         listed = json.loads(self._voter.meta.list_body)
         voters = self._voter.voters
         spares = [
             card
-            for card in neighbours.of_role("control", params.dead_ms)
+            for card in neighbours.of_role("control", settings.dead_ms)
             if card.identity not in voters and card.identity not in retired
         ]
-        long_awake = now_ms - self._awake_ms >= params.gone_ms
+        long_awake = now_ms - self._awake_ms >= settings.gone_ms
 
         def silent(name: str) -> bool:
-            return long_awake and not neighbours.live(name, params.gone_ms)
+            return long_awake and not neighbours.live(name, settings.gone_ms)
 
-        if params.control_count:
+        if settings.control_count:
             return (
-                next_of_count(listed, spares, retired, silent, params.control_count)
+                next_of_count(listed, spares, retired, silent, settings.control_count)
                 if long_awake
                 else None
             )
 
         def all_heard(card: Any) -> bool:
-            since_ms = max(neighbours.first_ms(card.identity), self._awake_ms) + params.beat_ms
+            since_ms = max(neighbours.first_ms(card.identity), self._awake_ms) + settings.beat_ms
             return all(
                 name == self._voter.identity or neighbours.heard_ms(name) >= since_ms
                 for name in voters
             )
 
         def returned(name: str) -> bool | None:
-            if neighbours.heard_itself(name, params.dead_ms):
+            if neighbours.heard_itself(name, settings.dead_ms):
                 return True
-            return False if now_ms - self._awake_ms > params.dead_ms else None
+            return False if now_ms - self._awake_ms > settings.dead_ms else None
 
         return next_of_all(
             listed,
             spares,
             retired,
             silent,
-            lambda card: now_ms - neighbours.first_ms(card.identity) > params.ask_ms,
+            lambda card: now_ms - neighbours.first_ms(card.identity) > settings.ask_ms,
             all_heard,
             returned,
         )
@@ -273,9 +285,9 @@
                 receipt.outcome == "ok"
                 and json.loads(receipt.body)["number"] == following["number"]
             ):
-                self._next_ms = node.env.now() + node.params.beat_ms // 4
+                self._next_ms = node.env.now() + node.settings.beat_ms // 4
                 for row in following["voters"]:
-                    node.post(row["address"], Founded(list_body=receipt.body))
+                    node.post(row["address"], VoterListDecided(list_body=receipt.body))
 
         self._owner.submit(
             Change(
@@ -290,7 +302,7 @@
 
     def _sweep_own(self) -> None:
         """Find and repair outdated replicas of the keys that this node owns."""
-        if self.node.env.now() - self._swept_ms < self.node.params.resume_ms // 2:
+        if self.node.env.now() - self._swept_ms < self.node.settings.resume_ms // 2:
             return
         self._swept_ms = self.node.env.now()
         self._listed_keys(
@@ -308,17 +320,17 @@
         self._listed_keys(lambda keys: self._renew_all(keys, number, done), lambda: done(False))
 
     def _listed_keys(self, told: Any, failed: Any) -> None:
-        def listed(round_: Round, ok: bool) -> None:
+        def listed(round_: QuorumRound, ok: bool) -> None:
             if ok:
                 told(sorted({key for receipt in round_.yes.values() for key in receipt.keys}))
             else:
                 failed()
 
-        Round(
+        QuorumRound(
             self.node,
             self._voter.voters,
             ListKeys(list_number=self._voter.list_number),
-            self.node.params.ask_ms,
+            self.node.settings.ask_ms,
             listed,
         )
 
--- a/libs/control_store/src/control_store/client.py
+++ b/libs/control_store/src/control_store/client.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable, Iterable
 
-from messaging import Message, Part
+from messaging import Component, Message
 
-from control_store.messages import Change, Changed, ReadKey
+from control_store.messages import Change, ChangeResult, ReadKey
 
 __all__ = ["ControlClient"]
 
@@ -32,7 +32,7 @@
         self.next_ms = 0
 
 
-class ControlClient(Part):
+class ControlClient(Component):
     """Changes and reads control keys on behalf of a node that is not a voter.
 
     `addresses` gives the link addresses of all known control nodes. `likely` gives addresses for a
@@ -72,7 +72,7 @@
         others = [address for address in self._addresses() if address not in likely]
         self.node.env.rng.shuffle(others)
         asking = _Asking(
-            make, likely + others, self.node.env.now() + 2 * self.node.params.force_ms, done
+            make, likely + others, self.node.env.now() + 2 * self.node.settings.force_ms, done
         )
         if not asking.order:
             done("doubt", 0, "")
@@ -81,21 +81,21 @@
         self._send(asking)
 
     def _send(self, asking: _Asking) -> None:
-        params, now_ms = self.node.params, self.node.env.now()
-        asking.next_ms = now_ms + params.ask_ms // 2
+        settings, now_ms = self.node.settings, self.node.env.now()
+        asking.next_ms = now_ms + settings.ask_ms // 2
         address = asking.order[asking.sends % len(asking.order)]
         asking.sends += 1
         number = asking.sends
 
-        def answered(receipt: Changed | None) -> None:
+        def answered(receipt: ChangeResult | None) -> None:
             if asking not in self._askings:
                 return
             if receipt is not None and receipt.outcome not in ("doubt", "refused"):
                 self._finish(asking, receipt.outcome, receipt.version, receipt.body)
             elif receipt is not None and number == asking.sends:
-                asking.next_ms = min(asking.next_ms, self.node.env.now() + params.pulse_ms // 2)
+                asking.next_ms = min(asking.next_ms, self.node.env.now() + settings.pulse_ms // 2)
 
-        self.node.ask(address, asking.make(), params.ask_ms * 2, answered)
+        self.node.ask(address, asking.make(), settings.ask_ms * 2, answered)
 
     def _finish(self, asking: _Asking, outcome: str, version: int, body: str) -> None:
         self._askings.remove(asking)
--- a/libs/control_store/src/control_store/relays.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -3,18 +3,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from membership import Neighbours, duty_order, first_live
+from membership import Membership, duty_order, first_live
 
+from control_store.acceptor import Acceptor
 from control_store.key_states import Done
-from control_store.messages import Change, Changed, FindChange, Outcome, ReadKey
-from control_store.voter import Voter
+from control_store.messages import Change, ChangeResult, FindChange, Outcome, ReadKey
 
-__all__ = ["Relay"]
+__all__ = ["OperationForwarder"]
 
 _RELAY_HOPS = 2
 
 
-class Relay:
+class OperationForwarder:
     """Routes operations to the owners of their keys.
 
     `enqueue` queues an operation at this node until a time in ms of the node's clock.
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        voter: Voter,
-        neighbours: Neighbours,
+        voter: Acceptor,
+        neighbours: Membership,
         enqueue: Callable[[Any, int, Done], None],
     ) -> None:
         self._voter = voter
@@ -45,29 +45,29 @@
         change is recognized by its identifier. The outcome is DOUBT if no reply comes at all.
         """
         if not self._voter.voters:
-            done(Changed(outcome=Outcome.REFUSED, version=0, body="", reason="not founded"))
+            done(ChangeResult(outcome=Outcome.REFUSED, version=0, body="", reason="not founded"))
             return
-        params = self._node.params
+        settings = self._node.settings
         self._try(
             message,
             message.hops,
-            self._node.env.now() + params.confirm_ms + 3 * params.ask_ms,
+            self._node.env.now() + settings.confirm_ms + 3 * settings.ask_ms,
             done,
         )
 
     def _try(self, message: Any, hops: int, due_ms: int, done: Done) -> None:
-        params, now_ms = self._node.params, self._node.env.now()
+        settings, now_ms = self._node.settings, self._node.env.now()
 
-        def answered(receipt: Changed | None) -> None:
+        def answered(receipt: ChangeResult | None) -> None:
             unheard = receipt is None or (
-                receipt.outcome == Outcome.DOUBT and params.cut_off == "serve"
+                receipt.outcome == Outcome.DOUBT and settings.cut_off == "serve"
             )
             if unheard and hops == 0 and self._node.env.now() < due_ms:
                 self._again.append((message, due_ms, done))
             else:
                 done(
                     receipt
-                    or Changed(
+                    or ChangeResult(
                         outcome=Outcome.DOUBT,
                         version=0,
                         body="",
@@ -80,9 +80,9 @@
         if duty in (None, self._voter.identity) or hops >= _RELAY_HOPS:
             self._enqueue(
                 message,
-                min(now_ms + params.ask_ms * 2, due_ms)
+                min(now_ms + settings.ask_ms * 2, due_ms)
                 if hops == 0
-                else now_ms + params.ask_ms * 2,
+                else now_ms + settings.ask_ms * 2,
                 answered,
             )
             return
@@ -91,7 +91,7 @@
         self._node.ask(
             self._voter.voters[duty],
             message,
-            min(wait_ms, params.dead_ms) if hops == 0 else wait_ms,
+            min(wait_ms, settings.dead_ms) if hops == 0 else wait_ms,
             answered,
         )
 
@@ -104,7 +104,7 @@
         """
         neighbours = self._neighbours
         order = [name for name in duty_order(concern, self._voter.voters) if neighbours.live(name)]
-        dead_ms = self._node.params.dead_ms
+        dead_ms = self._node.settings.dead_ms
         direct = [name for name in order if neighbours.heard_itself(name, dead_ms)]
         return (
             first_live(direct, neighbours.hears)
--- a/libs/control_store/src/control_store/owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -12,29 +12,29 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from membership import Neighbours
-from messaging import Message, Origin, Part, decode, encode
+from membership import Membership
+from messaging import Component, Message, Origin, decode, encode
 
+from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.change_memory import add_change, surely_untaken, taken_as
-from control_store.confirmations import CONFIRMED_KEYS, Confirmations
+from control_store.forwarding import OperationForwarder
 from control_store.key_states import Done, KeyState, Operation, Renew, State, blank_value, newest
 from control_store.messages import (
     Accept,
     Change,
-    Changed,
+    ChangeResult,
     Confirm,
     FindChange,
-    Founded,
     Outcome,
     Prepare,
     ReadKey,
     Value,
+    VoterListDecided,
 )
-from control_store.relays import Relay
-from control_store.rounds import Round
-from control_store.voter import CONTROL_KEY, Voter
+from control_store.pending_acknowledgements import CONFIRMED_KEYS, PendingAcknowledgements
+from control_store.quorum_round import QuorumRound
 
-__all__ = ["Owner", "newest"]
+__all__ = ["KeyOwner", "newest"]
 
 
 def _not_taken(value: Value, message: Change | FindChange) -> tuple[Outcome, str]:
@@ -44,7 +44,7 @@
     return Outcome.FORGOTTEN, "older than the changes that are remembered"
 
 
-class Owner(Part):
+class KeyOwner(Component):
     """Works on the operations of keys that this node owns, one at a time for each key.
 
     Operations on other nodes' keys are forwarded to their owners.
@@ -53,13 +53,13 @@
     __slots__ = ("_by", "_confirmations", "_config_feed", "_keys", "_relay", "_voter")
     HANDLES = (Change, FindChange, ReadKey)
 
-    def __init__(self, voter: Voter, neighbours: Neighbours, config_feed: ConfigFeed) -> None:
+    def __init__(self, voter: Acceptor, neighbours: Membership, config_feed: ConfigFeed) -> None:
         self._voter = voter
         self._config_feed = config_feed
         self._by = ""
         self._keys: dict[str, KeyState] = {}
-        self._relay = Relay(voter, neighbours, self._enqueue)
-        self._confirmations = Confirmations(voter, config_feed)
+        self._relay = OperationForwarder(voter, neighbours, self._enqueue)
+        self._confirmations = PendingAcknowledgements(voter, config_feed)
 
     def attach(self, node: Any) -> None:
         """Attach the node; each process proposes under an identity of its own."""
@@ -92,7 +92,7 @@
         """
         self._enqueue(
             Renew(key),
-            self.node.env.now() + self.node.params.ask_ms * 2,
+            self.node.env.now() + self.node.settings.ask_ms * 2,
             lambda receipt: done(receipt.outcome == Outcome.OK),
         )
 
@@ -108,27 +108,27 @@
             return
         epoch, version = key.epoch, key.value.version
 
-        def heard(round_: Round, ok: bool) -> None:
+        def heard(round_: QuorumRound, ok: bool) -> None:
             if (key.epoch, key.value.version) != (epoch, version) or key.state is not State.OWNED:
                 return
             self._note(key, round_)
             if self._holders(key, round_) < len(round_.replies):
                 self._enqueue(
                     Renew(name, True),
-                    self.node.env.now() + self.node.params.ask_ms * 2,
+                    self.node.env.now() + self.node.settings.ask_ms * 2,
                     lambda receipt: None,
                 )
 
-        Round(
+        QuorumRound(
             self.node,
             self._voter.voters,
             Confirm(key=name, epoch=epoch, by=self._by, list_number=self._voter.list_number),
-            self.node.params.ask_ms,
+            self.node.settings.ask_ms,
             heard,
             True,
         )
 
-    def _holders(self, key: KeyState, round_: Round) -> int:
+    def _holders(self, key: KeyState, round_: QuorumRound) -> int:
         """Count the voters that reported the newest value under this owner's epoch in a round."""
         return sum(
             1
@@ -173,7 +173,7 @@
             )
 
     def _round(
-        self, key: KeyState, message: Message, done: Callable[[KeyState, Round, bool], None]
+        self, key: KeyState, message: Message, done: Callable[[KeyState, QuorumRound, bool], None]
     ) -> None:
         """Start the only round of a key.
 
@@ -181,12 +181,12 @@
         """
         epoch, key.asking = key.epoch, True
 
-        def ended(round_: Round, ok: bool) -> None:
+        def ended(round_: QuorumRound, ok: bool) -> None:
             if key.epoch == epoch:
                 key.asking = False
                 done(key, round_, ok)
 
-        Round(self.node, self._voter.voters, message, self.node.params.ask_ms, ended)
+        QuorumRound(self.node, self._voter.voters, message, self.node.settings.ask_ms, ended)
 
     def _prepare(self, key: KeyState) -> None:
         key.state = State.PREPARING
@@ -200,7 +200,7 @@
             self._prepared,
         )
 
-    def _prepared(self, key: KeyState, round_: Round, ok: bool) -> None:
+    def _prepared(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
         self._note(key, round_)
         if not ok:
             self._lose(key)
@@ -212,7 +212,7 @@
         else:
             self._accept(key, key.value, self._refinished)
 
-    def _refinished(self, key: KeyState, round_: Round, ok: bool) -> None:
+    def _refinished(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
         self._note(key, round_)
         if not ok:
             self._lose(key)
@@ -228,14 +228,14 @@
             return
         self._apply(key, round_)
 
-    def _confirmed(self, key: KeyState, round_: Round, ok: bool) -> None:
+    def _confirmed(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
         self._note(key, round_)
         if ok:
             self._apply(key, round_)
         else:
             self._lose(key)
 
-    def _apply(self, key: KeyState, round_: Round) -> None:
+    def _apply(self, key: KeyState, round_: QuorumRound) -> None:
         """Execute the first operation, now that ownership was confirmed after it was submitted."""
         if not key.ops:
             return
@@ -266,7 +266,7 @@
             self._accept(key, fresh, lambda k, round_, ok: self._changed(k, fresh, round_, ok))
 
     def _accept(
-        self, key: KeyState, value: Value, done: Callable[[KeyState, Round, bool], None]
+        self, key: KeyState, value: Value, done: Callable[[KeyState, QuorumRound, bool], None]
     ) -> None:
         self._round(
             key,
@@ -280,7 +280,7 @@
             done,
         )
 
-    def _changed(self, key: KeyState, fresh: Value, round_: Round, ok: bool) -> None:
+    def _changed(self, key: KeyState, fresh: Value, round_: QuorumRound, ok: bool) -> None:
         self._note(key, round_)
         if not ok:
             self._lose(key)
@@ -297,7 +297,7 @@
         self._publish(key)
         self._finish(key, Outcome.OK, "", fresh.version)
 
-    def _renewed(self, key: KeyState, round_: Round, ok: bool) -> None:
+    def _renewed(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
         self._note(key, round_)
         if ok:
             self._finish(key, Outcome.OK, "")
@@ -313,7 +313,7 @@
             self.node.env.log("key-lost", key=key.name, epoch=key.epoch, seen=key.seen_epoch)
         key.state = State.UNOWNED
 
-    def _note(self, key: KeyState, round_: Round) -> None:
+    def _note(self, key: KeyState, round_: QuorumRound) -> None:
         for vote in round_.replies.values():
             key.seen_epoch = max(key.seen_epoch, vote.promised_epoch)
             if vote.list_body and json.loads(vote.list_body)["number"] > self._voter.list_number:
@@ -321,7 +321,7 @@
             elif vote.reason == "behind":
                 address = self._voter.voters.get(vote.identity)
                 if address:
-                    self.node.post(address, Founded(list_body=self._voter.meta.list_body))
+                    self.node.post(address, VoterListDecided(list_body=self._voter.meta.list_body))
 
     def _publish(self, key: KeyState) -> None:
         key.changed_ms = self.node.env.now()
@@ -340,7 +340,7 @@
         op = key.ops.pop(0)
         value = key.value or blank_value()
         known = outcome in (Outcome.OK, Outcome.LOST)
-        receipt = Changed(
+        receipt = ChangeResult(
             outcome=outcome,
             version=(version or value.version) if known else 0,
             body=value.body if known else "",
--- a/libs/control_store/src/control_store/key_states.py
+++ b/libs/control_store/src/control_store/key_states.py
@@ -6,11 +6,11 @@
 
 from messaging import decode
 
-from control_store.messages import Change, Changed, FindChange, ReadKey, Value
+from control_store.messages import Change, ChangeResult, FindChange, ReadKey, Value
 
 __all__ = ["Done", "KeyState", "Operation", "Renew", "State", "blank_value", "newest"]
 
-Done = Callable[[Changed], None]
+Done = Callable[[ChangeResult], None]
 
 
 class State(StrEnum):
--- a/libs/control_store/src/control_store/messages.py
+++ b/libs/control_store/src/control_store/messages.py
@@ -13,22 +13,22 @@
 __all__ = [
     "Accept",
     "Change",
-    "Changed",
+    "ChangeResult",
     "Confirm",
     "FindChange",
-    "Found",
-    "FoundVote",
-    "Founded",
-    "KeyList",
-    "KeyRow",
+    "BootstrapRequest",
+    "BootstrapVote",
+    "VoterListDecided",
+    "ListKeysResponse",
+    "RegisterRecord",
     "ListKeys",
     "NO_BASE",
     "Outcome",
     "Prepare",
     "ReadKey",
     "Value",
-    "Voted",
-    "VoterMeta",
+    "Vote",
+    "AcceptorMetadata",
 ]
 
 
@@ -100,7 +100,7 @@
     list_number: int
 
 
-class Voted(Message):
+class Vote(Message, wire_name="Voted"):
     """A voter's reply to Prepare, Accept or Confirm.
 
     `reason` is empty if `ok`; otherwise "epoch" (a higher ballot was promised), "list" (the asker's
@@ -121,7 +121,7 @@
     list_body: str
 
 
-class KeyRow(Message):
+class RegisterRecord(Message, wire_name="KeyRow"):
     """One record of a voter's log: the register of a key after a vote.
 
     `flushed_bytes` is the length of the log known to be flushed when the record was written; 0 in a
@@ -143,7 +143,7 @@
     list_number: int
 
 
-class KeyList(Message):
+class ListKeysResponse(Message, wire_name="KeyList"):
     """Reply to ListKeys; `ok` only if both sides use the same list of voters."""
 
     identity: str
@@ -151,7 +151,7 @@
     keys: list[str]
 
 
-class VoterMeta(Message):
+class AcceptorMetadata(Message, wire_name="VoterMeta"):
     """A voter's durable identity, its vote for the first list of voters, and its present list."""
 
     identity: str
@@ -159,13 +159,13 @@
     list_body: str
 
 
-class Found(Message):
+class BootstrapRequest(Message, wire_name="Found"):
     """Asks a blank node to vote for `members` (JSON rows) as the first list of voters."""
 
     members: str
 
 
-class FoundVote(Message):
+class BootstrapVote(Message, wire_name="FoundVote"):
     """Reply to Found; `list_body` is the node's list of voters if it already has one."""
 
     identity: str
@@ -173,7 +173,7 @@
     list_body: str
 
 
-class Founded(Message):
+class VoterListDecided(Message, wire_name="Founded"):
     """Announces a list of voters, as JSON, to a node on it."""
 
     list_body: str
@@ -222,7 +222,7 @@
     hops: int
 
 
-class Changed(Message):
+class ChangeResult(Message, wire_name="Changed"):
     """The owner's reply to Change, FindChange and ReadKey.
 
     `outcome` is a value of `Outcome`. `version` and `body` are 0 and empty unless the outcome is OK
--- a/libs/control_store/src/control_store/confirmations.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from config_feed.confirmations import CONFIRMERS
+from config_feed.version_tracker import CONFIRMERS
 
+from control_store.acceptor import Acceptor
 from control_store.key_states import Done
-from control_store.messages import Changed, Outcome
-from control_store.voter import Voter
+from control_store.messages import ChangeResult, Outcome
 
-__all__ = ["CONFIRMED_KEYS", "Confirmations"]
+__all__ = ["CONFIRMED_KEYS", "PendingAcknowledgements"]
 
 CONFIRMED_KEYS = ("profiles",)
 
 
-def _in_doubt(version: int) -> Changed:
-    return Changed(
+def _in_doubt(version: int) -> ChangeResult:
+    return ChangeResult(
         outcome=Outcome.DOUBT,
         version=0,
         body="",
@@ -32,19 +32,19 @@
 
     __slots__ = ("done", "due_ms", "key", "receipt")
 
-    def __init__(self, key: str, receipt: Changed, due_ms: int, done: Done) -> None:
+    def __init__(self, key: str, receipt: ChangeResult, due_ms: int, done: Done) -> None:
         self.key = key
         self.receipt = receipt
         self.due_ms = due_ms
         self.done = done
 
 
-class Confirmations:
+class PendingAcknowledgements:
     """Holds back the replies to changes until their versions are in force."""
 
     __slots__ = ("_config_feed", "_node", "_voter", "_waiting")
 
-    def __init__(self, voter: Voter, config_feed: ConfigFeed) -> None:
+    def __init__(self, voter: Acceptor, config_feed: ConfigFeed) -> None:
         self._voter = voter
         self._config_feed = config_feed
         self._node: Any = None
@@ -54,16 +54,16 @@
         """Set the node, which gives the clock and the settings."""
         self._node = node
 
-    def wait(self, key: str, receipt: Changed, changed_ms: int, done: Done) -> None:
+    def wait(self, key: str, receipt: ChangeResult, changed_ms: int, done: Done) -> None:
         """Call `done` with `receipt` once its version is in force, or with DOUBT after a timeout.
 
         `changed_ms` is when the owner published the key's newest value, in ms of the node's clock.
         """
-        params = self._node.params
+        settings = self._node.settings
         due_ms = (
-            changed_ms + params.edges_ms
-            if params.cut_off == "serve"
-            else self._node.env.now() + params.confirm_ms
+            changed_ms + settings.edges_ms
+            if settings.cut_off == "serve"
+            else self._node.env.now() + settings.confirm_ms
         )
         self._waiting.append(_Waiting(key, receipt, due_ms, done))
         self.check()
@@ -80,23 +80,23 @@
         version, and nodes that have not learned it from them in time count as disconnected. A
         version that is only on the voters' disks is published after the next ballot.
         """
-        now_ms, params, config_feed = self._node.env.now(), self._node.params, self._config_feed
+        now_ms, settings, config_feed = self._node.env.now(), self._node.settings, self._config_feed
         waiting, self._waiting = self._waiting, []
         for change in waiting:
             name, version, due_ms = change.key, change.receipt.version, change.due_ms
-            serves = params.cut_off == "serve"
+            serves = settings.cut_off == "serve"
             most = (
                 self._handed_out(name, version)
                 if serves
-                else config_feed.most_confirm(name, version, params.confirm_ms)
+                else config_feed.most_confirm(name, version, settings.confirm_ms)
             )
-            within_ms = params.dead_ms if serves else params.confirm_ms
+            within_ms = settings.dead_ms if serves else settings.confirm_ms
             if most and (
                 now_ms >= due_ms
                 or config_feed.all_confirm(name, version, CONFIRMERS[name], within_ms)
             ):
                 change.done(change.receipt)
-            elif now_ms >= due_ms + 2 * params.ask_ms:
+            elif now_ms >= due_ms + 2 * settings.ask_ms:
                 change.done(_in_doubt(version))
             else:
                 self._waiting.append(change)
@@ -104,7 +104,7 @@
     def _handed_out(self, key: str, version: int) -> bool:
         """Whether a majority of the voters publishes the version, this node counted if it votes."""
         config_feed, voters = self._config_feed, self._voter.voters
-        floor_ms = self._node.env.now() - self._node.params.confirm_ms
+        floor_ms = self._node.env.now() - self._node.settings.confirm_ms
         have = {
             identity
             for identity, (_, at_ms, numbers, _) in config_feed.confirmed.items()
--- a/libs/control_store/src/control_store/profiles.py
+++ b/libs/control_store/src/control_store/profiles.py
@@ -14,7 +14,7 @@
 from control_store.defaults import DEFAULTS, OWN_ONLY
 from control_store.routes import RouteIndex, Split
 
-__all__ = ["Profile", "Tree", "explain", "profiles_digest"]
+__all__ = ["Profile", "ProfileTree", "explain", "profiles_digest"]
 
 
 _PLAIN = tuple(
@@ -92,7 +92,7 @@
         return identity in self.identities or bool(self.labels & labels)
 
 
-class Tree:
+class ProfileTree:
     """A tree of profiles, with lookups that are computed once for each tree.
 
     `rows` are the profiles as written, by name; `about` is the operator's own data.
@@ -111,7 +111,7 @@
         self._served: tuple[frozenset, frozenset[str]] | None = None
 
     @classmethod
-    def of_body(cls, body: str) -> "Tree":
+    def of_body(cls, body: str) -> "ProfileTree":
         """Return the tree of a stored JSON body; an empty body is the empty tree."""
         value = json.loads(body) if body else {}
         return cls(value.get("profiles", {}), value.get("about"))
@@ -209,7 +209,7 @@
     return hashlib.blake2b(body.encode(), digest_size=8).hexdigest() if body else ""
 
 
-def explain(tree: Tree, name: str) -> dict[str, Any]:
+def explain(tree: ProfileTree, name: str) -> dict[str, Any]:
     """Return each value of a profile with the profile that it comes from, or "default".
 
     The parts of a map are listed one by one. Returns an empty map for an unknown name.
--- a/libs/control_store/src/control_store/rounds.py
+++ b/libs/control_store/src/control_store/quorum_round.py
@@ -9,10 +9,10 @@
 
 from messaging import Message
 
-__all__ = ["Round"]
+__all__ = ["QuorumRound"]
 
 
-class Round:
+class QuorumRound:
     """Sends `message` to all `voters` (identity to address) and calls `done` with the result once.
 
     `wait_ms` is how long each voter's reply is waited for. `yes` has the replies that agreed and
@@ -27,7 +27,7 @@
         voters: dict[str, str],
         message: Message,
         wait_ms: int,
-        done: Callable[["Round", bool], None],
+        done: Callable[["QuorumRound", bool], None],
         patient: bool = False,
     ) -> None:
         self._patient = patient
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable
 
 from config_feed import ConfigFeed
-from config_feed.confirmations import CONFIRMERS
-from messaging import Part
+from config_feed.version_tracker import CONFIRMERS
+from messaging import Component
 
-from control_store.messages import Changed, ReadKey
-from control_store.owner import Owner
+from control_store.key_owner import KeyOwner
+from control_store.messages import ChangeResult, ReadKey
 
 __all__ = ["ReadBarrier"]
 
 
-class ReadBarrier(Part):
+class ReadBarrier(Component):
     """Tracks whether every key has been re-read since contact with a majority was regained.
 
     `hears_majority` returns whether the node is in contact with a majority of the voters.
@@ -34,7 +34,7 @@
     )
 
     def __init__(
-        self, owner: Owner, config_feed: ConfigFeed, hears_majority: Callable[[], bool]
+        self, owner: KeyOwner, config_feed: ConfigFeed, hears_majority: Callable[[], bool]
     ) -> None:
         self._owner = owner
         self._config_feed = config_feed
@@ -67,21 +67,21 @@
         self._retry_at_ms = -1 << 40
 
     def _read_all(self) -> None:
-        params = self.node.params
+        settings = self.node.settings
         self._attempt += 1
         self._missing = set(CONFIRMERS)
-        self._retry_at_ms = self.node.env.now() + params.ask_ms
+        self._retry_at_ms = self.node.env.now() + settings.ask_ms
         for key in CONFIRMERS:
             self._read(key, self._attempt)
 
     def _read(self, key: str, attempt: int) -> None:
-        def answered(receipt: Changed) -> None:
+        def answered(receipt: ChangeResult) -> None:
             if attempt == self._attempt and receipt.outcome == "ok":
                 self._take(key, receipt)
 
         self._owner.submit(ReadKey(key=key, hops=0), answered)
 
-    def _take(self, key: str, receipt: Changed) -> None:
+    def _take(self, key: str, receipt: ChangeResult) -> None:
         if receipt.version:
             self._config_feed.publish(key, receipt.version, receipt.body)
         self._missing.discard(key)
--- a/libs/control_store/src/control_store/roll.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -11,16 +11,16 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from config_feed.confirmations import LEAST, ROLL_KEY
-from messaging import Part
+from config_feed.version_tracker import LEAST, ROLL_KEY
+from messaging import Component
 
+from control_store.key_owner import KeyOwner
 from control_store.messages import Change, ReadKey
-from control_store.owner import Owner
 
-__all__ = ["Roll"]
+__all__ = ["ServingSet"]
 
 
-class Roll(Part):
+class ServingSet(Component):
     """Keeps the roster in step with the edges and stores that are live.
 
     `steward` returns whether this node is the coordinator of membership changes.
@@ -28,7 +28,7 @@
 
     __slots__ = ("_busy", "_config_feed", "_next_ms", "_owner", "_steward")
 
-    def __init__(self, owner: Owner, config_feed: ConfigFeed, steward: Any) -> None:
+    def __init__(self, owner: KeyOwner, config_feed: ConfigFeed, steward: Any) -> None:
         self._owner = owner
         self._config_feed = config_feed
         self._steward = steward
@@ -37,14 +37,14 @@
 
     def tick(self) -> None:
         """Propose the next roster if this node is the coordinator and a change is due."""
-        if self.node.params.cut_off == "serve":
+        if self.node.settings.cut_off == "serve":
             return
         now_ms = self.node.env.now()
         if self._next_ms < 0:
-            self._next_ms = now_ms + self.node.params.dead_ms
+            self._next_ms = now_ms + self.node.settings.dead_ms
         if now_ms < self._next_ms or self._busy:
             return
-        self._next_ms = now_ms + self.node.params.beat_ms
+        self._next_ms = now_ms + self.node.settings.beat_ms
         if not self._steward():
             return
         links = self._following()
@@ -52,20 +52,22 @@
             self._change(links)
 
     def _following(self) -> list[str] | None:
-        params, config_feed = self.node.params, self._config_feed
+        settings, config_feed = self.node.settings, self._config_feed
         held = config_feed.roll()
-        heard = config_feed.heard_links(params.dead_ms)
+        heard = config_feed.heard_links(settings.dead_ms)
         if not held:
             return sorted(heard) or None
         fresh = sorted(heard - held)[:1]
         gone = (
-            sorted(held - config_feed.heard_links(params.gone_ms))[:1]
-            if config_feed.listened(params.gone_ms)
+            sorted(held - config_feed.heard_links(settings.gone_ms))[:1]
+            if config_feed.listened(settings.gone_ms)
             else []
         )
         if not config_feed.binding:
             return self._begun(held, heard, fresh, gone)
-        if not config_feed.most_confirm(ROLL_KEY, config_feed.number(ROLL_KEY), params.confirm_ms):
+        if not config_feed.most_confirm(
+            ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirm_ms
+        ):
             return None
         if fresh:
             return sorted({*held, *fresh})
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -11,8 +11,8 @@
 
 from config_feed import ConfigFeed
 
-from control_store.messages import Change, Changed, ReadKey
-from control_store.owner import Owner
+from control_store.key_owner import KeyOwner
+from control_store.messages import Change, ChangeResult, ReadKey
 from control_store.worker_rows import WORKERS_KEY, WorkerReport, apply_reports, empty_list
 
 __all__ = ["Done", "Wait", "WorkerChanges"]
@@ -57,7 +57,7 @@
         "value",
     )
 
-    def __init__(self, owner: Owner, config_feed: ConfigFeed) -> None:
+    def __init__(self, owner: KeyOwner, config_feed: ConfigFeed) -> None:
         self._owner = owner
         self._config_feed = config_feed
         self.node: Any = None
@@ -88,7 +88,7 @@
         """Process a drain or an end: `done` gets "ok" once it is in force, or "doubt"."""
         self._gather(report)
         self._waits.append(
-            Wait(report.identity, self.node.env.now() + self.node.params.answer_ms, done)
+            Wait(report.identity, self.node.env.now() + self.node.settings.answer_ms, done)
         )
 
     def _gather(self, report: WorkerReport) -> None:
@@ -139,7 +139,7 @@
         reports: dict[str, WorkerReport],
         waits: list[Wait],
         changed: list[str],
-        receipt: Changed,
+        receipt: ChangeResult,
     ) -> None:
         if receipt.outcome != "ok":
             self._reread(reports, waits)
@@ -152,7 +152,7 @@
         self._finish_change(waits)
 
     def _reread(self, reports: dict[str, WorkerReport], waits: list[Wait]) -> None:
-        def told(receipt: Changed) -> None:
+        def told(receipt: ChangeResult) -> None:
             if receipt.outcome == "ok":
                 self._config_feed.publish(WORKERS_KEY, receipt.version, receipt.body)
                 self._attempt(reports, waits, receipt.version)
@@ -174,16 +174,16 @@
         self._check_waits()
 
     def _check_waits(self) -> None:
-        now_ms, params = self.node.env.now(), self.node.params
+        now_ms, settings = self.node.env.now(), self.node.settings
         for wait in self._waits:
             version, at_ms = self._changed_at.get(wait.identity, (0, 0))
             if (
                 version
                 and wait.identity not in self._reports
                 and (
-                    now_ms - at_ms >= params.edges_ms
+                    now_ms - at_ms >= settings.edges_ms
                     or self._config_feed.all_confirm(
-                        WORKERS_KEY, version, ("edge",), params.confirm_ms
+                        WORKERS_KEY, version, ("edge",), settings.confirm_ms
                     )
                 )
             ):
@@ -197,7 +197,7 @@
 
         Done only by a node that has owned the key, running and in contact, for that long itself.
         """
-        silent_ms = self.node.params.silent_ms
+        silent_ms = self.node.settings.silent_ms
         if self._owned_ms < 0 or now_ms - self._owned_ms <= silent_ms:
             return
         for name, row in self.value["workers"].items():
@@ -236,7 +236,7 @@
         if (
             self._reports
             and not self._busy
-            and now_ms - self._first_ms >= self.node.params.batch_ms
+            and now_ms - self._first_ms >= self.node.settings.batch_ms
         ):
             self._change()
         self._check_waits()
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from config_feed import ConfigFeed
-from messaging import Message, Origin, Part, decode, encode
+from messaging import Component, Message, Origin, decode, encode
 
-from control_store.owner import Owner
-from control_store.voter import Voter
+from control_store.acceptor import Acceptor
+from control_store.key_owner import KeyOwner
 from control_store.worker_changes import Done, Wait, WorkerChanges
 from control_store.worker_rows import WORKERS_KEY, WorkerReport, same_row
 
@@ -21,7 +21,7 @@
 _FINAL = 1 << 62
 
 
-class WorkersHeard(Message):
+class WorkerHeartbeats(Message, wire_name="WorkersHeard"):
     """What a control node sends the key's owner each period.
 
     `identities` are the workers that sent heartbeats since the last message, and `reports` encoded
@@ -32,19 +32,19 @@
     reports: list[bytes]
 
 
-class WorkerLeaves(Message):
+class WorkerLeft(Message, wire_name="WorkerLeaves"):
     """Passes a worker's report that it drains or ends, encoded, to the key's owner."""
 
     report: bytes
 
 
-class WorkerNoted(Message):
-    """Reply to WorkersHeard and WorkerLeaves; `ok` if the replying node owns the key."""
+class WorkerReportAck(Message, wire_name="WorkerNoted"):
+    """Reply to WorkerHeartbeats and WorkerLeft; `ok` if the replying node owns the key."""
 
     ok: bool
 
 
-class WorkerList(Part):
+class WorkerList(Component):
     """Receives workers' reports at a control node and forwards them to the key's owner."""
 
     __slots__ = (
@@ -59,10 +59,10 @@
         "_sure",
         "_voter",
     )
-    HANDLES = (WorkersHeard, WorkerLeaves)
+    HANDLES = (WorkerHeartbeats, WorkerLeft)
 
     def __init__(
-        self, voter: Voter, owner: Owner, config_feed: ConfigFeed, sure: Callable[[], bool]
+        self, voter: Acceptor, owner: KeyOwner, config_feed: ConfigFeed, sure: Callable[[], bool]
     ) -> None:
         """Create the part; `sure` returns whether the node is in contact with a majority."""
         self._voter = voter
@@ -121,7 +121,7 @@
         if name not in self._changes.value["ended"] and (row is None or not same_row(row, report)):
             self._pending[name] = report
             self._sent_ms = min(
-                self._sent_ms, now_ms - self._period_ms() + self.node.params.batch_ms
+                self._sent_ms, now_ms - self._period_ms() + self.node.settings.batch_ms
             )
         done("ok" if self._in_touch() else "refused")
 
@@ -139,7 +139,7 @@
         return self._voter.voters.get(self._owner.owner_of(WORKERS_KEY) or "")
 
     def _period_ms(self) -> int:
-        return self.node.params.worker_beat_ms // 2
+        return self.node.settings.worker_beat_ms // 2
 
     def _leave(self, report: WorkerReport, done: Done) -> None:
         self._pending.pop(report.identity, None)
@@ -147,15 +147,15 @@
         if not self._sure() or address is None:
             done("refused")
             return
-        wait = Wait(report.identity, self.node.env.now() + self.node.params.answer_ms, done)
+        wait = Wait(report.identity, self.node.env.now() + self.node.settings.answer_ms, done)
         self._calls.append(wait)
         if self._mine():
             self._changes.leave(report, wait.finish)
         else:
             self.node.ask(
                 address,
-                WorkerLeaves(report=encode(report)),
-                self.node.params.answer_ms,
+                WorkerLeft(report=encode(report)),
+                self.node.settings.answer_ms,
                 lambda receipt: wait.finish(
                     "ok" if receipt is not None and receipt.ok else "doubt"
                 ),
@@ -170,7 +170,7 @@
             name for name, report in self._pending.items() if self._settled(report, now_ms)
         ]:
             del self._pending[name]
-        message = WorkersHeard(
+        message = WorkerHeartbeats(
             identities=heard, reports=[encode(report) for report in self._pending.values()]
         )
         address = self._owner_address()
@@ -183,7 +183,7 @@
             )
 
     def _forget(self, now_ms: int) -> None:
-        floor_ms = now_ms - 2 * self.node.params.resume_ms - self.node.params.silent_ms
+        floor_ms = now_ms - 2 * self.node.settings.resume_ms - self.node.settings.silent_ms
         for name in [name for name, at_ms in self._heard_ms.items() if at_ms < floor_ms]:
             del self._heard_ms[name]
             self._seqs.pop(name, None)
@@ -200,7 +200,7 @@
         return (
             name in self._changes.value["ended"]
             or (row is not None and (row["seq"] >= report.seq or same_row(row, report)))
-            or now_ms - self._heard_ms.get(name, now_ms) > self.node.params.silent_ms
+            or now_ms - self._heard_ms.get(name, now_ms) > self.node.settings.silent_ms
         )
 
     # -- the key's owner -----------------------------------------------------------------------
@@ -211,22 +211,22 @@
         raise TypeError(type(message).__name__)
 
     @receive.register
-    def _(self, message: WorkersHeard, origin: Origin) -> None:
+    def _(self, message: WorkerHeartbeats, origin: Origin) -> None:
         if self._mine():
             self._take_heard(message)
-        self.node.reply(origin, WorkerNoted(ok=self._mine()))
+        self.node.reply(origin, WorkerReportAck(ok=self._mine()))
 
     @receive.register
-    def _(self, message: WorkerLeaves, origin: Origin) -> None:
+    def _(self, message: WorkerLeft, origin: Origin) -> None:
         if not self._mine():
-            self.node.reply(origin, WorkerNoted(ok=False))
+            self.node.reply(origin, WorkerReportAck(ok=False))
             return
         self._changes.leave(
             decode(message.report),
-            lambda outcome: self.node.reply(origin, WorkerNoted(ok=outcome == "ok")),
+            lambda outcome: self.node.reply(origin, WorkerReportAck(ok=outcome == "ok")),
         )
 
-    def _take_heard(self, message: WorkersHeard) -> None:
+    def _take_heard(self, message: WorkerHeartbeats) -> None:
         self._changes.heard(message.identities, map(decode, message.reports))
 
     # -- timers --------------------------------------------------------------------------------
--- a/libs/data_plane/src/data_plane/__init__.py
+++ b/libs/data_plane/src/data_plane/__init__.py
@@ -3,11 +3,11 @@
 Edges serve clients and workers; stores keep the replicated log.
 """
 
-from runtime.lazy import lazy
+from runtime.lazy_exports import lazy_exports
 
 __all__ = ["EdgeNode", "StoreNode"]
 
-__getattr__ = lazy(
+__getattr__ = lazy_exports(
     __name__,
     {
         "nodes": ("EdgeNode", "StoreNode"),
--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -12,11 +12,11 @@
 
 import aiohttp
 from cyclopts import App, Parameter
-from runtime import load_params
+from runtime import load_settings
 
 from data_plane.process import run_process, settings_or_exit
 from data_plane.replay import compare, load_recording, play
-from data_plane.roles import EdgeProcess, StoreProcess
+from data_plane.role_processes import EdgeProcess, StoreProcess
 
 __all__ = ["call", "main", "serve_flags"]
 
@@ -84,8 +84,8 @@
         **serve_flags(link, http, zone, seed, data_folder, control_count, log_level),
         "role": role,
     }
-    params = settings_or_exit(load_params(settings, flags))
-    run_process(EdgeProcess if role == "edge" else StoreProcess, params, settings, flags)
+    checked = settings_or_exit(load_settings(settings, flags))
+    run_process(EdgeProcess if role == "edge" else StoreProcess, checked, settings, flags)
 
 
 async def _call(method: str, url: str, body: Any, headers: dict[str, str] | None) -> int:
--- a/libs/data_plane/src/data_plane/visitors.py
+++ b/libs/data_plane/src/data_plane/client_api.py
@@ -1,6 +1,6 @@
 """The clients' side of an edge over HTTP, for completions and batches of our own interface.
 
-Calls are read and checked, passed to the `Counter`, and the answers are written out. A stream's
+Calls are read and checked, passed to the `EdgeService`, and the answers are written out. A stream's
 events wait in a queue of their own, so a client that reads slowly holds no worker's slot; the
 transaction is told at once of one that hangs up.
 """
@@ -10,28 +10,28 @@
 from typing import Any
 
 from aiohttp import web
-from messaging.shell import awaited
+from messaging.node_runner import awaited
 from request_routing import Step
 from runtime import Refusal, boot_ms, refused
 
-from data_plane.answers import Answer
-from data_plane.calls import LOT_ID, CompletionCall, HandInCall
-from data_plane.counter import Counter
-from data_plane.desk_http import HttpDesk, answer_refusal, read_call, write_answer
+from data_plane.edge_service import EdgeService
+from data_plane.http_service import HttpService, answer_refusal, read_call, write_answer
+from data_plane.request_bodies import LOT_ID, CompletionCall, SubmitJobBody
+from data_plane.responses import Answer
 
-__all__ = ["Visitors"]
+__all__ = ["ClientApi"]
 
 _KEY = re.compile(r"^[\x21-\x7e]{1,255}$")
 _PAGE = 1000
 _END = b"data: [DONE]\n\n"
 
 
-class Visitors:
+class ClientApi:
     """The HTTP routes of completions and batches; `live_now` counts completions in progress."""
 
     __slots__ = ("_counter", "_metrics", "_node", "live_now")
 
-    def __init__(self, node: Any, counter: Counter, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, counter: EdgeService, desk: HttpService) -> None:
         self._node, self._counter, self._metrics = node, counter, desk.metrics
         self.live_now = 0
         router = desk.app.router
@@ -48,7 +48,7 @@
         key = request.headers.get("Idempotency-Key", "")
         if (answer := self._counter.unready(bool(key))) is not None:
             return write_answer(answer)
-        call = await read_call(request, self._node.params.max_body_bytes, CompletionCall)
+        call = await read_call(request, self._node.settings.max_body_bytes, CompletionCall)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         if fault := _live_fault(call, request):
@@ -125,7 +125,7 @@
             return answer_refusal(lot_id)
         if (answer := self._counter.unready(True)) is not None:
             return write_answer(answer)
-        call = await read_call(request, self._node.params.max_body_bytes, HandInCall)
+        call = await read_call(request, self._node.settings.max_body_bytes, SubmitJobBody)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         items = [item.model_dump(exclude_none=True) for item in call.items]
--- a/libs/data_plane/src/data_plane/keys.py
+++ b/libs/data_plane/src/data_plane/control_keys.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from messaging import Env
+from messaging import Environment
 from storage import DamageError
 
 __all__ = [
@@ -21,7 +21,7 @@
 WORKERS_KEY = "workers"
 
 
-def open_or_set_aside(env: Env, disk: Any, make: Any) -> Any:
+def open_or_set_aside(env: Environment, disk: Any, make: Any) -> Any:
     """Return what `make` makes of the disk; a damaged folder is set aside whole first.
 
     The node then goes on as a new, empty identity, which the others bring up to date before it
