--- a/libs/data_plane/src/data_plane/counter.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -9,21 +9,21 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Part
+from messaging import Component
 from request_routing import (
-    Budget,
     Call,
-    Carriage,
-    Carrier,
-    HolderClient,
-    LotRunner,
+    InFlightRequest,
+    JobRunner,
+    LeaderClient,
+    RequestLifecycle,
+    RequestRouter,
+    RetryBudget,
     Step,
-    Transaction,
     prefix_of,
 )
 from runtime import refused
 
-from data_plane.answers import (
+from data_plane.responses import (
     Answer,
     hand_in_answer,
     live_answer,
@@ -32,7 +32,7 @@
     results_answer,
 )
 
-__all__ = ["Counter"]
+__all__ = ["EdgeService"]
 
 _PAGE = 1000
 Told = Callable[[Answer], None]
@@ -42,7 +42,7 @@
     return hashlib.blake2b(json.dumps(value, sort_keys=True).encode(), digest_size=16).hexdigest()
 
 
-class Counter(Part):
+class EdgeService(Component):
     """Serves completions and batches of our own interface.
 
     `tree` gives the profiles in force; `why_unready` why the edge is not ready, or an empty string.
@@ -52,15 +52,15 @@
 
     def __init__(
         self,
-        carrier: Carrier,
-        holder: HolderClient,
-        lots: LotRunner,
+        carrier: RequestRouter,
+        holder: LeaderClient,
+        lots: JobRunner,
         tree: Callable[[], Any],
         why_unready: Callable[[], str],
     ) -> None:
         self._carrier, self._holder, self._lots = carrier, holder, lots
         self._tree, self._why_unready = tree, why_unready
-        self._budgets: dict[str, Budget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
 
     def unready(self, named: bool) -> Answer | None:
         """Return the refusal of an edge that is not ready; `named` as for `not_ready`."""
@@ -82,7 +82,7 @@
         stream: bool,
         sink: Callable[[bytes], None],
         told: Callable[[Step, Answer], None],
-    ) -> Carriage | Answer:
+    ) -> InFlightRequest | Answer:
         """Begin a completion; return its transaction in flight, or an answer given at once.
 
         `sink` gets a stream's events; `told` the last step and the answer, unless the client hung
@@ -91,12 +91,12 @@
         if (answer := self.unready(bool(key)) or self._unknown(path, "model")) is not None:
             return answer
         env = self.node.env
-        tx = Transaction(
+        tx = RequestLifecycle(
             env.token() + env.token(),
             self._tree().usable(path),
             key,
             env.now(),
-            self._budgets.setdefault(path, Budget()),
+            self._budgets.setdefault(path, RetryBudget()),
         )
         call = Call(body, _digest([path, stream, body]), prefix_of(body), False, stream)
 
@@ -127,7 +127,7 @@
             told(answer)
 
         self._holder.ask(
-            m.HandIn(
+            m.SubmitJob(
                 lot_id=lot_id,
                 digest=_digest([path, due_ms, bodies]),
                 path=path,
@@ -137,23 +137,23 @@
                 epoch=0,
                 holder_ms=0,
             ),
-            self.node.params.force_ms,
+            self.node.settings.force_ms,
             done,
         )
 
     def lot(self, lot_id: str, told: Told) -> None:
         """Answer a batch's progress."""
         self._holder.ask(
-            m.ReadLot(lot_id=lot_id),
-            self.node.params.force_ms,
+            m.GetJob(lot_id=lot_id),
+            self.node.settings.force_ms,
             lambda receipt: told(lot_answer(lot_id, receipt)),
         )
 
     def results(self, lot_id: str, from_index: int, limit: int, told: Told) -> None:
         """Answer a page of at most `limit` results, from index `from_index` on."""
         self._holder.ask(
-            m.ReadResults(lot_id=lot_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
-            self.node.params.force_ms,
+            m.ListResults(lot_id=lot_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
+            self.node.settings.force_ms,
             lambda receipt: told(results_answer(lot_id, from_index, receipt)),
         )
 
@@ -170,4 +170,4 @@
             )
             told(lot_answer(lot_id, receipt))
 
-        self._holder.ask(m.EndLot(lot_id=lot_id), self.node.params.force_ms, done)
+        self._holder.ask(m.CancelJob(lot_id=lot_id), self.node.settings.force_ms, done)
--- a/libs/data_plane/src/data_plane/lot_counter.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Part, encode
-from request_routing import HolderClient, LotRunner
+from messaging import Component, encode
+from request_routing import JobRunner, LeaderClient
 
-from data_plane.answers import Answer, ended_answer, item_answer, page_answer, taken_answer
+from data_plane.responses import Answer, ended_answer, item_answer, page_answer, taken_answer
 
-__all__ = ["LotCounter"]
+__all__ = ["ForwardJobService"]
 
 Told = Callable[[Answer], None]
 _PAGE_BYTES = 1 << 19
@@ -31,7 +31,7 @@
     return digest.hexdigest()
 
 
-class LotCounter(Part):
+class ForwardJobService(Component):
     """Serves batches of forwarded requests.
 
     `profiles` gives the number and the tree of the profiles in force here.
@@ -40,13 +40,13 @@
     __slots__ = ("_holder", "_lots", "_profiles")
 
     def __init__(
-        self, holder: HolderClient, lots: LotRunner, profiles: Callable[[], tuple[int, Any]]
+        self, holder: LeaderClient, lots: JobRunner, profiles: Callable[[], tuple[int, Any]]
     ) -> None:
         self._holder, self._lots, self._profiles = holder, lots, profiles
 
     def _patience_ms(self) -> int:
         """Return how long a client may be kept waiting for the leader, beyond what it asked for."""
-        return int(self.node.params.force_ms * _ANSWER_SHARE)
+        return int(self.node.settings.force_ms * _ANSWER_SHARE)
 
     def hand_in(
         self,
@@ -65,7 +65,7 @@
         number, tree = self._profiles()
         profile = tree.usable(path)
         calls = [encode(item) for item in items]
-        message = m.ForwardHandIn(
+        message = m.SubmitForwardJob(
             lot_id=lot_id,
             digest=_digest(path, calls, tokens),
             path=path,
@@ -74,7 +74,7 @@
             calls=calls,
             attempts=profile.attempts or 1,
             due_ms=profile.due_ms or 0,
-            keep_ms=profile.keep_ms or self.node.params.keep_ms,
+            keep_ms=profile.keep_ms or self.node.settings.keep_ms,
             version=number,
             epoch=0,
             holder_ms=0,
@@ -102,9 +102,9 @@
         end_ms = self.node.env.now() + wait_ms
 
         def ask() -> None:
-            held_ms = max(0, min(end_ms - self.node.env.now(), self.node.params.ask_ms))
+            held_ms = max(0, min(end_ms - self.node.env.now(), self.node.settings.ask_ms))
             self._holder.ask(
-                m.ReadPage(
+                m.ListForwardResults(
                     lot_id=lot_id,
                     from_position=from_position,
                     limit_bytes=_PAGE_BYTES,
@@ -131,7 +131,7 @@
     def item(self, lot_id: str, item_id: str, told: Told) -> None:
         """Answer the request that one item makes."""
         self._holder.ask(
-            m.ReadItem(lot_id=lot_id, item_id=item_id),
+            m.GetItem(lot_id=lot_id, item_id=item_id),
             self._patience_ms(),
             lambda receipt: told(item_answer(lot_id, receipt)),
         )
@@ -149,4 +149,4 @@
             )
             told(ended_answer(lot_id, receipt))
 
-        self._holder.ask(m.EndLot(lot_id=lot_id), self._patience_ms(), done)
+        self._holder.ask(m.CancelJob(lot_id=lot_id), self._patience_ms(), done)
--- a/libs/data_plane/src/data_plane/forward_http.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -13,10 +13,10 @@
 from aiohttp import HttpVersion11, web
 from aiohttp.web_protocol import RequestHandler
 from mode import Service
-from request_routing import Carriage, ForwardCall, Step
+from request_routing import ForwardCall, InFlightRequest, Step
 from runtime import Refusal, log, refused
 
-__all__ = ["ForwardDesk", "RequestReader", "answer_of"]
+__all__ = ["ForwardServer", "RequestReader", "answer_of"]
 
 _LINGER_SHARE = 0.45
 _ANNOUNCED_SHARE = 0.8
@@ -111,7 +111,7 @@
         )
 
 
-class ForwardDesk(Service):
+class ForwardServer(Service):
     """Listens for clients, and answers readiness probes on an address of its own.
 
     `readiness` is that address and the path. `lot_routes`, if there is one, is given the requests
@@ -155,7 +155,7 @@
         """
         loop = asyncio.get_running_loop()
         self._stopping_at = loop.time()
-        loop.call_later(self._node.params.grace_ms * _LINGER_SHARE / 1000, self._close_door)
+        loop.call_later(self._node.settings.grace_ms * _LINGER_SHARE / 1000, self._close_door)
 
     def _close_door(self) -> None:
         self._listeners[0].close()
@@ -167,7 +167,7 @@
         if self._stopping_at is None:
             return self.live_now > 0
         waited_ms = (asyncio.get_running_loop().time() - self._stopping_at) * 1000
-        return self.live_now > 0 or waited_ms < self._node.params.grace_ms * _LINGER_SHARE
+        return self.live_now > 0 or waited_ms < self._node.settings.grace_ms * _LINGER_SHARE
 
     # -- requests ------------------------------------------------------------------------------
 
@@ -233,7 +233,7 @@
         return answer_of(refusal)
 
     async def _write(
-        self, request: web.BaseRequest, queue: asyncio.Queue, carriage: Carriage
+        self, request: web.BaseRequest, queue: asyncio.Queue, carriage: InFlightRequest
     ) -> web.StreamResponse:
         response: web.StreamResponse | None = None
         last: Step | None = None
@@ -255,7 +255,9 @@
             request.transport.abort()
         return response
 
-    async def _begin(self, request: web.BaseRequest, carriage: Carriage) -> web.StreamResponse:
+    async def _begin(
+        self, request: web.BaseRequest, carriage: InFlightRequest
+    ) -> web.StreamResponse:
         status, headers, _ = carriage.head
         response = web.StreamResponse(status=status, headers=headers)
         self._prepare(response)
@@ -266,7 +268,7 @@
         self,
         request: web.BaseRequest,
         response: web.StreamResponse | None,
-        carriage: Carriage,
+        carriage: InFlightRequest,
         last: Step,
     ) -> web.StreamResponse:
         status, body = last.value
--- a/libs/data_plane/src/data_plane/forwards.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -7,22 +7,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from messaging import Part
-from request_routing import Carriage, Carrier, ForwardCall, ForwardTransaction, Step
+from messaging import Component
+from request_routing import ForwardCall, ForwardLifecycle, InFlightRequest, RequestRouter, Step
 from runtime import refused
 
-__all__ = ["ForwardCounter"]
+__all__ = ["ForwardService"]
 
 _MOST_MS = 600_000
 
 
-class ForwardCounter(Part):
+class ForwardService(Component):
     """Routes requests and begins their transactions."""
 
     __slots__ = ("_carrier", "_tree", "_why_unready")
 
     def __init__(
-        self, carrier: Carrier, tree: Callable[[], Any], why_unready: Callable[[], str]
+        self, carrier: RequestRouter, tree: Callable[[], Any], why_unready: Callable[[], str]
     ) -> None:
         self._carrier, self._tree, self._why_unready = carrier, tree, why_unready
 
@@ -38,7 +38,7 @@
         """
         tree = self._tree()
         if reason := self._why_unready():
-            return refused("not-ready", reason, 503, self.node.params.dead_ms)
+            return refused("not-ready", reason, 503, self.node.settings.dead_ms)
         profile = tree.route(host, target.partition("?")[0])
         return (
             refused("no-route", "no route has this host and path", 404)
@@ -53,7 +53,7 @@
         client_ms: int | None,
         sink: Callable[[bytes], None],
         told: Callable[[Step], None],
-    ) -> Carriage:
+    ) -> InFlightRequest:
         """Begin a request and return its transaction in flight.
 
         `client_ms` is how many milliseconds the client says it waits; `sink` gets the answer's
@@ -61,7 +61,7 @@
         """
         now_ms = self.node.env.now()
         allowed_ms = min(profile.give_up_ms, client_ms if client_ms is not None else _MOST_MS)
-        tx = ForwardTransaction(
+        tx = ForwardLifecycle(
             self.node.env.token(), profile, now_ms, now_ms + allowed_ms, resumable=call.resumable
         )
 
--- a/libs/data_plane/src/data_plane/desk_http.py
+++ b/libs/data_plane/src/data_plane/http_service.py
@@ -13,11 +13,11 @@
 from mode import Service
 from runtime import Refusal, doubtful, log, refused
 
-from data_plane.answers import Answer
-from data_plane.calls import parse
 from data_plane.metrics import CONTENT_TYPE, Metrics
+from data_plane.request_bodies import parse
+from data_plane.responses import Answer
 
-__all__ = ["HttpDesk", "answer_refusal", "json_answer", "read_call", "write_answer"]
+__all__ = ["HttpService", "answer_refusal", "json_answer", "read_call", "write_answer"]
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -95,7 +95,7 @@
         return answer_refusal(doubtful("internal", "the request could not be completed", 1000))
 
 
-class HttpDesk(Service):
+class HttpService(Service):
     """The HTTP server of a process.
 
     `why_unready`, `status` and `metrics` come from the process; others add their routes to `app`.
--- a/libs/data_plane/src/data_plane/nodes.py
+++ b/libs/data_plane/src/data_plane/nodes.py
@@ -7,20 +7,25 @@
 import json
 from typing import Any
 
-from batch_state import Desk
+from batch_state import BatchService
 from batch_state import messages as m
-from capacity_sharing import Borrowing, LentWorkers, LotOutlook
+from capacity_sharing import Borrowing, JobOutlook, LentWorkers
 from config_feed import ConfigFeed, candidates
-from control_store import ControlClient, Tree, profiles_digest
-from membership import Neighbours, duty_order
-from messaging import Env, Node
-from replicated_log import LocalLog, Mending, StoreLog
-from request_routing import Carrier, HolderClient, Items, LotRunner, Readings, Roster
+from control_store import ControlClient, ProfileTree, profiles_digest
+from membership import Membership, duty_order
+from messaging import Environment, Node
+from replicated_log import ArchiveRepair, LocalLog, LogReplica
+from request_routing import (
+    ItemExecutor,
+    JobRunner,
+    LeaderClient,
+    PrefillTracker,
+    RequestRouter,
+    WorkerRegistry,
+)
 from storage import Disk
 
-from data_plane.counter import Counter
-from data_plane.forwards import ForwardCounter
-from data_plane.keys import (
+from data_plane.control_keys import (
     CONTROL_KEY,
     LOG_KEY,
     PROFILES_KEY,
@@ -28,7 +33,9 @@
     WORKERS_KEY,
     open_or_set_aside,
 )
-from data_plane.lot_counter import LotCounter
+from data_plane.edge_service import EdgeService
+from data_plane.forward_job_service import ForwardJobService
+from data_plane.forward_service import ForwardService
 from data_plane.rollouts import RolloutCounter
 
 _FEW_EDGES = 12
@@ -42,7 +49,7 @@
     __slots__ = ("_tree", "_tree_number", "config_feed", "neighbours", "tree_digest")
 
     def _common(self, identity: str) -> None:
-        self.neighbours = Neighbours(identity)
+        self.neighbours = Membership(identity)
         self.config_feed = ConfigFeed(
             identity,
             lambda: [card.address for card in self.neighbours.view()],
@@ -50,9 +57,9 @@
         )
         self.neighbours.wanted = self._wanted
         self.config_feed.candidates = lambda: candidates(
-            self.config_feed.value(CONTROL_KEY), self.neighbours, self.params.gone_ms
+            self.config_feed.value(CONTROL_KEY), self.neighbours, self.settings.gone_ms
         )
-        self._tree = Tree({})
+        self._tree = ProfileTree({})
         self._tree_number = 0
         self.tree_digest = ""
 
@@ -60,16 +67,16 @@
         value = self.config_feed.value(CONTROL_KEY)
         if value:
             return [row["address"] for row in value["voters"]]
-        return [card.address for card in self.neighbours.of_role("control", self.params.gone_ms)]
+        return [card.address for card in self.neighbours.of_role("control", self.settings.gone_ms)]
 
     def _wanted(self) -> list[str]:
         return self._control_addresses()
 
-    def tree(self) -> Tree:
+    def tree(self) -> ProfileTree:
         """Return the profiles in force, parsed again when the feed has newer ones."""
         number = self.config_feed.number(PROFILES_KEY)
         if number != self._tree_number:
-            self._tree = Tree.of_body(self.config_feed.body(PROFILES_KEY))
+            self._tree = ProfileTree.of_body(self.config_feed.body(PROFILES_KEY))
             self._tree_number = number
             self.tree_digest = profiles_digest(self.config_feed.body(PROFILES_KEY))
         return self._tree
@@ -80,25 +87,25 @@
 
     __slots__ = ("_started_ms", "control", "desk", "disk", "log", "mending")
 
-    def __init__(self, env: Env, params: Any, disk: Disk) -> None:
-        self.env, self.params, self.disk = env, params, disk
-        local = open_or_set_aside(env, disk, lambda: LocalLog(disk, params, env.now, env.token))
+    def __init__(self, env: Environment, settings: Any, disk: Disk) -> None:
+        self.env, self.settings, self.disk = env, settings, disk
+        local = open_or_set_aside(env, disk, lambda: LocalLog(disk, settings, env.now, env.token))
         self._common(local.identity)
         self._started_ms = env.now()
         self.control = ControlClient(self._control_addresses, self._key_owners)
-        self.desk = Desk(
+        self.desk = BatchService(
             lambda: (self.config_feed.number(PROFILES_KEY), self.tree()),
             self._who_holds,
             lambda: self.log.log.ledger,
         )
-        self.log = StoreLog(local, self.control, self, self.desk.take_holder)
-        self.mending = Mending(local, self._other_members)
-        self.desk.make_outlook = lambda: LotOutlook(params.dead_ms)
+        self.log = LogReplica(local, self.control, self, self.desk.take_holder)
+        self.mending = ArchiveRepair(local, self._other_members)
+        self.desk.make_outlook = lambda: JobOutlook(settings.dead_ms)
         self.desk.shelves, self.desk.mend = local.shelves, self.mending.mend
         local.shelves.on_shelved = self._shelved
         super().__init__(
             env,
-            params,
+            settings,
             [self.neighbours, self.config_feed, self.control, self.log, self.desk, self.mending],
         )
 
@@ -133,12 +140,12 @@
         """Return the addresses of the other live stores by identity."""
         return {
             card.identity: card.address
-            for card in self.neighbours.of_role("store", self.params.dead_ms)
+            for card in self.neighbours.of_role("store", self.settings.dead_ms)
         }
 
     def store_rows(self) -> list[dict[str, str]]:
         """Return the live stores, this one among them, ordered by identity."""
-        cards = [self.neighbours.card(), *self.neighbours.of_role("store", self.params.dead_ms)]
+        cards = [self.neighbours.card(), *self.neighbours.of_role("store", self.settings.dead_ms)]
         return sorted(
             (
                 {"identity": card.identity, "address": card.address, "zone": card.zone}
@@ -159,8 +166,8 @@
         """Whether it is up long enough to know who lives, and in touch with a control majority."""
         now_ms = self.env.now()
         return (
-            now_ms - self._started_ms > self.params.dead_ms
-            and now_ms - self.config_feed.quorate_ms < self.params.dead_ms
+            now_ms - self._started_ms > self.settings.dead_ms
+            and now_ms - self.config_feed.quorate_ms < self.settings.dead_ms
         )
 
     def learned(self, number: int, body: str) -> None:
@@ -211,35 +218,39 @@
         "stopping",
     )
 
-    def __init__(self, env: Env, params: Any, sender: Any) -> None:
-        self.env, self.params = env, params
+    def __init__(self, env: Environment, settings: Any, sender: Any) -> None:
+        self.env, self.settings = env, settings
         identity = f"edge-{env.token()}"
         self._common(identity)
         self._started_ms = env.now()
         self._caught_up = False
         self._was_quorate = False
         self.stopping = False
-        self.holder = HolderClient(
+        self.holder = LeaderClient(
             lambda: self.config_feed.body(LOG_KEY),
-            lambda: [card.address for card in self.neighbours.of_role("store", params.gone_ms)],
+            lambda: [card.address for card in self.neighbours.of_role("store", settings.gone_ms)],
         )
-        self.roster = Roster(
+        self.roster = WorkerRegistry(
             lambda: [card.address for card in self.neighbours.view() if card.role == "edge"],
             lambda identity, labels: self.tree().allows_worker(identity, labels),
             self._listed,
         )
-        self.carrier = Carrier(identity, self.holder, self.roster, self.tree, sender, self._edges)
-        self.readings = self.carrier.readings = Readings(self._sharing)
-        self.items = Items(self.carrier, self.roster, self.tree, self.why_unready, self._edges)
+        self.carrier = RequestRouter(
+            identity, self.holder, self.roster, self.tree, sender, self._edges
+        )
+        self.readings = self.carrier.readings = PrefillTracker(self._sharing)
+        self.items = ItemExecutor(
+            self.carrier, self.roster, self.tree, self.why_unready, self._edges
+        )
         self.borrowing = Borrowing(
             identity, self.carrier, self.roster, self.tree, self.why_unready, self._fellow_edges
         )
-        self.lots = LotRunner(
+        self.lots = JobRunner(
             identity,
             self.holder,
             self.items.room,
             lambda work, done: (
-                self.borrowing if isinstance(work, m.RolloutWork) else self.items
+                self.borrowing if isinstance(work, m.RolloutAssignment) else self.items
             ).start(work, done),
         )
         self.lots.samples = self.borrowing
@@ -253,16 +264,18 @@
             lambda: [*self._control_addresses(), *(address for _, address in self._fellow_edges())],
         )
         self.borrowing.live_peak = self.lent.live_peak
-        self.counter = Counter(self.carrier, self.holder, self.lots, self.tree, self.why_unready)
+        self.counter = EdgeService(
+            self.carrier, self.holder, self.lots, self.tree, self.why_unready
+        )
         self.rollouts = RolloutCounter(self.counter, self.holder, self.lots, self.tree)
-        self.forwards = ForwardCounter(self.carrier, self.tree, self._why_unsure)
-        self.lot_counter = LotCounter(
+        self.forwards = ForwardService(self.carrier, self.tree, self._why_unsure)
+        self.lot_counter = ForwardJobService(
             self.holder, self.lots, lambda: (self.config_feed.number(PROFILES_KEY), self.tree())
         )
         self.neighbours.ready = self.config_feed.sure = lambda: not self.why_unready()
         super().__init__(
             env,
-            params,
+            settings,
             [
                 self.neighbours,
                 self.config_feed,
@@ -287,7 +300,7 @@
     def _fellow_edges(self) -> list[tuple[str, str]]:
         return [
             (card.identity, card.address)
-            for card in self.neighbours.of_role("edge", self.params.dead_ms)
+            for card in self.neighbours.of_role("edge", self.settings.dead_ms)
         ]
 
     def _sharing(self) -> list[str]:
@@ -296,13 +309,13 @@
         Those are all of a small fleet, else those of this zone, which chooses workers near it
         first.
         """
-        cards = self.neighbours.of_role("edge", self.params.gone_ms)
-        near = [card.address for card in cards if card.zone == self.params.zone]
+        cards = self.neighbours.of_role("edge", self.settings.gone_ms)
+        near = [card.address for card in cards if card.zone == self.settings.zone]
         return near if len(cards) > _FEW_EDGES else [card.address for card in cards]
 
     def _edges(self) -> int:
         return self.config_feed.edge_count() or 1 + len(
-            self.neighbours.of_role("edge", self.params.dead_ms)
+            self.neighbours.of_role("edge", self.settings.dead_ms)
         )
 
     def why_unready(self) -> str:
@@ -316,13 +329,13 @@
     def _why_unsure(self) -> str:
         """Return why it can't know that its profiles are in force."""
         now_ms = self.env.now()
-        if self.params.cut_off == "serve":
+        if self.settings.cut_off == "serve":
             return self._why_not_begun(now_ms)
         if not (self._hears_control(now_ms) or self._hears_most(now_ms)):
             return "cut off from control and most neighbours"
         if not self._caught_up:
             self._caught_up = self.config_feed.number(PROFILES_KEY) > 0 and self._level(
-                now_ms - self.params.cut_ms
+                now_ms - self.settings.cut_ms
             )
             if not self._caught_up:
                 return "has not caught up with the feed"
@@ -337,26 +350,26 @@
         neighbours be.
         """
         if not self._caught_up:
-            params = self.params
+            settings = self.settings
             heard = (
-                now_ms - self.config_feed.quorate_ms <= params.dead_ms
-                or now_ms - self._started_ms > params.dead_ms
+                now_ms - self.config_feed.quorate_ms <= settings.dead_ms
+                or now_ms - self._started_ms > settings.dead_ms
                 and not self._hears_some_control()
             )
             self._caught_up = (
                 heard
                 and self.config_feed.number(PROFILES_KEY) > 0
-                and self._level(now_ms - params.dead_ms)
+                and self._level(now_ms - settings.dead_ms)
             )
         return "" if self._caught_up else "has not caught up with the feed"
 
     def _hears_some_control(self) -> bool:
         """Whether any control node speaks to this one, even if without a majority."""
-        heard = self.neighbours.heard_directly(self.params.dead_ms)
+        heard = self.neighbours.heard_directly(self.settings.dead_ms)
         return any(card.role == "control" for card in heard)
 
     def _hears_control(self, now_ms: int) -> bool:
-        if now_ms - self.config_feed.quorate_ms <= self.params.cut_ms:
+        if now_ms - self.config_feed.quorate_ms <= self.settings.cut_ms:
             self._was_quorate = True
             return True
         return False
@@ -367,21 +380,21 @@
         Most of those on the feed's list that spoke to it lately still do, most of the whole list
         are known to live, and either it or an edge that is sure has once been told by control.
         """
-        params, roll = self.params, self.config_feed.roll()
+        settings, roll = self.settings, self.config_feed.roll()
         contacts = self.config_feed.contacts_ms
         direct = [
             contacts[identity]
             for identity, row in self.config_feed.confirmed.items()
             if identity in contacts and row[3] in roll
         ]
-        near = sum(1 for at_ms in direct if now_ms - at_ms <= params.cut_ms)
+        near = sum(1 for at_ms in direct if now_ms - at_ms <= settings.cut_ms)
         alive = {
             card.address
             for role in ("edge", "store")
-            for card in self.neighbours.of_role(role, 2 * params.dead_ms)
+            for card in self.neighbours.of_role(role, 2 * settings.dead_ms)
         }
         vouched = self.config_feed.binding and (
-            self._was_quorate or now_ms - self.config_feed.sure_edge_ms <= params.cut_ms
+            self._was_quorate or now_ms - self.config_feed.sure_edge_ms <= settings.cut_ms
         )
         return (
             vouched
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -12,16 +12,16 @@
 from typing import Any
 
 from expression import Result
-from messaging.links import Switchboard
-from messaging.shell import ProcessEnv, Shell
+from messaging.links import LinkTransport
+from messaging.node_runner import NodeRunner, ProcessEnvironment
 from mode import Service
-from runtime import Params, load_params, log, set_up_logs
-from runtime.params import changed_params
+from runtime import Settings, load_settings, log, set_up_logs
+from runtime.settings import changed_settings
 from storage import FolderDisk
 
 __all__ = ["NodeProcess", "run_loaded", "run_process", "settings_or_exit"]
 
-Load = Callable[[], Result[Params, list[str]]]
+Load = Callable[[], Result[Settings, list[str]]]
 
 _DRAIN_SHARE = 0.8
 _POLL_SHARE = 0.02
@@ -31,28 +31,28 @@
 class NodeProcess(Service):
     """What the programs' processes share; a role overrides make, busy, wind_down and apply."""
 
-    def __init__(self, params: Params) -> None:
+    def __init__(self, settings: Settings) -> None:
         super().__init__()
-        self.params = params
+        self.settings = settings
         self.env = self.make_env()
         self.disk: FolderDisk | None = None
         self.node: Any = None
-        self.shell: Shell | None = None
+        self.shell: NodeRunner | None = None
 
-    def make_env(self) -> ProcessEnv:
+    def make_env(self) -> ProcessEnvironment:
         """Return the node's environment: clock, random numbers and log."""
-        return ProcessEnv(self.params.link)
+        return ProcessEnvironment(self.settings.link)
 
-    def make_switchboard(self, deliver: Any) -> Switchboard:
+    def make_switchboard(self, deliver: Any) -> LinkTransport:
         """Return what sends and receives the fleet's messages; `deliver` gets them."""
-        return Switchboard(self.params.link, self.params.ask_ms, deliver)
+        return LinkTransport(self.settings.link, self.settings.ask_ms, deliver)
 
     def open_disk(self) -> FolderDisk:
         """Open the data folder; if a flush fails the process crashes."""
         loop = asyncio.get_running_loop()
         self.disk = FolderDisk(
-            self.params.data_folder,
-            self.params.disk_bytes,
+            self.settings.data_folder,
+            self.settings.disk_bytes,
             loop.call_soon_threadsafe,
             self._disk_broken,
         )
@@ -63,7 +63,7 @@
 
         Others take over, and a restart reads the files anew.
         """
-        log("disk-broken", "ERROR", folder=self.params.data_folder)
+        log("disk-broken", "ERROR", folder=self.settings.data_folder)
         self.add_future(self.crash(OSError("a flush failed")))
 
     async def make(self) -> None:
@@ -73,7 +73,7 @@
     async def on_start(self) -> None:
         """Make the node, and start its loop."""
         await self.make()
-        self.shell = Shell(self.node, self.env, self.make_switchboard(self.node.receive))
+        self.shell = NodeRunner(self.node, self.env, self.make_switchboard(self.node.receive))
         await self.add_runtime_dependency(self.shell)
 
     async def on_stop(self) -> None:
@@ -93,20 +93,20 @@
         """Stop what draining has not finished; a role overrides it."""
         return None
 
-    def apply(self, params: Params) -> None:
+    def apply(self, settings: Settings) -> None:
         """Apply changed settings."""
-        self.params = self.node.params = params
+        self.settings = self.node.settings = settings
         if self.disk is not None:
-            self.disk.room_bytes = params.disk_bytes
+            self.disk.room_bytes = settings.disk_bytes
 
     async def drain(self) -> None:
         """Drain: wait while the process is busy, for at most a share of `grace_ms`."""
         self.start_draining()
-        end_at = asyncio.get_running_loop().time() + self.params.grace_ms * _DRAIN_SHARE / 1000
+        end_at = asyncio.get_running_loop().time() + self.settings.grace_ms * _DRAIN_SHARE / 1000
         while self.busy() and asyncio.get_running_loop().time() < end_at:
-            await asyncio.sleep(self.params.grace_ms * _POLL_SHARE / 1000)
+            await asyncio.sleep(self.settings.grace_ms * _POLL_SHARE / 1000)
         self.wind_down()
-        await asyncio.sleep(self.params.grace_ms * _POLL_SHARE / 1000)
+        await asyncio.sleep(self.settings.grace_ms * _POLL_SHARE / 1000)
 
 
 def settings_or_exit(loaded: Result[Any, list[str]]) -> Any:
@@ -119,27 +119,27 @@
 
 
 async def _run(
-    make: Callable[[Params], NodeProcess], params: Params, load: Load, watched: str
+    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str
 ) -> None:
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    process = make(params)
+    process = make(settings)
 
     def reread() -> None:
         loaded = load()
         if loaded.is_error():
             log("settings-refused", "ERROR", problems=loaded.error)
             return
-        params, applied, held = changed_params(process.params, loaded.ok)
-        process.apply(params)
-        set_up_logs(params.log_level, role=params.role, node=params.link)
+        settings, applied, held = changed_settings(process.settings, loaded.ok)
+        process.apply(settings)
+        set_up_logs(settings.log_level, role=settings.role, node=settings.link)
         log("settings-reread", applied=applied, need_restart=held)
 
     async def watch() -> None:
         """The file may change without a signal; it is read again when its time or size has."""
         seen = _stamp(watched)
         while True:
-            await asyncio.sleep(_WATCH_SHARE * params.resume_ms / 1000)
+            await asyncio.sleep(_WATCH_SHARE * settings.resume_ms / 1000)
             stamp = _stamp(watched)
             if stamp not in (seen, None):
                 seen = stamp
@@ -149,7 +149,7 @@
     loop.add_signal_handler(signal.SIGINT, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, reread)
     await process.start()
-    log("started", zone=params.zone, http=params.http)
+    log("started", zone=settings.zone, http=settings.http)
     crashed = asyncio.ensure_future(process.wait_until_stopped())
     stopped = asyncio.ensure_future(stopping.wait())
     watching = asyncio.ensure_future(watch()) if watched else None
@@ -175,22 +175,22 @@
 
 
 def run_process(
-    make: Callable[[Params], NodeProcess], params: Params, path: str | None, flags: dict
+    make: Callable[[Settings], NodeProcess], settings: Settings, path: str | None, flags: dict
 ) -> None:
     """Run a process until SIGTERM, with settings from a TOML file and flags."""
-    run_loaded(make, params, lambda: load_params(path, flags))
+    run_loaded(make, settings, lambda: load_settings(path, flags))
 
 
 def run_loaded(
-    make: Callable[[Params], NodeProcess], params: Params, load: Load, watched: str = ""
+    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str = ""
 ) -> None:
     """Run a process until SIGTERM; raises SystemExit(1) if it can't start or has crashed.
 
     `load` reads the settings again; `watched` is a file that may change without a signal.
     """
-    set_up_logs(params.log_level, role=params.role, node=params.link)
+    set_up_logs(settings.log_level, role=settings.role, node=settings.link)
     try:
-        asyncio.run(_run(make, params, load, watched))
+        asyncio.run(_run(make, settings, load, watched))
     except OSError as error:
         log("cannot-start", "ERROR", reason=str(error))
         raise SystemExit(1) from error
--- a/libs/data_plane/src/data_plane/calls.py
+++ b/libs/data_plane/src/data_plane/request_bodies.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 from runtime import Refusal, refused
 
-__all__ = ["Beat", "CompletionCall", "HandInCall", "LOT_ID", "Leave", "parse"]
+__all__ = ["Beat", "CompletionCall", "SubmitJobBody", "LOT_ID", "Leave", "parse"]
 
 LOT_ID = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 Name = Annotated[str, Field(min_length=1, max_length=128)]
@@ -53,21 +53,21 @@
     stream: bool = False
 
 
-class LotItem(Prompted):
+class JobItemBody(Prompted):
     """One item of a batch: either a prompt or messages."""
 
     @model_validator(mode="after")
-    def _one_kind(self) -> "LotItem":
+    def _one_kind(self) -> "JobItemBody":
         if (self.prompt is None) == (self.messages is None):
             raise ValueError("an item has either a prompt or messages")
         return self
 
 
-class HandInCall(_Strict):
+class SubmitJobBody(_Strict):
     """A batch as it is handed in; `due_ms` is the time it is given, in milliseconds from now."""
 
     path: Name
-    items: list[LotItem] = Field(min_length=1, max_length=10_000)
+    items: list[JobItemBody] = Field(min_length=1, max_length=10_000)
     due_ms: int = Field(10_000, ge=100, le=7 * 86_400_000)
 
 
--- a/libs/data_plane/src/data_plane/roles.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -2,16 +2,16 @@
 
 from typing import Any
 
-from runtime import Params
+from runtime import Settings
 
-from data_plane.desk_http import HttpDesk
+from data_plane.client_api import ClientApi
+from data_plane.http_service import HttpService
 from data_plane.nodes import EdgeNode, StoreNode
 from data_plane.process import NodeProcess
 from data_plane.recorder import Recorder
 from data_plane.rollouts import Rollouts
 from data_plane.sender import HttpSender
-from data_plane.visitors import Visitors
-from data_plane.workers import WorkerCalls
+from data_plane.worker_api import WorkerApi
 
 __all__ = ["EdgeProcess", "StoreProcess"]
 
@@ -22,35 +22,35 @@
     async def make(self) -> None:
         """Make the edge and its HTTP server."""
         self._sender = self.make_sender()
-        self.node = EdgeNode(self.env, self.params, self._sender)
-        params = self.params
+        self.node = EdgeNode(self.env, self.settings, self._sender)
+        settings = self.settings
         self._recorder = (
             Recorder(
-                params.record_folder,
-                params.link.replace(":", "-"),
-                params.record_rows,
-                params.record_bodies,
+                settings.record_folder,
+                settings.link.replace(":", "-"),
+                settings.record_rows,
+                settings.record_bodies,
             )
-            if params.record_folder
+            if settings.record_folder
             else None
         )
-        desk = HttpDesk(
-            params.http,
-            params.max_body_bytes,
+        desk = HttpService(
+            settings.http,
+            settings.max_body_bytes,
             self.node.why_unready,
             self.status,
             self.metrics,
             (self._recorder.middleware,) if self._recorder else (),
         )
-        self._visitors = Visitors(self.node, self.node.counter, desk)
-        WorkerCalls(self.node, desk)
+        self._visitors = ClientApi(self.node, self.node.counter, desk)
+        WorkerApi(self.node, desk)
         Rollouts(self.node, self.node.rollouts, desk)
         self.desks: list[Any] = []
         await self.add_runtime_dependency(desk)
 
     def make_sender(self) -> HttpSender:
         """Return the transport of requests to workers."""
-        return HttpSender(self.params.ask_ms)
+        return HttpSender(self.settings.ask_ms)
 
     def start_draining(self) -> None:
         """Become unready, and take no more batch items."""
@@ -86,7 +86,7 @@
         return {
             "role": "edge",
             "identity": node.lots.edge,
-            "zone": self.params.zone,
+            "zone": self.settings.zone,
             "ready": not node.why_unready(),
             "reason": node.why_unready(),
             "profiles_digest": node.tree_digest,
@@ -147,11 +147,11 @@
 
     async def make(self) -> None:
         """Open the disk, and make the store and its HTTP server."""
-        self.node = StoreNode(self.env, self.params, self.open_disk())
+        self.node = StoreNode(self.env, self.settings, self.open_disk())
         await self.add_runtime_dependency(
-            HttpDesk(
-                self.params.http,
-                self.params.max_body_bytes,
+            HttpService(
+                self.settings.http,
+                self.settings.max_body_bytes,
                 self.why_unready,
                 self.status,
                 self.metrics,
@@ -172,12 +172,12 @@
         """Whether the log is being handed over."""
         return self.node.log.handing_over()
 
-    def apply(self, params: Params) -> None:
+    def apply(self, settings: Settings) -> None:
         """Apply changed settings, to the log too."""
-        super().apply(params)
-        self.node.log.log.params = params
+        super().apply(settings)
+        self.node.log.log.settings = settings
         if self.node.log.holder is not None:
-            self.node.log.holder.params = params
+            self.node.log.holder.settings = settings
 
     def status(self) -> dict[str, Any]:
         """Return the store's state for operators, as `/status` shows it."""
@@ -186,7 +186,7 @@
         return {
             "role": "store",
             "identity": local.identity,
-            "zone": self.params.zone,
+            "zone": self.settings.zone,
             "ready": not self.why_unready(),
             "reason": self.why_unready(),
             "log_role": str(log.role),
--- a/libs/data_plane/src/data_plane/rollouts.py
+++ b/libs/data_plane/src/data_plane/rollouts.py
@@ -11,16 +11,16 @@
 
 from aiohttp import web
 from batch_state import messages as m
-from messaging import Part
-from messaging.shell import awaited
+from messaging import Component
+from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field, model_validator
-from request_routing import HolderClient, LotRunner
+from request_routing import JobRunner, LeaderClient
 from runtime import Refusal, refused
 
-from data_plane.answers import Answer, hand_in_answer, lot_answer, results_answer
-from data_plane.calls import LOT_ID, LotItem, Name
-from data_plane.counter import Counter, Told
-from data_plane.desk_http import HttpDesk, answer_refusal, read_call, write_answer
+from data_plane.edge_service import EdgeService, Told
+from data_plane.http_service import HttpService, answer_refusal, read_call, write_answer
+from data_plane.request_bodies import LOT_ID, JobItemBody, Name
+from data_plane.responses import Answer, hand_in_answer, lot_answer, results_answer
 
 __all__ = ["RolloutCall", "RolloutCounter", "Rollouts", "log_name"]
 
@@ -38,7 +38,7 @@
     path: Name
     weights: Annotated[str, Field(max_length=128, pattern=r"^[\x21-\x7e]*$")] = ""
     samples: int = Field(1, ge=1, le=1024)
-    prompts: list[LotItem] = Field(min_length=1, max_length=10_000)
+    prompts: list[JobItemBody] = Field(min_length=1, max_length=10_000)
     due_ms: int = Field(0, ge=0, le=7 * 86_400_000)
 
     @model_validator(mode="after")
@@ -65,12 +65,14 @@
     )
 
 
-class RolloutCounter(Part):
+class RolloutCounter(Component):
     """Serves rollouts; the HTTP side and the simulator's trainers use the same object."""
 
     __slots__ = ("_counter", "_holder", "_lots", "_tree")
 
-    def __init__(self, counter: Counter, holder: HolderClient, lots: LotRunner, tree: Any) -> None:
+    def __init__(
+        self, counter: EdgeService, holder: LeaderClient, lots: JobRunner, tree: Any
+    ) -> None:
         self._counter, self._holder, self._lots, self._tree = counter, holder, lots, tree
 
     def hand_in(self, rollout_id: str, call: RolloutCall, told: Told) -> None:
@@ -115,7 +117,7 @@
             told(_of_rollout(hand_in_answer(log_name(rollout_id), receipt)))
 
         self._holder.ask(
-            m.RolloutHandIn(
+            m.SubmitRollout(
                 lot_id=log_name(rollout_id),
                 digest=digest,
                 path=call.path,
@@ -126,7 +128,7 @@
                 epoch=0,
                 holder_ms=0,
             ),
-            self.node.params.force_ms,
+            self.node.settings.force_ms,
             done,
         )
 
@@ -134,8 +136,8 @@
         """Answer a rollout's progress."""
         name = log_name(rollout_id)
         self._holder.ask(
-            m.ReadLot(lot_id=name),
-            self.node.params.force_ms,
+            m.GetJob(lot_id=name),
+            self.node.settings.force_ms,
             lambda receipt: told(_of_rollout(lot_answer(name, receipt))),
         )
 
@@ -143,8 +145,8 @@
         """Answer a page of at most `limit` samples, from index `from_index` on."""
         name = log_name(rollout_id)
         self._holder.ask(
-            m.ReadResults(lot_id=name, from_index=from_index, limit=max(1, min(_PAGE, limit))),
-            self.node.params.force_ms,
+            m.ListResults(lot_id=name, from_index=from_index, limit=max(1, min(_PAGE, limit))),
+            self.node.settings.force_ms,
             lambda receipt: told(_of_rollout(results_answer(name, from_index, receipt))),
         )
 
@@ -158,7 +160,7 @@
 
     __slots__ = ("_counter", "_node")
 
-    def __init__(self, node: Any, counter: RolloutCounter, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, counter: RolloutCounter, desk: HttpService) -> None:
         self._node, self._counter = node, counter
         router = desk.app.router
         router.add_put("/rollouts/{rollout_id}", self._hand_in)
@@ -170,7 +172,7 @@
         rollout_id = _rollout_id(request)
         if isinstance(rollout_id, Refusal):
             return answer_refusal(rollout_id)
-        call = await read_call(request, self._node.params.max_body_bytes, RolloutCall)
+        call = await read_call(request, self._node.settings.max_body_bytes, RolloutCall)
         if isinstance(call, Refusal):
             return answer_refusal(call)
         return write_answer(
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 import aiohttp
-from messaging.shell import awaited
-from request_routing import Send
+from messaging.node_runner import awaited
+from request_routing import Attempt
 from runtime import log
 from yarl import URL
 
-from data_plane.pool import CURRENT, Outgoing, WorkerPool, pooled_session
+from data_plane.connection_pool import CURRENT, Outgoing, WorkerPool, pooled_session
 
 __all__ = ["HttpSender"]
 
@@ -53,7 +53,13 @@
             await self._kept.close()
 
     def __call__(
-        self, send: Send, address: str, target: str, headers: Any, body: Any, method: str = "POST"
+        self,
+        send: Attempt,
+        address: str,
+        target: str,
+        headers: Any,
+        body: Any,
+        method: str = "POST",
     ) -> Callable[[], None]:
         """Begin an attempt in a task of its own, and return what cancels it.
 
@@ -67,7 +73,7 @@
         return asyncio.get_running_loop().create_task(run).cancel
 
     async def _run(
-        self, send: Send, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
+        self, send: Attempt, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
     ) -> None:
         try:
             async with self._session.post(
@@ -88,7 +94,7 @@
 
     async def _forward(
         self,
-        send: Send,
+        send: Attempt,
         address: str,
         target: str,
         headers: list[tuple[str, str]],
@@ -119,7 +125,7 @@
             _broke(send, error)
 
 
-def _broke(send: Send, error: Exception) -> None:
+def _broke(send: Attempt, error: Exception) -> None:
     if isinstance(error, _NOT_MADE):
         send.broke("no connection", False)
         return
--- a/libs/data_plane/src/data_plane/workers.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -3,30 +3,30 @@
 from typing import Any
 
 from aiohttp import web
-from request_routing import WorkerNews
+from request_routing import WorkerUpdate
 from runtime import Refusal, refused
 
-from data_plane.calls import Beat, Leave
-from data_plane.desk_http import HttpDesk, answer_refusal, json_answer, read_call
+from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from data_plane.request_bodies import Beat, Leave
 
-__all__ = ["WorkerCalls"]
+__all__ = ["WorkerApi"]
 
 
-class WorkerCalls:
+class WorkerApi:
     """The HTTP routes of workers."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpDesk) -> None:
+    def __init__(self, node: Any, desk: HttpService) -> None:
         self._node = node
         desk.app.router.add_post("/workers/beat", self._beat)
         desk.app.router.add_post("/workers/leave", self._leave)
 
     async def _beat(self, request: web.Request) -> web.Response:
-        beat = await read_call(request, self._node.params.max_body_bytes, Beat)
+        beat = await read_call(request, self._node.settings.max_body_bytes, Beat)
         if isinstance(beat, Refusal):
             return answer_refusal(beat)
-        taken = self._node.roster.hear(WorkerNews(**beat.model_dump(), leaving=False))
+        taken = self._node.roster.hear(WorkerUpdate(**beat.model_dump(), leaving=False))
         if not taken:
             return answer_refusal(
                 refused(
@@ -40,12 +40,12 @@
         return json_answer(
             {
                 "enrolled": self._node.tree().allows_worker(beat.identity, labels),
-                "beat_ms": self._node.params.beat_ms,
+                "beat_ms": self._node.settings.beat_ms,
             }
         )
 
     async def _leave(self, request: web.Request) -> web.Response:
-        leave = await read_call(request, self._node.params.max_body_bytes, Leave)
+        leave = await read_call(request, self._node.settings.max_body_bytes, Leave)
         if isinstance(leave, Refusal):
             return answer_refusal(leave)
         known = next(
@@ -57,7 +57,7 @@
             None,
         )
         self._node.roster.hear(
-            WorkerNews(
+            WorkerUpdate(
                 identity=leave.identity,
                 incarnation=leave.incarnation,
                 address=known.address if known else "",
--- a/libs/membership/src/membership/__init__.py
+++ b/libs/membership/src/membership/__init__.py
@@ -1,7 +1,7 @@
 """Membership: partial views of the fleet, failure detection, and assignment of duties."""
 
-from membership.cards import Card
-from membership.duties import duty_order, first_live, score
-from membership.neighbours import Neighbours
+from membership.messages import NodeInfo
+from membership.partial_view import Membership
+from membership.role_assignment import duty_order, first_live, score
 
-__all__ = ["Card", "Neighbours", "duty_order", "first_live", "score"]
+__all__ = ["NodeInfo", "Membership", "duty_order", "first_live", "score"]
--- a/libs/membership/src/membership/cards.py
+++ b/libs/membership/src/membership/messages.py
@@ -6,10 +6,10 @@
 
 from messaging import Message
 
-__all__ = ["Beat", "Card", "Shuffle", "Shuffled"]
+__all__ = ["Heartbeat", "NodeInfo", "ShuffleRequest", "ShuffleResponse"]
 
 
-class Card(Message):
+class NodeInfo(Message, wire_name="Card"):
     """Description of a node: its identity, addresses, role and place.
 
     `beat` is the heartbeat counter. `deaf` is set by a voter that does not hear a majority of the
@@ -28,21 +28,21 @@
     name: str
 
 
-class Shuffle(Message):
+class ShuffleRequest(Message, wire_name="Shuffle"):
     """Opens an exchange of views: the sender's card and a sample of the cards that it knows."""
 
     card: bytes
     cards: list[bytes]
 
 
-class Shuffled(Message):
+class ShuffleResponse(Message, wire_name="Shuffled"):
     """Answers a Shuffle with the same content from the other side."""
 
     card: bytes
     cards: list[bytes]
 
 
-class Beat(Message):
+class Heartbeat(Message, wire_name="Beat"):
     """A direct heartbeat with the sender's card."""
 
     card: bytes
--- a/libs/membership/src/membership/neighbours.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 from functools import singledispatchmethod
 
-from messaging import Message, Origin, Part, decode, encode
+from messaging import Component, Message, Origin, decode, encode
 
-from membership.cards import Beat, Card, Shuffle, Shuffled
+from membership.messages import Heartbeat, NodeInfo, ShuffleRequest, ShuffleResponse
 
-__all__ = ["Neighbours"]
+__all__ = ["Membership"]
 
 _SHARE = 6
 _REMEMBERED = 4096
@@ -23,7 +23,7 @@
 _FEW = 3
 
 
-class Neighbours(Part):
+class Membership(Component):
     """The part of a node that knows other nodes and judges whether they are live.
 
     `identity` is this node's own. `ready` and `deaf` give what its card says of it; `wanted` gives
@@ -47,14 +47,14 @@
         "ready",
         "wanted",
     )
-    HANDLES = (Shuffle, Shuffled, Beat)
+    HANDLES = (ShuffleRequest, ShuffleResponse, Heartbeat)
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
         self.ready: Callable[[], bool] = lambda: True
         self.deaf: Callable[[], bool] = lambda: False
         self.wanted: Callable[[], Iterable[str]] = lambda: ()
-        self._cards: dict[str, Card] = {}
+        self._cards: dict[str, NodeInfo] = {}
         self._beats: dict[str, int] = {}
         self._fresh_ms: dict[str, int] = {}
         self._first_ms: dict[str, int] = {}
@@ -65,29 +65,29 @@
         self._beat_ms = 0
         self._beat_count = 0
 
-    def card(self) -> Card:
+    def card(self) -> NodeInfo:
         """Return this node's own card, with the current heartbeat counter."""
         node = self.node
-        return Card(
+        return NodeInfo(
             identity=self.identity,
             address=node.address,
-            http=node.params.http,
-            role=node.params.role,
-            zone=node.params.zone,
-            region=node.params.region,
+            http=node.settings.http,
+            role=node.settings.role,
+            zone=node.settings.zone,
+            region=node.settings.region,
             beat=self._beat_ms,
             ready=self.ready(),
             deaf=self.deaf(),
-            name=node.params.node_name or node.address,
+            name=node.settings.node_name or node.address,
         )
 
     # -- what is known -------------------------------------------------------------------------
 
-    def view(self) -> list[Card]:
+    def view(self) -> list[NodeInfo]:
         """Return the cards in the partial view, oldest neighbour first."""
         return [self._cards[identity] for identity in self._view if identity in self._cards]
 
-    def of_role(self, role: str, within_ms: int) -> list[Card]:
+    def of_role(self, role: str, within_ms: int) -> list[NodeInfo]:
         """Return the cards of a role that were fresh within the time, direct or forwarded."""
         floor_ms = self.node.env.now() - within_ms
         return [
@@ -96,7 +96,7 @@
             if card.role == role and self._fresh_ms[identity] >= floor_ms
         ]
 
-    def known(self, identity: str) -> Card | None:
+    def known(self, identity: str) -> NodeInfo | None:
         """Return the newest card of a node, or None."""
         return self._cards.get(identity)
 
@@ -111,7 +111,7 @@
         if within_ms is None and identity in self._refused:
             return False
         return self.node.env.now() - self.heard_ms(identity) <= (
-            within_ms or self.node.params.dead_ms
+            within_ms or self.node.settings.dead_ms
         )
 
     def heard_itself(self, identity: str, within_ms: int) -> bool:
@@ -146,7 +146,7 @@
         """Since when a node has been known without interruption; now if it isn't known."""
         return self._first_ms.get(identity, self.node.env.now())
 
-    def heard_directly(self, within_ms: int) -> list[Card]:
+    def heard_directly(self, within_ms: int) -> list[NodeInfo]:
         """Return the cards of the nodes that were themselves heard within the time."""
         floor_ms = self.node.env.now() - within_ms
         return [
@@ -160,41 +160,41 @@
     def tick(self) -> None:
         """Send heartbeats and exchange views, once each `beat_ms`."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.params.beat_ms:
+        if now_ms - self._sent_ms < self.node.settings.beat_ms:
             return
         self._sent_ms = now_ms
         self._beat_ms = max(self._beat_ms + 1, self.node.env.wall())
         self._forget(now_ms)
         mine = encode(self.card())
         for address in self._kin():
-            self.node.post(address, Beat(card=mine))
+            self.node.post(address, Heartbeat(card=mine))
         self._beat_count += 1
         if (
-            self.node.params.fan_out
+            self.node.settings.fan_out
             and self._beat_count % _SHUFFLE_BEATS
             and len(self._view) >= _FEW
         ):
             return
         for address in self._partners():
-            self.node.post(address, Shuffle(card=mine, cards=self._some()))
+            self.node.post(address, ShuffleRequest(card=mine, cards=self._some()))
 
     def _kin(self) -> list[str]:
-        role = self.node.params.role
-        if self.node.params.fan_out:
+        role = self.node.settings.role
+        if self.node.settings.fan_out:
             return self._own_kin(role)
         kin = (
-            {card.address for card in self.of_role(role, self.node.params.gone_ms)}
+            {card.address for card in self.of_role(role, self.node.settings.gone_ms)}
             if role != "edge"
             else set()
         )
         if role != "edge":
-            kin |= {card.address for card in self.of_role("control", self.node.params.gone_ms)}
+            kin |= {card.address for card in self.of_role("control", self.node.settings.gone_ms)}
         return sorted((kin | set(self.wanted())) - {self.node.address})
 
     def _own_kin(self, role: str) -> list[str]:
         if role == "edge":
             return []
-        kin = {card.address for card in self.of_role(role, self.node.params.gone_ms)}
+        kin = {card.address for card in self.of_role(role, self.node.settings.gone_ms)}
         if role == "control" or self._beat_count % _CONTROL_BEATS == 0:
             kin |= set(self.wanted())
         kin = sorted(kin - {self.node.address})
@@ -210,7 +210,7 @@
             partners.add(self._cards[self._view[0]].address)
             self._view.append(self._view.pop(0))
         if len(self._view) < _FEW or rng.random() < 0.1:
-            partners.add(rng.choice(self.node.params.seeds))
+            partners.add(rng.choice(self.node.settings.seeds))
         return sorted(partners - {self.node.address})
 
     def _some(self) -> list[bytes]:
@@ -226,16 +226,16 @@
         raise TypeError(type(message).__name__)
 
     @receive.register
-    def _(self, message: Shuffle, origin: Origin) -> None:
-        self.node.post(origin.sender, Shuffled(card=encode(self.card()), cards=self._some()))
+    def _(self, message: ShuffleRequest, origin: Origin) -> None:
+        self.node.post(origin.sender, ShuffleResponse(card=encode(self.card()), cards=self._some()))
         self._take(message.card, message.cards)
 
     @receive.register
-    def _(self, message: Shuffled, origin: Origin) -> None:
+    def _(self, message: ShuffleResponse, origin: Origin) -> None:
         self._take(message.card, message.cards)
 
     @receive.register
-    def _(self, message: Beat, origin: Origin) -> None:
+    def _(self, message: Heartbeat, origin: Origin) -> None:
         self._take(message.card, [])
 
     def _take(self, card: bytes, cards: list[bytes]) -> None:
@@ -247,7 +247,7 @@
         first = decode(card)
         fresh = (
             self.node.env.now() - self._fresh_ms.get(first.identity, -1 << 40)
-            <= self.node.params.dead_ms
+            <= self.node.settings.dead_ms
         )
         if self._beats.get(first.identity, -1) >= first.beat and not fresh:
             self._beats[first.identity] = first.beat - 1
@@ -258,7 +258,7 @@
         for data in cards:
             self._note(decode(data))
 
-    def _note(self, card: Card) -> None:
+    def _note(self, card: NodeInfo) -> None:
         """Accept a card if its counter rose; of two nodes at an address keep the latest heard."""
         if card.identity == self.identity:
             return
@@ -272,7 +272,7 @@
         ]:
             if (
                 self._cards[identity].beat > card.beat
-                and self._fresh_ms[identity] > now_ms - self.node.params.dead_ms
+                and self._fresh_ms[identity] > now_ms - self.node.settings.dead_ms
             ):
                 return
             self._drop(identity)
@@ -282,14 +282,14 @@
         self._first_ms.setdefault(card.identity, now_ms)
         if card.identity not in self._view:
             self._view.append(card.identity)
-            if len(self._view) > self.node.params.view_size:
+            if len(self._view) > self.node.settings.view_size:
                 self._view.pop(self.node.env.rng.randrange(len(self._view) - 1))
 
     def _forget(self, now_ms: int) -> None:
         for identity in [
             identity
             for identity in self._cards
-            if now_ms - self._fresh_ms[identity] > self.node.params.gone_ms
+            if now_ms - self._fresh_ms[identity] > self.node.settings.gone_ms
         ]:
             self._drop(identity)
         for identity in list(self._beats)[: max(0, len(self._beats) - _REMEMBERED)]:
--- a/libs/messaging/src/messaging/__init__.py
+++ b/libs/messaging/src/messaging/__init__.py
@@ -4,16 +4,16 @@
 input or output of their own run.
 """
 
-from messaging.cores import Env, Node, Origin, Part
+from messaging.components import Component, Environment, Node, Origin
 from messaging.message import BadMessageError, Message, decode, encode
 
 __all__ = [
     "BadMessageError",
-    "Env",
+    "Environment",
     "Message",
     "Node",
     "Origin",
-    "Part",
+    "Component",
     "decode",
     "encode",
 ]
--- a/libs/messaging/src/messaging/cores.py
+++ b/libs/messaging/src/messaging/components.py
@@ -11,10 +11,10 @@
 
 from messaging.message import Message
 
-__all__ = ["Env", "Node", "Origin", "Part"]
+__all__ = ["Environment", "Node", "Origin", "Component"]
 
 
-class Env(Protocol):
+class Environment(Protocol):
     """What a node needs of its environment; times are in milliseconds."""
 
     address: str
@@ -54,7 +54,7 @@
         self.ref = ref
 
 
-class Part:
+class Component:
     """One concern of a node.
 
     HANDLES has the types of messages that `receive` takes. All methods run on one thread and must
@@ -92,19 +92,19 @@
 class Node:
     """A set of parts with one clock, one address and one table of open requests.
 
-    `params` are the settings (runtime.Params).
+    `settings` are those of the process (`runtime.settings.Settings`).
     """
 
-    __slots__ = ("_asks", "_last_tick_ms", "_next_ref", "_paths", "env", "params", "parts")
+    __slots__ = ("_asks", "_last_tick_ms", "_next_ref", "_paths", "env", "settings", "parts")
 
-    def __init__(self, env: Env, params: Any, parts: list[Part]) -> None:
+    def __init__(self, env: Environment, settings: Any, parts: list[Component]) -> None:
         self.env = env
-        self.params = params
+        self.settings = settings
         self.parts = parts
         self._asks: dict[int, tuple[Callable, int]] = {}
         self._next_ref = env.rng.getrandbits(40) + 1
         self._last_tick_ms = env.now()
-        self._paths: dict[type, Part] = {}
+        self._paths: dict[type, Component] = {}
         for part in parts:
             part.attach(self)
             for kind in part.HANDLES:
@@ -158,7 +158,7 @@
         now_ms = self.env.now()
         gap_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
-        if gap_ms > self.params.frozen_ms:
+        if gap_ms > self.settings.frozen_ms:
             self.env.log("frozen", "WARNING", gap_ms=gap_ms)
             for part in self.parts:
                 part.woke(gap_ms)
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -19,7 +19,7 @@
 
 from messaging.message import BadMessageError, Message, decode, encode
 
-__all__ = ["Switchboard"]
+__all__ = ["LinkTransport"]
 
 _ENVELOPE = parse_schema(
     {
@@ -93,7 +93,7 @@
         return data
 
 
-class Switchboard(Service):
+class LinkTransport(Service):
     """The service that owns all connections of a process.
 
     `address` is IP:PORT, `wait_ms` the longest that a message waits or a connection may stall.
--- a/libs/messaging/src/messaging/shell.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -13,20 +13,20 @@
 from mode import Service
 from runtime import boot_ms, log, wall_ms
 
-from messaging.cores import Node
-from messaging.links import Switchboard
+from messaging.components import Node
+from messaging.links import LinkTransport
 from messaging.message import Message
 
-__all__ = ["ProcessEnv", "Shell", "awaited"]
+__all__ = ["ProcessEnvironment", "NodeRunner", "awaited"]
 
 
-class ProcessEnv:
-    """The environment of a node in a real process; see messaging.cores.Env."""
+class ProcessEnvironment:
+    """The environment of a node in a real process; see messaging.components.Env."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.rng = random.Random()
-        self.switchboard: Switchboard | None = None
+        self.switchboard: LinkTransport | None = None
 
     def now(self) -> int:
         """Return the time since boot in milliseconds."""
@@ -62,20 +62,22 @@
     return future
 
 
-class Shell(Service):
+class NodeRunner(Service):
     """Runs a node: delivers its messages and ticks it.
 
     `worst_tick_ms` is the longest tick so far, in milliseconds.
     """
 
-    def __init__(self, node: Node, env: ProcessEnv, switchboard: Switchboard | None = None) -> None:
+    def __init__(
+        self, node: Node, env: ProcessEnvironment, switchboard: LinkTransport | None = None
+    ) -> None:
         super().__init__()
         self.node = node
         self.worst_tick_ms = 0
         self._env = env
-        self._tick_ms = max(5, min(node.params.delta_ms // 2, node.params.beat_ms // 8))
-        self._switchboard = switchboard or Switchboard(
-            env.address, node.params.ask_ms, node.receive
+        self._tick_ms = max(5, min(node.settings.delta_ms // 2, node.settings.beat_ms // 8))
+        self._switchboard = switchboard or LinkTransport(
+            env.address, node.settings.ask_ms, node.receive
         )
         env.switchboard = self._switchboard
         self._switchboard.on_refused = lambda address: self._tell("refused", address)
--- a/libs/modelcheck/src/modelcheck/__init__.py
+++ b/libs/modelcheck/src/modelcheck/__init__.py
@@ -4,7 +4,7 @@
 separate checker decides whether a recorded history is linearizable.
 """
 
-from runtime.lazy import lazy
+from runtime.lazy_exports import lazy_exports
 
 __all__ = [
     "Bounds",
@@ -20,7 +20,7 @@
     "write_schedule",
 ]
 
-__getattr__ = lazy(
+__getattr__ = lazy_exports(
     __name__,
     {
         "actions": ("read_schedule", "write_schedule"),
--- a/libs/modelcheck/src/modelcheck/log_stand_ins.py
+++ b/libs/modelcheck/src/modelcheck/log_stand_ins.py
@@ -1,12 +1,12 @@
 """Stubs of the feed and of a store's view of the fleet."""
 
-from config_feed.messages import News, NewsItem
-from messaging import Message, Origin, Part, decode, encode
+from config_feed.messages import KeyUpdate, KeyUpdates
+from messaging import Component, Message, Origin, decode, encode
 
 __all__ = ["FeedOut", "FleetView"]
 
 
-class FeedOut(Part):
+class FeedOut(Component):
     """A stub of the feed at control: sends each new value to every store once."""
 
     __slots__ = ("_stores",)
@@ -16,16 +16,16 @@
 
     def publish(self, key: str, number: int, body: str) -> None:
         """Send one version of a key to every store."""
-        item = encode(NewsItem(key=key, number=number, base_number=0, body=body))
+        item = encode(KeyUpdate(key=key, number=number, base_number=0, body=body))
         for address in self._stores:
-            self.node.post(address, News(items=[item]))
+            self.node.post(address, KeyUpdates(items=[item]))
 
 
-class FleetView(Part):
+class FleetView(Component):
     """A stub of a store's view: the log's key as received, and all stores, taken for live."""
 
     __slots__ = ("_number", "_retired", "_rows", "body")
-    HANDLES = (News,)
+    HANDLES = (KeyUpdates,)
 
     def __init__(self, rows: list[dict[str, str]], retired: list[str]) -> None:
         self._rows = rows
--- a/libs/modelcheck/src/modelcheck/objects.py
+++ b/libs/modelcheck/src/modelcheck/objects.py
@@ -8,7 +8,16 @@
 
 from modelcheck.linearizability import Call
 
-__all__ = ["ChangeKey", "EndLot", "HandIn", "Lot", "LotState", "ReadLot", "ReadValue", "Register"]
+__all__ = [
+    "ChangeKey",
+    "CancelJob",
+    "SubmitJob",
+    "Job",
+    "JobState",
+    "GetJob",
+    "ReadValue",
+    "Register",
+]
 
 
 class _Asked:
@@ -66,20 +75,20 @@
         return taken if fits and version == len(taken) else None
 
 
-class HandIn(_Asked):
+class SubmitJob(_Asked):
     """The submission of a batch. Answers: "admitted", "known" or "full"."""
 
     __slots__ = ()
 
 
-class EndLot(_Asked):
+class CancelJob(_Asked):
     """The early end of a batch. Answers: "ended"."""
 
     __slots__ = ()
 
 
-class ReadLot(_Asked):
-    """A read of results from `start` on. Answers: "missing", or a `LotState` of those shown."""
+class GetJob(_Asked):
+    """A read of results from `start` on. Answers: "missing", or a `JobState` of those shown."""
 
     __slots__ = ("start",)
 
@@ -87,7 +96,7 @@
         self.start = start
 
 
-class LotState:
+class JobState:
     """A batch that is known: whether it was ended, and which results are listed.
 
     `listed` of `total` results are listed, and `results` has some of them by position. `ended` is
@@ -114,7 +123,7 @@
         return (self.ended, self.listed, self.total, tuple(sorted(self.results.items())))
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, LotState) and self._key() == other._key()
+        return isinstance(other, JobState) and self._key() == other._key()
 
     def __hash__(self) -> int:
         return hash(self._key())
@@ -126,7 +135,7 @@
 _ABSENT = "absent"
 
 
-class Lot:
+class Job:
     """The specification of a batch of `total` items.
 
     The system may append results at any time; a result never changes. A node may ask the log again
@@ -143,14 +152,14 @@
 
     def after(self, state: Any, call: Call) -> Any:
         """Return the state after a call; see `Model.after`."""
-        if isinstance(call.asked, HandIn):
+        if isinstance(call.asked, SubmitJob):
             return self._handed_in(state, call)
-        if isinstance(call.asked, EndLot):
+        if isinstance(call.asked, CancelJob):
             return self._ended(state)
         return self._read(state, call)
 
     def _handed_in(self, state: Any, call: Call) -> Any:
-        blank = LotState(False, 0, self._total, {})
+        blank = JobState(False, 0, self._total, {})
         if not call.known:
             return blank if state == _ABSENT else None
         if call.answered == "full":
@@ -164,7 +173,7 @@
             return None
         if state.ended or state.whole:
             return state
-        return LotState(None, state.listed, state.total, state.results)
+        return JobState(None, state.listed, state.total, state.results)
 
     def _read(self, state: Any, call: Call) -> Any:
         seen = call.answered
@@ -172,10 +181,10 @@
             return state if state == _ABSENT and seen == "missing" else None
         if not _may_follow(state, seen) or not _in_place(call.asked.start, seen):
             return None
-        return LotState(seen.ended, seen.listed, state.total, {**state.results, **seen.results})
+        return JobState(seen.ended, seen.listed, state.total, {**state.results, **seen.results})
 
 
-def _may_follow(state: LotState, seen: LotState) -> bool:
+def _may_follow(state: JobState, seen: JobState) -> bool:
     if seen.total != state.total or not state.listed <= seen.listed <= state.total:
         return False
     if any(state.results.get(place, text) != text for place, text in seen.results.items()):
@@ -185,7 +194,7 @@
     return seen.ended == state.ended
 
 
-def _in_place(start: int, seen: LotState) -> bool:
+def _in_place(start: int, seen: JobState) -> bool:
     places = sorted(seen.results)
     follow_on = places == list(range(start, start + len(places)))
     return follow_on and (not places or places[-1] < seen.listed)
--- a/libs/modelcheck/src/modelcheck/stand_ins.py
+++ b/libs/modelcheck/src/modelcheck/stand_ins.py
@@ -1,11 +1,11 @@
 """Stubs of the parts that are not explored."""
 
-from messaging import Part
+from messaging import Component
 
 __all__ = ["NoFeed", "Trusted"]
 
 
-class Trusted(Part):
+class Trusted(Component):
     """A stub failure detector that takes exactly one voter for live."""
 
     __slots__ = ("_name",)
@@ -26,7 +26,7 @@
         return True
 
 
-class NoFeed(Part):
+class NoFeed(Component):
     """A stub of the config feed without followers."""
 
     __slots__ = ()
--- a/libs/platform_testbed/src/platform_testbed/lots.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -15,7 +15,7 @@
 from simulator.history import History
 
 from platform_testbed.entry import Entry
-from platform_testbed.sheet import Kind, Sheet
+from platform_testbed.site import Kind, Sheet
 from platform_testbed.worker_calls import digest
 
 __all__ = ["LotClients"]
--- a/libs/platform_testbed/src/platform_testbed/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -3,11 +3,11 @@
 import json
 from pathlib import Path
 
-from platform_testbed.day import run_platform_day
-from platform_testbed.days import PLATFORM_DAYS, day_of
-from platform_testbed.sheet import ALL_SHAPES
-from platform_testbed.starved import starved_ms
-from platform_testbed.worth import day_worth
+from platform_testbed.processor_starvation import starved_ms
+from platform_testbed.scenario import run_platform_day
+from platform_testbed.scenarios import PLATFORM_DAYS, day_of
+from platform_testbed.site import ALL_SHAPES
+from platform_testbed.value import day_worth
 
 __all__ = ["ALL_SHAPES", "PLATFORM_DAYS", "play_day"]
 
--- a/libs/platform_testbed/src/platform_testbed/live.py
+++ b/libs/platform_testbed/src/platform_testbed/live_clients.py
@@ -12,9 +12,9 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.asker import Asker
+from platform_testbed.client_attempt import Asker
 from platform_testbed.entry import Entry
-from platform_testbed.sheet import Kind, Sheet
+from platform_testbed.site import Kind, Sheet
 from platform_testbed.worker_calls import digest
 
 __all__ = ["LiveClients", "PROMISES"]
--- a/libs/platform_testbed/src/platform_testbed/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -18,8 +18,8 @@
 
 from simulator.history import History
 
-from platform_testbed.sheet import Sheet
-from platform_testbed.starved import Starved
+from platform_testbed.processor_starvation import Starved
+from platform_testbed.site import Sheet
 
 __all__ = ["Machine", "Machines", "loopback_net"]
 
--- a/libs/platform_testbed/src/platform_testbed/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -14,7 +14,7 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.sheet import Sheet
+from platform_testbed.site import Sheet
 
 __all__ = ["Operator", "patched"]
 
--- a/libs/platform_testbed/src/platform_testbed/oracle.py
+++ b/libs/platform_testbed/src/platform_testbed/oracle.py
@@ -9,8 +9,8 @@
 
 from simulator.history import History
 
+from platform_testbed import rules_jobs as jobs
 from platform_testbed import rules_live as live
-from platform_testbed import rules_lots as lots
 from platform_testbed import rules_settings as settings
 from platform_testbed.rules_live import Found
 
@@ -45,13 +45,13 @@
     "CONFIG read back": settings.read_back,
     "RECOVER": settings.recovered,
     "ACKS": settings.acks,
-    "lots LOST": lots.lot_lost,
-    "lots TWICE": lots.lot_twice,
-    "lots MIXED": lots.lot_mixed,
-    "lots ORDER": lots.lot_order,
-    "lots REFUSED": lots.lot_refused,
-    "lots UNASKED": lots.lot_unasked,
-    "lots QUOTA": lots.lot_quota,
+    "lots LOST": jobs.lot_lost,
+    "lots TWICE": jobs.lot_twice,
+    "lots MIXED": jobs.lot_mixed,
+    "lots ORDER": jobs.lot_order,
+    "lots REFUSED": jobs.lot_refused,
+    "lots UNASKED": jobs.lot_unasked,
+    "lots QUOTA": jobs.lot_quota,
     "FAULT": own_ends,
 }
 
--- a/libs/platform_testbed/src/platform_testbed/rules_lots.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_jobs.py
@@ -8,9 +8,9 @@
 
 from simulator.history import History
 
-from platform_testbed.live import PROMISES
+from platform_testbed.live_clients import PROMISES
+from platform_testbed.reachability import Touch
 from platform_testbed.rules_live import Found, runs_by_id, sequence
-from platform_testbed.touch import Touch
 
 __all__ = [
     "lot_lost",
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -9,9 +9,9 @@
 
 from simulator.history import History
 
-from platform_testbed.live import PROMISES
-from platform_testbed.sheet import allowed_services
-from platform_testbed.touch import Touch, of_tries
+from platform_testbed.live_clients import PROMISES
+from platform_testbed.reachability import Touch, of_tries
+from platform_testbed.site import allowed_services
 
 __all__ = [
     "denied",
--- a/libs/platform_testbed/src/platform_testbed/rules_settings.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_settings.py
@@ -8,9 +8,9 @@
 
 from simulator.history import History
 
+from platform_testbed.reachability import Touch, of_tries
 from platform_testbed.rules_live import Found, runs_by_id
-from platform_testbed.sheet import allowed_services, route_of
-from platform_testbed.touch import Touch, of_tries
+from platform_testbed.site import allowed_services, route_of
 
 __all__ = ["acks", "in_force", "later_routes", "losers", "never_back", "read_back", "recovered"]
 
--- a/libs/platform_testbed/src/platform_testbed/day.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -14,15 +14,15 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.crew import Crew
+from platform_testbed.batch_clients import LotClients
 from platform_testbed.entry import Entry
-from platform_testbed.live import LiveClients
-from platform_testbed.lots import LotClients
+from platform_testbed.live_clients import LiveClients
 from platform_testbed.machines import Machine, Machines
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
-from platform_testbed.sheet import Sheet
-from platform_testbed.starved import starved_ms
+from platform_testbed.processor_starvation import starved_ms
+from platform_testbed.site import Sheet
+from platform_testbed.worker_pool import Crew
 
 __all__ = ["STARVED_MS", "Day", "Step", "run_platform_day"]
 
--- a/libs/platform_testbed/src/platform_testbed/days.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from platform_testbed.day import Day, Step
+from platform_testbed.scenario import Day, Step
 
 __all__ = ["DUE", "PLATFORM_DAYS", "day_of"]
 
--- a/libs/platform_testbed/src/platform_testbed/worth.py
+++ b/libs/platform_testbed/src/platform_testbed/value.py
@@ -9,7 +9,7 @@
 
 from simulator.history import History
 
-from platform_testbed.touch import of_tries
+from platform_testbed.reachability import of_tries
 
 __all__ = ["day_worth"]
 
--- a/libs/platform_testbed/src/platform_testbed/crew.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -7,7 +7,7 @@
 from simulator.history import History
 
 from platform_testbed.engine_messages import EngineSheet
-from platform_testbed.sheet import Sheet
+from platform_testbed.site import Sheet
 from platform_testbed.workers import StandInEngine
 
 __all__ = ["Crew"]
--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -5,50 +5,50 @@
 kept of the published scheme and what was changed.
 """
 
-from runtime.lazy import lazy
+from runtime.lazy_exports import lazy_exports
 
 __all__ = [
-    "Append",
-    "Appended",
-    "Fetch",
-    "Fetched",
-    "Holder",
-    "Install",
+    "AppendRequest",
+    "AppendResponse",
+    "FetchRecords",
+    "FetchResponse",
+    "Leader",
+    "InstallSnapshot",
     "LocalLog",
-    "LogMeta",
-    "Mending",
+    "ReplicaMetadata",
+    "ArchiveRepair",
     "Outcome",
     "Record",
     "Recovery",
-    "Start",
-    "Started",
-    "StoreLog",
+    "StartRecovery",
+    "StartRecoveryResponse",
+    "LogReplica",
     "StoredEntry",
     "spread",
     "union",
 ]
 
-__getattr__ = lazy(
+__getattr__ = lazy_exports(
     __name__,
     {
-        "holder": ("Holder",),
-        "local": ("LocalLog",),
-        "mending": ("Mending",),
+        "leader": ("Leader",),
+        "local_log": ("LocalLog",),
+        "archive_repair": ("ArchiveRepair",),
         "messages": (
-            "Append",
-            "Appended",
-            "Fetch",
-            "Fetched",
-            "Install",
-            "LogMeta",
+            "AppendRequest",
+            "AppendResponse",
+            "FetchRecords",
+            "FetchResponse",
+            "InstallSnapshot",
+            "ReplicaMetadata",
             "Record",
-            "Start",
-            "Started",
+            "StartRecovery",
+            "StartRecoveryResponse",
             "StoredEntry",
         ),
-        "places": ("spread",),
+        "replica_placement": ("spread",),
         "recovery": ("Recovery", "union"),
-        "store": ("StoreLog",),
-        "waiters": ("Outcome",),
+        "log_replica": ("LogReplica",),
+        "pending_appends": ("Outcome",),
     },
 )
--- a/libs/replicated_log/src/replicated_log/shelves.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -12,18 +12,19 @@
 from typing import Any
 
 from batch_state import entries as e
-from batch_state.fold import Key, Lot
+from batch_state.jobs import Job
+from batch_state.state import IdempotencyKey
 from messaging import Message, decode, encode
 from storage import DiskFullError, frame, walk
 
-__all__ = ["Leaf", "SHELF", "Shelves", "files_of"]
+__all__ = ["ArchiveBlock", "SHELF", "ArchiveStore", "files_of"]
 
 SHELF = "shelf-"
 _LEAF_BYTES = 1 << 17
 _FILE_BYTES = 1 << 20
 
 
-class Leaf(Message):
+class ArchiveBlock(Message, wire_name="Leaf"):
     """A group of archived rows of one lot or key.
 
     `name` is the lot or key, so that a leaf found in another's place is recognised.
@@ -33,16 +34,16 @@
     rows: list[bytes]
 
 
-def _packed(leaf: Leaf) -> bytes:
+def _packed(leaf: ArchiveBlock) -> bytes:
     return frame(zlib.compress(encode(leaf), 1))
 
 
 def files_of(rows: Any) -> set[str]:
     """Return the names of the archive files that snapshot entries refer to."""
-    return {row.file for row in rows if isinstance(row, (e.LotShelved, e.KeyShelved))}
+    return {row.file for row in rows if isinstance(row, (e.JobArchived, e.KeyArchived))}
 
 
-class Shelves:
+class ArchiveStore:
     """The archive files of one replica.
 
     `log` is the LocalLog beside which they lie, `token` makes unique parts of file names.
@@ -113,7 +114,7 @@
             for entry in entries:
                 if (
                     (entry.lot_id in ledger.lots)
-                    if isinstance(entry, e.LotShelved)
+                    if isinstance(entry, e.JobArchived)
                     else (entry.key in ledger.keys)
                 ):
                     ledger.apply(entry)
@@ -127,7 +128,9 @@
             log.disk.remove(name)
             for entry in entries:
                 ledger.fresh[
-                    ("lot", entry.lot_id) if isinstance(entry, e.LotShelved) else ("key", entry.key)
+                    ("lot", entry.lot_id)
+                    if isinstance(entry, e.JobArchived)
+                    else ("key", entry.key)
                 ] = None
             done()
             return
@@ -137,10 +140,10 @@
         """Return a file name that no store has used, since files keep their names when copied."""
         return f"{SHELF}{self._log.identity}-{self._log.settled_seq:012d}-{self._token()}"
 
-    def _put_lot(self, lot: Lot, name: str, page: bytearray) -> e.LotShelved:
+    def _put_lot(self, lot: Job, name: str, page: bytearray) -> e.JobArchived:
         return self.put_rows(lot, [lot.row(position) for position in range(lot.placed)], name, page)
 
-    def put_rows(self, lot: Lot, rows: list[bytes], name: str, page: bytearray) -> e.LotShelved:
+    def put_rows(self, lot: Job, rows: list[bytes], name: str, page: bytearray) -> e.JobArchived:
         """Append a lot's rows to `page` as leaves and return the entry that refers to them."""
         places, sizes, firsts = [], [], []
         first = 0
@@ -151,13 +154,13 @@
             ):
                 size_bytes += len(rows[up_to])
                 up_to += 1
-            data = _packed(Leaf(name=lot.lot_id, rows=rows[first:up_to]))
+            data = _packed(ArchiveBlock(name=lot.lot_id, rows=rows[first:up_to]))
             places.append(len(page))
             sizes.append(len(data))
             firsts.append(first)
             page += data
             first = up_to
-        return e.LotShelved(
+        return e.JobArchived(
             lot_id=lot.lot_id,
             digest=lot.digest,
             path=lot.path,
@@ -175,10 +178,10 @@
             firsts=firsts,
         )
 
-    def _put_key(self, key: str, held: Key, name: str, page: bytearray) -> e.KeyShelved:
-        data = _packed(Leaf(name=key, rows=[held.body.encode()]))
+    def _put_key(self, key: str, held: IdempotencyKey, name: str, page: bytearray) -> e.KeyArchived:
+        data = _packed(ArchiveBlock(name=key, rows=[held.body.encode()]))
         page += data
-        return e.KeyShelved(
+        return e.KeyArchived(
             key=key,
             digest=held.digest,
             edge=held.edge,
@@ -199,7 +202,7 @@
         leaf = decode(zlib.decompress(frames[0][1]))
         return leaf.rows if leaf.name == name else None
 
-    def results(self, lot: Lot, from_index: int, limit: int) -> list[bytes] | None:
+    def results(self, lot: Job, from_index: int, limit: int) -> list[bytes] | None:
         """Return results of a lot from an index on, at most `limit` and from one leaf only.
 
         None is returned if the leaf is damaged or isn't here.
@@ -213,7 +216,7 @@
         rows = self._leaf(lot.lot_id, shelf.file, shelf.places[at], shelf.sizes[at])
         return None if rows is None else rows[from_index - shelf.firsts[at] :][:limit]
 
-    def receipt(self, key: Key) -> str | None:
+    def receipt(self, key: IdempotencyKey) -> str | None:
         """Return the archived final answer of a key, or None if it is damaged or isn't here."""
         rows = self._leaf(key.shelf.key, key.shelf.file, key.shelf.place, key.shelf.size)
         return None if rows is None else rows[0].decode()
@@ -263,8 +266,8 @@
         if kind == "lot":
             entry: Any = self.put_rows(held, rows, file, page)
         else:
-            page += _packed(Leaf(name=name, rows=rows))
-            entry = e.KeyShelved(
+            page += _packed(ArchiveBlock(name=name, rows=rows))
+            entry = e.KeyArchived(
                 **{**held.shelf.as_dict(), "file": file, "place": 0, "size": len(page)}
             )
 
--- a/libs/replicated_log/src/replicated_log/mending.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -10,33 +10,33 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Message, Origin, Part, encode
+from messaging import Component, Message, Origin, encode
 
-from replicated_log.local import LocalLog
-from replicated_log.shelves import SHELF
+from replicated_log.archive import SHELF
+from replicated_log.local_log import LocalLog
 
-__all__ = ["FetchShelf", "GetKept", "Kept", "Mending", "ShelfPart"]
+__all__ = ["FetchArchive", "ReadArchived", "ArchivedRows", "ArchiveRepair", "ArchiveChunk"]
 
 _CHUNK_BYTES = 1 << 18
 _PAGE = 200
 
 
-class FetchShelf(Message):
+class FetchArchive(Message, wire_name="FetchShelf"):
     """Ask for an archive file from the byte `offset` on."""
 
     file: str
     offset: int
 
 
-class ShelfPart(Message):
-    """The answer to FetchShelf: a part of the file and its whole size in bytes."""
+class ArchiveChunk(Message, wire_name="ShelfPart"):
+    """The answer to FetchArchive: a part of the file and its whole size in bytes."""
 
     ok: bool
     data: bytes
     total: int
 
 
-class GetKept(Message):
+class ReadArchived(Message, wire_name="GetKept"):
     """Ask for the archived rows of a lot or a key (`kind`), from an index on."""
 
     kind: str
@@ -44,8 +44,8 @@
     from_index: int
 
 
-class Kept(Message):
-    """The answer to GetKept: rows, and `placed`, how many there are in all.
+class ArchivedRows(Message, wire_name="Kept"):
+    """The answer to ReadArchived: rows, and `placed`, how many there are in all.
 
     `ok` is false if the answering replica has no intact copy.
     """
@@ -55,14 +55,14 @@
     placed: int
 
 
-class Mending(Part):
+class ArchiveRepair(Component):
     """Serves archive files to other replicas and repairs damaged ones here.
 
     `others` returns the addresses of the other members of the log.
     """
 
     __slots__ = ("_log", "_mending", "_next_ms", "_others", "_page")
-    HANDLES = (FetchShelf, GetKept)
+    HANDLES = (FetchArchive, ReadArchived)
 
     def __init__(self, log: LocalLog, others: Callable[[], list[str]]) -> None:
         self._log = log
@@ -80,7 +80,7 @@
     # -- files that a snapshot needs -----------------------------------------------------------
 
     @receive.register
-    def _(self, message: FetchShelf, origin: Origin) -> None:
+    def _(self, message: FetchArchive, origin: Origin) -> None:
         disk = self._log.disk
         ok = message.file.startswith(SHELF) and message.file in disk.names()
         if ok and self._page[0] != message.file:
@@ -88,7 +88,7 @@
         data = self._page[1] if ok else b""
         self.node.reply(
             origin,
-            ShelfPart(
+            ArchiveChunk(
                 ok=ok, data=data[message.offset : message.offset + _CHUNK_BYTES], total=len(data)
             ),
         )
@@ -119,7 +119,10 @@
                 )
 
         self.node.ask(
-            source, FetchShelf(file=files[0], offset=len(got)), 2 * self.node.params.ask_ms, told
+            source,
+            FetchArchive(file=files[0], offset=len(got)),
+            2 * self.node.settings.ask_ms,
+            told,
         )
 
     def _keep(self, file: str, data: bytes, done: Callable[[bool], None]) -> None:
@@ -128,10 +131,10 @@
     # -- leaves that are damaged ---------------------------------------------------------------
 
     @receive.register
-    def _(self, message: GetKept, origin: Origin) -> None:
+    def _(self, message: ReadArchived, origin: Origin) -> None:
         self.node.reply(origin, self._kept(message))
 
-    def _kept(self, message: GetKept) -> Kept:
+    def _kept(self, message: ReadArchived) -> ArchivedRows:
         ledger, shelves = self._log.ledger, self._log.shelves
         if message.kind == "key":
             key = ledger.keys.get(message.name)
@@ -142,10 +145,10 @@
                 if key.shelf is None
                 else shelves.receipt(key)
             )
-            return Kept(ok=body is not None, rows=[(body or "").encode()], placed=1)
+            return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], placed=1)
         lot = ledger.lots.get(message.name)
         if lot is None:
-            return Kept(ok=False, rows=[], placed=0)
+            return ArchivedRows(ok=False, rows=[], placed=0)
         if lot.shelf is None:
             rows: list[bytes] | None = [
                 encode(m.ResultRow(index=index, outcome=item.outcome, body=item.result))
@@ -155,7 +158,7 @@
             ]
         else:
             rows = shelves.results(lot, message.from_index, _PAGE)
-        return Kept(ok=rows is not None, rows=rows or [], placed=lot.placed)
+        return ArchivedRows(ok=rows is not None, rows=rows or [], placed=lot.placed)
 
     def mend(self, kind: str, name: str) -> None:
         """Start to repair the rows of a lot or a key, unless this is under way already."""
@@ -181,8 +184,8 @@
 
         self.node.ask(
             others[0],
-            GetKept(kind=kind, name=name, from_index=len(got)),
-            self.node.params.ask_ms,
+            ReadArchived(kind=kind, name=name, from_index=len(got)),
+            self.node.settings.ask_ms,
             told,
         )
 
@@ -195,7 +198,7 @@
         """Sweep the next archive file for damage, once in `gone_ms`."""
         now_ms = self.node.env.now()
         if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.params.gone_ms
+            self._next_ms = now_ms + self.node.settings.gone_ms
             self._page = ("", b"")
             for kind, name in self._log.shelves.sweep():
                 self.mend(kind, name)
--- a/libs/replicated_log/src/replicated_log/founding.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -2,13 +2,13 @@
 
 from typing import Any
 
-from replicated_log.local import LocalLog
-from replicated_log.places import spread
+from replicated_log.local_log import LocalLog
+from replicated_log.replica_placement import spread
 
-__all__ = ["Founding"]
+__all__ = ["LogBootstrap"]
 
 
-class Founding:
+class LogBootstrap:
     """The blank stores that this store has heard of, and since when they have been the same."""
 
     __slots__ = ("_candidates", "_candidates_ms", "_fleet", "_log")
@@ -27,21 +27,21 @@
         `ask_ms` later. A store that starts blank after the fleet never founds. `changed_ms` is when
         this store's role last changed, in milliseconds of its clock.
         """
-        params, now_ms = node.params, node.env.now()
-        if not self._fleet.settled_in() or now_ms - changed_ms < params.beat_ms:
+        settings, now_ms = node.settings, node.env.now()
+        if not self._fleet.settled_in() or now_ms - changed_ms < settings.beat_ms:
             return []
         blank = self._fleet.store_rows()
         if blank != self._candidates:
             self._candidates, self._candidates_ms = blank, now_ms
-        members = spread(blank, params.store_count)
+        members = spread(blank, settings.store_count)
         names = [row["identity"] for row in members]
         if (
-            len(members) < params.store_count
+            len(members) < settings.store_count
             or self._log.identity not in names
             or not self._log.may_found()
         ):
             return []
         rank = names.index(self._log.identity)
-        if now_ms - self._candidates_ms >= 2 * params.beat_ms + rank * params.ask_ms:
+        if now_ms - self._candidates_ms >= 2 * settings.beat_ms + rank * settings.ask_ms:
             return members
         return []
--- a/libs/replicated_log/src/replicated_log/watch.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -8,12 +8,12 @@
 
 from typing import Any
 
-from replicated_log.messages import Polled
+from replicated_log.messages import LeaderPollResponse
 
-__all__ = ["Watch"]
+__all__ = ["LeaderFailureDetector"]
 
 
-class Watch:
+class LeaderFailureDetector:
     """What one member knows of the holder: how long it has been silent, and what the others say.
 
     `own` is the member's identity, `quiet_ms` the holder's silence in milliseconds.
@@ -24,15 +24,15 @@
         "_last_ms",
         "_now",
         "_own",
-        "_params",
+        "_settings",
         "_polled_ms",
         "_ripe_ms",
         "quiet_ms",
     )
 
-    def __init__(self, own: str, params: Any, now: Any) -> None:
-        self._own, self._params, self._now = own, params, now
-        self._answers: dict[str, tuple[int, Polled]] = {}
+    def __init__(self, own: str, settings: Any, now: Any) -> None:
+        self._own, self._settings, self._now = own, settings, now
+        self._answers: dict[str, tuple[int, LeaderPollResponse]] = {}
         self._polled_ms = -1 << 40
         self._ripe_ms = -1
         self._last_ms = now()
@@ -52,17 +52,17 @@
 
     def gone(self) -> None:
         """Record that the holder's machine says that its process isn't running."""
-        self.quiet_ms = max(self.quiet_ms, self._params.suspect_ms)
+        self.quiet_ms = max(self.quiet_ms, self._settings.suspect_ms)
 
     @property
     def hears(self) -> bool:
         """Whether the holder has been heard within `doubt_ms`."""
-        return self.quiet_ms < self._params.doubt_ms
+        return self.quiet_ms < self._settings.doubt_ms
 
     def tick(self) -> None:
         """Count the time since the last tick as silence, at most half of `pulse_ms` a tick."""
         now_ms = self._now()
-        self.quiet_ms += min(now_ms - self._last_ms, self._params.pulse_ms // 2)
+        self.quiet_ms += min(now_ms - self._last_ms, self._settings.pulse_ms // 2)
         self._last_ms = now_ms
 
     def should_poll(self, orphaned: bool) -> bool:
@@ -70,13 +70,13 @@
 
         `orphaned` says that this very store is named as the holder but isn't at work.
         """
-        due = orphaned or self.quiet_ms >= self._params.doubt_ms
-        if not due or self._now() - self._polled_ms < self._params.pulse_ms:
+        due = orphaned or self.quiet_ms >= self._settings.doubt_ms
+        if not due or self._now() - self._polled_ms < self._settings.pulse_ms:
             return False
         self._polled_ms = self._now()
         return True
 
-    def polled(self, answer: Polled, holder: str) -> None:
+    def polled(self, answer: LeaderPollResponse, holder: str) -> None:
         """Take in a member's answer; that of a holder at work counts as a heartbeat."""
         self._answers[answer.identity] = (self._now(), answer)
         if answer.identity == holder and answer.holds:
@@ -84,7 +84,7 @@
 
     def lacking(self, names: list[str]) -> list[str]:
         """Return the members that haven't answered within twice `dead_ms`."""
-        floor_ms = self._now() - 2 * self._params.dead_ms
+        floor_ms = self._now() - 2 * self._settings.dead_ms
         return [
             name
             for name in names
@@ -97,8 +97,8 @@
         `names` are the members in order, `holder` and `epoch` those of the control key. Members
         that are being retired (`retired`) claim only if nobody else can.
         """
-        params, now_ms = self._params, self._now()
-        floor_ms = now_ms - 2 * params.pulse_ms
+        settings, now_ms = self._settings, self._now()
+        floor_ms = now_ms - 2 * settings.pulse_ms
         answers = {
             name: answer
             for name, (at_ms, answer) in self._answers.items()
@@ -117,13 +117,13 @@
         willing = [name for name in able if name not in retired] or able
         if self._own not in willing:
             return False
-        return now_ms - self._ripe_ms >= willing.index(self._own) * params.pulse_ms
+        return now_ms - self._ripe_ms >= willing.index(self._own) * settings.pulse_ms
 
     def _is_free(
-        self, answers: dict[str, Polled], names: list[str], holder: str, epoch: int
+        self, answers: dict[str, LeaderPollResponse], names: list[str], holder: str, epoch: int
     ) -> bool:
         """Whether enough members agree that the holder is no longer at work."""
-        f = self._params.store_faults
+        f = self._settings.store_faults
         if 1 + len(answers) < len(names) - f or any(
             answer.epoch > epoch for answer in answers.values()
         ):
@@ -134,4 +134,4 @@
         if sum(answer.hears for name, answer in answers.items() if name != holder) >= f:
             return False
         disowned = holder == self._own or (held is not None and held.epoch >= epoch)
-        return disowned or self.quiet_ms >= self._params.suspect_ms
+        return disowned or self.quiet_ms >= self._settings.suspect_ms
--- a/libs/replicated_log/src/replicated_log/flush_mark.py
+++ b/libs/replicated_log/src/replicated_log/flush_watermark.py
@@ -5,19 +5,19 @@
 
 from storage import Disk, frame, scan
 
-from replicated_log.meta import MetaFile
+from replicated_log.metadata_file import MetadataFile
 
-__all__ = ["FlushMark"]
+__all__ = ["FlushWatermark"]
 
 _NAME = "mark"
 
 
-class FlushMark:
+class FlushWatermark:
     """The last sequence number reported flushed, stored with the fence under which this was so."""
 
     __slots__ = ("_disk", "_metas")
 
-    def __init__(self, disk: Disk, metas: MetaFile) -> None:
+    def __init__(self, disk: Disk, metas: MetadataFile) -> None:
         self._disk = disk
         self._metas = metas
 
--- a/libs/replicated_log/src/replicated_log/peer.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -11,17 +11,25 @@
 from messaging import Message, decode, encode
 from storage import DamageError, DiskFullError
 
-from replicated_log.local import LocalLog
-from replicated_log.messages import Append, Appended, Fetch, Fetched, FetchTail, Install, Start
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import (
+    AppendRequest,
+    AppendResponse,
+    FetchRecords,
+    FetchResponse,
+    FetchTail,
+    InstallSnapshot,
+    StartRecovery,
+)
 from replicated_log.recovery import started
 
-__all__ = ["PeerSide"]
+__all__ = ["Follower"]
 
 _CHUNK_BYTES = 1 << 18
 Reply = Callable[[Message], None]
 
 
-class PeerSide:
+class Follower:
     """Handles the messages of a holder or of a recovering store for one replica."""
 
     __slots__ = ("_busy", "_log", "_parts", "_snapshot", "_source")
@@ -52,11 +60,11 @@
         raise TypeError(type(message).__name__)
 
     @_on.register
-    def _(self, message: Start, reply: Reply) -> None:
+    def _(self, message: StartRecovery, reply: Reply) -> None:
         reply(started(self._log, message.epoch == self._log.meta.fence))
 
     @_on.register
-    def _(self, message: Fetch, reply: Reply) -> None:
+    def _(self, message: FetchRecords, reply: Reply) -> None:
         log = self._log
         ok = message.epoch == log.meta.fence
         snapshot, total, records = b"", 0, []
@@ -68,7 +76,7 @@
         elif ok:
             records = [encode(record) for record in log.since(message.from_seq, _CHUNK_BYTES)]
         reply(
-            Fetched(
+            FetchResponse(
                 identity=log.identity,
                 ok=ok,
                 snapshot=snapshot,
@@ -85,10 +93,10 @@
             (seq for seq, epoch, stamp_ms in rows if self._log.stamp_at(seq) == (epoch, stamp_ms)),
             default=0,
         )
-        self._on(Fetch(epoch=message.epoch, from_seq=shared + 1, offset=0), reply)
+        self._on(FetchRecords(epoch=message.epoch, from_seq=shared + 1, offset=0), reply)
 
     @_on.register
-    def _(self, message: Append, reply: Reply) -> None:
+    def _(self, message: AppendRequest, reply: Reply) -> None:
         log = self._log
         if message.epoch < log.meta.fence:
             reply(self._receipt(message.probe, False, "fenced"))
@@ -99,7 +107,7 @@
         else:
             self._take(message, reply)
 
-    def _take(self, message: Append, reply: Reply) -> None:
+    def _take(self, message: AppendRequest, reply: Reply) -> None:
         """Take records that follow what is here.
 
         Records that the message doesn't have are cut off only once others take their place, or once
@@ -138,7 +146,7 @@
             log.flush(lambda ok: reply(self._receipt(message.probe, True, "")))
         reply(self._receipt(message.probe, True, ""))
 
-    def _adopt(self, message: Append, reply: Reply) -> None:
+    def _adopt(self, message: AppendRequest, reply: Reply) -> None:
         """Flush the log, then raise its log epoch: from then on this replica's answers count."""
         self._busy = True
 
@@ -155,7 +163,7 @@
         self._log.secure(flushed)
 
     @_on.register
-    def _(self, message: Install, reply: Reply) -> None:
+    def _(self, message: InstallSnapshot, reply: Reply) -> None:
         log = self._log
         if message.epoch < log.meta.fence or self._busy:
             reply(self._receipt(message.probe, False, "fenced" if not self._busy else "busy"))
@@ -183,14 +191,14 @@
 
     def _receipt(
         self, probe: int, ok: bool, reason: str, asked_seq: int = -1, last_seq: int | None = None
-    ) -> Appended:
+    ) -> AppendResponse:
         """Build the answer to the holder.
 
         `last_seq` is how far this log is known to match the holder's, where that isn't its end.
         """
         log = self._log
         epoch, stamp_ms = log.last_stamp
-        return Appended(
+        return AppendResponse(
             identity=log.identity,
             ok=ok,
             reason=reason,
--- a/libs/replicated_log/src/replicated_log/replica.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -5,16 +5,16 @@
 
 from messaging import Message, encode
 
-from replicated_log.local import LocalLog
-from replicated_log.messages import Appended, Install, Record
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import AppendResponse, InstallSnapshot, Record
 
-__all__ = ["Peer", "SnapshotSender", "WireCache"]
+__all__ = ["FollowerProgress", "SnapshotSender", "EncodedRecordCache"]
 
 _PART_BYTES = 1 << 18
 _WIRES = 64
 
 
-class Peer:
+class FollowerProgress:
     """What the holder knows of one store that it sends the log.
 
     `last_seq` and `flushed_seq` are how far the store has the log in memory and on disk, as it said
@@ -63,36 +63,36 @@
     again.
     """
 
-    __slots__ = ("_epoch", "_log", "_now", "_params", "_post")
+    __slots__ = ("_epoch", "_log", "_now", "_settings", "_post")
 
     def __init__(
         self,
         log: LocalLog,
         epoch: int,
-        params: Any,
+        settings: Any,
         now: Callable[[], int],
         post: Callable[[str, Message], None],
     ) -> None:
-        self._log, self._epoch, self._params = log, epoch, params
+        self._log, self._epoch, self._settings = log, epoch, settings
         self._now, self._post = now, post
 
-    def send(self, peer: Peer, probe: int) -> None:
+    def send(self, peer: FollowerProgress, probe: int) -> None:
         """Begin a snapshot, begin it again, or repeat its last part when that is due."""
         now_ms = self._now()
-        if not peer.snapshot or now_ms - peer.install_ms >= self._params.force_ms:
+        if not peer.snapshot or now_ms - peer.install_ms >= self._settings.force_ms:
             peer.snapshot, peer.taken_bytes = self._log.kept_snapshot(), 0
             self._send_part(peer, probe)
-        elif now_ms - peer.install_ms >= self._params.ask_ms and peer.taken_bytes < len(
+        elif now_ms - peer.install_ms >= self._settings.ask_ms and peer.taken_bytes < len(
             peer.snapshot
         ):
             self._send_part(peer, probe)
 
-    def _send_part(self, peer: Peer, probe: int) -> None:
+    def _send_part(self, peer: FollowerProgress, probe: int) -> None:
         peer.install_ms = self._now()
         offset = peer.taken_bytes
         self._post(
             peer.address,
-            Install(
+            InstallSnapshot(
                 epoch=self._epoch,
                 snapshot=peer.snapshot[offset : offset + _PART_BYTES],
                 offset=offset,
@@ -101,7 +101,7 @@
             ),
         )
 
-    def answered(self, peer: Peer, message: Appended, probe: int) -> None:
+    def answered(self, peer: FollowerProgress, message: AppendResponse, probe: int) -> None:
         """Take in a follower's answer: it is installing the snapshot, or says how much it has."""
         if message.reason == "busy":
             peer.install_ms, peer.taken_bytes = self._now(), len(peer.snapshot)
@@ -110,7 +110,7 @@
             self._send_part(peer, probe)
 
 
-class WireCache:
+class EncodedRecordCache:
     """The encoded form of the latest records, made once for all followers."""
 
     __slots__ = ("_wires",)
--- a/libs/replicated_log/src/replicated_log/holder.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -9,25 +9,25 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import Ledger
-from batch_state.entries import LotShelved
+from batch_state import BatchState
+from batch_state.entries import JobArchived
 from messaging import Message, encode
 from storage import DiskFullError
 
-from replicated_log.local import LocalLog
-from replicated_log.messages import Append, Appended
+from replicated_log.follower_progress import EncodedRecordCache, FollowerProgress, SnapshotSender
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import AppendRequest, AppendResponse
+from replicated_log.pending_appends import Outcome, PendingAppend
 from replicated_log.quorums import Quorums, confirmed_probe, held
 from replicated_log.records import entry_of
-from replicated_log.replica import Peer, SnapshotSender, WireCache
-from replicated_log.waiters import Outcome, Waiter
 
-__all__ = ["Holder", "Outcome"]
+__all__ = ["Leader", "Outcome"]
 
 _CHUNK_BYTES = 1 << 18
 _SNAPSHOT_ENDS = ("installed", "full", "damaged")
 
 
-class Holder:
+class Leader:
     """Appends, reads and replication of one epoch, until a higher epoch deposes the holder.
 
     `ledger` includes records not settled yet; `base_seq` is the end of the recovered log.
@@ -52,7 +52,7 @@
         "deposed",
         "epoch",
         "ledger",
-        "params",
+        "settings",
         "peers",
         "waiters",
     )
@@ -62,7 +62,7 @@
         log: LocalLog,
         epoch: int,
         members: list[tuple[str, str]],
-        params: Any,
+        settings: Any,
         now: Callable[[], int],
         wall: Callable[[], int],
         post: Callable[[str, Message], None],
@@ -71,24 +71,24 @@
     ) -> None:
         self._log = log
         self.epoch = epoch
-        self.params = params
+        self.settings = settings
         self._now, self._wall, self._post = now, wall, post
         self._snapshots = SnapshotSender(
-            log, epoch, params, now, lambda to, message: self._post(to, message)
+            log, epoch, settings, now, lambda to, message: self._post(to, message)
         )
         self._on_deposed = on_deposed
         self._on_adopted: Callable[[], None] | None = on_adopted
         self.base_seq = log.last_seq
         self.peers = {
-            identity: Peer(identity, address, log.last_seq + 1, now())
+            identity: FollowerProgress(identity, address, log.last_seq + 1, now())
             for identity, address in members
             if identity != log.identity
         }
         self._quorums = Quorums([identity for identity, _ in members], self.peers)
-        self.waiters: list[Waiter] = []
+        self.waiters: list[PendingAppend] = []
         self._readers: list[tuple[int, Callable[[bool], None], int]] = []
         self._probe = 0
-        self._wires = WireCache()
+        self._wires = EncodedRecordCache()
         self._flush_asked = False
         self._flush_wanted_seq = 0
         self._level_seq = (log.settled_seq, log.settled_seq, now())
@@ -98,14 +98,14 @@
             self.ledger.apply(entry_of(record))
 
     @property
-    def settled(self) -> Ledger:
+    def settled(self) -> BatchState:
         """The ledger folded up to the last settled record."""
         return self._log.ledger
 
     def let_go(self, entry: Message) -> None:
         """Drop what was archived in a file from the unsettled ledger, if it is over there too."""
-        known = self.ledger.lots if isinstance(entry, LotShelved) else self.ledger.keys
-        if (entry.lot_id if isinstance(entry, LotShelved) else entry.key) in known:
+        known = self.ledger.lots if isinstance(entry, JobArchived) else self.ledger.keys
+        if (entry.lot_id if isinstance(entry, JobArchived) else entry.key) in known:
             self.ledger.apply(entry)
 
     def append(
@@ -136,7 +136,7 @@
             return False
         for entry in entries:
             self.ledger.apply(entry)
-        self.waiters.append(Waiter(self._log.last_seq, settled, self._now(), done))
+        self.waiters.append(PendingAppend(self._log.last_seq, settled, self._now(), done))
         if settled:
             self._bring_flush_forward()
         for peer in self.peers.values():
@@ -148,7 +148,7 @@
 
     def _peers_full(self) -> bool:
         roomy = sum(1 for name in self.members if name in self.peers and not self.peers[name].full)
-        return roomy < self.params.store_faults
+        return roomy < self.settings.store_faults
 
     def read(self, done: Callable[[bool], None]) -> None:
         """Call back with True once f followers have confirmed this epoch after now, else False."""
@@ -157,10 +157,10 @@
         for peer in self.peers.values():
             self._send(peer)
 
-    def _send(self, peer: Peer, flush: bool = False) -> None:
+    def _send(self, peer: FollowerProgress, flush: bool = False) -> None:
         log = self._log
         peer.sent_ms = self._now()
-        if self._now() - peer.heard_ms > self.params.dead_ms:
+        if self._now() - peer.heard_ms > self.settings.dead_ms:
             peer.next_seq = log.last_seq + 1
         previous = log.stamp_at(peer.next_seq - 1)
         if previous is None or peer.next_seq < log.first_seq:
@@ -171,7 +171,7 @@
         wanted = flush or self._flush_wanted_seq > peer.flushed_seq
         self._post(
             peer.address,
-            Append(
+            AppendRequest(
                 epoch=self.epoch,
                 base_seq=self.base_seq,
                 prev_seq=peer.next_seq - 1,
@@ -185,7 +185,7 @@
         )
         peer.next_seq += len(records)
 
-    def answered(self, message: Appended, address: str) -> None:
+    def answered(self, message: AppendResponse, address: str) -> None:
         """Take in a follower's answer; a higher fence in it deposes this holder."""
         if message.fence > self.epoch:
             self._depose(message.fence)
@@ -217,7 +217,7 @@
             self._step_back(peer, message)
         self.progress()
 
-    def _step_back(self, peer: Peer, message: Appended) -> None:
+    def _step_back(self, peer: FollowerProgress, message: AppendResponse) -> None:
         """Go one record back, but not behind the follower's snapshot, which is settled throughout.
 
         Answers to sends before the last one are ignored, or each would cause a send of its own.
@@ -231,7 +231,9 @@
     def learn(self, identity: str, address: str) -> None:
         """Start to replicate to a spare, which counts in no quorum until it is a member."""
         if identity not in self.peers and identity != self._log.identity:
-            self.peers[identity] = Peer(identity, address, self._log.last_seq + 1, self._now())
+            self.peers[identity] = FollowerProgress(
+                identity, address, self._log.last_seq + 1, self._now()
+            )
 
     def keep_spares(self, spares: list[tuple[str, str]]) -> None:
         """Replicate to these spares and to no others."""
@@ -249,7 +251,9 @@
         """Whether a follower has adopted this epoch and was heard within `doubt_ms`."""
         peer = self.peers.get(identity)
         return (
-            peer is not None and peer.adopted and self._now() - peer.heard_ms < self.params.doubt_ms
+            peer is not None
+            and peer.adopted
+            and self._now() - peer.heard_ms < self.settings.doubt_ms
         )
 
     def is_level(self, identity: str) -> bool:
@@ -262,7 +266,7 @@
             peer is not None
             and peer.adopted
             and peer.flushed_seq >= self._level_seq[0]
-            and self._now() - peer.heard_ms < self.params.dead_ms
+            and self._now() - peer.heard_ms < self.settings.dead_ms
         )
 
     def level_members(self) -> int:
@@ -272,20 +276,22 @@
 
     def sure(self) -> bool:
         """Whether f members have answered within `doubt_ms`, so that a quorum is in touch."""
-        floor_ms = self._now() - self.params.doubt_ms
-        return sum(peer.heard_ms >= floor_ms for peer in self._voting()) >= self.params.store_faults
+        floor_ms = self._now() - self.settings.doubt_ms
+        return (
+            sum(peer.heard_ms >= floor_ms for peer in self._voting()) >= self.settings.store_faults
+        )
 
     @property
     def members(self) -> list[str]:
         """The identities of the members in force."""
         return self._quorums.members
 
-    def _voting(self) -> list[Peer]:
+    def _voting(self) -> list[FollowerProgress]:
         return self._quorums.peers_of(self.members)
 
     def progress(self) -> None:
         """Settle, acknowledge and answer reads as far as the followers' answers allow."""
-        f = self.params.store_faults
+        f = self.settings.store_faults
         settled_seq = self._quorums.settled_seq(f, self._log.flushed_seq)
         if settled_seq > self._log.settled_seq and settled_seq >= self.base_seq:
             self._log.settle(settled_seq)
@@ -302,8 +308,8 @@
         while self._readers and self._readers[0][0] <= probe:
             self._readers.pop(0)[1](True)
 
-    def _is_ready(self, waiter: Waiter, held_seq: int) -> bool:
-        if waiter.settled or self._now() - waiter.at_ms >= 2 * self.params.delta_ms:
+    def _is_ready(self, waiter: PendingAppend, held_seq: int) -> bool:
+        if waiter.settled or self._now() - waiter.at_ms >= 2 * self.settings.delta_ms:
             return waiter.seq <= self._log.settled_seq
         return waiter.seq <= held_seq
 
@@ -311,14 +317,14 @@
         """Return a member in touch with room on its disk if this store has none, else None."""
         if self._log.disk.roomy(0):
             return None
-        return self._quorums.roomy_member(self._now() - self.params.dead_ms)
+        return self._quorums.roomy_member(self._now() - self.settings.dead_ms)
 
     def adopted(self) -> bool:
         """Whether f followers have the recovered log on disk under this epoch."""
         count = sum(
             1 for peer in self._voting() if peer.adopted and peer.flushed_seq >= self.base_seq
         )
-        return count >= self.params.store_faults and self._log.flushed_seq >= self.base_seq
+        return count >= self.settings.store_faults and self._log.flushed_seq >= self.base_seq
 
     def begin_change(self, following: list[str]) -> None:
         """Start a change of members: from now on a quorum of both lists is needed."""
@@ -327,7 +333,7 @@
 
     def may_change(self) -> bool:
         """Whether the following members have on disk all that was acknowledged without them."""
-        return self._quorums.may_change(self.params.store_faults, self._log.flushed_seq)
+        return self._quorums.may_change(self.settings.store_faults, self._log.flushed_seq)
 
     def end_change(self, made: bool) -> None:
         """End a change of members; the following list is in force if it was `made`."""
@@ -352,17 +358,17 @@
     def tick(self) -> None:
         """Do the periodic work: time out callers, flush what is due, resend, and take snapshots."""
         now_ms = self._now()
-        if now_ms - self._level_seq[2] >= self.params.pulse_ms:
+        if now_ms - self._level_seq[2] >= self.settings.pulse_ms:
             self._level_seq = (self._level_seq[1], self._log.settled_seq, now_ms)
-        if any(now_ms - waiter.at_ms >= 2 * self.params.delta_ms for waiter in self.waiters):
+        if any(now_ms - waiter.at_ms >= 2 * self.settings.delta_ms for waiter in self.waiters):
             self._bring_flush_forward()
         given_up = [
-            waiter for waiter in self.waiters if now_ms - waiter.at_ms >= self.params.ask_ms
+            waiter for waiter in self.waiters if now_ms - waiter.at_ms >= self.settings.ask_ms
         ]
         self.waiters = [waiter for waiter in self.waiters if waiter not in given_up]
         for waiter in given_up:
             waiter.done(Outcome.UNKNOWN)
-        while self._readers and now_ms - self._readers[0][2] >= self.params.ask_ms:
+        while self._readers and now_ms - self._readers[0][2] >= self.settings.ask_ms:
             self._readers.pop(0)[1](False)
         if self._log.flush_due():
             self._bring_flush_forward()
@@ -372,8 +378,8 @@
             )
             quiet_ms = now_ms - peer.sent_ms
             if (
-                behind and quiet_ms >= 2 * self.params.delta_ms
-            ) or quiet_ms >= self.params.pulse_ms:
+                behind and quiet_ms >= 2 * self.settings.delta_ms
+            ) or quiet_ms >= self.settings.pulse_ms:
                 if behind:
                     peer.next_seq = (
                         peer.last_seq + 1 if peer.adopted else min(peer.next_seq, self.base_seq + 1)
--- a/libs/replicated_log/src/replicated_log/local.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import Ledger
+from batch_state import BatchState
 from messaging import Message, decode, encode
 from storage import DamageError, Disk, frame, over_hole, walk
 
-from replicated_log.flush_mark import FlushMark
-from replicated_log.messages import TRUNCATE, LogMeta, Record, StoredEntry
-from replicated_log.meta import MetaFile
+from replicated_log.archive import ArchiveStore, files_of
+from replicated_log.flush_watermark import FlushWatermark
+from replicated_log.messages import TRUNCATE, Record, ReplicaMetadata, StoredEntry
+from replicated_log.metadata_file import MetadataFile
 from replicated_log.records import entry_of, first_bytes, record_of
-from replicated_log.shelves import Shelves, files_of
 from replicated_log.snapshots import SnapshotMaker, make_snapshot, read_whole_snapshot
 
 __all__ = ["LocalLog"]
@@ -45,7 +45,7 @@
         "fetcher",
         "flushed_seq",
         "ledger",
-        "params",
+        "settings",
         "received_ms",
         "records",
         "settled_seq",
@@ -55,15 +55,15 @@
     )
 
     def __init__(
-        self, disk: Disk, params: Any, now: Callable[[], int], token: Callable[[], str]
+        self, disk: Disk, settings: Any, now: Callable[[], int], token: Callable[[], str]
     ) -> None:
         self.disk = disk
-        self.params = params
+        self.settings = settings
         self._now = now
         self.records: list[Record] = []
         self._entries: dict[int, Message] = {}
         self.received_ms: list[int] = []
-        self.ledger = Ledger()
+        self.ledger = BatchState()
         self.snap_seq = 0
         self.snap_stamp = (0, 0)
         self._dirty: set[str] = set()
@@ -75,11 +75,11 @@
         self._since_snap_bytes = 0
         self._last_flush_ms = now()
         self._written = ("", 0)
-        self.shelves = Shelves(self, token)
+        self.shelves = ArchiveStore(self, token)
         self.fetcher: Callable[[list[str], str, Callable[[bool], None]], None] | None = None
         self._open(token)
         self.shelves.collect()
-        if self._metas.fresh and params.first_start:
+        if self._metas.fresh and settings.first_start:
             self.keep_meta(lambda ok: None)
         self.settled_seq = self.snap_seq
         self.flushed_seq = self.snap_seq
@@ -87,10 +87,10 @@
 
     def _open(self, token: Callable[[], str]) -> None:
         names = self.disk.names()
-        self._metas = MetaFile(self.disk, token)
+        self._metas = MetadataFile(self.disk, token)
         if _SNAP in names:
             self.load_snapshot(self.disk.read(_SNAP))
-        self._mark = FlushMark(self.disk, self._metas)
+        self._mark = FlushWatermark(self.disk, self._metas)
         mark = self._mark.read()
         for name in [name for name in names if name.startswith(_QUEUE)]:
             self._open_queue(name)
@@ -124,15 +124,15 @@
 
     def may_found(self) -> bool:
         """Whether this store may found a log: its disk was blank when the fleet began."""
-        told = self.params.control_count > 0 or self.params.first_start or not self._metas.fresh
+        told = self.settings.control_count > 0 or self.settings.first_start or not self._metas.fresh
         return (
             told
             and self.meta.log_epoch == 0
-            and (self.params.control_count > 0 or self.meta.fence == 0)
+            and (self.settings.control_count > 0 or self.meta.fence == 0)
         )
 
     @property
-    def meta(self) -> LogMeta:
+    def meta(self) -> ReplicaMetadata:
         """The durable metadata: identity, fence and log epoch."""
         return self._metas.meta
 
@@ -173,7 +173,7 @@
         payload = encode(StoredEntry(epoch=stamp[0], stamp_ms=stamp[1], seq=seq, body=body))
         name, offset = self._written
         flags = 0
-        if not name.startswith(f"{_QUEUE}{stamp[0]:08d}-") or offset >= self.params.segment_bytes:
+        if not name.startswith(f"{_QUEUE}{stamp[0]:08d}-") or offset >= self.settings.segment_bytes:
             name, offset, flags = f"{_QUEUE}{stamp[0]:08d}-{seq:012d}", 0, TRUNCATE
         return record_of(
             StoredEntry(epoch=stamp[0], stamp_ms=stamp[1], seq=seq, body=body),
@@ -251,13 +251,13 @@
         return (
             self.flushed_seq < self.last_seq
             and not self._flushing
-            and self._now() - self._last_flush_ms >= self.params.flush_ms
+            and self._now() - self._last_flush_ms >= self.settings.flush_ms
         )
 
     def keep_meta(
         self, done: Callable[[bool], None], fence: int | None = None, log_epoch: int | None = None
     ) -> None:
-        """Raise the fence and the log epoch durably; see MetaFile.keep."""
+        """Raise the fence and the log epoch durably; see MetadataFile.keep."""
         self._metas.keep(done, fence or 0, log_epoch or 0)
 
     def settle(self, seq: int) -> None:
@@ -291,7 +291,7 @@
     def load_snapshot(self, data: bytes) -> None:
         """Replace the ledger by a snapshot's. Raises DamageError if it isn't intact."""
         head, entries = read_whole_snapshot(data)
-        self.ledger = Ledger()
+        self.ledger = BatchState()
         for entry in entries:
             self.ledger.apply(entry)
         self.snap_seq = self.settled_seq = head.seq
@@ -349,7 +349,8 @@
         if self._snapping or self.settled_seq <= self.snap_seq:
             return
         if not force and (
-            self._since_snap_bytes < self.params.segment_bytes or self._now() < self._snap_after_ms
+            self._since_snap_bytes < self.settings.segment_bytes
+            or self._now() < self._snap_after_ms
         ):
             return
         self._snapping = True
@@ -371,8 +372,8 @@
         def kept(ok: bool) -> None:
             self._snapping = False
             if not ok:
-                self._since_snap_bytes = self.params.segment_bytes
-                self._snap_after_ms = self._now() + self.params.ask_ms
+                self._since_snap_bytes = self.settings.segment_bytes
+                self._snap_after_ms = self._now() + self.settings.ask_ms
             elif seq > self.snap_seq:
                 self.snap_seq, self.snap_stamp = seq, stamp
                 self.trim()
@@ -387,7 +388,7 @@
     def trim(self) -> None:
         """Drop records that are both in the snapshot and older than `keep_factor` * `flush_ms`."""
         if self.received_ms:
-            floor_ms = self.received_ms[-1] - self.params.keep_factor * self.params.flush_ms
+            floor_ms = self.received_ms[-1] - self.settings.keep_factor * self.settings.flush_ms
             count = self._count_trimmable(floor_ms)
             del self.records[:count]
             del self.received_ms[:count]
--- a/libs/replicated_log/src/replicated_log/store.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -12,30 +12,30 @@
 from collections.abc import Callable
 from typing import Any
 
-from messaging import Message, Origin, Part
-
-from replicated_log.founding import Founding
-from replicated_log.holder import Holder
-from replicated_log.local import LocalLog
-from replicated_log.member_keeper import MemberKeeper
+from messaging import Component, Message, Origin
+
+from replicated_log.bootstrap import LogBootstrap
+from replicated_log.failure_detector import LeaderFailureDetector
+from replicated_log.follower import Follower
+from replicated_log.leader import Leader
+from replicated_log.local_log import LocalLog
+from replicated_log.membership_manager import MembershipManager
 from replicated_log.messages import (
-    Append,
-    Appended,
-    Fetch,
+    AppendRequest,
+    AppendResponse,
+    FetchRecords,
     FetchTail,
-    Install,
-    Poll,
-    Polled,
-    Pulse,
-    Start,
-    Succeed,
+    InstallSnapshot,
+    LeaderHeartbeat,
+    LeaderPoll,
+    LeaderPollResponse,
+    StartRecovery,
+    TransferLeadership,
 )
-from replicated_log.peer import PeerSide
 from replicated_log.role import Role
-from replicated_log.takeover import Takeover
-from replicated_log.watch import Watch
+from replicated_log.takeover import LeaderTakeover
 
-__all__ = ["LOG_KEY", "StoreLog"]
+__all__ = ["LOG_KEY", "LogReplica"]
 
 LOG_KEY = "log"
 
@@ -43,7 +43,7 @@
 _AT_WORK = (Role.RECOVERING, Role.ADOPTING, Role.ANNOUNCING, Role.SERVING)
 
 
-class StoreLog(Part):
+class LogReplica(Component):
     """The log's part of a store node.
 
     `control` changes the control key of the log by compare-and-set: change(key, version, body,
@@ -71,18 +71,28 @@
         "role",
         "value",
     )
-    HANDLES = (Append, Appended, Install, Start, Fetch, FetchTail, Pulse, Poll, Succeed)
+    HANDLES = (
+        AppendRequest,
+        AppendResponse,
+        InstallSnapshot,
+        StartRecovery,
+        FetchRecords,
+        FetchTail,
+        LeaderHeartbeat,
+        LeaderPoll,
+        TransferLeadership,
+    )
 
     def __init__(
-        self, log: LocalLog, control: Any, fleet: Any, on_role: Callable[[Holder | None], None]
+        self, log: LocalLog, control: Any, fleet: Any, on_role: Callable[[Leader | None], None]
     ) -> None:
         self.log = log
         self._control = control
         self._fleet = fleet
         self._on_role = on_role
-        self._peer = PeerSide(log)
-        self._takeover = Takeover(self)
-        self.holder: Holder | None = None
+        self._peer = Follower(log)
+        self._takeover = LeaderTakeover(self)
+        self.holder: Leader | None = None
         self.role = Role.PEER
         self.changed_ms = 0
         self.changing = False
@@ -90,29 +100,29 @@
         self._pulsed_ms = -1 << 40
         self._version = 0
         self._level_told = 0
-        self._founding = Founding(log, fleet)
-        self._keeper = MemberKeeper(self, fleet)
+        self._founding = LogBootstrap(log, fleet)
+        self._keeper = MembershipManager(self, fleet)
         self.value: dict[str, Any] = {}
 
     def attach(self, node: Any) -> None:
         """Bind the part to its node."""
         super().attach(node)
-        self._watch = Watch(self.log.identity, node.params, node.env.now)
+        self._watch = LeaderFailureDetector(self.log.identity, node.settings, node.env.now)
 
     # -- as a follower -----------------------------------------------------------------------------
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Handle a message of another store."""
-        if isinstance(message, Appended):
+        if isinstance(message, AppendResponse):
             if self.holder is not None and not self.holder.deposed:
                 self.holder.answered(message, origin.sender)
-        elif isinstance(message, Pulse):
+        elif isinstance(message, LeaderHeartbeat):
             if message.sure and message.epoch >= self.value.get("epoch", 0):
                 self._watch.heard()
                 self._level_told = message.level
-        elif isinstance(message, Poll):
+        elif isinstance(message, LeaderPoll):
             self._polled(message, origin)
-        elif isinstance(message, Succeed):
+        elif isinstance(message, TransferLeadership):
             self._learn(message.number, message.body)
             self._consider_claim()
         else:
@@ -123,12 +133,12 @@
             )
 
     def _receipt(self, origin: Origin, message: Message, receipt: Message) -> None:
-        if isinstance(message, (Append, Install)):
+        if isinstance(message, (AppendRequest, InstallSnapshot)):
             self.node.post(origin.sender, receipt)
         else:
             self.node.reply(origin, receipt)
 
-    def _polled(self, message: Poll, origin: Origin) -> None:
+    def _polled(self, message: LeaderPoll, origin: Origin) -> None:
         epoch = self.value.get("epoch", 0)
         if (
             message.identity == self.value.get("holder")
@@ -138,7 +148,7 @@
             self._watch.gone()
         self.node.reply(
             origin,
-            Polled(
+            LeaderPollResponse(
                 identity=self.log.identity,
                 epoch=max(epoch, self.log.meta.fence),
                 holds=self._at_work(),
@@ -193,20 +203,22 @@
         self.pulse()
         if self.role is Role.SERVING:
             self._keeper.tick()
-        elif self.node.env.now() - self.changed_ms > 2 * self.node.params.force_ms:
+        elif self.node.env.now() - self.changed_ms > 2 * self.node.settings.force_ms:
             self._takeover.stuck()
 
     def pulse(self) -> None:
         """Send the holder's heartbeat to the other members, once in `pulse_ms`."""
         now_ms = self.node.env.now()
-        if self.role is Role.CLAIMING or now_ms - self._pulsed_ms < self.node.params.pulse_ms:
+        if self.role is Role.CLAIMING or now_ms - self._pulsed_ms < self.node.settings.pulse_ms:
             return
         self._pulsed_ms = now_ms
         for row in self.value["members"]:
             if row["identity"] != self.log.identity:
                 self.node.post(
                     row["address"],
-                    Pulse(epoch=self.value["epoch"], sure=self._at_work(), level=self._level()),
+                    LeaderHeartbeat(
+                        epoch=self.value["epoch"], sure=self._at_work(), level=self._level()
+                    ),
                 )
 
     def _level(self) -> int:
@@ -258,8 +270,8 @@
             if row["identity"] != self.log.identity:
                 self.node.ask(
                     row["address"],
-                    Poll(identity=self.log.identity, epoch=epoch),
-                    self.node.params.suspect_ms,
+                    LeaderPoll(identity=self.log.identity, epoch=epoch),
+                    self.node.settings.suspect_ms,
                     polled,
                 )
 
@@ -315,7 +327,9 @@
                 self.become(Role.PEER, epoch)
             if mine and holder != self.log.identity:
                 address = next(row["address"] for row in members if row["identity"] == holder)
-                self.node.post(address, Succeed(number=self._version, body=json.dumps(self.value)))
+                self.node.post(
+                    address, TransferLeadership(number=self._version, body=json.dumps(self.value))
+                )
 
         self.change(body, claimed)
 
@@ -355,7 +369,7 @@
         if not self.leaving or self.role is not Role.PEER:
             return self.leaving
         names = [row["identity"] for row in self.value.get("members", [])]
-        needed = self._level_told - 1 < self.node.params.store_faults + 1
+        needed = self._level_told - 1 < self.node.settings.store_faults + 1
         return self.log.identity in names and needed and self._watch.hears
 
     # -- changes of role -----------------------------------------------------------------------
--- a/libs/replicated_log/src/replicated_log/membership.py
+++ b/libs/replicated_log/src/replicated_log/member_selection.py
@@ -6,7 +6,7 @@
 
 from typing import Any
 
-from replicated_log.places import Row
+from replicated_log.replica_placement import Row
 
 __all__ = ["crowded", "lost_members", "pick_spare", "warm_spares"]
 
--- a/libs/replicated_log/src/replicated_log/member_change.py
+++ b/libs/replicated_log/src/replicated_log/membership_change.py
@@ -7,10 +7,10 @@
 
 from typing import Any
 
-__all__ = ["MemberChange"]
+__all__ = ["MembershipChange"]
 
 
-class MemberChange:
+class MembershipChange:
     """A change under way; `store` is the serving StoreLog, `following` the rows of the new list."""
 
     __slots__ = ("_began_ms", "_following", "_store", "_version")
@@ -41,7 +41,7 @@
             self._version = store.version
             self._ask()
             return False
-        if store.node.env.now() - self._began_ms > store.node.params.force_ms:
+        if store.node.env.now() - self._began_ms > store.node.settings.force_ms:
             self._end(False)
             return True
         return False
--- a/libs/replicated_log/src/replicated_log/member_keeper.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -6,13 +6,13 @@
 
 from typing import Any
 
-from replicated_log.member_change import MemberChange
-from replicated_log.membership import crowded, lost_members, pick_spare, warm_spares
+from replicated_log.member_selection import crowded, lost_members, pick_spare, warm_spares
+from replicated_log.membership_change import MembershipChange
 
-__all__ = ["MemberKeeper"]
+__all__ = ["MembershipManager"]
 
 
-class MemberKeeper:
+class MembershipManager:
     """Looks after the members; `store` is the serving StoreLog, `fleet` the view of the fleet."""
 
     __slots__ = ("_change", "_fleet", "_housed_ms", "_roomy_ms", "_store", "_wanted_ms")
@@ -23,7 +23,7 @@
         self._housed_ms = -1 << 40
         self._roomy_ms = -1 << 40
         self._wanted_ms = -1
-        self._change: MemberChange | None = None
+        self._change: MembershipChange | None = None
 
     def serves(self) -> None:
         """Start anew, because the store has begun to serve."""
@@ -43,7 +43,7 @@
             return
         if store.leaving:
             self._hand_to_another()
-        elif now_ms - self._housed_ms < store.node.params.pulse_ms:
+        elif now_ms - self._housed_ms < store.node.settings.pulse_ms:
             return
         self._housed_ms = now_ms
         if store.leaving:
@@ -63,7 +63,7 @@
     def _consider_replacement(self) -> None:
         store = self._store
         holder, members, now_ms = store.holder, store.value["members"], store.node.env.now()
-        params, retired, names = store.node.params, self._fleet.retired_stores(), holder.members
+        settings, retired, names = store.node.settings, self._fleet.retired_stores(), holder.members
         live = self._fleet.store_rows()
         spares = [
             row for row in live if row["identity"] not in names and row["identity"] not in retired
@@ -71,19 +71,19 @@
         silent_ms = {
             name: now_ms - holder.peers[name].heard_ms for name in names if name in holder.peers
         }
-        lost = lost_members(members, live, silent_ms, retired, params.gone_ms)
+        lost = lost_members(members, live, silent_ms, retired, settings.gone_ms)
         warm = {name for name in holder.peers if name not in names}
-        wanted = warm_spares(members, spares, lost, warm, params.store_faults)
+        wanted = warm_spares(members, spares, lost, warm, settings.store_faults)
         holder.keep_spares([(row["identity"], row["address"]) for row in wanted])
         ready = [row for row in wanted if holder.is_level(row["identity"])]
         new = pick_spare(members, ready, lost)
-        calm = now_ms - store.changed_ms > params.resume_ms
+        calm = now_ms - store.changed_ms > settings.resume_ms
         old = lost[0] if lost else crowded(members, new) if new is not None and calm else None
         if new is None or old is None:
             self._wanted_ms = -1
             return
         self._wanted_ms = now_ms if self._wanted_ms < 0 else self._wanted_ms
-        if holder.waiters and now_ms - self._wanted_ms < params.ask_ms:
+        if holder.waiters and now_ms - self._wanted_ms < settings.ask_ms:
             return
         if old == store.log.identity:
             self._hand_to_another()
@@ -92,7 +92,7 @@
         store.node.env.log(
             "store-replaced", "WARNING", old=old, new=new["identity"], epoch=holder.epoch
         )
-        self._change = MemberChange(store, following)
+        self._change = MembershipChange(store, following)
         self.follow_change()
 
     def follow_change(self) -> None:
@@ -120,7 +120,7 @@
         following = None if store.changing or store.holder is None else store.holder.roomier()
         if (
             following is not None
-            and now_ms - max(self._roomy_ms, store.changed_ms) > store.node.params.dead_ms
+            and now_ms - max(self._roomy_ms, store.changed_ms) > store.node.settings.dead_ms
         ):
             store.node.env.log("holder-full", "WARNING", following=following)
             store.changed_ms = now_ms
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -10,22 +10,22 @@
 from messaging import Message
 
 __all__ = [
-    "Append",
-    "Appended",
-    "Fetch",
+    "AppendRequest",
+    "AppendResponse",
+    "FetchRecords",
     "FetchTail",
-    "Fetched",
-    "Install",
-    "LogMeta",
-    "Poll",
-    "Polled",
-    "Pulse",
+    "FetchResponse",
+    "InstallSnapshot",
+    "ReplicaMetadata",
+    "LeaderPoll",
+    "LeaderPollResponse",
+    "LeaderHeartbeat",
     "Record",
-    "SnapshotHead",
-    "Start",
-    "Started",
+    "SnapshotHeader",
+    "StartRecovery",
+    "StartRecoveryResponse",
     "StoredEntry",
-    "Succeed",
+    "TransferLeadership",
     "TRUNCATE",
 ]
 
@@ -63,7 +63,7 @@
         return (self.epoch, self.stamp_ms)
 
 
-class SnapshotHead(Message):
+class SnapshotHeader(Message, wire_name="SnapshotHead"):
     """The first frame of a snapshot: the last record that it covers and how many frames follow."""
 
     seq: int
@@ -72,7 +72,7 @@
     count: int
 
 
-class LogMeta(Message):
+class ReplicaMetadata(Message, wire_name="LogMeta"):
     """The durable metadata of a replica.
 
     `fence` is the highest epoch that it has accepted; it refuses lower ones. `log_epoch` is the
@@ -84,7 +84,7 @@
     log_epoch: int
 
 
-class Append(Message):
+class AppendRequest(Message, wire_name="Append"):
     """From the holder to a follower: the records after `prev_seq`, or none as a heartbeat.
 
     The follower accepts them only if its record at `prev_seq` has the stamp (`prev_epoch`,
@@ -104,7 +104,7 @@
     probe: int
 
 
-class Appended(Message):
+class AppendResponse(Message, wire_name="Appended"):
     """A follower's answer to Append and Install.
 
     `ok` says that the records were taken; if not, `reason` is one of fenced, busy, gap, settled,
@@ -129,7 +129,7 @@
     roomy: bool
 
 
-class Install(Message):
+class InstallSnapshot(Message, wire_name="Install"):
     """From the holder to a follower: a part of a snapshot that replaces the follower's log.
 
     `offset` and `total` are bytes of the whole snapshot.
@@ -142,13 +142,13 @@
     probe: int
 
 
-class Start(Message):
+class StartRecovery(Message, wire_name="Start"):
     """From a recovering replica: raise your fence to `epoch` and say what you hold."""
 
     epoch: int
 
 
-class Started(Message):
+class StartRecoveryResponse(Message, wire_name="Started"):
     """The answer to Start: the replica's fence, log epoch and extent of its log.
 
     `ok` says that its fence is exactly the epoch asked for.
@@ -175,7 +175,7 @@
     stamps_ms: list[int]
 
 
-class Pulse(Message):
+class LeaderHeartbeat(Message, wire_name="Pulse"):
     """The holder's heartbeat to the other members.
 
     `sure` says that at least f members have answered the holder lately; `level` is how many
@@ -187,7 +187,7 @@
     level: int
 
 
-class Poll(Message):
+class LeaderPoll(Message, wire_name="Poll"):
     """A member's question to the others whether the holder is still at work.
 
     `identity` is the asking replica and `epoch` the epoch that it knows.
@@ -197,7 +197,7 @@
     epoch: int
 
 
-class Polled(Message):
+class LeaderPollResponse(Message, wire_name="Polled"):
     """The answer to Poll.
 
     `epoch` is the highest epoch known to the answering replica. `holds` says that it is at work as
@@ -212,7 +212,7 @@
     leaving: bool
 
 
-class Succeed(Message):
+class TransferLeadership(Message, wire_name="Succeed"):
     """From a holder that hands over to its successor: the control key in its new version.
 
     `number` is the version and `body` the JSON value of the key.
@@ -222,7 +222,7 @@
     body: str
 
 
-class Fetch(Message):
+class FetchRecords(Message, wire_name="Fetch"):
     """Ask for records from `from_seq` on, or for the snapshot from the byte `offset` on."""
 
     epoch: int
@@ -230,7 +230,7 @@
     offset: int
 
 
-class Fetched(Message):
+class FetchResponse(Message, wire_name="Fetched"):
     """The answer to Fetch and FetchTail: encoded records, or a part of the snapshot.
 
     A part of the snapshot is sent if the asked replica has already trimmed `from_seq`; `total` is
--- a/libs/replicated_log/src/replicated_log/meta.py
+++ b/libs/replicated_log/src/replicated_log/metadata_file.py
@@ -11,21 +11,21 @@
 from messaging import decode, encode
 from storage import DamageError, Disk, DiskFullError, frame, scan
 
-from replicated_log.messages import LogMeta
+from replicated_log.messages import ReplicaMetadata
 
-__all__ = ["MetaFile"]
+__all__ = ["MetadataFile"]
 
 _NAME = "meta"
 _FILE_BYTES = 4096
 Done = Callable[[bool], None]
 
 
-def _covers(meta: LogMeta, wanted: LogMeta) -> bool:
+def _covers(meta: ReplicaMetadata, wanted: ReplicaMetadata) -> bool:
     """Whether `meta` is at least as high as `wanted` in both numbers."""
     return meta.fence >= wanted.fence and meta.log_epoch >= wanted.log_epoch
 
 
-class MetaFile:
+class MetadataFile:
     """The metadata of a replica in memory and on disk.
 
     `meta` is the last state known to be on disk; `fresh` says that the disk held no metadata file,
@@ -38,12 +38,12 @@
     def __init__(self, disk: Disk, token: Callable[[], str]) -> None:
         self._disk = disk
         self._end_bytes = 0
-        self._next: list[tuple[LogMeta, Done]] = []
+        self._next: list[tuple[ReplicaMetadata, Done]] = []
         self._waiters: list[Done] = []
-        self._writing: LogMeta | None = None
+        self._writing: ReplicaMetadata | None = None
         self.fresh = _NAME not in disk.names()
         if self.fresh:
-            self.meta = LogMeta(identity=f"store-{token()}", fence=0, log_epoch=0)
+            self.meta = ReplicaMetadata(identity=f"store-{token()}", fence=0, log_epoch=0)
         else:
             self._open(disk.read(_NAME))
 
@@ -60,7 +60,7 @@
             offset = None if later is None else offset + later
         if not rows:
             raise DamageError(_NAME, 0)
-        self.meta = LogMeta(
+        self.meta = ReplicaMetadata(
             identity=rows[-1].identity,
             fence=max(row.fence for row in rows),
             log_epoch=max(row.log_epoch for row in rows),
@@ -72,7 +72,7 @@
         `done` gets True once the new values are on disk, which is when they begin to count, and
         False if the write failed. Neither number is ever lowered.
         """
-        wanted = LogMeta(
+        wanted = ReplicaMetadata(
             identity=self.meta.identity,
             fence=max(self.meta.fence, fence),
             log_epoch=max(self.meta.log_epoch, log_epoch),
@@ -87,7 +87,7 @@
     def _write(self) -> None:
         rows, self._next = self._next, []
         metas = [self.meta, *[wanted for wanted, _ in rows]]
-        meta = self._writing = LogMeta(
+        meta = self._writing = ReplicaMetadata(
             identity=self.meta.identity,
             fence=max(row.fence for row in metas),
             log_epoch=max(row.log_epoch for row in metas),
--- a/libs/replicated_log/src/replicated_log/waiters.py
+++ b/libs/replicated_log/src/replicated_log/pending_appends.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-__all__ = ["Outcome", "Waiter"]
+__all__ = ["Outcome", "PendingAppend"]
 
 
 class Outcome(StrEnum):
@@ -18,7 +18,7 @@
     UNKNOWN = "unknown"
 
 
-class Waiter:
+class PendingAppend:
     """A caller that waits until a record is held in memory by a quorum, or settled.
 
     Settled means durable on f+1 disks. `at_ms` is when the wait began.
--- a/libs/replicated_log/src/replicated_log/quorums.py
+++ b/libs/replicated_log/src/replicated_log/quorums.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from replicated_log.replica import Peer
+from replicated_log.follower_progress import FollowerProgress
 
 __all__ = ["Quorums", "confirmed_probe", "flushed_seq", "held"]
 
@@ -21,17 +21,17 @@
 
     __slots__ = ("_change_seq", "_peers", "following", "members")
 
-    def __init__(self, members: list[str], peers: dict[str, Peer]) -> None:
+    def __init__(self, members: list[str], peers: dict[str, FollowerProgress]) -> None:
         self.members = members
         self.following: list[str] | None = None
         self._peers = peers
         self._change_seq = 0
 
-    def peers_of(self, names: list[str]) -> list[Peer]:
+    def peers_of(self, names: list[str]) -> list[FollowerProgress]:
         """Return the followers in a list of identities; the holder itself is left out."""
         return [self._peers[name] for name in names if name in self._peers]
 
-    def reached(self, faults: int, measure: Callable[[Peer], int]) -> int:
+    def reached(self, faults: int, measure: Callable[[FollowerProgress], int]) -> int:
         """Return the highest value reached by `faults` followers in every list that counts."""
         return min(_reached(self.peers_of(names), faults, measure) for names in self._lists())
 
@@ -80,21 +80,23 @@
     return copies[f] if len(copies) > f else 0
 
 
-def _reached(peers: list[Peer], faults: int, measure: Callable[[Peer], int]) -> int:
+def _reached(
+    peers: list[FollowerProgress], faults: int, measure: Callable[[FollowerProgress], int]
+) -> int:
     values = sorted((measure(peer) for peer in peers), reverse=True)
     return values[faults - 1] if len(values) >= faults else 0
 
 
-def flushed_seq(peer: Peer) -> int:
+def flushed_seq(peer: FollowerProgress) -> int:
     """Return the last record of this epoch's log that a follower has on disk."""
     return peer.flushed_seq if peer.adopted else 0
 
 
-def held(peer: Peer) -> int:
+def held(peer: FollowerProgress) -> int:
     """Return the last record of this epoch's log that a follower has in memory."""
     return peer.last_seq if peer.adopted else 0
 
 
-def confirmed_probe(peer: Peer) -> int:
+def confirmed_probe(peer: FollowerProgress) -> int:
     """Return the latest probe of the holder's epoch that a follower has answered."""
     return peer.probe
--- a/libs/replicated_log/src/replicated_log/recovery.py
+++ b/libs/replicated_log/src/replicated_log/recovery.py
@@ -15,8 +15,15 @@
 from messaging import Message, decode
 from storage import DamageError, DiskFullError
 
-from replicated_log.local import LocalLog
-from replicated_log.messages import Fetch, Fetched, FetchTail, Record, Start, Started
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import (
+    FetchRecords,
+    FetchResponse,
+    FetchTail,
+    Record,
+    StartRecovery,
+    StartRecoveryResponse,
+)
 
 __all__ = ["Recovery", "union"]
 
@@ -60,7 +67,7 @@
         "_started_ms",
         "epoch",
         "members",
-        "params",
+        "settings",
         "state",
     )
 
@@ -69,7 +76,7 @@
         log: LocalLog,
         epoch: int,
         members: list[tuple[str, str]],
-        params: Any,
+        settings: Any,
         ask: Ask,
         now: Callable[[], int],
         done: Callable[[bool], None],
@@ -77,9 +84,9 @@
         self._log = log
         self.epoch = epoch
         self.members = members
-        self.params = params
+        self.settings = settings
         self._ask, self._done, self._now = ask, done, now
-        self._answers: dict[str, Started] = {}
+        self._answers: dict[str, StartRecoveryResponse] = {}
         self._fenced = False
         self._records: list[list[Record]] = []
         self._sources: list[tuple[str, str]] = []
@@ -110,18 +117,18 @@
         def answered(message: Message | None) -> None:
             if self.state is not _State.FENCING:
                 return
-            if isinstance(message, Started) and message.ok:
+            if isinstance(message, StartRecoveryResponse) and message.ok:
                 self._answered(message)
-            elif isinstance(message, Started) and message.fence > self.epoch:
+            elif isinstance(message, StartRecoveryResponse) and message.fence > self.epoch:
                 self._finish(False)
-            elif self._now() - self._started_ms < self.params.force_ms:
+            elif self._now() - self._started_ms < self.settings.force_ms:
                 self._ask_start(address)
             else:
                 self._finish(False)
 
-        self._ask(address, Start(epoch=self.epoch), 4 * self.params.delta_ms, answered)
+        self._ask(address, StartRecovery(epoch=self.epoch), 4 * self.settings.delta_ms, answered)
 
-    def _answered(self, message: Started) -> None:
+    def _answered(self, message: StartRecoveryResponse) -> None:
         names = [identity for identity, _ in self.members]
         if message.identity in names:
             self._answers[message.identity] = message
@@ -131,7 +138,7 @@
         if (
             self._fenced
             and self.state is _State.FENCING
-            and len(self._answers) >= len(self.members) - self.params.store_faults
+            and len(self._answers) >= len(self.members) - self.settings.store_faults
         ):
             self._fetch()
 
@@ -190,7 +197,7 @@
         def fetched(message: Message | None) -> None:
             if self.state is not _State.FETCHING:
                 return
-            if not isinstance(message, Fetched) or not message.ok:
+            if not isinstance(message, FetchResponse) or not message.ok:
                 self._again(lambda: self._fetch_tail(address))
                 return
             if message.identity != self._source:
@@ -211,12 +218,12 @@
                 stamp_epochs=[stamp[0] for stamp in stamps],
                 stamps_ms=[stamp[1] for stamp in stamps],
             ),
-            2 * self.params.ask_ms,
+            2 * self.settings.ask_ms,
             fetched,
         )
 
     def _again(self, what: Callable[[], None]) -> None:
-        if self._now() - self._started_ms > self.params.force_ms:
+        if self._now() - self._started_ms > self.settings.force_ms:
             self._finish(False)
         else:
             what()
@@ -225,7 +232,7 @@
         def fetched(message: Message | None) -> None:
             if self.state is not _State.FETCHING:
                 return
-            if not isinstance(message, Fetched) or not message.ok:
+            if not isinstance(message, FetchResponse) or not message.ok:
                 self._again(lambda: self._fetch_from(address, from_seq, got))
                 return
             if message.identity != self._source:
@@ -235,12 +242,12 @@
 
         self._ask(
             address,
-            Fetch(epoch=self.epoch, from_seq=from_seq, offset=len(got)),
-            2 * self.params.ask_ms,
+            FetchRecords(epoch=self.epoch, from_seq=from_seq, offset=len(got)),
+            2 * self.settings.ask_ms,
             fetched,
         )
 
-    def _take(self, address: str, message: Fetched, got: bytes, from_seq: int = 1) -> None:
+    def _take(self, address: str, message: FetchResponse, got: bytes, from_seq: int = 1) -> None:
         if message.snapshot:
             data = got + message.snapshot
             if len(data) < message.total:
@@ -310,7 +317,7 @@
 
     def lacking(self) -> list[str]:
         """Return the members that haven't answered, or none once enough have."""
-        if self._sources or len(self._answers) >= len(self.members) - self.params.store_faults:
+        if self._sources or len(self._answers) >= len(self.members) - self.settings.store_faults:
             return []
         return [identity for identity, _ in self.members if identity not in self._answers]
 
@@ -326,9 +333,9 @@
         self._done(ok)
 
 
-def started(log: LocalLog, ok: bool) -> Started:
+def started(log: LocalLog, ok: bool) -> StartRecoveryResponse:
     """Build this replica's answer to Start."""
-    return Started(
+    return StartRecoveryResponse(
         identity=log.identity,
         ok=ok,
         fence=log.meta.fence,
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -10,7 +10,7 @@
 from messaging import Message, decode, encode
 from storage import DamageError, frame, scan
 
-from replicated_log.messages import SnapshotHead
+from replicated_log.messages import SnapshotHeader
 
 __all__ = ["SnapshotMaker", "make_snapshot", "read_snapshot", "read_whole_snapshot"]
 
@@ -50,13 +50,13 @@
     def whole(self) -> bytes:
         """Return the finished snapshot as bytes."""
         rows = [row for rows in self._rows.values() for row in rows]
-        head = SnapshotHead(
+        head = SnapshotHeader(
             seq=self.seq, epoch=self.stamp[0], stamp_ms=self.stamp[1], count=len(rows)
         )
         return b"".join([frame(encode(head)), *rows])
 
 
-def read_snapshot(data: bytes) -> tuple[SnapshotHead | None, list[Message]]:
+def read_snapshot(data: bytes) -> tuple[SnapshotHeader | None, list[Message]]:
     """Return the head and the entries; the head is None if the bytes are no whole snapshot."""
     frames, end, _ = scan(data)
     head = decode(frames[0][1]) if frames else None
@@ -73,7 +73,7 @@
     return maker.whole()
 
 
-def read_whole_snapshot(data: bytes) -> tuple[SnapshotHead, list[Message]]:
+def read_whole_snapshot(data: bytes) -> tuple[SnapshotHeader, list[Message]]:
     """Return the head and the entries. Raises DamageError if the bytes are no whole snapshot."""
     head, entries = read_snapshot(data)
     if head is None:
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -8,17 +8,17 @@
 
 from typing import Any
 
-from replicated_log.holder import Holder
+from replicated_log.failure_detector import LeaderFailureDetector
+from replicated_log.leader import Leader
 from replicated_log.recovery import Recovery
 from replicated_log.role import Role
-from replicated_log.watch import Watch
 
-__all__ = ["Takeover"]
+__all__ = ["LeaderTakeover"]
 
 _LONGEST_WAIT = 4
 
 
-class Takeover:
+class LeaderTakeover:
     """The takeover by one store; `store` is its StoreLog."""
 
     __slots__ = ("_failures", "_not_before_ms", "_recovery", "_store", "_warned_ms")
@@ -55,19 +55,19 @@
         store = self._store
         store.node.env.log(event, "WARNING", lacks=lacks, epoch=epoch)
         if lacks:
-            params = store.node.params
-            wait_ms = min(params.ask_ms << self._failures, _LONGEST_WAIT * params.force_ms)
+            settings = store.node.settings
+            wait_ms = min(settings.ask_ms << self._failures, _LONGEST_WAIT * settings.force_ms)
             self._not_before_ms = store.node.env.now() + wait_ms
             self._failures = min(self._failures + 1, 10)
 
-    def warn_if_unserved(self, names: list[str], watch: Watch) -> None:
+    def warn_if_unserved(self, names: list[str], watch: LeaderFailureDetector) -> None:
         """Log a warning while no holder is heard and too few members answer to elect one."""
-        store, params, now_ms = self._store, self._store.node.params, self._store.node.env.now()
+        store, settings, now_ms = self._store, self._store.node.settings, self._store.node.env.now()
         lacks = watch.lacking(names)
         if (
-            watch.quiet_ms >= params.force_ms
-            and len(lacks) > params.store_faults
-            and now_ms - self._warned_ms >= params.resume_ms
+            watch.quiet_ms >= settings.force_ms
+            and len(lacks) > settings.store_faults
+            and now_ms - self._warned_ms >= settings.resume_ms
         ):
             self._warned_ms = now_ms
             store.node.env.log("log-unserved", "WARNING", lacks=lacks, epoch=store.value["epoch"])
@@ -88,11 +88,11 @@
                 store.become(Role.PEER, epoch)
                 return
             members = [(row["identity"], row["address"]) for row in store.value["members"]]
-            store.holder = Holder(
+            store.holder = Leader(
                 store.log,
                 epoch,
                 members,
-                store.node.params,
+                store.node.settings,
                 store.node.env.now,
                 store.node.env.wall,
                 store.node.post,
@@ -103,7 +103,13 @@
             store.holder.tick()
 
         self._recovery = Recovery(
-            store.log, epoch, prev, store.node.params, store.node.ask, store.node.env.now, recovered
+            store.log,
+            epoch,
+            prev,
+            store.node.settings,
+            store.node.ask,
+            store.node.env.now,
+            recovered,
         )
         self._recovery.start()
 
--- a/libs/request_routing/src/request_routing/waiting.py
+++ b/libs/request_routing/src/request_routing/admission_queue.py
@@ -9,14 +9,14 @@
 from bisect import bisect_right, insort_right
 from typing import Any
 
-__all__ = ["WaitingLine"]
+__all__ = ["AdmissionQueue"]
 
 _GUESS = 0.05
 _KNOWN = 0.2
 _SHARE = 0.5
 
 
-class WaitingLine:
+class AdmissionQueue:
     """One queue for each route, ordered by deadline, with the route's service time."""
 
     __slots__ = ("_last_ms", "_rows", "_service_ms")
--- a/libs/request_routing/src/request_routing/outcomes.py
+++ b/libs/request_routing/src/request_routing/attempt_outcomes.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from request_routing.calls import ForwardCall
-from request_routing.carriage import Carriage, Send
-from request_routing.chart import Step
-from request_routing.exchange import Fate
-from request_routing.roster import Roster
+from request_routing.in_flight import Attempt, InFlightRequest
+from request_routing.lifecycle import Step
+from request_routing.worker_exchange import AttemptOutcome
+from request_routing.worker_registry import WorkerRegistry
 
 __all__ = ["log_end", "note_failure", "outcome_after"]
 
 
-def outcome_after(send: Send, fate: Fate) -> Fate:
+def outcome_after(send: Attempt, fate: AttemptOutcome) -> AttemptOutcome:
     """Return the outcome of an attempt whose stream may have begun at another worker.
 
     Only a stream continues a stream: any other complete answer is then a failure and never passes
@@ -26,11 +26,11 @@
         begun = begun or call.last_event_id is not None
     ends = fate.name == "whole" or (fate.name == "rejected" and not call.lot)
     if begun and ends and not send.exchange.streams:
-        return Fate("failed", reason="no continuation of the stream")
+        return AttemptOutcome("failed", reason="no continuation of the stream")
     return fate
 
 
-def note_failure(env: Any, roster: Roster, send: Send, fate: Fate) -> None:
+def note_failure(env: Any, roster: WorkerRegistry, send: Attempt, fate: AttemptOutcome) -> None:
     """Tell the registry what the failure says of the worker, and log it."""
     if fate.mark == "down":
         roster.connection_failed(send.worker)
@@ -48,7 +48,7 @@
     )
 
 
-def log_end(env: Any, carriage: Carriage, step: Step) -> None:
+def log_end(env: Any, carriage: InFlightRequest, step: Step) -> None:
     """Log how a transaction ended: its state, its sends and the verdict of a refusal."""
     tx = carriage.tx
     env.log(
--- a/libs/request_routing/src/request_routing/sending.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from request_routing.calls import Call, ForwardCall
-from request_routing.exchange import Exchange
-from request_routing.forward import ForwardExchange
+from request_routing.forward_exchange import ForwardExchange
 from request_routing.placement import choose, choose_forward
-from request_routing.roster import Roster, Worker
+from request_routing.worker_exchange import WorkerExchange
+from request_routing.worker_registry import Worker, WorkerRegistry
 
 _READING_SHARE = 0.3
 
@@ -26,8 +26,10 @@
 
 
 @new_exchange.register
-def _(call: Call, carrier: Any, tx: Any, worker: Worker) -> Exchange:
-    return Exchange(worker.stamp, tx.transaction_id, call.stream, carrier.node.params.answer_bytes)
+def _(call: Call, carrier: Any, tx: Any, worker: Worker) -> WorkerExchange:
+    return WorkerExchange(
+        worker.stamp, tx.transaction_id, call.stream, carrier.node.settings.answer_bytes
+    )
 
 
 @new_exchange.register
@@ -38,7 +40,7 @@
         call.request_id,
         call.method,
         call.stream,
-        carrier.node.params.answer_bytes,
+        carrier.node.settings.answer_bytes,
         _resume_after(call, tx),
     )
 
@@ -84,20 +86,20 @@
 
 
 @singledispatch
-def allowed_workers(call: Any, carrier: Any, tx: Any, roster: Roster) -> list[Worker]:
+def allowed_workers(call: Any, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
     """Return the workers that may serve this call; raises NotImplementedError for other calls."""
     raise NotImplementedError(type(call).__name__)
 
 
 @allowed_workers.register
-def _(call: Call, carrier: Any, tx: Any, roster: Roster) -> list[Worker]:
+def _(call: Call, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
     return [
         worker for worker in roster.workers() if tx.profile.allows(worker.identity, worker.labels)
     ]
 
 
 @allowed_workers.register
-def _(call: ForwardCall, carrier: Any, tx: Any, roster: Roster) -> list[Worker]:
+def _(call: ForwardCall, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
     """Return the workers of the service drawn by the traffic shares, else all that may serve it."""
     return roster.listed(tx.profile.pick(carrier.node.env.rng.random())) or roster.listed(
         tx.profile.labels
@@ -106,7 +108,7 @@
 
 @singledispatch
 def choose_worker(
-    call: Any, carrier: Any, tx: Any, workers: list[Worker], roster: Roster
+    call: Any, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
     """Return the worker for the next attempt, or None.
 
@@ -116,14 +118,16 @@
 
 
 @choose_worker.register
-def _(call: Call, carrier: Any, tx: Any, workers: list[Worker], roster: Roster) -> Worker | None:
-    params, lot, prefix = carrier.node.params, call.lot, call.prefix
-    share = params.live_share if lot else 1 - tx.profile.live_share
+def _(
+    call: Call, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
+) -> Worker | None:
+    settings, lot, prefix = carrier.node.settings, call.lot, call.prefix
+    share = settings.live_share if lot else 1 - tx.profile.live_share
     worker = choose(
         workers,
         prefix,
         lot,
-        params.zone,
+        settings.zone,
         tx.profile.zone == "near",
         share,
         tx.profile.lot_share,
@@ -135,7 +139,7 @@
             workers,
             prefix,
             lot,
-            params.zone,
+            settings.zone,
             False,
             share,
             tx.profile.lot_share,
@@ -143,20 +147,22 @@
             carrier.by_prefix,
         )
     if worker is None and lot and carrier.carrying(True) <= 1:
-        worker = choose(workers, prefix, False, params.zone, False, 0.0, avoid=frozenset(tx.avoid))
+        worker = choose(
+            workers, prefix, False, settings.zone, False, 0.0, avoid=frozenset(tx.avoid)
+        )
     return worker
 
 
 @choose_worker.register
 def _(
-    call: ForwardCall, carrier: Any, tx: Any, workers: list[Worker], roster: Roster
+    call: ForwardCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
     """Leave out workers that failed lately; what may be repeated retries them first.
 
     If all are left out, the one that failed longest ago is tried. None is tried again that could
     not be reached for this very request.
     """
-    params, now_ms = carrier.node.params, carrier.node.env.now()
+    settings, now_ms = carrier.node.settings, carrier.node.env.now()
     workers = [
         worker
         for worker in workers
@@ -178,7 +184,7 @@
             if not worker.reading_items
             and (
                 carrier.readings is None
-                or carrier.readings.left_ms(worker.identity) <= params.delta_ms * _READING_SHARE
+                or carrier.readings.left_ms(worker.identity) <= settings.delta_ms * _READING_SHARE
             )
         ]
     bound = max(1, tx.profile.connections // carrier.edges()) if tx.profile.connections else 0
@@ -189,10 +195,10 @@
             call,
             carrier.parts,
             now_ms,
-            params.zone,
+            settings.zone,
             carrier.node.env.rng,
-            params.beat_ms,
-            params.live_share,
+            settings.beat_ms,
+            settings.live_share,
             avoid,
             bound,
             carrier.readings,
@@ -205,7 +211,7 @@
         rested = [
             one
             for one in workers
-            if now_ms - one.down_ms >= params.delta_ms or one.stamp not in tx.avoid
+            if now_ms - one.down_ms >= settings.delta_ms or one.stamp not in tx.avoid
         ]
         worker = min(rested, key=lambda one: one.down_ms, default=None)
     return worker
--- a/libs/request_routing/src/request_routing/calls.py
+++ b/libs/request_routing/src/request_routing/calls.py
@@ -1,13 +1,13 @@
 """The two kinds of request that an edge serves.
 
 A `Call` is a completion of our own interface. A `ForwardCall` is forwarded whole and unchanged to a
-worker whose headers have names of their own, which a `Dialect` gives.
+worker whose headers have names of their own, which a `WorkerHeaderNames` gives.
 """
 
 from collections.abc import Iterable
 from typing import Any
 
-__all__ = ["Call", "Dialect", "ForwardCall", "end_to_end"]
+__all__ = ["Call", "WorkerHeaderNames", "ForwardCall", "end_to_end"]
 
 _HOP_BY_HOP = frozenset(
     {
@@ -47,7 +47,7 @@
         )
 
 
-class Dialect:
+class WorkerHeaderNames:
     """The header names of one kind of worker; an empty name means that it has no such header."""
 
     __slots__ = (
--- a/libs/request_routing/src/request_routing/forward.py
+++ b/libs/request_routing/src/request_routing/forward_exchange.py
@@ -8,8 +8,8 @@
 import re
 from collections.abc import Iterable
 
-from request_routing.calls import Dialect, end_to_end
-from request_routing.exchange import Fate
+from request_routing.calls import WorkerHeaderNames, end_to_end
+from request_routing.worker_exchange import AttemptOutcome
 
 __all__ = ["NO_CONNECTION", "EventCheck", "ForwardExchange"]
 
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        dialect: WorkerHeaderNames,
         worker: str,
         request_id: str,
         method: str,
@@ -201,7 +201,7 @@
 
     # -- the body ------------------------------------------------------------------------------
 
-    def data(self, chunk: bytes) -> tuple[list[bytes], Fate | None]:
+    def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Return the pieces that may be delivered now, and the outcome if it is settled already."""
         if self.streams:
             events = self._check.feed(chunk)
@@ -213,28 +213,30 @@
         self._data += chunk
         return [], None
 
-    def end(self) -> Fate:
+    def end(self) -> AttemptOutcome:
         """Return the outcome of an answer that ended as HTTP has it."""
         if self._whole_bytes == -1:
             return self._refused(_failed("an end that nothing announced"))
         if self.streams:
             fault = self._check.close()
             return (
-                _failed(f"stream not whole: {fault}") if fault else Fate("whole", self._status, b"")
+                _failed(f"stream not whole: {fault}")
+                if fault
+                else AttemptOutcome("whole", self._status, b"")
             )
         if self._whole_bytes is not None and self._whole_bytes != len(self._data):
             return self._refused(_failed("body not whole"))
         if self.good:
-            return Fate("whole", self._status, bytes(self._data))
+            return AttemptOutcome("whole", self._status, bytes(self._data))
         return self._refused(self._verdict())
 
-    def broke(self, reason: str, connected: bool) -> Fate:
+    def broke(self, reason: str, connected: bool) -> AttemptOutcome:
         """Return the outcome of a failed connection, which was never made or was lost later."""
         if not connected:
-            return Fate("failed", may_have_run=False, reason=NO_CONNECTION, mark="down")
+            return AttemptOutcome("failed", may_have_run=False, reason=NO_CONNECTION, mark="down")
         return self._refused(_failed(reason, "down"))
 
-    def _refused(self, otherwise: Fate) -> Fate:
+    def _refused(self, otherwise: AttemptOutcome) -> AttemptOutcome:
         """Return what the head alone tells of an answer without success, else `otherwise`.
 
         A head that says that the request has not run counts whatever becomes of the body after it.
@@ -246,11 +248,11 @@
                 else _failed("ids do not match" if self._seen else otherwise.reason, "odd")
             )
         if self._status == _MISDIRECTED:
-            return Fate(
+            return AttemptOutcome(
                 "failed", may_have_run=False, reason="misdirected", mark=self._misdirected_by()
             )
         if self._status >= 400 and self._dialect.not_run.lower() in self._seen:
-            return Fate("failed", may_have_run=False, reason="busy", mark="full")
+            return AttemptOutcome("failed", may_have_run=False, reason="busy", mark="full")
         return otherwise
 
     def _misdirected_by(self) -> str:
@@ -262,7 +264,7 @@
         names = self._seen.get(self._dialect.answered_by.lower(), [])
         return "down" if not names else "" if names == [self._worker] else "mismatch"
 
-    def _verdict(self) -> Fate:
+    def _verdict(self) -> AttemptOutcome:
         """Return the outcome of a complete answer that is no success.
 
         An answer that would promise that nothing ran is not passed on unproven.
@@ -274,7 +276,7 @@
             return _failed("no id", "odd")
         if status in _PROMISES or status < 200:
             return _failed(f"status {status}")
-        return Fate(
+        return AttemptOutcome(
             "ran" if status >= 500 else "rejected",
             status,
             bytes(self._data),
@@ -282,5 +284,5 @@
         )
 
 
-def _failed(reason: str, mark: str = "") -> Fate:
-    return Fate("failed", may_have_run=True, reason=reason, mark=mark)
+def _failed(reason: str, mark: str = "") -> AttemptOutcome:
+    return AttemptOutcome("failed", may_have_run=True, reason=reason, mark=mark)
--- a/libs/request_routing/src/request_routing/forward_chart.py
+++ b/libs/request_routing/src/request_routing/forward_lifecycle.py
@@ -9,14 +9,14 @@
 
 from runtime import Refusal, doubtful, refused
 
-from request_routing.chart import State, Step, Transaction
-from request_routing.forward import NO_CONNECTION
-from request_routing.placement import Budget
+from request_routing.forward_exchange import NO_CONNECTION
+from request_routing.lifecycle import RequestLifecycle, State, Step
+from request_routing.placement import RetryBudget
 
-__all__ = ["ForwardTransaction"]
+__all__ = ["ForwardLifecycle"]
 
 
-class ForwardTransaction(Transaction):
+class ForwardLifecycle(RequestLifecycle):
     """A forwarded request; `attempts` bounds how many workers it may be passed on to.
 
     A connection never made is no attempt; such workers are in `unreached`. `attempts` and
@@ -34,7 +34,7 @@
         attempts: int | None = None,
         resumable: bool | None = None,
     ) -> None:
-        super().__init__(transaction_id, profile, "", now_ms, Budget(), due_ms, claimed=True)
+        super().__init__(transaction_id, profile, "", now_ms, RetryBudget(), due_ms, claimed=True)
         self._attempts = max(1, profile.attempts if attempts is None else attempts)
         self._resumable = profile.resumable if resumable is None else resumable
         self.safe = self.safe or self._resumable
--- a/libs/request_routing/src/request_routing/key_asks.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -7,13 +7,13 @@
 
 from batch_state import messages as m
 
-from request_routing.carriage import Carriage
-from request_routing.chart import Step
+from request_routing.in_flight import InFlightRequest
+from request_routing.lifecycle import Step
 
 __all__ = ["ask_close", "ask_open"]
 
 
-def ask_open(carrier: Any, holder: Any, carriage: Carriage) -> None:
+def ask_open(carrier: Any, holder: Any, carriage: InFlightRequest) -> None:
     """Open the key at the leader of the log; without a receipt the transaction is in doubt."""
     tx, node = carriage.tx, carrier.node
 
@@ -25,7 +25,7 @@
         else:
             carrier.take(carriage, tx.open_receipt(receipt.outcome, receipt.status, receipt.body))
 
-    left_ms = max(node.params.ask_ms, (tx.due_ms - node.env.now()) // 2)
+    left_ms = max(node.settings.ask_ms, (tx.due_ms - node.env.now()) // 2)
     holder.ask(
         m.OpenKey(
             key=tx.key,
@@ -40,7 +40,7 @@
     )
 
 
-def ask_close(carrier: Any, holder: Any, carriage: Carriage, step: Step) -> None:
+def ask_close(carrier: Any, holder: Any, carriage: InFlightRequest, step: Step) -> None:
     """Close the key as the step says; a close without a receipt leaves it open, which is logged."""
     tx = carriage.tx
     status, body = step.value if step.value is not None else (0, "")
@@ -65,6 +65,6 @@
             status=status,
             body=body,
         ),
-        carrier.node.params.ask_ms * 2,
+        carrier.node.settings.ask_ms * 2,
         told,
     )
--- a/libs/request_routing/src/request_routing/carriage.py
+++ b/libs/request_routing/src/request_routing/in_flight.py
@@ -1,26 +1,32 @@
-"""What is in flight at an edge: a transaction with its client, and one attempt at a worker.
+"""What is in flight at an edge: a request with its client, and one attempt at a worker.
 
-Neither has a socket. Whoever has one reports to the `Send`, and stops reading from the worker while
-the client does not keep up (backpressure).
+Neither has a socket. Whoever has one reports to the `Attempt`, and stops reading from the worker
+while the client does not keep up (backpressure).
 """
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
 from request_routing.calls import Call, ForwardCall
-from request_routing.chart import Step, Transaction
-from request_routing.exchange import Exchange
-from request_routing.forward import ForwardExchange
-from request_routing.roster import Worker
+from request_routing.forward_exchange import ForwardExchange
+from request_routing.lifecycle import RequestLifecycle, Step
+from request_routing.worker_exchange import WorkerExchange
+from request_routing.worker_registry import Worker
 
-__all__ = ["Carriage", "Send", "Sender"]
+__all__ = ["InFlightRequest", "Attempt", "AttemptTransport"]
 
 
-class Sender(Protocol):
+class AttemptTransport(Protocol):
     """The transport: begins an attempt, reports to it, and returns what aborts it."""
 
     def __call__(
-        self, send: "Send", address: str, target: str, headers: Any, body: Any, method: str = "POST"
+        self,
+        send: "Attempt",
+        address: str,
+        target: str,
+        headers: Any,
+        body: Any,
+        method: str = "POST",
     ) -> Callable[[], None]:
         """Begin an attempt; `body` is a JSON object, or the bytes of a forwarded body."""
         ...
@@ -30,7 +36,7 @@
     return None
 
 
-class Send:
+class Attempt:
     """One attempt in flight at one worker.
 
     Reports that arrive after the attempt is over change nothing. `began_ms` and `heard_ms` are
@@ -56,9 +62,9 @@
     def __init__(
         self,
         carrier: Any,
-        carriage: "Carriage",
+        carriage: "InFlightRequest",
         worker: Worker,
-        exchange: Exchange | ForwardExchange,
+        exchange: WorkerExchange | ForwardExchange,
     ) -> None:
         self._carrier, self.carriage, self.worker, self.exchange = (
             carrier,
@@ -127,7 +133,8 @@
     def full(self) -> bool:
         """Whether the client reads more slowly than the worker writes, so reading has to pause."""
         return (
-            not self.over and self.carriage.untaken_bytes > self._carrier.node.params.untaken_bytes
+            not self.over
+            and self.carriage.untaken_bytes > self._carrier.node.settings.untaken_bytes
         )
 
     def when_room(self, go_on: Callable[[Any], None]) -> None:
@@ -135,7 +142,7 @@
         self.carriage.when_room = go_on
 
 
-class Carriage:
+class InFlightRequest:
     """One transaction in flight and the client that it is answered to.
 
     `sink` is given the events of a stream, `done` the last step. `head` is the head of a forwarded
@@ -160,13 +167,13 @@
     def __init__(
         self,
         carrier: Any,
-        tx: Transaction,
+        tx: RequestLifecycle,
         call: Call | ForwardCall,
         sink: Callable[[bytes], None] | None,
         done: Callable[[Step], None],
     ) -> None:
         self._carrier, self.tx, self.call, self.sink, self.done = carrier, tx, call, sink, done
-        self.send: Send | None = None
+        self.send: Attempt | None = None
         self.head: tuple[int, list[tuple[str, str]], int | None] | None = None
         self.visitor_gone = False
         self.untaken_bytes = 0
@@ -185,7 +192,7 @@
         self.untaken_bytes -= size_bytes
         if (
             self.when_room is not None
-            and self.untaken_bytes <= self._carrier.node.params.untaken_bytes // 2
+            and self.untaken_bytes <= self._carrier.node.settings.untaken_bytes // 2
         ):
             go_on, self.when_room = self.when_room, None
             go_on(None)
