--- a/libs/request_routing/src/request_routing/items.py
+++ b/libs/request_routing/src/request_routing/item_executor.py
@@ -10,23 +10,23 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Part
+from messaging import Component
 from runtime import Verdict
 
 from request_routing.calls import Call
-from request_routing.carriage import Carriage
-from request_routing.carrier import Carrier
-from request_routing.chart import Step, Transaction
+from request_routing.in_flight import InFlightRequest
 from request_routing.item_run import ItemRun
-from request_routing.placement import Budget, prefix_of
-from request_routing.roster import Roster, Worker
+from request_routing.lifecycle import RequestLifecycle, Step
+from request_routing.placement import RetryBudget, prefix_of
+from request_routing.request_router import RequestRouter
+from request_routing.worker_registry import Worker, WorkerRegistry
 
-__all__ = ["Items"]
+__all__ = ["ItemExecutor"]
 
 Done = Callable[[str, Any, str], None]
 
 
-class Items(Part):
+class ItemExecutor(Component):
     """Starts batch items in the slots that live traffic leaves.
 
     `why_unready` gives why the edge is not ready, or an empty string; `edges` how many edges share
@@ -47,15 +47,15 @@
 
     def __init__(
         self,
-        carrier: Carrier,
-        roster: Roster,
+        carrier: RequestRouter,
+        roster: WorkerRegistry,
         tree: Callable[[], Any],
         why_unready: Callable[[], str],
         edges: Callable[[], int],
     ) -> None:
         self._carrier, self._roster, self._tree = carrier, roster, tree
         self._why_unready, self._edges = why_unready, edges
-        self._budgets: dict[str, Budget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
         self._later: list[tuple[int, Callable[[], None]]] = []
         self._running = 0
         self._trickled_ms = 0
@@ -83,7 +83,7 @@
 
     def _free(self, worker: Worker) -> float:
         """Return how many slots of a worker batches may take; none where live requests wait."""
-        share = self.node.params.live_share
+        share = self.node.settings.live_share
         if worker.listed:
             load = worker.load(self.node.env.now())
             return (
@@ -100,22 +100,22 @@
     def _trickle(self, workers: list[Any]) -> int:
         """Allow one item now and then even where live traffic takes every slot."""
         now_ms = self.node.env.now()
-        if not workers or self._running or now_ms - self._trickled_ms < self.node.params.beat_ms:
+        if not workers or self._running or now_ms - self._trickled_ms < self.node.settings.beat_ms:
             return 0
         self._trickled_ms = now_ms
         return 1
 
     # -- running -------------------------------------------------------------------------------
 
-    def start(self, work: m.Work | m.ForwardWork, done: Done) -> Callable[[], None]:
+    def start(self, work: m.ItemAssignment | m.ForwardAssignment, done: Done) -> Callable[[], None]:
         """Run an item; `done` gets outcome, text and worker. Return what cancels it."""
         return (
             self._start_forward(work, done)
-            if isinstance(work, m.ForwardWork)
+            if isinstance(work, m.ForwardAssignment)
             else self._start_own(work, done)
         )
 
-    def _start_forward(self, work: m.ForwardWork, done: Done) -> Callable[[], None]:
+    def _start_forward(self, work: m.ForwardAssignment, done: Done) -> Callable[[], None]:
         def ended(outcome: str, text: bytes, worker: str) -> None:
             self._running -= 1
             done(outcome, text, worker)
@@ -132,19 +132,19 @@
     def _after(self, wait_ms: int, what: Callable[[], None]) -> None:
         self._later.append((self.node.env.now() + wait_ms, what))
 
-    def _start_own(self, work: m.Work, done: Done) -> Callable[[], None]:
+    def _start_own(self, work: m.ItemAssignment, done: Done) -> Callable[[], None]:
         profile = self._tree().usable(work.path)
         if profile is None:
             done("again", "", "")
             return lambda: None
         env, body = self.node.env, json.loads(work.body)
-        due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.params.force_ms)
-        tx = Transaction(
+        due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
+        tx = RequestLifecycle(
             f"{env.token()}-{work.lot_id}-{work.index}",
             profile,
             "",
             env.now(),
-            self._budgets.setdefault(work.path, Budget()),
+            self._budgets.setdefault(work.path, RetryBudget()),
             due_ms,
             claimed=True,
         )
@@ -164,7 +164,7 @@
             if over():
                 self._tell(work, tx, step, done)
 
-        carriage: Carriage = self._carrier.carry(
+        carriage: InFlightRequest = self._carrier.carry(
             tx, Call(body, "", prefix_of(body), True, False), None, ended
         )
 
@@ -174,13 +174,13 @@
 
         return cancel
 
-    def _tell(self, work: Any, tx: Transaction, step: Step, done: Done) -> None:
+    def _tell(self, work: Any, tx: RequestLifecycle, step: Step, done: Done) -> None:
         worker = tx.sends[-1][0] if tx.sends else ""
         if step.name == "finish":
             status, text = step.value
             done("ran" if status == 200 else "refused", text, worker)
         elif step.refusal.verdict is Verdict.NOT_RUN or work.safe:
-            self._after(self.node.params.beat_ms, lambda: done("again", "", worker))
+            self._after(self.node.settings.beat_ms, lambda: done("again", "", worker))
         else:
             done("may_have_run", json.dumps(step.refusal.body()), worker)
 
--- a/libs/request_routing/src/request_routing/item_run.py
+++ b/libs/request_routing/src/request_routing/item_run.py
@@ -12,9 +12,9 @@
 from messaging import decode
 
 from request_routing.calls import ForwardCall
-from request_routing.carrier import Carriage, Carrier
-from request_routing.chart import State, Step
-from request_routing.forward_chart import ForwardTransaction
+from request_routing.forward_lifecycle import ForwardLifecycle
+from request_routing.lifecycle import State, Step
+from request_routing.request_router import InFlightRequest, RequestRouter
 
 __all__ = ["ItemRun", "data_of"]
 
@@ -34,7 +34,7 @@
     return b"\n".join(lines) if lines else None
 
 
-class _ItemTransaction(ForwardTransaction):
+class _ItemTransaction(ForwardLifecycle):
     """A forwarded transaction bounded by its sends; the log counts the failed attempts."""
 
     __slots__ = ()
@@ -84,8 +84,8 @@
 
     def __init__(
         self,
-        work: m.ForwardWork,
-        carrier: Carrier,
+        work: m.ForwardAssignment,
+        carrier: RequestRouter,
         tree: Callable[[], Any],
         after: Callable[[int, Callable[[], None]], None],
         done: Callable[[str, bytes, str], None],
@@ -101,7 +101,7 @@
         self._due_ms = carrier.node.env.now() + work.left_ms
         self._data: list[bytes] = []
         self._last_event_id: int | None = None
-        self._carriage: Carriage | None = None
+        self._carriage: InFlightRequest | None = None
         self._taken_up = 0
         self._over = False
 
@@ -154,7 +154,7 @@
         return not was
 
     def _later(self, what: Callable[[], None]) -> None:
-        self._after(self._carrier.node.params.beat_ms, what)
+        self._after(self._carrier.node.settings.beat_ms, what)
 
     def _take(self, event: bytes) -> None:
         data = data_of(event)
--- a/libs/request_routing/src/request_routing/lots.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -12,29 +12,31 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Message, Part, decode, encode
+from messaging import Component, Message, decode, encode
 
-from request_routing.holding import HolderClient
+from request_routing.leader_client import LeaderClient
 
-__all__ = ["LotRunner"]
+__all__ = ["JobRunner"]
 
 STOPPED_BODY = (
     '{"error":{"verdict":"may_have_run","code":"stopped","message":"stopped while it ran"}}'
 )
-Start = Callable[[m.Work | m.ForwardWork, Callable[[str, Any, str], None]], Callable[[], None]]
+Start = Callable[
+    [m.ItemAssignment | m.ForwardAssignment, Callable[[str, Any, str], None]], Callable[[], None]
+]
 _REPORT_BYTES = 1 << 20
 
 
 class _Run:
     __slots__ = ("cancel", "reported", "work")
 
-    def __init__(self, work: m.Work | m.ForwardWork) -> None:
+    def __init__(self, work: m.ItemAssignment | m.ForwardAssignment) -> None:
         self.work = work
         self.cancel: Callable[[], None] = lambda: None
         self.reported = False
 
 
-class LotRunner(Part):
+class JobRunner(Component):
     """Sends the edge's heartbeats to the leader and runs the items that it is assigned.
 
     `room` gives how many items may start now, and on which paths; `start` runs one item, calls back
@@ -64,7 +66,7 @@
     def __init__(
         self,
         edge: str,
-        holder: HolderClient,
+        holder: LeaderClient,
         room: Callable[[], tuple[int, frozenset[str]]],
         start: Start,
     ) -> None:
@@ -92,10 +94,10 @@
     def tick(self) -> None:
         """Send a heartbeat and reports that are due; stop everything once the lease has run out."""
         now_ms = self.node.env.now()
-        params = self.node.params
-        if self.running() and now_ms - self._holder.heard_ms > params.claim_ms:
+        settings = self.node.settings
+        if self.running() and now_ms - self._holder.heard_ms > settings.claim_ms:
             self.stop_all("holder silent")
-        due_ms = params.beat_ms // 4 if self._wish else params.beat_ms
+        due_ms = settings.beat_ms // 4 if self._wish else settings.beat_ms
         moved = self._asking and self._holder.epoch > self._asked_epoch
         if moved or (not self._asking and now_ms - self._asked_ms >= due_ms):
             self._beat()
@@ -119,14 +121,16 @@
             "paths": sorted(served & self._lot_paths),
             "running": running,
         }
-        beat: Message = m.EdgeBeat(**told)
+        beat: Message = m.EdgeHeartbeat(**told)
         if self.samples is not None and self.samples.lends():
             sample_room, sample_paths = (0, ()) if self.paused else self.samples.room()
-            beat = m.RolloutBeat(**told, sample_room=sample_room, sample_paths=sorted(sample_paths))
+            beat = m.RolloutHeartbeat(
+                **told, sample_room=sample_room, sample_paths=sorted(sample_paths)
+            )
         self.node.ask(
             address,
             beat,
-            self.node.params.ask_ms,
+            self.node.settings.ask_ms,
             lambda receipt: self._answered(receipt, number, asked_ms),
         )
 
@@ -134,8 +138,8 @@
         last = number == self._asking
         if last:
             self._asking = 0
-        if not isinstance(receipt, m.HolderBeat | m.RolloutAnswer):
-            if isinstance(receipt, m.NotHolder) and self._holder.redirected(receipt) and last:
+        if not isinstance(receipt, m.EdgeHeartbeatResponse | m.RolloutHeartbeatResponse):
+            if isinstance(receipt, m.NotLeader) and self._holder.redirected(receipt) and last:
                 self._beat()
             return
         if receipt.epoch < self._holder.epoch:
@@ -143,7 +147,7 @@
         self._holder.heard(receipt, asked_ms)
         for lot_id in receipt.stops:
             self.stop(lot_id, "lot over")
-        if isinstance(receipt, m.RolloutAnswer) and self.samples is not None:
+        if isinstance(receipt, m.RolloutHeartbeatResponse) and self.samples is not None:
             self.samples.told(receipt)
         work = [decode(data) for data in receipt.work]
         for row in work:
@@ -154,9 +158,9 @@
         fresh = set(receipt.paths) - self._lot_paths
         self._lot_paths |= fresh
         self._wish = receipt.waiting > 0 or any(
-            not isinstance(run.work, m.RolloutWork) for run in self._runs.values()
+            not isinstance(run.work, m.RolloutAssignment) for run in self._runs.values()
         )
-        if (fresh or any(isinstance(row, m.ForwardWork) for row in work)) and not self.paused:
+        if (fresh or any(isinstance(row, m.ForwardAssignment) for row in work)) and not self.paused:
             self._beat_now()
 
     def _beat_now(self) -> None:
@@ -166,7 +170,7 @@
 
     # -- items ---------------------------------------------------------------------------------
 
-    def _take(self, work: m.Work) -> None:
+    def _take(self, work: m.ItemAssignment) -> None:
         key = (work.lot_id, work.index)
         if key in self._runs:
             return
@@ -181,7 +185,7 @@
             return
         run.reported = True
         self.finished += outcome in ("ran", "finished")
-        if isinstance(run.work, m.ForwardWork):
+        if isinstance(run.work, m.ForwardAssignment):
             self._report_end(run, outcome, body, worker)
         else:
             self._report(run, outcome, body, worker)
@@ -192,7 +196,7 @@
             (
                 run,
                 encode(
-                    m.ItemEnd(
+                    m.ItemOutcome(
                         lot_id=work.lot_id,
                         index=work.index,
                         number=work.number,
@@ -231,8 +235,8 @@
             self._report_ends()
 
         self._holder.ask(
-            m.EndItems(edge=self.edge, rows=[data for _, data in rows]),
-            self.node.params.force_ms,
+            m.ReportItemOutcomes(edge=self.edge, rows=[data for _, data in rows]),
+            self.node.settings.force_ms,
             told,
         )
         self._beat_now()
@@ -247,12 +251,12 @@
                 self._report(run, outcome, body, worker)
                 return
             del self._runs[key]
-            self._wish = self._wish or not isinstance(run.work, m.RolloutWork)
+            self._wish = self._wish or not isinstance(run.work, m.RolloutAssignment)
             if receipt.baton_epoch:
                 self._place(run.work.lot_id, receipt.baton_epoch, receipt.up_to)
 
         self._holder.ask(
-            m.Finish(
+            m.ReportResult(
                 lot_id=run.work.lot_id,
                 index=run.work.index,
                 number=run.work.number,
@@ -261,7 +265,7 @@
                 worker=worker,
                 edge=self.edge,
             ),
-            self.node.params.force_ms,
+            self.node.settings.force_ms,
             told,
         )
 
@@ -270,8 +274,8 @@
             return
         self._placing.add(lot_id)
         self._holder.ask(
-            m.Place(lot_id=lot_id, edge=self.edge, epoch=epoch, up_to=up_to),
-            self.node.params.ask_ms,
+            m.AdvanceListing(lot_id=lot_id, edge=self.edge, epoch=epoch, up_to=up_to),
+            self.node.settings.ask_ms,
             lambda receipt: self._placing.discard(lot_id),
         )
 
@@ -286,7 +290,7 @@
         runs = [run for run in self._runs.values() if not run.reported]
         for run in runs:
             run.cancel()
-            if isinstance(run.work, m.ForwardWork):
+            if isinstance(run.work, m.ForwardAssignment):
                 self._ended(run, "again", b"", "")
             else:
                 self._ended(run, "again" if run.work.safe else "may_have_run", STOPPED_BODY, "")
@@ -309,5 +313,5 @@
 
     def woke(self, gap_ms: int) -> None:
         """Stop everything if the process was frozen for longer than the lease, `claim_ms`."""
-        if gap_ms > self.node.params.claim_ms:
+        if gap_ms > self.node.settings.claim_ms:
             self.stop_all("frozen")
--- a/libs/request_routing/src/request_routing/pace.py
+++ b/libs/request_routing/src/request_routing/latency_estimator.py
@@ -4,7 +4,7 @@
 asked. Silence is measured at the worker: one that sends anything to anybody here is only slow.
 """
 
-__all__ = ["Pace"]
+__all__ = ["LatencyEstimator"]
 
 _KEEP = 0.9
 _TIMES = 2.0
@@ -33,7 +33,7 @@
         )
 
 
-class Pace:
+class LatencyEstimator:
     """Running means of the times to the first event and between events, by route."""
 
     __slots__ = ("_first", "_gap")
--- a/libs/request_routing/src/request_routing/holding.py
+++ b/libs/request_routing/src/request_routing/leader_client.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from batch_state import messages as m
-from messaging import Message, Part
+from messaging import Component, Message
 
-__all__ = ["HolderClient"]
+__all__ = ["LeaderClient"]
 
-_STAMPED = (m.HandIn, m.OpenKey, m.ForwardHandIn, m.RolloutHandIn)
-_WAITED_FOR = (m.HandIn, m.OpenKey, m.RolloutHandIn)
+_STAMPED = (m.SubmitJob, m.OpenKey, m.SubmitForwardJob, m.SubmitRollout)
+_WAITED_FOR = (m.SubmitJob, m.OpenKey, m.SubmitRollout)
 _RETRIED = ("stale", "unknown")
 _REFUSED = ("full", "no_path", "no_room")
 
@@ -37,7 +37,7 @@
         self.epoch = 0
 
 
-class HolderClient(Part):
+class LeaderClient(Component):
     """Asks the leader of the log; `log_key` gives the feed's body, `stores` addresses to try first.
 
     `heard_ms` is when the last answered heartbeat was asked for, by this node's clock; `holder_ms`
@@ -94,14 +94,14 @@
     def _is_news(self, epoch: int) -> bool:
         return epoch > self._epoch or (epoch == self._epoch and not self._address)
 
-    def heard(self, message: m.HolderBeat, asked_ms: int) -> None:
+    def heard(self, message: m.EdgeHeartbeatResponse, asked_ms: int) -> None:
         """Take the leader's heartbeat; the lease runs from `asked_ms`, when it was asked for."""
         if message.epoch >= self._epoch:
             self._epoch = message.epoch
             self.heard_ms = asked_ms
             self.holder_ms = message.holder_ms
 
-    def redirected(self, receipt: m.NotHolder) -> bool:
+    def redirected(self, receipt: m.NotLeader) -> bool:
         """Take a store's word that another one leads; true if that is news."""
         news = bool(receipt.address) and self._is_news(receipt.epoch)
         if news:
@@ -115,7 +115,7 @@
         is 0 nothing of it was sent. A stamped request of our own interface is waited for longer, by
         as long as its stamp may live, and is not sent again in that time.
         """
-        hold_ms = self.node.params.fresh_ms if isinstance(message, _WAITED_FOR) else 0
+        hold_ms = self.node.settings.fresh_ms if isinstance(message, _WAITED_FOR) else 0
         ask = _Ask(message, self.node.env.now(), wait_ms + hold_ms, hold_ms, done)
         self._asks.append(ask)
         self._send(ask)
@@ -124,10 +124,10 @@
     def _send(self, ask: _Ask) -> None:
         now_ms = self.node.env.now()
         held_ms = getattr(ask.message, "wait_ms", 0)
-        ask.next_ms = now_ms + held_ms + self.node.params.ask_ms
+        ask.next_ms = now_ms + held_ms + self.node.settings.ask_ms
         address = self.address()
         if not address:
-            ask.next_ms = now_ms + self.node.params.beat_ms // 2
+            ask.next_ms = now_ms + self.node.settings.beat_ms // 2
             return
         if isinstance(ask.message, _STAMPED):
             ask.message = type(ask.message)(
@@ -139,7 +139,7 @@
         self.node.ask(
             address,
             ask.message,
-            held_ms + self.node.params.ask_ms * 2,
+            held_ms + self.node.settings.ask_ms * 2,
             lambda receipt: self._answered(ask, number, receipt),
         )
 
@@ -151,15 +151,15 @@
         if ask.done is None or receipt is None:
             return
         now_ms = self.node.env.now()
-        if isinstance(receipt, m.NotHolder):
-            wait_ms = 0 if self.redirected(receipt) else self.node.params.beat_ms // 2
+        if isinstance(receipt, m.NotLeader):
+            wait_ms = 0 if self.redirected(receipt) else self.node.settings.beat_ms // 2
             self._again(ask, now_ms + wait_ms)
-        elif isinstance(receipt, m.Stale):
+        elif isinstance(receipt, m.StaleRequest):
             if receipt.epoch >= self._epoch:
                 self._epoch, self.holder_ms = receipt.epoch, receipt.holder_ms
                 self._again(ask, now_ms)
         elif getattr(receipt, "outcome", "") in _RETRIED:
-            self._again(ask, now_ms + self.node.params.beat_ms // 2)
+            self._again(ask, now_ms + self.node.settings.beat_ms // 2)
         elif getattr(receipt, "outcome", "") not in _REFUSED or number == ask.sends:
             self._finish(ask, receipt)
 
--- a/libs/request_routing/src/request_routing/chart.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -10,9 +10,9 @@
 
 from runtime import Refusal, Verdict, doubtful, refused
 
-from request_routing.placement import Budget
+from request_routing.placement import RetryBudget
 
-__all__ = ["State", "Step", "Transaction"]
+__all__ = ["State", "Step", "RequestLifecycle"]
 
 
 class State(StrEnum):
@@ -50,7 +50,7 @@
         self.value = value
 
 
-class Transaction:
+class RequestLifecycle:
     """The state machine of a request, from its arrival to its last step.
 
     `due_ms` is the deadline by the node's clock in milliseconds, taken from the profile if it is
@@ -85,7 +85,7 @@
         profile: Any,
         key: str,
         now_ms: int,
-        budget: Budget,
+        budget: RetryBudget,
         due_ms: int | None = None,
         claimed: bool = False,
     ) -> None:
--- a/libs/request_routing/src/request_routing/placement.py
+++ b/libs/request_routing/src/request_routing/placement.py
@@ -11,11 +11,11 @@
 from collections.abc import Iterable
 from typing import Any
 
-from membership.duties import score
+from membership.role_assignment import score
 
-from request_routing.roster import Worker
+from request_routing.worker_registry import Worker
 
-__all__ = ["Budget", "choose", "choose_forward", "cost", "prefix_of"]
+__all__ = ["RetryBudget", "choose", "choose_forward", "cost", "prefix_of"]
 
 _PREFIX_CHARS = 256
 _EVENNESS = 1.25
@@ -93,7 +93,7 @@
     return min(queued, key=lambda worker: worker.weight / worker.slots, default=None)
 
 
-class Budget:
+class RetryBudget:
     """A retry budget: a token bucket filled by first attempts, so that failures are not multiplied.
 
     It holds at most as many tokens as one lost worker can have had requests in flight.
--- a/libs/request_routing/src/request_routing/readings.py
+++ b/libs/request_routing/src/request_routing/prefill_tracker.py
@@ -9,23 +9,23 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from messaging import Message, Origin, Part
+from messaging import Component, Message, Origin
 
-__all__ = ["Readings", "Sent"]
+__all__ = ["PrefillTracker", "PrefillStarted"]
 
 _FORGET = 0.999
 _MOST_FELLOWS = 24
 _GUESS_PER_MS = 20.0
 
 
-class Sent(Message):
+class PrefillStarted(Message, wire_name="Sent"):
     """A prompt was sent to this worker; `tokens` are those that it has probably not cached."""
 
     worker: str
     tokens: int
 
 
-class Readings(Part):
+class PrefillTracker(Component):
     """The tokens that each worker has still to read; `per_ms` is the pace in tokens per ms.
 
     `fellows` gives the addresses of the edges that share workers with this one, those of its own
@@ -33,7 +33,7 @@
     """
 
     __slots__ = ("_due", "_fellows", "per_ms")
-    HANDLES = (Sent,)
+    HANDLES = (PrefillStarted,)
 
     def __init__(self, fellows: Callable[[], Iterable[str]]) -> None:
         self._fellows = fellows
@@ -46,7 +46,7 @@
         raise TypeError(type(message).__name__)
 
     @receive.register
-    def _(self, message: Sent, origin: Origin) -> None:
+    def _(self, message: PrefillStarted, origin: Origin) -> None:
         self._add(message.worker, message.tokens)
 
     def sent(self, worker: str, tokens: int) -> None:
@@ -54,7 +54,7 @@
         if tokens > 0:
             self._add(worker, tokens)
             for address in list(self._fellows())[:_MOST_FELLOWS]:
-                self.node.post(address, Sent(worker=worker, tokens=tokens))
+                self.node.post(address, PrefillStarted(worker=worker, tokens=tokens))
 
     def has_read(self, tokens: int, took_ms: int) -> None:
         """Learn the pace from a prompt of `tokens` that took `took_ms` to be read.
--- a/libs/request_routing/src/request_routing/affinity.py
+++ b/libs/request_routing/src/request_routing/prefix_affinity.py
@@ -8,12 +8,12 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-__all__ = ["PartMap"]
+__all__ = ["PrefixAffinity"]
 
 _GUESS_TOKENS = 100_000
 
 
-class PartMap:
+class PrefixAffinity:
     """An estimate of each worker's prompt cache: an LRU map from prompt parts to their tokens."""
 
     __slots__ = ("_held", "_holders", "_tokens")
--- a/libs/request_routing/src/request_routing/carrier.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -7,27 +7,32 @@
 from collections.abc import Callable
 from typing import Any
 
-from messaging import Part
-
-from request_routing.affinity import PartMap
-from request_routing.calls import Call, Dialect, ForwardCall
-from request_routing.carriage import Carriage, Send, Sender
-from request_routing.chart import Step, Transaction
-from request_routing.exchange import Fate
-from request_routing.key_asks import ask_close, ask_open
-from request_routing.outcomes import log_end, note_failure, outcome_after
-from request_routing.pace import Pace
-from request_routing.roster import Roster, Worker
-from request_routing.sending import allowed_workers, choose_worker, new_exchange, worker_request
-from request_routing.silence import silence_fate
-from request_routing.waiting import WaitingLine
-
-__all__ = ["Carrier"]
+from messaging import Component
+
+from request_routing.admission_queue import AdmissionQueue
+from request_routing.attempt_outcomes import log_end, note_failure, outcome_after
+from request_routing.attempt_requests import (
+    allowed_workers,
+    choose_worker,
+    new_exchange,
+    worker_request,
+)
+from request_routing.calls import Call, ForwardCall, WorkerHeaderNames
+from request_routing.idempotency import ask_close, ask_open
+from request_routing.in_flight import Attempt, AttemptTransport, InFlightRequest
+from request_routing.latency_estimator import LatencyEstimator
+from request_routing.lifecycle import RequestLifecycle, Step
+from request_routing.prefix_affinity import PrefixAffinity
+from request_routing.stall_detection import silence_fate
+from request_routing.worker_exchange import AttemptOutcome
+from request_routing.worker_registry import Worker, WorkerRegistry
+
+__all__ = ["RequestRouter"]
 
 _OUTAGE_SHARE = 0.25
 
 
-class Carrier(Part):
+class RequestRouter(Component):
     """Drives the transactions that are in flight at this edge."""
 
     __slots__ = (
@@ -56,25 +61,27 @@
         self,
         edge: str,
         holder: Any,
-        roster: Roster,
+        roster: WorkerRegistry,
         tree: Callable[[], Any],
-        sender: Sender,
+        sender: AttemptTransport,
         edges: Callable[[], int] = lambda: 1,
     ) -> None:
         self.edge = edge
         self.edges = edges
-        self.dialect: Dialect | None = None  # header names of the workers of forwarded calls
+        self.dialect: WorkerHeaderNames | None = (
+            None  # header names of the workers of forwarded calls
+        )
         self.loans: Any = None  # takes back slots lent to rollouts, where any are lent
         self.readings: Any = None  # prompts that workers have still to read, where edges share it
-        self.parts = PartMap()
-        self._pace = Pace()
-        self._items: deque[Carriage] = deque()
+        self.parts = PrefixAffinity()
+        self._pace = LatencyEstimator()
+        self._items: deque[InFlightRequest] = deque()
         self._items_tree: Any = None
         self.reading_items = 0
         self._list_number = 0
-        self._line = WaitingLine()
+        self._line = AdmissionQueue()
         self._holder, self._roster, self._tree, self._sender = holder, roster, tree, sender
-        self.open: dict[str, Carriage] = {}
+        self.open: dict[str, InFlightRequest] = {}
         self.by_prefix = True
         self.counts: dict[str, int] = {}
 
@@ -98,24 +105,24 @@
             if carriage.call.lot == lot and not carriage.call.rollout
         )
 
-    def sends(self) -> list[Send]:
+    def sends(self) -> list[Attempt]:
         """Return the attempts in flight."""
         return [carriage.send for carriage in self.open.values() if carriage.send is not None]
 
     def carry(
         self,
-        tx: Transaction,
+        tx: RequestLifecycle,
         call: Call | ForwardCall,
         sink: Callable[[bytes], None] | None,
         done: Callable[[Step], None],
-    ) -> Carriage:
+    ) -> InFlightRequest:
         """Begin a transaction; `sink` is given its events, `done` its last step."""
-        carriage = Carriage(self, tx, call, sink, done)
+        carriage = InFlightRequest(self, tx, call, sink, done)
         self.open[tx.transaction_id] = carriage
         self.take(carriage, tx.begin())
         return carriage
 
-    def take(self, carriage: Carriage, step: Step) -> None:
+    def take(self, carriage: InFlightRequest, step: Step) -> None:
         """Do the step that a transaction's state machine asks for."""
         if step.name == "open":
             ask_open(self, self._holder, carriage)
@@ -130,7 +137,7 @@
         else:
             self._finish(carriage, step)
 
-    def _place(self, carriage: Carriage) -> None:
+    def _place(self, carriage: InFlightRequest) -> None:
         tx, now_ms = carriage.tx, self.node.env.now()
         workers = self._allowed(carriage)
         worker = self._choose(carriage, workers)
@@ -152,22 +159,26 @@
             self.take(carriage, tx.placed(worker, bool(workers)))
 
     def _may_wait(
-        self, carriage: Carriage, workers: list[Worker], now_ms: int, before: int | None = None
+        self,
+        carriage: InFlightRequest,
+        workers: list[Worker],
+        now_ms: int,
+        before: int | None = None,
     ) -> tuple[bool, int]:
-        line, tx, params = self._line, carriage.tx, self.node.params
+        line, tx, settings = self._line, carriage.tx, self.node.settings
         if workers and not carriage.call.kept_when_gone and self._all_rest(workers):
-            return now_ms - tx.started_ms < tx.profile.target_ms * _OUTAGE_SHARE, params.ask_ms
+            return now_ms - tx.started_ms < tx.profile.target_ms * _OUTAGE_SHARE, settings.ask_ms
         if not workers:
             held = line.missed_lately(
-                tx.profile.name, now_ms, params.worker_ms
+                tx.profile.name, now_ms, settings.worker_ms
             ) or self._roster.heard_lately(tx.profile)
-            return held and line.makes_it(tx, params.worker_ms / 2, now_ms), params.dead_ms
+            return held and line.makes_it(tx, settings.worker_ms / 2, now_ms), settings.dead_ms
         line.seen_worker(tx.profile.name, now_ms)
         before = line.before(carriage) if before is None else before
         wait_ms = line.estimate_ms(
             tx, before, sum(worker.slots for worker in workers), self.edges()
         )
-        return line.makes_it(tx, wait_ms, now_ms), max(params.beat_ms, int(wait_ms))
+        return line.makes_it(tx, wait_ms, now_ms), max(settings.beat_ms, int(wait_ms))
 
     def _all_rest(self, workers: list[Worker]) -> bool:
         return all(map(self._roster.resting, workers))
@@ -177,7 +188,7 @@
         now_ms = self.node.env.now()
         return (
             worker.silent_ms(now_ms)
-            > self._pace.dark_ms(path, False, self.node.params.ask_ms / 2) / 2
+            > self._pace.dark_ms(path, False, self.node.settings.ask_ms / 2) / 2
         )
 
     def _serve_items(self) -> None:
@@ -224,13 +235,13 @@
                 self._line.drop(carriage)
                 self.take(carriage, carriage.tx.placed(None, bool(workers), False, back_ms))
 
-    def _allowed(self, carriage: Carriage) -> list[Worker]:
+    def _allowed(self, carriage: InFlightRequest) -> list[Worker]:
         return allowed_workers(carriage.call, self, carriage.tx, self._roster)
 
-    def _choose(self, carriage: Carriage, workers: list[Worker]) -> Worker | None:
+    def _choose(self, carriage: InFlightRequest, workers: list[Worker]) -> Worker | None:
         return choose_worker(carriage.call, self, carriage.tx, workers, self._roster)
 
-    def _begin(self, carriage: Carriage, worker: Worker) -> None:
+    def _begin(self, carriage: InFlightRequest, worker: Worker) -> None:
         tx, call = carriage.tx, carriage.call
         tx.widen_budget(2.0 * worker.slots)
         if not call.lot:
@@ -259,7 +270,7 @@
             worker=worker.stamp,
             path=tx.profile.name,
         )
-        send = carriage.send = Send(self, carriage, worker, new_exchange(call, self, tx, worker))
+        send = carriage.send = Attempt(self, carriage, worker, new_exchange(call, self, tx, worker))
         send.reads = not call.kept_when_gone
         send.unread_tokens = unread_tokens
         send.abort = self._sender(send, worker.address, *worker_request(call, self, tx, worker))
@@ -271,14 +282,14 @@
             worker.reading_items += change
             self.reading_items += change
 
-    def _has_read(self, send: Send) -> None:
+    def _has_read(self, send: Attempt) -> None:
         if send.reads:
             send.reads = False
             self._reading(send.worker, send.carriage.call, -1)
             if self._items:
                 self._serve_items()
 
-    def _over(self, send: Send) -> None:
+    def _over(self, send: Attempt) -> None:
         send.over = True
         self._has_read(send)
         send.worker.sending -= 1
@@ -286,11 +297,11 @@
         send.carriage.send = None
         send.abort()
 
-    def heard(self, send: Send) -> None:
+    def heard(self, send: Attempt) -> None:
         """Record that the worker of an attempt has answered something."""
         send.worker.answered_ms = self.node.env.now()
 
-    def eventful(self, send: Send) -> None:
+    def eventful(self, send: Attempt) -> None:
         """Record an event of a stream; the usual pace of its route is learnt from it."""
         now_ms, path = self.node.env.now(), send.carriage.tx.profile.name
         if send.reads and self.readings is not None:
@@ -302,7 +313,7 @@
         send.heard_ms = now_ms
         self._has_read(send)
 
-    def ended(self, send: Send, fate: Fate) -> None:
+    def ended(self, send: Attempt, fate: AttemptOutcome) -> None:
         """Take the outcome of an attempt, and the next step of its transaction."""
         tx, worker = send.carriage.tx, send.worker
         fate = outcome_after(send, fate)
@@ -345,11 +356,11 @@
             if now_ms >= tx.due_ms:
                 dark = (
                     not carriage.call.kept_when_gone
-                    and send.worker.silent_ms(now_ms) > self.node.params.ask_ms
+                    and send.worker.silent_ms(now_ms) > self.node.settings.ask_ms
                 )
                 self.ended(
                     send,
-                    Fate(
+                    AttemptOutcome(
                         "failed",
                         may_have_run=not send.connecting,
                         reason="deadline",
@@ -359,7 +370,7 @@
             elif not carriage.call.kept_when_gone:
                 self._review_silence(send, now_ms)
             elif tx.safe and not tx.delivered and self._roster.silent(send.worker):
-                self.ended(send, Fate("failed", reason="worker silent"))
+                self.ended(send, AttemptOutcome("failed", reason="worker silent"))
         for path in self._line.paths():
             self._review_line(path, now_ms)
         if self._items:
@@ -368,12 +379,12 @@
             self._list_number = self._roster.list_number
             self.parts.keep_only(worker.identity for worker in self._roster.all())
 
-    def _review_silence(self, send: Send, now_ms: int) -> None:
-        fate = silence_fate(self._pace, self.node.params, send, now_ms)
+    def _review_silence(self, send: Attempt, now_ms: int) -> None:
+        fate = silence_fate(self._pace, self.node.settings, send, now_ms)
         if fate is not None:
             self.ended(send, fate)
 
-    def visitor_gone(self, carriage: Carriage) -> None:
+    def visitor_gone(self, carriage: InFlightRequest) -> None:
         """Stop a transaction whose client hung up, if it may be stopped."""
         tx = carriage.tx
         if (not tx.safe and carriage.call.kept_when_gone) or tx.transaction_id not in self.open:
@@ -383,7 +394,7 @@
         self._line.drop(carriage)
         self._finish(carriage, tx.gone())
 
-    def drop(self, carriage: Carriage) -> None:
+    def drop(self, carriage: InFlightRequest) -> None:
         """Stop a transaction without reporting anything of it."""
         if carriage.send is not None:
             self._over(carriage.send)
@@ -391,7 +402,7 @@
             self._items.remove(carriage)
         self.open.pop(carriage.tx.transaction_id, None)
 
-    def _finish(self, carriage: Carriage, step: Step) -> None:
+    def _finish(self, carriage: InFlightRequest, step: Step) -> None:
         tx = carriage.tx
         self.open.pop(tx.transaction_id, None)
         self.count(f"steps_{step.name}")
--- a/libs/request_routing/src/request_routing/silence.py
+++ b/libs/request_routing/src/request_routing/stall_detection.py
@@ -2,14 +2,16 @@
 
 from typing import Any
 
-from request_routing.carriage import Send
-from request_routing.exchange import Fate
-from request_routing.pace import Pace
+from request_routing.in_flight import Attempt
+from request_routing.latency_estimator import LatencyEstimator
+from request_routing.worker_exchange import AttemptOutcome
 
 __all__ = ["silence_fate"]
 
 
-def silence_fate(pace: Pace, params: Any, send: Send, now_ms: int) -> Fate | None:
+def silence_fate(
+    pace: LatencyEstimator, settings: Any, send: Attempt, now_ms: int
+) -> AttemptOutcome | None:
     """Return the failed outcome of an attempt at a silent worker, or None while it is waited for.
 
     Only what may be continued elsewhere is taken away; anything else is left there, since silence
@@ -21,10 +23,10 @@
         return None
     began = send.heard_ms > send.began_ms
     silent_ms = min(now_ms - send.heard_ms, worker.silent_ms(now_ms))
-    if silent_ms > pace.dark_ms(profile.name, began, params.ask_ms / 2):
-        return Fate("failed", reason="worker dark", mark="down")
+    if silent_ms > pace.dark_ms(profile.name, began, settings.ask_ms / 2):
+        return AttemptOutcome("failed", reason="worker dark", mark="down")
     if not carriage.call.lot and now_ms - send.heard_ms > pace.patience_ms(
-        params.force_ms, profile.target_ms, profile.token_gap_ms
+        settings.force_ms, profile.target_ms, profile.token_gap_ms
     ):
-        return Fate("failed", reason="worker silent")
+        return AttemptOutcome("failed", reason="worker silent")
     return None
--- a/libs/request_routing/src/request_routing/worker.py
+++ b/libs/request_routing/src/request_routing/worker.py
@@ -8,12 +8,12 @@
 
 from messaging import Message
 
-__all__ = ["Worker", "WorkerNews"]
+__all__ = ["Worker", "WorkerUpdate"]
 
 _LOAD_MS = 1000.0
 
 
-class WorkerNews(Message):
+class WorkerUpdate(Message, wire_name="WorkerNews"):
     """A worker's heartbeat or leave, as edges flood it; `cache_use` is a share from 0 to 1."""
 
     identity: str
@@ -68,7 +68,7 @@
         "zone",
     )
 
-    def __init__(self, news: WorkerNews) -> None:
+    def __init__(self, news: WorkerUpdate) -> None:
         self.identity = news.identity
         self.incarnation = news.incarnation
         self.leaving = False
@@ -83,7 +83,7 @@
             -1 << 40
         )
 
-    def take(self, news: WorkerNews, now_ms: int) -> None:
+    def take(self, news: WorkerUpdate, now_ms: int) -> None:
         """Take the worker's news, heard at `now_ms`."""
         self.address = news.address
         self.zone = news.zone
--- a/libs/request_routing/src/request_routing/exchange.py
+++ b/libs/request_routing/src/request_routing/worker_exchange.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from typing import Any
 
-from request_routing.streams import END, StreamCheck, check_whole
+from request_routing.stream_checks import END, StreamCheck, check_whole
 
-__all__ = ["Exchange", "Fate"]
+__all__ = ["WorkerExchange", "AttemptOutcome"]
 
 WORKER_HEADER = "x-vaneledge-worker"
 TRANSACTION_HEADER = "x-vaneledge-transaction"
@@ -19,7 +19,7 @@
 _END_EVENT = f"data: {END}\n\n".encode()
 
 
-class Fate:
+class AttemptOutcome:
     """The outcome of an attempt: whole, rejected, ran, or failed.
 
     Whole is a complete success, rejected the worker's final answer that the request is wrong, ran
@@ -42,11 +42,11 @@
         self.may_have_run, self.reason, self.mark = may_have_run, reason, mark
 
 
-def _failed(may_have_run: bool, reason: str, mark: str = "") -> Fate:
-    return Fate("failed", may_have_run=may_have_run, reason=reason, mark=mark)
+def _failed(may_have_run: bool, reason: str, mark: str = "") -> AttemptOutcome:
+    return AttemptOutcome("failed", may_have_run=may_have_run, reason=reason, mark=mark)
 
 
-class Exchange:
+class WorkerExchange:
     """The answer to one attempt at a worker of our own interface.
 
     `worker` and `transaction_id` are the ids that the head has to repeat; `limit_bytes` bounds the
@@ -109,7 +109,7 @@
             self._transaction_id
         ]
 
-    def data(self, chunk: bytes) -> tuple[list[bytes], Fate | None]:
+    def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Return the events that may be delivered now, and the outcome if it is settled already."""
         self._size_bytes += len(chunk)
         if self._size_bytes > self._limit_bytes:
@@ -122,7 +122,7 @@
         fault = self._check.fault
         return events, _failed(True, f"stream not whole: {fault}") if fault else None
 
-    def end(self) -> Fate:
+    def end(self) -> AttemptOutcome:
         """Return the outcome of an answer that ended as HTTP has it."""
         if not self.good:
             return self._refused()
@@ -131,21 +131,21 @@
             return (
                 _failed(True, f"stream not whole: {fault}")
                 if fault
-                else Fate("whole", 200, b"".join(self._kept).decode())
+                else AttemptOutcome("whole", 200, b"".join(self._kept).decode())
             )
         data = bytes(self._data)
         fault = check_whole(data, self._length)
         return (
             _failed(True, f"body not whole: {fault}")
             if fault
-            else Fate("whole", 200, data.decode())
+            else AttemptOutcome("whole", 200, data.decode())
         )
 
-    def broke(self, reason: str, connected: bool) -> Fate:
+    def broke(self, reason: str, connected: bool) -> AttemptOutcome:
         """Return the outcome of a failed connection, which was never made or was lost later."""
         return _failed(connected, reason, "down")
 
-    def _refused(self) -> Fate:
+    def _refused(self) -> AttemptOutcome:
         text = self._data.decode(errors="replace")
         verdict, code = _verdict_of(text)
         if self._status == 409 and code == "wrong-worker" and verdict == "not_run":
@@ -155,7 +155,7 @@
         if self._status in _NOT_RUN_STATUS and verdict == "not_run":
             return _failed(False, code or str(self._status))
         if 400 <= self._status < 500 and self._length == len(self._data):
-            return Fate("rejected", self._status, text)
+            return AttemptOutcome("rejected", self._status, text)
         return _failed(True, f"status {self._status}")
 
 
--- a/libs/request_routing/src/request_routing/roster.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from messaging import Origin, Part
+from messaging import Component, Origin
 
-from request_routing.worker import Worker, WorkerNews
+from request_routing.worker import Worker, WorkerUpdate
 
-__all__ = ["Roster", "Worker", "WorkerNews"]
+__all__ = ["WorkerRegistry", "Worker", "WorkerUpdate"]
 
 
 _PAUSE_SHARE = 0.5
 _MOST_PAUSES = 5
 
 
-class Roster(Part):
+class WorkerRegistry(Component):
     """The workers by identity, and which of them may be used.
 
     `fellows` gives the other edges' addresses; `allowed` says whether any profile in force allows a
@@ -40,7 +40,7 @@
         "lent",
         "list_number",
     )
-    HANDLES = (WorkerNews,)
+    HANDLES = (WorkerUpdate,)
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         """Take a worker's news from another edge."""
         self.hear(message, origin.sender)
 
-    def hear(self, news: WorkerNews, sender: str = "") -> bool:
+    def hear(self, news: WorkerUpdate, sender: str = "") -> bool:
         """Take a heartbeat or a leave and pass it on if new; false for an outdated incarnation."""
         held = self._workers.get(news.identity)
         if (news.identity, news.incarnation) in self._gone and not news.leaving:
@@ -98,7 +98,7 @@
                 self.node.post(address, news)
         return True
 
-    def _displaces(self, news: WorkerNews, now_ms: int) -> bool:
+    def _displaces(self, news: WorkerUpdate, now_ms: int) -> bool:
         """Settle which of two workers at one address is there: the one that started later.
 
         The other never comes back, though old news of it may still be in flight.
@@ -132,7 +132,7 @@
         ]:
             self._workers.pop(identity).leaving = True
         for identity, row in rows.items():
-            news = WorkerNews(
+            news = WorkerUpdate(
                 identity=identity,
                 incarnation=0,
                 address=row["address"],
@@ -169,7 +169,7 @@
         return (
             pauses > 0
             and self.node.env.now() - worker.down_ms
-            < self.node.params.ask_ms * _PAUSE_SHARE * 2 ** (pauses - 1)
+            < self.node.settings.ask_ms * _PAUSE_SHARE * 2 ** (pauses - 1)
         )
 
     def connection_failed(self, worker: Worker) -> None:
@@ -193,7 +193,7 @@
             float(max(0, 2 * worker.slots - worker.sending)),
             self.node.env.now(),
         )
-        worker.full_until_ms = self.node.env.now() + self.node.params.delta_ms
+        worker.full_until_ms = self.node.env.now() + self.node.settings.delta_ms
 
     def mismatched(self, worker: Worker) -> None:
         """Remove a worker at whose address another one answers."""
@@ -208,7 +208,8 @@
     def silent(self, worker: Worker) -> bool:
         """Whether an unlisted worker sent no heartbeat for longer than `worker_ms`."""
         return (
-            not worker.listed and self.node.env.now() - worker.heard_ms > self.node.params.worker_ms
+            not worker.listed
+            and self.node.env.now() - worker.heard_ms > self.node.settings.worker_ms
         )
 
     def heard_lately(self, profile: Any) -> bool:
@@ -221,7 +222,7 @@
     def usable(self, worker: Worker) -> bool:
         """Whether new requests may be sent to this worker."""
         now_ms = self.node.env.now()
-        params = self.node.params
+        settings = self.node.settings
         if worker.leaving or self.silent(worker):
             return False
         if worker.identity in self.lent:
@@ -230,7 +231,7 @@
             return False
         if worker.listed:
             return True
-        return worker.beat > worker.down_beat + 1 or now_ms - worker.down_ms > 2 * params.force_ms
+        return worker.beat > worker.down_beat + 1 or now_ms - worker.down_ms > 2 * settings.force_ms
 
     def workers(self) -> list[Worker]:
         """Return the usable workers that a profile in force allows."""
@@ -272,7 +273,7 @@
 
     def woke(self, gap_ms: int) -> None:
         """Discard what was heard before a freeze of `gap_ms`: it proves no worker alive."""
-        self._quiet_until_ms = self.node.env.now() + self.node.params.beat_ms
+        self._quiet_until_ms = self.node.env.now() + self.node.settings.beat_ms
         for worker in self._workers.values():
             worker.heard_ms = -1 << 40
             worker.down_ms, worker.others = min(worker.down_ms, self.node.env.now() - gap_ms), 0.0
@@ -280,7 +281,7 @@
     def tick(self) -> None:
         """Forget workers and leaves that are old enough."""
         now_ms = self.node.env.now()
-        keep_ms = 10 * self.node.params.resume_ms
+        keep_ms = 10 * self.node.settings.resume_ms
         for identity in [
             worker.identity
             for worker in self._workers.values()
--- a/libs/runtime/src/runtime/__init__.py
+++ b/libs/runtime/src/runtime/__init__.py
@@ -6,16 +6,16 @@
 
 from runtime.clock import boot_ms, wall_ms
 from runtime.logs import log, set_up_logs
-from runtime.params import Params, load_params
+from runtime.settings import Settings, load_settings
 from runtime.verdicts import Refusal, Verdict, doubtful, refused
 
 __all__ = [
-    "Params",
+    "Settings",
     "Refusal",
     "Verdict",
     "boot_ms",
     "doubtful",
-    "load_params",
+    "load_settings",
     "log",
     "refused",
     "set_up_logs",
--- a/libs/runtime/src/runtime/lazy.py
+++ b/libs/runtime/src/runtime/lazy_exports.py
@@ -7,10 +7,10 @@
 from importlib import import_module
 from typing import Any
 
-__all__ = ["lazy"]
+__all__ = ["lazy_exports"]
 
 
-def lazy(package: str, modules: dict[str, tuple[str, ...]]) -> Callable[[str], Any]:
+def lazy_exports(package: str, modules: dict[str, tuple[str, ...]]) -> Callable[[str], Any]:
     """Return a module-level `__getattr__` for a package.
 
     `modules` maps each submodule's name to the names that it exports. The returned function raises
--- a/libs/runtime/src/runtime/params.py
+++ b/libs/runtime/src/runtime/settings.py
@@ -12,7 +12,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
-__all__ = ["Params", "load_params", "changed_params", "RELOADABLE"]
+__all__ = ["Settings", "load_settings", "changed_settings", "RELOADABLE"]
 
 RELOADABLE = frozenset(
     {
@@ -36,7 +36,7 @@
     return value
 
 
-class Params(BaseModel):
+class Settings(BaseModel):
     """The checked, immutable settings of one process.
 
     Names that end in `_ms` are milliseconds, those in `_bytes` bytes. Construction raises
@@ -137,7 +137,7 @@
         return [_check_address(seed) for seed in value]
 
     @model_validator(mode="after")
-    def _whole(self) -> "Params":
+    def _whole(self) -> "Settings":
         if self.role in ("store", "control") and not self.data_folder:
             raise ValueError(
                 f"data_folder: a {self.role} keeps its state on disk and needs a folder"
@@ -261,7 +261,7 @@
     ]
 
 
-def load_params(path: str | None, flags: dict[str, Any]) -> Result[Params, list[str]]:
+def load_settings(path: str | None, flags: dict[str, Any]) -> Result[Settings, list[str]]:
     """Read settings from the TOML file `path`, if given, and from `flags`; None leaves a flag out.
 
     Return the settings, or a list with one line for each problem. Nothing is raised.
@@ -274,18 +274,18 @@
             return Error([f"{path}: {error}"])
     values.update({key: value for key, value in flags.items() if value is not None})
     try:
-        return Ok(Params(**values))
+        return Ok(Settings(**values))
     except ValidationError as error:
         return Error(_problems(error))
 
 
-def changed_params(old: Params, new: Params) -> tuple[Params, list[str], list[str]]:
+def changed_settings(old: Settings, new: Settings) -> tuple[Settings, list[str], list[str]]:
     """Compare the settings in force with those of a file that was read again.
 
     Return the settings to go on with, the names that were applied, and the names that differ but
     need a restart (those outside RELOADABLE).
     """
-    differing = [name for name in Params.model_fields if getattr(old, name) != getattr(new, name)]
+    differing = [name for name in Settings.model_fields if getattr(old, name) != getattr(new, name)]
     applied = [name for name in differing if name in RELOADABLE]
     held = [name for name in differing if name not in RELOADABLE]
     return old.model_copy(update={name: getattr(new, name) for name in applied}), applied, held
--- a/libs/simulator/src/simulator/visitors.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from data_plane.answers import Answer
+from data_plane.responses import Answer
 
 from simulator.live_calls import LiveCall, flat_body
 
-__all__ = ["Visitors"]
+__all__ = ["Clients"]
 
 _PATIENCE_MS = 8000.0
 
 
-class Visitors:
+class Clients:
     """All clients of a run; `lots` is what they know of their batches."""
 
     __slots__ = ("_calls", "_fleet", "_history", "_rng", "_time", "lots")
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from data_plane.answers import Answer
+from data_plane.responses import Answer
 from request_routing import Step
 
 __all__ = ["LiveCall", "flat_body", "flat_events"]
--- a/libs/simulator/src/simulator/reading_workers.py
+++ b/libs/simulator/src/simulator/reading_workers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from request_routing import WorkerNews
+from request_routing import WorkerUpdate
 
 from simulator.workers import SimWorker, told_in_prompt
 
@@ -76,7 +76,7 @@
         ]
         if edges:
             self.time.rng.choice(edges).node.roster.hear(
-                WorkerNews(
+                WorkerUpdate(
                     identity=self.identity,
                     incarnation=self.incarnation,
                     address=self.address,
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from simulator.clients import Clients
 from simulator.faults import FAULTS, schedule
 from simulator.fleet import SimFleet
 from simulator.operators import ROOM, Operators
 from simulator.oracle import judge
-from simulator.visitors import Visitors
 
 __all__ = ["SHAPES", "Run", "run_seed"]
 
@@ -52,7 +52,7 @@
             allowed=["gpu"],
             limits_ms={"rulings": 2000, "narrations": 5000, "moves": 5000},
         )
-        self.visitors = Visitors(self.fleet)
+        self.visitors = Clients(self.fleet)
         self.operators = Operators(self.fleet)
         self.stopped = False
 
@@ -220,7 +220,7 @@
     fleet.time.run_until(start_ms + span_ms)
     run.stopped = True
     run.back()
-    run.probe(fleet.hosts["edge1"].params.resume_ms)
+    run.probe(fleet.hosts["edge1"].settings.resume_ms)
     run.read_all()
     run.operators.ask_again(8)
     return judge(fleet.history), run
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -7,7 +7,7 @@
 import json
 from typing import Any
 
-from data_plane.answers import Answer
+from data_plane.responses import Answer
 from data_plane.rollouts import RolloutCall
 
 __all__ = ["Trainers"]
--- a/libs/simulator/src/simulator/carrying.py
+++ b/libs/simulator/src/simulator/worker_transport.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from request_routing import Send
+from request_routing import Attempt
 
 __all__ = ["SimSender"]
 
@@ -24,7 +24,7 @@
         self._fleet, self._host = fleet, host
 
     def __call__(
-        self, send: Send, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
+        self, send: Attempt, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
     ) -> Callable[[], None]:
         """Send a request to the worker at `address`; the returned function aborts it."""
         connection = _Connection(self._fleet, self._host, send, address)
@@ -43,7 +43,7 @@
 
     __slots__ = ("_address", "_fleet", "_host", "_last_ms", "_life", "_open", "_send", "_target")
 
-    def __init__(self, fleet: Any, host: Any, send: Send, address: str) -> None:
+    def __init__(self, fleet: Any, host: Any, send: Attempt, address: str) -> None:
         self._fleet, self._host, self._life = fleet, host, host.life
         self._send, self._address = send, address
         self._target = fleet.worker_at(address)
--- a/libs/simulator/src/simulator/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from request_routing import WorkerNews
+from request_routing import WorkerUpdate
 
 __all__ = ["SimWorker", "UNSAFE", "told_in_prompt"]
 
@@ -89,7 +89,7 @@
             return False
         edge = self.time.rng.choice(edges)
         edge.node.roster.hear(
-            WorkerNews(
+            WorkerUpdate(
                 identity=self.identity,
                 incarnation=self.incarnation,
                 address=self.address,
--- a/libs/testbed/src/testbed/cli.py
+++ b/libs/testbed/src/testbed/cli.py
@@ -12,21 +12,21 @@
 from cyclopts import App, Parameter
 from data_plane.process import settings_or_exit
 from platform_testbed.command import ALL_SHAPES, PLATFORM_DAYS, play_day
-from runtime import load_params
+from runtime import load_settings
 from simulator import evidence, run_seed
 from simulator.oracle import RULES
 
-from testbed.breaks import BREAKS, run_breaks
-from testbed.checking import explore, histories
-from testbed.days import DAYS, run_day
+from testbed.fault_injection import Weather, run_node
 from testbed.measure import measure_fleet, measure_log
 from testbed.measure_ledger import measure_ledger
 from testbed.measure_more import measure_crowd, measure_prefix, measure_routes
 from testbed.measure_rollouts import measure_rollouts
 from testbed.measure_scale import measure_scale
 from testbed.measure_units import measure_units
+from testbed.model_checking import explore, histories
+from testbed.mutations import BREAKS, run_breaks
 from testbed.report import day_report
-from testbed.surroundings import Weather, run_node
+from testbed.scenarios import DAYS, run_day
 from testbed.trace import KINDS, trace
 from testbed.worker import StandInWorker
 
@@ -120,7 +120,7 @@
     """
     flags = {"role": role}
     run_node(
-        settings_or_exit(load_params(settings, flags)),
+        settings_or_exit(load_settings(settings, flags)),
         settings,
         flags,
         Weather(weather, name),
--- a/libs/testbed/src/testbed/surroundings/__init__.py
+++ b/libs/testbed/src/testbed/fault_injection/__init__.py
@@ -4,8 +4,8 @@
 can be stepped. The programs' own code is unchanged.
 """
 
-from testbed.surroundings.disks import PowerDisk
-from testbed.surroundings.nodes import run_node
-from testbed.surroundings.weather import Weather, write_weather
+from testbed.fault_injection.disks import PowerDisk
+from testbed.fault_injection.nodes import run_node
+from testbed.fault_injection.weather import Weather, write_weather
 
 __all__ = ["PowerDisk", "Weather", "run_node", "write_weather"]
--- a/libs/testbed/src/testbed/surroundings/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -10,23 +10,23 @@
 
 from control_plane.process import ControlProcess
 from data_plane.process import run_process
-from data_plane.roles import EdgeProcess, StoreProcess
+from data_plane.role_processes import EdgeProcess, StoreProcess
 from data_plane.sender import HttpSender
 from messaging import Message
-from messaging.links import Switchboard
-from messaging.shell import ProcessEnv
-from request_routing import Send
-from runtime import Params
+from messaging.links import LinkTransport
+from messaging.node_runner import ProcessEnvironment
+from request_routing import Attempt
+from runtime import Settings
 
-from testbed.surroundings.disks import PowerDisk
-from testbed.surroundings.weather import Weather
+from testbed.fault_injection.disks import PowerDisk
+from testbed.fault_injection.weather import Weather
 
 __all__ = ["run_node"]
 
 _POLL_S = 0.02
 
 
-class _Env(ProcessEnv):
+class _Env(ProcessEnvironment):
     def __init__(self, address: str, weather: Weather) -> None:
         super().__init__(address)
         self._weather = weather
@@ -35,7 +35,7 @@
         return super().wall() + self._weather.step_ms
 
 
-class _Links(Switchboard):
+class _Links(LinkTransport):
     """Drops messages that a cut stops, loses some, and delays those on slow links."""
 
     def __init__(
@@ -68,7 +68,7 @@
 class _Held:
     """Holds a worker's answer back during a cut, as sockets do, until the cut is over."""
 
-    def __init__(self, send: Send, address: str, weather: Weather) -> None:
+    def __init__(self, send: Attempt, address: str, weather: Weather) -> None:
         self._send, self._address, self._weather = send, address, weather
         self._rows: list[tuple[str, tuple[Any, ...]]] = []
 
@@ -113,7 +113,7 @@
         self._connect_ms, self._weather = connect_ms, weather
 
     def __call__(
-        self, send: Send, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
+        self, send: Attempt, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
     ) -> Callable[[], None]:
         if not (self._weather.lets_out(address) and self._weather.lets_in(address)):
             return (
@@ -127,13 +127,13 @@
 def _surrounded(base: type, weather: Weather, seed: int) -> type:
     class Surrounded(base):
         def make_env(self) -> _Env:
-            return _Env(self.params.link, weather)
+            return _Env(self.settings.link, weather)
 
         def make_switchboard(self, deliver: Any) -> _Links:
-            return _Links(self.params.link, self.params.ask_ms, deliver, weather)
+            return _Links(self.settings.link, self.settings.ask_ms, deliver, weather)
 
         def make_sender(self) -> _Sender:
-            return _Sender(self.params.ask_ms, weather)
+            return _Sender(self.settings.ask_ms, weather)
 
         def open_disk(self) -> PowerDisk:
             self.disk = PowerDisk(super().open_disk(), seed)
@@ -146,11 +146,13 @@
     return Surrounded
 
 
-def run_node(params: Params, path: str, flags: dict[str, Any], weather: Weather, seed: int) -> None:
-    """Run the program of the role in `params` until it ends.
+def run_node(
+    settings: Settings, path: str, flags: dict[str, Any], weather: Weather, seed: int
+) -> None:
+    """Run the program of the role in `settings` until it ends.
 
     `path` and `flags` are where the settings came from; `seed` draws which unflushed writes
     survive.
     """
-    base = {"edge": EdgeProcess, "store": StoreProcess, "control": ControlProcess}[params.role]
-    run_process(_surrounded(base, weather, seed), params, path, flags)
+    base = {"edge": EdgeProcess, "store": StoreProcess, "control": ControlProcess}[settings.role]
+    run_process(_surrounded(base, weather, seed), settings, path, flags)
--- a/libs/testbed/src/testbed/days_weather.py
+++ b/libs/testbed/src/testbed/fault_scenarios.py
@@ -174,7 +174,7 @@
 
 async def retired(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Retire the holder while batches run and no spare is there; the spare starts later."""
-    from testbed.days import find_holder
+    from testbed.scenarios import find_holder
 
     member = await until(lambda: find_holder(fleet), 10_000, "there is a holder")
     _, shown = await fleet.get(member, "/status")
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -15,7 +15,7 @@
 
 import aiohttp
 
-from testbed.surroundings.weather import write_weather
+from testbed.fault_injection.weather import write_weather
 
 __all__ = ["Fleet", "Member", "SHAPES", "until"]
 
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -15,14 +15,14 @@
 from typing import Any
 
 from batch_state import entries
-from replicated_log import Holder, LocalLog
-from replicated_log.peer import PeerSide
-from runtime import Params, boot_ms, wall_ms
+from replicated_log import Leader, LocalLog
+from replicated_log.follower import Follower
+from runtime import Settings, boot_ms, wall_ms
 from storage import FolderDisk
 
-from testbed.days import find_holder
 from testbed.fleet import SHAPES, Fleet, until
 from testbed.report import spread
+from testbed.scenarios import find_holder
 from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_fleet", "measure_log"]
@@ -43,7 +43,7 @@
 class _Store:
     def __init__(self, folder: str, name: str, sync_ms: float) -> None:
         loop = asyncio.get_running_loop()
-        self.params = Params(
+        self.settings = Settings(
             role="store",
             link="127.0.0.1:1",
             http="127.0.0.1:2",
@@ -53,8 +53,8 @@
         )
         self.disk = _SlowDisk(os.path.join(folder, name), 1 << 30, loop.call_soon_threadsafe)
         self.disk.sync_ms = sync_ms
-        self.log = LocalLog(self.disk, self.params, boot_ms, lambda: name)
-        self.peer = PeerSide(self.log)
+        self.log = LocalLog(self.disk, self.settings, boot_ms, lambda: name)
+        self.peer = Follower(self.log)
 
 
 async def _appends(
@@ -81,7 +81,7 @@
     with tempfile.TemporaryDirectory() as folder:
         stores = {name: _Store(folder, name, sync_ms) for name in ("a", "b", "c")}
         loop = asyncio.get_running_loop()
-        holder: Holder | None = None
+        holder: Leader | None = None
 
         def post(to: str, message: Any) -> None:
             loop.call_later(
@@ -95,11 +95,11 @@
         ready = loop.create_future()
         own.keep_meta(lambda ok: ready.set_result(ok), fence=1, log_epoch=1)
         await ready
-        holder = Holder(
+        holder = Leader(
             own,
             1,
             [(store.log.identity, name) for name, store in stores.items()],
-            stores["a"].params,
+            stores["a"].settings,
             boot_ms,
             wall_ms,
             post,
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -13,10 +13,10 @@
 
 from batch_state import entries as e
 from batch_state import messages as m
-from batch_state.dealing import Dealer
+from batch_state.item_dispatch import ItemDispatcher
 from messaging import encode
 from replicated_log import LocalLog
-from runtime import Params
+from runtime import Settings
 from storage import FolderDisk
 
 __all__ = ["measure_ledger"]
@@ -29,7 +29,7 @@
 
     def __init__(self, log: LocalLog) -> None:
         self.log, self.epoch = log, 1
-        self.params = log.params
+        self.settings = log.settings
         self.env = self
         self.counted = 0
 
@@ -61,7 +61,7 @@
     name = f"lot{number}"
     texts = [rng.randbytes(body_bytes // 2).hex() for _ in range(2)]
     rows: list[Any] = [
-        e.LotAdmitted(
+        e.JobAdmitted(
             lot_id=name,
             digest="d" * 32,
             path="summaries",
@@ -83,8 +83,8 @@
                     body=f'{{"id": "{number}-{place}", "text": "{texts[1]}"}}',
                 )
             )
-        rows.append(e.BatonPassed(lot_id=name, edge="edge-1", epoch=1))
-        rows.append(e.ResultsPlaced(lot_id=name, up_to=_ITEMS, epoch=1))
+        rows.append(e.ListingLeaseGranted(lot_id=name, edge="edge-1", epoch=1))
+        rows.append(e.ListingAdvanced(lot_id=name, up_to=_ITEMS, epoch=1))
     return rows
 
 
@@ -103,7 +103,7 @@
     rng = random.Random(1)
     lines = []
     with tempfile.TemporaryDirectory() as folder:
-        params = Params(
+        settings = Settings(
             role="store",
             link="127.0.0.1:1",
             http="127.0.0.1:2",
@@ -112,8 +112,8 @@
             data_folder=folder,
             disk_bytes=1 << 34,
         )
-        disk = FolderDisk(folder, params.disk_bytes, lambda call: call())
-        log = LocalLog(disk, params, lambda: time.monotonic_ns() // 1_000_000, lambda: "a")
+        disk = FolderDisk(folder, settings.disk_bytes, lambda call: call())
+        log = LocalLog(disk, settings, lambda: time.monotonic_ns() // 1_000_000, lambda: "a")
         before_mb = _mega()
         worst_ms = 0.0
         for number in range(lots):
@@ -145,7 +145,7 @@
             f"longest step of tidying {worst_ms:.0f} ms"
         )
         began_at = time.perf_counter()
-        again = LocalLog(disk, params, lambda: 0, lambda: "a")
+        again = LocalLog(disk, settings, lambda: 0, lambda: "a")
         lines.append(
             f"  read back in {(time.perf_counter() - began_at) * 1000:.0f} ms, "
             f"{len(again.ledger.lots)} lots"
@@ -164,16 +164,16 @@
     for number in range(count):
         for row in _lot(rng, 10_000_000 + number, body_bytes, False):
             log.ledger.apply(row)
-    dealer = Dealer(alone, alone)
+    dealer = ItemDispatcher(alone, alone)
     took = []
     for _ in range(20):
         began_at = time.perf_counter()
         dealer.beat(
-            m.EdgeBeat(edge="edge-1", address="x", room=0, paths=["summaries"], running=[]),
+            m.EdgeHeartbeat(edge="edge-1", address="x", room=0, paths=["summaries"], running=[]),
             lambda receipt: None,
         )
         dealer.tick()
         took.append((time.perf_counter() - began_at) * 1000)
     for number in range(count):
-        log.ledger.apply(e.LotForgotten(lot_id=f"lot{10_000_000 + number}"))
+        log.ledger.apply(e.JobExpired(lot_id=f"lot{10_000_000 + number}"))
     return sorted(took)[len(took) // 2]
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from request_routing import Worker, WorkerNews, choose
+from request_routing import Worker, WorkerUpdate, choose
 
 from testbed.fleet import SHAPES, Fleet, until
 from testbed.report import spread
@@ -132,7 +132,7 @@
         rng = random.Random(1)
         pool = []
         for place in range(workers):
-            news = WorkerNews(
+            news = WorkerUpdate(
                 identity=f"w{place}",
                 incarnation=1,
                 address=f"w{place}:1",
--- a/libs/testbed/src/testbed/breaks/runner.py
+++ b/libs/testbed/src/testbed/mutations/runner.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from testbed.breaks.table import BREAKS
+from testbed.mutations.table import BREAKS
 
 __all__ = ["applied", "run_breaks"]
 
--- a/libs/testbed/src/testbed/breaks/table.py
+++ b/libs/testbed/src/testbed/mutations/table.py
@@ -4,7 +4,7 @@
 that has to fail. docs/proof.md says which rule each belongs to.
 """
 
-from testbed.breaks import control, log, serving
+from testbed.mutations import control, log, serving
 
 __all__ = ["BREAKS"]
 
--- a/libs/testbed/src/testbed/days.py
+++ b/libs/testbed/src/testbed/scenarios.py
@@ -15,7 +15,7 @@
 
 from simulator.oracle import judge
 
-from testbed.days_weather import WEATHER_DAYS
+from testbed.fault_scenarios import WEATHER_DAYS
 from testbed.fleet import SHAPES, Fleet, Member, until
 from testbed.traffic import TREE, Traffic
 
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -15,7 +15,7 @@
 from hollow_lots import HollowLots
 from platform_testbed.machines import loopback_net
 from platform_testbed.operators import patched
-from platform_testbed.sheet import allowed_services, route_of
+from platform_testbed.site import allowed_services, route_of
 
 HOP = {"connection", "keep-alive", "transfer-encoding", "te", "upgrade", "host", "content-length"}
 NETS = count()
--- a/tests/platform_oracle_table.py
+++ b/tests/platform_oracle_table.py
@@ -2,7 +2,7 @@
 and how many breaches it finds.
 """
 
-from platform_testbed.sheet import TIMING
+from platform_testbed.site import TIMING
 from simulator.history import History
 
 SETTINGS = {
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -6,8 +6,8 @@
 import tempfile
 
 from storage import FolderDisk
-from testbed.days import run_day
-from testbed.surroundings import PowerDisk
+from testbed.fault_injection import PowerDisk
+from testbed.scenarios import run_day
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -6,16 +6,16 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from hollow import HollowFleet
-from platform_testbed.crew import Crew
-from platform_testbed.day import STARVED_MS
-from platform_testbed.days import DUE
+from platform_testbed.batch_clients import LotClients
 from platform_testbed.entry import Entry
-from platform_testbed.live import LiveClients
-from platform_testbed.lots import LotClients
+from platform_testbed.live_clients import LiveClients
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
-from platform_testbed.sheet import Sheet
-from platform_testbed.starved import Starved, starved_ms
+from platform_testbed.processor_starvation import Starved, starved_ms
+from platform_testbed.scenario import STARVED_MS
+from platform_testbed.scenarios import DUE
+from platform_testbed.site import Sheet
+from platform_testbed.worker_pool import Crew
 from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_platform_days.py
+++ b/tests/test_platform_days.py
@@ -5,9 +5,9 @@
 import asyncio
 import tempfile
 
-from platform_testbed.day import STARVED_MS, run_platform_day
-from platform_testbed.days import day_of
-from platform_testbed.starved import starved_ms
+from platform_testbed.processor_starvation import starved_ms
+from platform_testbed.scenario import STARVED_MS, run_platform_day
+from platform_testbed.scenarios import day_of
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -5,13 +5,13 @@
 import os
 
 from platform_oracle_table import CASES, SETTINGS, history, start, trouble
-from platform_testbed import starved as starved_module
+from platform_testbed import processor_starvation as starved_module
 from platform_testbed.entry import Entry
 from platform_testbed.operators import patched
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
-from platform_testbed.sheet import TIMING, Sheet, allowed_services
-from platform_testbed.starved import Starved, starved_ms
-from platform_testbed.touch import Touch
+from platform_testbed.processor_starvation import Starved, starved_ms
+from platform_testbed.reachability import Touch
+from platform_testbed.site import TIMING, Sheet, allowed_services
 from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -4,14 +4,14 @@
 import re
 from pathlib import Path
 
-from platform_testbed.days import PLATFORM_DAYS
 from platform_testbed.oracle import PLATFORM_RULES
+from platform_testbed.scenarios import PLATFORM_DAYS
 from simulator.oracle import RULES
 from test_platform_bench import BREAKS as HOLLOW_BREAKS
 from test_sim import SCHEDULES
-from testbed.breaks import BREAKS
-from testbed.breaks.runner import applied
-from testbed.days import DAYS
+from testbed.mutations import BREAKS
+from testbed.mutations.runner import applied
+from testbed.scenarios import DAYS
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -5,7 +5,7 @@
 import json
 
 from control_store import Change
-from control_store.succession import next_of_all
+from control_store.voter_succession import next_of_all
 from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals
--- a/tests/test_wire_troubles.py
+++ b/tests/test_wire_troubles.py
@@ -5,7 +5,7 @@
 import asyncio
 from unittest import mock
 
-from data_plane.forward_http import _Protocol
+from data_plane.forward_server import _Protocol
 from forward_stage import Client, Edge, Worker, chunk, event, good, head, run
 from testtools import TestCase
 from testtools.matchers import Equals
