--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -49,7 +49,7 @@
         """Forget refusals so old that no stamp from before them can still come."""
         floor_ms = self._node.env.now() - 2 * self._node.settings.fresh_ms
         self._refused_ms = {
-            lot_id: at_ms for lot_id, at_ms in self._refused_ms.items() if at_ms > floor_ms
+            job_id: at_ms for job_id, at_ms in self._refused_ms.items() if at_ms > floor_ms
         }
 
     @singledispatchmethod
@@ -63,13 +63,13 @@
         if self._known(message, origin):
             return
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.lot_id, -1
+            message.job_id, -1
         ):
-            self._node.reply(origin, job_response("stale", message.lot_id, None))
+            self._node.reply(origin, job_response("stale", message.job_id, None))
         elif room is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
             )
         elif ledger.room_used(message.path) >= room:
             self._refuse(message, origin)
@@ -78,7 +78,7 @@
                 message,
                 origin,
                 e.JobAdmitted(
-                    lot_id=message.lot_id,
+                    job_id=message.job_id,
                     digest=message.digest,
                     path=message.path,
                     items=message.items,
@@ -95,13 +95,13 @@
             return
         profile = self._profiles()[1].usable(message.path)
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.lot_id, -1
+            message.job_id, -1
         ):
-            self._node.reply(origin, job_response("stale", message.lot_id, None))
+            self._node.reply(origin, job_response("stale", message.job_id, None))
         elif profile is None or not profile.loan_share:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
             )
         elif self._holder.ledger.rollouts_open(message.path) >= profile.rollout_room:
             self._refuse(message, origin)
@@ -110,7 +110,7 @@
                 message,
                 origin,
                 e.RolloutAdmitted(
-                    lot_id=message.lot_id,
+                    job_id=message.job_id,
                     digest=message.digest,
                     path=message.path,
                     items=message.items,
@@ -132,17 +132,17 @@
         number, tree = self._profiles()
         profile = tree.usable(message.path)
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.lot_id, -1
+            message.job_id, -1
         ):
             self._node.reply(
                 origin, m.StaleRequest(epoch=self._holder.epoch, holder_ms=self._node.env.now())
             )
         elif number < message.version:
-            self._node.reply(origin, job_response("unknown", message.lot_id, None))
+            self._node.reply(origin, job_response("unknown", message.job_id, None))
         elif profile is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
             )
         elif not self._fits(message, profile.waiting_tokens or 0):
             self._refuse(message, origin)
@@ -151,7 +151,7 @@
                 message,
                 origin,
                 e.ForwardJobAdmitted(
-                    lot_id=message.lot_id,
+                    job_id=message.job_id,
                     digest=message.digest,
                     path=message.path,
                     item_ids=message.item_ids,
@@ -172,21 +172,21 @@
         )
 
     def _known(self, message: Any, origin: Origin) -> bool:
-        known = self._holder.ledger.lots.get(message.lot_id)
+        known = self._holder.ledger.jobs.get(message.job_id)
         if known is not None:
             same = known.digest == message.digest
             self._answers.when_settled(
                 origin,
                 lambda ok: job_response(
-                    "unknown" if not ok else "known" if same else "conflict", message.lot_id, known
+                    "unknown" if not ok else "known" if same else "conflict", message.job_id, known
                 ),
             )
         return known is not None
 
     def _refuse(self, message: Any, origin: Origin) -> None:
-        self._refused_ms[message.lot_id] = message.holder_ms
+        self._refused_ms[message.job_id] = message.holder_ms
         self._answers.when_confirmed(
-            origin, lambda ok: job_response("no_room" if ok else "unknown", message.lot_id, None)
+            origin, lambda ok: job_response("no_room" if ok else "unknown", message.job_id, None)
         )
 
     def _admit(self, message: Any, origin: Origin, entry: Message) -> None:
@@ -196,11 +196,11 @@
             [entry],
             lambda outcome: job_response(
                 "admitted" if outcome == KEPT else outcome,
-                message.lot_id,
-                ledger.lots.get(message.lot_id),
+                message.job_id,
+                ledger.jobs.get(message.job_id),
             ),
         )
         if taken and isinstance(entry, e.ForwardJobAdmitted):
             self._wake()
         elif not taken:
-            self._refused_ms[message.lot_id] = message.holder_ms
+            self._refused_ms[message.job_id] = message.holder_ms
--- a/libs/batch_state/src/batch_state/batch_service.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -40,7 +40,7 @@
         "_base_ms",
         "_dealer",
         "_holder",
-        "_lots",
+        "_jobs",
         "_office_ms",
         "_profiles",
         "_reading",
@@ -84,7 +84,7 @@
         self._reading: ForwardJobReader | None = None
         self._answers: LeaderReplies | None = None
         self._admission: JobAdmission | None = None
-        self._lots: JobReader | None = None
+        self._jobs: JobReader | None = None
         self._swept_ms = 0
         self._base_ms = self._office_ms = 0
         self.counts: dict[str, int] = {}
@@ -106,7 +106,7 @@
         if holder is not None:
             ages = [
                 row.at_ms
-                for rows in (holder.ledger.lots, holder.ledger.keys)
+                for rows in (holder.ledger.jobs, holder.ledger.keys)
                 for row in rows.values()
             ]
             self._base_ms = max(ages, default=self.node.env.wall())
@@ -125,7 +125,7 @@
             self._admission = JobAdmission(
                 holder, self.node, self._answers, self._profiles, self._log_ms, self._dealer.wake
             )
-            self._lots = JobReader(
+            self._jobs = JobReader(
                 holder,
                 self._settled,
                 lambda: self.shelves,
@@ -150,7 +150,7 @@
         if self._holder is None or self._holder.deposed:
             return {}
         return dict(
-            Counter(lot.path for lot in self._holder.ledger.opened.values() if not lot.rollout)
+            Counter(job.path for job in self._holder.ledger.opened.values() if not job.rollout)
         )
 
     @singledispatchmethod
@@ -170,9 +170,9 @@
         self._answers.when_confirmed(
             origin,
             lambda ok: (
-                self._lots.lot(message.lot_id)
+                self._jobs.job(message.job_id)
                 if ok
-                else job_response("unknown", message.lot_id, None)
+                else job_response("unknown", message.job_id, None)
             ),
         )
 
@@ -181,7 +181,7 @@
         self._answers.when_confirmed(
             origin,
             lambda ok: (
-                self._lots.results(message)
+                self._jobs.results(message)
                 if ok
                 else m.ListResultsResponse(
                     outcome="unknown", rows=[], placed=0, total=0, ended=False
@@ -191,29 +191,29 @@
 
     @_on.register
     def _(self, message: m.CancelJob, origin: Origin) -> None:
-        lot = self._holder.ledger.lots.get(message.lot_id)
-        if lot is None:
+        job = self._holder.ledger.jobs.get(message.job_id)
+        if job is None:
             self._answers.when_confirmed(
                 origin,
-                lambda ok: job_response("missing" if ok else "unknown", message.lot_id, None),
+                lambda ok: job_response("missing" if ok else "unknown", message.job_id, None),
             )
-        elif not lot.open:
+        elif not job.open:
             self._answers.when_settled(
-                origin, lambda ok: job_response("known" if ok else "unknown", message.lot_id, lot)
+                origin, lambda ok: job_response("known" if ok else "unknown", message.job_id, job)
             )
         else:
             self._answers.log(
                 origin,
-                [e.JobCancelled(lot_id=message.lot_id, at_ms=self._log_ms())],
-                lambda outcome: self._ended(lot, outcome),
+                [e.JobCancelled(job_id=message.job_id, at_ms=self._log_ms())],
+                lambda outcome: self._ended(job, outcome),
                 urgent=True,
             )
 
-    def _ended(self, lot: Job, outcome: str) -> m.JobResponse:
+    def _ended(self, job: Job, outcome: str) -> m.JobResponse:
         if self._dealer is not None and outcome == KEPT:
             self._dealer.wake()
-            self._reading.wake({lot.lot_id})
-        return job_response("known" if outcome == KEPT else outcome, lot.lot_id, lot)
+            self._reading.wake({job.job_id})
+        return job_response("known" if outcome == KEPT else outcome, job.job_id, job)
 
     @_on.register
     def _(self, message: m.ListForwardResults, origin: Origin) -> None:
@@ -240,20 +240,20 @@
 
     @_on.register
     def _(self, message: m.AdvanceListing, origin: Origin) -> None:
-        lot = self._holder.ledger.lots.get(message.lot_id)
+        job = self._holder.ledger.jobs.get(message.job_id)
         may = (
-            lot is not None
-            and lot.open
-            and message.epoch == lot.baton_epoch
-            and message.edge == lot.baton_edge
-            and lot.placed < message.up_to <= lot.ready
+            job is not None
+            and job.open
+            and message.epoch == job.baton_epoch
+            and message.edge == job.baton_edge
+            and job.placed < message.up_to <= job.ready
         )
         if not may:
             self.node.reply(origin, m.ReportResultResponse(ok=False, baton_epoch=0, up_to=0))
             return
         self._answers.log(
             origin,
-            [e.ListingAdvanced(lot_id=message.lot_id, up_to=message.up_to, epoch=message.epoch)],
+            [e.ListingAdvanced(job_id=message.job_id, up_to=message.up_to, epoch=message.epoch)],
             lambda outcome: m.ReportResultResponse(ok=outcome == KEPT, baton_epoch=0, up_to=0),
             urgent=True,
         )
@@ -357,11 +357,11 @@
         rows: list[Message] = [
             e.KeyExpired(key=name) for name, key in ledger.keys.items() if key.at_ms < floor_ms
         ]
-        lot_floor_ms = self._log_ms() - _LOT_KEEP_FACTOR * self.node.settings.keep_ms
+        job_floor_ms = self._log_ms() - _LOT_KEEP_FACTOR * self.node.settings.keep_ms
         rows += [
-            e.JobExpired(lot_id=lot.lot_id)
-            for lot in ledger.lots.values()
-            if not lot.open and lot.at_ms < lot_floor_ms
+            e.JobExpired(job_id=job.job_id)
+            for job in ledger.jobs.values()
+            if not job.open and job.at_ms < job_floor_ms
         ]
         if rows:
             self._holder.append(rows, False, lambda outcome: None, True)
--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -32,7 +32,7 @@
 class JobAdmitted(Message, wire_name="LotAdmitted"):
     """A lot was admitted; an item that isn't `safe` must not be run twice."""
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     items: list[str]
@@ -48,7 +48,7 @@
     `version` is the number of the profiles at the holder that admitted the lot.
     """
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     item_ids: list[str]
@@ -68,7 +68,7 @@
     the rollout ends then.
     """
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     items: list[str]
@@ -81,7 +81,7 @@
 class ItemsClaimed(Message):
     """Items of one forwarded lot were claimed for one edge."""
 
-    lot_id: str
+    job_id: str
     edge: str
     indexes: list[int]
     numbers: list[int]
@@ -93,7 +93,7 @@
     `worker` is avoided when the item is dealt again.
     """
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
     failures: int
@@ -107,7 +107,7 @@
     order of the results.
     """
 
-    lot_id: str
+    job_id: str
     index: int
     outcome: str
     text: bytes
@@ -119,7 +119,7 @@
 class ItemClaimed(Message):
     """An item was claimed for an edge, under a number that rises with each claim."""
 
-    lot_id: str
+    job_id: str
     index: int
     edge: str
     number: int
@@ -128,7 +128,7 @@
 class ItemFinished(Message):
     """An item ended; its result may be listed."""
 
-    lot_id: str
+    job_id: str
     index: int
     outcome: str
     body: str
@@ -138,7 +138,7 @@
 class ItemReturned(Message):
     """The claim of this number was returned; the item waits again."""
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
 
@@ -146,7 +146,7 @@
 class ListingLeaseGranted(Message, wire_name="BatonPassed"):
     """The right to list a lot's results passed to an edge, under a higher epoch."""
 
-    lot_id: str
+    job_id: str
     edge: str
     epoch: int
 
@@ -154,7 +154,7 @@
 class ListingAdvanced(Message, wire_name="ResultsPlaced"):
     """Results were listed up to a position; void unless `epoch` is the baton's."""
 
-    lot_id: str
+    job_id: str
     up_to: int
     epoch: int
 
@@ -162,14 +162,14 @@
 class JobCancelled(Message, wire_name="LotEnded"):
     """A lot was ended before all of its results were listed."""
 
-    lot_id: str
+    job_id: str
     at_ms: int
 
 
 class JobExpired(Message, wire_name="LotForgotten"):
     """A lot that is over left the ledger, because its retention time has passed."""
 
-    lot_id: str
+    job_id: str
 
 
 class KeyOpened(Message):
@@ -200,7 +200,7 @@
     index of the first result in each.
     """
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     safe: bool
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -62,24 +62,24 @@
         if page.outcome != "known" or page.rows or page.over or self._node.env.now() >= due_ms:
             reply(page)
         else:
-            self._held.setdefault(message.lot_id, []).append(_Held(message, reply, due_ms))
+            self._held.setdefault(message.job_id, []).append(_Held(message, reply, due_ms))
 
-    def wake(self, lot_ids: set[str]) -> None:
+    def wake(self, job_ids: set[str]) -> None:
         """Answer the held reads of these lots, in which something was settled under this epoch."""
-        for lot_id in lot_ids & set(self._held):
-            for held in self._held.pop(lot_id):
+        for job_id in job_ids & set(self._held):
+            for held in self._held.pop(job_id):
                 self._confirmed(held.message, held.reply, held.due_ms)
 
     def tick(self) -> None:
         """Answer held reads whose time is up."""
         now_ms = self._node.env.now()
-        for lot_id in list(self._held):
-            late = [held for held in self._held[lot_id] if now_ms >= held.due_ms]
-            left = [held for held in self._held[lot_id] if now_ms < held.due_ms]
+        for job_id in list(self._held):
+            late = [held for held in self._held[job_id] if now_ms >= held.due_ms]
+            left = [held for held in self._held[job_id] if now_ms < held.due_ms]
             if left:
-                self._held[lot_id] = left
+                self._held[job_id] = left
             else:
-                del self._held[lot_id]
+                del self._held[job_id]
             for held in late:
                 self._last(held)
 
@@ -97,26 +97,26 @@
     # -- building the answers ----------------------------------------------------------------------
 
     def _page(self, message: m.ListForwardResults) -> m.ListForwardResultsResponse:
-        lot = self._settled().lots.get(message.lot_id)
-        if lot is None:
-            return _nothing("unknown" if message.lot_id in self._holder.ledger.lots else "missing")
-        rows = self._rows(lot, message)
+        job = self._settled().jobs.get(message.job_id)
+        if job is None:
+            return _nothing("unknown" if message.job_id in self._holder.ledger.jobs else "missing")
+        rows = self._rows(job, message)
         if rows is None:
-            self._mend("lot", lot.lot_id)
+            self._mend("lot", job.job_id)
             return _nothing("unknown")
         return m.ListForwardResultsResponse(
-            outcome="known", rows=rows, total=lot.total, over=not lot.open
+            outcome="known", rows=rows, total=job.total, over=not job.open
         )
 
-    def _rows(self, lot: Job, message: m.ListForwardResults) -> list[bytes] | None:
+    def _rows(self, job: Job, message: m.ListForwardResults) -> list[bytes] | None:
         rows: list[bytes] = []
         size_bytes = 0
         position = message.from_position
-        while position < lot.placed and size_bytes < message.limit_bytes:
+        while position < job.placed and size_bytes < message.limit_bytes:
             more = (
-                [lot.row(position)]
-                if lot.shelf is None
-                else self._shelves.results(lot, position, lot.placed)
+                [job.row(position)]
+                if job.shelf is None
+                else self._shelves.results(job, position, job.placed)
             )
             if not more:
                 return None
@@ -132,14 +132,14 @@
         """Answer with the call of an item that hasn't ended."""
 
         def confirmed(ok: bool) -> None:
-            lot = self._settled().lots.get(message.lot_id)
-            if not ok or (lot is None and message.lot_id in self._holder.ledger.lots):
+            job = self._settled().jobs.get(message.job_id)
+            if not ok or (job is None and message.job_id in self._holder.ledger.jobs):
                 reply(m.GetItemResponse(outcome="unknown", call=b""))
                 return
             found = (
                 None
-                if lot is None or not lot.open
-                else next((item for item in lot.items if item.item_id == message.item_id), None)
+                if job is None or not job.open
+                else next((item for item in job.items if item.item_id == message.item_id), None)
             )
             listed = found is None or found.state == "finished"
             reply(
--- a/libs/batch_state/src/batch_state/item_completion.py
+++ b/libs/batch_state/src/batch_state/item_completion.py
@@ -52,55 +52,55 @@
         rows: list[Message] = []
         for data in message.rows:
             row = decode(data)
-            lot = self._holder.ledger.opened.get(row.lot_id)
-            if lot is not None and lot.forward and 0 <= row.index < len(lot.items):
-                rows += self._entries(lot, row, message.edge)
-        lot_ids = {row.lot_id for row in rows if isinstance(row, e.ResultListed)}
+            job = self._holder.ledger.opened.get(row.job_id)
+            if job is not None and job.forward and 0 <= row.index < len(job.items):
+                rows += self._entries(job, row, message.edge)
+        job_ids = {row.job_id for row in rows if isinstance(row, e.ResultListed)}
         freed = any(isinstance(row, (e.AttemptFailed, e.ItemReturned)) for row in rows)
 
         def logged(outcome: str) -> None:
             reply(m.ReportResultResponse(ok=outcome == "kept", baton_epoch=0, up_to=0))
-            if lot_ids and outcome == "kept":
-                self._woke(lot_ids)
+            if job_ids and outcome == "kept":
+                self._woke(job_ids)
 
         self._holder.append(rows, True, logged, True)
         if freed:
             wake()
 
-    def _entries(self, lot: Job, row: m.ItemOutcome, edge: str) -> list[Message]:
+    def _entries(self, job: Job, row: m.ItemOutcome, edge: str) -> list[Message]:
         """Return the entries for one report.
 
         The first report that ends an item decides. A failure or a returned claim counts only under
         the present claim.
         """
-        item = lot.items[row.index]
+        item = job.items[row.index]
         present = item.state == "claimed" and item.number == row.number
         if item.state == "finished":
             return []
         if row.outcome in ("finished", "dead"):
-            return [self._listed(lot, row.index, row.outcome, row.text, row.worker, edge)]
+            return [self._listed(job, row.index, row.outcome, row.text, row.worker, edge)]
         if not present:
             return []
-        if row.outcome == "failed" and item.failures + 1 >= self._attempts(lot):
-            return [self._listed(lot, row.index, "dead", row.text, row.worker, edge)]
+        if row.outcome == "failed" and item.failures + 1 >= self._attempts(job):
+            return [self._listed(job, row.index, "dead", row.text, row.worker, edge)]
         if row.outcome == "failed":
             return [
                 e.AttemptFailed(
-                    lot_id=lot.lot_id,
+                    job_id=job.job_id,
                     index=row.index,
                     number=row.number,
                     failures=item.failures + 1,
                     worker=row.worker,
                 )
             ]
-        return [e.ItemReturned(lot_id=lot.lot_id, index=row.index, number=row.number)]
+        return [e.ItemReturned(job_id=job.job_id, index=row.index, number=row.number)]
 
     def _listed(
-        self, lot: Job, index: int, outcome: str, text: bytes, worker: str, edge: str
+        self, job: Job, index: int, outcome: str, text: bytes, worker: str, edge: str
     ) -> e.ResultListed:
-        epoch = max(1, lot.baton_epoch + (edge != lot.baton_edge))
+        epoch = max(1, job.baton_epoch + (edge != job.baton_edge))
         return e.ResultListed(
-            lot_id=lot.lot_id,
+            job_id=job.job_id,
             index=index,
             outcome=outcome,
             text=text,
@@ -109,17 +109,17 @@
             epoch=epoch,
         )
 
-    def _attempts(self, lot: Job) -> int:
+    def _attempts(self, job: Job) -> int:
         """Return the most attempts allowed by any profile that may be in force.
 
         These are the profile at admission and the present one.
         """
-        profile = self._profile(lot)
-        return max(lot.attempts, profile.attempts or 0 if profile is not None else 0, 1)
+        profile = self._profile(job)
+        return max(job.attempts, profile.attempts or 0 if profile is not None else 0, 1)
 
-    def _profile(self, lot: Job) -> Any:
+    def _profile(self, job: Job) -> Any:
         _, tree = self._profiles()
-        return tree.usable(lot.path) if tree is not None else None
+        return tree.usable(job.path) if tree is not None else None
 
     def give_up(self) -> None:
         """End items whose time is up or whose route is gone.
@@ -129,22 +129,22 @@
         now_ms = self._log_ms()
         number, tree = self._profiles()
         rows: list[Message] = []
-        lot_ids: set[str] = set()
-        for lot in self._holder.ledger.opened.values():
-            if not lot.forward:
+        job_ids: set[str] = set()
+        for job in self._holder.ledger.opened.values():
+            if not job.forward:
                 continue
-            late = now_ms >= lot.expires_ms
+            late = now_ms >= job.expires_ms
             gone = (
-                tree is not None and number >= max(1, lot.version) and tree.usable(lot.path) is None
+                tree is not None and number >= max(1, job.version) and tree.usable(job.path) is None
             )
             if late or gone:
                 text = b"not finished in time" if late else b"its route is gone"
-                edge = lot.baton_edge
+                edge = job.baton_edge
                 rows += [
-                    self._listed(lot, index, "dead", text, "", edge)
-                    for index in [*lot.claims, *lot.pending]
+                    self._listed(job, index, "dead", text, "", edge)
+                    for index in [*job.claims, *job.pending]
                 ]
-                lot_ids.add(lot.lot_id)
+                job_ids.add(job.job_id)
         if rows:
-            self._node.env.log("items-given-up", "WARNING", count=len(rows), lots=sorted(lot_ids))
-            self._holder.append(rows, True, lambda outcome: self._woke(lot_ids), True)
+            self._node.env.log("items-given-up", "WARNING", count=len(rows), jobs=sorted(job_ids))
+            self._holder.append(rows, True, lambda outcome: self._woke(job_ids), True)
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -68,7 +68,7 @@
         node: Any,
         log_ms: Callable[[], int] = lambda: 0,
         profiles: Callable[[], tuple[int, Any]] = lambda: (0, None),
-        woke: Callable[[set[str]], None] = lambda lot_ids: None,
+        woke: Callable[[set[str]], None] = lambda job_ids: None,
         outlook: Any = None,
     ) -> None:
         self._outlook = outlook
@@ -118,18 +118,18 @@
         """Answer a heartbeat; return False if it may wait for something to be said."""
         ledger = self._holder.ledger
         stops = sorted(
-            lot_id
-            for lot_id in {row.rpartition("#")[0] for row in message.running}
-            if self._over(lot_id)
+            job_id
+            for job_id in {row.rpartition("#")[0] for row in message.running}
+            if self._over(job_id)
         )
         batons = [
-            encode(m.ListingLease(lot_id=lot.lot_id, epoch=lot.baton_epoch, up_to=lot.ready))
-            for lot in ledger.opened.values()
-            if lot.ready > lot.placed and lot.baton_edge == message.edge and lot.baton_epoch
+            encode(m.ListingLease(job_id=job.job_id, epoch=job.baton_epoch, up_to=job.ready))
+            for job in ledger.opened.values()
+            if job.ready > job.placed and job.baton_edge == message.edge and job.baton_epoch
         ]
-        for lot in list(ledger.opened.values()):
-            if lot.ready > lot.placed and not self._live(lot.baton_edge):
-                self._pass_baton(lot, message.edge)
+        for job in list(ledger.opened.values()):
+            if job.ready > job.placed and not self._live(job.baton_edge):
+                self._pass_baton(job, message.edge)
         work, safe_only = self._picker.pick(message, self._live_edges)
         waiting, paths = self._waiting()
         samples_out, recalled = self._rollouts()
@@ -166,7 +166,7 @@
         if not work:
             logged("kept")
             return True
-        self._claimed_ms.update({(row.lot_id, row.index): self._node.env.now() for row in work})
+        self._claimed_ms.update({(row.job_id, row.index): self._node.env.now() for row in work})
         self._holder.append(self._claims(work, message.edge), not safe_only, logged)
         return True
 
@@ -175,40 +175,40 @@
         forward: dict[str, e.ItemsClaimed] = {}
         for row in work:
             if isinstance(row, m.ForwardAssignment):
-                if row.lot_id not in forward:
-                    forward[row.lot_id] = e.ItemsClaimed(
-                        lot_id=row.lot_id, edge=edge, indexes=[], numbers=[]
+                if row.job_id not in forward:
+                    forward[row.job_id] = e.ItemsClaimed(
+                        job_id=row.job_id, edge=edge, indexes=[], numbers=[]
                     )
-                    rows.append(forward[row.lot_id])
-                forward[row.lot_id].indexes.append(row.index)
-                forward[row.lot_id].numbers.append(row.number)
+                    rows.append(forward[row.job_id])
+                forward[row.job_id].indexes.append(row.index)
+                forward[row.job_id].numbers.append(row.number)
             else:
                 rows.append(
-                    e.ItemClaimed(lot_id=row.lot_id, index=row.index, edge=edge, number=row.number)
+                    e.ItemClaimed(job_id=row.job_id, index=row.index, edge=edge, number=row.number)
                 )
         return rows
 
-    def _over(self, lot_id: str) -> bool:
+    def _over(self, job_id: str) -> bool:
         """Whether a lot is over and settled, so that an edge may forget what it ran of it."""
-        lot = self._holder.settled.lots.get(lot_id)
-        return not lot.open if lot is not None else lot_id not in self._holder.ledger.lots
+        job = self._holder.settled.jobs.get(job_id)
+        return not job.open if job is not None else job_id not in self._holder.ledger.jobs
 
     def _waiting(self) -> tuple[int, list[str]]:
         """Return how many items wait and on which paths, for which edges then offer room."""
-        lots = [
-            lot
-            for lot in self._holder.ledger.opened.values()
-            if not lot.rollout or self._outlook is not None
+        jobs = [
+            job
+            for job in self._holder.ledger.opened.values()
+            if not job.rollout or self._outlook is not None
         ]
-        return sum(lot.waiting for lot in lots if not lot.rollout), sorted(
-            {lot.path for lot in lots if lot.waiting}
+        return sum(job.waiting for job in jobs if not job.rollout), sorted(
+            {job.path for job in jobs if job.waiting}
         )
 
     def _rollouts(self) -> tuple[int, bool]:
         """Return how many samples are or may be out, and whether a lot needs their slots."""
         if self._outlook is None:
             return 0, False
-        out = sum(len(lot.claims) + 1 for lot in self._holder.ledger.opened.values() if lot.rollout)
+        out = sum(len(job.claims) + 1 for job in self._holder.ledger.opened.values() if job.rollout)
         return out, self._outlook.at_risk(self._holder.ledger, self._log_ms(), self._node.env.log)
 
     def _return_unheard(self, message: m.EdgeHeartbeat) -> None:
@@ -219,15 +219,15 @@
         now_ms = self._node.env.now()
         running = set(message.running)
         rows: list[Message] = []
-        for lot in self._holder.ledger.opened.values():
-            for index, item in lot.claims.items():
-                if item.edge != message.edge or f"{lot.lot_id}#{index}" in running:
+        for job in self._holder.ledger.opened.values():
+            for index, item in job.claims.items():
+                if item.edge != message.edge or f"{job.job_id}#{index}" in running:
                     continue
                 if (
-                    now_ms - self._claimed_ms.get((lot.lot_id, index), self._since_ms)
+                    now_ms - self._claimed_ms.get((job.job_id, index), self._since_ms)
                     > 2 * self._node.settings.ask_ms
                 ):
-                    rows.append(e.ItemReturned(lot_id=lot.lot_id, index=index, number=item.number))
+                    rows.append(e.ItemReturned(job_id=job.job_id, index=index, number=item.number))
         if rows:
             self._holder.append(rows, False, lambda outcome: None, True)
 
@@ -238,12 +238,12 @@
         """End rollouts whose deadline has passed; their listed results stay."""
         log_ms = self._log_ms()
         rows = [
-            e.JobCancelled(lot_id=lot.lot_id, at_ms=log_ms)
-            for lot in self._holder.ledger.opened.values()
-            if lot.rollout and 0 < lot.expires_ms <= log_ms
+            e.JobCancelled(job_id=job.job_id, at_ms=log_ms)
+            for job in self._holder.ledger.opened.values()
+            if job.rollout and 0 < job.expires_ms <= log_ms
         ]
         if rows:
-            self._node.env.log("rollouts-out-of-time", lots=[row.lot_id for row in rows])
+            self._node.env.log("rollouts-out-of-time", jobs=[row.job_id for row in rows])
             self._holder.append(rows, True, lambda outcome: self.wake(), True)
 
     def end_items(self, message: m.ReportItemOutcomes, reply: Reply) -> None:
@@ -258,10 +258,10 @@
         forgot the item sooner would make it look as if it had never begun.
         """
         ledger = self._holder.ledger
-        lot = ledger.lots.get(message.lot_id)
+        job = ledger.jobs.get(message.job_id)
         self._edges[message.edge] = self._node.env.now()
-        claimed_ms = self._claimed_ms.pop((message.lot_id, message.index), None)
-        if lot is None or lot.ended or not 0 <= message.index < len(lot.items):
+        claimed_ms = self._claimed_ms.pop((message.job_id, message.index), None)
+        if job is None or job.ended or not 0 <= message.index < len(job.items):
             self._holder.append(
                 [],
                 True,
@@ -271,26 +271,26 @@
                 True,
             )
             return
-        item = lot.items[message.index]
+        item = job.items[message.index]
         if (
             self._outlook is not None
-            and not lot.rollout
+            and not job.rollout
             and message.outcome != "again"
             and claimed_ms is not None
         ):
-            self._outlook.took(lot.path, self._node.env.now() - claimed_ms)
+            self._outlook.took(job.path, self._node.env.now() - claimed_ms)
         rows: list[Message] = []
         if message.outcome == "again":
             if item.state == "claimed" and item.number == message.number:
                 rows.append(
                     e.ItemReturned(
-                        lot_id=message.lot_id, index=message.index, number=message.number
+                        job_id=message.job_id, index=message.index, number=message.number
                     )
                 )
         elif item.state != "finished":
             rows.append(
                 e.ItemFinished(
-                    lot_id=message.lot_id,
+                    job_id=message.job_id,
                     index=message.index,
                     outcome=message.outcome,
                     body=message.body,
@@ -299,31 +299,31 @@
             )
 
         def logged(outcome: str) -> None:
-            if outcome == "kept" and lot.open and lot.ready > lot.placed:
+            if outcome == "kept" and job.open and job.ready > job.placed:
                 if (
-                    lot.baton_edge == message.edge
-                    or not self._live(lot.baton_edge)
-                    or self._finished_next(lot, message)
+                    job.baton_edge == message.edge
+                    or not self._live(job.baton_edge)
+                    or self._finished_next(job, message)
                 ):
-                    self._pass_baton(lot, message.edge)
-            mine = lot.baton_edge == message.edge and lot.ready > lot.placed
+                    self._pass_baton(job, message.edge)
+            mine = job.baton_edge == message.edge and job.ready > job.placed
             reply(
                 m.ReportResultResponse(
                     ok=outcome == "kept",
-                    baton_epoch=lot.baton_epoch if mine else 0,
-                    up_to=lot.ready if mine else 0,
+                    baton_epoch=job.baton_epoch if mine else 0,
+                    up_to=job.ready if mine else 0,
                 )
             )
 
-        self._holder.append(rows, not lot.safe, logged, True)
+        self._holder.append(rows, not job.safe, logged, True)
 
-    def _finished_next(self, lot: Job, message: m.ReportResult) -> bool:
-        return message.index == lot.placed
+    def _finished_next(self, job: Job, message: m.ReportResult) -> bool:
+        return message.index == job.placed
 
-    def _pass_baton(self, lot: Job, edge: str) -> None:
-        if lot.baton_edge != edge:
+    def _pass_baton(self, job: Job, edge: str) -> None:
+        if job.baton_edge != edge:
             self._holder.append(
-                [e.ListingLeaseGranted(lot_id=lot.lot_id, edge=edge, epoch=lot.baton_epoch + 1)],
+                [e.ListingLeaseGranted(job_id=job.job_id, edge=edge, epoch=job.baton_epoch + 1)],
                 False,
                 lambda outcome: None,
                 True,
@@ -337,7 +337,7 @@
             <= self._node.settings.dead_ms
         )
 
-    def _lost(self, lot: Job, edge: str) -> bool:
+    def _lost(self, job: Job, edge: str) -> bool:
         """Whether an edge has been silent for so long that its claims are lost.
 
         That is longer than any edge keeps its claims; silence from before this holder's start
@@ -346,7 +346,7 @@
         """
         if edge in self._gone:
             return True
-        if lot.forward:
+        if job.forward:
             return not self._live(edge)
         return (
             self._node.env.now() - self._edges.get(edge, self._since_ms)
@@ -362,16 +362,16 @@
         self._endings.give_up()
         self._end_rollouts()
         rows: list[Message] = []
-        for lot in self._holder.ledger.opened.values():
-            for index, item in lot.claims.items():
-                if not self._lost(lot, item.edge):
+        for job in self._holder.ledger.opened.values():
+            for index, item in job.claims.items():
+                if not self._lost(job, item.edge):
                     continue
-                if lot.safe:
-                    rows.append(e.ItemReturned(lot_id=lot.lot_id, index=index, number=item.number))
+                if job.safe:
+                    rows.append(e.ItemReturned(job_id=job.job_id, index=index, number=item.number))
                 else:
                     rows.append(
                         e.ItemFinished(
-                            lot_id=lot.lot_id,
+                            job_id=job.job_id,
                             index=index,
                             outcome="may_have_run",
                             body=_UNKNOWN_BODY,
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -47,39 +47,39 @@
             self._outlook.heard(message, self._node.env.now())
         if not message.room:
             return self._pick_samples(message, work), safe_only
-        lots = sorted(
+        jobs = sorted(
             (
-                lot
-                for lot in self._holder.ledger.opened.values()
-                if lot.pending and lot.path in message.paths and not lot.rollout
+                job
+                for job in self._holder.ledger.opened.values()
+                if job.pending and job.path in message.paths and not job.rollout
             ),
-            key=lambda lot: (lot.due_ms, lot.at_ms, lot.lot_id),
+            key=lambda job: (job.due_ms, job.at_ms, job.job_id),
         )
-        waiting = sum(len(lot.pending) for lot in lots if lot.forward)
+        waiting = sum(len(job.pending) for job in jobs if job.forward)
         share = math.ceil(waiting / max(1, live_edges()))
-        for lot in lots:
-            for index in lot.pending:
+        for job in jobs:
+            for index in job.pending:
                 if len(work) >= message.room:
                     return work, safe_only
-                if lot.forward:
+                if job.forward:
                     if share <= 0:
                         break
                     share -= 1
-                    work.append(self._forward_work(lot, index))
+                    work.append(self._forward_work(job, index))
                 else:
-                    item = lot.items[index]
+                    item = job.items[index]
                     work.append(
                         m.ItemAssignment(
-                            lot_id=lot.lot_id,
+                            job_id=job.job_id,
                             index=index,
                             number=item.number + 1,
-                            path=lot.path,
-                            safe=lot.safe,
+                            path=job.path,
+                            safe=job.safe,
                             body=item.body,
-                            due_ms=lot.due_ms,
+                            due_ms=job.due_ms,
                         )
                     )
-                    safe_only = safe_only and lot.safe
+                    safe_only = safe_only and job.safe
         return self._pick_samples(message, work), safe_only
 
     def _pick_samples(
@@ -94,40 +94,40 @@
         ):
             return work
         rollouts = [
-            lot
-            for lot in self._holder.ledger.opened.values()
-            if lot.rollout and lot.pending and lot.path in message.sample_paths
+            job
+            for job in self._holder.ledger.opened.values()
+            if job.rollout and job.pending and job.path in message.sample_paths
         ]
         samples: list[Any] = []
-        for lot in sorted(
-            rollouts, key=lambda lot: (lot.expires_ms or math.inf, lot.at_ms, lot.lot_id)
+        for job in sorted(
+            rollouts, key=lambda job: (job.expires_ms or math.inf, job.at_ms, job.job_id)
         ):
-            for index in lot.pending:
+            for index in job.pending:
                 if len(samples) >= message.sample_room:
                     return samples
-                prompt, sample = divmod(index, lot.samples)
+                prompt, sample = divmod(index, job.samples)
                 samples.append(
                     m.RolloutAssignment(
-                        lot_id=lot.lot_id,
+                        job_id=job.job_id,
                         index=index,
-                        number=lot.items[index].number + 1,
-                        path=lot.path,
-                        body=lot.items[index].body,
+                        number=job.items[index].number + 1,
+                        path=job.path,
+                        body=job.items[index].body,
                         prompt=prompt,
                         sample=sample,
-                        weights=lot.weights,
+                        weights=job.weights,
                     )
                 )
         return samples
 
-    def _forward_work(self, lot: Job, index: int) -> m.ForwardAssignment:
-        item = lot.items[index]
+    def _forward_work(self, job: Job, index: int) -> m.ForwardAssignment:
+        item = job.items[index]
         return m.ForwardAssignment(
-            lot_id=lot.lot_id,
+            job_id=job.job_id,
             index=index,
             number=item.number + 1,
-            path=lot.path,
+            path=job.path,
             call=item.body,
             avoid=list(item.failed_at),
-            left_ms=max(0, lot.expires_ms - self._log_ms()),
+            left_ms=max(0, job.expires_ms - self._log_ms()),
         )
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -12,12 +12,12 @@
 _PAGE_BYTES = 1 << 20
 
 
-def job_response(outcome: str, lot_id: str, lot: Job | None) -> m.JobResponse:
+def job_response(outcome: str, job_id: str, job: Job | None) -> m.JobResponse:
     """Return the state of a lot, or an empty one if there is none."""
-    if lot is None:
+    if job is None:
         return m.JobResponse(
             outcome=outcome,
-            lot_id=lot_id,
+            job_id=job_id,
             digest="",
             path="",
             total=0,
@@ -27,18 +27,18 @@
             due_ms=0,
             ended=False,
         )
-    running = 0 if lot.ended else len(lot.claims)
+    running = 0 if job.ended else len(job.claims)
     return m.JobResponse(
         outcome=outcome,
-        lot_id=lot_id,
-        digest=lot.digest,
-        path=lot.path,
-        total=lot.total,
-        finished=lot.total - lot.left,
-        placed=lot.placed,
+        job_id=job_id,
+        digest=job.digest,
+        path=job.path,
+        total=job.total,
+        finished=job.total - job.left,
+        placed=job.placed,
         running=running,
-        due_ms=lot.due_ms,
-        ended=lot.ended,
+        due_ms=job.due_ms,
+        ended=job.ended,
     )
 
 
@@ -60,36 +60,36 @@
         self._holder, self._settled = holder, settled
         self._shelves, self._mend = shelves, mend
 
-    def lot(self, lot_id: str) -> m.JobResponse:
+    def job(self, job_id: str) -> m.JobResponse:
         """Return the state of a lot."""
-        lot = self._settled().lots.get(lot_id)
-        if lot is None and lot_id in self._holder.ledger.lots:
-            return job_response("unknown", lot_id, None)
-        return job_response("known" if lot else "missing", lot_id, lot)
+        job = self._settled().jobs.get(job_id)
+        if job is None and job_id in self._holder.ledger.jobs:
+            return job_response("unknown", job_id, None)
+        return job_response("known" if job else "missing", job_id, job)
 
     def results(self, message: m.ListResults) -> m.ListResultsResponse:
         """Return a page of a lot's results, from memory or from its archive file."""
-        lot = self._settled().lots.get(message.lot_id)
-        if lot is None:
-            outcome = "unknown" if message.lot_id in self._holder.ledger.lots else "missing"
+        job = self._settled().jobs.get(message.job_id)
+        if job is None:
+            outcome = "unknown" if message.job_id in self._holder.ledger.jobs else "missing"
             return m.ListResultsResponse(outcome=outcome, rows=[], placed=0, total=0, ended=False)
-        if message.from_index > lot.total:
+        if message.from_index > job.total:
             return m.ListResultsResponse(
-                outcome="beyond", rows=[], placed=lot.placed, total=lot.total, ended=lot.ended
+                outcome="beyond", rows=[], placed=job.placed, total=job.total, ended=job.ended
             )
-        rows = self._shelved(lot, message) if lot.shelf is not None else self._held(lot, message)
+        rows = self._shelved(job, message) if job.shelf is not None else self._held(job, message)
         if rows is None:
-            self._mend("lot", lot.lot_id)
+            self._mend("lot", job.job_id)
             return m.ListResultsResponse(outcome="unknown", rows=[], placed=0, total=0, ended=False)
         return m.ListResultsResponse(
-            outcome="known", rows=rows, placed=lot.placed, total=lot.total, ended=lot.ended
+            outcome="known", rows=rows, placed=job.placed, total=job.total, ended=job.ended
         )
 
-    def _shelved(self, lot: Job, message: m.ListResults) -> list[bytes] | None:
+    def _shelved(self, job: Job, message: m.ListResults) -> list[bytes] | None:
         rows: list[bytes] = []
         while len(rows) < message.limit and sum(map(len, rows)) <= _PAGE_BYTES:
             more = self._shelves().results(
-                lot, message.from_index + len(rows), message.limit - len(rows)
+                job, message.from_index + len(rows), message.limit - len(rows)
             )
             if more is None:
                 return None
@@ -98,10 +98,10 @@
             rows += more
         return rows
 
-    def _held(self, lot: Job, message: m.ListResults) -> list[bytes]:
+    def _held(self, job: Job, message: m.ListResults) -> list[bytes]:
         rows, size_bytes = [], 0
-        for index in range(message.from_index, min(lot.placed, message.from_index + message.limit)):
-            rows.append(lot.row(index))
+        for index in range(message.from_index, min(job.placed, message.from_index + message.limit)):
+            rows.append(job.row(index))
             size_bytes += len(rows[-1])
             if size_bytes > _PAGE_BYTES:
                 break
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -69,7 +69,7 @@
         "forward",
         "items",
         "left",
-        "lot_id",
+        "job_id",
         "order",
         "path",
         "pending",
@@ -86,7 +86,7 @@
     )
 
     def __init__(self, entry: e.JobAdmitted | e.ForwardJobAdmitted | e.RolloutAdmitted) -> None:
-        self.lot_id = entry.lot_id
+        self.job_id = entry.job_id
         self.digest = entry.digest
         self.path = entry.path
         self.rollout = isinstance(entry, e.RolloutAdmitted)
@@ -192,7 +192,7 @@
             ]
         rows = self._dump_forward() if self.forward else self._dump_own()
         if self.ended:
-            rows.append(e.JobCancelled(lot_id=self.lot_id, at_ms=self.ended_at_ms))
+            rows.append(e.JobCancelled(job_id=self.job_id, at_ms=self.ended_at_ms))
         return rows
 
     def _dump_own(self) -> list[Message]:
@@ -201,15 +201,15 @@
             if item.number:
                 rows.append(
                     e.ItemClaimed(
-                        lot_id=self.lot_id, index=index, edge=item.edge, number=item.number
+                        job_id=self.job_id, index=index, edge=item.edge, number=item.number
                     )
                 )
             if item.number and item.state == "waiting":
-                rows.append(e.ItemReturned(lot_id=self.lot_id, index=index, number=item.number))
+                rows.append(e.ItemReturned(job_id=self.job_id, index=index, number=item.number))
             if item.state == "finished":
                 rows.append(
                     e.ItemFinished(
-                        lot_id=self.lot_id,
+                        job_id=self.job_id,
                         index=index,
                         outcome=item.outcome,
                         body=item.result,
@@ -219,19 +219,19 @@
         if self.baton_epoch:
             rows.append(
                 e.ListingLeaseGranted(
-                    lot_id=self.lot_id, edge=self.baton_edge, epoch=self.baton_epoch
+                    job_id=self.job_id, edge=self.baton_edge, epoch=self.baton_epoch
                 )
             )
         if self.placed:
             rows.append(
-                e.ListingAdvanced(lot_id=self.lot_id, up_to=self.placed, epoch=self.baton_epoch)
+                e.ListingAdvanced(job_id=self.job_id, up_to=self.placed, epoch=self.baton_epoch)
             )
         return rows
 
     def _admitted(self) -> Message:
         if self.rollout:
             return e.RolloutAdmitted(
-                lot_id=self.lot_id,
+                job_id=self.job_id,
                 digest=self.digest,
                 path=self.path,
                 samples=self.samples,
@@ -241,7 +241,7 @@
                 at_ms=self.at_ms,
             )
         return e.JobAdmitted(
-            lot_id=self.lot_id,
+            job_id=self.job_id,
             digest=self.digest,
             path=self.path,
             safe=self.safe,
@@ -253,7 +253,7 @@
     def _dump_forward(self) -> list[Message]:
         rows: list[Message] = [
             e.ForwardJobAdmitted(
-                lot_id=self.lot_id,
+                job_id=self.job_id,
                 digest=self.digest,
                 path=self.path,
                 item_ids=[item.item_id for item in self.items],
@@ -270,26 +270,26 @@
             item = self.items[index]
             for place, worker in enumerate(item.failed_at, 1):
                 rows.append(
-                    e.ItemsClaimed(lot_id=self.lot_id, edge="", indexes=[index], numbers=[place])
+                    e.ItemsClaimed(job_id=self.job_id, edge="", indexes=[index], numbers=[place])
                 )
                 rows.append(
                     e.AttemptFailed(
-                        lot_id=self.lot_id, index=index, number=place, failures=place, worker=worker
+                        job_id=self.job_id, index=index, number=place, failures=place, worker=worker
                     )
                 )
             if item.number > item.failures or item.state == "claimed":
                 rows.append(
                     e.ItemsClaimed(
-                        lot_id=self.lot_id, edge=item.edge, indexes=[index], numbers=[item.number]
+                        job_id=self.job_id, edge=item.edge, indexes=[index], numbers=[item.number]
                     )
                 )
                 if item.state == "waiting":
-                    rows.append(e.ItemReturned(lot_id=self.lot_id, index=index, number=item.number))
+                    rows.append(e.ItemReturned(job_id=self.job_id, index=index, number=item.number))
         for index in self.order:
             item = self.items[index]
             rows.append(
                 e.ResultListed(
-                    lot_id=self.lot_id,
+                    job_id=self.job_id,
                     index=index,
                     outcome=item.outcome,
                     text=item.result,
--- a/libs/batch_state/src/batch_state/messages.py
+++ b/libs/batch_state/src/batch_state/messages.py
@@ -76,7 +76,7 @@
 class ItemAssignment(Message, wire_name="Work"):
     """An item for an edge to run; `number` is that of its claim."""
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
     path: str
@@ -89,7 +89,7 @@
     """A sample for an edge to run; `index` is `prompt` * samples of each prompt + `sample`."""
 
     safe = True
-    lot_id: str
+    job_id: str
     index: int
     number: int
     path: str
@@ -102,7 +102,7 @@
 class ListingLease(Message, wire_name="Baton"):
     """Tells an edge that it may list the results of a lot up to a position."""
 
-    lot_id: str
+    job_id: str
     epoch: int
     up_to: int
 
@@ -143,7 +143,7 @@
 class SubmitJob(Message, wire_name="HandIn"):
     """Submit a lot; `digest`, that of the content, recognises the same submission sent again."""
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     items: list[str]
@@ -156,7 +156,7 @@
 class SubmitRollout(Message, wire_name="RolloutHandIn"):
     """Submit a rollout; `due_ms` is from now, 0 for no deadline."""
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     items: list[str]
@@ -171,7 +171,7 @@
     """The state of a lot, or why there is none."""
 
     outcome: str
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     total: int
@@ -185,19 +185,19 @@
 class GetJob(Message, wire_name="ReadLot"):
     """Ask for the state of a lot."""
 
-    lot_id: str
+    job_id: str
 
 
 class CancelJob(Message, wire_name="EndLot"):
     """End a lot: what hasn't finished is not run any more."""
 
-    lot_id: str
+    job_id: str
 
 
 class ListResults(Message, wire_name="ReadResults"):
     """Ask for listed results from an index on."""
 
-    lot_id: str
+    job_id: str
     from_index: int
     limit: int
 
@@ -223,7 +223,7 @@
 class ReportResult(Message, wire_name="Finish"):
     """Report an item's end; the outcome `again` returns the claim, as it has not run."""
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
     outcome: str
@@ -246,7 +246,7 @@
 class AdvanceListing(Message, wire_name="Place"):
     """List the results of a lot up to a position, under the baton's epoch."""
 
-    lot_id: str
+    job_id: str
     edge: str
     epoch: int
     up_to: int
@@ -306,7 +306,7 @@
     number of the profiles at the edge.
     """
 
-    lot_id: str
+    job_id: str
     digest: str
     path: str
     item_ids: list[str]
@@ -330,7 +330,7 @@
 class ForwardAssignment(Message, wire_name="ForwardWork"):
     """A forwarded item to run within `left_ms`; `avoid` are the workers that failed on it."""
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
     path: str
@@ -345,7 +345,7 @@
     `outcome` is finished, dead (no worker can do it), failed (an attempt) or again (no attempt).
     """
 
-    lot_id: str
+    job_id: str
     index: int
     number: int
     outcome: str
@@ -363,7 +363,7 @@
 class ListForwardResults(Message, wire_name="ReadPage"):
     """Ask for forwarded results; answered once there is one or after `wait_ms`."""
 
-    lot_id: str
+    job_id: str
     from_position: int
     limit_bytes: int
     wait_ms: int
@@ -389,7 +389,7 @@
 class GetItem(Message, wire_name="ReadItem"):
     """Ask for the call of an item that hasn't ended."""
 
-    lot_id: str
+    job_id: str
     item_id: str
 
 
--- a/libs/batch_state/src/batch_state/state.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -54,22 +54,22 @@
     haven't ended, by path. `fresh` names lots and keys that are over and can be archived.
     """
 
-    __slots__ = ("fresh", "keys", "lots", "opened", "waiting_tokens")
+    __slots__ = ("fresh", "keys", "jobs", "opened", "waiting_tokens")
 
     def __init__(self) -> None:
         self.waiting_tokens: dict[str, int] = {}
-        self.lots: dict[str, Job] = {}
+        self.jobs: dict[str, Job] = {}
         self.keys: dict[str, IdempotencyKey] = {}
         self.opened: dict[str, Job] = {}
         self.fresh: dict[tuple[str, str], None] = {}
 
     def room_used(self, path: str) -> int:
         """Return how many lots other than rollouts are open on a path."""
-        return sum(1 for lot in self.opened.values() if lot.path == path and not lot.rollout)
+        return sum(1 for job in self.opened.values() if job.path == path and not job.rollout)
 
     def rollouts_open(self, path: str) -> int:
         """Return how many rollouts are open on a path."""
-        return sum(1 for lot in self.opened.values() if lot.path == path and lot.rollout)
+        return sum(1 for job in self.opened.values() if job.path == path and job.rollout)
 
     def _count_tokens(self, path: str, tokens: int) -> None:
         count = self.waiting_tokens.get(path, 0) + tokens
@@ -96,115 +96,115 @@
         self._admit(entry)
 
     def _admit(self, entry: e.JobAdmitted | e.ForwardJobAdmitted | e.RolloutAdmitted) -> None:
-        if entry.lot_id not in self.lots:
-            lot = self.lots[entry.lot_id] = Job(entry)
-            if lot.open:
-                self.opened[entry.lot_id] = lot
-                self._count_tokens(lot.path, lot.tokens)
+        if entry.job_id not in self.jobs:
+            job = self.jobs[entry.job_id] = Job(entry)
+            if job.open:
+                self.opened[entry.job_id] = job
+                self._count_tokens(job.path, job.tokens)
 
     @apply.register
     def _(self, entry: e.ItemClaimed) -> None:
-        self._claim(entry.lot_id, entry.index, entry.edge, entry.number)
+        self._claim(entry.job_id, entry.index, entry.edge, entry.number)
 
     @apply.register
     def _(self, entry: e.ItemsClaimed) -> None:
         for index, number in zip(entry.indexes, entry.numbers, strict=True):
-            self._claim(entry.lot_id, index, entry.edge, number)
+            self._claim(entry.job_id, index, entry.edge, number)
 
-    def _claim(self, lot_id: str, index: int, edge: str, number: int) -> None:
-        item = self._item(lot_id, index)
+    def _claim(self, job_id: str, index: int, edge: str, number: int) -> None:
+        item = self._item(job_id, index)
         if item is not None and item.state != "finished" and number > item.number:
-            self.lots[lot_id].claim(index, edge, number)
+            self.jobs[job_id].claim(index, edge, number)
 
     @apply.register
     def _(self, entry: e.ItemFinished) -> None:
-        item = self._item(entry.lot_id, entry.index)
+        item = self._item(entry.job_id, entry.index)
         if item is not None and item.state != "finished":
-            self.lots[entry.lot_id].finish(entry.index, entry.outcome, entry.body, entry.worker)
+            self.jobs[entry.job_id].finish(entry.index, entry.outcome, entry.body, entry.worker)
 
     @apply.register
     def _(self, entry: e.ResultListed) -> None:
-        lot = self._lot(entry.lot_id)
-        if lot is None or not lot.open or not 0 <= entry.index < len(lot.items):
+        job = self._job(entry.job_id)
+        if job is None or not job.open or not 0 <= entry.index < len(job.items):
             return
-        item = lot.items[entry.index]
-        higher = entry.epoch > lot.baton_epoch or (
-            entry.epoch == lot.baton_epoch and entry.edge == lot.baton_edge
+        item = job.items[entry.index]
+        higher = entry.epoch > job.baton_epoch or (
+            entry.epoch == job.baton_epoch and entry.edge == job.baton_edge
         )
         if item.state == "finished" or not higher:
             return
-        lot.baton_edge, lot.baton_epoch = entry.edge, entry.epoch
+        job.baton_edge, job.baton_epoch = entry.edge, entry.epoch
         self._count_tokens(
-            lot.path, -lot.finish(entry.index, entry.outcome, entry.text, entry.worker)
+            job.path, -job.finish(entry.index, entry.outcome, entry.text, entry.worker)
         )
         item.body = b""
-        lot.order.append(entry.index)
-        lot.placed = len(lot.order)
-        if not lot.open:
-            self._over(lot)
+        job.order.append(entry.index)
+        job.placed = len(job.order)
+        if not job.open:
+            self._over(job)
 
     @apply.register
     def _(self, entry: e.ItemReturned) -> None:
-        item = self._item(entry.lot_id, entry.index)
+        item = self._item(entry.job_id, entry.index)
         if item is not None and item.state == "claimed" and item.number == entry.number:
-            self.lots[entry.lot_id].give_back(entry.index)
+            self.jobs[entry.job_id].give_back(entry.index)
 
     @apply.register
     def _(self, entry: e.AttemptFailed) -> None:
-        item = self._item(entry.lot_id, entry.index)
+        item = self._item(entry.job_id, entry.index)
         if item is not None and item.state == "claimed" and item.number == entry.number:
             item.failures = entry.failures
             item.failed_at = (*item.failed_at, entry.worker)
-            self.lots[entry.lot_id].give_back(entry.index)
+            self.jobs[entry.job_id].give_back(entry.index)
 
     @apply.register
     def _(self, entry: e.ListingLeaseGranted) -> None:
-        lot = self._lot(entry.lot_id)
-        if lot is not None and entry.epoch > lot.baton_epoch:
-            lot.baton_edge = entry.edge
-            lot.baton_epoch = entry.epoch
+        job = self._job(entry.job_id)
+        if job is not None and entry.epoch > job.baton_epoch:
+            job.baton_edge = entry.edge
+            job.baton_epoch = entry.epoch
 
     @apply.register
     def _(self, entry: e.ListingAdvanced) -> None:
-        lot = self._lot(entry.lot_id)
+        job = self._job(entry.job_id)
         if (
-            lot is not None
-            and entry.epoch == lot.baton_epoch
-            and lot.placed < entry.up_to <= lot.ready
+            job is not None
+            and entry.epoch == job.baton_epoch
+            and job.placed < entry.up_to <= job.ready
         ):
-            lot.placed = entry.up_to
-            if not lot.open:
-                self._over(lot)
+            job.placed = entry.up_to
+            if not job.open:
+                self._over(job)
 
     @apply.register
     def _(self, entry: e.JobCancelled) -> None:
-        lot = self._lot(entry.lot_id)
-        if lot is not None and not lot.ended:
-            lot.ended = True
-            lot.ended_at_ms = entry.at_ms
-            self._count_tokens(lot.path, -lot.tokens)
-            lot.tokens = 0
-            self._over(lot)
+        job = self._job(entry.job_id)
+        if job is not None and not job.ended:
+            job.ended = True
+            job.ended_at_ms = entry.at_ms
+            self._count_tokens(job.path, -job.tokens)
+            job.tokens = 0
+            self._over(job)
 
     @apply.register
     def _(self, entry: e.JobExpired) -> None:
-        self.lots.pop(entry.lot_id, None)
-        self.opened.pop(entry.lot_id, None)
-        self.fresh.pop(("lot", entry.lot_id), None)
+        self.jobs.pop(entry.job_id, None)
+        self.opened.pop(entry.job_id, None)
+        self.fresh.pop(("lot", entry.job_id), None)
 
-    def _over(self, lot: Job) -> None:
-        self.opened.pop(lot.lot_id, None)
-        if lot.shelf is None:
-            self.fresh[("lot", lot.lot_id)] = None
+    def _over(self, job: Job) -> None:
+        self.opened.pop(job.job_id, None)
+        if job.shelf is None:
+            self.fresh[("lot", job.job_id)] = None
 
     @apply.register
     def _(self, entry: e.JobArchived) -> None:
         """Drop the results of a lot that is here too, or add the lot without them."""
-        lot = self.lots.get(entry.lot_id)
-        if lot is None:
-            lot = self.lots[entry.lot_id] = Job(
+        job = self.jobs.get(entry.job_id)
+        if job is None:
+            job = self.jobs[entry.job_id] = Job(
                 e.JobAdmitted(
-                    lot_id=entry.lot_id,
+                    job_id=entry.job_id,
                     digest=entry.digest,
                     path=entry.path,
                     items=[],
@@ -213,14 +213,14 @@
                     at_ms=entry.at_ms,
                 )
             )
-            lot.total, lot.placed = entry.total, entry.placed
-            lot.left = entry.total - entry.finished
-            lot.ended, lot.ended_at_ms = entry.ended, entry.ended_at_ms
-        if not lot.open:
-            lot.shelf, lot.items, lot.claims, lot.rows = entry, [], {}, None
-            lot.pending, lot.order = {}, []
-            self.opened.pop(entry.lot_id, None)
-            self.fresh.pop(("lot", entry.lot_id), None)
+            job.total, job.placed = entry.total, entry.placed
+            job.left = entry.total - entry.finished
+            job.ended, job.ended_at_ms = entry.ended, entry.ended_at_ms
+        if not job.open:
+            job.shelf, job.items, job.claims, job.rows = entry, [], {}, None
+            job.pending, job.order = {}, []
+            self.opened.pop(entry.job_id, None)
+            self.fresh.pop(("lot", entry.job_id), None)
 
     @apply.register
     def _(self, entry: e.KeyArchived) -> None:
@@ -266,24 +266,24 @@
         self.keys.pop(entry.key, None)
         self.fresh.pop(("key", entry.key), None)
 
-    def _item(self, lot_id: str, index: int) -> Item | None:
-        lot = self._lot(lot_id)
-        if lot is None or not 0 <= index < len(lot.items):
+    def _item(self, job_id: str, index: int) -> Item | None:
+        job = self._job(job_id)
+        if job is None or not 0 <= index < len(job.items):
             return None
-        return lot.items[index]
+        return job.items[index]
 
-    def _lot(self, lot_id: str) -> Job | None:
+    def _job(self, job_id: str) -> Job | None:
         """Return a lot that is about to change; its cached rows are dropped."""
-        lot = self.lots.get(lot_id)
-        if lot is not None:
-            lot.rows = None
-        return lot
+        job = self.jobs.get(job_id)
+        if job is not None:
+            job.rows = None
+        return job
 
     def dump(self) -> list[Message]:
         """Return entries that fold to this very ledger."""
         rows: list[Message] = []
-        for lot in self.lots.values():
-            rows += lot.dump()
+        for job in self.jobs.values():
+            rows += job.dump()
         for name, key in self.keys.items():
             rows += self._dump_key(name, key)
         return rows
@@ -296,14 +296,14 @@
         """
         return [
             row
-            for kind, held in (("lot", self.lots), ("key", self.keys))
+            for kind, held in (("lot", self.jobs), ("key", self.keys))
             for name in held
             for row in self.rows_of(kind, name, wrap)
         ]
 
     def rows_of(self, kind: str, name: str, wrap: Callable[[bytes], bytes]) -> list[bytes]:
         """Return the encoded entries of one lot or key."""
-        held: Any = self.lots[name] if kind == "lot" else self.keys[name]
+        held: Any = self.jobs[name] if kind == "lot" else self.keys[name]
         if held.rows is None or (kind == "lot" and held.open):
             held.rows = [
                 wrap(encode(row))
@@ -314,12 +314,12 @@
     def copy(self) -> "BatchState":
         """Return an independent ledger; lots and keys that can't change any more are shared."""
         twin = BatchState()
-        for lot_id, lot in self.lots.items():
-            if lot.open:
-                for row in lot.dump():
+        for job_id, job in self.jobs.items():
+            if job.open:
+                for row in job.dump():
                     twin.apply(row)
             else:
-                twin.lots[lot_id] = lot
+                twin.jobs[job_id] = job
         for name, key in self.keys.items():
             if key.state in ("open", "doubt"):
                 for row in self._dump_key(name, key):
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -145,7 +145,7 @@
             return lambda: self._drop(sample)
         due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
         tx = RequestLifecycle(
-            f"{env.token()}-{work.lot_id}-{work.index}",
+            f"{env.token()}-{work.job_id}-{work.index}",
             profile,
             "",
             env.now(),
@@ -154,7 +154,7 @@
             claimed=True,
         )
         tx.safe = True
-        tx.lot = (work.lot_id, work.index)
+        tx.job = (work.job_id, work.index)
         self._samples.append(sample)
         call = SampleCall(json.loads(work.body), work.weights)
         carriage = self._carrier.carry(
@@ -213,7 +213,7 @@
         )
         self.node.env.log(
             "sample-given-up",
-            lot=sample.work.lot_id,
+            job=sample.work.job_id,
             index=sample.work.index,
             number=sample.work.number,
             worker=worker,
@@ -250,7 +250,7 @@
         if worker.borrowed:
             now_ms = self.node.env.now()
             for sample in self._at(worker):
-                if not call.lot and unstarted(
+                if not call.job and unstarted(
                     sample.carriage.send, now_ms, self.node.settings.beat_ms
                 ):
                     self._give_up(sample, "a live call comes first")
@@ -264,9 +264,9 @@
                 self._give_back(
                     worker,
                     over,
-                    "an item needs the slot" if call.lot else "a live call needs the slot",
+                    "an item needs the slot" if call.job else "a live call needs the slot",
                 )
-        if not call.lot and self._slots.used(worker) + 1 > self._slots.usable(worker):
+        if not call.job and self._slots.used(worker) + 1 > self._slots.usable(worker):
             self._want(worker)
 
     def starved(self, workers: Iterable[Worker]) -> None:
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -28,14 +28,14 @@
     number: int
     workers: str
     waiting: int
-    lots_at_risk: bool
+    jobs_at_risk: bool
 
 
-def load_report(edge: str, number: int, roster: Any, carrier: Any, lots_at_risk: bool) -> EdgeLoad:
+def load_report(edge: str, number: int, roster: Any, carrier: Any, jobs_at_risk: bool) -> EdgeLoad:
     """Return an edge's report, from its roster and from what its carrier is sending."""
     live: dict[int, int] = {}
     for send in carrier.sends():
-        if not send.carriage.call.lot:
+        if not send.carriage.call.job:
             live[id(send.worker)] = live.get(id(send.worker), 0) + 1
     rows = {
         worker.identity: [
@@ -55,7 +55,7 @@
         number=number,
         workers=json.dumps(rows),
         waiting=carrier.waiting(),
-        lots_at_risk=lots_at_risk,
+        jobs_at_risk=jobs_at_risk,
     )
 
 
@@ -135,9 +135,9 @@
         """Return the most live calls running at once at a worker; None while unknown."""
         return max((live.get(worker, 0) for _, live, _ in self._rows), default=None)
 
-    def lots_at_risk(self) -> bool:
+    def jobs_at_risk(self) -> bool:
         """Return whether an edge reports that a lot may miss its deadline."""
-        return any(message.lots_at_risk for _, message, _ in self._reports.values())
+        return any(message.jobs_at_risk for _, message, _ in self._reports.values())
 
     def _peers(
         self, worker: str, tree: Any, out: frozenset[str]
@@ -171,7 +171,7 @@
             return "no edge knows it, or one may not use it"
         if self._since_ms < 0 or now_ms - self._since_ms < self._window_ms():
             return "the live load has not been watched for long enough"
-        if self.lots_at_risk():
+        if self.jobs_at_risk():
             return "a lot may come late"
         for name, allowed, stay in self._peers(worker, tree, out):
             if not any(known[other][0] == known[worker][0] for other in stay):
@@ -187,7 +187,7 @@
 
     def why_recall(self, worker: str, tree: Any, out: frozenset[str]) -> str:
         """Return why a worker is needed back now; empty if it isn't."""
-        if self.lots_at_risk():
+        if self.jobs_at_risk():
             return "a lot may come late"
         known = self.workers()
         if not self._rows:
--- a/libs/capacity_sharing/src/capacity_sharing/outlook.py
+++ b/libs/capacity_sharing/src/capacity_sharing/outlook.py
@@ -43,33 +43,33 @@
 
         `log_ms` is the present time on the log's clock, which deadlines are given in.
         """
-        lots = sorted(
-            (lot for lot in ledger.opened.values() if not lot.rollout and lot.left),
-            key=lambda lot: lot.due_ms,
+        jobs = sorted(
+            (job for job in ledger.opened.values() if not job.rollout and job.left),
+            key=lambda job: job.due_ms,
         )
         at_once = max(
-            1, sum(room for _, room in self._rooms.values()) + sum(len(lot.claims) for lot in lots)
+            1, sum(room for _, room in self._rooms.values()) + sum(len(job.claims) for job in jobs)
         )
         ahead, risk = 0, ""
-        for lot in lots:
-            ahead += lot.left
-            item_ms = self._item_ms.get(lot.path, max(1, lot.due_ms - lot.at_ms) * _GUESS)
+        for job in jobs:
+            ahead += job.left
+            item_ms = self._item_ms.get(job.path, max(1, job.due_ms - job.at_ms) * _GUESS)
             need_ms = _MARGIN * math.ceil(ahead / at_once) * item_ms
-            if lot.waiting and log_ms + need_ms > lot.due_ms:
-                risk = lot.lot_id
+            if job.waiting and log_ms + need_ms > job.due_ms:
+                risk = job.job_id
                 break
         if risk and not self._risk:
             log(
                 "loans-recalled",
                 "WARNING",
-                lot=risk,
+                job=risk,
                 reason="a lot may come late",
-                left_ms=lot.due_ms - log_ms,
+                left_ms=job.due_ms - log_ms,
                 need_ms=int(need_ms),
                 items=ahead,
                 at_once=at_once,
             )
         elif self._risk and not risk:
-            log("loans-open", lot=self._risk, reason="no lot may come late any more")
+            log("loans-open", job=self._risk, reason="no lot may come late any more")
         self._risk = risk
         return bool(risk)
--- a/libs/control_plane/src/control_plane/usage.py
+++ b/libs/control_plane/src/control_plane/usage.py
@@ -29,16 +29,18 @@
 
 
 def _row(logged: dict[str, Any]) -> dict[str, Any]:
-    lot, item = logged.get("lot", ""), logged.get("index", -1)
+    # Edges of an earlier version call the field `lot`.
+    job = logged.get("job", logged.get("lot", ""))
+    item = logged.get("index", -1)
     sends = logged.get("sends", [])
     return {
         "ended_at": logged["at"],
         "edge": logged["node"],
-        "kind": "item" if lot else "live",
+        "kind": "item" if job else "live",
         "path": logged["path"],
         "transaction": logged["transaction"],
         "key": logged["key"],
-        "lot": lot,
+        "lot": job,
         "item": item,
         "worker": sends[-1][0] if sends else "",
         "sends": len(sends),
--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -24,9 +24,9 @@
     name="vaneledge-data",
     help="vaneledge's data plane: edges, stores and a client's commands.",
 )
-lot = App(name="lot", help="Hand in, follow, read and end lots.")
+job = App(name="lot", help="Hand in, follow, read and end lots.")
 rollout = App(name="rollout", help="Hand in, follow, read and end training rollouts.")
-app.command(lot)
+app.command(job)
 app.command(rollout)
 
 Server = Annotated[str, Parameter(name="--server", help="an edge's HTTP address, IP:PORT")]
@@ -181,28 +181,28 @@
         raise SystemExit(1)
 
 
-@lot.command(name="hand-in")
-def hand_in(lot_id: str, file: str, *, server: Server) -> None:
+@job.command(name="hand-in")
+def hand_in(job_id: str, file: str, *, server: Server) -> None:
     """Hand in a lot from a JSON file with path, items and due_ms; - reads standard input."""
-    call("PUT", server, f"/lots/{lot_id}", read_json(file))
+    call("PUT", server, f"/lots/{job_id}", read_json(file))
 
 
-@lot.command
-def show(lot_id: str, *, server: Server) -> None:
+@job.command
+def show(job_id: str, *, server: Server) -> None:
     """Show how far a lot is."""
-    call("GET", server, f"/lots/{lot_id}")
+    call("GET", server, f"/lots/{job_id}")
 
 
-@lot.command
-def results(lot_id: str, *, server: Server, start: int = 0) -> None:
+@job.command
+def results(job_id: str, *, server: Server, start: int = 0) -> None:
     """List a lot's results from a place on."""
-    call("GET", server, f"/lots/{lot_id}/results?from={start}")
+    call("GET", server, f"/lots/{job_id}/results?from={start}")
 
 
-@lot.command
-def end(lot_id: str, *, server: Server) -> None:
+@job.command
+def end(job_id: str, *, server: Server) -> None:
     """End a lot: nothing of it runs any more within about three seconds."""
-    call("DELETE", server, f"/lots/{lot_id}")
+    call("DELETE", server, f"/lots/{job_id}")
 
 
 @rollout.command(name="hand-in")
--- a/libs/data_plane/src/data_plane/client_api.py
+++ b/libs/data_plane/src/data_plane/client_api.py
@@ -38,7 +38,7 @@
         router.add_post("/v1/completions", self._live)
         router.add_post("/v1/chat/completions", self._live)
         router.add_put("/lots/{lot_id}", self._hand_in)
-        router.add_get("/lots/{lot_id}", self._lot)
+        router.add_get("/lots/{lot_id}", self._job)
         router.add_get("/lots/{lot_id}/results", self._results)
         router.add_delete("/lots/{lot_id}", self._end)
 
@@ -120,9 +120,9 @@
     # -- lots ----------------------------------------------------------------------------------
 
     async def _hand_in(self, request: web.Request) -> web.StreamResponse:
-        lot_id = _lot_id(request)
-        if isinstance(lot_id, Refusal):
-            return answer_refusal(lot_id)
+        job_id = _job_id(request)
+        if isinstance(job_id, Refusal):
+            return answer_refusal(job_id)
         if (answer := self._counter.unready(True)) is not None:
             return write_answer(answer)
         call = await read_call(request, self._node.settings.max_body_bytes, SubmitJobBody)
@@ -131,20 +131,20 @@
         items = [item.model_dump(exclude_none=True) for item in call.items]
         return write_answer(
             await awaited(
-                lambda told: self._counter.hand_in(lot_id, call.path, items, call.due_ms, told)
+                lambda told: self._counter.hand_in(job_id, call.path, items, call.due_ms, told)
             )
         )
 
-    async def _lot(self, request: web.Request) -> web.StreamResponse:
-        lot_id = _lot_id(request)
-        if isinstance(lot_id, Refusal):
-            return answer_refusal(lot_id)
-        return write_answer(await awaited(lambda told: self._counter.lot(lot_id, told)))
+    async def _job(self, request: web.Request) -> web.StreamResponse:
+        job_id = _job_id(request)
+        if isinstance(job_id, Refusal):
+            return answer_refusal(job_id)
+        return write_answer(await awaited(lambda told: self._counter.job(job_id, told)))
 
     async def _results(self, request: web.Request) -> web.StreamResponse:
-        lot_id = _lot_id(request)
-        if isinstance(lot_id, Refusal):
-            return answer_refusal(lot_id)
+        job_id = _job_id(request)
+        if isinstance(job_id, Refusal):
+            return answer_refusal(job_id)
         numbers: dict[str, int] = {"from": 0, "limit": _PAGE}
         for name, value in request.query.items():
             if name not in numbers or not re.match(r"^\d{1,9}$", value):
@@ -154,15 +154,15 @@
             numbers[name] = int(value)
         return write_answer(
             await awaited(
-                lambda told: self._counter.results(lot_id, numbers["from"], numbers["limit"], told)
+                lambda told: self._counter.results(job_id, numbers["from"], numbers["limit"], told)
             )
         )
 
     async def _end(self, request: web.Request) -> web.StreamResponse:
-        lot_id = _lot_id(request)
-        if isinstance(lot_id, Refusal):
-            return answer_refusal(lot_id)
-        return write_answer(await awaited(lambda told: self._counter.end(lot_id, told)))
+        job_id = _job_id(request)
+        if isinstance(job_id, Refusal):
+            return answer_refusal(job_id)
+        return write_answer(await awaited(lambda told: self._counter.end(job_id, told)))
 
 
 async def _begin_stream(request: web.Request, transaction_id: str) -> web.StreamResponse:
@@ -178,15 +178,15 @@
     return response
 
 
-def _lot_id(request: web.Request) -> str | Refusal:
-    lot_id = request.match_info["lot_id"]
-    if not re.match(LOT_ID, lot_id):
+def _job_id(request: web.Request) -> str | Refusal:
+    job_id = request.match_info["lot_id"]
+    if not re.match(LOT_ID, job_id):
         return refused(
             "bad-field",
             "lot_id: letters, digits, dot, dash, underscore; at most 128",
             field="lot_id",
         )
-    return lot_id
+    return job_id
 
 
 def _live_fault(call: CompletionCall, request: web.Request) -> Refusal | None:
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -26,8 +26,8 @@
 from data_plane.responses import (
     Answer,
     hand_in_answer,
+    job_answer,
     live_answer,
-    lot_answer,
     not_ready,
     results_answer,
 )
@@ -48,17 +48,17 @@
     `tree` gives the profiles in force; `why_unready` why the edge is not ready, or an empty string.
     """
 
-    __slots__ = ("_budgets", "_carrier", "_holder", "_lots", "_tree", "_why_unready")
+    __slots__ = ("_budgets", "_carrier", "_holder", "_jobs", "_tree", "_why_unready")
 
     def __init__(
         self,
         carrier: RequestRouter,
         holder: LeaderClient,
-        lots: JobRunner,
+        jobs: JobRunner,
         tree: Callable[[], Any],
         why_unready: Callable[[], str],
     ) -> None:
-        self._carrier, self._holder, self._lots = carrier, holder, lots
+        self._carrier, self._holder, self._jobs = carrier, holder, jobs
         self._tree, self._why_unready = tree, why_unready
         self._budgets: dict[str, RetryBudget] = {}
 
@@ -107,7 +107,7 @@
         return self._carrier.carry(tx, call, sink if stream else None, done)
 
     def hand_in(
-        self, lot_id: str, path: str, items: list[dict[str, Any]], due_ms: int, told: Told
+        self, job_id: str, path: str, items: list[dict[str, Any]], due_ms: int, told: Told
     ) -> None:
         """Hand a batch in at the leader; `due_ms` is the time it is given, in milliseconds."""
         if (answer := self.unready(True) or self._unknown(path, "path")) is not None:
@@ -116,10 +116,10 @@
         bodies = [json.dumps(item, sort_keys=True) for item in items]
 
         def done(receipt: Any) -> None:
-            answer = hand_in_answer(lot_id, receipt)
+            answer = hand_in_answer(job_id, receipt)
             self.node.env.log(
                 "lot-handed-in",
-                lot=lot_id,
+                job=job_id,
                 path=path,
                 items=len(items),
                 outcome=receipt.outcome if receipt is not None else "unknown",
@@ -128,7 +128,7 @@
 
         self._holder.ask(
             m.SubmitJob(
-                lot_id=lot_id,
+                job_id=job_id,
                 digest=_digest([path, due_ms, bodies]),
                 path=path,
                 items=bodies,
@@ -141,33 +141,33 @@
             done,
         )
 
-    def lot(self, lot_id: str, told: Told) -> None:
+    def job(self, job_id: str, told: Told) -> None:
         """Answer a batch's progress."""
         self._holder.ask(
-            m.GetJob(lot_id=lot_id),
+            m.GetJob(job_id=job_id),
             self.node.settings.force_ms,
-            lambda receipt: told(lot_answer(lot_id, receipt)),
+            lambda receipt: told(job_answer(job_id, receipt)),
         )
 
-    def results(self, lot_id: str, from_index: int, limit: int, told: Told) -> None:
+    def results(self, job_id: str, from_index: int, limit: int, told: Told) -> None:
         """Answer a page of at most `limit` results, from index `from_index` on."""
         self._holder.ask(
-            m.ListResults(lot_id=lot_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
+            m.ListResults(job_id=job_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
             self.node.settings.force_ms,
-            lambda receipt: told(results_answer(lot_id, from_index, receipt)),
+            lambda receipt: told(results_answer(job_id, from_index, receipt)),
         )
 
-    def end(self, lot_id: str, told: Told) -> None:
+    def end(self, job_id: str, told: Told) -> None:
         """End a batch, and stop its items that run at this edge."""
 
         def done(receipt: Any) -> None:
             if receipt is not None and receipt.outcome == "known":
-                self._lots.stop(lot_id, "ended here")
+                self._jobs.stop(job_id, "ended here")
             self.node.env.log(
                 "lot-ended",
-                lot=lot_id,
+                job=job_id,
                 outcome=receipt.outcome if receipt is not None else "unknown",
             )
-            told(lot_answer(lot_id, receipt))
+            told(job_answer(job_id, receipt))
 
-        self._holder.ask(m.CancelJob(lot_id=lot_id), self.node.settings.force_ms, done)
+        self._holder.ask(m.CancelJob(job_id=job_id), self.node.settings.force_ms, done)
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -37,12 +37,12 @@
     `profiles` gives the number and the tree of the profiles in force here.
     """
 
-    __slots__ = ("_holder", "_lots", "_profiles")
+    __slots__ = ("_holder", "_jobs", "_profiles")
 
     def __init__(
-        self, holder: LeaderClient, lots: JobRunner, profiles: Callable[[], tuple[int, Any]]
+        self, holder: LeaderClient, jobs: JobRunner, profiles: Callable[[], tuple[int, Any]]
     ) -> None:
-        self._holder, self._lots, self._profiles = holder, lots, profiles
+        self._holder, self._jobs, self._profiles = holder, jobs, profiles
 
     def _patience_ms(self) -> int:
         """Return how long a client may be kept waiting for the leader, beyond what it asked for."""
@@ -50,7 +50,7 @@
 
     def hand_in(
         self,
-        lot_id: str,
+        job_id: str,
         path: str,
         items: list[m.ForwardItem],
         tokens: list[int],
@@ -66,7 +66,7 @@
         profile = tree.usable(path)
         calls = [encode(item) for item in items]
         message = m.SubmitForwardJob(
-            lot_id=lot_id,
+            job_id=job_id,
             digest=_digest(path, calls, tokens),
             path=path,
             item_ids=[item.item_id for item in items],
@@ -81,11 +81,11 @@
         )
 
         def done(receipt: Any) -> None:
-            answer = taken_answer(lot_id, receipt, ask.sends > 0)
+            answer = taken_answer(job_id, receipt, ask.sends > 0)
             self.node.env.log(
                 "lot-handed-in",
                 "INFO" if answer.refusal is None else "WARNING",
-                lot=lot_id,
+                job=job_id,
                 path=path,
                 items=len(items),
                 code=answer.code,
@@ -94,7 +94,7 @@
 
         ask = self._holder.ask(message, int(client_ms * _TRY_SHARE), done)
 
-    def page(self, lot_id: str, from_position: int, wait_ms: int, told: Told) -> None:
+    def page(self, job_id: str, from_position: int, wait_ms: int, told: Told) -> None:
         """Answer a page of results, waiting up to `wait_ms` milliseconds for the first.
 
         The leader holds each ask for a part of that time, so that another leader is found soon.
@@ -105,7 +105,7 @@
             held_ms = max(0, min(end_ms - self.node.env.now(), self.node.settings.ask_ms))
             self._holder.ask(
                 m.ListForwardResults(
-                    lot_id=lot_id,
+                    job_id=job_id,
                     from_position=from_position,
                     limit_bytes=_PAGE_BYTES,
                     wait_ms=held_ms,
@@ -124,29 +124,29 @@
             if empty and self.node.env.now() < end_ms:
                 ask()
             else:
-                told(page_answer(lot_id, from_position, receipt))
+                told(page_answer(job_id, from_position, receipt))
 
         ask()
 
-    def item(self, lot_id: str, item_id: str, told: Told) -> None:
+    def item(self, job_id: str, item_id: str, told: Told) -> None:
         """Answer the request that one item makes."""
         self._holder.ask(
-            m.GetItem(lot_id=lot_id, item_id=item_id),
+            m.GetItem(job_id=job_id, item_id=item_id),
             self._patience_ms(),
-            lambda receipt: told(item_answer(lot_id, receipt)),
+            lambda receipt: told(item_answer(job_id, receipt)),
         )
 
-    def end(self, lot_id: str, told: Told) -> None:
+    def end(self, job_id: str, told: Told) -> None:
         """End a batch, and stop its items that run at this edge."""
 
         def done(receipt: Any) -> None:
             if receipt is not None and receipt.outcome == "known":
-                self._lots.stop(lot_id, "ended here")
+                self._jobs.stop(job_id, "ended here")
             self.node.env.log(
                 "lot-ended",
-                lot=lot_id,
+                job=job_id,
                 outcome=receipt.outcome if receipt is not None else "unknown",
             )
-            told(ended_answer(lot_id, receipt))
+            told(ended_answer(job_id, receipt))
 
-        self._holder.ask(m.CancelJob(lot_id=lot_id), self._patience_ms(), done)
+        self._holder.ask(m.CancelJob(job_id=job_id), self._patience_ms(), done)
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -27,7 +27,7 @@
     "header_wait_ms": 5000,
     "idle_ms": 30_000,
 }
-LotRoutes = Callable[[web.BaseRequest, Any], Awaitable[web.StreamResponse]]
+JobRoutes = Callable[[web.BaseRequest, Any], Awaitable[web.StreamResponse]]
 
 
 class RequestReader(Protocol):
@@ -45,7 +45,7 @@
         """Return the limits for clients that the configuration gives."""
         ...
 
-    def is_lot(self, path: str) -> bool:
+    def is_job(self, path: str) -> bool:
         """Whether the path belongs to the batch interface."""
         ...
 
@@ -114,7 +114,7 @@
 class ForwardServer(Service):
     """Listens for clients, and answers readiness probes on an address of its own.
 
-    `readiness` is that address and the path. `lot_routes`, if there is one, is given the requests
+    `readiness` is that address and the path. `job_routes`, if there is one, is given the requests
     of batches. `live_now` counts the requests in progress, `counts` the refusals by code.
     """
 
@@ -123,7 +123,7 @@
     ) -> None:
         super().__init__()
         self._node, self._address, self._readiness, self._reader = node, address, readiness, reader
-        self.lot_routes: LotRoutes | None = None
+        self.job_routes: JobRoutes | None = None
         self.live_now = 0
         self.counts: dict[str, int] = {}
         self._stopping_at: float | None = None
@@ -204,16 +204,16 @@
         if _expects_word(request) and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         profile = counter.route(request.headers.get("Host", ""), request.raw_path)
-        lot = self._reader.is_lot(request.path) or getattr(profile, "kind", "") == "lot"
-        if lot and self.lot_routes is not None:
-            return await self.lot_routes(request, profile)
+        job = self._reader.is_job(request.path) or getattr(profile, "kind", "") == "lot"
+        if job and self.job_routes is not None:
+            return await self.job_routes(request, profile)
         body = await request.read()
         if isinstance(profile, Refusal):
             return self._refuse(profile)
         self._server.limits = {**_LIMITS, **self._reader.limits(counter.about())}
         call = (
             refused("no-lots", "lots are not served here", 503, 1000)
-            if lot
+            if job
             else self._reader.call(request, profile, body)
         )
         if isinstance(call, Refusal):
--- a/libs/data_plane/src/data_plane/nodes.py
+++ b/libs/data_plane/src/data_plane/nodes.py
@@ -210,8 +210,8 @@
         "holder",
         "items",
         "lent",
-        "lot_counter",
-        "lots",
+        "job_service",
+        "jobs",
         "readings",
         "rollouts",
         "roster",
@@ -245,7 +245,7 @@
         self.borrowing = Borrowing(
             identity, self.carrier, self.roster, self.tree, self.why_unready, self._fellow_edges
         )
-        self.lots = JobRunner(
+        self.jobs = JobRunner(
             identity,
             self.holder,
             self.items.room,
@@ -253,7 +253,7 @@
                 self.borrowing if isinstance(work, m.RolloutAssignment) else self.items
             ).start(work, done),
         )
-        self.lots.samples = self.borrowing
+        self.jobs.samples = self.borrowing
         self.lent = LentWorkers(
             identity,
             self.config_feed,
@@ -265,12 +265,12 @@
         )
         self.borrowing.live_peak = self.lent.live_peak
         self.counter = EdgeService(
-            self.carrier, self.holder, self.lots, self.tree, self.why_unready
+            self.carrier, self.holder, self.jobs, self.tree, self.why_unready
         )
-        self.rollouts = RolloutCounter(self.counter, self.holder, self.lots, self.tree)
+        self.rollouts = RolloutCounter(self.counter, self.holder, self.jobs, self.tree)
         self.forwards = ForwardService(self.carrier, self.tree, self._why_unsure)
-        self.lot_counter = ForwardJobService(
-            self.holder, self.lots, lambda: (self.config_feed.number(PROFILES_KEY), self.tree())
+        self.job_service = ForwardJobService(
+            self.holder, self.jobs, lambda: (self.config_feed.number(PROFILES_KEY), self.tree())
         )
         self.neighbours.ready = self.config_feed.sure = lambda: not self.why_unready()
         super().__init__(
@@ -284,10 +284,10 @@
                 self.carrier,
                 self.readings,
                 self.items,
-                self.lots,
+                self.jobs,
                 self.counter,
                 self.forwards,
-                self.lot_counter,
+                self.job_service,
                 self.rollouts,
                 self.borrowing,
                 self.lent,
--- a/libs/data_plane/src/data_plane/replay.py
+++ b/libs/data_plane/src/data_plane/replay.py
@@ -136,7 +136,7 @@
                 body,
                 {"Idempotency-Key": self._fresh(row["key"])} if row.get("key") else None,
             )
-        lot = f"/lots/{self._fresh(row['lot'])}"
+        job = f"/lots/{self._fresh(row['lot'])}"
         if row["kind"] == "hand-in":
             items = [
                 {
@@ -145,11 +145,11 @@
                 }
                 for prompt in row["prompts"]
             ]
-            return "PUT", lot, {"path": row["path"], "items": items}, None
+            return "PUT", job, {"path": row["path"], "items": items}, None
         if row["kind"] == "end":
-            return "DELETE", lot, None, None
+            return "DELETE", job, None, None
         reads = row.get("address", "").endswith("/results")
-        return "GET", f"{lot}/results?from={row.get('from') or 0}" if reads else lot, None, None
+        return "GET", f"{job}/results?from={row.get('from') or 0}" if reads else job, None, None
 
 
 async def play(
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -17,7 +17,7 @@
     "hand_in_answer",
     "item_answer",
     "live_answer",
-    "lot_answer",
+    "job_answer",
     "not_ready",
     "page_answer",
     "results_answer",
@@ -83,7 +83,7 @@
     return Answer.no(step.refusal)
 
 
-def hand_in_answer(lot_id: str, receipt: Any) -> Answer:
+def hand_in_answer(job_id: str, receipt: Any) -> Answer:
     """Return the answer to a batch handed in; without a receipt it may have been accepted."""
     outcome = receipt.outcome if receipt is not None else "unknown"
     if outcome in ("admitted", "known"):
@@ -108,37 +108,37 @@
     return Answer.no(
         doubtful(
             "lot-in-doubt",
-            f"lot {lot_id} may have been accepted; hand the same in again to learn which",
+            f"lot {job_id} may have been accepted; hand the same in again to learn which",
             1000,
         )
     )
 
 
-def lot_answer(lot_id: str, receipt: Any) -> Answer:
+def job_answer(job_id: str, receipt: Any) -> Answer:
     """Return a batch's progress, or why there is none."""
     if receipt is None or receipt.outcome == "unknown":
         return Answer.no(doubtful("stores-silent", "the stores did not answer", 1000))
     if receipt.outcome == "missing":
         return Answer.no(
-            refused("unknown-lot", f"lot_id: no lot {lot_id} was accepted", 404, field="lot_id")
+            refused("unknown-lot", f"lot_id: no lot {job_id} was accepted", 404, field="lot_id")
         )
     if receipt.outcome == "full":
         return Answer.no(refused("stores-full", "the stores have no room", 503, 5000))
     return Answer.ok(_shown(receipt))
 
 
-def results_answer(lot_id: str, from_index: int, receipt: Any) -> Answer:
+def results_answer(job_id: str, from_index: int, receipt: Any) -> Answer:
     """Return a page of a batch's results, from index `from_index` on."""
     if receipt is not None and receipt.outcome == "beyond":
         return Answer.no(
             refused("beyond", f"from: the lot has {receipt.total} items", 416, field="from")
         )
     if receipt is None or receipt.outcome != "known":
-        return lot_answer(lot_id, receipt)
+        return job_answer(job_id, receipt)
     rows = [_result(decode(data)) for data in receipt.rows]
     return Answer.ok(
         {
-            "lot_id": lot_id,
+            "lot_id": job_id,
             "from": from_index,
             "results": rows,
             "listed": receipt.placed,
@@ -152,7 +152,7 @@
 # -- lots of forwarded calls -----------------------------------------------------------------------
 
 
-def taken_answer(lot_id: str, receipt: Any, sent: bool) -> Answer:
+def taken_answer(job_id: str, receipt: Any, sent: bool) -> Answer:
     """Return the answer to a forwarded batch handed in; `sent` says that the leader was asked.
 
     A refusal that promises that nothing was taken is the leader's own word, or there was nobody to
@@ -181,49 +181,49 @@
         return Answer.no(refusals[outcome]())
     return Answer.no(
         doubtful(
-            "lot-in-doubt", f"lot {lot_id} may have been accepted; hand the same in again", 200, 504
+            "lot-in-doubt", f"lot {job_id} may have been accepted; hand the same in again", 200, 504
         )
     )
 
 
-def _no_word(lot_id: str, receipt: Any) -> Answer | None:
+def _no_word(job_id: str, receipt: Any) -> Answer | None:
     if receipt is None or receipt.outcome in ("unknown", "full"):
         return Answer.no(doubtful("stores-silent", "the stores did not answer", 200, 503))
     if receipt.outcome == "missing":
         return Answer.no(
-            refused("unknown-lot", f"no lot {lot_id}, or nothing more of it is kept", 404)
+            refused("unknown-lot", f"no lot {job_id}, or nothing more of it is kept", 404)
         )
     return None
 
 
-def page_answer(lot_id: str, from_position: int, receipt: Any) -> Answer:
+def page_answer(job_id: str, from_position: int, receipt: Any) -> Answer:
     """Return a page of a forwarded batch's results.
 
     The value is the results, each with its item's id, outcome and text; the next position; and the
     batch's size.
     """
-    if (answer := _no_word(lot_id, receipt)) is not None:
+    if (answer := _no_word(job_id, receipt)) is not None:
         return answer
     rows = [decode(data) for data in receipt.rows]
     return Answer(200, "", value=(rows, from_position + len(rows), receipt.total))
 
 
-def item_answer(lot_id: str, receipt: Any) -> Answer:
+def item_answer(job_id: str, receipt: Any) -> Answer:
     """Return one item; the value is the request that it makes of a worker."""
-    if (answer := _no_word(lot_id, receipt)) is not None:
+    if (answer := _no_word(job_id, receipt)) is not None:
         return answer
     return Answer(200, "", value=decode(receipt.call))
 
 
-def ended_answer(lot_id: str, receipt: Any) -> Answer:
+def ended_answer(job_id: str, receipt: Any) -> Answer:
     """Return the answer to a forwarded batch's end; the value is the receipt."""
-    return _no_word(lot_id, receipt) or Answer(200, "", value=receipt)
+    return _no_word(job_id, receipt) or Answer(200, "", value=receipt)
 
 
 def _shown(receipt: Any) -> dict[str, Any]:
     state = "ended" if receipt.ended else "done" if receipt.placed >= receipt.total else "open"
     return {
-        "lot_id": receipt.lot_id,
+        "lot_id": receipt.job_id,
         "path": receipt.path,
         "state": state,
         "total": receipt.total,
--- a/libs/data_plane/src/data_plane/role_processes.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -55,7 +55,7 @@
     def start_draining(self) -> None:
         """Become unready, and take no more batch items."""
         self.node.stopping = True
-        self.node.lots.paused = True
+        self.node.jobs.paused = True
         for desk in self.desks:
             desk.start_draining()
 
@@ -65,12 +65,12 @@
             any(desk.busy() for desk in self.desks)
             or self.node.carrier.carrying(False) > 0
             or self._visitors.live_now > 0
-            or self.node.lots.running() > 0
+            or self.node.jobs.running() > 0
         )
 
     def wind_down(self) -> None:
         """Stop the batch items that still run; what they came to is reported."""
-        self.node.lots.stop_all("stopping")
+        self.node.jobs.stop_all("stopping")
 
     async def on_stop(self) -> None:
         """Close the connections to workers and the recording."""
@@ -85,7 +85,7 @@
         node.tree()
         return {
             "role": "edge",
-            "identity": node.lots.edge,
+            "identity": node.jobs.edge,
             "zone": self.settings.zone,
             "ready": not node.why_unready(),
             "reason": node.why_unready(),
@@ -94,7 +94,7 @@
             "place": node.config_feed.place,
             "holder_epoch": node.holder.epoch,
             "live": self._visitors.live_now,
-            "items": node.lots.running(),
+            "items": node.jobs.running(),
             "neighbours": [card.address for card in node.neighbours.view()],
             "workers": [
                 {
@@ -129,8 +129,8 @@
             "edge_waiting_now": node.carrier.waiting(),
             "edge_ready": int(not node.why_unready()),
             "edge_live_now": self._visitors.live_now,
-            "edge_items_now": node.lots.running(),
-            "edge_items_finished_total": node.lots.finished,
+            "edge_items_now": node.jobs.running(),
+            "edge_items_finished_total": node.jobs.finished,
             "edge_workers": len(node.roster.workers()),
             "edge_samples_now": node.borrowing.running(),
             "edge_samples_finished_total": node.borrowing.finished,
@@ -198,7 +198,7 @@
             "snap_seq": local.snap_seq,
             "feed": self.node.config_feed.numbers(),
             "place": self.node.config_feed.place,
-            "lots": len(local.ledger.lots),
+            "lots": len(local.ledger.jobs),
             "open_lots": len(local.ledger.opened),
             "keys": len(local.ledger.keys),
             "log": log.value,
--- a/libs/data_plane/src/data_plane/rollouts.py
+++ b/libs/data_plane/src/data_plane/rollouts.py
@@ -20,7 +20,7 @@
 from data_plane.edge_service import EdgeService, Told
 from data_plane.http_service import HttpService, answer_refusal, read_call, write_answer
 from data_plane.request_bodies import LOT_ID, JobItemBody, Name
-from data_plane.responses import Answer, hand_in_answer, lot_answer, results_answer
+from data_plane.responses import Answer, hand_in_answer, job_answer, results_answer
 
 __all__ = ["RolloutCall", "RolloutCounter", "Rollouts", "log_name"]
 
@@ -68,12 +68,12 @@
 class RolloutCounter(Component):
     """Serves rollouts; the HTTP side and the simulator's trainers use the same object."""
 
-    __slots__ = ("_counter", "_holder", "_lots", "_tree")
+    __slots__ = ("_counter", "_holder", "_jobs", "_tree")
 
     def __init__(
-        self, counter: EdgeService, holder: LeaderClient, lots: JobRunner, tree: Any
+        self, counter: EdgeService, holder: LeaderClient, jobs: JobRunner, tree: Any
     ) -> None:
-        self._counter, self._holder, self._lots, self._tree = counter, holder, lots, tree
+        self._counter, self._holder, self._jobs, self._tree = counter, holder, jobs, tree
 
     def hand_in(self, rollout_id: str, call: RolloutCall, told: Told) -> None:
         """Hand a rollout in at the leader, if its route lends slots."""
@@ -108,7 +108,7 @@
         def done(receipt: Any) -> None:
             self.node.env.log(
                 "rollout-handed-in",
-                lot=log_name(rollout_id),
+                job=log_name(rollout_id),
                 path=call.path,
                 prompts=len(items),
                 samples=call.samples,
@@ -118,7 +118,7 @@
 
         self._holder.ask(
             m.SubmitRollout(
-                lot_id=log_name(rollout_id),
+                job_id=log_name(rollout_id),
                 digest=digest,
                 path=call.path,
                 items=items,
@@ -136,16 +136,16 @@
         """Answer a rollout's progress."""
         name = log_name(rollout_id)
         self._holder.ask(
-            m.GetJob(lot_id=name),
+            m.GetJob(job_id=name),
             self.node.settings.force_ms,
-            lambda receipt: told(_of_rollout(lot_answer(name, receipt))),
+            lambda receipt: told(_of_rollout(job_answer(name, receipt))),
         )
 
     def results(self, rollout_id: str, from_index: int, limit: int, told: Told) -> None:
         """Answer a page of at most `limit` samples, from index `from_index` on."""
         name = log_name(rollout_id)
         self._holder.ask(
-            m.ListResults(lot_id=name, from_index=from_index, limit=max(1, min(_PAGE, limit))),
+            m.ListResults(job_id=name, from_index=from_index, limit=max(1, min(_PAGE, limit))),
             self.node.settings.force_ms,
             lambda receipt: told(_of_rollout(results_answer(name, from_index, receipt))),
         )
--- a/libs/platform_testbed/src/platform_testbed/batch_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -18,14 +18,14 @@
 from platform_testbed.site import Kind, Sheet
 from platform_testbed.worker_calls import digest
 
-__all__ = ["LotClients"]
+__all__ = ["JobClients"]
 
 _READ_EVERY_S = 0.5
 _PATIENCE_S = 1.5
 _SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
 
-class LotClients:
+class JobClients:
     """All clients of lots; `press` multiplies the rate at which lots are submitted.
 
     `poisoned` is the part of items that no worker can run, `ended` the part of lots that their
@@ -47,7 +47,7 @@
         self.kind: Kind = sheet.kinds["recap"]
         self.stopping = False
         self.press = 1.0
-        self.lots: list[dict[str, Any]] = []
+        self.jobs: list[dict[str, Any]] = []
         self._poisoned, self._ended = poisoned, ended
         self._tasks: set[asyncio.Task] = set()
         self._shared = [f"{self.rng.getrandbits(32):08x}" for _ in range(self.kind.parts[0])]
@@ -56,7 +56,7 @@
         """Submit lots at the shape's rate until `stopping`."""
         per_s = self.sheet.shape["lots_per_s"]
         while not self.stopping:
-            self.spawn(self.lot())
+            self.spawn(self.job())
             await asyncio.sleep(min(2.5, self.rng.expovariate(per_s * self.press)))
 
     def spawn(self, work: Any) -> asyncio.Task:
@@ -113,8 +113,8 @@
         row["answered_ms"] = round(self.clock(), 2)
         return data
 
-    def _row(self, kind: str, lot: dict[str, Any], **fields: Any) -> dict[str, Any]:
-        return self.history.add(kind, self.clock(), lot=lot["lot"], zone=lot["zone"], **fields)
+    def _row(self, kind: str, job: dict[str, Any], **fields: Any) -> dict[str, Any]:
+        return self.history.add(kind, self.clock(), lot=job["lot"], zone=job["zone"], **fields)
 
     # -- a lot's life --------------------------------------------------------------------------
 
@@ -147,7 +147,7 @@
                     f"{rng.getrandbits(32):08x}:{tokens_in - shared}",
                 },
             }
-        lot = self.history.add(
+        job = self.history.add(
             "lot",
             self.clock(),
             lot=f"{rng.getrandbits(64):016x}",
@@ -167,21 +167,21 @@
             done_ms=0.0,
             seen={},
         )
-        self.lots.append(lot)
-        return lot
+        self.jobs.append(job)
+        return job
 
-    async def lot(self) -> dict[str, Any]:
+    async def job(self) -> dict[str, Any]:
         """Take one lot from submission to its last result, or to its end by the client."""
-        lot = self.draw()
-        if not await self.hand_in(lot):
-            return lot
-        self.spawn(self._bodies(lot))
+        job = self.draw()
+        if not await self.hand_in(job):
+            return job
+        self.spawn(self._bodies(job))
         if self.rng.random() < self._ended:
-            self.spawn(self._end(lot, 0.3 + 1.5 * self.rng.random()))
-        await self._follow(lot)
-        return lot
+            self.spawn(self._end(job, 0.3 + 1.5 * self.rng.random()))
+        await self._follow(job)
+        return job
 
-    async def hand_in(self, lot: dict[str, Any]) -> bool:
+    async def hand_in(self, job: dict[str, Any]) -> bool:
         """Submit a lot until it is accepted; return whether it was in time."""
         route, began_ms = self.sheet.routes[self.kind.name], self.clock()
         body = json.dumps(
@@ -194,13 +194,13 @@
                         "body": base64.b64encode(item["body"]).decode(),
                         "tokens": item["tokens"],
                     }
-                    for name, item in lot["items"].items()
+                    for name, item in job["items"].items()
                 ]
             }
         ).encode()
         headers = {
-            "Host": lot["host"],
-            "Request-Id": lot["lot"],
+            "Host": job["host"],
+            "Request-Id": job["lot"],
             "Content-Type": "application/json",
         }
         for attempt in range(self.kind.retries + 2):
@@ -208,11 +208,11 @@
             if left_ms < 50:
                 return False
             headers["Deadline-Ms"] = str(int(left_ms))
-            row = self._row("lot-try", lot, first_ms=round(began_ms, 2))
+            row = self._row("lot-try", job, first_ms=round(began_ms, 2))
             data = await self.call(
                 row,
                 "POST",
-                f"{route['pathStart']}{lot['lot'][:6]}",
+                f"{route['pathStart']}{job['lot'][:6]}",
                 headers,
                 body,
                 left_ms / 1000,
@@ -220,7 +220,7 @@
             )
             row["text"] = data.decode(errors="replace")[:200] if row["status"] != 202 else ""
             if row["status"] == 202:
-                lot["accepted_ms"] = row["answered_ms"]
+                job["accepted_ms"] = row["answered_ms"]
                 return True
             if row["status"] in (400, 401, 404, 413, 422, 431):
                 return False
@@ -233,22 +233,22 @@
         except ValueError:
             return 0.05
 
-    async def _follow(self, lot: dict[str, Any]) -> None:
-        give_up_ms = lot["at_ms"] + lot["max_wait_ms"]
-        while lot["position"] < lot["total"] and self.clock() < give_up_ms and not self.stopping:
-            earlier = lot["position"] and self.rng.random() < 0.15
+    async def _follow(self, job: dict[str, Any]) -> None:
+        give_up_ms = job["at_ms"] + job["max_wait_ms"]
+        while job["position"] < job["total"] and self.clock() < give_up_ms and not self.stopping:
+            earlier = job["position"] and self.rng.random() < 0.15
             await self.read(
-                lot,
-                self.rng.randrange(lot["position"]) if earlier else lot["position"],
+                job,
+                self.rng.randrange(job["position"]) if earlier else job["position"],
                 self.rng.random() < 0.5,
             )
-            if lot["end_sent_ms"] and self.clock() > lot["end_sent_ms"] + 4000:
+            if job["end_sent_ms"] and self.clock() > job["end_sent_ms"] + 4000:
                 break
             await asyncio.sleep(_READ_EVERY_S * (0.7 + 0.6 * self.rng.random()))
 
     async def read(
         self,
-        lot: dict[str, Any],
+        job: dict[str, Any],
         position: int,
         wait: bool,
         final: bool = False,
@@ -257,7 +257,7 @@
         """Read results from a position on, as a long poll of 1 s if `wait`; return the row."""
         row = self._row(
             "lot-read",
-            lot,
+            job,
             start=position,
             results=[],
             total=-1,
@@ -265,12 +265,12 @@
             final=final,
             garbled=False,
         )
-        headers = {"Host": lot["host"]} | ({"Wait-Ms": "1000"} if wait else {})
+        headers = {"Host": job["host"]} | ({"Wait-Ms": "1000"} if wait else {})
         attempt = self.rng.randrange(4) if attempt is None else attempt
         data = await self.call(
             row,
             "GET",
-            f"/vaneledge/lots/{lot['lot']}?pageAfter={position}",
+            f"/vaneledge/lots/{job['lot']}?pageAfter={position}",
             headers,
             None,
             _PATIENCE_S + (1.0 if wait else 0.0),
@@ -292,26 +292,26 @@
                 row["garbled"] = True
                 return row
             for place, part in enumerate(row["results"]):
-                lot["seen"].setdefault(
+                job["seen"].setdefault(
                     part[0], [position + place, round(self.clock(), 2), part[1], row["sent_ms"]]
                 )
-            lot["position"] = (
-                max(lot["position"], row["next"]) if row["results"] else lot["position"]
+            job["position"] = (
+                max(job["position"], row["next"]) if row["results"] else job["position"]
             )
-            if lot["position"] >= lot["total"] and not lot["done_ms"]:
-                lot["done_ms"] = row["answered_ms"]
+            if job["position"] >= job["total"] and not job["done_ms"]:
+                job["done_ms"] = row["answered_ms"]
         return row
 
-    async def _end(self, lot: dict[str, Any], after_s: float) -> None:
+    async def _end(self, job: dict[str, Any], after_s: float) -> None:
         await asyncio.sleep(after_s)
-        lot["end_sent_ms"] = round(self.clock(), 2)
+        job["end_sent_ms"] = round(self.clock(), 2)
         for attempt in range(12):
-            row = self._row("lot-end", lot)
+            row = self._row("lot-end", job)
             await self.call(
                 row,
                 "DELETE",
-                f"/vaneledge/lots/{lot['lot']}",
-                {"Host": lot["host"]},
+                f"/vaneledge/lots/{job['lot']}",
+                {"Host": job["host"]},
                 None,
                 _PATIENCE_S,
                 attempt,
@@ -320,28 +320,28 @@
                 break
             await asyncio.sleep(0.2)
 
-    async def _bodies(self, lot: dict[str, Any]) -> None:
+    async def _bodies(self, job: dict[str, Any]) -> None:
         for _ in range(2):
             await asyncio.sleep(0.2 + self.rng.random())
-            await self.body(lot, self.rng.choice(list(lot["items"])))
+            await self.body(job, self.rng.choice(list(job["items"])))
 
     async def body(
-        self, lot: dict[str, Any], item: str, final: bool = False, attempt: int = 0
+        self, job: dict[str, Any], item: str, final: bool = False, attempt: int = 0
     ) -> dict[str, Any]:
         """Ask for an item's body and compare it with what was sent; return the row."""
         row = self._row(
-            "item-body", lot, item=item, listed=item in lot["seen"], same=False, final=final
+            "item-body", job, item=item, listed=item in job["seen"], same=False, final=final
         )
         data = await self.call(
             row,
             "GET",
-            f"/vaneledge/items/{lot['lot']}?serverId={item}",
-            {"Host": lot["host"]},
+            f"/vaneledge/items/{job['lot']}?serverId={item}",
+            {"Host": job["host"]},
             None,
             _PATIENCE_S,
             attempt,
         )
-        row["same"] = data == lot["items"][item]["body"]
+        row["same"] = data == job["items"][item]["body"]
         return row
 
     # -- the end of the day --------------------------------------------------------------------
@@ -354,8 +354,8 @@
         end_ms = self.clock() + finish_s * 1000
         while (
             any(
-                lot["accepted_ms"] and lot["position"] < lot["total"] and not lot["end_sent_ms"]
-                for lot in self.lots
+                job["accepted_ms"] and job["position"] < job["total"] and not job["end_sent_ms"]
+                for job in self.jobs
             )
             and self.clock() < end_ms
         ):
@@ -363,12 +363,12 @@
         self.stopping = True
         while self._tasks:
             await asyncio.wait(set(self._tasks))
-        await asyncio.gather(*[self._again(lot) for lot in self.lots if lot["accepted_ms"]])
+        await asyncio.gather(*[self._again(job) for job in self.jobs if job["accepted_ms"]])
 
-    async def _again(self, lot: dict[str, Any]) -> None:
+    async def _again(self, job: dict[str, Any]) -> None:
         position, attempt, bad = 0, 0, 0
         while bad < 20:
-            row = await self.read(lot, position, False, True, attempt)
+            row = await self.read(job, position, False, True, attempt)
             if row["status"] == 200 and not row["garbled"]:
                 if not row["results"] or row["next"] >= row["total"]:
                     break
@@ -376,10 +376,10 @@
             else:
                 bad, attempt = bad + 1, attempt + 1
                 await asyncio.sleep(0.2)
-        unlisted = [item for item in lot["items"] if item not in lot["seen"]]
-        for item in unlisted[:3] if not lot["end_sent_ms"] else []:
+        unlisted = [item for item in job["items"] if item not in job["seen"]]
+        for item in unlisted[:3] if not job["end_sent_ms"] else []:
             for attempt in range(5):
-                row = await self.body(lot, item, True, attempt)
+                row = await self.body(job, item, True, attempt)
                 if row["status"] == 200:
                     break
                 await asyncio.sleep(0.2)
--- a/libs/platform_testbed/src/platform_testbed/rules_jobs.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_jobs.py
@@ -13,17 +13,17 @@
 from platform_testbed.rules_live import Found, runs_by_id, sequence
 
 __all__ = [
-    "lot_lost",
-    "lot_mixed",
-    "lot_order",
-    "lot_quota",
-    "lot_refused",
-    "lot_twice",
-    "lot_unasked",
+    "job_lost",
+    "job_mixed",
+    "job_order",
+    "job_quota",
+    "job_refused",
+    "job_twice",
+    "job_unasked",
 ]
 
 
-def _lots(history: History) -> dict[str, dict[str, Any]]:
+def _jobs(history: History) -> dict[str, dict[str, Any]]:
     return {row["lot"]: row for row in history.of("lot")}
 
 
@@ -31,9 +31,9 @@
     return [row for row in history.of("lot-read") if "answered_ms" in row]
 
 
-def lot_lost(history: History) -> Found:
+def job_lost(history: History) -> Found:
     """An accepted lot can be read, and what was read once can be read again."""
-    touch, lots, settle_ms = Touch(history), _lots(history), history.settings["timing"]["settleMs"]
+    touch, jobs, settle_ms = Touch(history), _jobs(history), history.settings["timing"]["settleMs"]
     reads = _reads(history)
     accepted: dict[str, float] = {}
     for row in history.of("lot-try"):
@@ -64,12 +64,12 @@
                 f"lot {name} at {row['node']}: nothing from {row['start']} on, {count} had been "
                 "read"
             )
-    return judged, found + _at_the_end(history, lots, accepted, known)
+    return judged, found + _at_the_end(history, jobs, accepted, known)
 
 
 def _at_the_end(
     history: History,
-    lots: dict[str, Any],
+    jobs: dict[str, Any],
     accepted: dict[str, float],
     known: dict[str, list[tuple[float, int]]],
 ) -> list[str]:
@@ -96,7 +96,7 @@
     return found
 
 
-def lot_twice(history: History) -> Found:
+def job_twice(history: History) -> Found:
     """A position keeps its result, and an item stands at one position."""
     places: dict[str, dict[int, list[Any]]] = {}
     judged, found = 0, []
@@ -120,27 +120,27 @@
     return judged, found
 
 
-def lot_mixed(history: History) -> Found:
+def job_mixed(history: History) -> Found:
     """A result is the item's own, whole, and made by a worker; bodies come back unchanged.
 
     An item is given up only after its failed attempts, its time, or its lot's end.
     """
-    lots, runs = _lots(history), runs_by_id(history)
+    jobs, runs = _jobs(history), runs_by_id(history)
     judged, found = 0, []
     for row in _reads(history):
-        lot = lots[row["lot"]]
-        if row["garbled"] or (row["status"] == 200 and row["total"] != lot["total"]):
+        job = jobs[row["lot"]]
+        if row["garbled"] or (row["status"] == 200 and row["total"] != job["total"]):
             found.append(
-                f"lot {row['lot']} at {row['node']}: total {row['total']} of {lot['total']}, or "
+                f"lot {row['lot']} at {row['node']}: total {row['total']} of {job['total']}, or "
                 "no answer that can be read"
             )
         for name, state, message in row["results"]:
             judged += 1
-            item = lot["items"].get(name)
+            item = job["items"].get(name)
             reason = (
                 "an item of another lot"
                 if item is None
-                else _result(lot, item, runs.get(name, []), state, message, row)
+                else _result(job, item, runs.get(name, []), state, message, row)
             )
             if reason:
                 found.append(f"lot {row['lot']}, item {name}: {reason}")
@@ -152,7 +152,7 @@
 
 
 def _result(
-    lot: dict[str, Any],
+    job: dict[str, Any],
     item: dict[str, Any],
     runs: list[dict[str, Any]],
     state: str,
@@ -175,22 +175,22 @@
         return f"state {state!r}"
     errors = sum(run["state"] == "error" and run["at_ms"] <= row["answered_ms"] for run in runs)
     unable = any(run["state"] == "unable" for run in runs)
-    waited = row["answered_ms"] >= lot["at_ms"] + lot["max_wait_ms"]
-    ended = 0 < lot["end_sent_ms"] <= row["answered_ms"]
+    waited = row["answered_ms"] >= job["at_ms"] + job["max_wait_ms"]
+    ended = 0 < job["end_sent_ms"] <= row["answered_ms"]
     return (
         ""
-        if unable or errors >= lot["tries"] or waited or ended
+        if unable or errors >= job["tries"] or waited or ended
         else f"dead after {errors} failed attempts"
     )
 
 
-def lot_order(history: History) -> Found:
+def job_order(history: History) -> Found:
     """A finished item's events are in order and complete."""
-    lots, runs = _lots(history), runs_by_id(history)
+    jobs, runs = _jobs(history), runs_by_id(history)
     judged, found = 0, []
     for row in _reads(history):
         for name, state, message in row["results"]:
-            if state != "finished" or name not in lots[row["lot"]]["items"]:
+            if state != "finished" or name not in jobs[row["lot"]]["items"]:
                 continue
             judged += 1
             events = [
@@ -202,39 +202,39 @@
                 events,
                 runs.get(name, []),
                 None,
-                lots[row["lot"]]["first_event"],
-                lots[row["lot"]]["items"][name]["events"],
+                jobs[row["lot"]]["first_event"],
+                jobs[row["lot"]]["items"][name]["events"],
             )
             if reason:
                 found.append(f"lot {row['lot']}, item {name}: {reason}")
     return judged, found
 
 
-def lot_refused(history: History) -> Found:
+def job_refused(history: History) -> Found:
     """No item runs of a lot that was refused at every attempt."""
     runs, judged, found = runs_by_id(history), 0, []
     statuses: dict[str, list[int]] = {}
     for row in history.of("lot-try"):
         statuses.setdefault(row["lot"], []).append(row.get("status", 0))
-    for name, lot in _lots(history).items():
+    for name, job in _jobs(history).items():
         if name in statuses and all(status in PROMISES for status in statuses[name]):
             judged += 1
             found += [
                 f"lot {name} was refused at every try, item {item} ran"
-                for item in lot["items"]
+                for item in job["items"]
                 if runs.get(item)
             ]
     return judged, found
 
 
-def lot_unasked(history: History) -> Found:
+def job_unasked(history: History) -> Found:
     """No item reaches a worker later than `cancelMs` after its lot's end was acknowledged."""
     touch, cancel_ms = Touch(history), history.settings["timing"]["cancelMs"]
-    lots, ended = _lots(history), {}
+    jobs, ended = _jobs(history), {}
     for row in history.of("lot-end"):
         if row.get("status") == 200 and touch.machine(row["node"], row["answered_ms"]):
             ended.setdefault(row["lot"], row["answered_ms"])
-    of = {item: name for name, lot in lots.items() for item in lot["items"]}
+    of = {item: name for name, job in jobs.items() for item in job["items"]}
     return len(ended), [
         f"item {run['id']} reached {run['server']} {run['came_ms'] - ended[of[run['id']]]:.0f} ms "
         "after its lot's end and ran"
@@ -243,10 +243,10 @@
     ]
 
 
-def lot_quota(history: History) -> Found:
+def job_quota(history: History) -> Found:
     """The tokens that wait stay within the route's limit and the tolerated excess."""
-    lots, runs, excess = (
-        _lots(history),
+    jobs, runs, excess = (
+        _jobs(history),
         runs_by_id(history),
         history.settings["timing"]["quotaExcess"],
     )
@@ -266,11 +266,11 @@
         waiting = sum(
             item["tokens"]
             for name, since_ms in accepted.items()
-            if since_ms <= at_ms and not 0 < lots[name]["end_sent_ms"] <= at_ms
-            for key, item in lots[name]["items"].items()
+            if since_ms <= at_ms and not 0 < jobs[name]["end_sent_ms"] <= at_ms
+            for key, item in jobs[name]["items"].items()
             if done.get(key, float("inf")) > at_ms
         )
-        cap = max(lot["cap"] for lot in lots.values())
+        cap = max(job["cap"] for job in jobs.values())
         if cap and waiting > cap * (1 + excess):
             found.append(f"{waiting} tokens wait at {at_ms:.0f} ms, at most {cap} may")
     return len(accepted), found
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -151,9 +151,9 @@
 def unasked(history: History) -> Found:
     """A worker runs only requests that a client sent, as they were sent."""
     asked = {row["id"]: (row["method"], row["target"], row["digest"]) for row in history.of("try")}
-    for lot in history.of("lot"):
+    for job in history.of("lot"):
         asked |= {
-            name: ("POST", item["path"], item["digest"]) for name, item in lot["items"].items()
+            name: ("POST", item["path"], item["digest"]) for name, item in job["items"].items()
         }
     runs = history.of("run")
     return len(runs), [
--- a/libs/platform_testbed/src/platform_testbed/rules_settings.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_settings.py
@@ -71,7 +71,7 @@
                     f"{row['id']} at {row['node']}, sent at {row['sent_ms']:.0f}: "
                     f"{run['service']} ran it, in force are {possible}"
                 )
-    items = {name for lot in history.of("lot") for name in lot["items"]}
+    items = {name for job in history.of("lot") for name in job["items"]}
     for run in history.of("run"):
         if run["id"] not in items or not touch.calm(run["came_ms"]):
             continue
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -101,9 +101,9 @@
 
 
 async def burst(day: Day) -> None:
-    day.live.press, day.lots.press = 4.0, 5.0
+    day.live.press, day.jobs.press = 4.0, 5.0
     await asyncio.sleep(4.0)
-    day.live.press = day.lots.press = 1.0
+    day.live.press = day.jobs.press = 1.0
 
 
 async def kill_owner(day: Day) -> None:
--- a/libs/platform_testbed/src/platform_testbed/value.py
+++ b/libs/platform_testbed/src/platform_testbed/value.py
@@ -62,7 +62,7 @@
         [row["ended_ms"] - row["sent_ms"] for row in tries if row["status"] in (429, 503)]
     )
     made["events_late"] = _late_events(history)
-    made["lots"] = _lots(history)
+    made["lots"] = _jobs(history)
     return made
 
 
@@ -85,26 +85,26 @@
     return [late, count]
 
 
-def _lots(history: History) -> dict[str, Any]:
+def _jobs(history: History) -> dict[str, Any]:
     owed = earned = done = 0
     answers, times = [], []
-    for lot in history.of("lot"):
-        tries = [row for row in history.of("lot-try") if row["lot"] == lot["lot"]]
+    for job in history.of("lot"):
+        tries = [row for row in history.of("lot-try") if row["lot"] == job["lot"]]
         answers += [
             row["answered_ms"] - row["sent_ms"] for row in tries if row.get("status") == 202
         ]
-        able = [name for name, item in lot["items"].items() if not item["poisoned"]]
-        if lot["end_sent_ms"] or (tries and all(row.get("status") == 429 for row in tries)):
+        able = [name for name, item in job["items"].items() if not item["poisoned"]]
+        if job["end_sent_ms"] or (tries and all(row.get("status") == 429 for row in tries)):
             continue
         owed += len(able)
-        quick = lot["accepted_ms"] and lot["accepted_ms"] - lot["at_ms"] <= lot["target_ms"]
+        quick = job["accepted_ms"] and job["accepted_ms"] - job["at_ms"] <= job["target_ms"]
         for name in able:
-            seen = lot["seen"].get(name)
+            seen = job["seen"].get(name)
             if seen is None or seen[2] != "finished":
                 continue
             done += 1
-            times.append(seen[1] - lot["at_ms"])
-            earned += bool(quick and seen[3] <= lot["at_ms"] + lot["due_ms"] + 700)
+            times.append(seen[1] - job["at_ms"])
+            earned += bool(quick and seen[3] <= job["at_ms"] + job["due_ms"] + 700)
     return {
         "lots": len(history.of("lot")),
         "items_owed": owed,
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -66,7 +66,7 @@
     def used(self) -> set[str]:
         """Return the names of the files that the ledger in memory refers to."""
         ledger = self._log.ledger
-        return {lot.shelf.file for lot in ledger.lots.values() if lot.shelf is not None} | {
+        return {job.shelf.file for job in ledger.jobs.values() if job.shelf is not None} | {
             key.shelf.file for key in ledger.keys.values() if key.shelf is not None
         }
 
@@ -92,10 +92,10 @@
         name, page, entries = self._new_name(), bytearray(), []
         for kind, key in list(ledger.fresh):
             del ledger.fresh[(kind, key)]
-            held = ledger.lots.get(key) if kind == "lot" else ledger.keys.get(key)
+            held = ledger.jobs.get(key) if kind == "lot" else ledger.keys.get(key)
             if held is not None and held.shelf is None:
                 entries.append(
-                    self._put_lot(held, name, page)
+                    self._put_job(held, name, page)
                     if kind == "lot"
                     else self._put_key(key, held, name, page)
                 )
@@ -113,7 +113,7 @@
                 return
             for entry in entries:
                 if (
-                    (entry.lot_id in ledger.lots)
+                    (entry.job_id in ledger.jobs)
                     if isinstance(entry, e.JobArchived)
                     else (entry.key in ledger.keys)
                 ):
@@ -128,7 +128,7 @@
             log.disk.remove(name)
             for entry in entries:
                 ledger.fresh[
-                    ("lot", entry.lot_id)
+                    ("lot", entry.job_id)
                     if isinstance(entry, e.JobArchived)
                     else ("key", entry.key)
                 ] = None
@@ -140,10 +140,10 @@
         """Return a file name that no store has used, since files keep their names when copied."""
         return f"{SHELF}{self._log.identity}-{self._log.settled_seq:012d}-{self._token()}"
 
-    def _put_lot(self, lot: Job, name: str, page: bytearray) -> e.JobArchived:
-        return self.put_rows(lot, [lot.row(position) for position in range(lot.placed)], name, page)
+    def _put_job(self, job: Job, name: str, page: bytearray) -> e.JobArchived:
+        return self.put_rows(job, [job.row(position) for position in range(job.placed)], name, page)
 
-    def put_rows(self, lot: Job, rows: list[bytes], name: str, page: bytearray) -> e.JobArchived:
+    def put_rows(self, job: Job, rows: list[bytes], name: str, page: bytearray) -> e.JobArchived:
         """Append a lot's rows to `page` as leaves and return the entry that refers to them."""
         places, sizes, firsts = [], [], []
         first = 0
@@ -154,24 +154,24 @@
             ):
                 size_bytes += len(rows[up_to])
                 up_to += 1
-            data = _packed(ArchiveBlock(name=lot.lot_id, rows=rows[first:up_to]))
+            data = _packed(ArchiveBlock(name=job.job_id, rows=rows[first:up_to]))
             places.append(len(page))
             sizes.append(len(data))
             firsts.append(first)
             page += data
             first = up_to
         return e.JobArchived(
-            lot_id=lot.lot_id,
-            digest=lot.digest,
-            path=lot.path,
-            safe=lot.safe,
-            due_ms=lot.due_ms,
-            at_ms=lot.at_ms,
-            total=lot.total,
-            finished=lot.total - lot.left,
-            placed=lot.placed,
-            ended=lot.ended,
-            ended_at_ms=lot.ended_at_ms,
+            job_id=job.job_id,
+            digest=job.digest,
+            path=job.path,
+            safe=job.safe,
+            due_ms=job.due_ms,
+            at_ms=job.at_ms,
+            total=job.total,
+            finished=job.total - job.left,
+            placed=job.placed,
+            ended=job.ended,
+            ended_at_ms=job.ended_at_ms,
             file=name,
             places=places,
             sizes=sizes,
@@ -202,18 +202,18 @@
         leaf = decode(zlib.decompress(frames[0][1]))
         return leaf.rows if leaf.name == name else None
 
-    def results(self, lot: Job, from_index: int, limit: int) -> list[bytes] | None:
+    def results(self, job: Job, from_index: int, limit: int) -> list[bytes] | None:
         """Return results of a lot from an index on, at most `limit` and from one leaf only.
 
         None is returned if the leaf is damaged or isn't here.
         """
-        shelf = lot.shelf
+        shelf = job.shelf
         at = max(
             (number for number, first in enumerate(shelf.firsts) if first <= from_index), default=-1
         )
-        if at < 0 or from_index >= lot.placed:
+        if at < 0 or from_index >= job.placed:
             return []
-        rows = self._leaf(lot.lot_id, shelf.file, shelf.places[at], shelf.sizes[at])
+        rows = self._leaf(job.job_id, shelf.file, shelf.places[at], shelf.sizes[at])
         return None if rows is None else rows[from_index - shelf.firsts[at] :][:limit]
 
     def receipt(self, key: IdempotencyKey) -> str | None:
@@ -233,17 +233,17 @@
     def damaged(self, file: str) -> list[tuple[str, str]]:
         """Return the (kind, name) of all lots and keys with a damaged leaf in a file."""
         ledger = self._log.ledger
-        lots = [
-            ("lot", lot.lot_id)
-            for lot in ledger.lots.values()
-            if lot.shelf is not None
-            and lot.shelf.file == file
+        jobs = [
+            ("lot", job.job_id)
+            for job in ledger.jobs.values()
+            if job.shelf is not None
+            and job.shelf.file == file
             and any(
-                self._leaf(lot.lot_id, file, place, size) is None
-                for place, size in zip(lot.shelf.places, lot.shelf.sizes, strict=True)
+                self._leaf(job.job_id, file, place, size) is None
+                for place, size in zip(job.shelf.places, job.shelf.sizes, strict=True)
             )
         ]
-        return lots + [
+        return jobs + [
             ("key", name)
             for name, key in ledger.keys.items()
             if key.shelf is not None and key.shelf.file == file and self.receipt(key) is None
@@ -258,7 +258,7 @@
         disk refuses.
         """
         log = self._log
-        held = log.ledger.lots.get(name) if kind == "lot" else log.ledger.keys.get(name)
+        held = log.ledger.jobs.get(name) if kind == "lot" else log.ledger.keys.get(name)
         if held is None or held.shelf is None or log.busy():
             done(False)
             return
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -146,19 +146,19 @@
                 else shelves.receipt(key)
             )
             return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], placed=1)
-        lot = ledger.lots.get(message.name)
-        if lot is None:
+        job = ledger.jobs.get(message.name)
+        if job is None:
             return ArchivedRows(ok=False, rows=[], placed=0)
-        if lot.shelf is None:
+        if job.shelf is None:
             rows: list[bytes] | None = [
                 encode(m.ResultRow(index=index, outcome=item.outcome, body=item.result))
-                for index, item in list(enumerate(lot.items[: lot.placed]))[
+                for index, item in list(enumerate(job.items[: job.placed]))[
                     message.from_index : message.from_index + _PAGE
                 ]
             ]
         else:
-            rows = shelves.results(lot, message.from_index, _PAGE)
-        return ArchivedRows(ok=rows is not None, rows=rows or [], placed=lot.placed)
+            rows = shelves.results(job, message.from_index, _PAGE)
+        return ArchivedRows(ok=rows is not None, rows=rows or [], placed=job.placed)
 
     def mend(self, kind: str, name: str) -> None:
         """Start to repair the rows of a lot or a key, unless this is under way already."""
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -104,8 +104,8 @@
 
     def let_go(self, entry: Message) -> None:
         """Drop what was archived in a file from the unsettled ledger, if it is over there too."""
-        known = self.ledger.lots if isinstance(entry, JobArchived) else self.ledger.keys
-        if (entry.lot_id if isinstance(entry, JobArchived) else entry.key) in known:
+        known = self.ledger.jobs if isinstance(entry, JobArchived) else self.ledger.keys
+        if (entry.job_id if isinstance(entry, JobArchived) else entry.key) in known:
             self.ledger.apply(entry)
 
     def append(
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -25,7 +25,7 @@
     def __init__(self, ledger: Any, seq: int, stamp: tuple[int, int]) -> None:
         self._ledger = ledger
         self.seq, self.stamp = seq, stamp
-        names = [("lot", name) for name in ledger.lots] + [("key", name) for name in ledger.keys]
+        names = [("lot", name) for name in ledger.jobs] + [("key", name) for name in ledger.keys]
         self._todo: dict[tuple[str, str], None] = dict.fromkeys(names)
         self._rows: dict[tuple[str, str], list[bytes]] = {name: [] for name in names}
 
@@ -38,7 +38,7 @@
 
     def before(self, entry: Message) -> None:
         """Encode what a settled entry is about to change; call it before the entry is applied."""
-        name = ("lot", entry.lot_id) if hasattr(entry, "lot_id") else ("key", entry.key)
+        name = ("lot", entry.job_id) if hasattr(entry, "job_id") else ("key", entry.key)
         if name in self._todo:
             self._encode(name)
 
--- a/libs/request_routing/src/request_routing/attempt_outcomes.py
+++ b/libs/request_routing/src/request_routing/attempt_outcomes.py
@@ -22,9 +22,9 @@
     """
     call = send.carriage.call
     begun = send.carriage.tx.delivered
-    if call.lot and isinstance(call, ForwardCall):
+    if call.job and isinstance(call, ForwardCall):
         begun = begun or call.last_event_id is not None
-    ends = fate.name == "whole" or (fate.name == "rejected" and not call.lot)
+    ends = fate.name == "whole" or (fate.name == "rejected" and not call.job)
     if begun and ends and not send.exchange.streams:
         return AttemptOutcome("failed", reason="no continuation of the stream")
     return fate
@@ -68,5 +68,5 @@
         verdict=str(step.refusal.verdict) if step.refusal else "",
         replayed=step.name == "replay",
         bytes=len(step.value[1]) if step.name == "finish" else 0,
-        **({"lot": tx.lot[0], "index": tx.lot[1]} if tx.lot else {}),
+        **({"lot": tx.job[0], "index": tx.job[1]} if tx.job else {}),
     )
--- a/libs/request_routing/src/request_routing/attempt_requests.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -121,12 +121,12 @@
 def _(
     call: Call, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
-    settings, lot, prefix = carrier.node.settings, call.lot, call.prefix
-    share = settings.live_share if lot else 1 - tx.profile.live_share
+    settings, job, prefix = carrier.node.settings, call.job, call.prefix
+    share = settings.live_share if job else 1 - tx.profile.live_share
     worker = choose(
         workers,
         prefix,
-        lot,
+        job,
         settings.zone,
         tx.profile.zone == "near",
         share,
@@ -138,7 +138,7 @@
         worker = choose(
             workers,
             prefix,
-            lot,
+            job,
             settings.zone,
             False,
             share,
@@ -146,7 +146,7 @@
             frozenset(),
             carrier.by_prefix,
         )
-    if worker is None and lot and carrier.carrying(True) <= 1:
+    if worker is None and job and carrier.carrying(True) <= 1:
         worker = choose(
             workers, prefix, False, settings.zone, False, 0.0, avoid=frozenset(tx.avoid)
         )
@@ -175,7 +175,7 @@
         if not roster.resting(worker) and (tx.safe or not worker.failures)
     ]
     fit = [worker for worker in fit if not carrier.seems_dark(worker, path)] or fit
-    if call.lot:
+    if call.job:
         if carrier.reading_items >= math.ceil(len(workers) / carrier.edges()):
             return None
         fit = [
@@ -207,7 +207,7 @@
     worker = choose_of(fit, frozenset(tx.avoid))
     if worker is None and tx.avoid:
         worker = choose_of([one for one in fit if one.stamp in tx.avoid], frozenset())
-    if worker is None and not fit and not call.lot:
+    if worker is None and not fit and not call.job:
         rested = [
             one
             for one in workers
--- a/libs/request_routing/src/request_routing/calls.py
+++ b/libs/request_routing/src/request_routing/calls.py
@@ -27,22 +27,22 @@
 class Call:
     """A completion: the worker's body, its digest for the idempotency key, and a placement prefix.
 
-    `lot` is true for an item of a batch, `stream` for an answer in server-sent events.
+    `job` is true for an item of a batch, `stream` for an answer in server-sent events.
     """
 
-    __slots__ = ("body", "digest", "lot", "prefix", "stream")
+    __slots__ = ("body", "digest", "job", "prefix", "stream")
     kept_when_gone = True
     rollout = False
     parts = ()
 
     def __init__(
-        self, body: dict[str, Any], digest: str, prefix: str, lot: bool, stream: bool
+        self, body: dict[str, Any], digest: str, prefix: str, job: bool, stream: bool
     ) -> None:
-        self.body, self.digest, self.prefix, self.lot, self.stream = (
+        self.body, self.digest, self.prefix, self.job, self.stream = (
             body,
             digest,
             prefix,
-            lot,
+            job,
             stream,
         )
 
@@ -89,7 +89,7 @@
 
     `parts` are the prompt's parts in order, each an id and its tokens; `headers` are the end-to-end
     ones; `tokens_in` and `tokens_out` are the expected tokens of prompt and answer. `resumable`
-    says that a stream can be continued after its last event, `lot` that it is an item of a batch,
+    says that a stream can be continued after its last event, `job` that it is an item of a batch,
     which is less urgent than a request somebody waits for. `urgency` is passed to the worker in its
     header.
     """
@@ -99,7 +99,7 @@
         "headers",
         "host",
         "last_event_id",
-        "lot",
+        "job",
         "method",
         "parts",
         "request_id",
@@ -126,7 +126,7 @@
         tokens_out: int = 0,
         stream: bool = False,
         resumable: bool = False,
-        lot: bool = False,
+        job: bool = False,
         last_event_id: int | None = None,
         urgency: int = 0,
     ) -> None:
@@ -139,7 +139,7 @@
         )
         self.headers, self.parts = list(headers), list(parts)
         self.tokens_in, self.tokens_out = tokens_in, tokens_out
-        self.stream, self.resumable, self.lot = stream, resumable, lot
+        self.stream, self.resumable, self.job = stream, resumable, job
         self.last_event_id, self.urgency = last_event_id, urgency
 
     @property
--- a/libs/request_routing/src/request_routing/in_flight.py
+++ b/libs/request_routing/src/request_routing/in_flight.py
@@ -183,7 +183,7 @@
         """Deliver one event to the client, unless it has hung up."""
         self.tx.piece_delivered()
         if self.sink is not None and not self.visitor_gone:
-            if not self.call.kept_when_gone and not self.call.lot:
+            if not self.call.kept_when_gone and not self.call.job:
                 self.untaken_bytes += len(event)
             self.sink(event)
 
--- a/libs/request_routing/src/request_routing/item_executor.py
+++ b/libs/request_routing/src/request_routing/item_executor.py
@@ -140,7 +140,7 @@
         env, body = self.node.env, json.loads(work.body)
         due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
         tx = RequestLifecycle(
-            f"{env.token()}-{work.lot_id}-{work.index}",
+            f"{env.token()}-{work.job_id}-{work.index}",
             profile,
             "",
             env.now(),
@@ -149,7 +149,7 @@
             claimed=True,
         )
         tx.safe = work.safe
-        tx.lot = (work.lot_id, work.index)
+        tx.job = (work.job_id, work.index)
         self._running += 1
         state = {"over": False}
 
--- a/libs/request_routing/src/request_routing/item_run.py
+++ b/libs/request_routing/src/request_routing/item_run.py
@@ -123,7 +123,7 @@
             _SENDS,
             True,
         )
-        tx.lot = (self._work.lot_id, self._work.index)
+        tx.job = (self._work.job_id, self._work.index)
         tx.avoid.update(self._work.avoid)
         call = ForwardCall(
             "POST",
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -50,7 +50,7 @@
         "_beats",
         "_ends",
         "_holder",
-        "_lot_paths",
+        "_job_paths",
         "_placing",
         "_reporting",
         "_room",
@@ -80,7 +80,7 @@
         self._asked_epoch = 0
         self._asked_ms = -1 << 40
         self._wish = False
-        self._lot_paths: set[str] = set()
+        self._job_paths: set[str] = set()
         self._ends: list[tuple[_Run, bytes]] = []
         self._reporting = False
         self.paused = False
@@ -113,12 +113,12 @@
         self._beats += 1
         self._asking = number = self._beats
         self._wish = False
-        running = [f"{lot_id}#{index}" for lot_id, index in self._runs]
+        running = [f"{job_id}#{index}" for job_id, index in self._runs]
         told = {
             "edge": self.edge,
             "address": self.node.address,
             "room": room,
-            "paths": sorted(served & self._lot_paths),
+            "paths": sorted(served & self._job_paths),
             "running": running,
         }
         beat: Message = m.EdgeHeartbeat(**told)
@@ -145,8 +145,8 @@
         if receipt.epoch < self._holder.epoch:
             return
         self._holder.heard(receipt, asked_ms)
-        for lot_id in receipt.stops:
-            self.stop(lot_id, "lot over")
+        for job_id in receipt.stops:
+            self.stop(job_id, "lot over")
         if isinstance(receipt, m.RolloutHeartbeatResponse) and self.samples is not None:
             self.samples.told(receipt)
         work = [decode(data) for data in receipt.work]
@@ -154,9 +154,9 @@
             self._take(row)
         for data in receipt.batons:
             baton = decode(data)
-            self._place(baton.lot_id, baton.epoch, baton.up_to)
-        fresh = set(receipt.paths) - self._lot_paths
-        self._lot_paths |= fresh
+            self._place(baton.job_id, baton.epoch, baton.up_to)
+        fresh = set(receipt.paths) - self._job_paths
+        self._job_paths |= fresh
         self._wish = receipt.waiting > 0 or any(
             not isinstance(run.work, m.RolloutAssignment) for run in self._runs.values()
         )
@@ -171,7 +171,7 @@
     # -- items ---------------------------------------------------------------------------------
 
     def _take(self, work: m.ItemAssignment) -> None:
-        key = (work.lot_id, work.index)
+        key = (work.job_id, work.index)
         if key in self._runs:
             return
         run = self._runs[key] = _Run(work)
@@ -180,7 +180,7 @@
         )
 
     def _ended(self, run: _Run, outcome: str, body: str, worker: str) -> None:
-        key = (run.work.lot_id, run.work.index)
+        key = (run.work.job_id, run.work.index)
         if self._runs.get(key) is not run or run.reported:
             return
         run.reported = True
@@ -197,7 +197,7 @@
                 run,
                 encode(
                     m.ItemOutcome(
-                        lot_id=work.lot_id,
+                        job_id=work.job_id,
                         index=work.index,
                         number=work.number,
                         outcome=outcome,
@@ -216,7 +216,7 @@
         size_bytes = 0
         while self._ends and size_bytes < _REPORT_BYTES:
             run, data = self._ends.pop(0)
-            if self._runs.get((run.work.lot_id, run.work.index)) is run:
+            if self._runs.get((run.work.job_id, run.work.index)) is run:
                 rows.append((run, data))
                 size_bytes += len(data)
         if not rows:
@@ -229,8 +229,8 @@
                 self._ends[:0] = rows
                 return
             for run, _ in rows:
-                if self._runs.get((run.work.lot_id, run.work.index)) is run:
-                    del self._runs[(run.work.lot_id, run.work.index)]
+                if self._runs.get((run.work.job_id, run.work.index)) is run:
+                    del self._runs[(run.work.job_id, run.work.index)]
             self._wish = True
             self._report_ends()
 
@@ -242,7 +242,7 @@
         self._beat_now()
 
     def _report(self, run: _Run, outcome: str, body: str, worker: str) -> None:
-        key = (run.work.lot_id, run.work.index)
+        key = (run.work.job_id, run.work.index)
 
         def told(receipt: Any) -> None:
             if self._runs.get(key) is not run:
@@ -253,11 +253,11 @@
             del self._runs[key]
             self._wish = self._wish or not isinstance(run.work, m.RolloutAssignment)
             if receipt.baton_epoch:
-                self._place(run.work.lot_id, receipt.baton_epoch, receipt.up_to)
+                self._place(run.work.job_id, receipt.baton_epoch, receipt.up_to)
 
         self._holder.ask(
             m.ReportResult(
-                lot_id=run.work.lot_id,
+                job_id=run.work.job_id,
                 index=run.work.index,
                 number=run.work.number,
                 outcome=outcome,
@@ -269,21 +269,21 @@
             told,
         )
 
-    def _place(self, lot_id: str, epoch: int, up_to: int) -> None:
-        if lot_id in self._placing:
+    def _place(self, job_id: str, epoch: int, up_to: int) -> None:
+        if job_id in self._placing:
             return
-        self._placing.add(lot_id)
+        self._placing.add(job_id)
         self._holder.ask(
-            m.AdvanceListing(lot_id=lot_id, edge=self.edge, epoch=epoch, up_to=up_to),
+            m.AdvanceListing(job_id=job_id, edge=self.edge, epoch=epoch, up_to=up_to),
             self.node.settings.ask_ms,
-            lambda receipt: self._placing.discard(lot_id),
+            lambda receipt: self._placing.discard(job_id),
         )
 
     # -- stopping ------------------------------------------------------------------------------
 
-    def stop(self, lot_id: str, reason: str) -> None:
+    def stop(self, job_id: str, reason: str) -> None:
         """Stop all items of one batch, without reporting them."""
-        self._stop([key for key in self._runs if key[0] == lot_id], reason)
+        self._stop([key for key in self._runs if key[0] == job_id], reason)
 
     def stop_all(self, reason: str) -> None:
         """Stop everything and report what each item came to; the batches may continue elsewhere."""
@@ -294,7 +294,7 @@
                 self._ended(run, "again", b"", "")
             else:
                 self._ended(run, "again" if run.work.safe else "may_have_run", STOPPED_BODY, "")
-        self._note([(run.work.lot_id, run.work.index) for run in runs], reason)
+        self._note([(run.work.job_id, run.work.index) for run in runs], reason)
 
     def _stop(self, keys: list[tuple[str, int]], reason: str) -> None:
         for key in keys:
@@ -306,7 +306,7 @@
         if keys:
             self.node.env.log(
                 "items-stopped",
-                lots=sorted({lot_id for lot_id, _ in keys}),
+                jobs=sorted({job_id for job_id, _ in keys}),
                 count=len(keys),
                 reason=reason,
             )
--- a/libs/request_routing/src/request_routing/lifecycle.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -68,7 +68,7 @@
         "due_ms",
         "key",
         "last_event_id",
-        "lot",
+        "job",
         "opened",
         "profile",
         "safe",
@@ -96,7 +96,7 @@
         self.started_ms = now_ms
         self.due_ms = due_ms if due_ms is not None else now_ms + profile.deadline_ms
         self.claimed = claimed
-        self.lot: tuple[str, int] | None = None
+        self.job: tuple[str, int] | None = None
         self.state = State.RECEIVED
         self.opened = False
         self.delivered = False
--- a/libs/request_routing/src/request_routing/placement.py
+++ b/libs/request_routing/src/request_routing/placement.py
@@ -42,7 +42,7 @@
 def choose(
     workers: Iterable[Worker],
     prefix: str,
-    lot: bool,
+    job: bool,
     zone: str,
     near: bool,
     live_share: float,
@@ -63,7 +63,7 @@
     even = math.ceil(_EVENNESS * mean) + 1
 
     def bound(worker: Worker) -> int:
-        if lot:
+        if job:
             return min(
                 worker.slots - math.ceil(worker.slots * live_share),
                 math.floor(worker.slots * lot_share),
@@ -79,7 +79,7 @@
         )
 
     ordered = sorted(candidates, key=rank)
-    if lot:
+    if job:
         ordered = [worker for worker in ordered if worker.waiting == 0]
     for worker in ordered:
         if worker.weight < min(bound(worker), even):
@@ -87,7 +87,7 @@
     for worker in ordered:
         if worker.weight < bound(worker):
             return worker
-    if lot:
+    if job:
         return None
     queued = [worker for worker in ordered if worker.weight < 2 * worker.slots]
     return min(queued, key=lambda worker: worker.weight / worker.slots, default=None)
@@ -147,14 +147,14 @@
     return (own + _OTHERS * worker.others_now(now_ms) + _READ_PER_MS * left_ms) / worker.slots
 
 
-def _room(worker: Worker, lot: bool, lot_free: float, now_ms: int) -> bool:
+def _room(worker: Worker, job: bool, job_free: float, now_ms: int) -> bool:
     """Whether a worker has room: batches leave slots free, live requests may use a short queue.
 
     A batch item takes nothing where live requests wait.
     """
     load = worker.load(now_ms)
-    if lot:
-        return load < math.floor(worker.slots * (1 - lot_free)) and worker.full_until_ms <= now_ms
+    if job:
+        return load < math.floor(worker.slots * (1 - job_free)) and worker.full_until_ms <= now_ms
     return load < worker.slots or (
         load < worker.slots * (1 + _QUEUE) and worker.full_until_ms <= now_ms
     )
@@ -168,14 +168,14 @@
     zone: str,
     rng: Any,
     recent_ms: int,
-    lot_free: float = 0.0,
+    job_free: float = 0.0,
     avoid: frozenset[str] = frozenset(),
     connections: int = 0,
     readings: Any = None,
 ) -> Worker | None:
     """Return the cheapest worker with room for a forwarded request, or None.
 
-    `lot_free` is the share of the slots that batches leave free; `avoid` are stamps to leave out;
+    `job_free` is the share of the slots that batches leave free; `avoid` are stamps to leave out;
     `connections` bounds this edge's attempts at one worker, 0 for no bound. Ties are broken at
     random, so that edges with the same knowledge do not all choose the same worker. Of very many
     workers only a random sample is looked at, and those that have cached what this prompt shares
@@ -192,7 +192,7 @@
         if (
             worker.stamp in avoid
             or (connections and worker.sending >= connections)
-            or not _room(worker, call.lot, lot_free, now_ms)
+            or not _room(worker, call.job, job_free, now_ms)
         ):
             continue
         this = (
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -97,12 +97,12 @@
         """Return how many batch items this edge was assigned that no worker has yet."""
         return len(self._items)
 
-    def carrying(self, lot: bool) -> int:
+    def carrying(self, job: bool) -> int:
         """Return how many batch items or live requests are in flight, rollouts not counted."""
         return sum(
             1
             for carriage in self.open.values()
-            if carriage.call.lot == lot and not carriage.call.rollout
+            if carriage.call.job == job and not carriage.call.rollout
         )
 
     def sends(self) -> list[Attempt]:
@@ -143,14 +143,14 @@
         worker = self._choose(carriage, workers)
         if (
             worker is None
-            and carriage.call.lot
+            and carriage.call.job
             and not carriage.call.kept_when_gone
             and workers
             and not self._all_rest(workers)
         ):
             self._items_tree = self._items_tree if self._items else self._tree()
             self._items.append(carriage)
-        elif worker is None and not carriage.call.lot:
+        elif worker is None and not carriage.call.job:
             if self.loans is not None:
                 self.loans.starved(workers)
             waits, back_ms = self._may_wait(carriage, workers, now_ms)
@@ -244,9 +244,9 @@
     def _begin(self, carriage: InFlightRequest, worker: Worker) -> None:
         tx, call = carriage.tx, carriage.call
         tx.widen_budget(2.0 * worker.slots)
-        if not call.lot:
+        if not call.job:
             self._line.seen_worker(tx.profile.name, self.node.env.now())
-        self.count("sends_rollout" if call.rollout else "sends_lot" if call.lot else "sends_live")
+        self.count("sends_rollout" if call.rollout else "sends_lot" if call.job else "sends_live")
         if call.rollout:
             worker.borrowed += 1
         elif self.loans is not None:
@@ -278,7 +278,7 @@
     def _reading(self, worker: Worker, call: Any, change: int) -> None:
         """Change the number of prompts, ours and those of batch items, that a worker is reading."""
         worker.reading += change
-        if call.lot:
+        if call.job:
             worker.reading_items += change
             self.reading_items += change
 
@@ -321,7 +321,7 @@
         if fate.name != "failed":
             self._roster.answered(worker)
         if fate.name == "whole":
-            if not send.carriage.call.lot:
+            if not send.carriage.call.job:
                 self._line.served(tx.profile.name, self.node.env.now() - send.began_ms)
             tx.begun()
             send.carriage.head = send.carriage.head or send.exchange.told_head()
--- a/libs/simulator/src/simulator/oracle.py
+++ b/libs/simulator/src/simulator/oracle.py
@@ -26,11 +26,11 @@
     "changes-kept": state.changes_kept,
     "accepted-is-kept": state.kept,
     "kept-at-the-end": state.kept_at_the_end,
-    "ended-lots-stop": state.ended_lots,
+    "ended-lots-stop": state.cancelled_jobs,
     "waiting-room-is-exact": state.waiting_room,
     "service-resumes": state.resumed,
     "live-in-time": calls.live_in_time,
-    "lots-in-time": state.lots_in_time,
+    "lots-in-time": state.jobs_in_time,
 }
 
 
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -8,7 +8,7 @@
 _EXPLORE = "tests/test_explore_log.py -k "
 
 BREAKS: dict[str, tuple[str, str, str, str]] = {
-    "one lot too many": (
+    "one job too many": (
         "batch_state/src/batch_state/admission.py",
         "ledger.room_used(message.path) >= room",
         "ledger.room_used(message.path) > room",
@@ -52,7 +52,7 @@
     ),
     "an unsafe report is acknowledged unsettled": (
         "batch_state/src/batch_state/item_dispatch.py",
-        "self._holder.append(rows, not lot.safe, logged, True)",
+        "self._holder.append(rows, not job.safe, logged, True)",
         "self._holder.append(rows, False, logged, True)",
         _LOTS + "unsafe_report",
     ),
@@ -93,14 +93,14 @@
     ),
     "a lost baton stays lost": (
         "batch_state/src/batch_state/item_dispatch.py",
-        "if lot.ready > lot.placed and not self._live(lot.baton_edge):",
+        "if job.ready > job.placed and not self._live(job.baton_edge):",
         "if False:",
         _LOTS + "all_finished",
     ),
     "placed under an old baton": (
         "batch_state/src/batch_state/state.py",
-        "lot is not None and entry.epoch == lot.baton_epoch and",
-        "lot is not None and",
+        "job is not None and entry.epoch == job.baton_epoch and",
+        "job is not None and",
         "tests/test_batch_state.py -k baton",
     ),
     "whoever is cut off takes the duty": (
