--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -174,9 +174,9 @@
         "if False:",
         "tests/test_capacity_sharing.py -k why_not",
     ),
-    "lots are not put first": (
+    "jobs are not put first": (
         "capacity_sharing/src/capacity_sharing/outlook.py",
-        "if lot.waiting and log_ms + need_ms > lot.due_ms:",
+        "if job.waiting and log_ms + need_ms > job.due_ms:",
         "if False:",
         "tests/test_capacity_sharing.py -k Outlook",
     ),
@@ -262,9 +262,9 @@
         "batch_state/src/batch_state/item_dispatch.py",
         'if item.state == "claimed" and item.number == message.number:\n'
         "rows.append(e.ItemReturned(\n"
-        "lot_id=message.lot_id, index=message.index, number=message.number",
+        "job_id=message.job_id, index=message.index, number=message.number",
         'if item.state == "claimed": rows.append(e.ItemReturned('
-        "lot_id=message.lot_id, index=message.index, number=item.number",
+        "job_id=message.job_id, index=message.index, number=item.number",
         _CLAIMS + "handed_back_late",
     ),
     "an item's failure counts under an old number": (
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -73,8 +73,8 @@
     runs = traffic.history.of("run")
     lines.append(
         f"workers ran {len(runs)} times; lots accepted "
-        f"{sum(1 for lot in traffic.lots.values() if lot['acked'])}, "
-        f"done {sum(1 for lot in traffic.lots.values() if lot['done_ms'])}"
+        f"{sum(1 for job in traffic.jobs.values() if job['acked'])}, "
+        f"done {sum(1 for job in traffic.jobs.values() if job['done_ms'])}"
     )
     lines.append(
         "rows judged: "
--- a/libs/testbed/src/testbed/trace.py
+++ b/libs/testbed/src/testbed/trace.py
@@ -10,10 +10,14 @@
 
 __all__ = ["KINDS", "trace"]
 
+# Processes of earlier versions log `lot` and `lots`.
+_OF_JOBS = ("job", "jobs", "lot", "lots", "transaction")
+
 KINDS = {
     "transaction": ("transaction",),
     "key": ("key",),
-    "lot": ("lot", "lots", "transaction"),
+    "job": _OF_JOBS,
+    "lot": _OF_JOBS,
     "change": ("change",),
     "worker": ("worker", "by"),
     "loan": ("worker",),
@@ -38,7 +42,7 @@
             return True
         elif kind == "worker" and str(value).startswith(f"{name}/"):
             return True
-        elif kind == "lot" and field == "transaction" and f"-{name}-" in str(value):
+        elif kind in ("job", "lot") and field == "transaction" and f"-{name}-" in str(value):
             return True
     return False
 
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -34,7 +34,7 @@
 class Traffic:
     """All traffic of a day; `rate` is that of the most frequent live calls, a second.
 
-    `lots` is what clients know of their batches, `outcomes` counts answers by path, verdict and
+    `jobs` is what clients know of their batches, `outcomes` counts answers by path, verdict and
     code, `latency_ms` has the times of answers that came.
     """
 
@@ -52,9 +52,9 @@
         self._sent: dict[str, tuple[int, dict[str, Any]]] = {}
         self.latency_ms: dict[str, list[float]] = {}
         self.outcomes: Counter = Counter()
-        self.lots: dict[str, dict[str, Any]] = {}
+        self.jobs: dict[str, dict[str, Any]] = {}
         self.version = 1
-        self.lot_name = "lot"
+        self.job_name = "lot"
         self.stopping = False
         self._started_at = time.time()
         self._count = 0
@@ -167,12 +167,12 @@
 
     # -- lots ----------------------------------------------------------------------------------
 
-    async def hand_in(self, tries: int = 3, lot_id: str = "", avoid: str = "") -> dict[str, Any]:
+    async def hand_in(self, tries: int = 3, job_id: str = "", avoid: str = "") -> dict[str, Any]:
         """Submit a batch of 80 items and return its row; one in doubt is sent again."""
-        if not lot_id:
-            lot_id = f"{self.lot_name}{len(self.lots) + 1}"
+        if not job_id:
+            job_id = f"{self.job_name}{len(self.jobs) + 1}"
             path = self.rng.choice(("summaries", "summaries", "claims"))
-            self.lots[lot_id] = {
+            self.jobs[job_id] = {
                 "path": path,
                 "count": 80,
                 "began_ms": self.now_ms(),
@@ -180,12 +180,12 @@
                 "seen": 0,
                 "acked": False,
             }
-        lot = self.lots[lot_id]
+        job = self.jobs[job_id]
         row = self.history.add(
             "hand-in",
             self.now_ms(),
-            lot=lot_id,
-            path=lot["path"],
+            lot=job_id,
+            path=job["path"],
             outcome="none",
             verdict="may_have_run",
             count=80,
@@ -196,44 +196,44 @@
             status, body = await self.fleet.ask(
                 "PUT",
                 edge,
-                f"/lots/{lot_id}",
+                f"/lots/{job_id}",
                 {
-                    "path": lot["path"],
+                    "path": job["path"],
                     "items": [
-                        {"prompt": f"{lot['path']} {lot_id} item {place}"} for place in range(80)
+                        {"prompt": f"{job['path']} {job_id} item {place}"} for place in range(80)
                     ],
                 },
             )
             if status in (200, 201):
                 row.update(outcome="admitted" if status == 201 else "known", verdict="ran")
-                lot["acked"] = True
+                job["acked"] = True
             else:
                 row.update(outcome=body["error"]["code"], verdict=body["error"]["verdict"])
         except (aiohttp.ClientError, OSError, TimeoutError):
             row["outcome"] = "lost"
         row["answered_ms"] = self.now_ms()
-        self.outcomes[("lot " + lot["path"], row["verdict"], row["outcome"])] += 1
+        self.outcomes[("lot " + job["path"], row["verdict"], row["outcome"])] += 1
         if row["verdict"] == "may_have_run" and tries > 1:
             await asyncio.sleep(0.2)
-            await self.hand_in(tries - 1, lot_id, edge)
+            await self.hand_in(tries - 1, job_id, edge)
         return row
 
-    async def read(self, lot_id: str = "", start: int | None = None, final: bool = False) -> bool:
+    async def read(self, job_id: str = "", start: int | None = None, final: bool = False) -> bool:
         """Read results of a batch, by default of a random open one; return whether that worked.
 
         The last read of a day is recorded as `final` too.
         """
-        live = [name for name, lot in self.lots.items() if lot["acked"] and not lot["done_ms"]]
-        if not lot_id:
+        live = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
+        if not job_id:
             if not live:
                 return False
-            lot_id = self.rng.choice(live)
-        lot = self.lots[lot_id]
-        start = start if start is not None else self.rng.choice((0, lot["seen"]))
+            job_id = self.rng.choice(live)
+        job = self.jobs[job_id]
+        start = start if start is not None else self.rng.choice((0, job["seen"]))
         began_ms = self.now_ms()
         try:
             status, body = await self.fleet.ask(
-                "GET", self._edge(), f"/lots/{lot_id}/results?from={start}"
+                "GET", self._edge(), f"/lots/{job_id}/results?from={start}"
             )
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
@@ -245,7 +245,7 @@
             "read",
             self.now_ms(),
             began_ms=began_ms,
-            lot=lot_id,
+            lot=job_id,
             outcome=outcome,
             start=start,
             listed=body.get("listed", 0),
@@ -255,32 +255,32 @@
         )
         if final:
             self.history.add(
-                "final", self.now_ms(), lot=lot_id, outcome=outcome, listed=body.get("listed", 0)
+                "final", self.now_ms(), lot=job_id, outcome=outcome, listed=body.get("listed", 0)
             )
         if status == 200:
-            lot["seen"] = max(lot["seen"], body["listed"])
-            if (body["listed"] >= body["total"] or body["ended"]) and not lot["done_ms"]:
-                lot["done_ms"] = self.now_ms()
+            job["seen"] = max(job["seen"], body["listed"])
+            if (body["listed"] >= body["total"] or body["ended"]) and not job["done_ms"]:
+                job["done_ms"] = self.now_ms()
                 if not body["ended"]:
                     self.history.add(
-                        "lot-done", lot["done_ms"], lot=lot_id, from_ms=lot["began_ms"]
+                        "lot-done", job["done_ms"], lot=job_id, from_ms=job["began_ms"]
                     )
                     self.latency_ms.setdefault("lots of 80", []).append(
-                        lot["done_ms"] - lot["began_ms"]
+                        job["done_ms"] - job["began_ms"]
                     )
         return True
 
     async def end(self) -> None:
         """End a random open batch."""
-        live = [name for name, lot in self.lots.items() if lot["acked"] and not lot["done_ms"]]
+        live = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
         if live:
-            lot_id = self.rng.choice(live)
+            job_id = self.rng.choice(live)
             try:
-                status, _ = await self.fleet.ask("DELETE", self._edge(), f"/lots/{lot_id}")
+                status, _ = await self.fleet.ask("DELETE", self._edge(), f"/lots/{job_id}")
             except (aiohttp.ClientError, OSError, TimeoutError):
                 return
             if status == 200:
-                self.history.add("end", self.now_ms(), lot=lot_id)
+                self.history.add("end", self.now_ms(), lot=job_id)
 
     # -- operators, samples ----------------------------------------------------------------------
 
