--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -180,7 +180,7 @@
     def job(self, **fields):
         return SimpleNamespace(
             **{
-                "lot_id": "l",
+                "job_id": "l",
                 "path": "p",
                 "rollout": False,
                 "left": 10,
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -142,5 +142,5 @@
         self._receive = receive
 
     def receive(self, message, reply, source=""):
-        if type(message).__name__ != "Start":
+        if type(message).__name__ != "StartRecovery":
             self._receive(message, reply, source)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -189,7 +189,7 @@
             worker.sending = sending
             seen = (
                 self.choose([worker]) is not None,
-                self.choose([worker], item, lot_free=0.25) is not None,
+                self.choose([worker], item, job_free=0.25) is not None,
             )
             self.assertThat(seen, Equals((live, job)), f"{sending}")
         worker.sending = 3
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -133,9 +133,9 @@
         table.ask = ask
         table.cut.add("a")
         self.assertThat(table.recover("b", 2), Equals([True]))
-        self.assertThat(sent[0], Equals(("Start", 1)))
+        self.assertThat(sent[0], Equals(("StartRecovery", 1)))
         self.assertThat(
-            [fence for name, fence in sent if name != "Start" and fence < 2], Equals([])
+            [fence for name, fence in sent if name != "StartRecovery" and fence < 2], Equals([])
         )
 
     def test_a_snapshot_comes_in_parts_each_asked_for_by_the_one_before(self):
