--- a/libs/platform_testbed/src/platform_testbed/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -35,12 +35,12 @@
     rows += [
         f"{row['what']} of version {row['revision']}: {row['outcome']} {row['status']} after "
         f"{row['answered_ms'] - row['at_ms']:.0f} ms"
-        for row in day.history.of("order")
+        for row in day.history.rows_of("order")
     ]
     rows += [
         f"fault at {row['at_ms']:.0f} ms: {row['what']} "
         f"{row.get('node', '')}{'' if row.get('sure', True) else ' (a guess)'}"
-        for row in day.history.of("fault")
+        for row in day.history.rows_of("fault")
     ]
     rows.append(f"kept from running at the most: {starved_ms(day.history):.0f} ms")
     rows.append("rows judged: " + ", ".join(f"{rule} {count}" for rule, count in counts.items()))
--- a/libs/platform_testbed/src/platform_testbed/entry.py
+++ b/libs/platform_testbed/src/platform_testbed/entry.py
@@ -35,7 +35,8 @@
         ) as self._session:
             while not self.stopping:
                 await asyncio.gather(
-                    asyncio.sleep(1.0), *[self._ask(machine) for machine in self._fleet.of("edge")]
+                    asyncio.sleep(1.0),
+                    *[self._ask(machine) for machine in self._fleet.with_role("edge")],
                 )
 
     async def _ask(self, machine: Any) -> None:
--- a/libs/platform_testbed/src/platform_testbed/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -138,7 +138,7 @@
             if machine_class in ("", machine.machine_class) and not machine.removed
         ]
 
-    def of(self, machine_class: str) -> list[Machine]:
+    def with_role(self, machine_class: str) -> list[Machine]:
         """Return the machines of a class that were ever started and aren't removed."""
         return [machine for machine in self.everyone(machine_class) if machine.life]
 
--- a/libs/platform_testbed/src/platform_testbed/oracle.py
+++ b/libs/platform_testbed/src/platform_testbed/oracle.py
@@ -21,10 +21,12 @@
     """Every program starts, and none ends by itself or outlasts its grace period."""
     found = [
         f"{row['node']} ended by itself with {row['code']} in life {row['life']}"
-        for row in history.of("own-end")
+        for row in history.rows_of("own-end")
     ]
-    found += [f"{row['node']} was still there after its grace" for row in history.of("grace-over")]
-    return len(history.of("start")), found
+    found += [
+        f"{row['node']} was still there after its grace" for row in history.rows_of("grace-over")
+    ]
+    return len(history.rows_of("start")), found
 
 
 PLATFORM_RULES: dict[str, Any] = {
--- a/libs/platform_testbed/src/platform_testbed/processor_starvation.py
+++ b/libs/platform_testbed/src/platform_testbed/processor_starvation.py
@@ -77,7 +77,7 @@
     """Return the longest total time for which any one machine was kept from running."""
     end_ms = max((row["at_ms"] for row in history.rows), default=0.0)
     spans: dict[str, float] = {}
-    for row in history.of("trouble"):
+    for row in history.rows_of("trouble"):
         if row["what"] == "starved":
             spans[row["node"]] = (
                 spans.get(row["node"], 0.0)
--- a/libs/platform_testbed/src/platform_testbed/reachability.py
+++ b/libs/platform_testbed/src/platform_testbed/reachability.py
@@ -22,7 +22,7 @@
         self._contact_ms = history.settings["timing"]["contactMs"]
         self._rows: dict[str, list[tuple[float, float, bool]]] = {}
         self._core: list[tuple[float, float, bool]] = []
-        self._core_nodes = {row["node"] for row in history.of("start") if row["of"] == "core"}
+        self._core_nodes = {row["node"] for row in history.rows_of("start") if row["of"] == "core"}
         starts = [
             {
                 "node": row["node"],
@@ -31,10 +31,10 @@
                 "till_ms": row["at_ms"],
                 "planned": False,
             }
-            for row in history.of("start")
+            for row in history.rows_of("start")
             if row["life"] == 1
         ]
-        for row in [*history.of("trouble"), *starts]:
+        for row in [*history.rows_of("trouble"), *starts]:
             span = (row["at_ms"], row["till_ms"], row["planned"])
             self._rows.setdefault(row["node"], []).append(span)
             if row["of"] in ("core", "storage"):
@@ -93,4 +93,4 @@
 
 def of_tries(history: History) -> list[dict[str, Any]]:
     """Return the rows of all attempts that were sent."""
-    return [row for row in history.of("try") if "ended_ms" in row]
+    return [row for row in history.rows_of("try") if "ended_ms" in row]
--- a/libs/platform_testbed/src/platform_testbed/rules_jobs.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_jobs.py
@@ -24,11 +24,11 @@
 
 
 def _jobs(history: History) -> dict[str, dict[str, Any]]:
-    return {row["lot"]: row for row in history.of("lot")}
+    return {row["lot"]: row for row in history.rows_of("lot")}
 
 
 def _reads(history: History) -> list[dict[str, Any]]:
-    return [row for row in history.of("lot-read") if "answered_ms" in row]
+    return [row for row in history.rows_of("lot-read") if "answered_ms" in row]
 
 
 def job_lost(history: History) -> Found:
@@ -36,7 +36,7 @@
     touch, jobs, settle_ms = Touch(history), _jobs(history), history.settings["timing"]["settleMs"]
     reads = _reads(history)
     accepted: dict[str, float] = {}
-    for row in history.of("lot-try"):
+    for row in history.rows_of("lot-try"):
         if row.get("status") == 202:
             accepted.setdefault(row["lot"], row["answered_ms"])
     judged, found = len(accepted), []
@@ -78,7 +78,7 @@
         if row["final"]:
             finals.setdefault(row["lot"], []).append(row)
     bodies: dict[tuple[str, str], list[int]] = {}
-    for row in history.of("item-body"):
+    for row in history.rows_of("item-body"):
         if row["final"]:
             bodies.setdefault((row["lot"], row["item"]), []).append(row["status"])
     found = [
@@ -144,7 +144,7 @@
             )
             if reason:
                 found.append(f"lot {row['lot']}, item {name}: {reason}")
-    bodies = [row for row in history.of("item-body") if row["status"] == 200]
+    bodies = [row for row in history.rows_of("item-body") if row["status"] == 200]
     found += [
         f"item {row['item']}: its body comes back changed" for row in bodies if not row["same"]
     ]
@@ -214,7 +214,7 @@
     """No item runs of a lot that was refused at every attempt."""
     runs, judged, found = runs_by_id(history), 0, []
     statuses: dict[str, list[int]] = {}
-    for row in history.of("lot-try"):
+    for row in history.rows_of("lot-try"):
         statuses.setdefault(row["lot"], []).append(row.get("status", 0))
     for name, job in _jobs(history).items():
         if name in statuses and all(status in PROMISES for status in statuses[name]):
@@ -231,14 +231,14 @@
     """No item reaches a worker later than `cancelMs` after its lot's end was acknowledged."""
     touch, cancel_ms = Touch(history), history.settings["timing"]["cancelMs"]
     jobs, ended = _jobs(history), {}
-    for row in history.of("lot-end"):
+    for row in history.rows_of("lot-end"):
         if row.get("status") == 200 and touch.machine(row["node"], row["answered_ms"]):
             ended.setdefault(row["lot"], row["answered_ms"])
     of = {item: name for name, job in jobs.items() for item in job["items"]}
     return len(ended), [
         f"item {run['id']} reached {run['server']} {run['came_ms'] - ended[of[run['id']]]:.0f} ms "
         "after its lot's end and ran"
-        for run in history.of("run")
+        for run in history.rows_of("run")
         if of.get(run["id"]) in ended and run["came_ms"] > ended[of[run["id"]]] + cancel_ms
     ]
 
@@ -252,7 +252,7 @@
     )
     accepted: dict[str, float] = {}
     for row in sorted(
-        (row for row in history.of("lot-try") if row.get("status") == 202),
+        (row for row in history.rows_of("lot-try") if row.get("status") == 202),
         key=lambda row: row["answered_ms"],
     ):
         accepted.setdefault(row["lot"], row["answered_ms"])
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -34,7 +34,7 @@
 def runs_by_id(history: History) -> dict[str, list[dict[str, Any]]]:
     """Return all runs by the id of their request."""
     found: dict[str, list[dict[str, Any]]] = defaultdict(list)
-    for run in history.of("run"):
+    for run in history.rows_of("run"):
         found[run["id"]].append(run)
     return found
 
@@ -150,12 +150,14 @@
 
 def unasked(history: History) -> Found:
     """A worker runs only requests that a client sent, as they were sent."""
-    asked = {row["id"]: (row["method"], row["target"], row["digest"]) for row in history.of("try")}
-    for job in history.of("lot"):
+    asked = {
+        row["id"]: (row["method"], row["target"], row["digest"]) for row in history.rows_of("try")
+    }
+    for job in history.rows_of("lot"):
         asked |= {
             name: ("POST", item["path"], item["digest"]) for name, item in job["items"].items()
         }
-    runs = history.of("run")
+    runs = history.rows_of("run")
     return len(runs), [
         f"{run['server']} ran {run['id'] or 'nothing'}: {run['method']} {run['target']} "
         f"{run['digest']}, asked "
@@ -211,9 +213,9 @@
 
 def route(history: History) -> Found:
     """Only a service that some configuration ever sent allows runs a request."""
-    sent = [row["settings"] for row in history.of("order")]
+    sent = [row["settings"] for row in history.rows_of("order")]
     found = []
-    for run in history.of("run"):
+    for run in history.rows_of("run"):
         services = set().union(
             *[allowed_services(settings, run["host"], run["target"]) or set() for settings in sent]
         )
@@ -222,7 +224,7 @@
                 f"{run['server']} of {run['service']} ran {run['host']}{run['target']}, allowed "
                 f"{sorted(services)}"
             )
-    return len(history.of("run")), found
+    return len(history.rows_of("run")), found
 
 
 def drained(history: History) -> Found:
@@ -232,17 +234,17 @@
     """
     touch, slack_ms = Touch(history), history.settings["timing"]["drainMs"]
     acked: dict[str, float] = {}
-    for row in history.of("drain-ack"):
+    for row in history.rows_of("drain-ack"):
         if touch.machine(row.get("node", ""), row["at_ms"]):
             acked.setdefault(row["server"], row["at_ms"])
-    nodes = {row["id"]: row for row in history.of("try")}
+    nodes = {row["id"]: row for row in history.rows_of("try")}
     away = {
         (row["id"], row["server"], row["came_ms"])
-        for row in history.of("turned-away")
+        for row in history.rows_of("turned-away")
         if row["status"] == 421
     }
     found = []
-    for row in history.of("arrival"):
+    for row in history.rows_of("arrival"):
         late_ms = row["at_ms"] - acked.get(row["server"], float("inf")) - slack_ms
         mine = nodes.get(row["id"])
         calm = (
@@ -258,9 +260,9 @@
 def lost_requests(history: History) -> Found:
     """Around planned stops and signals, a request that was read gets its whole answer."""
     touch, runs, timing = Touch(history), runs_by_id(history), history.settings["timing"]
-    arrived = {row["id"] for row in history.of("arrival")}
+    arrived = {row["id"] for row in history.rows_of("arrival")}
     grace_ms = timing["graceS"] * 1000
-    hang_ups = [(row["node"], row["at_ms"]) for row in history.of("hang-up")]
+    hang_ups = [(row["node"], row["at_ms"]) for row in history.rows_of("hang-up")]
     judged, found = 0, []
     for row in of_tries(history):
         stops = [
@@ -303,7 +305,7 @@
     """
     touch, runs = Touch(history), runs_by_id(history)
     arrived: dict[str, list[float]] = defaultdict(list)
-    for row in [*history.of("arrival"), *history.of("turned-away")]:
+    for row in [*history.rows_of("arrival"), *history.rows_of("turned-away")]:
         arrived[row["id"]].append(row["at_ms"])
     judged, found = 0, []
     for row in of_tries(history):
@@ -338,8 +340,8 @@
     """
     silent = {
         gone["server"]
-        for gone in history.of("worker-gone")
+        for gone in history.rows_of("worker-gone")
         if gone["how"] == "dark" and gone["at_ms"] <= row["ended_ms"]
     }
-    reached = {seen["server"] for seen in history.of("arrival") if seen["id"] == row["id"]}
+    reached = {seen["server"] for seen in history.rows_of("arrival") if seen["id"] == row["id"]}
     return bool(silent & (reached | {run["server"] for run in mine}))
--- a/libs/platform_testbed/src/platform_testbed/rules_settings.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_settings.py
@@ -18,7 +18,7 @@
 def _versions(history: History) -> list[dict[str, Any]]:
     """The orders that may ever be in force, by their numbers."""
     return sorted(
-        (row for row in history.of("order") if row["valid"] and row["outcome"] != "refused"),
+        (row for row in history.rows_of("order") if row["valid"] and row["outcome"] != "refused"),
         key=lambda row: row["revision"],
     )
 
@@ -71,8 +71,8 @@
                     f"{row['id']} at {row['node']}, sent at {row['sent_ms']:.0f}: "
                     f"{run['service']} ran it, in force are {possible}"
                 )
-    items = {name for job in history.of("lot") for name in job["items"]}
-    for run in history.of("run"):
+    items = {name for job in history.rows_of("lot") for name in job["items"]}
+    for run in history.rows_of("run"):
         if run["id"] not in items or not touch.calm(run["came_ms"]):
             continue
         judged += 1
@@ -150,7 +150,7 @@
 
     What was refused never runs a request and is never read back.
     """
-    orders, found = history.of("order"), []
+    orders, found = history.rows_of("order"), []
     for row in orders:
         if row["outcome"] == "acked" and not row["valid"]:
             found.append(f"{row['what']} was acknowledged though it is invalid")
@@ -165,7 +165,7 @@
     ]
     held = [row["settings"] for row in orders if row["valid"] and row["outcome"] != "refused"]
     lost = [row for row in orders if row["outcome"] == "refused" or not row["valid"]]
-    for run in history.of("run"):
+    for run in history.rows_of("run"):
         by_held = any(
             run["service"] in (allowed_services(settings, run["host"], run["target"]) or ())
             for settings in held
@@ -183,7 +183,7 @@
     }
     found += [
         f"refused version {row['settings'].get('revision')} was read back"
-        for row in history.of("read-back")
+        for row in history.rows_of("read-back")
         if row["settings"] and row["settings"].get("revision") in numbers
     ]
     return len(lost), found
@@ -191,7 +191,7 @@
 
 def read_back(history: History) -> Found:
     """What is read back is as new as the last acknowledgement, and as it was sent."""
-    rows, found = history.of("read-back"), []
+    rows, found = history.rows_of("read-back"), []
     versions = _versions(history)
     newest = max((row["revision"] for row in versions if row["outcome"] == "acked"), default=0)
     for row in rows:
@@ -212,10 +212,10 @@
     """After the closing fault, a quarter of the requests later than the bound are served."""
     bound_ms = history.settings["timing"]["recoveryS"] * 1000
     judged, found = 0, []
-    for row in history.of("back"):
+    for row in history.rows_of("back"):
         asked = [
             request
-            for request in history.of("request")
+            for request in history.rows_of("request")
             if request["at_ms"] > row["at_ms"] + bound_ms
         ]
         good = [
@@ -241,7 +241,7 @@
     """
     touch, bound_ms = Touch(history), history.settings["timing"]["ackMs"]
     judged, found = 0, []
-    for row in history.of("order"):
+    for row in history.rows_of("order"):
         till_ms = row["at_ms"] + bound_ms
         if (
             row["what"] == "first"
@@ -258,7 +258,7 @@
             )
     left = [
         row
-        for row in history.of("worker-gone")
+        for row in history.rows_of("worker-gone")
         if row["how"] == "left" and touch.settled(row["at_ms"] - bound_ms, row["at_ms"])
     ]
     without = [row["server"] for row in left if not row["acked"]]
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -87,7 +87,7 @@
 
     async def holder(self) -> Machine:
         """Return the store that holds the log; a random one if none reports that it does."""
-        stores = [machine for machine in self.fleet.of("storage") if machine.runs]
+        stores = [machine for machine in self.fleet.with_role("storage") if machine.runs]
         for machine in stores:
             if (await self._own(machine, "/status")).get("log_role") == "serving":
                 return self._hit("holder", machine, True)
@@ -95,7 +95,7 @@
 
     async def owner(self) -> Machine:
         """Return the control machine that owns the key `profiles`; a random one if unknown."""
-        core = [machine for machine in self.fleet.of("core") if machine.runs]
+        core = [machine for machine in self.fleet.with_role("core") if machine.runs]
         for machine in core:
             shown = await self._own(machine, "/members")
             owner = shown.get("keys", {}).get("profiles", {}).get("owner")
@@ -119,7 +119,7 @@
         founding = asyncio.ensure_future(self.operator.found(_FOUND_S))
         while not founding.done():
             await asyncio.wait([founding], timeout=0.2)
-            ends = [row["node"] for row in self.history.of("own-end")]
+            ends = [row["node"] for row in self.history.rows_of("own-end")]
             if any(ends.count(node) >= _ENDS for node in ends):
                 founding.cancel()
                 raise AssertionError(
@@ -129,9 +129,9 @@
             raise AssertionError(f"the first configuration was not taken within {_FOUND_S} s")
         taken_ms = self.clock()
         while self.clock() < taken_ms + 10_000:
-            newest = {row["node"]: row["ready"] for row in self.history.of("ready")}
+            newest = {row["node"]: row["ready"] for row in self.history.rows_of("ready")}
             if (
-                all(newest.get(machine.name) for machine in self.fleet.of("edge"))
+                all(newest.get(machine.name) for machine in self.fleet.with_role("edge"))
                 and self.clock() > taken_ms + 1800
             ):
                 break
@@ -150,7 +150,7 @@
             ]
             self._extra += [path for path in added if path not in self._extra]
             host = self.sheet.routes["lookup"]["hostname"]
-            for machine in self.fleet.of("edge"):
+            for machine in self.fleet.with_role("edge"):
                 newest = [*self._extra[-1:], f"/never{self.rng.getrandbits(16):x}/"]
                 for path in {newest[turn % len(newest)], self.rng.choice(self._extra or newest)}:
                     self.live.spawn(
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -62,7 +62,7 @@
 
 
 async def hang_up_edges(day: Day) -> None:
-    for machine in day.fleet.of("edge"):
+    for machine in day.fleet.with_role("edge"):
         day.fleet.hang_up(machine)
 
 
@@ -115,7 +115,7 @@
 
 
 async def kill_edge(day: Day) -> None:
-    await day.fleet.lost(day.rng.choice(day.fleet.of("edge")), 1.5)
+    await day.fleet.lost(day.rng.choice(day.fleet.with_role("edge")), 1.5)
 
 
 async def freeze_holder(day: Day) -> None:
@@ -127,7 +127,7 @@
 
 
 async def freeze_edge(day: Day) -> None:
-    await day.fleet.freeze(day.rng.choice(day.fleet.of("edge")), 3.2)
+    await day.fleet.freeze(day.rng.choice(day.fleet.with_role("edge")), 3.2)
 
 
 async def wipe_store(day: Day) -> None:
@@ -147,17 +147,17 @@
 
 
 async def roll_edges(day: Day) -> None:
-    for machine in list(day.fleet.of("edge")):
+    for machine in list(day.fleet.with_role("edge")):
         await day.fleet.term(machine)
         await asyncio.sleep(2.5)
 
 
 async def term_edge(day: Day) -> None:
-    await day.fleet.term(day.rng.choice(day.fleet.of("edge")))
+    await day.fleet.term(day.rng.choice(day.fleet.with_role("edge")))
 
 
 async def roll_core(day: Day) -> None:
-    for machine in [*day.fleet.of("core"), *day.fleet.of("storage")]:
+    for machine in [*day.fleet.with_role("core"), *day.fleet.with_role("storage")]:
         await day.fleet.term(machine)
         await asyncio.sleep(2.5)
 
--- a/libs/platform_testbed/src/platform_testbed/value.py
+++ b/libs/platform_testbed/src/platform_testbed/value.py
@@ -36,7 +36,9 @@
     for name, kind in kinds.items():
         if kind.route_type == "bulk":
             continue
-        requests = [row for row in history.of("request") if row["of"] == name and not row["leaves"]]
+        requests = [
+            row for row in history.rows_of("request") if row["of"] == name and not row["leaves"]
+        ]
         earned, firsts, gaps = 0.0, [], []
         for request in requests:
             last = next((row for row in reversed(request["tries"]) if _good(row)), None)
@@ -70,7 +72,7 @@
     """Events that came later from their worker than the pass allows, of how many."""
     made_ms = {
         (run["run"], number): at_ms
-        for run in history.of("run")
+        for run in history.rows_of("run")
         for number, at_ms in zip(run["events"], run["made_ms"], strict=True)
     }
     late = count = 0
@@ -88,8 +90,8 @@
 def _jobs(history: History) -> dict[str, Any]:
     owed = earned = done = 0
     answers, times = [], []
-    for job in history.of("lot"):
-        tries = [row for row in history.of("lot-try") if row["lot"] == job["lot"]]
+    for job in history.rows_of("lot"):
+        tries = [row for row in history.rows_of("lot-try") if row["lot"] == job["lot"]]
         answers += [
             row["answered_ms"] - row["sent_ms"] for row in tries if row.get("status") == 202
         ]
@@ -106,11 +108,11 @@
             times.append(seen[1] - job["at_ms"])
             earned += bool(quick and seen[3] <= job["at_ms"] + job["due_ms"] + 700)
     return {
-        "lots": len(history.of("lot")),
+        "lots": len(history.rows_of("lot")),
         "items_owed": owed,
         "items_done": done,
         "in_time": round(earned / owed, 3) if owed else None,
         "taken_ms": _quantiles(answers),
         "read_ms": _quantiles(times),
-        "hand_ins": dict(Counter(row.get("status", 0) for row in history.of("lot-try"))),
+        "hand_ins": dict(Counter(row.get("status", 0) for row in history.rows_of("lot-try"))),
     }
--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -29,15 +29,15 @@
         self.jobs: dict[str, dict[str, Any]] = {}
 
     def _edge(self, avoid: str = "") -> Any:
-        edges = [host for host in self._fleet.of("edge") if host.up and host.name != avoid]
+        edges = [host for host in self._fleet.with_role("edge") if host.up and host.name != avoid]
         return self._rng.choice(edges) if edges else None
 
     def _at(self, host: Any, what: Callable[[], None]) -> None:
-        life = host.life
+        incarnation = host.incarnation
 
         def arrive() -> None:
-            if host.up and host.life == life:
-                host.when_awake(what, life)
+            if host.up and host.incarnation == incarnation:
+                host.when_awake(what, incarnation)
 
         self._time.after(1.0, arrive)
 
@@ -91,7 +91,7 @@
 
     # -- lots ----------------------------------------------------------------------------------
 
-    def hand_in(
+    def submit(
         self,
         path: str,
         count: int,
@@ -138,7 +138,7 @@
                 self.jobs[job_id]["acked"] = True
             elif verdict == "may_have_run" and tries > 1:
                 self._time.after(
-                    100, lambda: self.hand_in(path, count, tries - 1, job_id, host.name, done)
+                    100, lambda: self.submit(path, count, tries - 1, job_id, host.name, done)
                 )
             if done is not None:
                 done(row)
@@ -185,10 +185,10 @@
         job = self.jobs[job_id]
         drawn = self._rng.choice((0, len(job["results"])))
         start = drawn if start is None else start
-        life, began_ms = host.life, self._time.now_ms
+        incarnation, began_ms = host.incarnation, self._time.now_ms
 
         def told(answer: Answer) -> None:
-            if host.life != life or not host.up or answer.status not in (200, 404):
+            if host.incarnation != incarnation or not host.up or answer.status not in (200, 404):
                 return
             shown = json.loads(answer.body)
             known = answer.status == 200
@@ -232,11 +232,11 @@
         host = self._edge()
         if host is None:
             return
-        life = host.life
+        incarnation = host.incarnation
         asked = self._history.ask("end", self._time.now_ms, lot=job_id)
 
         def told(answer: Answer) -> None:
-            if answer.status == 200 and host.life == life and host.up:
+            if answer.status == 200 and host.incarnation == incarnation and host.up:
                 asked.update(outcome="ok", answered_ms=self._time.now_ms)
                 self.jobs[job_id]["ended"] = True
                 self._history.add("end", self._time.now_ms, lot=job_id)
--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -16,8 +16,8 @@
 class SimDisk:
     """A disk of `room_bytes` with the interface of `storage.FolderDisk`.
 
-    A flush takes between 0.5 and 1.5 times `flush_ms` of virtual time. `flushes` and `asides` count
-    the flushes done and the times that damaged content was set aside.
+    A flush takes between 0.5 and 1.5 times `flush_ms` of virtual time. `flushes` counts the
+    flushes done, `set_aside_count` the times that damaged content was set aside.
     """
 
     __slots__ = (
@@ -27,8 +27,8 @@
         "_host",
         "_pending",
         "_time",
-        "_whole_bytes",
-        "asides",
+        "_full_room_bytes",
+        "set_aside_count",
         "flush_ms",
         "flushes",
         "room_bytes",
@@ -41,10 +41,10 @@
         self._pending: dict[str, list[tuple[str, int, bytes]]] = {}
         self._busy_until_ms = 0.0
         self._host: Any = None
-        self.room_bytes = self._whole_bytes = room_bytes
+        self.room_bytes = self._full_room_bytes = room_bytes
         self.flush_ms = flush_ms
         self.flushes = 0
-        self.asides = 0
+        self.set_aside_count = 0
 
     def bind(self, host: Any) -> None:
         """Attach the disk to the process that its host is about to start."""
@@ -131,7 +131,7 @@
 
     def set_aside(self) -> None:
         """Count a disk whose content is damaged, and start again from an empty one."""
-        self.asides += 1
+        self.set_aside_count += 1
         self._files.clear()
         self._durable.clear()
         self._pending.clear()
@@ -139,13 +139,13 @@
     # -- what happens to it --------------------------------------------------------------------
 
     def _later(self, what: Callable[[], None]) -> None:
-        host, life = self._host, self._host.life
+        host, incarnation = self._host, self._host.incarnation
         start_ms = max(self._time.now_ms, self._busy_until_ms)
         self._busy_until_ms = start_ms + self.flush_ms * (0.5 + self._time.rng.random())
 
         def due() -> None:
-            if host.life == life and host.up:
-                host.when_awake(what, life)
+            if host.incarnation == incarnation and host.up:
+                host.when_awake(what, incarnation)
 
         self._time.after(self._busy_until_ms - self._time.now_ms, due)
 
@@ -174,9 +174,9 @@
         """Reduce the room to a tenth more than is in use."""
         self.room_bytes = int(sum(len(data) for data in self._files.values()) * 1.1)
 
-    def empty(self) -> None:
+    def restore_capacity(self) -> None:
         """Restore the full room; files stay."""
-        self.room_bytes = self._whole_bytes
+        self.room_bytes = self._full_room_bytes
 
     def wipe(self) -> None:
         """Lose all files, as when a disk is replaced by a blank one."""
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -72,9 +72,9 @@
         fleet.network.zones[worker.address] = worker.zone
         fleet.workers[worker.address] = worker
 
-    def found(self) -> None:
+    def start(self) -> None:
         """Start the fleet; AssertionError if it does not get ready."""
-        self.run.found()
+        self.run.start()
         self.start_ms = self.fleet.time.now_ms
         self.fleet.history.settings.update(night_ms=self.start_ms + _EVENING_MS)
 
@@ -92,7 +92,7 @@
 
     def plan(self) -> None:
         """Schedule calls, batches and faults, all drawn beforehand from a separate generator."""
-        rng, after, visitors = self._rng, self.fleet.time.after, self.run.visitors
+        rng, after, clients = self._rng, self.fleet.time.after, self.run.clients
         at_ms = 0.0
         while (at_ms := at_ms + rng.expovariate(self.rate(at_ms) / 1000)) < _SPAN_MS:
             dice = rng.random()
@@ -102,8 +102,8 @@
             else:
                 self._plan_move(at_ms, f"move{int(at_ms * 10)}", dice < 0.85)
         for job_ms in (1000.0, 3500.0):
-            after(job_ms, lambda: visitors.hand_in("summaries", 12))
-        after(_EVENING_MS + 300, lambda: visitors.hand_in("summaries", 90))
+            after(job_ms, lambda: clients.submit("summaries", 12))
+        after(_EVENING_MS + 300, lambda: clients.submit("summaries", 90))
         for fault_ms, what in FAULTS_OF_AN_EVENING if self.faulty else ():
             place = rng.randrange(3)
             after(fault_ms, lambda what=what, place=place: self._fault(what, place))
@@ -117,9 +117,7 @@
         """Schedule rollouts and the loans of whole workers."""
         trainers, after = self.trainers, self.fleet.time.after
         for at_ms, prompts, samples in ((200.0, 20, 2), (2500.0, 20, 2), (_EVENING_MS, 40, 4)):
-            after(
-                at_ms, lambda prompts=prompts, samples=samples: trainers.hand_in(prompts, samples)
-            )
+            after(at_ms, lambda prompts=prompts, samples=samples: trainers.submit(prompts, samples))
         after(500.0, lambda: trainers.borrow(700.0, "w1", self.start_ms + _SPAN_MS))
         trainers.watch()
 
@@ -133,8 +131,8 @@
             return
         control = {host.node.voter.identity: host for host in fleet.running("control")}
         host = {
-            "edge": lambda: fleet.of("edge")[place],
-            "holder": fleet.holder,
+            "edge": lambda: fleet.with_role("edge")[place],
+            "holder": fleet.leader,
             "owner": lambda: control.get(next(iter(control.values())).node.owner.owner_of("loans")),
         }[what]()
         if host is not None:
@@ -152,7 +150,7 @@
         fleet.run_until_true(
             lambda: (
                 all(row["done_ms"] for row in self.trainers.rollouts.values())
-                and all(job["done"] for job in self.run.visitors.jobs.values() if job["acked"])
+                and all(job["done"] for job in self.run.clients.jobs.values() if job["acked"])
             ),
             rest_ms,
         )
@@ -167,6 +165,6 @@
 ) -> Evening:
     """Return an Evening that has been played to its end."""
     evening = Evening(seed, rollouts, faulty, share, chance)
-    evening.found()
+    evening.start()
     evening.play()
     return evening
--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -10,7 +10,7 @@
 
 
 def _pick(fleet: Any, role: str) -> Any:
-    hosts = [host for host in fleet.of(role) if host.up]
+    hosts = [host for host in fleet.with_role(role) if host.up]
     return fleet.time.rng.choice(hosts) if hosts else None
 
 
@@ -24,7 +24,7 @@
 
 def crash_holder(fleet: Any, down_ms: float) -> None:
     """Kill the log's holder and start its process again after `down_ms`."""
-    host = fleet.holder()
+    host = fleet.leader()
     if host is not None:
         host.kill()
         fleet.time.after(down_ms, host.start)
@@ -32,7 +32,7 @@
 
 def crash_owner(fleet: Any, down_ms: float) -> None:
     """Kill the owner of the key `profiles` and start its process again after `down_ms`."""
-    for host in fleet.of("control"):
+    for host in fleet.with_role("control"):
         if host.up and host.node.owner.owner_of("profiles") == host.node.voter.identity:
             host.kill()
             fleet.time.after(down_ms, host.start)
@@ -44,7 +44,7 @@
 
     `role` may also be `holder`, for the log's holder.
     """
-    host = fleet.holder() if role == "holder" else _pick(fleet, role)
+    host = fleet.leader() if role == "holder" else _pick(fleet, role)
     if host is not None:
         host.freeze()
         host.wall_step_ms += step_ms
@@ -59,7 +59,7 @@
 
 def loss(fleet: Any, rate: float, for_ms: float) -> None:
     """Lose and duplicate messages at `rate` for `for_ms`."""
-    fleet.network.loss_rate = fleet.network.double_rate = rate
+    fleet.network.loss_rate = fleet.network.duplicate_rate = rate
     fleet.time.after(for_ms, fleet.network.heal)
 
 
@@ -74,7 +74,7 @@
 
 def control_split(fleet: Any, for_ms: float, cut_off: bool) -> None:
     """Split two control nodes from the rest, or all of them from the fleet if `cut_off`."""
-    control = [host.address for host in fleet.of("control")]
+    control = [host.address for host in fleet.with_role("control")]
     others = [host.address for host in fleet.hosts.values() if host.role != "control"]
     groups = [control, others] if cut_off else [control[:2], control[2:]]
     fleet.network.split(groups)
@@ -83,7 +83,7 @@
 
 def minority_cut(fleet: Any, for_ms: float, restart: bool) -> None:
     """Cut most edges and a store off from control, for longer than any node is remembered."""
-    side = [host for host in fleet.of("edge")[1:]] + fleet.of("store")[:1]
+    side = [host for host in fleet.with_role("edge")[1:]] + fleet.with_role("store")[:1]
     names = [host.address for host in side]
     fleet.network.split(
         [names, [host.address for host in fleet.hosts.values() if host.address not in names]]
@@ -124,9 +124,9 @@
 
 def fill(fleet: Any, role: str, for_ms: float) -> None:
     """Take the free room of all disks of a role away for `for_ms`."""
-    for host in fleet.of(role):
+    for host in fleet.with_role(role):
         host.disk.fill()
-        fleet.time.after(for_ms, host.disk.empty)
+        fleet.time.after(for_ms, host.disk.restore_capacity)
 
 
 def damage(fleet: Any, role: str) -> None:
@@ -145,7 +145,7 @@
 
 def lose_disk(fleet: Any, role: str, down_ms: float) -> None:
     """Kill a process, wipe its disk, and start it again after `down_ms`."""
-    host = fleet.holder() if role == "holder" else _pick(fleet, role)
+    host = fleet.leader() if role == "holder" else _pick(fleet, role)
     if host is not None:
         host.lose_disk()
         fleet.time.after(down_ms, host.start)
@@ -169,7 +169,7 @@
     if len(workers) < 2:
         return
     worker = fleet.time.rng.choice(workers)
-    name = f"worker{len(fleet.history.of('worker-left')) + 100}"
+    name = f"worker{len(fleet.history.rows_of('worker-left')) + 100}"
     if how == "crash":
         worker.crash()
         fleet.time.after(2000, lambda: fleet.add_worker(name, ["gpu"]))
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -124,19 +124,19 @@
         elif event in ("started", "woken") and name in self._away:
             self._away.pop(name)["until_ms"] = self.time.now_ms
 
-    def of(self, role: str) -> list[SimHost]:
+    def with_role(self, role: str) -> list[SimHost]:
         """Return all hosts of a role, running or not."""
         return [host for host in self.hosts.values() if host.role == role]
 
     def running(self, role: str) -> list[SimHost]:
         """Return the hosts of a role that are up and not frozen."""
-        return [host for host in self.of(role) if host.up and not host.frozen]
+        return [host for host in self.with_role(role) if host.up and not host.frozen]
 
-    def holder(self) -> SimHost | None:
+    def leader(self) -> SimHost | None:
         """Return the store that serves as holder under the highest epoch, or None."""
         serving = [
             host
-            for host in self.of("store")
+            for host in self.with_role("store")
             if host.up and host.node.log.holder is not None and host.node.log.role == "serving"
         ]
         return max(serving, key=lambda host: host.node.log.holder.epoch, default=None)
@@ -152,18 +152,18 @@
             self.time.now_ms,
             free=round(free / max(1, sum(worker.slots for worker in able)), 2),
         )
-        for host in self.of("edge"):
+        for host in self.with_role("edge"):
             if host.up and not host.frozen:
                 self.history.add(
                     "sample",
                     self.time.now_ms,
                     edge=host.name,
-                    life=host.life,
+                    incarnation=host.incarnation,
                     ready=not host.node.why_unready(),
                     number=host.node.config_feed.number("profiles"),
                     mark=_mark(host.node.tree()),
                 )
-        for host in self.of("store"):
+        for host in self.with_role("store"):
             holder = host.node.log.holder if host.up and not host.frozen else None
             if holder is not None and not holder.deposed:
                 paths = {job.path for job in holder.ledger.opened.values()}
@@ -181,10 +181,10 @@
     def ready(self) -> bool:
         """Return whether all edges and stores take requests and all control nodes have a quorum."""
         return all(
-            not host.node.why_unready() for host in self.of("edge") + self.of("store")
-        ) and all(host.node.quorate() for host in self.of("control"))
+            not host.node.why_unready() for host in self.with_role("edge") + self.with_role("store")
+        ) and all(host.node.quorate() for host in self.with_role("control"))
 
-    def on_the_roll(self) -> bool:
+    def in_serving_set(self) -> bool:
         """Return whether every running host's roll lists exactly the running edges and stores."""
         links = {host.address for host in self.hosts.values() if host.up and host.role != "control"}
         return all(host.node.config_feed.roll() == links for host in self.hosts.values() if host.up)
--- a/libs/simulator/src/simulator/history.py
+++ b/libs/simulator/src/simulator/history.py
@@ -35,6 +35,6 @@
         self.asked.append(row)
         return row
 
-    def of(self, kind: str) -> list[dict[str, Any]]:
+    def rows_of(self, kind: str) -> list[dict[str, Any]]:
         """Return the rows of a kind, in order."""
         return [row for row in self.rows if row["kind"] == kind]
--- a/libs/simulator/src/simulator/hosts.py
+++ b/libs/simulator/src/simulator/hosts.py
@@ -47,7 +47,7 @@
 
 
 class SimHost:
-    """A machine and its process; `life` counts the process's starts and kills.
+    """A machine and its process; `incarnation` counts the process's starts and kills.
 
     `make` builds the node for each start, `sink` gets the events to trace.
     """
@@ -61,7 +61,7 @@
         "deferred",
         "disk",
         "frozen",
-        "life",
+        "incarnation",
         "name",
         "network",
         "node",
@@ -92,7 +92,7 @@
         self.frozen = False
         self.buffer: list[tuple] = []
         self.deferred: list[tuple[Callable[[], None], int]] = []
-        self.life = 0
+        self.incarnation = 0
         self.boot_ms = time.rng.randrange(1, 10_000_000)
         self.wall_step_ms = 0
         network.hosts[address] = self
@@ -105,8 +105,8 @@
         """Start the process with a new node on the same disk; nothing if it is running."""
         if self.up:
             return
-        self.life += 1
-        if self.life > 1 and self.settings.first_start:
+        self.incarnation += 1
+        if self.incarnation > 1 and self.settings.first_start:
             self.settings = self.settings.model_copy(update={"first_start": False})
         self.up, self.frozen = True, False
         self.buffer.clear()
@@ -115,20 +115,22 @@
             self.disk.bind(self)
         self.node = self._make(self, SimEnvironment(self, self.time.rng.getrandbits(48)))
         self.trace("started", {})
-        self._tick(self.life)
+        self._tick(self.incarnation)
 
-    def _tick(self, life: int) -> None:
-        if life != self.life or not self.up:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation or not self.up:
             return
         if not self.frozen:
             self.node.tick()
-        self.time.after(_TICK_MS * (0.9 + 0.2 * self.time.rng.random()), lambda: self._tick(life))
+        self.time.after(
+            _TICK_MS * (0.9 + 0.2 * self.time.rng.random()), lambda: self._tick(incarnation)
+        )
 
     def kill(self) -> None:
         """End the process at once; what it wrote stays on disk."""
         if self.up:
             self.up = False
-            self.life += 1
+            self.incarnation += 1
             self.trace("killed", {})
 
     def lose_power(self) -> None:
@@ -165,13 +167,13 @@
         for sender, ref, re, message in rows:
             if self.up:
                 self.node.receive(sender, ref, re, message)
-        for what, life in deferred:
-            if life == self.life:
+        for what, incarnation in deferred:
+            if incarnation == self.incarnation:
                 what()
 
-    def when_awake(self, what: Callable[[], None], life: int) -> None:
-        """Run `what` now, or on waking if the process is frozen; never in a later life."""
+    def when_awake(self, what: Callable[[], None], incarnation: int) -> None:
+        """Run `what` now, or on waking if the process is frozen; never in a later incarnation."""
         if self.frozen:
-            self.deferred.append((what, life))
-        elif life == self.life:
+            self.deferred.append((what, incarnation))
+        elif incarnation == self.incarnation:
             what()
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -48,16 +48,20 @@
             return
         row["transaction"] = carriage.tx.transaction_id
         if self._hangs_up_ms:
-            self._time.after(self._hangs_up_ms, lambda: self._hang_up(carriage, host.life))
+            self._time.after(self._hangs_up_ms, lambda: self._hang_up(carriage, host.incarnation))
 
     def give_up(self) -> None:
         """Record the call as lost, unless it has an outcome."""
         self._answered("lost", "may_have_run")
 
-    def _hang_up(self, carriage: Any, life: int) -> None:
-        if self._row["outcome"] == "none" and self._host.up and self._host.life == life:
+    def _hang_up(self, carriage: Any, incarnation: int) -> None:
+        if (
+            self._row["outcome"] == "none"
+            and self._host.up
+            and self._host.incarnation == incarnation
+        ):
             self._answered("hung-up", "may_have_run")
-            self._host.when_awake(carriage.gone, life)
+            self._host.when_awake(carriage.gone, incarnation)
 
     def _delivered(self, event: bytes) -> None:
         self._row.setdefault("first_ms", self._time.now_ms)
--- a/libs/simulator/src/simulator/operators.py
+++ b/libs/simulator/src/simulator/operators.py
@@ -45,7 +45,7 @@
         self.more: dict[str, Any] = {}
         self.acked: dict[str, tuple[int, str]] = {}
 
-    def ask_again(self, count: int) -> None:
+    def resend_acknowledged(self, count: int) -> None:
         """Send the last `count` acknowledged changes once more under their ids.
 
         The final answers are recorded for the oracle; rounds end when all are known.
@@ -107,10 +107,10 @@
         tree = tree_of(mark)
         tree["profiles"].update(self.more)
         body = json.dumps(tree, sort_keys=True)
-        life = host.life
+        incarnation = host.incarnation
 
         def answered(receipt: Any) -> None:
-            if row["outcome"] != "none" or host.life != life or not host.up:
+            if row["outcome"] != "none" or host.incarnation != incarnation or not host.up:
                 return
             row.update(
                 outcome=receipt.outcome, version=receipt.version, answered_ms=self._time.now_ms
@@ -125,13 +125,13 @@
                 done(row)
 
         def begin() -> None:
-            if host.up and host.life == life:
+            if host.up and host.incarnation == incarnation:
                 host.when_awake(
                     lambda: host.node.owner.submit(
                         Change(key="profiles", version=named, change_id=mark, body=body, hops=0),
                         answered,
                     ),
-                    life,
+                    incarnation,
                 )
 
         self._time.after(1.0, begin)
--- a/libs/simulator/src/simulator/reading_workers.py
+++ b/libs/simulator/src/simulator/reading_workers.py
@@ -69,7 +69,7 @@
     def _tell(self, leaving: bool) -> bool:
         edges = [
             host
-            for host in self._fleet.of("edge")
+            for host in self._fleet.with_role("edge")
             if host.up
             and not host.frozen
             and self._fleet.network.passes(self.address, host.address)
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -36,7 +36,7 @@
 class Run:
     """A fleet with its clients and operators; `items` bounds the size of batches."""
 
-    __slots__ = ("fleet", "items", "operators", "stopped", "visitors")
+    __slots__ = ("fleet", "items", "operators", "stopped", "clients")
 
     def __init__(
         self,
@@ -52,21 +52,21 @@
             allowed=["gpu"],
             limits_ms={"rulings": 2000, "narrations": 5000, "moves": 5000},
         )
-        self.visitors = Clients(self.fleet)
+        self.clients = Clients(self.fleet)
         self.operators = Operators(self.fleet)
         self.stopped = False
 
-    def found(self) -> None:
+    def start(self) -> None:
         """Start the fleet; AssertionError if it does not get ready in time."""
         fleet = self.fleet
         if not fleet.run_until_true(
-            lambda: all(host.node.quorate() for host in fleet.of("control")), _FOUND_MS
+            lambda: all(host.node.quorate() for host in fleet.with_role("control")), _FOUND_MS
         ):
             raise AssertionError("control was not founded")
         self.operators.change()
         if not fleet.run_until_true(fleet.ready, _FOUND_MS):
             raise AssertionError("the fleet did not get ready")
-        if not fleet.run_until_true(fleet.on_the_roll, _FOUND_MS):
+        if not fleet.run_until_true(fleet.in_serving_set, _FOUND_MS):
             raise AssertionError("edges and stores did not get on the roll")
         fleet.run_until_true(lambda: False, 600)
         fleet.start_sampling()
@@ -75,18 +75,18 @@
         """Send a random request about every `every_ms`, until `stopped`."""
         if self.stopped:
             return
-        rng, visitors = self.fleet.time.rng, self.visitors
+        rng, clients = self.fleet.time.rng, self.clients
         dice = rng.random()
         if dice < 0.42:
-            visitors.live(rng.choice(_CONSTANT), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0)
+            clients.live(rng.choice(_CONSTANT), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0)
         elif dice < 0.65:
             self._move()
         elif dice < 0.72:
-            visitors.hand_in(rng.choice(("summaries", "claims")), rng.randrange(*self.items))
-        elif dice < 0.93 and visitors.jobs:
-            visitors.read(rng.choice(list(visitors.jobs)[-6:]))
-        elif dice < 0.95 and visitors.jobs:
-            visitors.end(rng.choice(list(visitors.jobs)[-3:]))
+            clients.submit(rng.choice(("summaries", "claims")), rng.randrange(*self.items))
+        elif dice < 0.93 and clients.jobs:
+            clients.read(rng.choice(list(clients.jobs)[-6:]))
+        elif dice < 0.95 and clients.jobs:
+            clients.end(rng.choice(list(clients.jobs)[-3:]))
         elif dice >= 0.95:
             self.operators.change()
             if rng.random() < 0.5:
@@ -95,12 +95,12 @@
 
     def _move(self) -> None:
         """Send a call with a key of its own; now and then reuse the key for another prompt."""
-        visitors, key = self.visitors, f"key{len(self.fleet.history.rows)}"
-        visitors.live("moves", key, 3)
+        clients, key = self.clients, f"key{len(self.fleet.history.rows)}"
+        clients.live("moves", key, 3)
         if self.fleet.time.rng.random() < 0.2:
             self.fleet.time.after(
                 200 * self.fleet.time.rng.random(),
-                lambda: visitors.live("moves", key, asked=f"{key}-other"),
+                lambda: clients.live("moves", key, asked=f"{key}-other"),
             )
 
     def cause(self, rows: list[tuple[float, str]]) -> None:
@@ -121,12 +121,12 @@
         fleet.network.heal()
         for host in fleet.hosts.values():
             if host.disk is not None:
-                host.disk.empty()
+                host.disk.restore_capacity()
             host.wake()
             host.start()
         for worker in fleet.workers.values():
             worker.dark = False
-        for row in fleet.history.of("worker-left"):
+        for row in fleet.history.rows_of("worker-left"):
             if row["how"] == "dark":
                 row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
 
@@ -138,16 +138,16 @@
         fleet = self.fleet
         fleet.time.run_until(fleet.time.now_ms + after_ms)
         seen: dict[str, str] = {}
-        for _ in fleet.of("edge"):
-            self.visitors.live(
+        for _ in fleet.with_role("edge"):
+            self.clients.live(
                 "rulings", done=lambda row: seen.update(live=f"{row['outcome']} {row['code']}")
             )
-        self.visitors.live(
+        self.clients.live(
             "moves",
             f"probe{fleet.time.now_ms}",
             done=lambda row: seen.update(move=f"{row['outcome']} {row['code']}"),
         )
-        self.visitors.hand_in("summaries", 2, 1, done=lambda row: seen.update(lot=row["outcome"]))
+        self.clients.submit("summaries", 2, 1, done=lambda row: seen.update(lot=row["outcome"]))
         self.operators.change(1, version=None, done=lambda row: seen.update(change=row["outcome"]))
         fleet.run_until_true(lambda: len(seen) == 4, 8500)
         good = {
@@ -169,7 +169,7 @@
     def read_all(self) -> None:
         """Read every acknowledged batch at the end and record what is listed."""
         fleet = self.fleet
-        left = {job_id for job_id, job in self.visitors.jobs.items() if job["acked"]}
+        left = {job_id for job_id, job in self.clients.jobs.items() if job["acked"]}
 
         def read(job_id: str) -> None:
             def done(row: dict[str, Any]) -> None:
@@ -183,7 +183,7 @@
                         listed=row["listed"],
                     )
 
-            self.visitors.read(job_id, done)
+            self.clients.read(job_id, done)
 
         for _ in range(4):
             for job_id in sorted(left):
@@ -208,7 +208,7 @@
     """
     made = SHAPES[shape]
     run = Run(seed, settings, made["items"], **made["sizes"])
-    run.found()
+    run.start()
     watch(run)
     fleet = run.fleet
     start_ms = fleet.time.now_ms
@@ -222,5 +222,5 @@
     run.back()
     run.probe(fleet.hosts["edge1"].settings.resume_ms)
     run.read_all()
-    run.operators.ask_again(8)
+    run.operators.resend_acknowledged(8)
     return judge(fleet.history), run
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -30,7 +30,7 @@
 
     # -- rollouts ------------------------------------------------------------------------------
 
-    def hand_in(self, prompts: int, samples: int, weights: str = "w1", rollout_id: str = "") -> str:
+    def submit(self, prompts: int, samples: int, weights: str = "w1", rollout_id: str = "") -> str:
         """Submit a rollout until it is certainly accepted; return its id.
 
         After the first acknowledgement it is sent once more through another edge.
@@ -61,7 +61,7 @@
                 self._history.add(
                     "rollout-accepted", self._time.now_ms, rollout=rollout_id, total=state["total"]
                 )
-                self.hand_in(prompts, samples, weights, rollout_id)
+                self.submit(prompts, samples, weights, rollout_id)
                 self.follow(rollout_id)
 
         if host is not None:
@@ -72,7 +72,7 @@
                 lambda: (
                     None
                     if state["acked"] or self.stopped
-                    else self.hand_in(prompts, samples, weights, rollout_id)
+                    else self.submit(prompts, samples, weights, rollout_id)
                 ),
             )
         return rollout_id
@@ -168,7 +168,7 @@
     def _take(self, worker: Any, row: dict[str, Any]) -> None:
         loan = f"loan{row['loan']}"
         if worker.borrower != loan:
-            if any(seen["loan"] == loan for seen in self._history.of("borrowed")):
+            if any(seen["loan"] == loan for seen in self._history.rows_of("borrowed")):
                 return
             worker.borrower = loan
             self._history.add(
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -51,9 +51,9 @@
     __slots__ = (
         "_last_ms",
         "_time",
-        "cut_pairs",
-        "cut_hosts",
-        "double_rate",
+        "partitioned_pairs",
+        "isolated_hosts",
+        "duplicate_rate",
         "hosts",
         "loss_rate",
         "slow_ms",
@@ -64,18 +64,18 @@
     def __init__(self, time: VirtualTime) -> None:
         self._time = time
         self.hosts: dict[str, Any] = {}
-        self.cut_pairs: set[tuple[str, str]] = set()
-        self.cut_hosts: set[str] = set()
+        self.partitioned_pairs: set[tuple[str, str]] = set()
+        self.isolated_hosts: set[str] = set()
         self.loss_rate = 0.0
-        self.double_rate = 0.0
+        self.duplicate_rate = 0.0
         self.slow_ms: dict[str, float] = {}
         self.zones: dict[str, str] = {}
         self._last_ms: dict[tuple[str, str], float] = {}
         self.sent = 0
 
-    def cut(self, one: str, other: str) -> None:
+    def partition(self, one: str, other: str) -> None:
         """Cut a pair of hosts in both directions."""
-        self.cut_pairs.update(((one, other), (other, one)))
+        self.partitioned_pairs.update(((one, other), (other, one)))
 
     def split(self, groups: list[list[str]]) -> None:
         """Cut every pair of hosts that are in different groups."""
@@ -83,24 +83,24 @@
             for other in groups[place + 1 :]:
                 for a in group:
                     for b in other:
-                        self.cut(a, b)
+                        self.partition(a, b)
 
     def isolate(self, address: str) -> None:
         """Cut a host off from all others."""
-        self.cut_hosts.add(address)
+        self.isolated_hosts.add(address)
 
     def heal(self) -> None:
         """Undo all cuts, losses and delays."""
-        self.cut_pairs.clear()
-        self.cut_hosts.clear()
-        self.loss_rate = self.double_rate = 0.0
+        self.partitioned_pairs.clear()
+        self.isolated_hosts.clear()
+        self.loss_rate = self.duplicate_rate = 0.0
         self.slow_ms.clear()
 
     def passes(self, one: str, other: str) -> bool:
         """Return whether messages pass between two addresses."""
         if one == other:
             return True
-        return (one, other) not in self.cut_pairs and not self.cut_hosts & {one, other}
+        return (one, other) not in self.partitioned_pairs and not self.isolated_hosts & {one, other}
 
     def delay(self, one: str, other: str) -> float:
         """Draw the delay of a message in milliseconds."""
@@ -120,7 +120,7 @@
             self.loss_rate and sender != to and rng.random() < self.loss_rate
         ):
             return
-        copies = 2 if self.double_rate and rng.random() < self.double_rate else 1
+        copies = 2 if self.duplicate_rate and rng.random() < self.duplicate_rate else 1
         for _ in range(copies):
             copy = type(message)(**message.as_dict())
             due_ms = self._time.now_ms + (self.delay(sender, to) if sender != to else 0.01)
--- a/libs/simulator/src/simulator/worker_transport.py
+++ b/libs/simulator/src/simulator/worker_transport.py
@@ -41,10 +41,19 @@
 class _Connection:
     """One request on its way to a worker, and the answer."""
 
-    __slots__ = ("_address", "_fleet", "_host", "_last_ms", "_life", "_open", "_send", "_target")
+    __slots__ = (
+        "_address",
+        "_fleet",
+        "_host",
+        "_last_ms",
+        "_incarnation",
+        "_open",
+        "_send",
+        "_target",
+    )
 
     def __init__(self, fleet: Any, host: Any, send: Attempt, address: str) -> None:
-        self._fleet, self._host, self._life = fleet, host, host.life
+        self._fleet, self._host, self._incarnation = fleet, host, host.incarnation
         self._send, self._address = send, address
         self._target = fleet.worker_at(address)
         self._last_ms = 0.0
@@ -79,13 +88,13 @@
 
     def _here(self, what: str, *args: Any) -> None:
         """Hand over what arrived once the edge is awake, if it is still the same process."""
-        host, life = self._host, self._life
+        host, incarnation = self._host, self._incarnation
 
         def take() -> None:
-            if host.up and host.life == life:
+            if host.up and host.incarnation == incarnation:
                 self._arrived(what, *args)
 
-        host.when_awake(take, life)
+        host.when_awake(take, incarnation)
 
     def _arrived(self, what: str, *args: Any) -> None:
         if not self._open:
--- a/libs/simulator/src/simulator/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -80,7 +80,7 @@
         """Report to a random edge that can be reached; return whether there is one."""
         edges = [
             host
-            for host in self._fleet.of("edge")
+            for host in self._fleet.with_role("edge")
             if host.up
             and not host.frozen
             and self._fleet.network.passes(self.address, host.address)
--- a/libs/testbed/src/testbed/fault_scenarios.py
+++ b/libs/testbed/src/testbed/fault_scenarios.py
@@ -29,7 +29,7 @@
 async def power_after_receipt(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Cut the power of all stores as soon as a batch is accepted and a keyed call answered."""
     await asyncio.gather(traffic.hand_in(), traffic.live("moves", False))
-    stores = fleet.of("store")
+    stores = fleet.with_role("store")
     for member in stores:
         member.kill()
     await asyncio.gather(*[_back(member, 500 + rng.randrange(800)) for member in stores])
@@ -44,7 +44,7 @@
 
 
 async def control_split(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
-    control = fleet.of("control")
+    control = fleet.with_role("control")
     rng.shuffle(control)
     await _for(fleet, 4, cuts=fleet.apart(control[:2], control[2:]))
 
@@ -52,8 +52,10 @@
 async def control_cut_off(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Cut control off from all others, and meanwhile restart edges."""
     others = [member for member in fleet.members.values() if member.role != "control"]
-    cut = asyncio.ensure_future(_for(fleet, 5, cuts=fleet.apart(fleet.of("control"), others)))
-    for member in fleet.of("edge")[:2]:
+    cut = asyncio.ensure_future(
+        _for(fleet, 5, cuts=fleet.apart(fleet.with_role("control"), others))
+    )
+    for member in fleet.with_role("edge")[:2]:
         await asyncio.sleep(1)
         member.kill()
         member.start()
@@ -62,7 +64,7 @@
 
 async def isolate_each(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     for role in ("edge", "store", "control"):
-        one = rng.choice(fleet.of(role))
+        one = rng.choice(fleet.with_role(role))
         await _for(
             fleet,
             3,
@@ -74,7 +76,7 @@
 async def one_way(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Let a machine of each role be heard by nobody, then another hear nobody."""
     for role in ("edge", "store", "control"):
-        one, other = rng.sample(fleet.of(role), 2)
+        one, other = rng.sample(fleet.with_role(role), 2)
         await _for(
             fleet,
             2.5,
@@ -97,7 +99,7 @@
 
 async def most_edges_cut(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Cut most edges and a store off from control, for longer than any timeout."""
-    side = fleet.of("edge")[1:] + fleet.of("store")[:1]
+    side = fleet.with_role("edge")[1:] + fleet.with_role("store")[:1]
     await _for(
         fleet,
         8,
@@ -114,12 +116,12 @@
 
 
 async def lossy(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
-    await _for(fleet, 5, loss=0.1, slow={rng.choice(fleet.of("store")).name: 80})
+    await _for(fleet, 5, loss=0.1, slow={rng.choice(fleet.with_role("store")).name: 80})
 
 
 async def full(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Shrink the room of stores and control to almost nothing, by SIGHUP, and restore it."""
-    members = fleet.of("store") + fleet.of("control")
+    members = fleet.with_role("store") + fleet.with_role("control")
     for room in ("disk_bytes = 65536\n", ""):
         for member in members:
             path = fleet.folder / f"{member.name}.toml"
@@ -134,7 +136,7 @@
 async def disk_lost(fleet: Fleet, rng: random.Random, traffic: Any) -> None:
     """Cut a store's power just after an acknowledgement, and start it with an empty disk."""
     await asyncio.gather(traffic.hand_in(), traffic.live("moves", False))
-    member = rng.choice(fleet.of("store"))
+    member = rng.choice(fleet.with_role("store"))
     member.kill()
     shutil.rmtree(fleet.folder / member.name)
     await _back(member, 1000)
@@ -167,7 +169,7 @@
         version = traffic.version
         await asyncio.gather(traffic.change(named=version), traffic.change(named=version))
         if turn == 2:
-            member = rng.choice(fleet.of("control"))
+            member = rng.choice(fleet.with_role("control"))
             member.kill()
             await _back(member, 1500)
 
@@ -179,7 +181,7 @@
     member = await until(lambda: find_holder(fleet), 10_000, "there is a holder")
     _, shown = await fleet.get(member, "/status")
     await fleet.ask(
-        "POST", fleet.of("control")[0].http, "/retired", {"identity": shown["identity"]}
+        "POST", fleet.with_role("control")[0].http, "/retired", {"identity": shown["identity"]}
     )
     await asyncio.sleep(3)
     fresh = fleet.add("store", f"store{len(fleet.members) + 1}")
@@ -187,7 +189,7 @@
     fresh.start()
 
     async def replaced() -> bool:
-        status, body = await fleet.get(fleet.of("control")[0], "/members")
+        status, body = await fleet.get(fleet.with_role("control")[0], "/members")
         return status == 200 and shown["identity"] not in {
             row["identity"] for row in (body["log"] or {"members": []})["members"]
         }
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -201,7 +201,7 @@
         self.workers[name] = member
         return member
 
-    def of(self, role: str) -> list[Member]:
+    def with_role(self, role: str) -> list[Member]:
         """Return the running nodes of a role."""
         return [member for member in self.members.values() if member.role == role and member.runs]
 
@@ -276,7 +276,7 @@
     async def all_ready(self, roles: tuple[str, ...] = ("control", "store", "edge")) -> bool:
         """Return whether all running nodes of these roles are ready."""
         for role in roles:
-            for member in self.of(role):
+            for member in self.with_role(role):
                 status, _ = await self.get(member, "/ready")
                 if status != 200:
                     return False
@@ -310,7 +310,7 @@
         await until(lambda: self.all_ready(("store",)), deadline_ms, "stores are ready")
         status, body = await self.ask(
             "PUT",
-            self.of("control")[0].http,
+            self.with_role("control")[0].http,
             "/profiles",
             {"version": 0, "change_id": "first", "tree": tree},
         )
@@ -323,7 +323,7 @@
         """Wait until every edge knows so many workers that it may use."""
 
         async def known() -> bool:
-            for member in self.of("edge"):
+            for member in self.with_role("edge"):
                 _, body = await self.get(member, "/status")
                 if sum(1 for row in body["workers"] if row["usable"] and row["allowed"]) < count:
                     return False
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -52,11 +52,11 @@
         fleet.time.after(_READ_EVERY_MS * (0.5 + self._dice.random()), self.begin)
 
     def _read(self, host: Any) -> None:
-        fleet, life = self._run.fleet, host.life
+        fleet, life = self._run.fleet, host.incarnation
         row = fleet.history.ask("read-key", fleet.time.now_ms)
 
         def told(receipt: Any) -> None:
-            if host.life == life and host.up and row["outcome"] == "none":
+            if host.incarnation == life and host.up and row["outcome"] == "none":
                 row.update(
                     outcome=receipt.outcome,
                     version=receipt.version,
@@ -94,7 +94,7 @@
 def key_calls(history: History) -> list[Call]:
     """All that operators asked of the profiles' key."""
     calls = []
-    for row in history.of("change"):
+    for row in history.rows_of("change"):
         asked = ChangeKey(row["mark"], row["named"])
         if row["outcome"] in ("ok", "lost"):
             answer = (row["outcome"], row["version"])
@@ -110,8 +110,8 @@
 
 def _final_changes(history: History) -> list[Call]:
     """Changes asked for again at the end; they began at some time after the last probe."""
-    named = {row["mark"]: row["named"] for row in history.of("change")}
-    began_ms = max((row["at_ms"] for row in history.of("probe")), default=0.0)
+    named = {row["mark"]: row["named"] for row in history.rows_of("change")}
+    began_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
     return [
         Call(
             ChangeKey(row["mark"], named[row["mark"]]),
@@ -119,21 +119,21 @@
             (row["outcome"], row["version"]),
             row["at_ms"],
         )
-        for row in history.of("final-change")
+        for row in history.rows_of("final-change")
     ]
 
 
 def job_calls(history: History) -> dict[str, list[Call]]:
     """All that was asked about each lot."""
     found: dict[str, list[Call]] = {}
-    for row in history.of("hand-in"):
+    for row in history.rows_of("hand-in"):
         calls = found.setdefault(row["lot"], [])
         if row["outcome"] in _HANDED_IN:
             answer = _HANDED_IN[row["outcome"]]
             calls.append(Call(SubmitJob(), row["at_ms"], answer, row["answered_ms"]))
         elif row["verdict"] != _NO_EFFECT:
             calls.append(Call(SubmitJob(), row["at_ms"]))
-    for row in history.of("read"):
+    for row in history.rows_of("read"):
         shown = {place: f"{outcome} {text}" for place, outcome, text in row["results"]}
         known = row["outcome"] == "known"
         answer = JobState(row["ended"], row["listed"], row["total"], shown) if known else "missing"
@@ -151,7 +151,7 @@
     """Looks for a linearization of each object's calls."""
     result, began = HistoryResult(seed), time.monotonic()
     _check(result, "profiles", key_calls(history), Register())
-    totals = {row["lot"]: row["count"] for row in history.of("hand-in")}
+    totals = {row["lot"]: row["count"] for row in history.rows_of("hand-in")}
     for job, calls in job_calls(history).items():
         _check(result, job, calls, Job(totals.get(job, 0)))
     result.seconds = time.monotonic() - began
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -214,7 +214,7 @@
     acked = (time.time() - began) * 1000
 
     async def everywhere() -> bool:
-        for member in fleet.of("edge"):
+        for member in fleet.with_role("edge"):
             _, body = await fleet.get(member, "/status")
             if body["feed"].get("profiles", 0) < row["version"]:
                 return False
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -41,7 +41,7 @@
 async def _poll_ready(fleet: Fleet, taken: list[float], stopping: asyncio.Event) -> None:
     while not stopping.is_set():
         began = time.perf_counter()
-        await fleet.get(fleet.of("edge")[0], "/ready")
+        await fleet.get(fleet.with_role("edge")[0], "/ready")
         taken.append((time.perf_counter() - began) * 1000)
         await asyncio.sleep(0.01)
 
@@ -50,7 +50,7 @@
     async def everywhere() -> bool:
         shown = [
             (await fleet.get(member, "/status"))[1]["feed"]["profiles"]
-            for member in fleet.of("edge")
+            for member in fleet.with_role("edge")
         ]
         return min(shown) >= version
 
@@ -59,7 +59,7 @@
 
 async def _metric(fleet: Fleet, role: str, name: str) -> int:
     total = 0
-    for member in fleet.of(role):
+    for member in fleet.with_role(role):
         _, text = await fleet.get(member, "/metrics")
         total += sum(
             int(float(line.split()[1]))
@@ -72,7 +72,7 @@
 async def _routes(count: int, folder: str) -> list[str]:
     async with Fleet(folder, SHAPES["thin"], 28300) as fleet:
         await fleet.found(TREE)
-        edge, control = fleet.of("edge")[0], fleet.of("control")[0].http
+        edge, control = fleet.with_role("edge")[0], fleet.with_role("control")[0].http
         lines = [f"{count} profiles; an edge's memory before {_memory_mb(edge.process.pid)} MB"]
         taken: list[float] = []
         stopping = asyncio.Event()
@@ -204,7 +204,7 @@
             await asyncio.gather(*pending)
             outcomes = Counter()
             refused = []
-            for row in traffic.history.of("call"):
+            for row in traffic.history.rows_of("call"):
                 outcomes[
                     row["verdict"] if not row["code"] else f"{row['verdict']} {row['code']}"
                 ] += 1
--- a/libs/testbed/src/testbed/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -34,7 +34,7 @@
 async def _first_event(
     fleet: Fleet, rng: random.Random, number: int, seen: list[tuple[float, str]]
 ) -> None:
-    edge, began = rng.choice(fleet.of("edge")).http, time.perf_counter()
+    edge, began = rng.choice(fleet.with_role("edge")).http, time.perf_counter()
     first_ms, end = 0.0, ""
     try:
         async with fleet.session.post(
@@ -54,7 +54,7 @@
     for _ in range(2):
         status, _ = await fleet.ask(
             "POST",
-            rng.choice(fleet.of("edge")).http,
+            rng.choice(fleet.with_role("edge")).http,
             "/v1/completions",
             {"model": "moves", "prompt": f"key {key}"},
             {"Idempotency-Key": key},
@@ -64,7 +64,7 @@
 
 async def _loan(fleet: Fleet, until_s: float) -> list[str]:
     """Ask for a worker until it is lent, hold it for a second, and have it handed back."""
-    control, steps = fleet.of("control")[0].http, []
+    control, steps = fleet.with_role("control")[0].http, []
     while time.perf_counter() < until_s:
         status, body = await fleet.ask(
             "PUT", control, "/loans/worker1", {"borrower": "trainer", "weights": "w1"}
@@ -76,7 +76,7 @@
         return ["no worker was lent"]
     began = time.perf_counter()
     while time.perf_counter() < until_s + 10:
-        row = (await fleet.get(fleet.of("control")[0], "/loans"))[1]["loans"]["worker1"]
+        row = (await fleet.get(fleet.with_role("control")[0], "/loans"))[1]["loans"]["worker1"]
         steps += [row["state"]] if row["state"] not in steps[-1:] else []
         if row["state"] in ("lent", "recalled"):
             took_ms = (time.perf_counter() - began) * 1000
@@ -98,7 +98,7 @@
             fleet.add_worker(f"worker{place + 1}", *_WORKER).start()
         await fleet.found(_tree(lends))
         await fleet.workers_known(_SHAPE["workers"])
-        edge = fleet.of("edge")[0].http
+        edge = fleet.with_role("edge")[0].http
         if lends:
             call = {
                 "path": "rollouts",
@@ -172,7 +172,7 @@
     ]
     if not lends:
         return lines
-    edge = fleet.of("edge")[-1].http
+    edge = fleet.with_role("edge")[-1].http
 
     async def whole() -> Any:
         shown = (await fleet.ask("GET", edge, "/rollouts/r1"))[1]
--- a/libs/testbed/src/testbed/measure_scale.py
+++ b/libs/testbed/src/testbed/measure_scale.py
@@ -175,11 +175,11 @@
         settings={**SETTINGS, **(settings or {})},
     )
     if not fleet.run_until_true(
-        lambda: all(host.node.quorate() for host in fleet.of("control")), _FOUND_MS
+        lambda: all(host.node.quorate() for host in fleet.with_role("control")), _FOUND_MS
     ):
         raise AssertionError("control was not founded")
     Operators(fleet).change()
-    if not fleet.run_until_true(lambda: fleet.ready() and fleet.holder() is not None, _FOUND_MS):
+    if not fleet.run_until_true(lambda: fleet.ready() and fleet.leader() is not None, _FOUND_MS):
         raise AssertionError("the fleet did not get ready")
     return fleet
 
@@ -227,7 +227,7 @@
 
     `cpu_ms_most` is that of the busiest.
     """
-    meter, hosts = fleet.meter, fleet.of(role)
+    meter, hosts = fleet.meter, fleet.with_role(role)
     kinds = ("tick", "receive", "packing", "report", "disk")
     spent = {
         host.address: sum(meter.work_s[host.address, kind] for kind in kinds) * 1000 / span_s
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -46,7 +46,7 @@
 def append_costs(seed: int, count: int, body_bytes: int) -> dict[str, float]:
     fleet = founded(seed, NODES, big_disks())
     costs = MeteredCosts(fleet, store_groups(fleet))
-    host, done = fleet.holder(), []
+    host, done = fleet.leader(), []
     entry = e.KeyClosed(
         key="k", transaction="t", state="done", status=200, body="x" * body_bytes, at_ms=0
     )
@@ -154,7 +154,7 @@
             position += len(page.rows)
             over = position >= items
 
-    before = held_bytes(fleet.holder().node)
+    before = held_bytes(fleet.leader().node)
     rows = [
         (
             "admitted",
@@ -163,7 +163,7 @@
             ),
         )
     ]
-    held = (held_bytes(fleet.holder().node) - before) / (jobs * items) / 1000
+    held = (held_bytes(fleet.leader().node) - before) / (jobs * items) / 1000
     rows[0][1]["held at the holder kB"] = held
     rows.append(
         (
@@ -260,7 +260,8 @@
     operators.more = wide_rows(routes, tenants)
     told: list[Any] = []
     groups = {
-        role: [host.address for host in fleet.of(role)] for role in ("control", "store", "edge")
+        role: [host.address for host in fleet.with_role(role)]
+        for role in ("control", "store", "edge")
     }
 
     def change() -> None:
@@ -271,7 +272,7 @@
             or told[-1]["outcome"] != "ok"
         ):
             raise AssertionError(f"a change was not acknowledged: {told[-1:]}")
-        for host in fleet.of("edge"):
+        for host in fleet.with_role("edge"):
             fleet.meter.run(
                 host.address,
                 "tick",
@@ -296,7 +297,7 @@
 
 def report_cost_us(seed: int, workers: int) -> float:
     fleet = founded(seed, NODES)
-    host = fleet.of("control")[0]
+    host = fleet.with_role("control")[0]
     began_s = process_time()
     for place in range(workers):
         host.node.worker_list.report(
--- a/libs/testbed/src/testbed/metered_costs.py
+++ b/libs/testbed/src/testbed/metered_costs.py
@@ -34,7 +34,7 @@
         """Send a message to the holder and return its answer; AssertionError after `limit_ms`."""
         self._ref += 1
         ref = self._ref
-        self._fleet.network.send(self.address, self._fleet.holder().address, ref, 0, message)
+        self._fleet.network.send(self.address, self._fleet.leader().address, ref, 0, message)
         if not self._fleet.run_until_true(lambda: ref in self.answers, limit_ms):
             raise AssertionError(f"no answer to {type(message).__name__}")
         return self.answers.pop(ref)
@@ -77,10 +77,10 @@
 
 def store_groups(fleet: MeteredFleet) -> dict[str, list[str]]:
     """Return the addresses of the holder and of the other stores, as groups."""
-    holder = fleet.holder().address
+    holder = fleet.leader().address
     return {
         "holder": [holder],
-        "peers": [host.address for host in fleet.of("store") if host.address != holder],
+        "peers": [host.address for host in fleet.with_role("store") if host.address != holder],
     }
 
 
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -36,7 +36,7 @@
     """Return the report as text; `broken` has the breaches by rule."""
     lines = ["faults:"]
     lines += [
-        f"  {row['at_ms'] / 1000:6.1f} s  {row['what']}" for row in traffic.history.of("fault")
+        f"  {row['at_ms'] / 1000:6.1f} s  {row['what']}" for row in traffic.history.rows_of("fault")
     ] or ["  none"]
     table: dict[str, Counter] = {}
     for (path, verdict, code), count in traffic.outcomes.items():
@@ -61,7 +61,7 @@
             f"  {path:16} {spread(values)}; "
             f"{sum(1 for value in values if value > _LATE_MS.get(path, 1e9))} late"
         )
-    back = [row for row in traffic.history.of("probe")]
+    back = [row for row in traffic.history.rows_of("probe")]
     lines.append(
         "after the last fault: "
         + ", ".join(
@@ -70,7 +70,7 @@
             for row in back
         )
     )
-    runs = traffic.history.of("run")
+    runs = traffic.history.rows_of("run")
     lines.append(
         f"workers ran {len(runs)} times; lots accepted "
         f"{sum(1 for job in traffic.jobs.values() if job['acked'])}, "
--- a/libs/testbed/src/testbed/scenarios.py
+++ b/libs/testbed/src/testbed/scenarios.py
@@ -31,7 +31,7 @@
 
 async def find_holder(fleet: Fleet) -> Member | None:
     """Return the store that holds the log, or None if none reports that it does."""
-    for member in fleet.of("store"):
+    for member in fleet.with_role("store"):
         status, body = await fleet.get(member, "/status")
         if status == 200 and body["log_role"] == "serving":
             return member
@@ -39,10 +39,10 @@
 
 
 async def _owner(fleet: Fleet) -> Member | None:
-    _, body = await fleet.get(fleet.of("control")[0], "/members")
+    _, body = await fleet.get(fleet.with_role("control")[0], "/members")
     owner = body["keys"].get("profiles", {}).get("owner")
     link = next((row["link"] for row in body["members"] if row["identity"] == owner), "")
-    return next((member for member in fleet.of("control") if member.link == link), None)
+    return next((member for member in fleet.with_role("control") if member.link == link), None)
 
 
 async def kill_holder(fleet: Fleet, rng: random.Random) -> None:
@@ -58,13 +58,13 @@
 
 
 async def kill_edge(fleet: Fleet, rng: random.Random) -> None:
-    member = rng.choice(fleet.of("edge"))
+    member = rng.choice(fleet.with_role("edge"))
     member.kill()
     await _back(member, 800)
 
 
 async def drain_edge(fleet: Fleet, rng: random.Random) -> None:
-    member = rng.choice(fleet.of("edge"))
+    member = rng.choice(fleet.with_role("edge"))
     member.signal(signal.SIGTERM)
     while member.runs:
         await asyncio.sleep(0.1)
@@ -89,17 +89,17 @@
 
 
 async def freeze_edge(fleet: Fleet, rng: random.Random) -> None:
-    await _freeze(rng.choice(fleet.of("edge")), 3500)
+    await _freeze(rng.choice(fleet.with_role("edge")), 3500)
 
 
 async def swap_store(fleet: Fleet, rng: random.Random) -> None:
     """Lose a store and its disk; an empty one starts at a new address."""
-    rng.choice(fleet.of("store")).kill()
+    rng.choice(fleet.with_role("store")).kill()
     fleet.add("store", f"store{len(fleet.members) + 1}").start()
 
 
 async def swap_control(fleet: Fleet, rng: random.Random) -> None:
-    rng.choice(fleet.of("control")[3:]).kill()
+    rng.choice(fleet.with_role("control")[3:]).kill()
     fleet.add("control", f"control{len(fleet.members) + 1}").start()
 
 
@@ -109,7 +109,7 @@
     A new one starts, an old one ends, and the next waits until the voters are complete again
     without the old one.
     """
-    for old in fleet.of("control"):
+    for old in fleet.with_role("control"):
         fresh = fleet.add("control", f"control{len(fleet.members) + 1}")
         fresh.start()
         _, shown = await fleet.get(old, "/status")
@@ -134,7 +134,7 @@
 
 async def fill_disks(fleet: Fleet, rng: random.Random) -> None:
     """Shrink the room of all stores' disks below what is used, by SIGHUP, and restore it."""
-    stores = fleet.of("store")
+    stores = fleet.with_role("store")
     for room in ("disk_bytes = 65536\n", ""):
         for member in stores:
             path = fleet.folder / f"{member.name}.toml"
@@ -149,12 +149,14 @@
 async def retire_store(fleet: Fleet, rng: random.Random) -> None:
     """Add an empty store, then retire one that is in use."""
     fleet.add("store", f"store{len(fleet.members) + 1}").start()
-    _, body = await fleet.get(rng.choice(fleet.of("store")[:3]), "/status")
-    await fleet.ask("POST", fleet.of("control")[0].http, "/retired", {"identity": body["identity"]})
+    _, body = await fleet.get(rng.choice(fleet.with_role("store")[:3]), "/status")
+    await fleet.ask(
+        "POST", fleet.with_role("control")[0].http, "/retired", {"identity": body["identity"]}
+    )
 
 
 async def stores_at_once(fleet: Fleet, rng: random.Random) -> None:
-    stores = fleet.of("store")
+    stores = fleet.with_role("store")
     for member in stores:
         member.kill()
     await asyncio.gather(*[_back(member, 1000) for member in stores])
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -71,7 +71,7 @@
         return task
 
     def _edge(self, avoid: str = "") -> str:
-        edges = [member.http for member in self.fleet.of("edge") if member.http != avoid]
+        edges = [member.http for member in self.fleet.with_role("edge") if member.http != avoid]
         return self.rng.choice(edges) if edges else ""
 
     def start(self) -> None:
@@ -286,7 +286,7 @@
 
     def _control(self) -> str:
         """Return the address of a random control node, of one that is down if none runs."""
-        running = self.fleet.of("control") or [
+        running = self.fleet.with_role("control") or [
             member for member in self.fleet.members.values() if member.role == "control"
         ]
         return self.rng.choice(running).http
@@ -339,7 +339,7 @@
 
         A sample has the time at which it was asked for, since what it shows may be as old as that.
         """
-        for member in self.fleet.of("edge"):
+        for member in self.fleet.with_role("edge"):
             began_ms = self.now_ms()
             try:
                 status, body = await self.fleet.ask("GET", member.http, "/status", wait_ms=800)
@@ -354,7 +354,7 @@
                 number=body["feed"].get("profiles", 0),
                 mark=self._marks.get(body["profiles_digest"], ""),
             )
-        for member in self.fleet.of("store"):
+        for member in self.fleet.with_role("store"):
             try:
                 status, body = await self.fleet.ask("GET", member.http, "/status", wait_ms=800)
             except (aiohttp.ClientError, OSError, TimeoutError):
@@ -371,7 +371,7 @@
 
     async def ask_again(self, count: int) -> None:
         """Send the last `count` acknowledged changes once more under their ids."""
-        acked = [row["mark"] for row in self.history.of("change") if row["outcome"] == "ok"][
+        acked = [row["mark"] for row in self.history.rows_of("change") if row["outcome"] == "ok"][
             -count:
         ]
         for mark in acked:
--- a/libs/testbed/src/testbed/traffic_runs.py
+++ b/libs/testbed/src/testbed/traffic_runs.py
@@ -20,7 +20,9 @@
     A run's call is found by the transaction that each call was given. `started_at` is the start of
     the history in Unix seconds.
     """
-    by_transaction = {row["transaction"]: row for row in history.of("call") if row["transaction"]}
+    by_transaction = {
+        row["transaction"]: row for row in history.rows_of("call") if row["transaction"]
+    }
     for path in sorted(Path(fleet.folder).glob("*.runs")):
         for line in path.read_text().splitlines():
             try:
--- a/tests/hollow.py
+++ b/tests/hollow.py
@@ -61,7 +61,7 @@
     of = everyone
 
     def control_list(self):
-        return [machine.addresses["control"] for machine in self.of("core")]
+        return [machine.addresses["control"] for machine in self.with_role("core")]
 
     def name_of(self, address):
         return next(
@@ -129,7 +129,7 @@
         if not self._valid(made):
             return web.Response(status=400)
         self.settings = self.taken[key] = made
-        for place, edge in enumerate(self.of("edge")):
+        for place, edge in enumerate(self.with_role("edge")):
             if not (self.broken == "old-version" and place == 0 and edge.settings):
                 edge.settings = made
         return web.Response(status=200)
--- a/tests/log_table.py
+++ b/tests/log_table.py
@@ -27,9 +27,9 @@
     """What a simulated disk wants to know of its host."""
 
     def __init__(self):
-        self.up, self.frozen, self.life = True, False, 1
+        self.up, self.frozen, self.incarnation = True, False, 1
 
-    def when_awake(self, what, life):
+    def when_awake(self, what, incarnation):
         if self.up:
             what()
 
--- a/tests/orders_case.py
+++ b/tests/orders_case.py
@@ -23,13 +23,13 @@
         return [(await platform.put(host, base, sent))[0] for host in hosts]
 
     def key_owner(self, platform):
-        hosts = {host.node.voter.identity: host for host in platform.fleet.of("control")}
+        hosts = {host.node.voter.identity: host for host in platform.fleet.with_role("control")}
         name = platform.fleet.hosts["control1"].node.owner.owner_of("profiles")
         return hosts[name]
 
     def version(self, platform):
         return max(
             host.node.config_feed.number("profiles")
-            for host in platform.fleet.of("control")
+            for host in platform.fleet.with_role("control")
             if host.up
         )
--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -86,8 +86,8 @@
         assert self.fleet.run_until_true(self.ready, 12000), "not founded"
 
     def ready(self):
-        return all(host.node.quorate() for host in self.fleet.of("control")) and all(
-            host.node.worker_list._in_touch() for host in self.fleet.of("control")
+        return all(host.node.quorate() for host in self.fleet.with_role("control")) and all(
+            host.node.worker_list._in_touch() for host in self.fleet.with_role("control")
         )
 
     def start(self, name, method, path, body=None, headers=None):
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -75,7 +75,7 @@
 class Moments(TestCase):
     def founded(self, seed=3):
         evening = Evening(seed, True)
-        evening.found()
+        evening.start()
         evening.fleet.run_until_true(lambda: False, 1500)
         return evening, evening.fleet
 
@@ -100,18 +100,20 @@
             evening, fleet = self.founded(seed)
             for worker in fleet.workers.values():
                 worker.piece_ms = 300.0
-            evening.trainers.hand_in(30, 2)
+            evening.trainers.submit(30, 2)
             self.wait(fleet, lambda fleet=fleet: self.samples(fleet) >= 12)
-            edge = max(fleet.of("edge"), key=lambda host: host.node.borrowing.running())
+            edge = max(fleet.with_role("edge"), key=lambda host: host.node.borrowing.running())
             with mock.patch.object(Clients, "_edge", lambda self, avoid="", edge=edge: edge):
                 for _ in range(23):
                     evening._live.live("rulings")
             fleet.run_until_true(
-                lambda fleet=fleet: all("first_ms" in call for call in fleet.history.of("call")),
+                lambda fleet=fleet: all(
+                    "first_ms" in call for call in fleet.history.rows_of("call")
+                ),
                 3000,
             )
             took = sorted(
-                call.get("first_ms", 1e9) - call["at_ms"] for call in fleet.history.of("call")
+                call.get("first_ms", 1e9) - call["at_ms"] for call in fleet.history.rows_of("call")
             )
             self.assertThat(
                 (len(took), took[-1] < 125), Equals((23, True)), f"seed {seed}: {took[-3:]}"
@@ -119,11 +121,11 @@
 
     def test_a_lot_that_may_come_late_has_all_samples_given_up(self):
         evening, fleet = self.founded()
-        evening.trainers.hand_in(40, 4)
+        evening.trainers.submit(40, 4)
         self.wait(fleet, lambda: self.samples(fleet) >= 8)
         for worker in fleet.workers.values():
             worker.piece_ms = 250.0
-        evening.run.visitors.hand_in("summaries", 300)
+        evening.run.clients.submit("summaries", 300)
         self.wait(
             fleet, lambda: any(event == "loans-recalled" for _, _, event, _ in fleet.events), 2000
         )
@@ -191,7 +193,9 @@
             evening._live.live("narrations")
         self.wait(fleet, lambda: worker.busy > 0, 500)
         began = {
-            run["transaction"] for run in fleet.history.of("run") if run["identity"] == "worker1"
+            run["transaction"]
+            for run in fleet.history.rows_of("run")
+            if run["identity"] == "worker1"
         }
         asked = self.ordered(
             fleet, lambda loans, done: loans.grant("worker1", "t", "w2", 60_000, 500, done)
@@ -221,7 +225,11 @@
         fleet.run_until_true(lambda: False, 2500)
         self.assertThat(self.state(fleet), Equals("recalled"))
         self.assertThat(
-            {run["transaction"] for run in fleet.history.of("run") if run["identity"] == "worker1"},
+            {
+                run["transaction"]
+                for run in fleet.history.rows_of("run")
+                if run["identity"] == "worker1"
+            },
             Equals(began),
         )
         self.assertThat(
@@ -233,7 +241,9 @@
             ).row["state"],
             Equals("serving"),
         )
-        self.wait(fleet, lambda: not any(host.node.roster.lent for host in fleet.of("edge")), 1000)
+        self.wait(
+            fleet, lambda: not any(host.node.roster.lent for host in fleet.with_role("edge")), 1000
+        )
 
     def test_a_lent_worker_is_recalled_when_live_calls_need_it(self):
         evening, fleet = self.founded()
@@ -255,7 +265,7 @@
     def test_an_edge_that_may_not_know_holds_a_loan_up_and_a_cut_off_one_keeps_to_it(self):
         evening, fleet = self.founded()
         fleet.run_until_true(lambda: False, 3500)
-        edge = fleet.of("edge")[0]
+        edge = fleet.with_role("edge")[0]
         fleet.network.isolate(edge.address)
         asked = self.ordered(
             fleet, lambda loans, done: loans.grant("worker1", "t", "", 2000, 500, done)
@@ -272,7 +282,9 @@
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
         self.ordered(fleet, lambda loans, done: loans.hand_back("worker1", loan, "", done))
         self.wait(
-            fleet, lambda: all(not host.node.roster.lent for host in fleet.of("edge")[1:]), 1000
+            fleet,
+            lambda: all(not host.node.roster.lent for host in fleet.with_role("edge")[1:]),
+            1000,
         )
         self.assertThat(edge.node.roster.lent, Equals(frozenset({"worker1"})))
         fleet.network.heal()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -35,7 +35,7 @@
         fleet = SimFleet(seed, edges=sizes.pop("edges", 0), stores=3, workers=0, **sizes)
         self.assertThat(
             fleet.run_until_true(
-                lambda: all(host.node.quorate() for host in fleet.of("control")), 8000
+                lambda: all(host.node.quorate() for host in fleet.with_role("control")), 8000
             ),
             Equals(True),
         )
@@ -102,7 +102,7 @@
     def test_who_is_answered_may_ask_again_at_once(self):
         """Asking from within an answer once began two rounds for one operation, whose second end answered another."""
         fleet = self.founded()
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")].node.owner
         seen = []
         owner.submit(
@@ -134,17 +134,17 @@
     def test_owner_killed_its_key_goes_on_under_a_higher_epoch(self):
         fleet = self.founded()
         self.ask(fleet, "control1", self.change(0, "a"))
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         before = owner.node.owner.epochs()["profiles"]["epoch"]
         owner.kill()
-        other = next(host for host in fleet.of("control") if host.up)
+        other = next(host for host in fleet.with_role("control") if host.up)
         fleet.run_until_true(lambda: False, 1500)
         receipt = self.ask(fleet, other.name, self.change(1, "b"), 8000)
         self.assertThat((receipt.outcome, receipt.version), Equals(("ok", 2)))
         epochs = [
             host.node.owner.epochs().get("profiles", {"epoch": 0})["epoch"]
-            for host in fleet.of("control")
+            for host in fleet.with_role("control")
             if host.up
         ]
         self.assertThat(max(epochs) > before, Equals(True))
@@ -154,7 +154,7 @@
         self.assertThat(
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
-        first = {host.node.voter.identity for host in fleet.of("control")}
+        first = {host.node.voter.identity for host in fleet.with_role("control")}
         for number in range(5):
             fresh = fleet.add("control", f"fresh{number + 1}")
             fleet.hosts.pop(f"control{number + 1}").kill()
@@ -172,12 +172,14 @@
         the other two could be formed. What mends this in time is the sweep before each change of the list.
         """
         fleet = self.founded(edges=1)
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         fresh = fleet.add("control", "fresh")
         self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
         fleet.run_until_true(lambda: False, fresh.settings.gone_ms + 1500)
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
-        others = [host for host in fleet.of("control") if host is not owner and host is not fresh]
+        others = [
+            host for host in fleet.with_role("control") if host is not owner and host is not fresh
+        ]
         leaves, stays, missing = others[0], others[1], others[2:]
         for host in missing:
             fleet.network.isolate(host.address)
@@ -209,12 +211,12 @@
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
         fleet.run_until_true(lambda: False, 500)
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
-        old = next(host for host in fleet.of("control") if host is not owner)
+        old = next(host for host in fleet.with_role("control") if host is not owner)
 
         def rows():
-            return [host.node.voter.registers["profiles"] for host in fleet.of("control")]
+            return [host.node.voter.registers["profiles"] for host in fleet.with_role("control")]
 
         def versions():
             return {row.version for row in rows()}
--- a/tests/test_control_side.py
+++ b/tests/test_control_side.py
@@ -24,7 +24,8 @@
 
     def edges_have(self, platform, revision):
         return all(
-            host.node.tree().about.get("revision") == revision for host in platform.fleet.of("edge")
+            host.node.tree().about.get("revision") == revision
+            for host in platform.fleet.with_role("edge")
         )
 
     def test_every_call_and_its_answer(self):
@@ -73,7 +74,7 @@
                     str((method, base, str(sent)[:80], told)),
                 )
             wanted = revised(15, routes=[{**ROUTE, "tries": 9}, SETTINGS["routes"][1]])
-            for host in platform.fleet.of("control"):
+            for host in platform.fleet.with_role("control"):
                 self.assertThat((await platform.shown(host.name))[:2], Equals((200, wanted)))
             self.assertThat(
                 (await platform.ask("control1", "GET", "/vaneledge/other"))[0], Equals(404)
@@ -116,7 +117,7 @@
         async def one(seed):
             platform = Platform(seed=seed)
             rng = random.Random(seed)
-            base, hosts = 0, platform.fleet.of("control")
+            base, hosts = 0, platform.fleet.with_role("control")
             for turn in range(3):
                 sent = [revised(base + 3 + index, note=f"{turn}-{index}") for index in range(2)]
                 clear: dict[int, int] = {}
@@ -217,7 +218,7 @@
             for host in hosts:
                 host.start()
             self.assertThat(platform.fleet.run_until_true(platform.ready, 6000), Equals(True))
-            for host in platform.fleet.of("control"):
+            for host in platform.fleet.with_role("control"):
                 self.assertThat((await platform.shown(host.name))[:2], Equals((200, revised(3))))
             self.assertThat((await platform.put("control4", 0, revised(3)))[0], Equals(200))
             self.assertThat((await platform.put("control4", 3, revised(4)))[0], Equals(200))
@@ -252,7 +253,7 @@
 
     def settled(self, platform):
         log = platform.fleet.hosts["control1"].node.config_feed.value("log")
-        return bool(log) and len(log["members"]) == 3 and platform.fleet.holder() is not None
+        return bool(log) and len(log["members"]) == 3 and platform.fleet.leader() is not None
 
     def test_a_store_is_emptied_and_told_so_once_it_is_out_of_the_log(self):
         async def run():
@@ -260,7 +261,7 @@
             self.assertThat(
                 platform.fleet.run_until_true(lambda: self.settled(platform), 20000), Equals(True)
             )
-            name = platform.fleet.holder().address
+            name = platform.fleet.leader().address
             for method, asked, status in (
                 ("GET", name, 404),
                 ("GET", "nobody", 404),
@@ -277,7 +278,7 @@
             )
             platform.fleet.add("store", "fresh")
             platform.run(1000)
-            identity = platform.fleet.holder().node.neighbours.identity
+            identity = platform.fleet.leader().node.neighbours.identity
             for host in ("control2", "control3", "control2"):
                 self.assertThat((await self.call(platform, "POST", host, name))[0], Equals(200))
             states = []
@@ -294,10 +295,10 @@
                 Equals(("rolling_out", "finished", False)),
             )
             self.assertThat(
-                (log["phase"], platform.fleet.holder() is not None), Equals(("serving", True))
+                (log["phase"], platform.fleet.leader() is not None), Equals(("serving", True))
             )
             self.assertThat(members, HasLength(3))
-            other = next(host for host in platform.fleet.of("store") if host.address != name)
+            other = next(host for host in platform.fleet.with_role("store") if host.address != name)
             self.assertThat(
                 (await self.call(platform, "POST", "control1", other.address))[0], Equals(409)
             )
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -30,7 +30,7 @@
         def ready():
             return all(
                 host.node.quorate() and len(host.node.voter.voters) == control
-                for host in fleet.of("control")
+                for host in fleet.with_role("control")
             )
 
         self.assertThat(fleet.run_until_true(ready, 8000), Equals(True))
@@ -38,7 +38,7 @@
         self.change(fleet, "control2", 0)
         self.assertThat(
             fleet.run_until_true(
-                lambda: not any(host.node.why_unready() for host in fleet.of("edge")), 3000
+                lambda: not any(host.node.why_unready() for host in fleet.with_role("edge")), 3000
             ),
             Equals(True),
         )
@@ -68,20 +68,20 @@
         self.assertThat(outcome, Equals(wanted))
 
     def owner(self, fleet, key):
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         return names[fleet.hosts["control1"].node.owner.owner_of(key)].name
 
     def other(self, fleet, *names):
-        return next(host.name for host in fleet.of("control") if host.name not in names)
+        return next(host.name for host in fleet.with_role("control") if host.name not in names)
 
     def cut(self, fleet, name, way="both"):
         """`way` is seen from the machine: out, in, or both; edges and stores still reach it, but for all."""
         one = fleet.hosts[name].address
-        for host in fleet.hosts.values() if way == "all" else fleet.of("control"):
+        for host in fleet.hosts.values() if way == "all" else fleet.with_role("control"):
             if host.name != name and way != "in":
-                fleet.network.cut_pairs.add((one, host.address))
+                fleet.network.partitioned_pairs.add((one, host.address))
             if host.name != name and way != "out":
-                fleet.network.cut_pairs.add((host.address, one))
+                fleet.network.partitioned_pairs.add((host.address, one))
 
     def start_at(self, fleet, role, name, seed):
         """A machine that starts with this one as its only seed, and reaches no other machine."""
@@ -89,7 +89,7 @@
         host = fleet.add(role, name)
         for other in fleet.hosts.values():
             if other.name not in (name, seed):
-                fleet.network.cut(host.address, other.address)
+                fleet.network.partition(host.address, other.address)
         return host
 
     def test_who_starts_at_a_cut_off_control_node_gets_no_settings(self):
@@ -170,7 +170,9 @@
                 fresh = self.start_at(fleet, "edge", "fresh", away)
                 node = fleet.hosts[away].node
                 keep = fresh.address
-                fleet.network.cut_pairs = {pair for pair in fleet.network.cut_pairs if keep in pair}
+                fleet.network.partitioned_pairs = {
+                    pair for pair in fleet.network.partitioned_pairs if keep in pair
+                }
 
                 def in_order(fresh=fresh, node=node, way=way):
                     for number, vouches in (
@@ -224,8 +226,10 @@
         self.wait(fleet, 5000)
         fleet.add("store", "store5")
         self.wait(fleet, CUT_MS - 5000)
-        fleet.network.cut_hosts.clear()
-        named = {host.name: host.settings.node_name or host.address for host in fleet.of("store")}
+        fleet.network.isolated_hosts.clear()
+        named = {
+            host.name: host.settings.node_name or host.address for host in fleet.with_role("store")
+        }
         answers = []
         end_ms = fleet.time.now_ms + 1000
         while fleet.time.now_ms < end_ms:
@@ -280,7 +284,7 @@
         edge.kill()
         edge.start()
         self.wait(fleet, CUT_MS)
-        control = {other.address for other in fleet.of("control")}
+        control = {other.address for other in fleet.with_role("control")}
         self.assertThat(set(sent) - control, Equals(set()))
         self.assertThat(edge.node.why_unready(), Equals(""))
         self.assertThat(edge.node.config_feed.number("profiles"), Equals(2))
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -19,7 +19,7 @@
                 run_day("thin", "short-power", 1, folder, 6.0, 8.0, 25400)
             )
         self.assertThat(broken, Equals({}))
-        self.assertThat(len(traffic.history.of("fault")), Equals(2))
+        self.assertThat(len(traffic.history.rows_of("fault")), Equals(2))
 
     def test_what_was_not_flushed_is_gone_with_the_power(self):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -76,7 +76,7 @@
                             )
                             await fleet.workers_known(1)
                         seen, answer = await fleet.ask(
-                            method, fleet.of(role)[0].http, address, body, headers
+                            method, fleet.with_role(role)[0].http, address, body, headers
                         )
                         self.assertThat(
                             (seen, lacks(answer, wanted)),
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -52,7 +52,7 @@
             fleet.run_until_true(
                 lambda: all(
                     host.node.quorate() and len(host.node.voter.voters) == control
-                    for host in fleet.of("control")
+                    for host in fleet.with_role("control")
                 ),
                 8000,
             ),
@@ -83,7 +83,7 @@
         for edges in (6, 24):
             fleet = self.founded(edges=edges)
             edge = fleet.hosts["edge2"]
-            control = {host.address: host.settings.zone for host in fleet.of("control")}
+            control = {host.address: host.settings.zone for host in fleet.with_role("control")}
             counting, span_ms = Counting(edge), 10 * edge.settings.beat_ms
             fleet.time.run_until(fleet.time.now_ms + span_ms)
             told = counting.of(VersionDigest)
@@ -101,7 +101,7 @@
 
     def test_a_voter_passes_news_on_to_those_who_report_to_it_first(self):
         fleet = self.founded(edges=12)
-        counting = {host.name: Counting(host) for host in fleet.of("control")}
+        counting = {host.name: Counting(host) for host in fleet.with_role("control")}
         self.change(fleet, 1)
         passed = Counter(
             to
@@ -109,7 +109,7 @@
             for to, number in count.of(KeyUpdates).items()
             for _ in range(number)
         )
-        edges = [passed[host.address] for host in fleet.of("edge")]
+        edges = [passed[host.address] for host in fleet.with_role("edge")]
         self.assertThat(
             (min(edges), max(edges) <= 2, sum(edges) <= 15), Equals((1, True, True)), passed
         )
@@ -142,7 +142,7 @@
 
     def test_stores_are_not_waited_for_where_workers_change(self):
         fleet = self.founded()
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.freeze()
         node = fleet.hosts["control1"].node
         self.change(fleet, 0, "workers")
@@ -165,14 +165,14 @@
         contacts = [
             to
             for to in counting.of(VersionDigest)
-            if to in {host.address for host in fleet.of("control")}
+            if to in {host.address for host in fleet.with_role("control")}
         ]
         self.assertThat(contacts, HasLength(2))
-        near = [host for host in fleet.of("control") if host.address in contacts]
+        near = [host for host in fleet.with_role("control") if host.address in contacts]
         for host in near:
-            for other in fleet.of("control"):
+            for other in fleet.with_role("control"):
                 if other not in near:
-                    fleet.network.cut(host.address, other.address)
+                    fleet.network.partition(host.address, other.address)
         fleet.time.run_until(fleet.time.now_ms + int(1.5 * edge.settings.force_ms))
         counting.sent.clear()
         fleet.time.run_until(fleet.time.now_ms + 3 * edge.settings.beat_ms)
@@ -182,7 +182,7 @@
             if isinstance(message, VersionDigest) and message.rank
         }
         self.assertThat((len(told), set(told) & set(contacts)), Equals((2, set())))
-        at = next(host.name for host in fleet.of("control") if host not in near)
+        at = next(host.name for host in fleet.with_role("control") if host not in near)
         self.assertThat(self.change(fleet, 1, at=at)[0], Equals("ok"))
         self.assertThat(
             fleet.run_until_true(lambda: edge.node.config_feed.number("profiles") == 2, 300),
@@ -193,7 +193,7 @@
         fleet = self.founded()
         edge = fleet.hosts["edge1"]
         first = edge.node.config_feed._contacts._chosen[0]
-        host = next(host for host in fleet.of("control") if host.address == first)
+        host = next(host for host in fleet.with_role("control") if host.address == first)
         host.kill()
         self.assertThat(
             fleet.run_until_true(lambda: edge.node.config_feed._contacts.rank(first) == 0, 2000),
@@ -246,7 +246,7 @@
             fleet.run_until_true(lambda: not edge.node.why_unready(), 2000), Equals(True)
         )
         self.assertThat(edge.node.config_feed.number("profiles"), Equals(2))
-        for host in fleet.of("control"):
+        for host in fleet.with_role("control"):
             host.kill()
         edge.settings = edge.settings.model_copy(
             update={"seeds": [fleet.hosts[name].address for name in ("edge2", "store1", "edge3")]}
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -11,7 +11,7 @@
 class Feed(TestCase):
     def founded(self, seed=3, **sizes):
         run = Run(seed, **sizes)
-        run.found()
+        run.start()
         return run, run.fleet
 
     def change(self, run):
@@ -29,7 +29,8 @@
         row = self.change(run)
         self.assertThat(row["outcome"], Equals("ok"))
         self.assertThat(
-            {host.node.config_feed.number("profiles") for host in fleet.of("edge")}, Equals({2})
+            {host.node.config_feed.number("profiles") for host in fleet.with_role("edge")},
+            Equals({2}),
         )
         self.assertThat(row["answered_ms"] - row["at_ms"] < 500, Equals(True))
 
@@ -82,13 +83,13 @@
         self.edges_away(fleet, "edge1", "edge2", "edge3", "store1")
         fleet.time.run_until(fleet.time.now_ms + 4000)
         self.assertThat(
-            [host.node.why_unready() for host in fleet.of("edge")], Equals(["", "", ""])
+            [host.node.why_unready() for host in fleet.with_role("edge")], Equals(["", "", ""])
         )
         row = self.change(run)
         self.assertThat(
             (
                 row["outcome"],
-                {host.node.config_feed.number("profiles") for host in fleet.of("edge")},
+                {host.node.config_feed.number("profiles") for host in fleet.with_role("edge")},
             ),
             Equals(("doubt", {1})),
         )
@@ -104,7 +105,7 @@
         fleet.add("edge", "edge4")
         fleet.hosts.pop("edge1").kill()
         self.assertThat(
-            fleet.run_until_true(fleet.on_the_roll, 3 * fleet.hosts["edge2"].settings.gone_ms),
+            fleet.run_until_true(fleet.in_serving_set, 3 * fleet.hosts["edge2"].settings.gone_ms),
             Equals(True),
         )
 
@@ -112,10 +113,13 @@
         """The first one or two that control ever heard are taken back before any other comes."""
         for count in (1, 2):
             fleet = SimFleet(2, edges=3, stores=3, workers=0)
-            firsts, others = fleet.of("edge")[:count], fleet.of("edge")[count:] + fleet.of("store")
+            firsts, others = (
+                fleet.with_role("edge")[:count],
+                fleet.with_role("edge")[count:] + fleet.with_role("store"),
+            )
             for host in others:
                 host.kill()
-            control = fleet.of("control")[0].node
+            control = fleet.with_role("control")[0].node
             links = {host.address for host in firsts}
             self.assertThat(
                 fleet.run_until_true(
@@ -128,7 +132,7 @@
             fleet.time.run_until(fleet.time.now_ms + (0 if count == 1 else 1500))
             for host in others:
                 host.start()
-            self.assertThat(fleet.run_until_true(fleet.on_the_roll, 25_000), Equals(True))
+            self.assertThat(fleet.run_until_true(fleet.in_serving_set, 25_000), Equals(True))
 
     def test_a_roll_that_lost_most_of_its_machines_is_cut_by_the_operator(self):
         run, fleet = self.founded()
@@ -137,7 +141,7 @@
             host.kill()
         fleet.time.run_until(fleet.time.now_ms + 8000)
         self.assertThat(self.change(run)["outcome"], Equals("doubt"))
-        node = fleet.of("control")[0].node
+        node = fleet.with_role("control")[0].node
         seen = []
         node.roll.forget([host.address for host in lost], seen.append)
         self.assertThat(fleet.run_until_true(lambda: seen, 3000), Equals(True))
@@ -148,11 +152,11 @@
     def test_edges_serve_on_without_control_and_a_restarted_one_gets_the_newest(self):
         run, fleet = self.founded()
         self.change(run)
-        self.edges_away(fleet, *[host.name for host in fleet.of("control")])
+        self.edges_away(fleet, *[host.name for host in fleet.with_role("control")])
         for _ in range(12):
             fleet.time.run_until(fleet.time.now_ms + 1000)
             self.assertThat(
-                [host.node.why_unready() for host in fleet.of("edge")], Equals(["", "", ""])
+                [host.node.why_unready() for host in fleet.with_role("edge")], Equals(["", "", ""])
             )
         fleet.hosts["edge2"].kill()
         fleet.hosts["edge2"].start()
@@ -165,7 +169,7 @@
 
     def test_with_control_gone_a_restarted_edge_trusts_no_minority(self):
         run, fleet = self.founded()
-        control = [host.name for host in fleet.of("control")]
+        control = [host.name for host in fleet.with_role("control")]
         self.edges_away(fleet, *control)
         fleet.time.run_until(fleet.time.now_ms + 2000)
         fleet.network.heal()
--- a/tests/test_forward_lots_sim.py
+++ b/tests/test_forward_lots_sim.py
@@ -27,7 +27,7 @@
 
     def __init__(self, seed):
         self.run = Run(seed)
-        self.run.found()
+        self.run.start()
         self.fleet = self.run.fleet
         self.time = self.fleet.time
         self.runs = []
@@ -49,14 +49,14 @@
                 }
             }
         )
-        for host in self.fleet.of("edge"):
+        for host in self.fleet.with_role("edge"):
             host.node.roster._listed = lambda: (1, listed)
             host.node.carrier.dialect = DIALECT
             host.node.carrier._sender = self._sender_of(host)
         self.fleet.run_until_true(lambda: False, 800)
 
     def _sender_of(self, host):
-        life = host.life
+        incarnation = host.incarnation
 
         def send(send, address, target, headers, body, method="POST"):
             state = {"open": True}
@@ -65,7 +65,7 @@
             first = int(pairs["Last-Event-Id"]) + 1 if "Last-Event-Id" in pairs else 0
 
             def play(number):
-                if not (state["open"] and host.up and host.life == life):
+                if not (state["open"] and host.up and host.incarnation == incarnation):
                     return
                 if host.frozen:
                     self.time.after(50, lambda: play(number))
@@ -197,7 +197,7 @@
         for seed, how in ((1, "kill"), (2, "freeze"), (3, "lose_power"), (4, "lose_disk")):
             stage, _ = self.begin(seed)
             stage.time.run_until(stage.time.now_ms + 80 + 40 * seed)
-            holder = stage.fleet.holder()
+            holder = stage.fleet.leader()
             getattr(holder, how)()
             stage.hand_in("late", 5, lambda ms, stage=stage: stage.follow("late"))
             if how == "freeze":
@@ -207,7 +207,7 @@
     def test_an_edge_lost_in_the_middle(self):
         stage, _ = self.begin(5, 3, 30)
         stage.time.run_until(stage.time.now_ms + 120)
-        lost = max(stage.fleet.of("edge"), key=lambda host: host.node.jobs.running())
+        lost = max(stage.fleet.with_role("edge"), key=lambda host: host.node.jobs.running())
         lost.kill()
         began_ms = stage.time.now_ms
         self.all_read(stage, 3)
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -149,13 +149,15 @@
         ):
             fleet = self.fleet(control, seeds=seeds)
             founded = fleet.run_until_true(
-                lambda fleet=fleet: any(host.node.voter.voters for host in fleet.of("control")),
+                lambda fleet=fleet: any(
+                    host.node.voter.voters for host in fleet.with_role("control")
+                ),
                 2000,
             )
             self.assertThat(founded, Equals(True), (control, seeds))
             self.voted(fleet, control, 6000)
             self.assertThat(
-                {host.node.voter.identity for host in fleet.of("control")},
+                {host.node.voter.identity for host in fleet.with_role("control")},
                 Equals(set(fleet.hosts["control1"].node.voter.voters)),
             )
             lists = {
@@ -169,7 +171,7 @@
         fleet = self.fleet(first_start=False)
         self.assertThat(
             fleet.run_until_true(
-                lambda: any(host.node.voter.voters for host in fleet.of("control")), 8000
+                lambda: any(host.node.voter.voters for host in fleet.with_role("control")), 8000
             ),
             Equals(False),
         )
@@ -179,13 +181,13 @@
         self.assertThat(
             fleet.run_until_true(
                 lambda: all(
-                    host.node.voter.metadata.bootstrap_vote for host in fleet.of("control")
+                    host.node.voter.metadata.bootstrap_vote for host in fleet.with_role("control")
                 ),
                 3000,
             ),
             Equals(True),
         )
-        for host in fleet.of("control"):
+        for host in fleet.with_role("control"):
             host.kill()
             host.start()
         self.voted(fleet, 3)
@@ -194,7 +196,7 @@
         fleet.hosts["control2"].start()
         self.assertThat(
             fleet.run_until_true(
-                lambda: any(host.node.voter.voters for host in fleet.of("control")), 5000
+                lambda: any(host.node.voter.voters for host in fleet.with_role("control")), 5000
             ),
             Equals(False),
         )
@@ -262,7 +264,9 @@
                 ]
             )
             fleet.time.run_until(fleet.time.now_ms + 2 * fleet.hosts["control1"].settings.dead_ms)
-            version = max(host.node.config_feed.number("profiles") for host in fleet.of("control"))
+            version = max(
+                host.node.config_feed.number("profiles") for host in fleet.with_role("control")
+            )
             outcome, took_ms = self.change(fleet, "control4", version)
             self.assertThat((outcome, took_ms < 1500), Equals(("ok", True)))
             self.assertThat(self.change(fleet, pair[0], version + 1, 6000)[0], Equals("doubt"))
@@ -273,7 +277,7 @@
         """Asked just as the owner dies: told to another control node, it is acknowledged within the bound."""
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         owner.kill()
         other = next(host for host in fleet.running("control"))
@@ -284,19 +288,19 @@
     def test_a_voter_that_hears_nobody_has_no_duty_though_all_hear_it(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         others = [host for host in fleet.hosts.values() if host is not owner]
-        fleet.network.cut_pairs.update((host.address, owner.address) for host in others)
+        fleet.network.partitioned_pairs.update((host.address, owner.address) for host in others)
         fleet.time.run_until(fleet.time.now_ms + 1.5 * owner.settings.force_ms)
-        at = next(host.name for host in fleet.of("control") if host is not owner)
+        at = next(host.name for host in fleet.with_role("control") if host is not owner)
         outcome, took_ms = self.change(fleet, at, 1)
         self.assertThat((outcome, took_ms < 1000), Equals(("ok", True)), took_ms)
 
     def test_a_killed_owners_keys_pass_on_once_nothing_listens_there(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.of("control")}
+        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         owner.kill()
         others = fleet.running("control")
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -11,7 +11,7 @@
 class Holders(TestCase):
     def founded(self, seed=1, **sizes):
         run = Run(seed, **sizes)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 1000)
         return run, run.fleet
 
@@ -44,7 +44,7 @@
     def interruption(self, fault, seed, **sizes):
         """From the fault until another store has settled an append."""
         run, fleet = self.founded(seed, **sizes)
-        old, began_ms = fleet.holder(), fleet.time.now_ms
+        old, began_ms = fleet.leader(), fleet.time.now_ms
         fault(fleet, old)
         self.assertThat(self.until(fleet, lambda: self.serving(fleet, old), 5000), Equals(True))
         self.assertThat(self.settle(fleet, self.serving(fleet, old), "after"), Equals("kept"))
@@ -56,9 +56,9 @@
                 role == "disks" and other.role != "edge" or other.role == role
             ):
                 if both or outward:
-                    fleet.network.cut_pairs.add((host.address, other.address))
+                    fleet.network.partitioned_pairs.add((host.address, other.address))
                 if both or not outward:
-                    fleet.network.cut_pairs.add((other.address, host.address))
+                    fleet.network.partitioned_pairs.add((other.address, host.address))
 
     def test_another_serves_soon(self):
         faults = {
@@ -89,7 +89,7 @@
     def test_five_stores_two_lost_at_once(self):
         def fault(fleet, host):
             host.lose_power()
-            next(other for other in fleet.of("store") if other is not host).lose_power()
+            next(other for other in fleet.with_role("store") if other is not host).lose_power()
 
         self.assertThat(
             self.interruption(fault, 2, stores=5, settings={"store_faults": 2}) < LIMIT_MS,
@@ -102,7 +102,7 @@
 
     def test_all_stores_leave_one_after_another(self):
         run, fleet = self.founded(3)
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.node.log.hand_over()
             self.until(fleet, lambda host=host: not host.node.log.handing_over(), 3000)
             host.kill()
@@ -116,72 +116,72 @@
 
     def test_who_is_cut_off_from_the_holder_alone_leaves_it_alone(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
-        other = next(host for host in fleet.of("store") if host is not holder)
-        fleet.network.cut(holder.address, other.address)
+        other = next(host for host in fleet.with_role("store") if host is not holder)
+        fleet.network.partition(holder.address, other.address)
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
         self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
 
     def test_a_member_cut_off_from_the_other_stores_claims_nothing(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
-        other = next(host for host in fleet.of("store") if host is not holder)
+        other = next(host for host in fleet.with_role("store") if host is not holder)
         self.cut_from(fleet, other, "store")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
 
     def test_the_log_goes_on_without_control(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
-        for host in fleet.of("control"):
+        for host in fleet.with_role("control"):
             host.kill()
         for number in range(6):
             fleet.run_until_true(lambda: False, 1000)
             self.assertThat(self.settle(fleet, holder, f"k{number}"), Equals("kept"))
-        for host in fleet.of("control"):
+        for host in fleet.with_role("control"):
             host.start()
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
 
     def test_a_holder_cut_off_from_control_alone_goes_on(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
         self.cut_from(fleet, holder, "control")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
 
     def test_short_stops_and_slow_links_change_no_holder(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             fleet.network.slow_ms[host.address] = 60.0
         for number in range(30):
-            host = fleet.of("store")[number % 3]
+            host = fleet.with_role("store")[number % 3]
             host.freeze()
             fleet.time.after(220, host.wake)
             fleet.run_until_true(lambda: False, 400)
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
 
     def test_a_whole_restart_serves_in_time(self):
         run, fleet = self.founded()
-        self.assertThat(self.settle(fleet, fleet.holder(), "before"), Equals("kept"))
+        self.assertThat(self.settle(fleet, fleet.leader(), "before"), Equals("kept"))
         for host in fleet.hosts.values():
             host.lose_power()
         began_ms = fleet.time.now_ms
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -16,7 +16,7 @@
     def founded(self, seed, **sizes):
         settings = {**SETTINGS, **sizes.pop("settings", {})}
         run = Run(seed, settings=settings, **sizes)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 800)
         self.jobs(run, 2)
         return run, run.fleet
@@ -31,7 +31,7 @@
                 if last and then is not None:
                     then()
 
-            run.visitors.hand_in("summaries", 5, 6, done=told)
+            run.clients.submit("summaries", 5, 6, done=told)
             run.fleet.run_until_true(lambda seen=seen: seen, 12_000)
             self.assertThat([row["outcome"] for row in seen], Equals(["admitted"]))
 
@@ -42,7 +42,7 @@
         """`held_up`: more was lost at once than is to be borne, so lots were late."""
         fleet = run.fleet
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() is not None, 12_000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() is not None, 12_000), Equals(True)
         )
         self.after(fleet, 3000)
         run.read_all()
@@ -51,12 +51,12 @@
             found.pop("lots-in-time", None)
         self.assertThat(found, Equals({}))
         self.assertThat(
-            len(fleet.history.of("final")),
-            Equals(sum(job["acked"] for job in run.visitors.jobs.values())),
+            len(fleet.history.rows_of("final")),
+            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
         )
 
     def peers(self, fleet):
-        return [host for host in fleet.of("store") if host is not fleet.holder()]
+        return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
     def strike(self, fleet, wiped, dark, down_ms=1200):
         for host in dark:
@@ -67,7 +67,7 @@
             fleet.time.after(down_ms + 150 * place, host.start)
 
     def members(self, fleet):
-        value = fleet.of("control")[0].node.config_feed.value("log")
+        value = fleet.with_role("control")[0].node.config_feed.value("log")
         return (
             {row["identity"] for row in value["members"]} if value["phase"] == "serving" else set()
         )
@@ -90,9 +90,9 @@
         }
         for seed, choose in enumerate(rows.values()):
             run, fleet = self.founded(seed)
-            for host in fleet.of("store"):
+            for host in fleet.with_role("store"):
                 host.disk.flush_ms = 20.0
-            wiped, dark = choose(fleet.holder(), self.peers(fleet))
+            wiped, dark = choose(fleet.leader(), self.peers(fleet))
             self.after(fleet, 1500)
             self.jobs(
                 run, 1, lambda fleet=fleet, wiped=wiped, dark=dark: self.strike(fleet, wiped, dark)
@@ -103,19 +103,20 @@
     def test_two_of_five_disks_lost_and_the_others_cut_from_power(self):
         run, fleet = self.founded(4, stores=5, settings={"store_faults": 2})
         for _ in range(2):
-            stores = fleet.of("store")
+            stores = fleet.with_role("store")
             fleet.time.rng.shuffle(stores)
             self.jobs(run, 1, lambda stores=stores: self.strike(fleet, stores[:2], stores[2:]))
             self.after(fleet, 1500 + CATCH_UP_MS)
             self.assertThat(
-                [self.is_member(fleet, host) for host in fleet.of("store")], Equals([True] * 5)
+                [self.is_member(fleet, host) for host in fleet.with_role("store")],
+                Equals([True] * 5),
             )
         self.kept(run)
 
     def test_disks_lost_one_after_another_each_caught_up(self):
         run, fleet = self.founded(5)
         for _ in range(3):
-            for host in fleet.of("store"):
+            for host in fleet.with_role("store"):
                 self.jobs(run, 1, lambda host=host: self.strike(fleet, [host], [], 600))
                 self.after(fleet, 600 + CATCH_UP_MS)
                 self.assertThat(self.is_member(fleet, host), Equals(True))
@@ -124,7 +125,7 @@
     def test_a_machine_replaced_at_another_address_and_then_another_disk_lost(self):
         run, fleet = self.founded(6)
         for number in range(2):
-            gone = fleet.holder() if number else self.peers(fleet)[0]
+            gone = fleet.leader() if number else self.peers(fleet)[0]
             gone.lose_disk()
             fleet.hosts.pop(gone.name)
             self.after(fleet, 2000)
@@ -132,12 +133,12 @@
             self.jobs(run, 1)
             self.after(fleet, CATCH_UP_MS - 1000)
             self.assertThat(self.is_member(fleet, fresh), Equals(True))
-            self.jobs(run, 1, lambda: self.strike(fleet, [fleet.holder()], []))
+            self.jobs(run, 1, lambda: self.strike(fleet, [fleet.leader()], []))
             self.after(fleet, 1200 + CATCH_UP_MS)
         self.kept(run)
 
     def retire(self, fleet, host):
-        node = fleet.of("control")[0].node
+        node = fleet.with_role("control")[0].node
         version = node.config_feed.number("retired")
         names = (node.config_feed.value("retired") or {"identities": []})["identities"] + [
             host.node.log.log.identity
@@ -154,7 +155,7 @@
             fleet.add("store", "fresh")
             self.after(fleet, 1000)
             self.jobs(run, 1)
-            host = fleet.holder() if of_holder else self.peers(fleet)[0]
+            host = fleet.leader() if of_holder else self.peers(fleet)[0]
             old, began_ms = host.node.log.log.identity, fleet.time.now_ms
             self.retire(fleet, host)
             finished = fleet.run_until_true(
@@ -164,7 +165,7 @@
             self.assertThat((finished, fleet.time.now_ms - began_ms < 2000), Equals((True, True)))
             host.lose_disk()
             fleet.hosts.pop(host.name)
-            rest = fleet.of("store")
+            rest = fleet.with_role("store")
             self.strike(fleet, [rest.pop(seed % len(rest))], rest if seed > 1 else [])
             self.after(fleet, 1500 + CATCH_UP_MS)
             self.jobs(run, 1)
@@ -172,11 +173,11 @@
 
     def test_a_wiped_machine_comes_back_while_another_is_frozen(self):
         run, fleet = self.founded(8)
-        holder, (one, _) = fleet.holder(), self.peers(fleet)
+        holder, (one, _) = fleet.leader(), self.peers(fleet)
         self.jobs(run, 1, lambda: self.strike(fleet, [holder], [], 400))
         one.freeze()
         self.after(fleet, 4000)
-        self.assertThat(fleet.holder(), Equals(None))
+        self.assertThat(fleet.leader(), Equals(None))
         one.wake()
         self.after(fleet, CATCH_UP_MS)
         self.jobs(run, 1)
@@ -184,19 +185,20 @@
 
     def test_the_first_one_back_neither_recovers_alone_nor_founds(self):
         run, fleet = self.founded(9)
-        holder, peers = fleet.holder(), self.peers(fleet)
-        number = fleet.of("control")[0].node.config_feed.value("log")["epoch"]
+        holder, peers = fleet.leader(), self.peers(fleet)
+        number = fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
         for host in fleet.hosts.values():
             host.lose_power()
         holder.lose_disk()
-        for host in [*fleet.of("control"), *fleet.of("edge"), holder, peers[0]]:
+        for host in [*fleet.with_role("control"), *fleet.with_role("edge"), holder, peers[0]]:
             host.start()
         fleet.add("store", "fresh")
         fleet.add("store", "another")
         self.after(fleet, 7000)
-        self.assertThat(fleet.holder(), Equals(None))
+        self.assertThat(fleet.leader(), Equals(None))
         self.assertThat(
-            fleet.of("control")[0].node.config_feed.value("log")["epoch"] >= number, Equals(True)
+            fleet.with_role("control")[0].node.config_feed.value("log")["epoch"] >= number,
+            Equals(True),
         )
         peers[1].start()
         self.after(fleet, CATCH_UP_MS)
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -10,7 +10,7 @@
 class Lots(TestCase):
     def founded(self, seed=9):
         run = Run(seed)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 800)
         return run, run.fleet
 
@@ -19,13 +19,13 @@
 
     def ask(self, fleet, message):
         seen = []
-        edge = next(host for host in fleet.of("edge") if host.up)
-        edge.node.ask(fleet.holder().address, message, 400, seen.append)
+        edge = next(host for host in fleet.with_role("edge") if host.up)
+        edge.node.ask(fleet.leader().address, message, 400, seen.append)
         self.wait(fleet, lambda: seen)
         return seen[0]
 
     def hand_in(self, fleet, job_id, age_ms=0, path="summaries", epoch=None):
-        node = fleet.holder().node
+        node = fleet.leader().node
         return self.ask(
             fleet,
             m.SubmitJob(
@@ -42,7 +42,7 @@
 
     def test_late_hand_ins_are_not_taken(self):
         run, fleet = self.founded()
-        settings = fleet.holder().settings
+        settings = fleet.leader().settings
         for worker in fleet.workers.values():
             worker.gone = True
         rows = [
@@ -72,28 +72,28 @@
     def lose_power_after_a_report(self, seed):
         run, fleet = self.founded(seed)
         history = fleet.history
-        run.visitors.hand_in("claims", 6)
-        self.wait(fleet, lambda: history.of("run"))
-        for host in fleet.of("store"):
+        run.clients.submit("claims", 6)
+        self.wait(fleet, lambda: history.rows_of("run"))
+        for host in fleet.with_role("store"):
             host.disk.flush_ms = 400.0
-        self.wait(fleet, lambda: history.of("run-ended"))
+        self.wait(fleet, lambda: history.rows_of("run-ended"))
         fleet.time.run_until(fleet.time.now_ms + 30)
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.lose_power()
             host.disk.flush_ms = 3.0
             fleet.time.after(800, host.start)
         fleet.run_until_true(lambda: False, 9000)
         run.read_all()
         self.assertThat(judge(history), Equals({}))
-        self.assertThat(history.of("final")[0]["listed"], Equals(6))
+        self.assertThat(history.rows_of("final")[0]["listed"], Equals(6))
 
     def test_a_cut_off_edge_stops_an_ended_lot_in_time(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
             worker.piece_ms = 1500.0
-        run.visitors.hand_in("summaries", 12)
-        self.wait(fleet, lambda: any(host.node.jobs.running() for host in fleet.of("edge")))
-        edges = sorted(fleet.of("edge"), key=lambda host: -host.node.jobs.running())
+        run.clients.submit("summaries", 12)
+        self.wait(fleet, lambda: any(host.node.jobs.running() for host in fleet.with_role("edge")))
+        edges = sorted(fleet.with_role("edge"), key=lambda host: -host.node.jobs.running())
         workers = [worker.address for worker in fleet.workers.values()]
         others = [host.address for host in fleet.hosts.values() if host is not edges[0]]
         fleet.network.split([[edges[0].address], others])
@@ -114,27 +114,29 @@
             worker.gone = True
         rows = []
         for _ in range(20):
-            run.visitors.hand_in("summaries", 2, done=rows.append)
+            run.clients.submit("summaries", 2, done=rows.append)
         self.wait(fleet, lambda: len(rows) == 20)
         outcomes = sorted(row["outcome"] for row in rows)
         self.assertThat(outcomes, Equals(["admitted"] * 3 + ["waiting-room-full"] * 17))
 
     def test_all_finished_and_the_edge_with_the_baton_lost(self):
         run, fleet = self.founded()
-        run.visitors.hand_in("summaries", 1)
-        ledger = fleet.holder().node.log.holder.ledger
+        run.clients.submit("summaries", 1)
+        ledger = fleet.leader().node.log.holder.ledger
         self.wait(fleet, lambda: ledger.jobs)
         job = next(iter(ledger.jobs.values()))
         while job.left:
             fleet.time.run_until(fleet.time.now_ms + 0.2)
         self.assertThat(job.placed, Equals(0))
-        next(host for host in fleet.of("edge") if host.node.jobs.edge == job.items[0].edge).kill()
+        next(
+            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.items[0].edge
+        ).kill()
         self.wait(fleet, lambda: job.placed == 1)
 
     def test_the_baton_of_a_lost_edge_is_issued_again_higher(self):
         run, fleet = self.founded()
-        run.visitors.hand_in("summaries", 9)
-        holder = fleet.holder().node
+        run.clients.submit("summaries", 9)
+        holder = fleet.leader().node
         self.wait(
             fleet,
             lambda: (
@@ -144,7 +146,9 @@
         )
         job = next(iter(holder.log.holder.ledger.jobs.values()))
         before = job.baton_epoch
-        next(host for host in fleet.of("edge") if host.node.jobs.edge == job.baton_edge).kill()
+        next(
+            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.baton_edge
+        ).kill()
         self.wait(fleet, lambda: job.placed == 9, 12000)
         self.assertThat(job.baton_epoch > before, Equals(True))
         stale = self.ask(
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -143,7 +143,7 @@
 
     def _founded(self):
         self.watch()
-        nodes = [host.node for host in self.fleet.of("control")]
+        nodes = [host.node for host in self.fleet.with_role("control")]
         return sum(node.quorate() for node in nodes) >= 5 and all(
             node.voter.voters for node in nodes
         )
@@ -165,7 +165,7 @@
     def _noted(self, host, key, number, body):
         if self.bodies.setdefault((key, number), body) != body:
             self.broken.append(f"{host.name}: two bodies under {key} {number}")
-        place = (f"{host.name}/{host.life}/{key}", 0)
+        place = (f"{host.name}/{host.incarnation}/{key}", 0)
         if number <= self._seen.get(place, 0):
             self.broken.append(f"{host.name}: {key} back to {number}")
         self._seen[place] = number
@@ -175,7 +175,7 @@
 
     def value_bytes(self, key):
         """The size of a key's value, with the changes that it remembers, at the voter that has most."""
-        registers = [host.node.voter.registers.get(key) for host in self.fleet.of("control")]
+        registers = [host.node.voter.registers.get(key) for host in self.fleet.with_role("control")]
         return max(len(register.value) for register in registers if register is not None)
 
     def change(self, key, count, through="control1"):
@@ -206,7 +206,7 @@
         node = self.fleet.hosts["control1"].node
         identity = node.owner.owner_of(key)
         return next(
-            host for host in self.fleet.of("control") if host.node.voter.identity == identity
+            host for host in self.fleet.with_role("control") if host.node.voter.identity == identity
         )
 
 
@@ -245,7 +245,7 @@
         fleet, names = watched.fleet, {host.name for host, _ in leaving}
         through = next(
             host.name
-            for host in fleet.of("control")
+            for host in fleet.with_role("control")
             if host.name not in names and host.node.quorate()
         )
         for host, leave in leaving:
@@ -255,7 +255,7 @@
         fleet.network.heal()
         for host, _ in leaving:
             if host.disk is not None:
-                host.disk.empty()
+                host.disk.restore_capacity()
             host.start()
         before = Counter(fleet.network.bytes_to)
         begun_ms, told = fleet.time.now_ms, []
@@ -303,7 +303,7 @@
         watched = _Watched(5, _SERVE, 5)
         hosts = watched.fleet.hosts
         other = next(
-            host for host in watched.fleet.of("control")[1:] if host is not watched.owner()
+            host for host in watched.fleet.with_role("control")[1:] if host is not watched.owner()
         )
         leaving = [(hosts["edge2"], _kill), (hosts["store2"], _cut), (other, _kill)]
         rows = [self.away(watched, leaving, count) for count in (1, 70, 300, 2000)]
@@ -317,7 +317,7 @@
         hosts = watched.fleet.hosts
         spare = next(
             host
-            for host in watched.fleet.of("control")
+            for host in watched.fleet.with_role("control")
             if host.node.why_unready().startswith("spare")
         )
         leaving = [(hosts["edge2"], _cut), (hosts["store2"], _kill), (spare, _kill)]
@@ -329,7 +329,7 @@
         watched = _Watched(6, _SERVE, 5)
         for leave in (_cut, _kill, _lose_power, _lose_disk, _fill):
             owner = watched.owner()
-            other = next(host for host in watched.fleet.of("control") if host is not owner)
+            other = next(host for host in watched.fleet.with_role("control") if host is not owner)
             for host in (other, owner):
                 self.away(watched, [(host, leave)], 70)
                 self.check_registers(watched)
@@ -339,7 +339,7 @@
             watched.watch()
             return [
                 host.node.voter.registers["profiles"].flushed.version
-                for host in watched.fleet.of("control")
+                for host in watched.fleet.with_role("control")
                 if host.node.voter.identity in host.node.voter.voters
                 and "profiles" in host.node.voter.registers
             ]
--- a/tests/test_measure_scale.py
+++ b/tests/test_measure_scale.py
@@ -36,7 +36,7 @@
 
     def test_what_a_node_holds_leaves_out_the_fleet(self):
         fleet = founded(1, 8)
-        self.assertThat(held_bytes(fleet.of("edge")[0].node), LessThan(1 << 20))
+        self.assertThat(held_bytes(fleet.with_role("edge")[0].node), LessThan(1 << 20))
 
     def test_an_event_costs_something(self):
         self.assertThat(event_cost_us(100), GreaterThan(0))
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -70,18 +70,18 @@
     def test_the_new_members_are_level_before_the_key_is_changed(self):
         """The spare's disk is slow, and calls go on that each take records of the log."""
         run = Run(31, settings={"catch_up_ms": 4900})
-        run.found()
+        run.start()
         fleet = run.fleet
-        gone = next(host for host in fleet.of("store") if host is not fleet.holder())
+        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         gone.lose_disk()
         fleet.hosts.pop(gone.name)
-        log = fleet.holder().node.log
+        log = fleet.leader().node.log
         spare = fleet.add("store", "spare")
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.disk.flush_ms = 40.0
         for number in range(600):
             fleet.time.after(
-                10 * number, lambda number=number: run.visitors.live("moves", f"m{number}")
+                10 * number, lambda number=number: run.clients.live("moves", f"m{number}")
             )
         asked, plain = [], LogReplica.change
 
@@ -97,13 +97,13 @@
 
 class Alone(TestCase):
     def epoch(self, fleet):
-        return fleet.of("control")[0].node.config_feed.value("log")["epoch"]
+        return fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
 
     def test_a_store_whose_fellows_do_not_answer_says_so_and_does_not_spin(self):
         run = Run(33)
-        run.found()
+        run.start()
         fleet = run.fleet
-        first, other, third = fleet.of("store")
+        first, other, third = fleet.with_role("store")
         for host in (other, third):
             host.kill()
         first.kill()
@@ -119,10 +119,10 @@
     def test_a_takeover_that_gets_no_answers_names_them_and_does_not_spin(self):
         """The others answer that they are there, but never the recovery itself."""
         run = Run(34)
-        run.found()
+        run.start()
         fleet = run.fleet
-        holder = fleet.holder()
-        for host in fleet.of("store"):
+        holder = fleet.leader()
+        for host in fleet.with_role("store"):
             peer = host.node.log._peer
             plain = peer.receive
             host.node.log._peer = _Deaf(plain)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,7 +12,7 @@
 class Members(TestCase):
     def founded(self, seed=5):
         run = Run(seed)
-        run.found()
+        run.start()
         fleet = run.fleet
         fleet.run_until_true(lambda: False, 1000)
         self.jobs(run, 3)
@@ -21,13 +21,13 @@
     def jobs(self, run, count):
         seen = []
         for _ in range(count):
-            run.visitors.hand_in("summaries", 4, done=seen.append)
+            run.clients.submit("summaries", 4, done=seen.append)
             run.fleet.run_until_true(lambda: seen and seen[-1]["outcome"] == "admitted", 5000)
             run.fleet.run_until_true(lambda: False, 800)
         self.assertThat([row["outcome"] for row in seen], Equals(["admitted"] * count))
 
     def members(self, fleet):
-        value = fleet.of("edge")[0].node.config_feed.value("log")
+        value = fleet.with_role("edge")[0].node.config_feed.value("log")
         return (
             {row["identity"] for row in value["members"]} if value["phase"] == "serving" else set()
         )
@@ -36,8 +36,8 @@
         run.read_all()
         self.assertThat(judge(run.fleet.history), Equals({}))
         self.assertThat(
-            len(run.fleet.history.of("final")),
-            Equals(sum(job["acked"] for job in run.visitors.jobs.values())),
+            len(run.fleet.history.rows_of("final")),
+            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
         )
 
     def until_member(self, run, host, limit_ms=15000):
@@ -60,41 +60,43 @@
 
     def test_a_frozen_member_that_was_replaced_is_refused(self):
         run, fleet = self.founded()
-        host = fleet.holder()
+        host = fleet.leader()
         old = host.node.log.log.identity
         fresh = fleet.add("store", "fresh")
         host.freeze()
         self.until_member(run, fresh, 20000)
         self.jobs(run, 1)
-        seq = fleet.holder().node.log.log.last_seq
+        seq = fleet.leader().node.log.log.last_seq
         host.wake()
         fleet.run_until_true(lambda: False, 2000)
         self.assertThat(
             old in self.members(fleet) or host.node.log.holder is not None, Equals(False)
         )
-        self.assertThat(fleet.holder().node.log.log.last_seq >= seq, Equals(True))
+        self.assertThat(fleet.leader().node.log.log.last_seq >= seq, Equals(True))
         self.kept(run)
 
     def test_a_damaged_store_is_mended_by_the_others(self):
         run, fleet = self.founded()
-        host = next(host for host in fleet.of("store") if host is not fleet.holder())
+        host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         old = host.node.log.log.identity
         host.kill()
         name = next(name for name in host.disk.names() if name.startswith(("queue-", "snapshot")))
         host.disk.damage(name, 20)
         host.start()
-        self.assertThat((host.disk.asides, host.node.log.log.identity != old), Equals((1, True)))
+        self.assertThat(
+            (host.disk.set_aside_count, host.node.log.log.identity != old), Equals((1, True))
+        )
         self.until_member(run, host)
-        wanted = fleet.holder().node.log.log.ledger.jobs
+        wanted = fleet.leader().node.log.log.ledger.jobs
         fleet.run_until_true(lambda: host.node.log.log.ledger.jobs.keys() == wanted.keys(), 4000)
         self.assertThat(sorted(host.node.log.log.ledger.jobs), Equals(sorted(wanted)))
         self.kept(run)
 
     def test_retired_holder_hands_over_to_a_spare(self):
         run, fleet = self.founded()
-        old = fleet.holder().node.log.log.identity
+        old = fleet.leader().node.log.log.identity
         fresh = fleet.add("store", "fresh")
-        control = fleet.of("control")[0].node
+        control = fleet.with_role("control")[0].node
         control.owner.submit(
             Change(
                 key="retired", version=0, change_id="r", body=f'{{"identities": ["{old}"]}}', hops=0
@@ -103,7 +105,7 @@
         )
         self.until_member(run, fresh)
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() is not None, 5000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() is not None, 5000), Equals(True)
         )
         self.assertThat(old in self.members(fleet), Equals(False))
         self.jobs(run, 1)
@@ -111,18 +113,18 @@
 
     def test_two_stores_lost_at_once_nothing_is_promised_until_one_returns(self):
         run, fleet = self.founded()
-        hosts = fleet.of("store")
+        hosts = fleet.with_role("store")
         for host in hosts[:2]:
             host.kill()
         fleet.add("store", "spare")
         fleet.run_until_true(lambda: False, 9000)
         seen = []
-        run.visitors.hand_in("summaries", 4, 1, done=seen.append)
+        run.clients.submit("summaries", 4, 1, done=seen.append)
         fleet.run_until_true(lambda: seen, 9000)
         self.assertThat(seen[0]["verdict"], Equals("may_have_run"))
         hosts[0].start()
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() is not None, 12000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() is not None, 12000), Equals(True)
         )
         fleet.run_until_true(lambda: False, 1500)
         self.jobs(run, 1)
@@ -138,7 +140,7 @@
             fleet.time.after(300 * place, host.start)
         self.assertThat(
             fleet.run_until_true(
-                lambda: fleet.holder() is not None and fleet.ready(), 300 * len(order) + 12000
+                lambda: fleet.leader() is not None and fleet.ready(), 300 * len(order) + 12000
             ),
             Equals(True),
         )
@@ -148,38 +150,38 @@
     def test_clocks_moved_over_a_restart_hide_nobody_and_forget_nothing(self):
         run, fleet = self.founded()
         seen = []
-        run.visitors.live("moves", "kept", done=seen.append)
+        run.clients.live("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: seen, 5000)
-        day = 2 * fleet.holder().settings.keep_ms
-        for host in fleet.of("store"):
+        day = 2 * fleet.leader().settings.keep_ms
+        for host in fleet.with_role("store"):
             host.wall_step_ms -= 3_600_000
             host.kill()
             host.start()
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() is not None, 12000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() is not None, 12000), Equals(True)
         )
-        holder = fleet.holder()
+        holder = fleet.leader()
         self.assertThat(
             fleet.run_until_true(lambda: len(holder.node.live_stores()) == 2, 3000), Equals(True)
         )
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.wall_step_ms += 8 * day
         fleet.run_until_true(lambda: False, 2 * holder.settings.resume_ms)
-        run.visitors.live("moves", "kept", done=seen.append)
+        run.clients.live("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
         self.assertThat([row["outcome"] for row in seen], Equals(["finish", "replay"]))
         self.kept(run)
 
     def test_what_is_over_is_forgotten_after_the_time_it_is_kept(self):
         run = Run(6, settings={"keep_ms": 2000})
-        run.found()
+        run.start()
         fleet = run.fleet
         seen = []
-        run.visitors.live("moves", "old", done=seen.append)
-        run.visitors.hand_in("summaries", 2)
+        run.clients.live("moves", "old", done=seen.append)
+        run.clients.submit("summaries", 2)
 
         def ledger():
-            return fleet.holder().node.log.log.ledger
+            return fleet.leader().node.log.log.ledger
 
         fleet.run_until_true(lambda: seen and ledger().jobs and not ledger().opened, 8000)
         self.assertThat((len(ledger().keys), len(ledger().jobs)), Equals((1, 1)))
@@ -190,12 +192,12 @@
 
     def test_a_holder_with_a_full_disk_makes_way_for_one_with_room(self):
         run, fleet = self.founded()
-        first = fleet.holder()
+        first = fleet.leader()
         first.disk.fill()
         first.disk.room_bytes = int(first.disk.room_bytes / 1.1)
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() not in (None, first), 5000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() not in (None, first), 5000), Equals(True)
         )
         self.jobs(run, 2)
-        first.disk.empty()
+        first.disk.restore_capacity()
         self.kept(run)
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -47,22 +47,22 @@
 class Changing(TestCase):
     def founded(self, seed=11):
         run = Run(seed)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 1000)
         run.traffic(90.0)
         run.fleet.run_until_true(lambda: False, 1500)
         return run, run.fleet
 
     def members(self, fleet):
-        value = fleet.of("edge")[0].node.config_feed.value("log")
+        value = fleet.with_role("edge")[0].node.config_feed.value("log")
         return [row["identity"] for row in value["members"]] if value["phase"] == "serving" else []
 
     def until(self, fleet, check, limit_ms=20_000):
         self.assertThat(bool(fleet.run_until_true(check, limit_ms)), Equals(True))
 
     def retire(self, fleet, names):
-        owner = fleet.of("control")[0].node.owner
-        version = fleet.of("control")[0].node.config_feed.number("retired")
+        owner = fleet.with_role("control")[0].node.owner
+        version = fleet.with_role("control")[0].node.config_feed.number("retired")
         seen = []
         owner.submit(
             Change(
@@ -89,11 +89,11 @@
 
     def test_a_retired_holder_serves_until_the_spare_comes(self):
         run, fleet = self.founded()
-        old = fleet.holder().node.log.log.identity
+        old = fleet.leader().node.log.log.identity
         self.retire(fleet, [old])
         fleet.run_until_true(lambda: False, 5000)
         self.assertThat(
-            (old in self.members(fleet), fleet.holder() is not None), Equals((True, True))
+            (old in self.members(fleet), fleet.leader() is not None), Equals((True, True))
         )
         fresh = fleet.add("store", "fresh")
         self.until(
@@ -108,7 +108,9 @@
     def test_retired_and_undone_midway(self):
         run, fleet = self.founded(12)
         old = next(
-            host.node.log.log.identity for host in fleet.of("store") if host is not fleet.holder()
+            host.node.log.log.identity
+            for host in fleet.with_role("store")
+            if host is not fleet.leader()
         )
         self.retire(fleet, [old])
         fleet.run_until_true(lambda: False, 800)
@@ -123,11 +125,11 @@
 
     def test_a_swap_while_the_power_of_the_others_fails(self):
         run, fleet = self.founded(13)
-        gone = next(host for host in fleet.of("store") if host is not fleet.holder())
+        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(gone.name).lose_disk()
         fresh = fleet.add("store", "fresh")
         fleet.run_until_true(lambda: False, fleet.hosts["edge1"].settings.gone_ms - 500)
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.lose_power()
             fleet.time.after(900, host.start)
         self.until(fleet, lambda: fresh.node.log.log.identity in self.members(fleet), 25_000)
@@ -135,7 +137,7 @@
 
     def test_a_spare_lost_while_it_catches_up_and_another_comes(self):
         run, fleet = self.founded(14)
-        gone = next(host for host in fleet.of("store") if host is not fleet.holder())
+        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(gone.name).lose_disk()
         first = fleet.add("store", "first")
         fleet.run_until_true(lambda: False, 300)
@@ -147,7 +149,7 @@
 
     def test_a_retired_machine_that_comes_back_with_its_disk_counts_for_nothing(self):
         run, fleet = self.founded(15)
-        host = next(host for host in fleet.of("store") if host is not fleet.holder())
+        host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         old = host.node.log.log.identity
         fresh = fleet.add("store", "fresh")
         self.retire(fleet, [old])
@@ -175,6 +177,6 @@
                 lambda fresh=fresh: fresh.node.quorate() and len(fresh.node.voter.voters) == 5,
                 25_000,
             )
-        run.operators.ask_again(8)
-        self.assertThat(len(fleet.history.of("final-change")) > 3, Equals(True))
+        run.operators.resend_acknowledged(8)
+        self.assertThat(len(fleet.history.rows_of("final-change")) > 3, Equals(True))
         self.kept(run)
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -87,11 +87,11 @@
     )
 
 
-def sample(at_ms, number, ready=True, mark="", life=1):
+def sample(at_ms, number, ready=True, mark="", incarnation=1):
     return (
         "sample",
         at_ms,
-        {"edge": "e", "life": life, "ready": ready, "number": number, "mark": mark},
+        {"edge": "e", "incarnation": incarnation, "ready": ready, "number": number, "mark": mark},
     )
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -162,7 +162,7 @@
         late answer. `after` is what happens meanwhile.
         """
         owner = self.key_owner(platform)
-        relay = next(host for host in platform.fleet.of("control") if host is not owner)
+        relay = next(host for host in platform.fleet.with_role("control") if host is not owner)
         task = platform.start(relay.name, "PUT", SETTINGS_PATH, sent, {"If-Match": str(base)})
         for _ in range(6):
             await asyncio.sleep(0)
@@ -170,7 +170,7 @@
         owner.freeze()
         relay.freeze()
         platform.run(1800)
-        await after([host.name for host in platform.fleet.of("control") if not host.frozen])
+        await after([host.name for host in platform.fleet.with_role("control") if not host.frozen])
         owner.wake()
         relay.wake()
         platform.run(4000)
@@ -209,7 +209,7 @@
 
             late = await self.held_up(platform, revised(5, note="other"), 3, after)
             self.assertThat(late is None or late[0] in (200, 412, 503), Equals(True), str(late))
-            for host in platform.fleet.of("control"):
+            for host in platform.fleet.with_role("control"):
                 shown = (await platform.shown(host.name))[1]
                 self.assertThat(shown["note"] != refused[0]["note"], Equals(True))
                 self.assertThat((await platform.put(host.name, 3, refused[0]))[0], Equals(412))
@@ -226,8 +226,8 @@
             fleet = platform.fleet
             self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
             owner = self.key_owner(platform)
-            others = [host for host in fleet.of("control") if host is not owner]
-            edges = fleet.of("edge")
+            others = [host for host in fleet.with_role("control") if host is not owner]
+            edges = fleet.with_role("edge")
             task = platform.start(owner.name, "PUT", SETTINGS_PATH, revised(5), {"If-Match": "3"})
 
             def published():
@@ -273,7 +273,7 @@
             rng = random.Random(platform.fleet.time.rng.random())
             one, other = revised(5, note="one"), revised(5, note="other")
             owner = self.key_owner(platform)
-            hosts = platform.fleet.of("control")
+            hosts = platform.fleet.with_role("control")
             task = platform.start(owner.name, "PUT", SETTINGS_PATH, one, {"If-Match": "0"})
             for _ in range(6):
                 await asyncio.sleep(0)
--- a/tests/test_orders_history.py
+++ b/tests/test_orders_history.py
@@ -48,7 +48,7 @@
     def __init__(self, seed):
         self.platform = Platform(seed=seed, edges=1)
         self.fleet, self.rng = self.platform.fleet, random.Random(seed)
-        self.hosts = self.fleet.of("control")
+        self.hosts = self.fleet.with_role("control")
         self.base = 0
         self.calls = []
 
@@ -64,7 +64,7 @@
             "cut": lambda: network.isolate(struck.address),
             "power": self.lose_power,
             "loss": lambda: setattr(network, "loss_rate", 0.1),
-            "double": lambda: setattr(network, "double_rate", 0.3),
+            "double": lambda: setattr(network, "duplicate_rate", 0.3),
         }[self.rng.choice(("kill", "freeze", "cut", "power", "loss", "double"))]()
 
     def lose_power(self):
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -97,7 +97,7 @@
             waited.update(more)
             starved.look(machines, now_ms)
         self.assertThat(
-            [(row["node"], row["at_ms"], row["till_ms"]) for row in made.of("trouble")],
+            [(row["node"], row["at_ms"], row["till_ms"]) for row in made.rows_of("trouble")],
             Equals([("e", 1500, 2500), ("e", 2500, 3600), ("f", 2500, 3600)]),
         )
         self.assertThat(starved_ms(made), Equals(2100))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -177,7 +177,7 @@
         asyncio.run(run())
 
     async def bad_input(self, fleet):
-        edge = fleet.of("edge")[0].http
+        edge = fleet.with_role("edge")[0].http
         for method, address, body, status, code, field in self.BAD:
             data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
             async with fleet.session.request(
@@ -191,7 +191,7 @@
                 )
 
     async def jobs(self, fleet):
-        edge = fleet.of("edge")[0].http
+        edge = fleet.with_role("edge")[0].http
         job = {"path": "summaries", "items": [{"prompt": f"p{place}"} for place in range(3)]}
         answers = [
             await fleet.ask("PUT", edge, "/lots/one", body)
@@ -230,7 +230,7 @@
         await until(still, 3000, "ended lots stop")
 
     async def operators(self, fleet):
-        control = [member.http for member in fleet.of("control")]
+        control = [member.http for member in fleet.with_role("control")]
         status, body = await fleet.ask(
             "PUT",
             control[0],
@@ -270,7 +270,7 @@
             (told["values"]["deadline_ms"], told["values"]["workers.labels"]["from"]),
             Equals(({"value": 1500, "from": "rulings"}, "base")),
         )
-        _, edge = await fleet.get(fleet.of("edge")[0], "/status")
+        _, edge = await fleet.get(fleet.with_role("edge")[0], "/status")
         self.assertThat(edge["feed"]["profiles"], Equals(2))
         _, members = await fleet.ask("GET", control[0], "/members")
         self.assertThat(
@@ -279,7 +279,7 @@
         )
 
     async def signals(self, fleet):
-        edge = fleet.of("edge")[0]
+        edge = fleet.with_role("edge")[0]
         path = fleet.folder / f"{edge.name}.toml"
         good = path.read_text()
         path.write_text(good + "delta_ms = 0\n")
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -74,7 +74,7 @@
                 ) as fleet:
                     await fleet.found(TREE)
                     await fleet.workers_known(1)
-                    edge = fleet.of("edge")[0]
+                    edge = fleet.with_role("edge")[0]
                     await self.day(fleet, edge.http)
                     edge.signal(15)
                     await until(
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -16,12 +16,12 @@
 
 
 def change_of(fleet):
-    holder = fleet.holder()
+    holder = fleet.leader()
     return None if holder is None else holder.node.log._keeper._change
 
 
 def listed(fleet, host):
-    value = fleet.of("control")[0].node.config_feed.value("log")
+    value = fleet.with_role("control")[0].node.config_feed.value("log")
     return host.node.log.log.identity in {row["identity"] for row in value["members"]}
 
 
@@ -29,7 +29,7 @@
     """A majority of the voters has the key's new value on disk, whether or not anybody was told."""
     holds = [
         host.node.log.log.identity in json.dumps(control.node.config_feed.value("log"))
-        for control in fleet.of("control")
+        for control in fleet.with_role("control")
     ]
     return any(holds)
 
@@ -37,7 +37,7 @@
 STEPS = {
     "the spare has just come": lambda fleet, spare: True,
     "the spare is sent the log": lambda fleet, spare: (
-        spare.node.log.log.identity in fleet.holder().node.log.holder.peers
+        spare.node.log.log.identity in fleet.leader().node.log.holder.peers
     ),
     "the change has begun": lambda fleet, spare: change_of(fleet) is not None,
     "the change is asked for": lambda fleet, spare: (
@@ -45,8 +45,8 @@
     ),
     "the change is decided": decided,
     "the holder knows": lambda fleet, spare: (
-        fleet.holder() is not None
-        and spare.node.log.log.identity in fleet.holder().node.log.holder.members
+        fleet.leader() is not None
+        and spare.node.log.log.identity in fleet.leader().node.log.holder.members
     ),
 }
 AGREED = ("the change is decided", "the holder knows")
@@ -67,7 +67,7 @@
 class SecondLosses(TestCase):
     def founded(self, seed):
         run = Run(seed, settings=SETTINGS)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 800)
         self.jobs(run, 2)
         return run, run.fleet
@@ -75,12 +75,12 @@
     def jobs(self, run, count):
         seen = []
         for _ in range(count):
-            run.visitors.hand_in("summaries", 5, 6, done=seen.append)
+            run.clients.submit("summaries", 5, 6, done=seen.append)
         run.fleet.run_until_true(lambda: len(seen) == count, 12_000)
         self.assertThat([row["outcome"] for row in seen], Equals(["admitted"] * count))
 
     def peers(self, fleet):
-        return [host for host in fleet.of("store") if host is not fleet.holder()]
+        return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
     def until(self, fleet, check, limit_ms=CATCH_UP_MS):
         """To the millisecond, so that each step of a change is met."""
@@ -92,8 +92,8 @@
         return False
 
     def all_members(self, fleet):
-        return fleet.holder() is not None and all(
-            host.up and listed(fleet, host) for host in fleet.of("store")
+        return fleet.leader() is not None and all(
+            host.up and listed(fleet, host) for host in fleet.with_role("store")
         )
 
     def kept(self, run):
@@ -102,8 +102,8 @@
         found.pop("lots-in-time", None)
         self.assertThat(found, Equals({}))
         self.assertThat(
-            len(run.fleet.history.of("final")),
-            Equals(sum(job["acked"] for job in run.visitors.jobs.values())),
+            len(run.fleet.history.rows_of("final")),
+            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
         )
 
     def lose_one_for_good(self, fleet):
@@ -115,7 +115,7 @@
         run, fleet = self.founded(seed)
         self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 200)
-        other, holder = self.peers(fleet)[0], fleet.holder()
+        other, holder = self.peers(fleet)[0], fleet.leader()
         spare = fleet.add("store", "spare")
         self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, spare)), Equals(True))
         struck = {"holder": holder, "other": other, "spare": spare}[of]
@@ -138,7 +138,7 @@
     def test_a_holder_left_alone_with_the_log_takes_in_whoever_comes(self):
         """Of the old members only the holder is left, so nothing can be recovered from a majority of them."""
         run, fleet = self.founded(7)
-        holder = fleet.holder()
+        holder = fleet.leader()
         epoch = holder.node.log.holder.epoch
         for _ in range(2):
             self.lose_one_for_good(fleet)
@@ -149,7 +149,7 @@
             fleet.run_until_true(lambda: self.all_members(fleet), 2 * CATCH_UP_MS), Equals(True)
         )
         self.assertThat(
-            (fleet.holder() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
         )
         self.jobs(run, 1)
         self.kept(run)
@@ -160,7 +160,7 @@
             run, fleet = self.founded(seed)
             self.lose_one_for_good(fleet)
             fleet.run_until_true(lambda: False, 300)
-            leaving = fleet.holder() if of_holder else self.peers(fleet)[0]
+            leaving = fleet.leader() if of_holder else self.peers(fleet)[0]
             log = leaving.node.log
             log.hand_over()
             fleet.run_until_true(lambda: False, 500)
@@ -188,7 +188,7 @@
             run, fleet = self.founded(seed)
             self.burst(run, burst)
             fleet.run_until_true(lambda: False, 1500)
-            fleet.holder().node.log.log.tidy(force=True)
+            fleet.leader().node.log.log.tidy(force=True)
             host = self.peers(fleet)[0]
             host.lose_disk()
             fleet.run_until_true(lambda: False, DOWN_MS)
@@ -201,8 +201,8 @@
 
     def burst(self, run, jobs):
         """Lots, and calls that aren't safe to repeat, each of which takes records of the log."""
-        after, visitors = run.fleet.time.after, run.visitors
+        after, clients = run.fleet.time.after, run.clients
         for number in range(jobs):
-            after(50 * number, lambda: visitors.hand_in("summaries", 50, 20))
+            after(50 * number, lambda: clients.submit("summaries", 50, 20))
         for number in range(10 * jobs):
-            after(1500 + 10 * number, lambda number=number: visitors.live("moves", f"m{number}"))
+            after(1500 + 10 * number, lambda number=number: clients.live("moves", f"m{number}"))
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -10,24 +10,24 @@
 class Shelved(TestCase):
     def founded(self, seed=8):
         run = Run(seed, settings={"segment_bytes": 4096})
-        run.found()
+        run.start()
         fleet = run.fleet
         fleet.run_until_true(lambda: False, 800)
         for path in ("summaries", "claims", "summaries"):
-            name = run.visitors.hand_in(path, 30)
+            name = run.clients.submit(path, 30)
             self.assertThat(
-                fleet.run_until_true(lambda name=name: run.visitors.jobs[name]["done"], 12_000),
+                fleet.run_until_true(lambda name=name: run.clients.jobs[name]["done"], 12_000),
                 Equals(True),
             )
         moves = []
-        run.visitors.live("moves", "kept", done=moves.append)
+        run.clients.live("moves", "kept", done=moves.append)
         fleet.run_until_true(lambda: moves, 4000)
         fleet.run_until_true(lambda: False, 600)
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.node.log.log.tidy(True)
         self.assertThat(
             fleet.run_until_true(
-                lambda: all(self.on_shelves(host) for host in fleet.of("store")), 9000
+                lambda: all(self.on_shelves(host) for host in fleet.with_role("store")), 9000
             ),
             Equals(True),
         )
@@ -44,7 +44,7 @@
 
     def results(self, run, job_id):
         seen = []
-        run.visitors.read(job_id, seen.append, 0)
+        run.clients.read(job_id, seen.append, 0)
         run.fleet.run_until_true(lambda: seen, 4000)
         return seen[0]["listed"] if seen else None
 
@@ -53,21 +53,21 @@
         self.assertThat(
             judge(run.fleet.history, ["kept-at-the-end", "bodies-are-whole"]), Equals({})
         )
-        self.assertThat(len(run.fleet.history.of("final")), Equals(len(run.visitors.jobs)))
+        self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
 
     def test_read_back_after_power_and_by_a_new_holder(self):
         run, fleet = self.founded()
-        for host in fleet.of("store"):
+        for host in fleet.with_role("store"):
             host.lose_power()
             host.start()
         self.assertThat(
-            fleet.run_until_true(lambda: fleet.holder() is not None, 8000), Equals(True)
+            fleet.run_until_true(lambda: fleet.leader() is not None, 8000), Equals(True)
         )
         self.assertThat(self.results(run, "lot1"), Equals(30))
-        fleet.holder().kill()
+        fleet.leader().kill()
         fleet.run_until_true(lambda: False, 3000)
         again = []
-        run.visitors.live("moves", "kept", 5, done=again.append)
+        run.clients.live("moves", "kept", 5, done=again.append)
         fleet.run_until_true(lambda: again and again[-1]["outcome"] == "replay", 8000)
         self.assertThat(again[-1]["outcome"], Equals("replay"))
         self.kept(run)
@@ -79,7 +79,7 @@
             fresh = fleet.add("store", f"fresh{number + 1}")
 
             def joined(fresh=fresh):
-                value = fleet.of("edge")[0].node.config_feed.value("log")
+                value = fleet.with_role("edge")[0].node.config_feed.value("log")
                 return value["phase"] == "serving" and fresh.node.log.log.identity in {
                     row["identity"] for row in value["members"]
                 }
@@ -92,7 +92,7 @@
 
     def test_a_damaged_leaf_is_never_listed_and_a_read_mends_it(self):
         run, fleet = self.founded()
-        holder = fleet.holder()
+        holder = fleet.leader()
         job = holder.node.log.log.ledger.jobs["lot2"]
         holder.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
         self.assertThat(holder.node.log.log.shelves.results(job, 0, 10), Equals(None))
@@ -102,7 +102,7 @@
 
     def test_a_leaf_in_anothers_place_is_not_taken_for_it(self):
         run, fleet = self.founded()
-        log = fleet.holder().node.log.log
+        log = fleet.leader().node.log.log
         one, other = log.ledger.jobs["lot1"], log.ledger.jobs["lot3"]
         one.shelf.file, one.shelf.places, one.shelf.sizes = (
             other.shelf.file,
@@ -115,7 +115,7 @@
 
     def test_a_sweep_mends_what_nobody_reads(self):
         run, fleet = self.founded()
-        host = next(host for host in fleet.of("store") if host is not fleet.holder())
+        host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
         job, key = log.ledger.jobs["lot1"], log.ledger.keys["kept"]
         host.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
@@ -132,12 +132,12 @@
 
     def test_files_of_forgotten_lots_are_removed(self):
         run = Run(6, settings={"keep_ms": 2000, "segment_bytes": 4096})
-        run.found()
+        run.start()
         fleet = run.fleet
         for _ in range(3):
-            run.visitors.hand_in("summaries", 30)
+            run.clients.submit("summaries", 30)
             fleet.run_until_true(lambda: False, 2500)
-        store = fleet.of("store")[0]
+        store = fleet.with_role("store")[0]
         self.assertThat(len(self.leaves(store)) > 0, Equals(True))
         old = set(self.leaves(store))
         self.assertThat(
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -53,7 +53,7 @@
         """A safe run is stopped, and nobody takes it for the worker's failure; an unsafe one runs to its end."""
 
         async def body(fleet):
-            edge = fleet.of("edge")[0].http
+            edge = fleet.with_role("edge")[0].http
             call = {"model": "rulings", "prompt": "long", "stream": True, "max_tokens": 512}
             await self.begun_then_left(edge, call)
             move = {**call, "model": "moves", "prompt": "long move"}
@@ -71,7 +71,7 @@
             self.assertThat("sends_failed" in text or "steps_cut" in text, Equals(False))
             status, again = await fleet.ask(
                 "POST",
-                fleet.of("edge")[1].http,
+                fleet.with_role("edge")[1].http,
                 "/v1/completions",
                 move,
                 {"Idempotency-Key": "left"},
@@ -87,7 +87,7 @@
 
     def test_live_lots_and_killed_holder(self):
         async def body(fleet):
-            first, second = [member.http for member in fleet.of("edge")]
+            first, second = [member.http for member in fleet.with_role("edge")]
             status, text = await fleet.ask(
                 "POST",
                 first,
@@ -111,7 +111,7 @@
             status, _ = await fleet.ask("PUT", first, "/lots/one", job)
             self.assertThat(status, Equals(201))
             holder = None
-            for member in fleet.of("store"):
+            for member in fleet.with_role("store"):
                 _, shown = await fleet.get(member, "/status")
                 if shown["log_role"] == "serving":
                     holder = member
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -46,7 +46,7 @@
     def __init__(self, seed, room_bytes=1 << 20, flush_ms=3.0):
         self.time = VirtualTime(seed)
         self.disk = _Disk(self.time, room_bytes, flush_ms)
-        self.life, self.up, self.replies = 0, True, []
+        self.incarnation, self.up, self.replies = 0, True, []
         self.acknowledged: dict[str, int] = {}
         self._asked: list[tuple[str, int]] = [("", 0)]
         self.settings = SimpleNamespace(segment_bytes=_SEGMENT_BYTES)
@@ -55,7 +55,7 @@
         self.send(VoterListDecided(list_body=json.dumps(listed)))
         self.run(500)
 
-    def when_awake(self, what, life):
+    def when_awake(self, what, incarnation):
         what()
 
     def reply(self, origin, message):
@@ -65,13 +65,13 @@
             self.acknowledged[key] = max(self.acknowledged.get(key, 0), version)
 
     def start(self):
-        self.life += 1
+        self.incarnation += 1
         self.disk.bind(self)
-        self.voter = Acceptor(self.disk, lambda: f"{self.life}")
+        self.voter = Acceptor(self.disk, lambda: f"{self.incarnation}")
         self.voter.attach(self)
 
     def lose_power(self):
-        self.life += 1
+        self.incarnation += 1
         self.disk.lose_power()
         self.start()
 
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -29,7 +29,7 @@
         def all_vote():
             return all(
                 host.node.quorate() and len(host.node.voter.voters) == control
-                for host in fleet.of("control")
+                for host in fleet.with_role("control")
             )
 
         self.assertThat(fleet.run_until_true(all_vote, 8000), Equals(True))
@@ -167,5 +167,7 @@
                     (after_ms, strike),
                 )
                 self.changed(fleet, 2)
-                numbers = {host.node.config_feed.number("profiles") for host in fleet.of("control")}
+                numbers = {
+                    host.node.config_feed.number("profiles") for host in fleet.with_role("control")
+                }
                 self.assertThat(numbers, Equals({3}), (after_ms, strike))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -9,7 +9,7 @@
 class Waiting(TestCase):
     def founded(self, seed=4, **sizes):
         run = Run(seed, **sizes)
-        run.found()
+        run.start()
         run.fleet.run_until_true(lambda: False, 900)
         return run, run.fleet
 
@@ -17,7 +17,7 @@
         rows = []
         for place in range(count):
             run.fleet.time.after(
-                span_ms * place / count, lambda: run.visitors.live(path, done=rows.append)
+                span_ms * place / count, lambda: run.clients.live(path, done=rows.append)
             )
         run.fleet.run_until_true(lambda: len(rows) == count, 7000)
         self.assertThat(len(rows), Equals(count))
@@ -83,16 +83,16 @@
         worker = next(iter(fleet.workers.values()))
         fleet.time.after(40, worker.crash)
         rows = self.crowd(run, 45)
-        self.assertThat(len(fleet.history.of("send")) > 55, Equals(True))
+        self.assertThat(len(fleet.history.rows_of("send")) > 55, Equals(True))
         self.assertThat([row["code"] for row in rows if row["outcome"] == "error"], Equals([]))
         self.assertThat(judge(fleet.history), Equals({}))
 
     def test_a_visitor_who_hangs_up_frees_the_slot_and_harms_nobody(self):
         run, fleet = self.founded()
         for _ in range(12):
-            run.visitors.live("rulings", hangs_up_ms=30.0)
+            run.clients.live("rulings", hangs_up_ms=30.0)
         fleet.time.run_until(fleet.time.now_ms + 120)
-        nodes = [host.node for host in fleet.of("edge")]
+        nodes = [host.node for host in fleet.with_role("edge")]
         self.assertThat(sum(node.carrier.counts.get("steps_gone", 0) for node in nodes), Equals(12))
         self.assertThat(
             sum(node.carrier.counts.get("sends_failed", 0) for node in nodes), Equals(0)
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -140,14 +140,14 @@
     def owner(self, platform):
         return next(
             host
-            for host in platform.fleet.of("control")
+            for host in platform.fleet.with_role("control")
             if host.up and host.node.worker_list._mine()
         )
 
     async def keep_beating(self, platform, names, for_ms, first_count):
         """All at the same node, the first that is up."""
         for index in range(for_ms // 400):
-            host = next(host.name for host in platform.fleet.of("control") if host.up)
+            host = next(host.name for host in platform.fleet.with_role("control") if host.up)
             for name in names:
                 await self.beat(
                     platform, host, name, address=f"10.9.9.{name}:80", callCount=first_count + index
@@ -289,7 +289,7 @@
     def test_a_node_that_the_owner_does_not_hear_sends_workers_on(self):
         async def body(platform):
             owner = self.owner(platform)
-            other = next(host for host in platform.fleet.of("control") if host is not owner)
+            other = next(host for host in platform.fleet.with_role("control") if host is not owner)
             platform.fleet.network.isolate(other.address)
             platform.run(2500)
             self.assertThat((await self.beat(platform, other.name, "w"))[0], Equals(503))
--- a/tests/test_worker_list_troubles.py
+++ b/tests/test_worker_list_troubles.py
@@ -33,7 +33,7 @@
 
     def call(self, worker, now_ms):
         """A call that has had no 2xx within a second goes to the next node."""
-        hosts = [host for host in self.fleet.of("control") if host.up and not host.frozen]
+        hosts = [host for host in self.fleet.with_role("control") if host.up and not host.frozen]
         host = hosts[worker.home % len(hosts)]
         worker.count += 1
         if worker.state == "gone":
@@ -70,7 +70,7 @@
                 self.call(worker, now_ms)
 
     def strike(self):
-        hosts = self.fleet.of("control")
+        hosts = self.fleet.with_role("control")
         if self.struck is None:
             self.struck = self.rng.choice(hosts)
             blow = self.rng.choice(("kill", "freeze", "cut", "power", "empty"))
@@ -92,7 +92,7 @@
                 host.start()
 
     def check(self, now_ms):
-        for host in self.fleet.of("edge"):
+        for host in self.fleet.with_role("edge"):
             rows = (host.node.config_feed.value("workers") or {"workers": {}})["workers"]
             for worker in self.workers:
                 if (
@@ -146,7 +146,7 @@
             await run.play()
             self.assertThat(run.broken[:3], Equals([]), f"seed {seed}")
             wanted = sorted(worker.name for worker in run.workers if worker.state == "serving")
-            for host in run.fleet.of("edge"):
+            for host in run.fleet.with_role("edge"):
                 self.assertThat(run.listed(host), Equals(wanted), f"seed {seed}")
             unanswered = [
                 worker.name
