--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -58,20 +58,20 @@
 
     @_on.register
     def _(self, message: m.SubmitJob, origin: Origin) -> None:
-        ledger = self._holder.ledger
-        room = self._profiles()[1].room(message.path)
+        state = self._holder.state
+        capacity = self._profiles()[1].room(message.path)
         if self._known(message, origin):
             return
         if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
             message.job_id, -1
         ):
             self._node.reply(origin, job_response("stale", message.job_id, None))
-        elif room is None:
+        elif capacity is None:
             self._answers.when_confirmed(
                 origin,
                 lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
             )
-        elif ledger.room_used(message.path) >= room:
+        elif state.backlog(message.path) >= capacity:
             self._refuse(message, origin)
         else:
             self._admit(
@@ -103,7 +103,7 @@
                 origin,
                 lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
             )
-        elif self._holder.ledger.rollouts_open(message.path) >= profile.rollout_room:
+        elif self._holder.state.rollout_backlog(message.path) >= profile.rollout_room:
             self._refuse(message, origin)
         else:
             self._admit(
@@ -168,11 +168,11 @@
     def _fits(self, message: m.SubmitForwardJob, most: int) -> bool:
         return (
             not most
-            or self._holder.ledger.waiting_tokens.get(message.path, 0) + sum(message.tokens) <= most
+            or self._holder.state.waiting_tokens.get(message.path, 0) + sum(message.tokens) <= most
         )
 
     def _known(self, message: Any, origin: Origin) -> bool:
-        known = self._holder.ledger.jobs.get(message.job_id)
+        known = self._holder.state.jobs.get(message.job_id)
         if known is not None:
             same = known.digest == message.digest
             self._answers.when_settled(
@@ -190,14 +190,14 @@
         )
 
     def _admit(self, message: Any, origin: Origin, entry: Message) -> None:
-        ledger = self._holder.ledger
+        state = self._holder.state
         taken = self._answers.log(
             origin,
             [entry],
             lambda outcome: job_response(
                 "admitted" if outcome == KEPT else outcome,
                 message.job_id,
-                ledger.jobs.get(message.job_id),
+                state.jobs.get(message.job_id),
             ),
         )
         if taken and isinstance(entry, e.ForwardJobAdmitted):
--- a/libs/batch_state/src/batch_state/batch_service.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -48,7 +48,7 @@
         "_swept_ms",
         "_who_holds",
         "counts",
-        "make_outlook",
+        "make_forecast",
         "mend",
         "shelves",
     )
@@ -89,7 +89,7 @@
         self._base_ms = self._office_ms = 0
         self.counts: dict[str, int] = {}
         self.shelves: Any = None
-        self.make_outlook: Callable[[], Any] | None = None
+        self.make_forecast: Callable[[], Any] | None = None
         self.mend: Callable[[str, str], None] = lambda kind, name: None
 
     def take_holder(self, holder: Any) -> None:
@@ -106,7 +106,7 @@
         if holder is not None:
             ages = [
                 row.at_ms
-                for rows in (holder.ledger.jobs, holder.ledger.keys)
+                for rows in (holder.state.jobs, holder.state.keys)
                 for row in rows.values()
             ]
             self._base_ms = max(ages, default=self.node.env.wall())
@@ -119,7 +119,7 @@
                 self._log_ms,
                 self._profiles,
                 self._reading.wake,
-                self.make_outlook() if self.make_outlook is not None else None,
+                self.make_forecast() if self.make_forecast is not None else None,
             )
             self._answers = LeaderReplies(holder, self.node)
             self._admission = JobAdmission(
@@ -145,12 +145,12 @@
         self.counts[name] = self.counts.get(name, 0) + 1
         self._on(message, origin)
 
-    def rooms_used(self) -> dict[str, int]:
+    def backlogs(self) -> dict[str, int]:
         """Return how many lots are open on each path; empty unless this store is the holder."""
         if self._holder is None or self._holder.deposed:
             return {}
         return dict(
-            Counter(job.path for job in self._holder.ledger.opened.values() if not job.rollout)
+            Counter(job.path for job in self._holder.state.open_jobs.values() if not job.rollout)
         )
 
     @singledispatchmethod
@@ -184,14 +184,14 @@
                 self._jobs.results(message)
                 if ok
                 else m.ListResultsResponse(
-                    outcome="unknown", rows=[], placed=0, total=0, ended=False
+                    outcome="unknown", rows=[], listed=0, total=0, cancelled=False
                 )
             ),
         )
 
     @_on.register
     def _(self, message: m.CancelJob, origin: Origin) -> None:
-        job = self._holder.ledger.jobs.get(message.job_id)
+        job = self._holder.state.jobs.get(message.job_id)
         if job is None:
             self._answers.when_confirmed(
                 origin,
@@ -240,21 +240,21 @@
 
     @_on.register
     def _(self, message: m.AdvanceListing, origin: Origin) -> None:
-        job = self._holder.ledger.jobs.get(message.job_id)
+        job = self._holder.state.jobs.get(message.job_id)
         may = (
             job is not None
             and job.open
-            and message.epoch == job.baton_epoch
-            and message.edge == job.baton_edge
-            and job.placed < message.up_to <= job.ready
+            and message.epoch == job.listing_epoch
+            and message.edge == job.listing_edge
+            and job.listed < message.up_to <= job.listable
         )
         if not may:
-            self.node.reply(origin, m.ReportResultResponse(ok=False, baton_epoch=0, up_to=0))
+            self.node.reply(origin, m.ReportResultResponse(ok=False, listing_epoch=0, up_to=0))
             return
         self._answers.log(
             origin,
             [e.ListingAdvanced(job_id=message.job_id, up_to=message.up_to, epoch=message.epoch)],
-            lambda outcome: m.ReportResultResponse(ok=outcome == KEPT, baton_epoch=0, up_to=0),
+            lambda outcome: m.ReportResultResponse(ok=outcome == KEPT, listing_epoch=0, up_to=0),
             urgent=True,
         )
 
@@ -262,7 +262,7 @@
 
     @_on.register
     def _(self, message: m.OpenKey, origin: Origin) -> None:
-        key = self._holder.ledger.keys.get(message.key)
+        key = self._holder.state.keys.get(message.key)
         if key is not None and key.state != "void":
             outcome = {"open": "open", "doubt": "doubt"}.get(key.state, "recorded")
             if key.digest != message.digest:
@@ -304,7 +304,7 @@
 
     @_on.register
     def _(self, message: m.CloseKey, origin: Origin) -> None:
-        key = self._holder.ledger.keys.get(message.key)
+        key = self._holder.state.keys.get(message.key)
         if key is None or key.transaction != message.transaction or key.state == message.state:
             self._answers.when_settled(
                 origin,
@@ -353,14 +353,14 @@
     def _forget(self) -> None:
         """Remove what is over and past its retention time, by entries like any others."""
         floor_ms = self._log_ms() - self.node.settings.keep_ms
-        ledger = self._holder.ledger
+        state = self._holder.state
         rows: list[Message] = [
-            e.KeyExpired(key=name) for name, key in ledger.keys.items() if key.at_ms < floor_ms
+            e.KeyExpired(key=name) for name, key in state.keys.items() if key.at_ms < floor_ms
         ]
         job_floor_ms = self._log_ms() - _LOT_KEEP_FACTOR * self.node.settings.keep_ms
         rows += [
             e.JobExpired(job_id=job.job_id)
-            for job in ledger.jobs.values()
+            for job in state.jobs.values()
             if not job.open and job.at_ms < job_floor_ms
         ]
         if rows:
--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -2,7 +2,7 @@
 
 Each is a fact that the holder has decided; folding the same entries in the same order gives the
 same ledger on every replica. A snapshot is a short sequence of the same entries. Fields that end in
-`_ms` are milliseconds of the log's own time; `epoch` is that of a lot's baton.
+`_ms` are milliseconds of the log's own time; `epoch` is that of a lot's listing lease.
 """
 
 from messaging import Message
@@ -103,8 +103,8 @@
 class ResultListed(Message):
     """A forwarded item ended and was listed as the next result.
 
-    The baton passes to `edge` under `epoch` in the same entry. The order of these entries is the
-    order of the results.
+    The listing lease passes to `edge` under `epoch` in the same entry. The order of these entries
+    is the order of the results.
     """
 
     job_id: str
@@ -152,7 +152,7 @@
 
 
 class ListingAdvanced(Message, wire_name="ResultsPlaced"):
-    """Results were listed up to a position; void unless `epoch` is the baton's."""
+    """Results were listed up to a position; void unless `epoch` is the listing lease's."""
 
     job_id: str
     up_to: int
@@ -208,9 +208,9 @@
     at_ms: int
     total: int
     finished: int
-    placed: int
-    ended: bool
-    ended_at_ms: int
+    listed: int
+    cancelled: bool
+    cancelled_at_ms: int
     file: str
     places: list[int]
     sizes: list[int]
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -99,7 +99,7 @@
     def _page(self, message: m.ListForwardResults) -> m.ListForwardResultsResponse:
         job = self._settled().jobs.get(message.job_id)
         if job is None:
-            return _nothing("unknown" if message.job_id in self._holder.ledger.jobs else "missing")
+            return _nothing("unknown" if message.job_id in self._holder.state.jobs else "missing")
         rows = self._rows(job, message)
         if rows is None:
             self._mend("lot", job.job_id)
@@ -112,11 +112,11 @@
         rows: list[bytes] = []
         size_bytes = 0
         position = message.from_position
-        while position < job.placed and size_bytes < message.limit_bytes:
+        while position < job.listed and size_bytes < message.limit_bytes:
             more = (
                 [job.row(position)]
                 if job.shelf is None
-                else self._shelves.results(job, position, job.placed)
+                else self._shelves.results(job, position, job.listed)
             )
             if not more:
                 return None
@@ -133,7 +133,7 @@
 
         def confirmed(ok: bool) -> None:
             job = self._settled().jobs.get(message.job_id)
-            if not ok or (job is None and message.job_id in self._holder.ledger.jobs):
+            if not ok or (job is None and message.job_id in self._holder.state.jobs):
                 reply(m.GetItemResponse(outcome="unknown", call=b""))
                 return
             found = (
--- a/libs/batch_state/src/batch_state/item_completion.py
+++ b/libs/batch_state/src/batch_state/item_completion.py
@@ -1,9 +1,9 @@
 """How items of forwarded lots end.
 
-A result is finished and listed in one entry: the baton passes to the edge that brings it, under a
-higher epoch, and lists it next, so the order of the log is the order of the results. An item is
-dead once a worker said that it can't be done, after as many failed attempts as its route allows,
-when its time is up, or when its route is gone.
+A result is finished and listed in one entry: the listing lease passes to the edge that brings it,
+under a higher epoch, and lists it next, so the order of the log is the order of the results.
+An item is dead once a worker said that it can't be done, after as many failed attempts as its route
+allows, when its time is up, or when its route is gone.
 """
 
 from collections.abc import Callable
@@ -52,14 +52,14 @@
         rows: list[Message] = []
         for data in message.rows:
             row = decode(data)
-            job = self._holder.ledger.opened.get(row.job_id)
+            job = self._holder.state.open_jobs.get(row.job_id)
             if job is not None and job.forward and 0 <= row.index < len(job.items):
                 rows += self._entries(job, row, message.edge)
         job_ids = {row.job_id for row in rows if isinstance(row, e.ResultListed)}
         freed = any(isinstance(row, (e.AttemptFailed, e.ItemReturned)) for row in rows)
 
         def logged(outcome: str) -> None:
-            reply(m.ReportResultResponse(ok=outcome == "kept", baton_epoch=0, up_to=0))
+            reply(m.ReportResultResponse(ok=outcome == "kept", listing_epoch=0, up_to=0))
             if job_ids and outcome == "kept":
                 self._woke(job_ids)
 
@@ -98,7 +98,7 @@
     def _listed(
         self, job: Job, index: int, outcome: str, text: bytes, worker: str, edge: str
     ) -> e.ResultListed:
-        epoch = max(1, job.baton_epoch + (edge != job.baton_edge))
+        epoch = max(1, job.listing_epoch + (edge != job.listing_edge))
         return e.ResultListed(
             job_id=job.job_id,
             index=index,
@@ -130,7 +130,7 @@
         number, tree = self._profiles()
         rows: list[Message] = []
         job_ids: set[str] = set()
-        for job in self._holder.ledger.opened.values():
+        for job in self._holder.state.open_jobs.values():
             if not job.forward:
                 continue
             late = now_ms >= job.expires_ms
@@ -139,7 +139,7 @@
             )
             if late or gone:
                 text = b"not finished in time" if late else b"its route is gone"
-                edge = job.baton_edge
+                edge = job.listing_edge
                 rows += [
                     self._listed(job, index, "dead", text, "", edge)
                     for index in [*job.claims, *job.pending]
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -2,10 +2,10 @@
 
 A claim is in the log before the edge hears of it, and settled if the item isn't safe to repeat. An
 edge that falls silent loses its claims: safe items are dealt again under a higher number, others
-are listed as `may_have_run`. The baton of a lot, the right to list its results, goes to the edge
-that finished the next result; a lost one is issued again under a higher epoch. A heartbeat with
-room that finds no work is held for one heartbeat's time, so that forwarded items are dealt as they
-come.
+are listed as `may_have_run`. The listing lease of a lot, the right to list its results, goes to the
+edge that finished the next result; a lost one is issued again under a higher epoch. A heartbeat
+with free capacity that finds no work is held for one heartbeat's time, so that forwarded items are
+dispatched as they come.
 """
 
 from collections.abc import Callable
@@ -116,29 +116,29 @@
 
     def _answer(self, message: m.EdgeHeartbeat, reply: Reply, now: bool) -> bool:
         """Answer a heartbeat; return False if it may wait for something to be said."""
-        ledger = self._holder.ledger
+        state = self._holder.state
         stops = sorted(
             job_id
             for job_id in {row.rpartition("#")[0] for row in message.running}
             if self._over(job_id)
         )
-        batons = [
-            encode(m.ListingLease(job_id=job.job_id, epoch=job.baton_epoch, up_to=job.ready))
-            for job in ledger.opened.values()
-            if job.ready > job.placed and job.baton_edge == message.edge and job.baton_epoch
+        listing_leases = [
+            encode(m.ListingLease(job_id=job.job_id, epoch=job.listing_epoch, up_to=job.listable))
+            for job in state.open_jobs.values()
+            if job.listable > job.listed and job.listing_edge == message.edge and job.listing_epoch
         ]
-        for job in list(ledger.opened.values()):
-            if job.ready > job.placed and not self._live(job.baton_edge):
-                self._pass_baton(job, message.edge)
+        for job in list(state.open_jobs.values()):
+            if job.listable > job.listed and not self._live(job.listing_edge):
+                self._grant_listing_lease(job, message.edge)
         work, safe_only = self._picker.pick(message, self._live_edges)
         waiting, paths = self._waiting()
         samples_out, recalled = self._rollouts()
         lends = isinstance(message, m.RolloutHeartbeat)
         if not (
             now
-            or not message.room
+            or not message.capacity
             or work
-            or batons
+            or listing_leases
             or stops
             or set(paths) - set(message.paths)
             or lends
@@ -152,7 +152,7 @@
                 "epoch": self._holder.epoch,
                 "holder_ms": self._node.env.now(),
                 "work": [encode(row) for row in rows],
-                "batons": batons,
+                "listing_leases": listing_leases,
                 "stops": stops,
                 "waiting": waiting,
                 "paths": paths,
@@ -191,13 +191,13 @@
     def _over(self, job_id: str) -> bool:
         """Whether a lot is over and settled, so that an edge may forget what it ran of it."""
         job = self._holder.settled.jobs.get(job_id)
-        return not job.open if job is not None else job_id not in self._holder.ledger.jobs
+        return not job.open if job is not None else job_id not in self._holder.state.jobs
 
     def _waiting(self) -> tuple[int, list[str]]:
         """Return how many items wait and on which paths, for which edges then offer room."""
         jobs = [
             job
-            for job in self._holder.ledger.opened.values()
+            for job in self._holder.state.open_jobs.values()
             if not job.rollout or self._outlook is not None
         ]
         return sum(job.waiting for job in jobs if not job.rollout), sorted(
@@ -208,8 +208,10 @@
         """Return how many samples are or may be out, and whether a lot needs their slots."""
         if self._outlook is None:
             return 0, False
-        out = sum(len(job.claims) + 1 for job in self._holder.ledger.opened.values() if job.rollout)
-        return out, self._outlook.at_risk(self._holder.ledger, self._log_ms(), self._node.env.log)
+        out = sum(
+            len(job.claims) + 1 for job in self._holder.state.open_jobs.values() if job.rollout
+        )
+        return out, self._outlook.at_risk(self._holder.state, self._log_ms(), self._node.env.log)
 
     def _return_unheard(self, message: m.EdgeHeartbeat) -> None:
         """Return claims whose notice was lost: the edge doesn't list them as running.
@@ -219,7 +221,7 @@
         now_ms = self._node.env.now()
         running = set(message.running)
         rows: list[Message] = []
-        for job in self._holder.ledger.opened.values():
+        for job in self._holder.state.open_jobs.values():
             for index, item in job.claims.items():
                 if item.edge != message.edge or f"{job.job_id}#{index}" in running:
                     continue
@@ -239,7 +241,7 @@
         log_ms = self._log_ms()
         rows = [
             e.JobCancelled(job_id=job.job_id, at_ms=log_ms)
-            for job in self._holder.ledger.opened.values()
+            for job in self._holder.state.open_jobs.values()
             if job.rollout and 0 < job.expires_ms <= log_ms
         ]
         if rows:
@@ -257,16 +259,16 @@
         For items that aren't safe to repeat the answer waits until this is settled: an edge that
         forgot the item sooner would make it look as if it had never begun.
         """
-        ledger = self._holder.ledger
-        job = ledger.jobs.get(message.job_id)
+        state = self._holder.state
+        job = state.jobs.get(message.job_id)
         self._edges[message.edge] = self._node.env.now()
         claimed_ms = self._claimed_ms.pop((message.job_id, message.index), None)
-        if job is None or job.ended or not 0 <= message.index < len(job.items):
+        if job is None or job.cancelled or not 0 <= message.index < len(job.items):
             self._holder.append(
                 [],
                 True,
                 lambda outcome: reply(
-                    m.ReportResultResponse(ok=outcome == "kept", baton_epoch=0, up_to=0)
+                    m.ReportResultResponse(ok=outcome == "kept", listing_epoch=0, up_to=0)
                 ),
                 True,
             )
@@ -299,31 +301,31 @@
             )
 
         def logged(outcome: str) -> None:
-            if outcome == "kept" and job.open and job.ready > job.placed:
+            if outcome == "kept" and job.open and job.listable > job.listed:
                 if (
-                    job.baton_edge == message.edge
-                    or not self._live(job.baton_edge)
+                    job.listing_edge == message.edge
+                    or not self._live(job.listing_edge)
                     or self._finished_next(job, message)
                 ):
-                    self._pass_baton(job, message.edge)
-            mine = job.baton_edge == message.edge and job.ready > job.placed
+                    self._grant_listing_lease(job, message.edge)
+            mine = job.listing_edge == message.edge and job.listable > job.listed
             reply(
                 m.ReportResultResponse(
                     ok=outcome == "kept",
-                    baton_epoch=job.baton_epoch if mine else 0,
-                    up_to=job.ready if mine else 0,
+                    listing_epoch=job.listing_epoch if mine else 0,
+                    up_to=job.listable if mine else 0,
                 )
             )
 
         self._holder.append(rows, not job.safe, logged, True)
 
     def _finished_next(self, job: Job, message: m.ReportResult) -> bool:
-        return message.index == job.placed
+        return message.index == job.listed
 
-    def _pass_baton(self, job: Job, edge: str) -> None:
-        if job.baton_edge != edge:
+    def _grant_listing_lease(self, job: Job, edge: str) -> None:
+        if job.listing_edge != edge:
             self._holder.append(
-                [e.ListingLeaseGranted(job_id=job.job_id, edge=edge, epoch=job.baton_epoch + 1)],
+                [e.ListingLeaseGranted(job_id=job.job_id, edge=edge, epoch=job.listing_epoch + 1)],
                 False,
                 lambda outcome: None,
                 True,
@@ -362,7 +364,7 @@
         self._endings.give_up()
         self._end_rollouts()
         rows: list[Message] = []
-        for job in self._holder.ledger.opened.values():
+        for job in self._holder.state.open_jobs.values():
             for index, item in job.claims.items():
                 if not self._lost(job, item.edge):
                     continue
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -45,12 +45,12 @@
         safe_only = True
         if isinstance(message, m.RolloutHeartbeat) and self._outlook is not None:
             self._outlook.heard(message, self._node.env.now())
-        if not message.room:
+        if not message.capacity:
             return self._pick_samples(message, work), safe_only
         jobs = sorted(
             (
                 job
-                for job in self._holder.ledger.opened.values()
+                for job in self._holder.state.open_jobs.values()
                 if job.pending and job.path in message.paths and not job.rollout
             ),
             key=lambda job: (job.due_ms, job.at_ms, job.job_id),
@@ -59,7 +59,7 @@
         share = math.ceil(waiting / max(1, live_edges()))
         for job in jobs:
             for index in job.pending:
-                if len(work) >= message.room:
+                if len(work) >= message.capacity:
                     return work, safe_only
                 if job.forward:
                     if share <= 0:
@@ -89,13 +89,13 @@
         if (
             work
             or not isinstance(message, m.RolloutHeartbeat)
-            or not message.sample_room
+            or not message.sample_capacity
             or self._recalled()
         ):
             return work
         rollouts = [
             job
-            for job in self._holder.ledger.opened.values()
+            for job in self._holder.state.open_jobs.values()
             if job.rollout and job.pending and job.path in message.sample_paths
         ]
         samples: list[Any] = []
@@ -103,7 +103,7 @@
             rollouts, key=lambda job: (job.expires_ms or math.inf, job.at_ms, job.job_id)
         ):
             for index in job.pending:
-                if len(samples) >= message.sample_room:
+                if len(samples) >= message.sample_capacity:
                     return samples
                 prompt, sample = divmod(index, job.samples)
                 samples.append(
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -22,23 +22,23 @@
             path="",
             total=0,
             finished=0,
-            placed=0,
+            listed=0,
             running=0,
             due_ms=0,
-            ended=False,
+            cancelled=False,
         )
-    running = 0 if job.ended else len(job.claims)
+    running = 0 if job.cancelled else len(job.claims)
     return m.JobResponse(
         outcome=outcome,
         job_id=job_id,
         digest=job.digest,
         path=job.path,
         total=job.total,
-        finished=job.total - job.left,
-        placed=job.placed,
+        finished=job.total - job.unfinished,
+        listed=job.listed,
         running=running,
         due_ms=job.due_ms,
-        ended=job.ended,
+        cancelled=job.cancelled,
     )
 
 
@@ -63,7 +63,7 @@
     def job(self, job_id: str) -> m.JobResponse:
         """Return the state of a lot."""
         job = self._settled().jobs.get(job_id)
-        if job is None and job_id in self._holder.ledger.jobs:
+        if job is None and job_id in self._holder.state.jobs:
             return job_response("unknown", job_id, None)
         return job_response("known" if job else "missing", job_id, job)
 
@@ -71,18 +71,26 @@
         """Return a page of a lot's results, from memory or from its archive file."""
         job = self._settled().jobs.get(message.job_id)
         if job is None:
-            outcome = "unknown" if message.job_id in self._holder.ledger.jobs else "missing"
-            return m.ListResultsResponse(outcome=outcome, rows=[], placed=0, total=0, ended=False)
+            outcome = "unknown" if message.job_id in self._holder.state.jobs else "missing"
+            return m.ListResultsResponse(
+                outcome=outcome, rows=[], listed=0, total=0, cancelled=False
+            )
         if message.from_index > job.total:
             return m.ListResultsResponse(
-                outcome="beyond", rows=[], placed=job.placed, total=job.total, ended=job.ended
+                outcome="beyond",
+                rows=[],
+                listed=job.listed,
+                total=job.total,
+                cancelled=job.cancelled,
             )
         rows = self._shelved(job, message) if job.shelf is not None else self._held(job, message)
         if rows is None:
             self._mend("lot", job.job_id)
-            return m.ListResultsResponse(outcome="unknown", rows=[], placed=0, total=0, ended=False)
+            return m.ListResultsResponse(
+                outcome="unknown", rows=[], listed=0, total=0, cancelled=False
+            )
         return m.ListResultsResponse(
-            outcome="known", rows=rows, placed=job.placed, total=job.total, ended=job.ended
+            outcome="known", rows=rows, listed=job.listed, total=job.total, cancelled=job.cancelled
         )
 
     def _shelved(self, job: Job, message: m.ListResults) -> list[bytes] | None:
@@ -100,7 +108,7 @@
 
     def _held(self, job: Job, message: m.ListResults) -> list[bytes]:
         rows, size_bytes = [], 0
-        for index in range(message.from_index, min(job.placed, message.from_index + message.limit)):
+        for index in range(message.from_index, min(job.listed, message.from_index + message.limit)):
             rows.append(job.row(index))
             size_bytes += len(rows[-1])
             if size_bytes > _PAGE_BYTES:
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -1,6 +1,6 @@
 """A lot and its items as the fold of the log has them.
 
-Results of an ordinary lot are listed in the order of its items, up to `placed`; those of a
+Results of an ordinary lot are listed in the order of its items, up to `listed`; those of a
 forwarded lot in the order in which they were settled, `order`.
 """
 
@@ -58,22 +58,22 @@
     __slots__ = (
         "at_ms",
         "attempts",
-        "baton_edge",
-        "baton_epoch",
+        "listing_edge",
+        "listing_epoch",
         "claims",
         "digest",
         "due_ms",
-        "ended",
-        "ended_at_ms",
+        "cancelled",
+        "cancelled_at_ms",
         "expires_ms",
         "forward",
         "items",
-        "left",
+        "unfinished",
         "job_id",
         "order",
         "path",
         "pending",
-        "placed",
+        "listed",
         "rollout",
         "rows",
         "safe",
@@ -109,23 +109,23 @@
         else:
             self.items = [Item(body) for body in entry.items]
             self.safe, self.attempts, self.expires_ms, self.version = entry.safe, 0, 0, 0
-        self.left = self.total = len(self.items)
+        self.unfinished = self.total = len(self.items)
         self.tokens = sum(item.tokens for item in self.items)
         self.pending: dict[int, None] = dict.fromkeys(range(self.total))
         self.claims: dict[int, Item] = {}
         self.order: list[int] = []
         self.shelf: e.JobArchived | None = None
-        self.placed = 0
-        self.baton_edge = ""
-        self.baton_epoch = 0
-        self.ended = False
-        self.ended_at_ms = 0
+        self.listed = 0
+        self.listing_edge = ""
+        self.listing_epoch = 0
+        self.cancelled = False
+        self.cancelled_at_ms = 0
         self.rows: list[bytes] | None = None
 
     @property
     def open(self) -> bool:
         """Whether the lot still runs: neither ended nor listed to its last result."""
-        return not self.ended and self.placed < self.total
+        return not self.cancelled and self.listed < self.total
 
     @property
     def waiting(self) -> int:
@@ -133,14 +133,14 @@
         return len(self.pending)
 
     @property
-    def ready(self) -> int:
+    def listable(self) -> int:
         """Up to which position results could be listed now.
 
         Those of a forwarded lot are listed as they are settled.
         """
         if self.forward:
-            return self.placed
-        up_to = self.placed
+            return self.listed
+        up_to = self.listed
         while up_to < len(self.items) and self.items[up_to].state == "finished":
             up_to += 1
         return up_to
@@ -176,7 +176,7 @@
         self.pending.pop(index, None)
         self.claims.pop(index, None)
         item.state, item.outcome, item.result, item.worker = "finished", outcome, result, worker
-        self.left -= 1
+        self.unfinished -= 1
         self.tokens -= item.tokens
         return item.tokens
 
@@ -187,12 +187,16 @@
         if self.shelf is not None:
             return [
                 e.JobArchived(
-                    **{**self.shelf.as_dict(), "ended": self.ended, "ended_at_ms": self.ended_at_ms}
+                    **{
+                        **self.shelf.as_dict(),
+                        "cancelled": self.cancelled,
+                        "cancelled_at_ms": self.cancelled_at_ms,
+                    }
                 )
             ]
         rows = self._dump_forward() if self.forward else self._dump_own()
-        if self.ended:
-            rows.append(e.JobCancelled(job_id=self.job_id, at_ms=self.ended_at_ms))
+        if self.cancelled:
+            rows.append(e.JobCancelled(job_id=self.job_id, at_ms=self.cancelled_at_ms))
         return rows
 
     def _dump_own(self) -> list[Message]:
@@ -216,15 +220,15 @@
                         worker=item.worker,
                     )
                 )
-        if self.baton_epoch:
+        if self.listing_epoch:
             rows.append(
                 e.ListingLeaseGranted(
-                    job_id=self.job_id, edge=self.baton_edge, epoch=self.baton_epoch
+                    job_id=self.job_id, edge=self.listing_edge, epoch=self.listing_epoch
                 )
             )
-        if self.placed:
+        if self.listed:
             rows.append(
-                e.ListingAdvanced(job_id=self.job_id, up_to=self.placed, epoch=self.baton_epoch)
+                e.ListingAdvanced(job_id=self.job_id, up_to=self.listed, epoch=self.listing_epoch)
             )
         return rows
 
@@ -294,8 +298,8 @@
                     outcome=item.outcome,
                     text=item.result,
                     worker=item.worker,
-                    edge=self.baton_edge,
-                    epoch=self.baton_epoch,
+                    edge=self.listing_edge,
+                    epoch=self.listing_epoch,
                 )
             )
         return rows
--- a/libs/batch_state/src/batch_state/messages.py
+++ b/libs/batch_state/src/batch_state/messages.py
@@ -3,8 +3,8 @@
 A request that might run something late carries the holder's clock, `holder_ms`, as the edge last
 heard it; one that took too long is refused as stale, so that an outcome reported as unknown can't
 turn into a run long after. Fields that end in `_ms` are milliseconds. `epoch` is the holder's, and
-in Baton and Place the baton's. `due_ms` and `keep_ms` of a submission are from now; elsewhere
-`due_ms` is in the log's own time. An item that isn't `safe` must not be run twice.
+in ListingLease and AdvanceListing the lease's. `due_ms` and `keep_ms` of a submission are from now;
+elsewhere `due_ms` is in the log's own time. An item that isn't `safe` must not be run twice.
 
 Receipts about lots have the outcomes admitted, known, missing, conflict (another content under the
 same id), no_room, no_path, beyond (no such index), stale, full and unknown. Receipts about keys
@@ -56,7 +56,7 @@
 
     edge: str
     address: str
-    room: int
+    capacity: int
     paths: list[str]
     running: list[str]
 
@@ -66,10 +66,10 @@
 
     edge: str
     address: str
-    room: int
+    capacity: int
     paths: list[str]
     running: list[str]
-    sample_room: int
+    sample_capacity: int
     sample_paths: list[str]
 
 
@@ -113,7 +113,7 @@
     epoch: int
     holder_ms: int
     work: list[bytes]
-    batons: list[bytes]
+    listing_leases: list[bytes]
     stops: list[str]
     waiting: int
     paths: list[str]
@@ -125,7 +125,7 @@
     epoch: int
     holder_ms: int
     work: list[bytes]
-    batons: list[bytes]
+    listing_leases: list[bytes]
     stops: list[str]
     waiting: int
     paths: list[str]
@@ -176,10 +176,10 @@
     path: str
     total: int
     finished: int
-    placed: int
+    listed: int
     running: int
     due_ms: int
-    ended: bool
+    cancelled: bool
 
 
 class GetJob(Message, wire_name="ReadLot"):
@@ -211,13 +211,13 @@
 
 
 class ListResultsResponse(Message, wire_name="ResultsReceipt"):
-    """A page of results: encoded ResultRows, and that `placed` of `total` are listed."""
+    """A page of results: encoded ResultRows, and that `listed` of `total` are listed."""
 
     outcome: str
     rows: list[bytes]
-    placed: int
+    listed: int
     total: int
-    ended: bool
+    cancelled: bool
 
 
 class ReportResult(Message, wire_name="Finish"):
@@ -235,16 +235,16 @@
 class ReportResultResponse(Message, wire_name="FinishReceipt"):
     """The answer to ReportResult, AdvanceListing and ReportItemOutcomes.
 
-    A `baton_epoch` above 0 grants the listing lease.
+    A `listing_epoch` above 0 grants the listing lease.
     """
 
     ok: bool
-    baton_epoch: int
+    listing_epoch: int
     up_to: int
 
 
 class AdvanceListing(Message, wire_name="Place"):
-    """List the results of a lot up to a position, under the baton's epoch."""
+    """List the results of a lot up to a position, under the listing lease's epoch."""
 
     job_id: str
     edge: str
--- a/libs/batch_state/src/batch_state/state.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -50,26 +50,26 @@
 class BatchState:
     """The state that the entries of the log add up to.
 
-    `opened` has the lots that still run, `waiting_tokens` the tokens of forwarded items that
-    haven't ended, by path. `fresh` names lots and keys that are over and can be archived.
+    `open_jobs` has the lots that still run, `waiting_tokens` the tokens of forwarded items that
+    haven't ended, by path. `unarchived` names lots and keys that are over and can be archived.
     """
 
-    __slots__ = ("fresh", "keys", "jobs", "opened", "waiting_tokens")
+    __slots__ = ("unarchived", "keys", "jobs", "open_jobs", "waiting_tokens")
 
     def __init__(self) -> None:
         self.waiting_tokens: dict[str, int] = {}
         self.jobs: dict[str, Job] = {}
         self.keys: dict[str, IdempotencyKey] = {}
-        self.opened: dict[str, Job] = {}
-        self.fresh: dict[tuple[str, str], None] = {}
+        self.open_jobs: dict[str, Job] = {}
+        self.unarchived: dict[tuple[str, str], None] = {}
 
-    def room_used(self, path: str) -> int:
+    def backlog(self, path: str) -> int:
         """Return how many lots other than rollouts are open on a path."""
-        return sum(1 for job in self.opened.values() if job.path == path and not job.rollout)
+        return sum(1 for job in self.open_jobs.values() if job.path == path and not job.rollout)
 
-    def rollouts_open(self, path: str) -> int:
+    def rollout_backlog(self, path: str) -> int:
         """Return how many rollouts are open on a path."""
-        return sum(1 for job in self.opened.values() if job.path == path and job.rollout)
+        return sum(1 for job in self.open_jobs.values() if job.path == path and job.rollout)
 
     def _count_tokens(self, path: str, tokens: int) -> None:
         count = self.waiting_tokens.get(path, 0) + tokens
@@ -99,7 +99,7 @@
         if entry.job_id not in self.jobs:
             job = self.jobs[entry.job_id] = Job(entry)
             if job.open:
-                self.opened[entry.job_id] = job
+                self.open_jobs[entry.job_id] = job
                 self._count_tokens(job.path, job.tokens)
 
     @apply.register
@@ -128,18 +128,18 @@
         if job is None or not job.open or not 0 <= entry.index < len(job.items):
             return
         item = job.items[entry.index]
-        higher = entry.epoch > job.baton_epoch or (
-            entry.epoch == job.baton_epoch and entry.edge == job.baton_edge
+        higher = entry.epoch > job.listing_epoch or (
+            entry.epoch == job.listing_epoch and entry.edge == job.listing_edge
         )
         if item.state == "finished" or not higher:
             return
-        job.baton_edge, job.baton_epoch = entry.edge, entry.epoch
+        job.listing_edge, job.listing_epoch = entry.edge, entry.epoch
         self._count_tokens(
             job.path, -job.finish(entry.index, entry.outcome, entry.text, entry.worker)
         )
         item.body = b""
         job.order.append(entry.index)
-        job.placed = len(job.order)
+        job.listed = len(job.order)
         if not job.open:
             self._over(job)
 
@@ -160,28 +160,28 @@
     @apply.register
     def _(self, entry: e.ListingLeaseGranted) -> None:
         job = self._job(entry.job_id)
-        if job is not None and entry.epoch > job.baton_epoch:
-            job.baton_edge = entry.edge
-            job.baton_epoch = entry.epoch
+        if job is not None and entry.epoch > job.listing_epoch:
+            job.listing_edge = entry.edge
+            job.listing_epoch = entry.epoch
 
     @apply.register
     def _(self, entry: e.ListingAdvanced) -> None:
         job = self._job(entry.job_id)
         if (
             job is not None
-            and entry.epoch == job.baton_epoch
-            and job.placed < entry.up_to <= job.ready
+            and entry.epoch == job.listing_epoch
+            and job.listed < entry.up_to <= job.listable
         ):
-            job.placed = entry.up_to
+            job.listed = entry.up_to
             if not job.open:
                 self._over(job)
 
     @apply.register
     def _(self, entry: e.JobCancelled) -> None:
         job = self._job(entry.job_id)
-        if job is not None and not job.ended:
-            job.ended = True
-            job.ended_at_ms = entry.at_ms
+        if job is not None and not job.cancelled:
+            job.cancelled = True
+            job.cancelled_at_ms = entry.at_ms
             self._count_tokens(job.path, -job.tokens)
             job.tokens = 0
             self._over(job)
@@ -189,13 +189,13 @@
     @apply.register
     def _(self, entry: e.JobExpired) -> None:
         self.jobs.pop(entry.job_id, None)
-        self.opened.pop(entry.job_id, None)
-        self.fresh.pop(("lot", entry.job_id), None)
+        self.open_jobs.pop(entry.job_id, None)
+        self.unarchived.pop(("lot", entry.job_id), None)
 
     def _over(self, job: Job) -> None:
-        self.opened.pop(job.job_id, None)
+        self.open_jobs.pop(job.job_id, None)
         if job.shelf is None:
-            self.fresh[("lot", job.job_id)] = None
+            self.unarchived[("lot", job.job_id)] = None
 
     @apply.register
     def _(self, entry: e.JobArchived) -> None:
@@ -213,14 +213,14 @@
                     at_ms=entry.at_ms,
                 )
             )
-            job.total, job.placed = entry.total, entry.placed
-            job.left = entry.total - entry.finished
-            job.ended, job.ended_at_ms = entry.ended, entry.ended_at_ms
+            job.total, job.listed = entry.total, entry.listed
+            job.unfinished = entry.total - entry.finished
+            job.cancelled, job.cancelled_at_ms = entry.cancelled, entry.cancelled_at_ms
         if not job.open:
             job.shelf, job.items, job.claims, job.rows = entry, [], {}, None
             job.pending, job.order = {}, []
-            self.opened.pop(entry.job_id, None)
-            self.fresh.pop(("lot", entry.job_id), None)
+            self.open_jobs.pop(entry.job_id, None)
+            self.unarchived.pop(("lot", entry.job_id), None)
 
     @apply.register
     def _(self, entry: e.KeyArchived) -> None:
@@ -238,7 +238,7 @@
             key.state, key.status = "done", entry.status
         if key.state == "done" and key.transaction == entry.transaction:
             key.shelf, key.body, key.rows = entry, "", None
-            self.fresh.pop(("key", entry.key), None)
+            self.unarchived.pop(("key", entry.key), None)
 
     @apply.register
     def _(self, entry: e.KeyOpened) -> None:
@@ -259,12 +259,12 @@
             key.body = entry.body
             key.rows = None
             if key.state == "done":
-                self.fresh[("key", entry.key)] = None
+                self.unarchived[("key", entry.key)] = None
 
     @apply.register
     def _(self, entry: e.KeyExpired) -> None:
         self.keys.pop(entry.key, None)
-        self.fresh.pop(("key", entry.key), None)
+        self.unarchived.pop(("key", entry.key), None)
 
     def _item(self, job_id: str, index: int) -> Item | None:
         job = self._job(job_id)
@@ -298,10 +298,10 @@
             row
             for kind, held in (("lot", self.jobs), ("key", self.keys))
             for name in held
-            for row in self.rows_of(kind, name, wrap)
+            for row in self.encoded_entries(kind, name, wrap)
         ]
 
-    def rows_of(self, kind: str, name: str, wrap: Callable[[bytes], bytes]) -> list[bytes]:
+    def encoded_entries(self, kind: str, name: str, wrap: Callable[[bytes], bytes]) -> list[bytes]:
         """Return the encoded entries of one lot or key."""
         held: Any = self.jobs[name] if kind == "lot" else self.keys[name]
         if held.rows is None or (kind == "lot" and held.open):
--- a/libs/capacity_sharing/src/capacity_sharing/outlook.py
+++ b/libs/capacity_sharing/src/capacity_sharing/outlook.py
@@ -29,7 +29,7 @@
 
     def heard(self, beat: Any, now_ms: int) -> None:
         """Take from an edge's heartbeat how many items it could start."""
-        self._rooms[beat.edge] = (now_ms, beat.room)
+        self._rooms[beat.edge] = (now_ms, beat.capacity)
         self._rooms = {
             edge: row for edge, row in self._rooms.items() if now_ms - row[0] <= self._dead_ms
         }
@@ -38,13 +38,13 @@
         """Record how long an item of a path took, in a moving average."""
         self._item_ms[path] = self._item_ms.get(path, took_ms) * (1 - _KNOWN) + took_ms * _KNOWN
 
-    def at_risk(self, ledger: Any, log_ms: int, log: Callable[..., None]) -> bool:
+    def at_risk(self, state: Any, log_ms: int, log: Callable[..., None]) -> bool:
         """Return whether a lot may miss its deadline; a change of the answer is logged.
 
         `log_ms` is the present time on the log's clock, which deadlines are given in.
         """
         jobs = sorted(
-            (job for job in ledger.opened.values() if not job.rollout and job.left),
+            (job for job in state.open_jobs.values() if not job.rollout and job.unfinished),
             key=lambda job: job.due_ms,
         )
         at_once = max(
@@ -52,7 +52,7 @@
         )
         ahead, risk = 0, ""
         for job in jobs:
-            ahead += job.left
+            ahead += job.unfinished
             item_ms = self._item_ms.get(job.path, max(1, job.due_ms - job.at_ms) * _GUESS)
             need_ms = _MARGIN * math.ceil(ahead / at_once) * item_ms
             if job.waiting and log_ms + need_ms > job.due_ms:
--- a/libs/data_plane/src/data_plane/nodes.py
+++ b/libs/data_plane/src/data_plane/nodes.py
@@ -96,11 +96,11 @@
         self.desk = BatchService(
             lambda: (self.config_feed.number(PROFILES_KEY), self.tree()),
             self._who_holds,
-            lambda: self.log.log.ledger,
+            lambda: self.log.log.state,
         )
         self.log = LogReplica(local, self.control, self, self.desk.take_holder)
         self.mending = ArchiveRepair(local, self._other_members)
-        self.desk.make_outlook = lambda: JobOutlook(settings.dead_ms)
+        self.desk.make_forecast = lambda: JobOutlook(settings.dead_ms)
         self.desk.shelves, self.desk.mend = local.shelves, self.mending.mend
         local.shelves.on_shelved = self._shelved
         super().__init__(
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -141,9 +141,9 @@
             "lot_id": job_id,
             "from": from_index,
             "results": rows,
-            "listed": receipt.placed,
+            "listed": receipt.listed,
             "total": receipt.total,
-            "ended": receipt.ended,
+            "ended": receipt.cancelled,
             "next": from_index + len(rows),
         }
     )
@@ -221,14 +221,14 @@
 
 
 def _shown(receipt: Any) -> dict[str, Any]:
-    state = "ended" if receipt.ended else "done" if receipt.placed >= receipt.total else "open"
+    state = "ended" if receipt.cancelled else "done" if receipt.listed >= receipt.total else "open"
     return {
         "lot_id": receipt.job_id,
         "path": receipt.path,
         "state": state,
         "total": receipt.total,
         "finished": receipt.finished,
-        "listed": receipt.placed,
+        "listed": receipt.listed,
         "running": receipt.running,
         "due_ms": receipt.due_ms,
     }
--- a/libs/data_plane/src/data_plane/role_processes.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -198,11 +198,11 @@
             "snap_seq": local.snap_seq,
             "feed": self.node.config_feed.numbers(),
             "place": self.node.config_feed.place,
-            "lots": len(local.ledger.jobs),
-            "open_lots": len(local.ledger.opened),
-            "keys": len(local.ledger.keys),
+            "lots": len(local.state.jobs),
+            "open_lots": len(local.state.open_jobs),
+            "keys": len(local.state.keys),
             "log": log.value,
-            "waiting_rooms": self.node.desk.rooms_used(),
+            "waiting_rooms": self.node.desk.backlogs(),
         }
 
     def metrics(self) -> dict[str, float]:
@@ -221,7 +221,7 @@
             "store_flushed_seq": local.flushed_seq,
             "store_epoch": local.meta.fence,
             "store_holds": int(self.node.log.holder is not None),
-            "store_open_lots": len(local.ledger.opened),
+            "store_open_lots": len(local.state.open_jobs),
             "store_shelves": len(local.shelves.names()),
             "feed_place": self.node.config_feed.place,
             "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -65,9 +65,9 @@
 
     def used(self) -> set[str]:
         """Return the names of the files that the ledger in memory refers to."""
-        ledger = self._log.ledger
-        return {job.shelf.file for job in ledger.jobs.values() if job.shelf is not None} | {
-            key.shelf.file for key in ledger.keys.values() if key.shelf is not None
+        state = self._log.state
+        return {job.shelf.file for job in state.jobs.values() if job.shelf is not None} | {
+            key.shelf.file for key in state.keys.values() if key.shelf is not None
         }
 
     def collect(self) -> None:
@@ -85,14 +85,14 @@
 
         The event loop is free between files. A failed or refused write leaves the rest in memory.
         """
-        ledger, log = self._log.ledger, self._log
-        if self._busy or not ledger.fresh:
+        state, log = self._log.state, self._log
+        if self._busy or not state.unarchived:
             done()
             return
         name, page, entries = self._new_name(), bytearray(), []
-        for kind, key in list(ledger.fresh):
-            del ledger.fresh[(kind, key)]
-            held = ledger.jobs.get(key) if kind == "lot" else ledger.keys.get(key)
+        for kind, key in list(state.unarchived):
+            del state.unarchived[(kind, key)]
+            held = state.jobs.get(key) if kind == "lot" else state.keys.get(key)
             if held is not None and held.shelf is None:
                 entries.append(
                     self._put_job(held, name, page)
@@ -108,16 +108,16 @@
 
         def flushed(ok: bool) -> None:
             self._busy = False
-            if not ok or log.ledger is not ledger:
+            if not ok or log.state is not state:
                 done()
                 return
             for entry in entries:
                 if (
-                    (entry.job_id in ledger.jobs)
+                    (entry.job_id in state.jobs)
                     if isinstance(entry, e.JobArchived)
-                    else (entry.key in ledger.keys)
+                    else (entry.key in state.keys)
                 ):
-                    ledger.apply(entry)
+                    state.apply(entry)
             self.on_shelved(entries)
             self.shelve(done)
 
@@ -127,7 +127,7 @@
             self._busy = False
             log.disk.remove(name)
             for entry in entries:
-                ledger.fresh[
+                state.unarchived[
                     ("lot", entry.job_id)
                     if isinstance(entry, e.JobArchived)
                     else ("key", entry.key)
@@ -141,7 +141,7 @@
         return f"{SHELF}{self._log.identity}-{self._log.settled_seq:012d}-{self._token()}"
 
     def _put_job(self, job: Job, name: str, page: bytearray) -> e.JobArchived:
-        return self.put_rows(job, [job.row(position) for position in range(job.placed)], name, page)
+        return self.put_rows(job, [job.row(position) for position in range(job.listed)], name, page)
 
     def put_rows(self, job: Job, rows: list[bytes], name: str, page: bytearray) -> e.JobArchived:
         """Append a lot's rows to `page` as leaves and return the entry that refers to them."""
@@ -168,10 +168,10 @@
             due_ms=job.due_ms,
             at_ms=job.at_ms,
             total=job.total,
-            finished=job.total - job.left,
-            placed=job.placed,
-            ended=job.ended,
-            ended_at_ms=job.ended_at_ms,
+            finished=job.total - job.unfinished,
+            listed=job.listed,
+            cancelled=job.cancelled,
+            cancelled_at_ms=job.cancelled_at_ms,
             file=name,
             places=places,
             sizes=sizes,
@@ -211,7 +211,7 @@
         at = max(
             (number for number, first in enumerate(shelf.firsts) if first <= from_index), default=-1
         )
-        if at < 0 or from_index >= job.placed:
+        if at < 0 or from_index >= job.listed:
             return []
         rows = self._leaf(job.job_id, shelf.file, shelf.places[at], shelf.sizes[at])
         return None if rows is None else rows[from_index - shelf.firsts[at] :][:limit]
@@ -232,10 +232,10 @@
 
     def damaged(self, file: str) -> list[tuple[str, str]]:
         """Return the (kind, name) of all lots and keys with a damaged leaf in a file."""
-        ledger = self._log.ledger
+        state = self._log.state
         jobs = [
             ("lot", job.job_id)
-            for job in ledger.jobs.values()
+            for job in state.jobs.values()
             if job.shelf is not None
             and job.shelf.file == file
             and any(
@@ -245,7 +245,7 @@
         ]
         return jobs + [
             ("key", name)
-            for name, key in ledger.keys.items()
+            for name, key in state.keys.items()
             if key.shelf is not None and key.shelf.file == file and self.receipt(key) is None
         ]
 
@@ -258,7 +258,7 @@
         disk refuses.
         """
         log = self._log
-        held = log.ledger.jobs.get(name) if kind == "lot" else log.ledger.keys.get(name)
+        held = log.state.jobs.get(name) if kind == "lot" else log.state.keys.get(name)
         if held is None or held.shelf is None or log.busy():
             done(False)
             return
@@ -273,7 +273,7 @@
 
         def flushed(ok: bool) -> None:
             if ok:
-                log.ledger.apply(entry)
+                log.state.apply(entry)
                 self.on_shelved([entry])
             done(ok)
 
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -45,14 +45,14 @@
 
 
 class ArchivedRows(Message, wire_name="Kept"):
-    """The answer to ReadArchived: rows, and `placed`, how many there are in all.
+    """The answer to ReadArchived: rows, and `listed`, how many there are in all.
 
     `ok` is false if the answering replica has no intact copy.
     """
 
     ok: bool
     rows: list[bytes]
-    placed: int
+    listed: int
 
 
 class ArchiveRepair(Component):
@@ -135,9 +135,9 @@
         self.node.reply(origin, self._kept(message))
 
     def _kept(self, message: ReadArchived) -> ArchivedRows:
-        ledger, shelves = self._log.ledger, self._log.shelves
+        state, shelves = self._log.state, self._log.shelves
         if message.kind == "key":
-            key = ledger.keys.get(message.name)
+            key = state.keys.get(message.name)
             body = (
                 None
                 if key is None or key.state != "done"
@@ -145,20 +145,20 @@
                 if key.shelf is None
                 else shelves.receipt(key)
             )
-            return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], placed=1)
-        job = ledger.jobs.get(message.name)
+            return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], listed=1)
+        job = state.jobs.get(message.name)
         if job is None:
-            return ArchivedRows(ok=False, rows=[], placed=0)
+            return ArchivedRows(ok=False, rows=[], listed=0)
         if job.shelf is None:
             rows: list[bytes] | None = [
                 encode(m.ResultRow(index=index, outcome=item.outcome, body=item.result))
-                for index, item in list(enumerate(job.items[: job.placed]))[
+                for index, item in list(enumerate(job.items[: job.listed]))[
                     message.from_index : message.from_index + _PAGE
                 ]
             ]
         else:
             rows = shelves.results(job, message.from_index, _PAGE)
-        return ArchivedRows(ok=rows is not None, rows=rows or [], placed=job.placed)
+        return ArchivedRows(ok=rows is not None, rows=rows or [], listed=job.listed)
 
     def mend(self, kind: str, name: str) -> None:
         """Start to repair the rows of a lot or a key, unless this is under way already."""
@@ -177,7 +177,7 @@
                 self._ask(kind, name, others[1:], [])
                 return
             rows = got + kept.rows
-            if len(rows) < kept.placed and kept.rows:
+            if len(rows) < kept.listed and kept.rows:
                 self._ask(kind, name, others, rows)
             else:
                 self._log.shelves.rewrite(kind, name, rows, lambda ok: self._mended(kind, name, ok))
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -30,7 +30,7 @@
 class Leader:
     """Appends, reads and replication of one epoch, until a higher epoch deposes the holder.
 
-    `ledger` includes records not settled yet; `base_seq` is the end of the recovered log.
+    `state` includes records not settled yet; `base_seq` is the end of the recovered log.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
         "base_seq",
         "deposed",
         "epoch",
-        "ledger",
+        "state",
         "settings",
         "peers",
         "waiters",
@@ -93,20 +93,20 @@
         self._flush_wanted_seq = 0
         self._level_seq = (log.settled_seq, log.settled_seq, now())
         self.deposed = False
-        self.ledger = log.ledger.copy()
+        self.state = log.state.copy()
         for record in log.since(log.settled_seq + 1, 1 << 62):
-            self.ledger.apply(entry_of(record))
+            self.state.apply(entry_of(record))
 
     @property
     def settled(self) -> BatchState:
         """The ledger folded up to the last settled record."""
-        return self._log.ledger
+        return self._log.state
 
     def let_go(self, entry: Message) -> None:
         """Drop what was archived in a file from the unsettled ledger, if it is over there too."""
-        known = self.ledger.jobs if isinstance(entry, JobArchived) else self.ledger.keys
+        known = self.state.jobs if isinstance(entry, JobArchived) else self.state.keys
         if (entry.job_id if isinstance(entry, JobArchived) else entry.key) in known:
-            self.ledger.apply(entry)
+            self.state.apply(entry)
 
     def append(
         self,
@@ -135,7 +135,7 @@
             done(Outcome.FULL)
             return False
         for entry in entries:
-            self.ledger.apply(entry)
+            self.state.apply(entry)
         self.waiters.append(PendingAppend(self._log.last_seq, settled, self._now(), done))
         if settled:
             self._bring_flush_forward()
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -44,7 +44,7 @@
         "disk",
         "fetcher",
         "flushed_seq",
-        "ledger",
+        "state",
         "settings",
         "received_ms",
         "records",
@@ -63,7 +63,7 @@
         self.records: list[Record] = []
         self._entries: dict[int, Message] = {}
         self.received_ms: list[int] = []
-        self.ledger = BatchState()
+        self.state = BatchState()
         self.snap_seq = 0
         self.snap_stamp = (0, 0)
         self._dirty: set[str] = set()
@@ -268,7 +268,7 @@
             entry = known or entry_of(self.records[self.settled_seq - self.first_seq])
             if self._maker is not None:
                 self._maker.before(entry)
-            self.ledger.apply(entry)
+            self.state.apply(entry)
 
     def busy(self) -> bool:
         """Whether a snapshot is being written."""
@@ -277,7 +277,7 @@
     def snapshot(self) -> bytes:
         """Return a snapshot made now from all that is settled."""
         return make_snapshot(
-            self.ledger, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
+            self.state, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
         )
 
     def kept_snapshot(self) -> bytes:
@@ -291,9 +291,9 @@
     def load_snapshot(self, data: bytes) -> None:
         """Replace the ledger by a snapshot's. Raises DamageError if it isn't intact."""
         head, entries = read_whole_snapshot(data)
-        self.ledger = BatchState()
+        self.state = BatchState()
         for entry in entries:
-            self.ledger.apply(entry)
+            self.state.apply(entry)
         self.snap_seq = self.settled_seq = head.seq
         self.snap_stamp = (head.epoch, head.stamp_ms)
 
@@ -359,7 +359,7 @@
 
     def _begin_snapshot(self) -> None:
         self._maker = SnapshotMaker(
-            self.ledger, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
+            self.state, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
         )
         self._go_on_with_snapshot()
 
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -20,12 +20,12 @@
 class SnapshotMaker:
     """A snapshot in the making; `seq` and `stamp` are those of the last record that it covers."""
 
-    __slots__ = ("_ledger", "_rows", "_todo", "seq", "stamp")
+    __slots__ = ("_state", "_rows", "_todo", "seq", "stamp")
 
-    def __init__(self, ledger: Any, seq: int, stamp: tuple[int, int]) -> None:
-        self._ledger = ledger
+    def __init__(self, state: Any, seq: int, stamp: tuple[int, int]) -> None:
+        self._state = state
         self.seq, self.stamp = seq, stamp
-        names = [("lot", name) for name in ledger.jobs] + [("key", name) for name in ledger.keys]
+        names = [("lot", name) for name in state.jobs] + [("key", name) for name in state.keys]
         self._todo: dict[tuple[str, str], None] = dict.fromkeys(names)
         self._rows: dict[tuple[str, str], list[bytes]] = {name: [] for name in names}
 
@@ -44,7 +44,7 @@
 
     def _encode(self, name: tuple[str, str]) -> int:
         del self._todo[name]
-        rows = self._rows[name] = self._ledger.rows_of(*name, frame)
+        rows = self._rows[name] = self._state.encoded_entries(*name, frame)
         return sum(map(len, rows))
 
     def whole(self) -> bytes:
@@ -65,9 +65,9 @@
     return head, [decode(payload) for _, payload in frames[1:]]
 
 
-def make_snapshot(ledger: Any, seq: int, stamp: tuple[int, int]) -> bytes:
+def make_snapshot(state: Any, seq: int, stamp: tuple[int, int]) -> bytes:
     """Make a snapshot without a pause."""
-    maker = SnapshotMaker(ledger, seq, stamp)
+    maker = SnapshotMaker(state, seq, stamp)
     while not maker.step():
         pass
     return maker.whole()
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -2,7 +2,7 @@
 
 Each heartbeat tells the leader of the log how many items the edge could start and what it runs. The
 edge runs what it is assigned, reports each end until that is acknowledged, and publishes results in
-order while it has a batch's baton (the right to do so). The ends of forwarded items are reported
+order while it has a batch's listing lease. The ends of forwarded items are reported
 together, as many as there are while the report before is in flight. An answer from the leader is a
 lease on all this: without one for too long, or after the process was frozen, everything that runs
 is stopped.
@@ -117,7 +117,7 @@
         told = {
             "edge": self.edge,
             "address": self.node.address,
-            "room": room,
+            "capacity": room,
             "paths": sorted(served & self._job_paths),
             "running": running,
         }
@@ -125,7 +125,7 @@
         if self.samples is not None and self.samples.lends():
             sample_room, sample_paths = (0, ()) if self.paused else self.samples.room()
             beat = m.RolloutHeartbeat(
-                **told, sample_room=sample_room, sample_paths=sorted(sample_paths)
+                **told, sample_capacity=sample_room, sample_paths=sorted(sample_paths)
             )
         self.node.ask(
             address,
@@ -152,9 +152,9 @@
         work = [decode(data) for data in receipt.work]
         for row in work:
             self._take(row)
-        for data in receipt.batons:
-            baton = decode(data)
-            self._place(baton.job_id, baton.epoch, baton.up_to)
+        for data in receipt.listing_leases:
+            listing_lease = decode(data)
+            self._place(listing_lease.job_id, listing_lease.epoch, listing_lease.up_to)
         fresh = set(receipt.paths) - self._job_paths
         self._job_paths |= fresh
         self._wish = receipt.waiting > 0 or any(
@@ -252,8 +252,8 @@
                 return
             del self._runs[key]
             self._wish = self._wish or not isinstance(run.work, m.RolloutAssignment)
-            if receipt.baton_epoch:
-                self._place(run.work.job_id, receipt.baton_epoch, receipt.up_to)
+            if receipt.listing_epoch:
+                self._place(run.work.job_id, receipt.listing_epoch, receipt.up_to)
 
         self._holder.ask(
             m.ReportResult(
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -166,7 +166,7 @@
         for host in self.with_role("store"):
             holder = host.node.log.holder if host.up and not host.frozen else None
             if holder is not None and not holder.deposed:
-                paths = {job.path for job in holder.ledger.opened.values()}
+                paths = {job.path for job in holder.state.open_jobs.values()}
                 for path in sorted(paths):
                     self.history.add(
                         "room",
@@ -174,7 +174,7 @@
                         store=host.name,
                         path=path,
                         epoch=holder.epoch,
-                        used=holder.ledger.room_used(path),
+                        used=holder.state.backlog(path),
                     )
         self.time.after(_SAMPLE_MS, self.start_sampling)
 
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -34,10 +34,10 @@
         self.counted = 0
 
     @property
-    def ledger(self) -> Any:
-        return self.log.ledger
+    def state(self) -> Any:
+        return self.log.state
 
-    settled = ledger
+    settled = state
 
     def now(self) -> int:
         return time.monotonic_ns() // 1_000_000
@@ -47,7 +47,7 @@
 
     def append(self, rows: list[Any], settled: bool, done: Any, urgent: bool = False) -> bool:
         for row in rows:
-            self.ledger.apply(row)
+            self.state.apply(row)
         done("kept")
         return True
 
@@ -148,7 +148,7 @@
         again = LocalLog(disk, settings, lambda: 0, lambda: "a")
         lines.append(
             f"  read back in {(time.perf_counter() - began_at) * 1000:.0f} ms, "
-            f"{len(again.ledger.jobs)} lots"
+            f"{len(again.state.jobs)} lots"
         )
         for count in (10, 100):
             lines.append(
@@ -163,17 +163,19 @@
     alone = _Alone(log)
     for number in range(count):
         for row in _job(rng, 10_000_000 + number, body_bytes, False):
-            log.ledger.apply(row)
+            log.state.apply(row)
     dealer = ItemDispatcher(alone, alone)
     took = []
     for _ in range(20):
         began_at = time.perf_counter()
         dealer.beat(
-            m.EdgeHeartbeat(edge="edge-1", address="x", room=0, paths=["summaries"], running=[]),
+            m.EdgeHeartbeat(
+                edge="edge-1", address="x", capacity=0, paths=["summaries"], running=[]
+            ),
             lambda receipt: None,
         )
         dealer.tick()
         took.append((time.perf_counter() - began_at) * 1000)
     for number in range(count):
-        log.ledger.apply(e.JobExpired(job_id=f"lot{10_000_000 + number}"))
+        log.state.apply(e.JobExpired(job_id=f"lot{10_000_000 + number}"))
     return sorted(took)[len(took) // 2]
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -105,7 +105,11 @@
     while ended < items:
         beat = client.ask(
             m.EdgeHeartbeat(
-                edge="hollow", address=client.address, room=at_once, paths=["summaries"], running=[]
+                edge="hollow",
+                address=client.address,
+                capacity=at_once,
+                paths=["summaries"],
+                running=[],
             )
         )
         work = [decode(row) for row in beat.work]
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -1,4 +1,4 @@
-"""Breaks of the replicated log, its disks and the batch ledger on top of it."""
+"""Breaks of the replicated log, its disks and the batch state on top of it."""
 
 __all__ = ["BREAKS"]
 
@@ -10,8 +10,8 @@
 BREAKS: dict[str, tuple[str, str, str, str]] = {
     "one job too many": (
         "batch_state/src/batch_state/admission.py",
-        "ledger.room_used(message.path) >= room",
-        "ledger.room_used(message.path) > room",
+        "state.backlog(message.path) >= capacity",
+        "state.backlog(message.path) > capacity",
         _LOTS + "exact",
     ),
     "late hand-ins are taken": (
@@ -91,17 +91,17 @@
         "        if True:\n",
         "tests/test_shelves.py -k spare",
     ),
-    "a lost baton stays lost": (
+    "a lost listing lease stays lost": (
         "batch_state/src/batch_state/item_dispatch.py",
-        "if job.ready > job.placed and not self._live(job.baton_edge):",
+        "if job.listable > job.listed and not self._live(job.listing_edge):",
         "if False:",
         _LOTS + "all_finished",
     ),
-    "placed under an old baton": (
+    "listed under an old listing lease": (
         "batch_state/src/batch_state/state.py",
-        "job is not None and entry.epoch == job.baton_epoch and",
+        "job is not None and entry.epoch == job.listing_epoch and",
         "job is not None and",
-        "tests/test_batch_state.py -k baton",
+        "tests/test_batch_state.py -k listing_lease",
     ),
     "whoever is cut off takes the duty": (
         "replicated_log/src/replicated_log/failure_detector.py",
--- a/tests/forward_ledger_stage.py
+++ b/tests/forward_ledger_stage.py
@@ -25,7 +25,7 @@
 
     def __init__(self):
         self.epoch, self.deposed = 1, False
-        self.ledger, self.settled = BatchState(), BatchState()
+        self.state, self.settled = BatchState(), BatchState()
         self.full = self.by_hand = False
         self.unsettled = []
 
@@ -34,7 +34,7 @@
             done("full")
             return False
         for row in rows:
-            self.ledger.apply(decode(encode(row)))
+            self.state.apply(decode(encode(row)))
         self.unsettled.append((rows, done))
         if not self.by_hand:
             self.settle()
@@ -137,12 +137,12 @@
             )
         )
 
-    def beat(self, edge="e1", room=9, running=(), paths=("route/a", "route/b"), address=""):
+    def beat(self, edge="e1", capacity=9, running=(), paths=("route/a", "route/b"), address=""):
         return self.ask(
             m.EdgeHeartbeat(
                 edge=edge,
                 address=address or edge,
-                room=room,
+                capacity=capacity,
                 paths=list(paths),
                 running=list(running),
             )
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -10,7 +10,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-REPLY = m.ReportResultResponse(ok=True, baton_epoch=0, up_to=0)
+REPLY = m.ReportResultResponse(ok=True, listing_epoch=0, up_to=0)
 ASK = m.GetJob(job_id="l")
 FROZEN_MS = 300
 
--- a/tests/test_batch_state.py
+++ b/tests/test_batch_state.py
@@ -54,67 +54,66 @@
     return rows
 
 
-def shown(ledger):
+def shown(state):
     jobs = {
         name: (
-            job.placed,
-            job.ended,
-            job.left,
-            job.baton_epoch,
-            job.baton_edge,
+            job.listed,
+            job.cancelled,
+            job.unfinished,
+            job.listing_epoch,
+            job.listing_edge,
             job.open,
             [(item.state, item.edge, item.number, item.outcome, item.result) for item in job.items],
             job.waiting == sum(item.state == "waiting" for item in job.items),
             sorted(job.claims)
             == [index for index, item in enumerate(job.items) if item.state == "claimed"],
         )
-        for name, job in ledger.jobs.items()
+        for name, job in state.jobs.items()
     }
     keys = {
-        name: (key.state, key.transaction, key.body, key.status)
-        for name, key in ledger.keys.items()
+        name: (key.state, key.transaction, key.body, key.status) for name, key in state.keys.items()
     }
-    return jobs, keys, sorted(ledger.opened)
+    return jobs, keys, sorted(state.open_jobs)
 
 
 class Fold(TestCase):
     def test_dump_encoded_and_copy_say_the_same(self):
         for seed in range(30):
             rows = drawn(seed)
-            ledger, cached = BatchState(), BatchState()
+            state, cached = BatchState(), BatchState()
             for place, row in enumerate(rows):
-                ledger.apply(row)
+                state.apply(row)
                 cached.apply(row)
                 if place % 7 == 0:
                     cached.encoded()
             dumped, encoded = BatchState(), BatchState()
-            for row in ledger.dump():
+            for row in state.dump():
                 dumped.apply(row)
             for row in cached.encoded():
                 encoded.apply(decode(row))
-            twin = ledger.copy()
+            twin = state.copy()
             for other in (dumped, encoded, twin):
-                self.assertThat(shown(other), Equals(shown(ledger)), f"seed {seed}")
+                self.assertThat(shown(other), Equals(shown(state)), f"seed {seed}")
 
     def test_a_copy_goes_its_own_way(self):
-        ledger = BatchState()
+        state = BatchState()
         for row in drawn(1)[:4]:
-            ledger.apply(row)
-        ledger.apply(e.KeyOpened(key="k", digest="d", edge="e", transaction="t", at_ms=1))
-        before = shown(ledger)
-        twin = ledger.copy()
+            state.apply(row)
+        state.apply(e.KeyOpened(key="k", digest="d", edge="e", transaction="t", at_ms=1))
+        before = shown(state)
+        twin = state.copy()
         for row in (
             e.ItemClaimed(job_id="l0", index=0, edge="e", number=1),
             e.JobCancelled(job_id="l2", at_ms=1),
             e.KeyClosed(key="k", transaction="t", state="void", status=0, body="", at_ms=1),
         ):
             twin.apply(row)
-        self.assertThat(shown(ledger), Equals(before))
+        self.assertThat(shown(state), Equals(before))
         self.assertThat(shown(twin) == before, Equals(False))
 
-    def test_results_are_listed_in_order_under_the_present_baton(self):
-        ledger = BatchState()
-        ledger.apply(drawn(1)[0])
+    def test_results_are_listed_in_order_under_the_present_listing_lease(self):
+        state = BatchState()
+        state.apply(drawn(1)[0])
         steps = [
             (e.ItemFinished(job_id="l0", index=1, outcome="ran", body="1", worker=""), 0),
             (e.ListingLeaseGranted(job_id="l0", edge="a", epoch=1), 0),
@@ -126,7 +125,7 @@
             (e.ListingAdvanced(job_id="l0", up_to=2, epoch=2), 2),
             (e.ItemFinished(job_id="l0", index=0, outcome="ran", body="other", worker=""), 2),
         ]
-        for entry, placed in steps:
-            ledger.apply(entry)
-            self.assertThat(ledger.jobs["l0"].placed, Equals(placed))
-        self.assertThat(ledger.jobs["l0"].items[0].result, Equals("0"))
+        for entry, listed in steps:
+            state.apply(entry)
+            self.assertThat(state.jobs["l0"].listed, Equals(listed))
+        self.assertThat(state.jobs["l0"].items[0].result, Equals("0"))
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -183,7 +183,7 @@
                 "job_id": "l",
                 "path": "p",
                 "rollout": False,
-                "left": 10,
+                "unfinished": 10,
                 "waiting": 10,
                 "claims": {},
                 "at_ms": 0,
@@ -200,23 +200,23 @@
             ("nothing waits", [self.job(waiting=0)], 9900, False),
             ("late already", [self.job()], 10_001, True),
             ("a rollout", [self.job(rollout=True)], 9999, False),
-            ("behind another", [self.job(left=90, due_ms=9000), self.job()], 500, True),
+            ("behind another", [self.job(unfinished=90, due_ms=9000), self.job()], 500, True),
             (
                 "enough run at once",
-                [self.job(left=90, claims=dict.fromkeys(range(20)))],
+                [self.job(unfinished=90, claims=dict.fromkeys(range(20)))],
                 8000,
                 False,
             ),
         ]
         for name, jobs, log_ms, wanted in rows:
             outlook = JobOutlook(1000)
-            outlook.heard(SimpleNamespace(edge="e", room=2), 0)
+            outlook.heard(SimpleNamespace(edge="e", capacity=2), 0)
             outlook.took("p", 200)
-            ledger = SimpleNamespace(opened={place: job for place, job in enumerate(jobs)})
+            state = SimpleNamespace(open_jobs={place: job for place, job in enumerate(jobs)})
             logged = []
             self.assertThat(
                 outlook.at_risk(
-                    ledger, log_ms, lambda *told, logged=logged, **fields: logged.append(told[0])
+                    state, log_ms, lambda *told, logged=logged, **fields: logged.append(told[0])
                 ),
                 Equals(wanted),
                 name,
@@ -255,7 +255,7 @@
             )
 
     def test_a_rollout_is_folded_dumped_and_counts_for_no_lot(self):
-        ledger = BatchState()
+        state = BatchState()
         rows = [
             e.RolloutAdmitted(
                 job_id="rollout:r",
@@ -273,16 +273,16 @@
             e.ItemFinished(job_id="rollout:r", index=0, outcome="ran", body="x", worker="w"),
         ]
         for row in rows:
-            ledger.apply(row)
-        job = ledger.jobs["rollout:r"]
+            state.apply(row)
+        job = state.jobs["rollout:r"]
         self.assertThat(
             (job.total, [item.body for item in job.items], job.items[4].number, job.waiting),
             Equals((6, ["a", "a", "a", "b", "b", "b"], 1, 5)),
         )
-        self.assertThat((ledger.room_used("p"), ledger.rollouts_open("p")), Equals((0, 1)))
-        twin = ledger.copy()
+        self.assertThat((state.backlog("p"), state.rollout_backlog("p")), Equals((0, 1)))
+        twin = state.copy()
         self.assertThat(
-            [repr(row) for row in twin.dump()], Equals([repr(row) for row in ledger.dump()])
+            [repr(row) for row in twin.dump()], Equals([repr(row) for row in state.dump()])
         )
         self.assertThat(
             (twin.jobs["rollout:r"].rollout, twin.jobs["rollout:r"].weights), Equals((True, "v1"))
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -84,11 +84,11 @@
             log = LocalLog(
                 self.copied(node), Settings.model_construct(), lambda: 1000, lambda: "new"
             )
-            state = b"".join(log.ledger.encoded())
+            state = b"".join(log.state.encoded())
             records = b"".join(record.bytes for record in log.records)
-            archived_jobs = [job for job in log.ledger.jobs.values() if job.shelf is not None]
+            archived_jobs = [job for job in log.state.jobs.values() if job.shelf is not None]
             archived_keys = [
-                (name, key) for name, key in log.ledger.keys.items() if key.shelf is not None
+                (name, key) for name, key in log.state.keys.items() if key.shelf is not None
             ]
             self.assertThat(
                 {
@@ -100,9 +100,9 @@
                     "metadata": encode(log.meta).hex(),
                     "jobs": {
                         name: [job.total, job.shelf is not None]
-                        for name, job in log.ledger.jobs.items()
+                        for name, job in log.state.jobs.items()
                     },
-                    "keys": sorted(log.ledger.keys),
+                    "keys": sorted(log.state.keys),
                     "state_sha256": sha256(state),
                     "state_bytes": len(state),
                     "records_sha256": sha256(records),
--- a/tests/test_forward_dealing.py
+++ b/tests/test_forward_dealing.py
@@ -10,7 +10,7 @@
 class Dealing(TestCase):
     def test_a_beat_with_room_is_held_until_there_is_work(self):
         bench = Bench()
-        held, other, none = bench.beat("e1"), bench.beat("e2"), bench.beat("e3", room=0)
+        held, other, none = bench.beat("e1"), bench.beat("e2"), bench.beat("e3", capacity=0)
         self.assertThat(
             (bench.told(held), bench.told(other), bench.told(none) is not None),
             Equals((None, None, True)),
@@ -36,7 +36,7 @@
         held = bench.beat("e1", address="10.0.0.1:1")
         bench.hand_in("one", (1, 1))
         self.assertThat(len(bench.work(held)), Equals(2))
-        bench.beat("e9", room=0, address="10.0.0.1:1")
+        bench.beat("e9", capacity=0, address="10.0.0.1:1")
         bench.after(25)
         fresh = bench.work(bench.beat("e2"))
         self.assertThat([row.number for row in fresh], Equals([2]))
@@ -92,14 +92,14 @@
             bench.listed("one"),
             Equals([("one-2", "finished"), ("one-1", "finished"), ("one-0", "finished")]),
         )
-        job = bench.holder.ledger.jobs["one"]
-        self.assertThat((job.baton_edge, job.baton_epoch), Equals(("e2", 2)))
+        job = bench.holder.state.jobs["one"]
+        self.assertThat((job.listing_edge, job.listing_epoch), Equals(("e2", 2)))
 
     def test_given_up_when_the_time_is_up_or_the_route_gone(self):
         bench = Bench()
         bench.hand_in("one", (1, 1), keep_ms=5000)
         bench.hand_in("two", path="route/b")
-        bench.end(bench.work(bench.beat(room=1))[0])
+        bench.end(bench.work(bench.beat(capacity=1))[0])
         bench.after(4999)
         self.assertThat(len(bench.listed("one")), Equals(1))
         bench.after(1)
--- a/tests/test_forward_ledger.py
+++ b/tests/test_forward_ledger.py
@@ -67,29 +67,29 @@
     return rows
 
 
-def applied(ledger, rows):
+def applied(state, rows):
     """As the holder does, which counts an attempt that failed on top of those before it."""
     for row in rows:
         if isinstance(row, e.AttemptFailed):
-            job = ledger.jobs.get(row.job_id)
+            job = state.jobs.get(row.job_id)
             before = (
                 job.items[row.index].failures
                 if job is not None and row.index < len(job.items)
                 else 0
             )
             row = e.AttemptFailed(**{**row.as_dict(), "failures": before + 1})
-        ledger.apply(row)
+        state.apply(row)
 
 
-def shown(ledger):
+def shown(state):
     jobs = {
         name: (
             job.order,
-            job.placed,
-            job.ended,
-            job.left,
-            job.baton_epoch,
-            job.baton_edge,
+            job.listed,
+            job.cancelled,
+            job.unfinished,
+            job.listing_epoch,
+            job.listing_edge,
             job.open,
             job.tokens,
             list(job.pending),
@@ -104,31 +104,31 @@
                 for item in job.items
             ],
         )
-        for name, job in ledger.jobs.items()
+        for name, job in state.jobs.items()
     }
-    return jobs, sorted(ledger.opened), ledger.waiting_tokens
+    return jobs, sorted(state.open_jobs), state.waiting_tokens
 
 
 class Fold(TestCase):
     def test_dump_encoded_and_copy_say_the_same(self):
         for seed in range(30):
-            ledger = BatchState()
-            applied(ledger, drawn(seed))
+            state = BatchState()
+            applied(state, drawn(seed))
             dumped, encoded = BatchState(), BatchState()
-            for row in ledger.dump():
+            for row in state.dump():
                 dumped.apply(row)
-            for row in ledger.encoded():
+            for row in state.encoded():
                 encoded.apply(decode(row))
-            for other in (dumped, encoded, ledger.copy()):
-                self.assertThat(shown(other), Equals(shown(ledger)), f"seed {seed}")
+            for other in (dumped, encoded, state.copy()):
+                self.assertThat(shown(other), Equals(shown(state)), f"seed {seed}")
             self.assertThat(
-                sum(ledger.waiting_tokens.values()),
-                Equals(sum(job.tokens for job in ledger.opened.values())),
+                sum(state.waiting_tokens.values()),
+                Equals(sum(job.tokens for job in state.open_jobs.values())),
             )
 
     def test_results_are_listed_as_they_settle_under_a_rising_epoch(self):
-        ledger = BatchState()
-        ledger.apply(drawn(1)[0])
+        state = BatchState()
+        state.apply(drawn(1)[0])
         steps = [
             (2, "e", 1, [2]),
             (2, "e", 1, [2]),
@@ -139,7 +139,7 @@
             (0, "e", 9, [2, 0, 1]),
         ]
         for index, edge, epoch, order in steps:
-            ledger.apply(
+            state.apply(
                 e.ResultListed(
                     job_id="l0",
                     index=index,
@@ -150,9 +150,9 @@
                     epoch=epoch,
                 )
             )
-            self.assertThat(ledger.jobs["l0"].order, Equals(order))
-        self.assertThat(ledger.jobs["l0"].open, Equals(False))
-        self.assertThat(ledger.waiting_tokens, Equals({}))
+            self.assertThat(state.jobs["l0"].order, Equals(order))
+        self.assertThat(state.jobs["l0"].open, Equals(False))
+        self.assertThat(state.waiting_tokens, Equals({}))
 
 
 class Admission(TestCase):
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -201,7 +201,7 @@
 
 
 def row_moved(self, position):
-    moves = not self.forward and position < 2 <= self.total == self.placed
+    moves = not self.forward and position < 2 <= self.total == self.listed
     row = decode(WHOLE_ROW(self, 1 - position if moves else position))
     if moves:
         row.index = position
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -189,4 +189,4 @@
             host.start()
         self.assertThat(self.until(fleet, lambda: self.serving(fleet), 6000), Equals(True))
         self.assertThat(fleet.time.now_ms - began_ms < 3000, Equals(True))
-        self.assertThat("before" in self.serving(fleet).node.log.log.ledger.keys, Equals(True))
+        self.assertThat("before" in self.serving(fleet).node.log.log.state.keys, Equals(True))
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -147,7 +147,13 @@
         self.answer(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
-                epoch=4, holder_ms=1, work=work, batons=[], stops=[], waiting=0, paths=["route"]
+                epoch=4,
+                holder_ms=1,
+                work=work,
+                listing_leases=[],
+                stops=[],
+                waiting=0,
+                paths=["route"],
             ),
         )
 
@@ -298,7 +304,7 @@
         stage.answer(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
-                epoch=4, holder_ms=1, work=[], batons=[], stops=["lot"], waiting=0, paths=[]
+                epoch=4, holder_ms=1, work=[], listing_leases=[], stops=["lot"], waiting=0, paths=[]
             ),
         )
         self.assertThat(
@@ -323,11 +329,15 @@
             [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)], Equals([1])
         )
         self.assertThat(len(stage.asked(m.EdgeHeartbeat)[-1][1].running), Equals(4))
-        stage.answer(m.ReportItemOutcomes, m.ReportResultResponse(ok=True, baton_epoch=0, up_to=0))
+        stage.answer(
+            m.ReportItemOutcomes, m.ReportResultResponse(ok=True, listing_epoch=0, up_to=0)
+        )
         self.assertThat(
             [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)], Equals([1, 3])
         )
-        stage.answer(m.ReportItemOutcomes, m.ReportResultResponse(ok=False, baton_epoch=0, up_to=0))
+        stage.answer(
+            m.ReportItemOutcomes, m.ReportResultResponse(ok=False, listing_epoch=0, up_to=0)
+        )
         stage.after(25)
         self.assertThat(
             [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)],
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -65,7 +65,7 @@
             epoch=epoch,
             holder_ms=0,
             work=[encode(work)],
-            batons=[],
+            listing_leases=[],
             stops=[],
             waiting=0,
             paths=["p"],
@@ -136,7 +136,7 @@
             bench.end(former, "again", edge="e1")
             present = bench.work(bench.beat("e2"))[0]
             bench.end(former, outcome, text=b"former", edge="e1")
-            item = bench.holder.ledger.jobs["one"].items[0]
+            item = bench.holder.state.jobs["one"].items[0]
             shown = (
                 (item.state, None, None)
                 if item.state == "finished"
@@ -186,7 +186,7 @@
         self.finish(bench, first, "again", "e1")
         second = bench.work(bench.beat("e2"))[0]
         self.finish(bench, first, "again", "e1")
-        item = bench.holder.ledger.jobs["l"].items[0]
+        item = bench.holder.state.jobs["l"].items[0]
         self.assertThat(
             (first.number, second.number, item.state, item.edge, item.number),
             Equals((1, 2, "claimed", "e2", 2)),
--- a/tests/test_log_conformance.py
+++ b/tests/test_log_conformance.py
@@ -130,7 +130,7 @@
         log.tidy(force=True)
         self.table.run(50)
         self.assertThat(self.table.keys("b"), Equals(["k2"]))
-        self.assertThat(sorted(log.ledger.keys), Equals(["k1", "k2"]))
+        self.assertThat(sorted(log.state.keys), Equals(["k1", "k2"]))
 
 
 class RecoverySteps(TestCase):
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -90,7 +90,7 @@
         table.disks["c"].wipe()
         table.open("c")
         table.run(1500)
-        self.assertThat(sorted(table.logs["c"].ledger.keys), Equals(["k1", "k2", "k3", "k4"]))
+        self.assertThat(sorted(table.logs["c"].state.keys), Equals(["k1", "k2", "k3", "k4"]))
         self.assertThat(table.logs["c"].meta.log_epoch, Equals(1))
         table.append("k5", settled=True)
         table.run(200)
--- a/tests/test_lot_side.py
+++ b/tests/test_lot_side.py
@@ -29,10 +29,10 @@
     path="",
     total=2,
     finished=0,
-    placed=0,
+    listed=0,
     running=0,
     due_ms=0,
-    ended=False,
+    cancelled=False,
 )
 
 
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -73,10 +73,10 @@
         run, fleet = self.founded(seed)
         history = fleet.history
         run.clients.submit("claims", 6)
-        self.wait(fleet, lambda: history.rows_of("run"))
+        self.wait(fleet, lambda: history.encoded_entries("run"))
         for host in fleet.with_role("store"):
             host.disk.flush_ms = 400.0
-        self.wait(fleet, lambda: history.rows_of("run-ended"))
+        self.wait(fleet, lambda: history.encoded_entries("run-ended"))
         fleet.time.run_until(fleet.time.now_ms + 30)
         for host in fleet.with_role("store"):
             host.lose_power()
@@ -85,7 +85,7 @@
         fleet.run_until_true(lambda: False, 9000)
         run.read_all()
         self.assertThat(judge(history), Equals({}))
-        self.assertThat(history.rows_of("final")[0]["listed"], Equals(6))
+        self.assertThat(history.encoded_entries("final")[0]["listed"], Equals(6))
 
     def test_a_cut_off_edge_stops_an_ended_lot_in_time(self):
         run, fleet = self.founded()
@@ -119,38 +119,38 @@
         outcomes = sorted(row["outcome"] for row in rows)
         self.assertThat(outcomes, Equals(["admitted"] * 3 + ["waiting-room-full"] * 17))
 
-    def test_all_finished_and_the_edge_with_the_baton_lost(self):
+    def test_all_finished_and_the_edge_with_the_listing_lease_lost(self):
         run, fleet = self.founded()
         run.clients.submit("summaries", 1)
-        ledger = fleet.leader().node.log.holder.ledger
-        self.wait(fleet, lambda: ledger.jobs)
-        job = next(iter(ledger.jobs.values()))
-        while job.left:
+        state = fleet.leader().node.log.holder.state
+        self.wait(fleet, lambda: state.jobs)
+        job = next(iter(state.jobs.values()))
+        while job.unfinished:
             fleet.time.run_until(fleet.time.now_ms + 0.2)
-        self.assertThat(job.placed, Equals(0))
+        self.assertThat(job.listed, Equals(0))
         next(
             host for host in fleet.with_role("edge") if host.node.jobs.edge == job.items[0].edge
         ).kill()
-        self.wait(fleet, lambda: job.placed == 1)
+        self.wait(fleet, lambda: job.listed == 1)
 
-    def test_the_baton_of_a_lost_edge_is_issued_again_higher(self):
+    def test_the_listing_lease_of_a_lost_edge_is_granted_again_under_a_higher_epoch(self):
         run, fleet = self.founded()
         run.clients.submit("summaries", 9)
         holder = fleet.leader().node
         self.wait(
             fleet,
             lambda: (
-                holder.log.holder.ledger.jobs
-                and next(iter(holder.log.holder.ledger.jobs.values())).baton_epoch
+                holder.log.holder.state.jobs
+                and next(iter(holder.log.holder.state.jobs.values())).listing_epoch
             ),
         )
-        job = next(iter(holder.log.holder.ledger.jobs.values()))
-        before = job.baton_epoch
+        job = next(iter(holder.log.holder.state.jobs.values()))
+        before = job.listing_epoch
         next(
-            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.baton_edge
+            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.listing_edge
         ).kill()
-        self.wait(fleet, lambda: job.placed == 9, 12000)
-        self.assertThat(job.baton_epoch > before, Equals(True))
+        self.wait(fleet, lambda: job.listed == 9, 12000)
+        self.assertThat(job.listing_epoch > before, Equals(True))
         stale = self.ask(
             fleet, m.AdvanceListing(job_id="lot1", edge="whoever", epoch=before, up_to=9)
         )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -36,7 +36,7 @@
         run.read_all()
         self.assertThat(judge(run.fleet.history), Equals({}))
         self.assertThat(
-            len(run.fleet.history.rows_of("final")),
+            len(run.fleet.history.encoded_entries("final")),
             Equals(sum(job["acked"] for job in run.clients.jobs.values())),
         )
 
@@ -87,9 +87,9 @@
             (host.disk.set_aside_count, host.node.log.log.identity != old), Equals((1, True))
         )
         self.until_member(run, host)
-        wanted = fleet.leader().node.log.log.ledger.jobs
-        fleet.run_until_true(lambda: host.node.log.log.ledger.jobs.keys() == wanted.keys(), 4000)
-        self.assertThat(sorted(host.node.log.log.ledger.jobs), Equals(sorted(wanted)))
+        wanted = fleet.leader().node.log.log.state.jobs
+        fleet.run_until_true(lambda: host.node.log.log.state.jobs.keys() == wanted.keys(), 4000)
+        self.assertThat(sorted(host.node.log.log.state.jobs), Equals(sorted(wanted)))
         self.kept(run)
 
     def test_retired_holder_hands_over_to_a_spare(self):
@@ -180,13 +180,13 @@
         run.clients.live("moves", "old", done=seen.append)
         run.clients.submit("summaries", 2)
 
-        def ledger():
-            return fleet.leader().node.log.log.ledger
+        def state():
+            return fleet.leader().node.log.log.state
 
-        fleet.run_until_true(lambda: seen and ledger().jobs and not ledger().opened, 8000)
-        self.assertThat((len(ledger().keys), len(ledger().jobs)), Equals((1, 1)))
+        fleet.run_until_true(lambda: seen and state().jobs and not state().open_jobs, 8000)
+        self.assertThat((len(state().keys), len(state().jobs)), Equals((1, 1)))
         self.assertThat(
-            fleet.run_until_true(lambda: not ledger().keys and not ledger().jobs, 45000),
+            fleet.run_until_true(lambda: not state().keys and not state().jobs, 45000),
             Equals(True),
         )
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -278,14 +278,14 @@
         self.assertThat((log.settled_seq, log.busy(), log.snap_seq), Equals((kept + 3, True, 0)))
         table.run(1500)
         head, rows = read_snapshot(table.disks["a"].read("snapshot"))
-        ledger = BatchState()
+        state = BatchState()
         for row in rows:
-            ledger.apply(row)
+            state.apply(row)
         self.assertThat(
-            (head.seq, list(ledger.keys)), Equals((kept, [f"k{number}" for number in range(30)]))
+            (head.seq, list(state.keys)), Equals((kept, [f"k{number}" for number in range(30)]))
         )
         self.assertThat(
-            (ledger.keys["k25"].state, log.ledger.keys["k25"].state), Equals(("open", "done"))
+            (state.keys["k25"].state, log.state.keys["k25"].state), Equals(("open", "done"))
         )
         table.open("a")
         self.assertThat(
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -34,7 +34,7 @@
         return run, fleet
 
     def on_shelves(self, host):
-        jobs = host.node.log.log.ledger.jobs
+        jobs = host.node.log.log.state.jobs
         return len(jobs) == 3 and all(
             job.shelf is not None and not job.items for job in jobs.values()
         )
@@ -53,7 +53,9 @@
         self.assertThat(
             judge(run.fleet.history, ["kept-at-the-end", "bodies-are-whole"]), Equals({})
         )
-        self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
+        self.assertThat(
+            len(run.fleet.history.encoded_entries("final")), Equals(len(run.clients.jobs))
+        )
 
     def test_read_back_after_power_and_by_a_new_holder(self):
         run, fleet = self.founded()
@@ -93,7 +95,7 @@
     def test_a_damaged_leaf_is_never_listed_and_a_read_mends_it(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        job = holder.node.log.log.ledger.jobs["lot2"]
+        job = holder.node.log.log.state.jobs["lot2"]
         holder.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
         self.assertThat(holder.node.log.log.shelves.results(job, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot2"), Equals(30))
@@ -103,7 +105,7 @@
     def test_a_leaf_in_anothers_place_is_not_taken_for_it(self):
         run, fleet = self.founded()
         log = fleet.leader().node.log.log
-        one, other = log.ledger.jobs["lot1"], log.ledger.jobs["lot3"]
+        one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
         one.shelf.file, one.shelf.places, one.shelf.sizes = (
             other.shelf.file,
             other.shelf.places,
@@ -117,7 +119,7 @@
         run, fleet = self.founded()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
-        job, key = log.ledger.jobs["lot1"], log.ledger.keys["kept"]
+        job, key = log.state.jobs["lot1"], log.state.keys["kept"]
         host.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
 
         def whole():
@@ -141,7 +143,7 @@
         self.assertThat(len(self.leaves(store)) > 0, Equals(True))
         old = set(self.leaves(store))
         self.assertThat(
-            fleet.run_until_true(lambda: not store.node.log.log.ledger.jobs, 60_000), Equals(True)
+            fleet.run_until_true(lambda: not store.node.log.log.state.jobs, 60_000), Equals(True)
         )
         store.node.log.log.tidy(True)
         self.assertThat(
