--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -289,7 +289,7 @@
         wanted, self._wanted = self._wanted, {}
         for _, address in self._edges():
             for identity, places in wanted.items():
-                self.node.post(address, PlaceWanted(worker=identity, places=places))
+                self.node.send(address, PlaceWanted(worker=identity, places=places))
 
     def receive(self, message: PlaceWanted, origin: Origin) -> None:
         """Give slots back because a live call at another edge needs them."""
@@ -346,6 +346,6 @@
                 "live calls need more of the worker",
             )
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Forget which workers' reports were acted on; called after the process was frozen."""
         self._acted.clear()
--- a/libs/capacity_sharing/src/capacity_sharing/lending.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lending.py
@@ -295,7 +295,7 @@
                 "loan-overdue", "ERROR", worker=worker, borrower=row["borrower"], loan=row["loan"]
             )
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Forget all times and reports and end open calls in doubt; called after a freeze."""
         self._since.clear()
         self._busy.clear()
--- a/libs/capacity_sharing/src/capacity_sharing/lent.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent.py
@@ -81,7 +81,7 @@
         """Return the most live calls lately running at once at a worker; None while unknown."""
         return self._load.peak(worker)
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Forget all reports; called after the process was frozen."""
         self._load.forget()
         self._note_samples()
@@ -116,4 +116,4 @@
         self._load.note(now_ms)
         self._note_samples()
         for address in self._told():
-            self.node.post(address, report)
+            self.node.send(address, report)
--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -148,6 +148,6 @@
         if address in self._chosen:
             self._chosen.remove(address)
 
-    def woke(self) -> None:
+    def resumed(self) -> None:
         """After a pause of this node, do not count missing replies against the contacts."""
         self._asked_ms.clear()
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -185,7 +185,7 @@
     def _send(self, address: str, rows: list[bytes]) -> None:
         if rows:
             self.sent_bytes += sum(len(row) for row in rows)
-            self.node.post(address, KeyUpdates(items=rows))
+            self.node.send(address, KeyUpdates(items=rows))
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
@@ -233,7 +233,7 @@
         )
 
     def _send_digest(self, address: str) -> None:
-        self.node.post(
+        self.node.send(
             address, self._digest(rank=self._contacts.rank(address), edges=self._edges_for(address))
         )
 
@@ -314,7 +314,7 @@
         self._lows_told = self.lows()
         digest = self._digest(edges=self._own_edges())
         for address in sorted(self._voters() - {self.node.address}):
-            self.node.post(address, digest)
+            self.node.send(address, digest)
 
     def _report(self) -> None:
         for address in self._contacts.choose(self.candidates()):
@@ -357,9 +357,9 @@
             return
         digest = self._digest()
         for address in self._addresses():
-            self.node.post(address, digest)
+            self.node.send(address, digest)
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Disregard digests for beat_ms after a pause of the process.
 
         Those that waited in buffers say nothing about the present.
@@ -368,4 +368,4 @@
         self._since_ms = self.node.env.now()
         self.quorate_ms = self.sure_edge_ms = -1 << 40
         self.contacts_ms = dict.fromkeys(self.contacts_ms, -1 << 40)
-        self._contacts.woke()
+        self._contacts.resumed()
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -247,7 +247,7 @@
                 self._unknown(call, "no answer in time")
         self._calls = [call for call in self._calls if call.done is not None]
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Answer all waiting calls after a pause of the process."""
         for call in self._calls:
             self._unknown(call, "this node was frozen")
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -244,7 +244,7 @@
 
         self._owner.submit(ReadKey(key=key, hops=0), have_read)
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Restart the time that this node has been up without a pause."""
         self._since_ms = self.node.env.now()
 
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -114,7 +114,7 @@
         elif not self._busy:
             self._keep_house()
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """After a pause, restart the time awake: others may have sent heartbeats during it."""
         self._awake_ms = self.node.env.now()
 
@@ -137,10 +137,10 @@
                     body = json.dumps({"number": 1, "voters": json.loads(members)})
                     self.node.env.log("founded", voters=sorted(listed))
                     for address in listed.values():
-                        self.node.post(address, VoterListDecided(list_body=body))
+                        self.node.send(address, VoterListDecided(list_body=body))
 
         for address in listed.values():
-            self.node.ask(
+            self.node.request(
                 address, BootstrapRequest(members=members), self.node.settings.ask_ms, voted
             )
 
@@ -283,7 +283,7 @@
             ):
                 self._next_ms = node.env.now() + node.settings.beat_ms // 4
                 for row in following["voters"]:
-                    node.post(row["address"], VoterListDecided(list_body=receipt.body))
+                    node.send(row["address"], VoterListDecided(list_body=receipt.body))
 
         self._owner.submit(
             Change(
--- a/libs/control_store/src/control_store/client.py
+++ b/libs/control_store/src/control_store/client.py
@@ -95,7 +95,7 @@
             elif receipt is not None and number == asking.sends:
                 asking.next_ms = min(asking.next_ms, self.node.env.now() + settings.pulse_ms // 2)
 
-        self.node.ask(address, asking.make(), settings.ask_ms * 2, answered)
+        self.node.request(address, asking.make(), settings.ask_ms * 2, answered)
 
     def _finish(self, asking: _Asking, outcome: str, version: int, body: str) -> None:
         self._askings.remove(asking)
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -88,7 +88,7 @@
             return
         message.hops += 1
         wait_ms = due_ms - now_ms
-        self._node.ask(
+        self._node.request(
             self._voter.voters[duty],
             message,
             min(wait_ms, settings.dead_ms) if hops == 0 else wait_ms,
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -327,7 +327,7 @@
             elif vote.reason == "behind":
                 address = self._voter.voters.get(vote.identity)
                 if address:
-                    self.node.post(
+                    self.node.send(
                         address, VoterListDecided(list_body=self._voter.metadata.list_body)
                     )
 
@@ -371,7 +371,7 @@
             if key.ops and key.state is State.UNOWNED and self.node.env.rng.random() < 0.5:
                 self._next(key)
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Give up all keys after a pause, and answer queued operations with DOUBT."""
         for key in self._keys.values():
             key.epoch += 1
--- a/libs/control_store/src/control_store/quorum_round.py
+++ b/libs/control_store/src/control_store/quorum_round.py
@@ -37,7 +37,7 @@
         self.yes: dict[str, Message] = {}
         self.replies: dict[str, Message] = {}
         for identity, address in voters.items():
-            node.ask(
+            node.request(
                 address, message, wait_ms, lambda receipt, name=identity: self._take(name, receipt)
             )
 
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -56,7 +56,7 @@
         if not self._passed and self.node.env.now() >= self._retry_at_ms:
             self._read_all()
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Reset after a pause of the process of `gap_ms`."""
         self._reset()
 
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -241,7 +241,7 @@
             self._change()
         self._check_waits()
 
-    def woke(self) -> None:
+    def resumed(self) -> None:
         """After a pause of the process, restart the time of ownership and answer with "doubt"."""
         self._owned_ms = -1
         for wait in self._waits:
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -152,7 +152,7 @@
         if self._mine():
             self._changes.leave(report, wait.finish)
         else:
-            self.node.ask(
+            self.node.request(
                 address,
                 WorkerLeft(report=encode(report)),
                 self.node.settings.answer_ms,
@@ -178,7 +178,7 @@
             self._take_heard(message)
             self._changes.judge_silent(now_ms)
         elif address is not None:
-            self.node.ask(
+            self.node.request(
                 address, message, self._period_ms(), lambda receipt: self._told(receipt, now_ms)
             )
 
@@ -242,10 +242,10 @@
             self._tell(now_ms)
         self._changes.tick(self._mine() and self._sure())
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """After a pause of the process, answer all waiting calls with "doubt"."""
         self._noted_ms = -1 << 40
         for wait in self._calls:
             wait.finish("doubt")
         self._calls = []
-        self._changes.woke()
+        self._changes.resumed()
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -129,7 +129,7 @@
         card = self._cards.get(identity)
         return not self.deaf() if identity == self.identity else card is None or not card.deaf
 
-    def refused(self, address: str) -> None:
+    def connection_refused(self, address: str) -> None:
         """Note that nothing listens at an address.
 
         Its nodes are not live until they are heard again.
@@ -167,7 +167,7 @@
         self._forget(now_ms)
         mine = encode(self.card())
         for address in self._kin():
-            self.node.post(address, Heartbeat(card=mine))
+            self.node.send(address, Heartbeat(card=mine))
         self._beat_count += 1
         if (
             self.node.settings.fan_out
@@ -176,7 +176,7 @@
         ):
             return
         for address in self._partners():
-            self.node.post(address, ShuffleRequest(card=mine, cards=self._some()))
+            self.node.send(address, ShuffleRequest(card=mine, cards=self._some()))
 
     def _kin(self) -> list[str]:
         role = self.node.settings.role
@@ -227,7 +227,7 @@
 
     @receive.register
     def _(self, message: ShuffleRequest, origin: Origin) -> None:
-        self.node.post(origin.sender, ShuffleResponse(card=encode(self.card()), cards=self._some()))
+        self.node.send(origin.sender, ShuffleResponse(card=encode(self.card()), cards=self._some()))
         self._take(message.card, message.cards)
 
     @receive.register
--- a/libs/messaging/src/messaging/__init__.py
+++ b/libs/messaging/src/messaging/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from messaging.components import Component, Environment, Node, Origin
-from messaging.message import BadMessageError, Message, decode, encode
+from messaging.message import BadMessageError, Message, decode, decode_as, encode
 
 __all__ = [
     "BadMessageError",
@@ -15,5 +15,6 @@
     "Origin",
     "Component",
     "decode",
+    "decode_as",
     "encode",
 ]
--- a/libs/messaging/src/messaging/components.py
+++ b/libs/messaging/src/messaging/components.py
@@ -32,10 +32,11 @@
         """Return a short random text that is unique in practice."""
         ...
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
-        """Send a message; `ref` numbers a request and `re` the request that it answers, else 0.
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
+        """Send a message, without any promise of delivery.
 
-        Nothing is promised about delivery.
+        `request_id` numbers a request; `in_reply_to` is the number of the request that the message
+        answers. Each is 0 where it does not apply.
         """
         ...
 
@@ -47,11 +48,11 @@
 class Origin:
     """Where a message came from: its sender's address, and the number of the request or 0."""
 
-    __slots__ = ("ref", "sender")
+    __slots__ = ("request_id", "sender")
 
-    def __init__(self, sender: str, ref: int) -> None:
+    def __init__(self, sender: str, request_id: int) -> None:
         self.sender = sender
-        self.ref = ref
+        self.request_id = request_id
 
 
 class Component:
@@ -76,13 +77,13 @@
         """Do periodic work; called every few milliseconds."""
         return None
 
-    def closed(self, address: str) -> None:
+    def connection_closed(self, address: str) -> None:
         """Take note that the connection from an address has ended, perhaps with its process."""
 
-    def refused(self, address: str) -> None:
+    def connection_refused(self, address: str) -> None:
         """Take note that nothing listens at an address: its process has ended."""
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Drop claims held in memory, because the node stood still for `gap_ms`.
 
         Called before any other work.
@@ -95,17 +96,25 @@
     `settings` are those of the process (`runtime.settings.Settings`).
     """
 
-    __slots__ = ("_asks", "_last_tick_ms", "_next_ref", "_paths", "env", "settings", "parts")
-
-    def __init__(self, env: Environment, settings: Any, parts: list[Component]) -> None:
+    __slots__ = (
+        "_asks",
+        "_last_tick_ms",
+        "_next_request_id",
+        "_paths",
+        "env",
+        "settings",
+        "components",
+    )
+
+    def __init__(self, env: Environment, settings: Any, components: list[Component]) -> None:
         self.env = env
         self.settings = settings
-        self.parts = parts
+        self.components = components
         self._asks: dict[int, tuple[Callable, int]] = {}
-        self._next_ref = env.rng.getrandbits(40) + 1
+        self._next_request_id = env.rng.getrandbits(40) + 1
         self._last_tick_ms = env.now()
         self._paths: dict[type, Component] = {}
-        for part in parts:
+        for part in components:
             part.attach(self)
             for kind in part.HANDLES:
                 self._paths[kind] = part
@@ -115,43 +124,45 @@
         """The address of this node, IP:PORT."""
         return self.env.address
 
-    def post(self, to: str, message: Message) -> None:
+    def send(self, to: str, message: Message) -> None:
         """Send a message that expects no answer."""
-        self.env.post(to, 0, 0, message)
+        self.env.send(to, 0, 0, message)
 
-    def ask(
-        self, to: str, message: Message, wait_ms: int, done: Callable[[Message | None], None]
+    def request(
+        self, to: str, message: Message, timeout_ms: int, on_reply: Callable[[Any], None]
     ) -> None:
-        """Send a request; `done` gets the answer, or None after `wait_ms`."""
-        self._next_ref += 1
-        self._asks[self._next_ref] = (done, self.env.now() + wait_ms)
-        self.env.post(to, self._next_ref, 0, message)
+        """Send a request; `on_reply` gets the answer, or None after `timeout_ms`."""
+        self._next_request_id += 1
+        self._asks[self._next_request_id] = (on_reply, self.env.now() + timeout_ms)
+        self.env.send(to, self._next_request_id, 0, message)
 
     def reply(self, origin: Origin, message: Message) -> None:
         """Answer a request; a message that was no request gets nothing."""
-        if origin.ref:
-            self.env.post(origin.sender, 0, origin.ref, message)
+        if origin.request_id:
+            self.env.send(origin.sender, 0, origin.request_id, message)
 
-    def receive(self, sender: str, ref: int, re: int, message: Message) -> None:
+    def receive(self, sender: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Pass an answer to its requester, or a message to the part that handles its type."""
         self._check_frozen()
-        if re:
-            waiting = self._asks.pop(re, None)
+        if in_reply_to:
+            waiting = self._asks.pop(in_reply_to, None)
             if waiting is not None:
                 waiting[0](message if self.env.now() <= waiting[1] else None)
             return
         part = self._paths.get(type(message))
         if part is not None:
-            part.receive(message, Origin(sender, ref))
+            part.receive(message, Origin(sender, request_id))
 
     def tick(self) -> None:
         """Time out open requests and let each part do its periodic work."""
         self._check_frozen()
         now_ms = self.env.now()
-        for ref in [ref for ref, (_, due_ms) in self._asks.items() if due_ms <= now_ms]:
-            done, _ = self._asks.pop(ref)
-            done(None)
-        for part in self.parts:
+        for request_id in [
+            request_id for request_id, (_, due_ms) in self._asks.items() if due_ms <= now_ms
+        ]:
+            on_reply, _ = self._asks.pop(request_id)
+            on_reply(None)
+        for part in self.components:
             part.tick()
 
     def _check_frozen(self) -> None:
@@ -160,5 +171,5 @@
         self._last_tick_ms = now_ms
         if gap_ms > self.settings.frozen_ms:
             self.env.log("frozen", "WARNING", gap_ms=gap_ms)
-            for part in self.parts:
-                part.woke(gap_ms)
+            for part in self.components:
+                part.resumed(gap_ms)
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -44,10 +44,12 @@
 _PAUSE_SHARE = 0.1
 
 
-def _pack(sender: str, ref: int, re: int, message: Message) -> bytes:
+def _pack(sender: str, request_id: int, in_reply_to: int, message: Message) -> bytes:
     page = io.BytesIO()
     schemaless_writer(
-        page, _ENVELOPE, {"sender": sender, "ref": ref, "re": re, "body": encode(message)}
+        page,
+        _ENVELOPE,
+        {"sender": sender, "ref": request_id, "re": in_reply_to, "body": encode(message)},
     )
     data = page.getvalue()
     return _LENGTH.pack(len(data)) + data
@@ -129,25 +131,25 @@
         for writer in list(self._readers):
             writer.close()
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Queue a message for an address; one to the own address is delivered in the next turn.
 
         Must be called on the event loop. Messages beyond the queue's limits are dropped.
         """
         loop = asyncio.get_running_loop()
         if to == self._address:
-            loop.call_soon(self._deliver, to, ref, re, message)
+            loop.call_soon(self._deliver, to, request_id, in_reply_to, message)
             return
         queue = self._queues.get(to)
         if queue is None:
             queue = self._queues[to] = _Queue()
             self.add_future(self._write(to, queue))
-        queue.put(loop.time(), self._pack(ref, re, message))
+        queue.put(loop.time(), self._pack(request_id, in_reply_to, message))
 
-    def _pack(self, ref: int, re: int, message: Message) -> bytes:
+    def _pack(self, request_id: int, in_reply_to: int, message: Message) -> bytes:
         """Encode a message; one sent to many addresses in turn is encoded once."""
-        if ref or re:
-            return _pack(self._address, ref, re, message)
+        if request_id or in_reply_to:
+            return _pack(self._address, request_id, in_reply_to, message)
         if self._packed[0] is not message:
             self._packed = (message, _pack(self._address, 0, 0, message))
         return self._packed[1]
--- a/libs/messaging/src/messaging/message.py
+++ b/libs/messaging/src/messaging/message.py
@@ -12,7 +12,7 @@
 
 from fastavro import parse_schema, schemaless_reader, schemaless_writer
 
-__all__ = ["BadMessageError", "Message", "decode", "encode"]
+__all__ = ["BadMessageError", "Message", "decode", "decode_as", "encode"]
 
 _PRIMITIVES = {
     str: "string",
@@ -23,6 +23,7 @@
 }
 
 _TYPES: dict[str, type["Message"]] = {}
+_MessageT = typing.TypeVar("_MessageT", bound="Message")
 _WIRE_NAME_SCHEMA = parse_schema({"type": "string"})
 
 
@@ -154,3 +155,14 @@
         MemoryError,
     ) as error:
         raise BadMessageError(repr(error)) from error
+
+
+def decode_as(kind: type[_MessageT], data: bytes) -> _MessageT:
+    """Return the message of type `kind` that the bytes encode.
+
+    Raises BadMessageError, also if they encode a message of another type.
+    """
+    message = decode(data)
+    if not isinstance(message, kind):
+        raise BadMessageError(f"expected {kind.__name__}, got {type(message).__name__}")
+    return message
--- a/libs/messaging/src/messaging/node_runner.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -40,10 +40,10 @@
         """Return 12 random hexadecimal digits."""
         return secrets.token_hex(6)
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Send a message; one sent before the connections are set up is dropped."""
         if self.switchboard is not None:
-            self.switchboard.post(to, ref, re, message)
+            self.switchboard.send(to, request_id, in_reply_to, message)
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Write a log line as JSON."""
@@ -80,11 +80,11 @@
             env.address, node.settings.ask_ms, node.receive
         )
         env.switchboard = self._switchboard
-        self._switchboard.on_refused = lambda address: self._tell("refused", address)
-        self._switchboard.on_closed = lambda address: self._tell("closed", address)
+        self._switchboard.on_refused = lambda address: self._tell("connection_refused", address)
+        self._switchboard.on_closed = lambda address: self._tell("connection_closed", address)
 
     def _tell(self, what: str, address: str) -> None:
-        for part in self.node.parts:
+        for part in self.node.components:
             getattr(part, what)(address)
 
     async def on_start(self) -> None:
--- a/libs/modelcheck/src/modelcheck/control_keys.py
+++ b/libs/modelcheck/src/modelcheck/control_keys.py
@@ -307,7 +307,7 @@
         vote = posted.message
         if not isinstance(vote, Vote) or not vote.ok:
             return
-        asked = self._live.env.requests.get((posted.to, posted.re))
+        asked = self._live.env.requests.get((posted.to, posted.in_reply_to))
         if isinstance(asked, Accept):
             value = decode(asked.value)
             self._live.told.append(
@@ -318,11 +318,11 @@
 
 
 def _voter(live: Live) -> Acceptor:
-    return live.node.parts[0]  # type: ignore[return-value]
+    return live.node.components[0]  # type: ignore[return-value]
 
 
 def _owner(live: Live) -> KeyOwner:
-    return live.node.parts[1]  # type: ignore[return-value]
+    return live.node.components[1]  # type: ignore[return-value]
 
 
 def _changes(data: bytes) -> list[tuple[str, int]]:
--- a/libs/modelcheck/src/modelcheck/explorer.py
+++ b/libs/modelcheck/src/modelcheck/explorer.py
@@ -289,7 +289,8 @@
         awaited = [
             number
             for number in flight
-            if not rows[number][0].re or rows[number][0].re in nodes[targets[number]].pending
+            if not rows[number][0].in_reply_to
+            or rows[number][0].in_reply_to in nodes[targets[number]].pending
         ]
         return tuple(sorted(awaited, key=self._link if self.world.in_order else None))
 
@@ -345,7 +346,8 @@
         """Return a message's name: its type, its sender, and its references."""
         posted, _ = self.local.messages[number]
         sender = self.world.addresses.index(posted.sender)
-        return f"{type(posted.message).__name__} from {sender} ref {posted.ref} re {posted.re}"
+        kind = type(posted.message).__name__
+        return f"{kind} from {sender} ref {posted.request_id} re {posted.in_reply_to}"
 
     def replay(self, steps: list[tuple[Kind, int, str]]) -> GlobalState:
         """Return the state that a written schedule leads to.
--- a/libs/modelcheck/src/modelcheck/local.py
+++ b/libs/modelcheck/src/modelcheck/local.py
@@ -149,8 +149,8 @@
         elif kind is Kind.SUBMIT:
             self._world.submit(index, live, number)
         elif kind is Kind.REFUSED:
-            for part in live.node.parts:
-                part.refused(self._world.addresses[number])
+            for part in live.node.components:
+                part.connection_refused(self._world.addresses[number])
         else:
             wait_ms = {
                 Kind.TICK: self._world.tick_ms,
@@ -176,7 +176,7 @@
 
     def _hand_over(self, live: Live, posted: Posted, data: bytes) -> None:
         live.env.received(posted)
-        live.node.receive(posted.sender, posted.ref, posted.re, decode(data))
+        live.node.receive(posted.sender, posted.request_id, posted.in_reply_to, decode(data))
 
     def _image_after(self, live: Live, kind: Kind) -> BootImage:
         files = {Kind.KILL: live.disk.files, Kind.POWER: live.disk.durable, Kind.WIPE: {}}[kind]
@@ -185,7 +185,11 @@
     # -- equal states --------------------------------------------------------------------------
 
     def _intern(self, state: LocalState, live: Live) -> LocalState:
-        asks = {ref: ask for ref, ask in live.node._asks.items() if not self._world.inert(ask[0])}
+        asks = {
+            request_id: ask
+            for request_id, ask in live.node._asks.items()
+            if not self._world.inert(ask[0])
+        }
         key = self._key(state.index, live, asks)
         known = self._by_key.get(key)
         if known is not None:
@@ -208,9 +212,9 @@
                 index,
                 live.env.life,
                 live.env.now_ms,
-                live.node._next_ref,
+                live.node._next_request_id,
                 asks,
-                list(live.node.parts),
+                list(live.node.components),
                 self._world.disk_key(live.disk),
                 waiting,
             )
@@ -225,7 +229,7 @@
 
     def _number(self, posted: Posted) -> int:
         data = encode(posted.message)
-        key = (posted.sender, posted.to, posted.ref, posted.re, data)
+        key = (posted.sender, posted.to, posted.request_id, posted.in_reply_to, data)
         number = self._message_numbers.setdefault(key, len(self.messages))
         if number == len(self.messages):
             self.messages.append((posted, data))
--- a/libs/modelcheck/src/modelcheck/log_stand_ins.py
+++ b/libs/modelcheck/src/modelcheck/log_stand_ins.py
@@ -18,7 +18,7 @@
         """Send one version of a key to every store."""
         item = encode(KeyUpdate(key=key, number=number, base_number=0, body=body))
         for address in self._stores:
-            self.node.post(address, KeyUpdates(items=[item]))
+            self.node.send(address, KeyUpdates(items=[item]))
 
 
 class FleetView(Component):
--- a/libs/modelcheck/src/modelcheck/store_log.py
+++ b/libs/modelcheck/src/modelcheck/store_log.py
@@ -164,11 +164,11 @@
     def submit(self, index: int, live: Live, number: int) -> None:
         """Give an operation to a store, if it serves, or the first change to control."""
         asked = self.operations[number].message
-        part: Any = live.node.parts[0]
+        part: Any = live.node.components[0]
         if isinstance(asked, Change):
             part.submit(type(asked)(**asked.as_dict()), _Ignored())
         elif isinstance(asked, LearnFleet):
-            live.node.parts[2].learn(self._rows_after(asked.wiped), self._names(asked.retired))
+            live.node.components[2].learn(self._rows_after(asked.wiped), self._names(asked.retired))
         elif part.role == "serving" and part.holder is not None:
             if isinstance(asked, AppendRecord):
                 entry = JobCancelled(job_id=asked.name, at_ms=0)
@@ -325,7 +325,7 @@
 
 
 def _log(live: Live) -> LocalLog:
-    return live.node.parts[0].log  # type: ignore[attr-defined]
+    return live.node.components[0].log  # type: ignore[attr-defined]
 
 
 def _names(log: LocalLog) -> frozenset[str]:
--- a/libs/modelcheck/src/modelcheck/surroundings.py
+++ b/libs/modelcheck/src/modelcheck/surroundings.py
@@ -33,13 +33,15 @@
 class Posted:
     """A message in flight, with its own reference and the one that it replies to (0 for none)."""
 
-    __slots__ = ("message", "re", "ref", "sender", "to")
+    __slots__ = ("message", "in_reply_to", "request_id", "sender", "to")
 
-    def __init__(self, sender: str, to: str, ref: int, re: int, message: Message) -> None:
+    def __init__(
+        self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
+    ) -> None:
         self.sender = sender
         self.to = to
-        self.ref = ref
-        self.re = re
+        self.request_id = request_id
+        self.in_reply_to = in_reply_to
         self.message = message
 
 
@@ -114,16 +116,16 @@
         self._tokens += 1
         return f"{self.name}-{self.life}-{self._tokens}"
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Collect a message that the node sends."""
-        posted = Posted(self.address, to, ref, re, message)
+        posted = Posted(self.address, to, request_id, in_reply_to, message)
         self.posted.append(posted)
         self.on_post(posted)
 
     def received(self, posted: Posted) -> None:
         """Note a request, so that the reply to it can be told from others."""
-        if posted.ref:
-            self.requests[(posted.sender, posted.ref)] = posted.message
+        if posted.request_id:
+            self.requests[(posted.sender, posted.request_id)] = posted.message
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Discard the event."""
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -118,7 +118,7 @@
                     lambda ok: self.fetch(files[1:], source, done) if ok else done(False),
                 )
 
-        self.node.ask(
+        self.node.request(
             source,
             FetchArchive(file=files[0], offset=len(got)),
             2 * self.node.settings.ask_ms,
@@ -182,7 +182,7 @@
             else:
                 self._log.shelves.rewrite(kind, name, rows, lambda ok: self._mended(kind, name, ok))
 
-        self.node.ask(
+        self.node.request(
             others[0],
             ReadArchived(kind=kind, name=name, from_index=len(got)),
             self.node.settings.ask_ms,
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -134,7 +134,7 @@
 
     def _receipt(self, origin: Origin, message: Message, receipt: Message) -> None:
         if isinstance(message, (AppendRequest, InstallSnapshot)):
-            self.node.post(origin.sender, receipt)
+            self.node.send(origin.sender, receipt)
         else:
             self.node.reply(origin, receipt)
 
@@ -160,7 +160,7 @@
     def _at_work(self) -> bool:
         return self.role in _AT_WORK and (self.role is not Role.SERVING or self.holder.sure())
 
-    def closed(self, address: str) -> None:
+    def connection_closed(self, address: str) -> None:
         """Poll the members at once if the connection that ended is the holder's."""
         if (
             self.role is Role.PEER
@@ -169,7 +169,7 @@
         ):
             self._poll(self.value["epoch"])
 
-    def refused(self, address: str) -> None:
+    def connection_refused(self, address: str) -> None:
         """Record that the holder's process has ended, if the address is the holder's."""
         if self.role is Role.PEER and address == self._holder_address():
             self._watch.gone()
@@ -214,7 +214,7 @@
         self._pulsed_ms = now_ms
         for row in self.value["members"]:
             if row["identity"] != self.log.identity:
-                self.node.post(
+                self.node.send(
                     row["address"],
                     LeaderHeartbeat(
                         epoch=self.value["epoch"], sure=self._at_work(), level=self._level()
@@ -268,7 +268,7 @@
 
         for row in self.value["members"]:
             if row["identity"] != self.log.identity:
-                self.node.ask(
+                self.node.request(
                     row["address"],
                     LeaderPoll(identity=self.log.identity, epoch=epoch),
                     self.node.settings.suspect_ms,
@@ -327,7 +327,7 @@
                 self.become(Role.PEER, epoch)
             if mine and holder != self.log.identity:
                 address = next(row["address"] for row in members if row["identity"] == holder)
-                self.node.post(
+                self.node.send(
                     address, TransferLeadership(number=self._version, body=json.dumps(self.value))
                 )
 
@@ -392,7 +392,7 @@
         if holder is not None:
             holder.stop()
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Step down after the process stood still, since its view of the others is old."""
         self._watch.reset()
         if self.role is not Role.PEER:
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -95,7 +95,7 @@
                 store.node.settings,
                 store.node.env.now,
                 store.node.env.wall,
-                store.node.post,
+                store.node.send,
                 lambda fence: store.step_down("deposed", fence),
                 self._adopted,
             )
@@ -107,7 +107,7 @@
             epoch,
             prev,
             store.node.settings,
-            store.node.ask,
+            store.node.request,
             store.node.env.now,
             recovered,
         )
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -127,7 +127,7 @@
             beat = m.RolloutHeartbeat(
                 **told, sample_capacity=sample_room, sample_paths=sorted(sample_paths)
             )
-        self.node.ask(
+        self.node.request(
             address,
             beat,
             self.node.settings.ask_ms,
@@ -311,7 +311,7 @@
                 reason=reason,
             )
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Stop everything if the process was frozen for longer than the lease, `claim_ms`."""
         if gap_ms > self.node.settings.claim_ms:
             self.stop_all("frozen")
--- a/libs/request_routing/src/request_routing/leader_client.py
+++ b/libs/request_routing/src/request_routing/leader_client.py
@@ -136,7 +136,7 @@
         ask.sends += 1
         ask.epoch = self._epoch
         number = ask.sends
-        self.node.ask(
+        self.node.request(
             address,
             ask.message,
             held_ms + self.node.settings.ask_ms * 2,
--- a/libs/request_routing/src/request_routing/prefill_tracker.py
+++ b/libs/request_routing/src/request_routing/prefill_tracker.py
@@ -54,7 +54,7 @@
         if tokens > 0:
             self._add(worker, tokens)
             for address in list(self._fellows())[:_MOST_FELLOWS]:
-                self.node.post(address, PrefillStarted(worker=worker, tokens=tokens))
+                self.node.send(address, PrefillStarted(worker=worker, tokens=tokens))
 
     def has_read(self, tokens: int, took_ms: int) -> None:
         """Learn the pace from a prompt of `tokens` that took `took_ms` to be read.
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -95,7 +95,7 @@
         held.take(news, now_ms if now_ms >= self._quiet_until_ms else -1 << 40)
         for address in self._fellows() if now_ms >= self._quiet_until_ms else ():
             if address != sender:
-                self.node.post(address, news)
+                self.node.send(address, news)
         return True
 
     def _displaces(self, news: WorkerUpdate, now_ms: int) -> bool:
@@ -271,7 +271,7 @@
         """Return every known worker."""
         return list(self._workers.values())
 
-    def woke(self, gap_ms: int) -> None:
+    def resumed(self, gap_ms: int) -> None:
         """Discard what was heard before a freeze of `gap_ms`: it proves no worker alive."""
         self._quiet_until_ms = self.node.env.now() + self.node.settings.beat_ms
         for worker in self._workers.values():
--- a/libs/simulator/src/simulator/hosts.py
+++ b/libs/simulator/src/simulator/hosts.py
@@ -37,9 +37,9 @@
         """Return a random identifier of 48 bits in hexadecimal."""
         return f"{self.rng.getrandbits(48):012x}"
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
-        """Send a message; `ref` is its own number, `re` that of the message it answers."""
-        self._host.network.send(self.address, to, ref, re, message)
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
+        """Send a message over the simulated network; see `messaging.Environment.send`."""
+        self._host.network.send(self.address, to, request_id, in_reply_to, message)
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Record an event of the node in the fleet's trace."""
@@ -164,9 +164,9 @@
         deferred, self.deferred = self.deferred, []
         if self.time.rng.random() < 0.5:
             self.node.tick()
-        for sender, ref, re, message in rows:
+        for sender, request_id, in_reply_to, message in rows:
             if self.up:
-                self.node.receive(sender, ref, re, message)
+                self.node.receive(sender, request_id, in_reply_to, message)
         for what, incarnation in deferred:
             if incarnation == self.incarnation:
                 what()
--- a/libs/simulator/src/simulator/run_digest.py
+++ b/libs/simulator/src/simulator/run_digest.py
@@ -45,10 +45,17 @@
         send, write, replace = Network.send, SimDisk.write, SimDisk.replace
 
         def send_and_add(
-            network: Network, sender: str, to: str, ref: int, re: int, message: Message
+            network: Network,
+            sender: str,
+            to: str,
+            request_id: int,
+            in_reply_to: int,
+            message: Message,
         ) -> None:
-            self.add(network._time.now_ms, f"{sender} {to} {ref} {re}", encode(message))
-            send(network, sender, to, ref, re, message)
+            self.add(
+                network._time.now_ms, f"{sender} {to} {request_id} {in_reply_to}", encode(message)
+            )
+            send(network, sender, to, request_id, in_reply_to, message)
 
         def write_and_add(
             disk: SimDisk, name: str, offset: int, data: bytes, urgent: bool = False
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -112,7 +112,9 @@
             + slow_ms * self._time.rng.random()
         )
 
-    def send(self, sender: str, to: str, ref: int, re: int, message: Message) -> None:
+    def send(
+        self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
+    ) -> None:
         """Send a copy of a message, which may be lost, doubled or delayed."""
         self.sent += 1
         rng = self._time.rng
@@ -129,15 +131,17 @@
                 self._last_ms[(sender, to)] = due_ms
             self._time.after(
                 due_ms - self._time.now_ms,
-                lambda copy=copy: self._arrive(sender, to, ref, re, copy),
+                lambda copy=copy: self._arrive(sender, to, request_id, in_reply_to, copy),
             )
 
-    def _arrive(self, sender: str, to: str, ref: int, re: int, message: Message) -> None:
+    def _arrive(
+        self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
+    ) -> None:
         host = self.hosts.get(to)
         if host is None or not host.up or not self.passes(sender, to):
             return
         if host.frozen:
             if len(host.buffer) < _BUFFERED:
-                host.buffer.append((sender, ref, re, message))
+                host.buffer.append((sender, request_id, in_reply_to, message))
             return
-        host.node.receive(sender, ref, re, message)
+        host.node.receive(sender, request_id, in_reply_to, message)
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -53,15 +53,15 @@
         self._weather = weather
         self._rng = random.Random()
 
-    def post(self, to: str, ref: int, re: int, message: Message) -> None:
+    def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         weather = self._weather
         if not weather.lets_out(to) or (to != self._address and self._rng.random() < weather.loss):
             return
         if to == self._address or not weather.wait_ms(to):
-            super().post(to, ref, re, message)
+            super().send(to, request_id, in_reply_to, message)
         else:
             asyncio.get_running_loop().call_later(
-                weather.wait_ms(to) / 1000, super().post, to, ref, re, message
+                weather.wait_ms(to) / 1000, super().send, to, request_id, in_reply_to, message
             )
 
 
--- a/libs/testbed/src/testbed/measure_scale.py
+++ b/libs/testbed/src/testbed/measure_scale.py
@@ -96,7 +96,7 @@
         super().__init__(time)
         self.meter = Meter()
 
-    def send(self, sender: str, to: str, ref: int, re: int, message: Any) -> None:
+    def send(self, sender: str, to: str, request_id: int, in_reply_to: int, message: Any) -> None:
         meter, began_s = self.meter, process_time()
         if sender != to:
             data = encode(message)
@@ -109,11 +109,13 @@
             meter.counts[sender, "bytes"] += len(data) + _ENVELOPE_BYTES
             if self.zones.get(sender) != self.zones.get(to):
                 meter.counts["", "zone_bytes"] += len(data) + _ENVELOPE_BYTES
-        super().send(sender, to, ref, re, message)
+        super().send(sender, to, request_id, in_reply_to, message)
         meter.beside_s += process_time() - began_s
 
-    def _arrive(self, sender: str, to: str, ref: int, re: int, message: Any) -> None:
-        self.meter.run(to, "receive", super()._arrive, sender, to, ref, re, message)
+    def _arrive(
+        self, sender: str, to: str, request_id: int, in_reply_to: int, message: Any
+    ) -> None:
+        self.meter.run(to, "receive", super()._arrive, sender, to, request_id, in_reply_to, message)
 
 
 class MeteredHost(SimHost):
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -206,7 +206,7 @@
     arrived = 0
     full = asyncio.Event()
 
-    def deliver(sender: str, ref: int, re: int, message: Any) -> None:
+    def deliver(sender: str, request_id: int, in_reply_to: int, message: Any) -> None:
         nonlocal arrived
         arrived += 1
         if arrived == count:
@@ -223,7 +223,7 @@
     message = m.GetItemResponse(outcome="x", call=b"x" * size_bytes)
     began_s = process_time()
     for number in range(count):
-        boards[0].post(f"127.0.0.1:{ports[1]}", number, 0, message)
+        boards[0].send(f"127.0.0.1:{ports[1]}", number, 0, message)
         await asyncio.sleep(0.001)
     await full.wait()
     spent_s = process_time() - began_s
--- a/libs/testbed/src/testbed/metered_costs.py
+++ b/libs/testbed/src/testbed/metered_costs.py
@@ -23,21 +23,21 @@
         self.node = self
         self.address = "10.8.0.1:7000"
         self.answers: dict[int, Any] = {}
-        self._fleet, self._ref = fleet, 0
+        self._fleet, self._next_request_id = fleet, 0
         fleet.network.hosts[self.address] = self
 
-    def receive(self, sender: str, ref: int, re: int, message: Any) -> None:
+    def receive(self, sender: str, request_id: int, in_reply_to: int, message: Any) -> None:
         """Keep an answer."""
-        self.answers[re] = message
+        self.answers[in_reply_to] = message
 
     def ask(self, message: Any, limit_ms: float = 4000) -> Any:
         """Send a message to the holder and return its answer; AssertionError after `limit_ms`."""
-        self._ref += 1
-        ref = self._ref
-        self._fleet.network.send(self.address, self._fleet.leader().address, ref, 0, message)
-        if not self._fleet.run_until_true(lambda: ref in self.answers, limit_ms):
+        self._next_request_id += 1
+        request_id = self._next_request_id
+        self._fleet.network.send(self.address, self._fleet.leader().address, request_id, 0, message)
+        if not self._fleet.run_until_true(lambda: request_id in self.answers, limit_ms):
             raise AssertionError(f"no answer to {type(message).__name__}")
-        return self.answers.pop(ref)
+        return self.answers.pop(request_id)
 
 
 class MeteredCosts:
--- a/tests/forward_ledger_stage.py
+++ b/tests/forward_ledger_stage.py
@@ -83,7 +83,9 @@
         node = SimpleNamespace(
             env=env,
             settings=PARAMS,
-            reply=lambda origin, message: self.replies.setdefault(origin.ref, []).append(message),
+            reply=lambda origin, message: self.replies.setdefault(origin.request_id, []).append(
+                message
+            ),
         )
         self.holder = AloneHolder()
         self.desk = BatchService(
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -19,7 +19,7 @@
     def __init__(self, seen):
         self.seen = seen
 
-    def woke(self, gap_ms):
+    def resumed(self, gap_ms):
         self.seen.append("woke")
 
 
@@ -33,12 +33,14 @@
             rng=random.Random(seed),
             now=lambda: self.now_ms,
             log=lambda *told, **fields: None,
-            post=lambda to, ref, re, message: self.posts.append((to, ref, re)),
+            send=lambda to, request_id, in_reply_to, message: self.posts.append(
+                (to, request_id, in_reply_to)
+            ),
         )
         self.node = Node(env, SimpleNamespace(frozen_ms=FROZEN_MS), [Waking(self.seen)])
 
     def ask(self, wait_ms=1000):
-        self.node.ask("b:1", ASK, wait_ms, lambda reply: self._done(reply))
+        self.node.request("b:1", ASK, wait_ms, lambda reply: self._done(reply))
         return self.posts[-1][1]
 
     def _done(self, reply):
@@ -50,8 +52,8 @@
             self.now_ms += step_ms
             self.node.tick()
 
-    def reply(self, ref):
-        self.node.receive("b:1", 0, ref, REPLY)
+    def reply(self, request_id):
+        self.node.receive("b:1", 0, request_id, REPLY)
 
 
 class Replies(TestCase):
@@ -65,10 +67,10 @@
         ]
         for name, wait_ms, times, told in rows:
             life = Life(1)
-            ref = life.ask()
+            request_id = life.ask()
             life.pass_ms(wait_ms)
             for _ in range(times):
-                life.reply(ref)
+                life.reply(request_id)
             life.pass_ms(2000)
             self.assertThat(life.told, Equals(told), name)
 
@@ -76,9 +78,9 @@
         """It is told once the parts know that they stood still, and only inside the time that was given."""
         for gap_ms, told in ((FROZEN_MS + 1, REPLY), (1000, REPLY), (1001, None)):
             life = Life(1)
-            ref = life.ask()
+            request_id = life.ask()
             life.now_ms += gap_ms
-            life.reply(ref)
+            life.reply(request_id)
             self.assertThat((life.seen, life.told), Equals((["woke", "told"], [told])), gap_ms)
 
     def test_replies_to_a_former_life_or_to_nobody_are_dropped(self):
@@ -86,8 +88,8 @@
         old = [former.ask() for _ in range(50)]
         life = Life(2)
         mine = [life.ask() for _ in range(50)]
-        for ref in [*old, 1, 2, -1, 1 << 62]:
-            life.reply(ref)
+        for request_id in [*old, 1, 2, -1, 1 << 62]:
+            life.reply(request_id)
         self.assertThat(life.told, Equals([]))
         life.reply(mine[7])
         self.assertThat(life.told, Equals([REPLY]))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -74,7 +74,7 @@
                 for version in (1, 2, 1)
             ],
         ):
-            asker.node.ask(fleet.hosts["control1"].address, message, 400, sent.append)
+            asker.node.request(fleet.hosts["control1"].address, message, 400, sent.append)
         fleet.run_until_true(lambda: len(sent) == 4, 500)
         self.assertThat(sorted(receipt.ok for receipt in sent), Equals([False, True, True, True]))
         self.assertThat(voter.registers["k"].value, Equals(encode(value(2))))
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -271,12 +271,12 @@
         network = host.network
 
         class Watching:
-            def send(self, sender, to, ref, re, message):
+            def send(self, sender, to, request_id, in_reply_to, message):
                 if isinstance(message, KeyUpdates) or (
                     isinstance(message, VersionDigest) and message.sure
                 ):
                     sent.append(to)
-                network.send(sender, to, ref, re, message)
+                network.send(sender, to, request_id, in_reply_to, message)
 
         host.network = Watching()
         self.change(fleet, self.other(fleet, away), 1)
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -144,7 +144,7 @@
     def test_a_change_begins_under_way(self):
         for start in CHANGE_STARTS:
             explorer = Explorer(STARTS[start].world())
-            store = explorer.local.run(explorer.first().nodes[1]).node.parts[0]
+            store = explorer.local.run(explorer.first().nodes[1]).node.components[0]
             following = store.holder._quorums.following
             new = "store-n2-2-1" if start.startswith("returned") else "store-n4"
             self.assertThat(following, Equals(["store-n1", "store-n3", new]), start)
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -29,10 +29,10 @@
         self._network, self.sent = host.network, []
         host.network = self
 
-    def send(self, sender, to, ref, re, message):
+    def send(self, sender, to, request_id, in_reply_to, message):
         if to != sender:
             self.sent.append((to, message))
-        self._network.send(sender, to, ref, re, message)
+        self._network.send(sender, to, request_id, in_reply_to, message)
 
     def of(self, kind):
         return Counter(to for to, message in self.sent if isinstance(message, kind))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -52,7 +52,7 @@
             self.change(run)
         node = fleet.hosts["edge1"].node
         old = KeyUpdate(key="profiles", number=1, base_number=0, body='{"profiles": {}}')
-        fleet.hosts["control1"].node.post(node.address, KeyUpdates(items=[encode(old)]))
+        fleet.hosts["control1"].node.send(node.address, KeyUpdates(items=[encode(old)]))
         fleet.time.run_until(fleet.time.now_ms + 50)
         self.assertThat(
             (node.config_feed.number("profiles"), "rulings" in node.tree().rows), Equals((3, True))
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -62,7 +62,9 @@
             address="edge:1",
             rng=random.Random(3),
             log=lambda event, level="INFO", **fields: None,
-            post=lambda to, ref, re, message: self.posts.append((to, ref, message)),
+            send=lambda to, request_id, in_reply_to, message: self.posts.append(
+                (to, request_id, message)
+            ),
         )
         settings = Settings(
             role="edge", link="127.0.0.1:1", http="127.0.0.1:2", zone="z", seeds=["127.0.0.1:3"]
@@ -113,7 +115,11 @@
             self.node.tick()
 
     def asked(self, kind):
-        return [(ref, message) for _, ref, message in self.posts if isinstance(message, kind)]
+        return [
+            (request_id, message)
+            for _, request_id, message in self.posts
+            if isinstance(message, kind)
+        ]
 
     def deal(self, count=1, left_ms=30_000, avoid=()):
         """Answers the beat under way with work."""
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -46,7 +46,9 @@
                 env=SimpleNamespace(now=lambda: self.now_ms, log=lambda *told, **fields: None),
                 settings=PARAMS,
                 address="e:1",
-                ask=lambda to, message, wait_ms, done: self.beats.append((message, done)),
+                request=lambda to, message, timeout_ms, on_reply: self.beats.append(
+                    (message, on_reply)
+                ),
             )
         )
         self.jobs.tick()
@@ -105,7 +107,7 @@
             runner = Runner()
             runner.deal(0, 1, safe=safe)
             runner.now_ms += gap_ms
-            runner.jobs.woke(gap_ms)
+            runner.jobs.resumed(gap_ms)
             self.assertThat(
                 (runner.reported(), runner.cancelled), Equals((ends, [0] if ends else [])), gap_ms
             )
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -20,7 +20,7 @@
     def ask(self, fleet, message):
         seen = []
         edge = next(host for host in fleet.with_role("edge") if host.up)
-        edge.node.ask(fleet.leader().address, message, 400, seen.append)
+        edge.node.request(fleet.leader().address, message, 400, seen.append)
         self.wait(fleet, lambda: seen)
         return seen[0]
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -103,10 +103,10 @@
         super().__init__(time)
         self.bytes_to = Counter()
 
-    def send(self, sender, to, ref, re, message):
+    def send(self, sender, to, request_id, in_reply_to, message):
         if sender != to:
             self.bytes_to[to] += len(encode(message))
-        super().send(sender, to, ref, re, message)
+        super().send(sender, to, request_id, in_reply_to, message)
 
 
 class _Fleet(SimFleet):
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -4,7 +4,7 @@
 import random
 
 from membership.messages import Heartbeat, ShuffleRequest
-from messaging import Message, decode, encode
+from messaging import Message, decode, decode_as, encode
 from messaging.links import LinkTransport, _frames, _pack, _Queue
 from messaging.message import BadMessageError
 from testtools import TestCase
@@ -35,6 +35,12 @@
         self.assertThat(decode(encode(message)), Equals(message))
         self.assertRaises(TypeError, Everything, **message.as_dict(), colour=1)
 
+    def test_another_type_than_expected_is_a_bad_message(self):
+        data = encode(Heartbeat(card=b"x"))
+        self.assertThat(decode_as(Heartbeat, data), Equals(Heartbeat(card=b"x")))
+        self.assertRaises(BadMessageError, decode_as, ShuffleRequest, data)
+        self.assertRaises(BadMessageError, decode_as, Heartbeat, data[:-1])
+
     def test_bytes_that_are_no_message(self):
         rng = random.Random(1)
         good = encode(
@@ -53,7 +59,7 @@
         async def run():
             taken = []
 
-            def deliver(sender, ref, re, message):
+            def deliver(sender, request_id, in_reply_to, message):
                 taken.append(decode(message.card))
 
             board = LinkTransport("127.0.0.1:23990", 500, deliver)
@@ -84,8 +90,8 @@
 class Links(TestCase):
     def test_frames_are_taken_off_whole_however_they_arrive(self):
         frames = [
-            _pack("x:1", ref, 0, Heartbeat(card=b"c" * size))
-            for ref, size in enumerate((0, 5, 3000, 1))
+            _pack("x:1", request_id, 0, Heartbeat(card=b"c" * size))
+            for request_id, size in enumerate((0, 5, 3000, 1))
         ]
         data = b"".join(frames)
         for step in (1, 2, 7, 1000, len(data)):
@@ -124,13 +130,13 @@
             for _ in range(2):
                 refused.clear()
                 while not refused:
-                    here.post("127.0.0.1:23992", 0, 0, Heartbeat(card=b"lost"))
+                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(card=b"lost"))
                     await asyncio.sleep(0)
                 there = LinkTransport("127.0.0.1:23992", 500, deliver)
                 await there.start()
                 arrived.clear()
                 while not arrived.is_set():
-                    here.post("127.0.0.1:23992", 0, 0, Heartbeat(card=b"there"))
+                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(card=b"there"))
                     await asyncio.sleep(0)
                 await there.stop()
             await here.stop()
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -22,7 +22,7 @@
 
 def part(fellows=()):
     made, posted = PrefillTracker(lambda: list(fellows)), []
-    made.node = SimpleNamespace(env=Env(), post=lambda to, message: posted.append((to, message)))
+    made.node = SimpleNamespace(env=Env(), send=lambda to, message: posted.append((to, message)))
     made.per_ms = 100.0
     return made, posted
 
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -226,7 +226,7 @@
     def now(self):
         return self.now_ms
 
-    def post(self, to, ref, re, message):
+    def send(self, to, request_id, in_reply_to, message):
         self.sent.append((to, message))
 
     def log(self, *args, **fields):
@@ -281,7 +281,7 @@
 
     def test_buffered_beats_prove_nothing_after_a_freeze(self):
         self.roster.hear(news("w"))
-        self.roster.woke(5000)
+        self.roster.resumed(5000)
         self.roster.hear(news("w", beat=2))
         self.assertThat(self.names(), Equals([]))
         self.env.now_ms += PARAMS.beat_ms + 1
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -60,7 +60,7 @@
 
     def reply(self, origin, message):
         self.replies.append(message)
-        key, version = self._asked[origin.ref]
+        key, version = self._asked[origin.request_id]
         if key and message.ok:
             self.acknowledged[key] = max(self.acknowledged.get(key, 0), version)
 
