--- a/libs/batch_state/src/batch_state/batch_service.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -272,7 +272,7 @@
             body = (
                 key.body
                 if key.shelf is None or outcome != "recorded"
-                else self.shelves.receipt(key)
+                else self.shelves.read_answer(key)
             )
             if body is None:
                 self.mend("key", message.key)
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -116,7 +116,7 @@
             more = (
                 [job.row(position)]
                 if job.shelf is None
-                else self._shelves.results(job, position, job.listed)
+                else self._shelves.read_results(job, position, job.listed)
             )
             if not more:
                 return None
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -190,7 +190,7 @@
 
     def _over(self, job_id: str) -> bool:
         """Whether a lot is over and settled, so that an edge may forget what it ran of it."""
-        job = self._holder.settled.jobs.get(job_id)
+        job = self._holder.committed_state.jobs.get(job_id)
         return not job.open if job is not None else job_id not in self._holder.state.jobs
 
     def _waiting(self) -> tuple[int, list[str]]:
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -96,7 +96,7 @@
     def _shelved(self, job: Job, message: m.ListResults) -> list[bytes] | None:
         rows: list[bytes] = []
         while len(rows) < message.limit and sum(map(len, rows)) <= _PAGE_BYTES:
-            more = self._shelves().results(
+            more = self._shelves().read_results(
                 job, message.from_index + len(rows), message.limit - len(rows)
             )
             if more is None:
--- a/libs/data_plane/src/data_plane/nodes.py
+++ b/libs/data_plane/src/data_plane/nodes.py
@@ -101,8 +101,8 @@
         self.log = LogReplica(local, self.control, self, self.desk.take_holder)
         self.mending = ArchiveRepair(local, self._other_members)
         self.desk.make_forecast = lambda: JobOutlook(settings.dead_ms)
-        self.desk.shelves, self.desk.mend = local.shelves, self.mending.mend
-        local.shelves.on_shelved = self._shelved
+        self.desk.shelves, self.desk.mend = local.archive, self.mending.repair
+        local.archive.on_archived = self._shelved
         super().__init__(
             env,
             settings,
@@ -132,9 +132,9 @@
 
     def _shelved(self, entries: list[Any]) -> None:
         """Have the leader's own, logged ledger release what was archived here."""
-        if self.log.holder is not None:
+        if self.log.leader is not None:
             for entry in entries:
-                self.log.holder.let_go(entry)
+                self.log.leader.drop_archived(entry)
 
     def live_stores(self) -> dict[str, str]:
         """Return the addresses of the other live stores by identity."""
--- a/libs/data_plane/src/data_plane/role_processes.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -166,18 +166,18 @@
     def start_draining(self) -> None:
         """Become unready, and hand over the log if this store leads it."""
         self._stopping = True
-        self.node.log.hand_over()
+        self.node.log.start_leaving()
 
     def busy(self) -> bool:
         """Whether the log is being handed over."""
-        return self.node.log.handing_over()
+        return self.node.log.must_stay()
 
     def apply(self, settings: Settings) -> None:
         """Apply changed settings, to the log too."""
         super().apply(settings)
         self.node.log.log.settings = settings
-        if self.node.log.holder is not None:
-            self.node.log.holder.settings = settings
+        if self.node.log.leader is not None:
+            self.node.log.leader.settings = settings
 
     def status(self) -> dict[str, Any]:
         """Return the store's state for operators, as `/status` shows it."""
@@ -194,8 +194,8 @@
             "log_epoch": local.meta.log_epoch,
             "last_seq": local.last_seq,
             "flushed_seq": local.flushed_seq,
-            "settled_seq": local.settled_seq,
-            "snap_seq": local.snap_seq,
+            "settled_seq": local.committed_seq,
+            "snap_seq": local.snapshot_seq,
             "feed": self.node.config_feed.numbers(),
             "place": self.node.config_feed.place,
             "lots": len(local.state.jobs),
@@ -209,20 +209,20 @@
         """Return the store's numbers by name; `data_plane.metrics.HELP` explains them."""
         local = self.node.log.log
         rows = {f"store_asked_{name}_total": count for name, count in self.node.desk.counts.items()}
-        holder = self.node.log.holder
+        holder = self.node.log.leader
         if holder is not None:
-            level = holder.level_members()
+            level = holder.count_caught_up()
             rows["store_members_level"] = level
             rows["store_copies_at_risk"] = len(holder.members) - level
         return {
             **rows,
             "store_last_seq": local.last_seq,
-            "store_settled_seq": local.settled_seq,
+            "store_settled_seq": local.committed_seq,
             "store_flushed_seq": local.flushed_seq,
             "store_epoch": local.meta.fence,
-            "store_holds": int(self.node.log.holder is not None),
+            "store_holds": int(self.node.log.leader is not None),
             "store_open_lots": len(local.state.open_jobs),
-            "store_shelves": len(local.shelves.names()),
+            "store_shelves": len(local.archive.names()),
             "feed_place": self.node.config_feed.place,
             "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
         }
--- a/libs/modelcheck/src/modelcheck/store_log.py
+++ b/libs/modelcheck/src/modelcheck/store_log.py
@@ -20,7 +20,7 @@
 from control_store.messages import AcceptorMetadata
 from messaging import Node, encode
 from replicated_log import Leader, LocalLog, LogReplica, Outcome
-from replicated_log.local_log import entry_of
+from replicated_log.local_log import decode_entry
 from replicated_log.messages import AppendResponse, LeaderHeartbeat, StartRecoveryResponse
 from runtime import Settings
 from storage import frame
@@ -169,12 +169,12 @@
             part.submit(type(asked)(**asked.as_dict()), _Ignored())
         elif isinstance(asked, LearnFleet):
             live.node.components[2].learn(self._rows_after(asked.wiped), self._names(asked.retired))
-        elif part.role == "serving" and part.holder is not None:
+        elif part.role == "serving" and part.leader is not None:
             if isinstance(asked, AppendRecord):
                 entry = JobCancelled(job_id=asked.name, at_ms=0)
-                part.holder.append([entry], True, _Kept(live, number, asked.name))
+                part.leader.append([entry], True, _Kept(live, number, asked.name))
             else:
-                part.holder.read(_Read(live, number, part.holder, part.log))
+                part.leader.read(_Read(live, number, part.leader, part.log))
 
     def _rows_after(self, wiped: tuple[int, ...]) -> list[dict[str, str]]:
         rows = [dict(row) for row in self._stores]
@@ -198,9 +198,9 @@
             return frozenset()
         log = _log(live)
         return frozenset(
-            ("settled", record.seq, record.stamp, entry_of(record).job_id)
+            ("settled", record.seq, record.stamp, decode_entry(record).job_id)
             for record in log.records
-            if record.seq <= log.settled_seq
+            if record.seq <= log.committed_seq
         )
 
     # -- observations --------------------------------------------------------------------------
@@ -274,7 +274,7 @@
         self._name = name
 
     def __call__(self, outcome: Outcome) -> None:
-        if outcome is Outcome.KEPT:
+        if outcome is Outcome.ACKNOWLEDGED:
             self._live.told.append(("kept", self._number, self._name))
 
 
@@ -329,7 +329,7 @@
 
 
 def _names(log: LocalLog) -> frozenset[str]:
-    return frozenset(entry_of(record).job_id for record in log.records)
+    return frozenset(decode_entry(record).job_id for record in log.records)
 
 
 def _raise_fence(fences: set, row: tuple[str, int, int]) -> None:
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -17,9 +17,9 @@
 from messaging import Message, decode, encode
 from storage import DiskFullError, frame, walk
 
-__all__ = ["ArchiveBlock", "SHELF", "ArchiveStore", "files_of"]
+__all__ = ["ArchiveBlock", "ARCHIVE_PREFIX", "ArchiveStore", "referenced_files"]
 
-SHELF = "shelf-"
+ARCHIVE_PREFIX = "shelf-"
 _LEAF_BYTES = 1 << 17
 _FILE_BYTES = 1 << 20
 
@@ -38,7 +38,7 @@
     return frame(zlib.compress(encode(leaf), 1))
 
 
-def files_of(rows: Any) -> set[str]:
+def referenced_files(rows: Any) -> set[str]:
     """Return the names of the archive files that snapshot entries refer to."""
     return {row.file for row in rows if isinstance(row, (e.JobArchived, e.KeyArchived))}
 
@@ -47,21 +47,21 @@
     """The archive files of one replica.
 
     `log` is the LocalLog beside which they lie, `token` makes unique parts of file names.
-    `on_shelved` gets the entries whose contents have left memory.
+    `on_archived` gets the entries whose contents have left memory.
     """
 
-    __slots__ = ("_busy", "_log", "_swept", "_token", "on_shelved")
+    __slots__ = ("_busy", "_log", "_swept", "_token", "on_archived")
 
     def __init__(self, log: Any, token: Callable[[], str]) -> None:
         self._log = log
         self._token = token
         self._busy = False
         self._swept = ""
-        self.on_shelved: Callable[[list[Message]], None] = lambda entries: None
+        self.on_archived: Callable[[list[Message]], None] = lambda entries: None
 
     def names(self) -> list[str]:
         """Return the names of all archive files on this disk."""
-        return [name for name in self._log.disk.names() if name.startswith(SHELF)]
+        return [name for name in self._log.disk.names() if name.startswith(ARCHIVE_PREFIX)]
 
     def used(self) -> set[str]:
         """Return the names of the files that the ledger in memory refers to."""
@@ -80,7 +80,7 @@
 
     # -- archiving ---------------------------------------------------------------------------------
 
-    def shelve(self, done: Callable[[], None]) -> None:
+    def archive_finished(self, done: Callable[[], None]) -> None:
         """Archive everything that is over, one file at a time, then call `done`.
 
         The event loop is free between files. A failed or refused write leaves the rest in memory.
@@ -118,8 +118,8 @@
                     else (entry.key in state.keys)
                 ):
                     state.apply(entry)
-            self.on_shelved(entries)
-            self.shelve(done)
+            self.on_archived(entries)
+            self.archive_finished(done)
 
         try:
             log.disk.write(name, 0, bytes(page), True)
@@ -138,7 +138,9 @@
 
     def _new_name(self) -> str:
         """Return a file name that no store has used, since files keep their names when copied."""
-        return f"{SHELF}{self._log.identity}-{self._log.settled_seq:012d}-{self._token()}"
+        return (
+            f"{ARCHIVE_PREFIX}{self._log.identity}-{self._log.committed_seq:012d}-{self._token()}"
+        )
 
     def _put_job(self, job: Job, name: str, page: bytearray) -> e.JobArchived:
         return self.put_rows(job, [job.row(position) for position in range(job.listed)], name, page)
@@ -202,7 +204,7 @@
         leaf = decode(zlib.decompress(frames[0][1]))
         return leaf.rows if leaf.name == name else None
 
-    def results(self, job: Job, from_index: int, limit: int) -> list[bytes] | None:
+    def read_results(self, job: Job, from_index: int, limit: int) -> list[bytes] | None:
         """Return results of a lot from an index on, at most `limit` and from one leaf only.
 
         None is returned if the leaf is damaged or isn't here.
@@ -216,7 +218,7 @@
         rows = self._leaf(job.job_id, shelf.file, shelf.places[at], shelf.sizes[at])
         return None if rows is None else rows[from_index - shelf.firsts[at] :][:limit]
 
-    def receipt(self, key: IdempotencyKey) -> str | None:
+    def read_answer(self, key: IdempotencyKey) -> str | None:
         """Return the archived final answer of a key, or None if it is damaged or isn't here."""
         rows = self._leaf(key.shelf.key, key.shelf.file, key.shelf.place, key.shelf.size)
         return None if rows is None else rows[0].decode()
@@ -246,7 +248,7 @@
         return jobs + [
             ("key", name)
             for name, key in state.keys.items()
-            if key.shelf is not None and key.shelf.file == file and self.receipt(key) is None
+            if key.shelf is not None and key.shelf.file == file and self.read_answer(key) is None
         ]
 
     def rewrite(
@@ -274,7 +276,7 @@
         def flushed(ok: bool) -> None:
             if ok:
                 log.state.apply(entry)
-                self.on_shelved([entry])
+                self.on_archived([entry])
             done(ok)
 
         try:
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -12,7 +12,7 @@
 from batch_state import messages as m
 from messaging import Component, Message, Origin, encode
 
-from replicated_log.archive import SHELF
+from replicated_log.archive import ARCHIVE_PREFIX
 from replicated_log.local_log import LocalLog
 
 __all__ = ["FetchArchive", "ReadArchived", "ArchivedRows", "ArchiveRepair", "ArchiveChunk"]
@@ -70,7 +70,7 @@
         self._mending: set[tuple[str, str]] = set()
         self._next_ms = 0
         self._page = ("", b"")
-        log.fetcher = self.fetch
+        log.fetch_archives = self.fetch
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
@@ -82,7 +82,7 @@
     @receive.register
     def _(self, message: FetchArchive, origin: Origin) -> None:
         disk = self._log.disk
-        ok = message.file.startswith(SHELF) and message.file in disk.names()
+        ok = message.file.startswith(ARCHIVE_PREFIX) and message.file in disk.names()
         if ok and self._page[0] != message.file:
             self._page = (message.file, disk.read(message.file))
         data = self._page[1] if ok else b""
@@ -135,7 +135,7 @@
         self.node.reply(origin, self._kept(message))
 
     def _kept(self, message: ReadArchived) -> ArchivedRows:
-        state, shelves = self._log.state, self._log.shelves
+        state, archive = self._log.state, self._log.archive
         if message.kind == "key":
             key = state.keys.get(message.name)
             body = (
@@ -143,7 +143,7 @@
                 if key is None or key.state != "done"
                 else key.body
                 if key.shelf is None
-                else shelves.receipt(key)
+                else archive.read_answer(key)
             )
             return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], listed=1)
         job = state.jobs.get(message.name)
@@ -157,10 +157,10 @@
                 ]
             ]
         else:
-            rows = shelves.results(job, message.from_index, _PAGE)
+            rows = archive.read_results(job, message.from_index, _PAGE)
         return ArchivedRows(ok=rows is not None, rows=rows or [], listed=job.listed)
 
-    def mend(self, kind: str, name: str) -> None:
+    def repair(self, kind: str, name: str) -> None:
         """Start to repair the rows of a lot or a key, unless this is under way already."""
         if (kind, name) not in self._mending:
             self._mending.add((kind, name))
@@ -180,7 +180,7 @@
             if len(rows) < kept.listed and kept.rows:
                 self._ask(kind, name, others, rows)
             else:
-                self._log.shelves.rewrite(kind, name, rows, lambda ok: self._mended(kind, name, ok))
+                self._log.archive.rewrite(kind, name, rows, lambda ok: self._mended(kind, name, ok))
 
         self.node.request(
             others[0],
@@ -200,5 +200,5 @@
         if now_ms >= self._next_ms:
             self._next_ms = now_ms + self.node.settings.gone_ms
             self._page = ("", b"")
-            for kind, name in self._log.shelves.sweep():
-                self.mend(kind, name)
+            for kind, name in self._log.archive.sweep():
+                self.repair(kind, name)
--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -38,7 +38,7 @@
         if (
             len(members) < settings.store_count
             or self._log.identity not in names
-            or not self._log.may_found()
+            or not self._log.may_bootstrap()
         ):
             return []
         rank = names.index(self._log.identity)
--- a/libs/replicated_log/src/replicated_log/failure_detector.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -16,7 +16,7 @@
 class LeaderFailureDetector:
     """What one member knows of the holder: how long it has been silent, and what the others say.
 
-    `own` is the member's identity, `quiet_ms` the holder's silence in milliseconds.
+    `own` is the member's identity, `silent_ms` the holder's silence in milliseconds.
     """
 
     __slots__ = (
@@ -26,43 +26,43 @@
         "_own",
         "_settings",
         "_polled_ms",
-        "_ripe_ms",
-        "quiet_ms",
+        "_eligible_since_ms",
+        "silent_ms",
     )
 
     def __init__(self, own: str, settings: Any, now: Any) -> None:
         self._own, self._settings, self._now = own, settings, now
         self._answers: dict[str, tuple[int, LeaderPollResponse]] = {}
         self._polled_ms = -1 << 40
-        self._ripe_ms = -1
+        self._eligible_since_ms = -1
         self._last_ms = now()
-        self.quiet_ms = 0
+        self.silent_ms = 0
 
     def reset(self) -> None:
         """Start anew: the holder or the epoch has changed, or this store has just woken."""
         self._answers.clear()
-        self._ripe_ms = -1
+        self._eligible_since_ms = -1
         self._last_ms = self._now()
-        self.quiet_ms = 0
+        self.silent_ms = 0
 
-    def heard(self) -> None:
+    def handle_heartbeat(self) -> None:
         """Record a heartbeat of the holder."""
-        self.quiet_ms = 0
-        self._ripe_ms = -1
+        self.silent_ms = 0
+        self._eligible_since_ms = -1
 
-    def gone(self) -> None:
+    def process_ended(self) -> None:
         """Record that the holder's machine says that its process isn't running."""
-        self.quiet_ms = max(self.quiet_ms, self._settings.suspect_ms)
+        self.silent_ms = max(self.silent_ms, self._settings.suspect_ms)
 
     @property
-    def hears(self) -> bool:
+    def hears_leader(self) -> bool:
         """Whether the holder has been heard within `doubt_ms`."""
-        return self.quiet_ms < self._settings.doubt_ms
+        return self.silent_ms < self._settings.doubt_ms
 
     def tick(self) -> None:
         """Count the time since the last tick as silence, at most half of `pulse_ms` a tick."""
         now_ms = self._now()
-        self.quiet_ms += min(now_ms - self._last_ms, self._settings.pulse_ms // 2)
+        self.silent_ms += min(now_ms - self._last_ms, self._settings.pulse_ms // 2)
         self._last_ms = now_ms
 
     def should_poll(self, orphaned: bool) -> bool:
@@ -70,19 +70,19 @@
 
         `orphaned` says that this very store is named as the holder but isn't at work.
         """
-        due = orphaned or self.quiet_ms >= self._settings.doubt_ms
+        due = orphaned or self.silent_ms >= self._settings.doubt_ms
         if not due or self._now() - self._polled_ms < self._settings.pulse_ms:
             return False
         self._polled_ms = self._now()
         return True
 
-    def polled(self, answer: LeaderPollResponse, holder: str) -> None:
+    def handle_poll_response(self, answer: LeaderPollResponse, leader: str) -> None:
         """Take in a member's answer; that of a holder at work counts as a heartbeat."""
         self._answers[answer.identity] = (self._now(), answer)
-        if answer.identity == holder and answer.holds:
-            self.heard()
+        if answer.identity == leader and answer.is_leader:
+            self.handle_heartbeat()
 
-    def lacking(self, names: list[str]) -> list[str]:
+    def unanswered(self, names: list[str]) -> list[str]:
         """Return the members that haven't answered within twice `dead_ms`."""
         floor_ms = self._now() - 2 * self._settings.dead_ms
         return [
@@ -91,10 +91,10 @@
             if name != self._own and self._answers.get(name, (floor_ms - 1,))[0] < floor_ms
         ]
 
-    def should_claim(self, names: list[str], holder: str, epoch: int, retired: list[str]) -> bool:
+    def should_claim(self, names: list[str], leader: str, epoch: int, retired: list[str]) -> bool:
         """Whether this store should claim the next epoch now.
 
-        `names` are the members in order, `holder` and `epoch` those of the control key. Members
+        `names` are the members in order, `leader` and `epoch` those of the control key. Members
         that are being retired (`retired`) claim only if nobody else can.
         """
         settings, now_ms = self._settings, self._now()
@@ -104,11 +104,11 @@
             for name, (at_ms, answer) in self._answers.items()
             if at_ms >= floor_ms and name in names
         }
-        if not self._is_free(answers, names, holder, epoch):
-            self._ripe_ms = -1
+        if not self._is_free(answers, names, leader, epoch):
+            self._eligible_since_ms = -1
             return False
-        if self._ripe_ms < 0:
-            self._ripe_ms = now_ms
+        if self._eligible_since_ms < 0:
+            self._eligible_since_ms = now_ms
         able = [
             name
             for name in names
@@ -117,10 +117,10 @@
         willing = [name for name in able if name not in retired] or able
         if self._own not in willing:
             return False
-        return now_ms - self._ripe_ms >= willing.index(self._own) * settings.pulse_ms
+        return now_ms - self._eligible_since_ms >= willing.index(self._own) * settings.pulse_ms
 
     def _is_free(
-        self, answers: dict[str, LeaderPollResponse], names: list[str], holder: str, epoch: int
+        self, answers: dict[str, LeaderPollResponse], names: list[str], leader: str, epoch: int
     ) -> bool:
         """Whether enough members agree that the holder is no longer at work."""
         f = self._settings.store_faults
@@ -128,10 +128,10 @@
             answer.epoch > epoch for answer in answers.values()
         ):
             return False
-        held = answers.get(holder)
-        if held is not None and held.holds:
+        held = answers.get(leader)
+        if held is not None and held.is_leader:
             return False
-        if sum(answer.hears for name, answer in answers.items() if name != holder) >= f:
+        if sum(answer.hears_leader for name, answer in answers.items() if name != leader) >= f:
             return False
-        disowned = holder == self._own or (held is not None and held.epoch >= epoch)
-        return disowned or self.quiet_ms >= self._settings.suspect_ms
+        disowned = leader == self._own or (held is not None and held.epoch >= epoch)
+        return disowned or self.silent_ms >= self._settings.suspect_ms
--- a/libs/replicated_log/src/replicated_log/follower.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -49,7 +49,7 @@
         """
         self._source = source
         if message.epoch > self._log.meta.fence:
-            self._log.keep_meta(
+            self._log.save_metadata(
                 lambda ok: self._on(message, reply) if ok else None, fence=message.epoch
             )
         else:
@@ -68,13 +68,15 @@
         log = self._log
         ok = message.epoch == log.meta.fence
         snapshot, total, records = b"", 0, []
-        if ok and message.from_seq < log.first_seq and message.from_seq <= log.snap_seq:
-            if self._snapshot[0] != log.settled_seq:
-                self._snapshot = (log.settled_seq, log.kept_snapshot())
+        if ok and message.from_seq < log.first_seq and message.from_seq <= log.snapshot_seq:
+            if self._snapshot[0] != log.committed_seq:
+                self._snapshot = (log.committed_seq, log.stored_snapshot())
             total = len(self._snapshot[1])
             snapshot = self._snapshot[1][message.offset : message.offset + _CHUNK_BYTES]
         elif ok:
-            records = [encode(record) for record in log.since(message.from_seq, _CHUNK_BYTES)]
+            records = [
+                encode(record) for record in log.records_from(message.from_seq, _CHUNK_BYTES)
+            ]
         reply(
             FetchResponse(
                 identity=log.identity,
@@ -99,11 +101,11 @@
     def _(self, message: AppendRequest, reply: Reply) -> None:
         log = self._log
         if message.epoch < log.meta.fence:
-            reply(self._receipt(message.probe, False, "fenced"))
+            reply(self._send_response(message.probe, False, "fenced"))
         elif self._busy:
-            reply(self._receipt(message.probe, False, "busy"))
+            reply(self._send_response(message.probe, False, "busy"))
         elif log.stamp_at(message.prev_seq) != (message.prev_epoch, message.prev_ms):
-            reply(self._receipt(message.probe, False, "gap", message.prev_seq))
+            reply(self._send_response(message.probe, False, "gap", message.prev_seq))
         else:
             self._take(message, reply)
 
@@ -123,28 +125,28 @@
             same = record.seq
         fresh = records[same - message.prev_seq :]
         behind = log.meta.log_epoch < message.epoch
-        if fresh and same < log.settled_seq:
-            reply(self._receipt(message.probe, False, "settled", same))
+        if fresh and same < log.committed_seq:
+            reply(self._send_response(message.probe, False, "settled", same))
             return
         if behind and not fresh and same < message.base_seq:
-            reply(self._receipt(message.probe, True, "", last_seq=same))
+            reply(self._send_response(message.probe, True, "", last_seq=same))
             return
         if fresh or behind:
-            log.cut_after(same)
+            log.truncate_after(same)
         try:
             for record in fresh:
                 log.write(record)
         except DiskFullError:
-            reply(self._receipt(message.probe, False, "full"))
+            reply(self._send_response(message.probe, False, "full"))
             return
         if log.meta.log_epoch < message.epoch and log.last_seq >= message.base_seq:
             self._adopt(message, reply)
             return
         if log.meta.log_epoch == message.epoch:
-            log.settle(message.settled_seq)
+            log.commit(message.committed_seq)
         if message.flush and log.flushed_seq < log.last_seq:
-            log.flush(lambda ok: reply(self._receipt(message.probe, True, "")))
-        reply(self._receipt(message.probe, True, ""))
+            log.flush(lambda ok: reply(self._send_response(message.probe, True, "")))
+        reply(self._send_response(message.probe, True, ""))
 
     def _adopt(self, message: AppendRequest, reply: Reply) -> None:
         """Flush the log, then raise its log epoch: from then on this replica's answers count."""
@@ -152,21 +154,21 @@
 
         def flushed(ok: bool) -> None:
             if ok and message.epoch == self._log.meta.fence:
-                self._log.keep_meta(adopted, log_epoch=message.epoch)
+                self._log.save_metadata(adopted, log_epoch=message.epoch)
             else:
                 self._busy = False
 
         def adopted(ok: bool) -> None:
             self._busy = False
-            reply(self._receipt(message.probe, ok, ""))
+            reply(self._send_response(message.probe, ok, ""))
 
-        self._log.secure(flushed)
+        self._log.ensure_flushed(flushed)
 
     @_on.register
     def _(self, message: InstallSnapshot, reply: Reply) -> None:
         log = self._log
         if message.epoch < log.meta.fence or self._busy:
-            reply(self._receipt(message.probe, False, "fenced" if not self._busy else "busy"))
+            reply(self._send_response(message.probe, False, "fenced" if not self._busy else "busy"))
             return
         self._parts = (
             self._parts[: message.offset] + message.snapshot
@@ -174,23 +176,23 @@
             else b""
         )
         if len(self._parts) != message.total:
-            reply(self._receipt(message.probe, False, "part", len(self._parts)))
+            reply(self._send_response(message.probe, False, "part", len(self._parts)))
             return
         data, self._parts = self._parts, b""
         self._busy = True
 
         def installed(ok: bool) -> None:
             self._busy = False
-            reply(self._receipt(message.probe, False, "installed" if ok else "full"))
+            reply(self._send_response(message.probe, False, "installed" if ok else "full"))
 
         try:
             log.install(data, installed, self._source, lambda: message.epoch >= log.meta.fence)
         except (DamageError, IndexError):
             self._busy = False
-            reply(self._receipt(message.probe, False, "damaged"))
+            reply(self._send_response(message.probe, False, "damaged"))
 
-    def _receipt(
-        self, probe: int, ok: bool, reason: str, asked_seq: int = -1, last_seq: int | None = None
+    def _send_response(
+        self, probe: int, ok: bool, reason: str, position: int = -1, last_seq: int | None = None
     ) -> AppendResponse:
         """Build the answer to the holder.
 
@@ -210,7 +212,7 @@
             stamp_ms=stamp_ms,
             reception_ms=log.received_ms[-1] if log.received_ms else 0,
             probe=probe,
-            asked_seq=asked_seq,
-            snap_seq=log.snap_seq,
+            position=position,
+            snapshot_seq=log.snapshot_seq,
             roomy=log.disk.roomy(0),
         )
--- a/libs/replicated_log/src/replicated_log/follower_progress.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -25,18 +25,18 @@
     __slots__ = (
         "address",
         "adopted",
-        "asked_seq",
+        "position",
         "flushed_seq",
-        "full",
-        "heard_ms",
+        "disk_full",
+        "last_heard_ms",
         "identity",
-        "install_ms",
+        "snapshot_sent_ms",
         "last_seq",
         "next_seq",
         "probe",
-        "sent_ms",
+        "last_sent_ms",
         "snapshot",
-        "taken_bytes",
+        "snapshot_acked_bytes",
     )
 
     def __init__(self, identity: str, address: str, next_seq: int, now_ms: int) -> None:
@@ -46,14 +46,14 @@
         self.flushed_seq = 0
         self.next_seq = next_seq
         self.probe = 0
-        self.asked_seq = -1
-        self.sent_ms = 0
-        self.heard_ms = now_ms
+        self.position = -1
+        self.last_sent_ms = 0
+        self.last_heard_ms = now_ms
         self.adopted = False
-        self.install_ms = -1 << 40
+        self.snapshot_sent_ms = -1 << 40
         self.snapshot = b""
-        self.taken_bytes = 0
-        self.full = False
+        self.snapshot_acked_bytes = 0
+        self.disk_full = False
 
 
 class SnapshotSender:
@@ -76,38 +76,44 @@
         self._log, self._epoch, self._settings = log, epoch, settings
         self._now, self._post = now, post
 
-    def send(self, peer: FollowerProgress, probe: int) -> None:
+    def send(self, follower: FollowerProgress, probe: int) -> None:
         """Begin a snapshot, begin it again, or repeat its last part when that is due."""
         now_ms = self._now()
-        if not peer.snapshot or now_ms - peer.install_ms >= self._settings.force_ms:
-            peer.snapshot, peer.taken_bytes = self._log.kept_snapshot(), 0
-            self._send_part(peer, probe)
-        elif now_ms - peer.install_ms >= self._settings.ask_ms and peer.taken_bytes < len(
-            peer.snapshot
+        if not follower.snapshot or now_ms - follower.snapshot_sent_ms >= self._settings.force_ms:
+            follower.snapshot, follower.snapshot_acked_bytes = self._log.stored_snapshot(), 0
+            self._send_part(follower, probe)
+        elif (
+            now_ms - follower.snapshot_sent_ms >= self._settings.ask_ms
+            and follower.snapshot_acked_bytes < len(follower.snapshot)
         ):
-            self._send_part(peer, probe)
+            self._send_part(follower, probe)
 
-    def _send_part(self, peer: FollowerProgress, probe: int) -> None:
-        peer.install_ms = self._now()
-        offset = peer.taken_bytes
+    def _send_part(self, follower: FollowerProgress, probe: int) -> None:
+        follower.snapshot_sent_ms = self._now()
+        offset = follower.snapshot_acked_bytes
         self._post(
-            peer.address,
+            follower.address,
             InstallSnapshot(
                 epoch=self._epoch,
-                snapshot=peer.snapshot[offset : offset + _PART_BYTES],
+                snapshot=follower.snapshot[offset : offset + _PART_BYTES],
                 offset=offset,
-                total=len(peer.snapshot),
+                total=len(follower.snapshot),
                 probe=probe,
             ),
         )
 
-    def answered(self, peer: FollowerProgress, message: AppendResponse, probe: int) -> None:
+    def handle_response(
+        self, follower: FollowerProgress, message: AppendResponse, probe: int
+    ) -> None:
         """Take in a follower's answer: it is installing the snapshot, or says how much it has."""
         if message.reason == "busy":
-            peer.install_ms, peer.taken_bytes = self._now(), len(peer.snapshot)
-        elif message.asked_seq > peer.taken_bytes:
-            peer.taken_bytes = message.asked_seq
-            self._send_part(peer, probe)
+            follower.snapshot_sent_ms, follower.snapshot_acked_bytes = (
+                self._now(),
+                len(follower.snapshot),
+            )
+        elif message.position > follower.snapshot_acked_bytes:
+            follower.snapshot_acked_bytes = message.position
+            self._send_part(follower, probe)
 
 
 class EncodedRecordCache:
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -19,7 +19,7 @@
 from replicated_log.messages import AppendRequest, AppendResponse
 from replicated_log.pending_appends import Outcome, PendingAppend
 from replicated_log.quorums import Quorums, confirmed_probe, held
-from replicated_log.records import entry_of
+from replicated_log.records import decode_entry
 
 __all__ = ["Leader", "Outcome"]
 
@@ -53,8 +53,8 @@
         "epoch",
         "state",
         "settings",
-        "peers",
-        "waiters",
+        "followers",
+        "pending_appends",
     )
 
     def __init__(
@@ -79,30 +79,30 @@
         self._on_deposed = on_deposed
         self._on_adopted: Callable[[], None] | None = on_adopted
         self.base_seq = log.last_seq
-        self.peers = {
+        self.followers = {
             identity: FollowerProgress(identity, address, log.last_seq + 1, now())
             for identity, address in members
             if identity != log.identity
         }
-        self._quorums = Quorums([identity for identity, _ in members], self.peers)
-        self.waiters: list[PendingAppend] = []
+        self._quorums = Quorums([identity for identity, _ in members], self.followers)
+        self.pending_appends: list[PendingAppend] = []
         self._readers: list[tuple[int, Callable[[bool], None], int]] = []
         self._probe = 0
         self._wires = EncodedRecordCache()
         self._flush_asked = False
         self._flush_wanted_seq = 0
-        self._level_seq = (log.settled_seq, log.settled_seq, now())
+        self._level_seq = (log.committed_seq, log.committed_seq, now())
         self.deposed = False
         self.state = log.state.copy()
-        for record in log.since(log.settled_seq + 1, 1 << 62):
-            self.state.apply(entry_of(record))
+        for record in log.records_from(log.committed_seq + 1, 1 << 62):
+            self.state.apply(decode_entry(record))
 
     @property
-    def settled(self) -> BatchState:
+    def committed_state(self) -> BatchState:
         """The ledger folded up to the last settled record."""
         return self._log.state
 
-    def let_go(self, entry: Message) -> None:
+    def drop_archived(self, entry: Message) -> None:
         """Drop what was archived in a file from the unsettled ledger, if it is over there too."""
         known = self.state.jobs if isinstance(entry, JobArchived) else self.state.keys
         if (entry.job_id if isinstance(entry, JobArchived) else entry.key) in known:
@@ -111,7 +111,7 @@
     def append(
         self,
         entries: list[Message],
-        settled: bool,
+        durable: bool,
         done: Callable[[Outcome], None],
         urgent: bool = False,
     ) -> bool:
@@ -121,7 +121,7 @@
         if (
             self.deposed
             or not self._log.disk.roomy(need_bytes, urgent)
-            or (not urgent and self._peers_full())
+            or (not urgent and self._followers_full())
         ):
             done(Outcome.UNKNOWN if self.deposed else Outcome.FULL)
             return False
@@ -130,155 +130,166 @@
             for body, entry in zip(bodies, entries, strict=True):
                 self._log.write(self._log.make(self._stamp(), body), urgent, entry)
         except DiskFullError:
-            self._log.cut_after(before)
+            self._log.truncate_after(before)
             self._wires.clear()
             done(Outcome.FULL)
             return False
         for entry in entries:
             self.state.apply(entry)
-        self.waiters.append(PendingAppend(self._log.last_seq, settled, self._now(), done))
-        if settled:
+        self.pending_appends.append(PendingAppend(self._log.last_seq, durable, self._now(), done))
+        if durable:
             self._bring_flush_forward()
-        for peer in self.peers.values():
-            self._send(peer)
+        for follower in self.followers.values():
+            self._send(follower)
         return True
 
     def _stamp(self) -> tuple[int, int]:
         return (self.epoch, max(self._wall(), self._log.last_stamp[1] + 1))
 
-    def _peers_full(self) -> bool:
-        roomy = sum(1 for name in self.members if name in self.peers and not self.peers[name].full)
+    def _followers_full(self) -> bool:
+        roomy = sum(
+            1
+            for name in self.members
+            if name in self.followers and not self.followers[name].disk_full
+        )
         return roomy < self.settings.store_faults
 
     def read(self, done: Callable[[bool], None]) -> None:
         """Call back with True once f followers have confirmed this epoch after now, else False."""
         self._probe += 1
         self._readers.append((self._probe, done, self._now()))
-        for peer in self.peers.values():
-            self._send(peer)
+        for follower in self.followers.values():
+            self._send(follower)
 
-    def _send(self, peer: FollowerProgress, flush: bool = False) -> None:
+    def _send(self, follower: FollowerProgress, flush: bool = False) -> None:
         log = self._log
-        peer.sent_ms = self._now()
-        if self._now() - peer.heard_ms > self.settings.dead_ms:
-            peer.next_seq = log.last_seq + 1
-        previous = log.stamp_at(peer.next_seq - 1)
-        if previous is None or peer.next_seq < log.first_seq:
-            self._snapshots.send(peer, self._probe)
+        follower.last_sent_ms = self._now()
+        if self._now() - follower.last_heard_ms > self.settings.dead_ms:
+            follower.next_seq = log.last_seq + 1
+        previous = log.stamp_at(follower.next_seq - 1)
+        if previous is None or follower.next_seq < log.first_seq:
+            self._snapshots.send(follower, self._probe)
             return
-        records = log.since(peer.next_seq, _CHUNK_BYTES)
-        peer.asked_seq = peer.next_seq - 1
-        wanted = flush or self._flush_wanted_seq > peer.flushed_seq
+        records = log.records_from(follower.next_seq, _CHUNK_BYTES)
+        follower.position = follower.next_seq - 1
+        wanted = flush or self._flush_wanted_seq > follower.flushed_seq
         self._post(
-            peer.address,
+            follower.address,
             AppendRequest(
                 epoch=self.epoch,
                 base_seq=self.base_seq,
-                prev_seq=peer.next_seq - 1,
+                prev_seq=follower.next_seq - 1,
                 prev_epoch=previous[0],
                 prev_ms=previous[1],
                 records=[self._wires.bytes_of(record) for record in records],
-                settled_seq=log.settled_seq,
+                committed_seq=log.committed_seq,
                 flush=wanted,
                 probe=self._probe,
             ),
         )
-        peer.next_seq += len(records)
+        follower.next_seq += len(records)
 
-    def answered(self, message: AppendResponse, address: str) -> None:
+    def handle_response(self, message: AppendResponse, address: str) -> None:
         """Take in a follower's answer; a higher fence in it deposes this holder."""
         if message.fence > self.epoch:
             self._depose(message.fence)
             return
-        peer = self.peers.get(message.identity)
-        if peer is None or self.deposed:
+        follower = self.followers.get(message.identity)
+        if follower is None or self.deposed:
             return
-        peer.address = address
-        peer.heard_ms = self._now()
+        follower.address = address
+        follower.last_heard_ms = self._now()
         if message.ok or message.reason in _SNAPSHOT_ENDS:
-            peer.snapshot = b""
-        elif peer.snapshot and message.reason in ("busy", "part"):
-            self._snapshots.answered(peer, message, self._probe)
-        peer.full = message.reason == "full" or not message.roomy
-        peer.probe = max(peer.probe, message.probe)
+            follower.snapshot = b""
+        elif follower.snapshot and message.reason in ("busy", "part"):
+            self._snapshots.handle_response(follower, message, self._probe)
+        follower.disk_full = message.reason == "full" or not message.roomy
+        follower.probe = max(follower.probe, message.probe)
         if message.ok:
-            peer.last_seq = message.last_seq
-            peer.flushed_seq = message.flushed_seq
-            peer.adopted = message.log_epoch == self.epoch
-            peer.next_seq = max(peer.next_seq, message.last_seq + 1)
-            if peer.next_seq <= self._log.last_seq:
-                self._send(peer)
+            follower.last_seq = message.last_seq
+            follower.flushed_seq = message.flushed_seq
+            follower.adopted = message.log_epoch == self.epoch
+            follower.next_seq = max(follower.next_seq, message.last_seq + 1)
+            if follower.next_seq <= self._log.last_seq:
+                self._send(follower)
         elif message.reason == "installed":
-            peer.next_seq = message.last_seq + 1
-            self._send(peer)
+            follower.next_seq = message.last_seq + 1
+            self._send(follower)
         elif message.reason == "full":
-            peer.next_seq = min(peer.next_seq, message.last_seq + 1)
-        elif message.reason == "gap" and message.asked_seq == peer.asked_seq and not peer.snapshot:
-            self._step_back(peer, message)
+            follower.next_seq = min(follower.next_seq, message.last_seq + 1)
+        elif (
+            message.reason == "gap"
+            and message.position == follower.position
+            and not follower.snapshot
+        ):
+            self._step_back(follower, message)
         self.progress()
 
-    def _step_back(self, peer: FollowerProgress, message: AppendResponse) -> None:
+    def _step_back(self, follower: FollowerProgress, message: AppendResponse) -> None:
         """Go one record back, but not behind the follower's snapshot, which is settled throughout.
 
         Answers to sends before the last one are ignored, or each would cause a send of its own.
         """
-        if message.asked_seq <= message.snap_seq and message.asked_seq < self._log.snap_seq:
-            self._snapshots.send(peer, self._probe)
+        if message.position <= message.snapshot_seq and message.position < self._log.snapshot_seq:
+            self._snapshots.send(follower, self._probe)
             return
-        peer.next_seq = max(1, message.snap_seq + 1, min(message.last_seq + 1, message.asked_seq))
-        self._send(peer)
+        follower.next_seq = max(
+            1, message.snapshot_seq + 1, min(message.last_seq + 1, message.position)
+        )
+        self._send(follower)
 
-    def learn(self, identity: str, address: str) -> None:
+    def add_learner(self, identity: str, address: str) -> None:
         """Start to replicate to a spare, which counts in no quorum until it is a member."""
-        if identity not in self.peers and identity != self._log.identity:
-            self.peers[identity] = FollowerProgress(
+        if identity not in self.followers and identity != self._log.identity:
+            self.followers[identity] = FollowerProgress(
                 identity, address, self._log.last_seq + 1, self._now()
             )
 
-    def keep_spares(self, spares: list[tuple[str, str]]) -> None:
+    def set_standbys(self, spares: list[tuple[str, str]]) -> None:
         """Replicate to these spares and to no others."""
         names = [identity for identity, _ in spares]
         for identity in [
             identity
-            for identity in self.peers
+            for identity in self.followers
             if identity not in self.members and identity not in names
         ]:
-            del self.peers[identity]
+            del self.followers[identity]
         for identity, address in spares:
-            self.learn(identity, address)
+            self.add_learner(identity, address)
 
-    def in_touch(self, identity: str) -> bool:
+    def is_responsive(self, identity: str) -> bool:
         """Whether a follower has adopted this epoch and was heard within `doubt_ms`."""
-        peer = self.peers.get(identity)
+        follower = self.followers.get(identity)
         return (
-            peer is not None
-            and peer.adopted
-            and self._now() - peer.heard_ms < self.settings.doubt_ms
+            follower is not None
+            and follower.adopted
+            and self._now() - follower.last_heard_ms < self.settings.doubt_ms
         )
 
-    def is_level(self, identity: str) -> bool:
+    def is_caught_up(self, identity: str) -> bool:
         """Whether a store is level: in touch, and with what was settled a pulse ago on its disk.
 
         Under load the settled end is always a little ahead of the reports of slower disks.
         """
-        peer = self.peers.get(identity)
+        follower = self.followers.get(identity)
         return (
-            peer is not None
-            and peer.adopted
-            and peer.flushed_seq >= self._level_seq[0]
-            and self._now() - peer.heard_ms < self.settings.dead_ms
+            follower is not None
+            and follower.adopted
+            and follower.flushed_seq >= self._level_seq[0]
+            and self._now() - follower.last_heard_ms < self.settings.dead_ms
         )
 
-    def level_members(self) -> int:
+    def count_caught_up(self) -> int:
         """Return how many members, this store among them, are level and in touch."""
         own = self._log.flushed_seq >= self._level_seq[0]
-        return own + sum(self.is_level(name) for name in self.members)
+        return own + sum(self.is_caught_up(name) for name in self.members)
 
-    def sure(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether f members have answered within `doubt_ms`, so that a quorum is in touch."""
         floor_ms = self._now() - self.settings.doubt_ms
         return (
-            sum(peer.heard_ms >= floor_ms for peer in self._voting()) >= self.settings.store_faults
+            sum(follower.last_heard_ms >= floor_ms for follower in self._voting())
+            >= self.settings.store_faults
         )
 
     @property
@@ -287,20 +298,24 @@
         return self._quorums.members
 
     def _voting(self) -> list[FollowerProgress]:
-        return self._quorums.peers_of(self.members)
+        return self._quorums.followers_of(self.members)
 
     def progress(self) -> None:
         """Settle, acknowledge and answer reads as far as the followers' answers allow."""
         f = self.settings.store_faults
-        settled_seq = self._quorums.settled_seq(f, self._log.flushed_seq)
-        if settled_seq > self._log.settled_seq and settled_seq >= self.base_seq:
-            self._log.settle(settled_seq)
-        held_seq = self._quorums.reached(f, held)
-        ready = [waiter for waiter in self.waiters if self._is_ready(waiter, held_seq)]
+        committed_seq = self._quorums.committed_seq(f, self._log.flushed_seq)
+        if committed_seq > self._log.committed_seq and committed_seq >= self.base_seq:
+            self._log.commit(committed_seq)
+        replicated_seq = self._quorums.reached(f, held)
+        ready = [
+            pending for pending in self.pending_appends if self._is_ready(pending, replicated_seq)
+        ]
         if ready:
-            self.waiters = [waiter for waiter in self.waiters if waiter not in ready]
-            for waiter in ready:
-                waiter.done(Outcome.KEPT)
+            self.pending_appends = [
+                pending for pending in self.pending_appends if pending not in ready
+            ]
+            for pending in ready:
+                pending.done(Outcome.ACKNOWLEDGED)
         if self._on_adopted is not None and self.adopted():
             on_adopted, self._on_adopted = self._on_adopted, None
             on_adopted()
@@ -308,21 +323,23 @@
         while self._readers and self._readers[0][0] <= probe:
             self._readers.pop(0)[1](True)
 
-    def _is_ready(self, waiter: PendingAppend, held_seq: int) -> bool:
-        if waiter.settled or self._now() - waiter.at_ms >= 2 * self.settings.delta_ms:
-            return waiter.seq <= self._log.settled_seq
-        return waiter.seq <= held_seq
+    def _is_ready(self, pending: PendingAppend, replicated_seq: int) -> bool:
+        if pending.durable or self._now() - pending.at_ms >= 2 * self.settings.delta_ms:
+            return pending.seq <= self._log.committed_seq
+        return pending.seq <= replicated_seq
 
-    def roomier(self) -> str | None:
+    def member_with_disk_space(self) -> str | None:
         """Return a member in touch with room on its disk if this store has none, else None."""
         if self._log.disk.roomy(0):
             return None
-        return self._quorums.roomy_member(self._now() - self.settings.dead_ms)
+        return self._quorums.member_with_disk_space(self._now() - self.settings.dead_ms)
 
     def adopted(self) -> bool:
         """Whether f followers have the recovered log on disk under this epoch."""
         count = sum(
-            1 for peer in self._voting() if peer.adopted and peer.flushed_seq >= self.base_seq
+            1
+            for follower in self._voting()
+            if follower.adopted and follower.flushed_seq >= self.base_seq
         )
         return count >= self.settings.store_faults and self._log.flushed_seq >= self.base_seq
 
@@ -331,9 +348,9 @@
         self._quorums.begin_change(following, self._log.last_seq)
         self._bring_flush_forward()
 
-    def may_change(self) -> bool:
+    def is_change_ready(self) -> bool:
         """Whether the following members have on disk all that was acknowledged without them."""
-        return self._quorums.may_change(self.settings.store_faults, self._log.flushed_seq)
+        return self._quorums.is_change_ready(self.settings.store_faults, self._log.flushed_seq)
 
     def end_change(self, made: bool) -> None:
         """End a change of members; the following list is in force if it was `made`."""
@@ -359,34 +376,44 @@
         """Do the periodic work: time out callers, flush what is due, resend, and take snapshots."""
         now_ms = self._now()
         if now_ms - self._level_seq[2] >= self.settings.pulse_ms:
-            self._level_seq = (self._level_seq[1], self._log.settled_seq, now_ms)
-        if any(now_ms - waiter.at_ms >= 2 * self.settings.delta_ms for waiter in self.waiters):
+            self._level_seq = (self._level_seq[1], self._log.committed_seq, now_ms)
+        if any(
+            now_ms - pending.at_ms >= 2 * self.settings.delta_ms for pending in self.pending_appends
+        ):
             self._bring_flush_forward()
         given_up = [
-            waiter for waiter in self.waiters if now_ms - waiter.at_ms >= self.settings.ask_ms
+            pending
+            for pending in self.pending_appends
+            if now_ms - pending.at_ms >= self.settings.ask_ms
+        ]
+        self.pending_appends = [
+            pending for pending in self.pending_appends if pending not in given_up
         ]
-        self.waiters = [waiter for waiter in self.waiters if waiter not in given_up]
-        for waiter in given_up:
-            waiter.done(Outcome.UNKNOWN)
+        for pending in given_up:
+            pending.done(Outcome.UNKNOWN)
         while self._readers and now_ms - self._readers[0][2] >= self.settings.ask_ms:
             self._readers.pop(0)[1](False)
-        if self._log.flush_due():
+        if self._log.is_flush_due():
             self._bring_flush_forward()
-        for peer in self.peers.values():
+        for follower in self.followers.values():
             behind = (
-                peer.last_seq < self._log.last_seq or peer.probe < self._probe or not peer.adopted
+                follower.last_seq < self._log.last_seq
+                or follower.probe < self._probe
+                or not follower.adopted
             )
-            quiet_ms = now_ms - peer.sent_ms
+            silent_ms = now_ms - follower.last_sent_ms
             if (
-                behind and quiet_ms >= 2 * self.settings.delta_ms
-            ) or quiet_ms >= self.settings.pulse_ms:
+                behind and silent_ms >= 2 * self.settings.delta_ms
+            ) or silent_ms >= self.settings.pulse_ms:
                 if behind:
-                    peer.next_seq = (
-                        peer.last_seq + 1 if peer.adopted else min(peer.next_seq, self.base_seq + 1)
+                    follower.next_seq = (
+                        follower.last_seq + 1
+                        if follower.adopted
+                        else min(follower.next_seq, self.base_seq + 1)
                     )
-                self._send(peer)
+                self._send(follower)
         self.progress()
-        self._log.tidy()
+        self._log.maintain_snapshot()
 
     def _depose(self, fence: int) -> None:
         if not self.deposed:
@@ -396,9 +423,9 @@
     def stop(self) -> None:
         """Step down: report the outcome of all waiting callers as unknown."""
         self.deposed = True
-        waiters, self.waiters = self.waiters, []
+        pending_appends, self.pending_appends = self.pending_appends, []
         readers, self._readers = self._readers, []
-        for waiter in waiters:
-            waiter.done(Outcome.UNKNOWN)
+        for pending in pending_appends:
+            pending.done(Outcome.UNKNOWN)
         for _, done, _ in readers:
             done(False)
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -12,11 +12,11 @@
 from messaging import Message, decode, encode
 from storage import DamageError, Disk, frame, over_hole, walk
 
-from replicated_log.archive import ArchiveStore, files_of
+from replicated_log.archive import ArchiveStore, referenced_files
 from replicated_log.flush_watermark import FlushWatermark
 from replicated_log.messages import TRUNCATE, Record, ReplicaMetadata, StoredEntry
 from replicated_log.metadata_file import MetadataFile
-from replicated_log.records import entry_of, first_bytes, record_of
+from replicated_log.records import decode_entry, limit_records, make_record
 from replicated_log.snapshots import SnapshotMaker, make_snapshot, read_whole_snapshot
 
 __all__ = ["LocalLog"]
@@ -34,24 +34,24 @@
         "_flushing",
         "_last_flush_ms",
         "_maker",
-        "_mark",
-        "_metas",
+        "_watermark",
+        "_metadata_file",
         "_now",
         "_since_snap_bytes",
         "_snap_after_ms",
         "_snapping",
         "_written",
         "disk",
-        "fetcher",
+        "fetch_archives",
         "flushed_seq",
         "state",
         "settings",
         "received_ms",
         "records",
-        "settled_seq",
-        "shelves",
-        "snap_seq",
-        "snap_stamp",
+        "committed_seq",
+        "archive",
+        "snapshot_seq",
+        "snapshot_stamp",
     )
 
     def __init__(
@@ -64,8 +64,8 @@
         self._entries: dict[int, Message] = {}
         self.received_ms: list[int] = []
         self.state = BatchState()
-        self.snap_seq = 0
-        self.snap_stamp = (0, 0)
+        self.snapshot_seq = 0
+        self.snapshot_stamp = (0, 0)
         self._dirty: set[str] = set()
         self._flushing = False
         self._flush_waiters: list[Callable[[bool], None]] = []
@@ -75,23 +75,23 @@
         self._since_snap_bytes = 0
         self._last_flush_ms = now()
         self._written = ("", 0)
-        self.shelves = ArchiveStore(self, token)
-        self.fetcher: Callable[[list[str], str, Callable[[bool], None]], None] | None = None
+        self.archive = ArchiveStore(self, token)
+        self.fetch_archives: Callable[[list[str], str, Callable[[bool], None]], None] | None = None
         self._open(token)
-        self.shelves.collect()
-        if self._metas.fresh and settings.first_start:
-            self.keep_meta(lambda ok: None)
-        self.settled_seq = self.snap_seq
-        self.flushed_seq = self.snap_seq
+        self.archive.collect()
+        if self._metadata_file.fresh and settings.first_start:
+            self.save_metadata(lambda ok: None)
+        self.committed_seq = self.snapshot_seq
+        self.flushed_seq = self.snapshot_seq
         self._dirty.update(record.file for record in self.records)
 
     def _open(self, token: Callable[[], str]) -> None:
         names = self.disk.names()
-        self._metas = MetadataFile(self.disk, token)
+        self._metadata_file = MetadataFile(self.disk, token)
         if _SNAP in names:
             self.load_snapshot(self.disk.read(_SNAP))
-        self._mark = FlushWatermark(self.disk, self._metas)
-        mark = self._mark.read()
+        self._watermark = FlushWatermark(self.disk, self._metadata_file)
+        mark = self._watermark.read()
         for name in [name for name in names if name.startswith(_QUEUE)]:
             self._open_queue(name)
         if self.last_seq < mark:
@@ -108,13 +108,13 @@
         end = 0
         for offset, payload in frames:
             entry = decode(payload)
-            if entry.seq > max(self.snap_seq, self.last_seq) + 1:
+            if entry.seq > max(self.snapshot_seq, self.last_seq) + 1:
                 break
             end = offset + len(frame(payload))
-            if entry.seq <= self.snap_seq:
+            if entry.seq <= self.snapshot_seq:
                 continue
             del self.records[entry.seq - self.first_seq :]
-            self.records.append(record_of(entry, payload, name, offset))
+            self.records.append(make_record(entry, payload, name, offset))
         if end < len(data):
             self.disk.truncate(name, end)
             self._dirty.add(name)
@@ -122,9 +122,13 @@
             self.disk.remove(name)
             self._dirty.discard(name)
 
-    def may_found(self) -> bool:
+    def may_bootstrap(self) -> bool:
         """Whether this store may found a log: its disk was blank when the fleet began."""
-        told = self.settings.control_count > 0 or self.settings.first_start or not self._metas.fresh
+        told = (
+            self.settings.control_count > 0
+            or self.settings.first_start
+            or not self._metadata_file.fresh
+        )
         return (
             told
             and self.meta.log_epoch == 0
@@ -134,7 +138,7 @@
     @property
     def meta(self) -> ReplicaMetadata:
         """The durable metadata: identity, fence and log epoch."""
-        return self._metas.meta
+        return self._metadata_file.meta
 
     @property
     def identity(self) -> str:
@@ -144,28 +148,28 @@
     @property
     def first_seq(self) -> int:
         """The sequence number of the first record in memory, or of the next one to come."""
-        return self.records[0].seq if self.records else self.snap_seq + 1
+        return self.records[0].seq if self.records else self.snapshot_seq + 1
 
     @property
     def last_seq(self) -> int:
         """The sequence number of the last record."""
-        return self.records[-1].seq if self.records else self.snap_seq
+        return self.records[-1].seq if self.records else self.snapshot_seq
 
     @property
     def last_stamp(self) -> tuple[int, int]:
         """The stamp of the last record."""
-        return self.records[-1].stamp if self.records else self.snap_stamp
+        return self.records[-1].stamp if self.records else self.snapshot_stamp
 
     def stamp_at(self, seq: int) -> tuple[int, int] | None:
         """Return the stamp of a record, or None if it isn't known here."""
-        if seq == self.snap_seq:
-            return self.snap_stamp
+        if seq == self.snapshot_seq:
+            return self.snapshot_stamp
         index = seq - self.first_seq
         return self.records[index].stamp if 0 <= index < len(self.records) else None
 
-    def since(self, seq: int, limit_bytes: int) -> list[Record]:
+    def records_from(self, seq: int, limit_bytes: int) -> list[Record]:
         """Return records from `seq` on, about `limit_bytes` of them but at least one."""
-        return first_bytes(self.records[max(0, seq - self.first_seq) :], limit_bytes)
+        return limit_records(self.records[max(0, seq - self.first_seq) :], limit_bytes)
 
     def make(self, stamp: tuple[int, int], body: bytes) -> Record:
         """Make the holder's next record; the first of each queue file has the truncate flag."""
@@ -175,7 +179,7 @@
         flags = 0
         if not name.startswith(f"{_QUEUE}{stamp[0]:08d}-") or offset >= self.settings.segment_bytes:
             name, offset, flags = f"{_QUEUE}{stamp[0]:08d}-{seq:012d}", 0, TRUNCATE
-        return record_of(
+        return make_record(
             StoredEntry(epoch=stamp[0], stamp_ms=stamp[1], seq=seq, body=body),
             payload,
             name,
@@ -187,20 +191,20 @@
         """Write lazily and idempotently at the record's offset; `entry` spares decoding later."""
         if record.flags & TRUNCATE:
             self.disk.truncate(record.file, 0)
-        self.disk.write(record.file, record.offset, record.bytes, urgent)
+        self.disk.write(record.file, record.offset, record.frame, urgent)
         self._dirty.add(record.file)
-        self._written = (record.file, record.offset + record.nbytes)
-        self._since_snap_bytes += record.nbytes
+        self._written = (record.file, record.offset + record.size_bytes)
+        self._since_snap_bytes += record.size_bytes
         self.records.append(record)
         self.received_ms.append(self._now())
         if entry is not None:
             self._entries[record.seq] = entry
 
-    def cut_after(self, seq: int) -> None:
+    def truncate_after(self, seq: int) -> None:
         """Remove all records after `seq`, in memory and in the files."""
         keep = max(0, seq - self.first_seq + 1)
         if len(self.records) > keep:
-            self._mark.write(min(self.flushed_seq, seq))
+            self._watermark.write(min(self.flushed_seq, seq))
         for record in reversed(self.records[keep:]):
             self.disk.truncate(record.file, record.offset)
             self._dirty.add(record.file)
@@ -217,7 +221,7 @@
         if not self._flushing:
             self._start_flush()
 
-    def secure(self, done: Callable[[bool], None]) -> None:
+    def ensure_flushed(self, done: Callable[[bool], None]) -> None:
         """Flush, unless everything here has been flushed already."""
         if self._dirty or self._flushing or self.flushed_seq < self.last_seq:
             self.flush(done)
@@ -227,7 +231,7 @@
     def _start_flush(self) -> None:
         self._flushing = True
         self._last_flush_ms = self._now()
-        waiters, self._flush_waiters = self._flush_waiters, []
+        pending_appends, self._flush_waiters = self._flush_waiters, []
         names, self._dirty = sorted(self._dirty), set()
         up_to = self.last_stamp
         up_to_seq = self.last_seq
@@ -236,17 +240,17 @@
             self._flushing = False
             if ok and self.stamp_at(up_to_seq) == up_to and up_to_seq > self.flushed_seq:
                 self.flushed_seq = up_to_seq
-                self._mark.write(up_to_seq)
+                self._watermark.write(up_to_seq)
             if not ok:
                 self._dirty.update(names)
-            for waiter in waiters:
-                waiter(ok)
+            for pending in pending_appends:
+                pending(ok)
             if self._flush_waiters and not self._flushing:
                 self._start_flush()
 
         self.disk.flush(names, flushed)
 
-    def flush_due(self) -> bool:
+    def is_flush_due(self) -> bool:
         """Whether unflushed records have waited for `flush_ms`."""
         return (
             self.flushed_seq < self.last_seq
@@ -254,18 +258,18 @@
             and self._now() - self._last_flush_ms >= self.settings.flush_ms
         )
 
-    def keep_meta(
+    def save_metadata(
         self, done: Callable[[bool], None], fence: int | None = None, log_epoch: int | None = None
     ) -> None:
         """Raise the fence and the log epoch durably; see MetadataFile.keep."""
-        self._metas.keep(done, fence or 0, log_epoch or 0)
+        self._metadata_file.keep(done, fence or 0, log_epoch or 0)
 
-    def settle(self, seq: int) -> None:
+    def commit(self, seq: int) -> None:
         """Fold the records up to `seq`, which are now durable on f+1 disks, into the ledger."""
-        while self.settled_seq < min(seq, self.last_seq):
-            self.settled_seq += 1
-            known = self._entries.pop(self.settled_seq, None)
-            entry = known or entry_of(self.records[self.settled_seq - self.first_seq])
+        while self.committed_seq < min(seq, self.last_seq):
+            self.committed_seq += 1
+            known = self._entries.pop(self.committed_seq, None)
+            entry = known or decode_entry(self.records[self.committed_seq - self.first_seq])
             if self._maker is not None:
                 self._maker.before(entry)
             self.state.apply(entry)
@@ -277,10 +281,10 @@
     def snapshot(self) -> bytes:
         """Return a snapshot made now from all that is settled."""
         return make_snapshot(
-            self.state, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
+            self.state, self.committed_seq, self.stamp_at(self.committed_seq) or (0, 0)
         )
 
-    def kept_snapshot(self) -> bytes:
+    def stored_snapshot(self) -> bytes:
         """Return the snapshot on disk, or a new one if there is none or one is being written."""
         return (
             self.snapshot()
@@ -294,12 +298,12 @@
         self.state = BatchState()
         for entry in entries:
             self.state.apply(entry)
-        self.snap_seq = self.settled_seq = head.seq
-        self.snap_stamp = (head.epoch, head.stamp_ms)
+        self.snapshot_seq = self.committed_seq = head.seq
+        self.snapshot_stamp = (head.epoch, head.stamp_ms)
 
-    def missing(self, data: bytes) -> list[str]:
+    def missing_archives(self, data: bytes) -> list[str]:
         """Return the archive files that a snapshot refers to and that aren't here."""
-        return sorted(files_of(read_whole_snapshot(data)[1]) - set(self.disk.names()))
+        return sorted(referenced_files(read_whole_snapshot(data)[1]) - set(self.disk.names()))
 
     def install(
         self,
@@ -309,21 +313,21 @@
         still: Callable[[], bool] = lambda: True,
     ) -> None:
         """Replace this log by a snapshot, once its archive files are here and if `still` wanted."""
-        lacking = self.missing(data)
+        lacking = self.missing_archives(data)
         if not lacking:
             self._install(data, done)
-        elif self.fetcher is None:
+        elif self.fetch_archives is None:
             done(False)
         else:
-            self.fetcher(
+            self.fetch_archives(
                 lacking,
                 source,
                 lambda ok: self._install(data, done) if ok and still() else done(False),
             )
 
     def _install(self, data: bytes, done: Callable[[bool], None]) -> None:
-        self.cut_after(0)
-        self._mark.write(0)
+        self.truncate_after(0)
+        self._watermark.write(0)
         for name in [name for name in self.disk.names() if name.startswith(_QUEUE)]:
             self.disk.remove(name)
         self._dirty.clear()
@@ -333,7 +337,7 @@
         self.load_snapshot(data)
         self._written = ("", 0)
         self.flushed_seq = 0
-        seq = self.snap_seq
+        seq = self.snapshot_seq
 
         def kept(ok: bool) -> None:
             if ok:
@@ -342,11 +346,11 @@
 
         self.disk.replace(_SNAP, data, kept)
 
-    def tidy(self, force: bool = False) -> None:
+    def maintain_snapshot(self, force: bool = False) -> None:
         """Take a snapshot when a segment's worth is settled, or at once if `force` is set."""
         if self._maker is not None:
             self._go_on_with_snapshot()
-        if self._snapping or self.settled_seq <= self.snap_seq:
+        if self._snapping or self.committed_seq <= self.snapshot_seq:
             return
         if not force and (
             self._since_snap_bytes < self.settings.segment_bytes
@@ -355,11 +359,11 @@
             return
         self._snapping = True
         self._since_snap_bytes = 0
-        self.shelves.shelve(self._begin_snapshot)
+        self.archive.archive_finished(self._begin_snapshot)
 
     def _begin_snapshot(self) -> None:
         self._maker = SnapshotMaker(
-            self.state, self.settled_seq, self.stamp_at(self.settled_seq) or (0, 0)
+            self.state, self.committed_seq, self.stamp_at(self.committed_seq) or (0, 0)
         )
         self._go_on_with_snapshot()
 
@@ -374,15 +378,15 @@
             if not ok:
                 self._since_snap_bytes = self.settings.segment_bytes
                 self._snap_after_ms = self._now() + self.settings.ask_ms
-            elif seq > self.snap_seq:
-                self.snap_seq, self.snap_stamp = seq, stamp
+            elif seq > self.snapshot_seq:
+                self.snapshot_seq, self.snapshot_stamp = seq, stamp
                 self.trim()
-                self.shelves.collect()
+                self.archive.collect()
 
         self.disk.replace(_SNAP, maker.whole(), kept)
 
     def _count_trimmable(self, floor_ms: float) -> int:
-        limit = min(len(self.records) - 1, self.snap_seq + 1 - self.first_seq)
+        limit = min(len(self.records) - 1, self.snapshot_seq + 1 - self.first_seq)
         return next((n for n in range(limit) if self.received_ms[n] >= floor_ms), max(0, limit))
 
     def trim(self) -> None:
@@ -392,7 +396,7 @@
             count = self._count_trimmable(floor_ms)
             del self.records[:count]
             del self.received_ms[:count]
-        needed = {record.file for record in self.records if record.seq > self.snap_seq} | {
+        needed = {record.file for record in self.records if record.seq > self.snapshot_seq} | {
             self._written[0]
         }
         for name in [name for name in self.disk.names() if name.startswith(_QUEUE)]:
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -56,17 +56,17 @@
         "changing",
         "_control",
         "_fleet",
-        "_founding",
-        "_keeper",
-        "_level_told",
+        "_bootstrap",
+        "_membership",
+        "_caught_up_reported",
         "leaving",
         "_on_role",
-        "_peer",
-        "_pulsed_ms",
+        "_follower_role",
+        "_heartbeat_sent_ms",
         "_takeover",
         "_version",
-        "_watch",
-        "holder",
+        "_failure_detector",
+        "leader",
         "log",
         "role",
         "value",
@@ -90,75 +90,79 @@
         self._control = control
         self._fleet = fleet
         self._on_role = on_role
-        self._peer = Follower(log)
+        self._follower_role = Follower(log)
         self._takeover = LeaderTakeover(self)
-        self.holder: Leader | None = None
+        self.leader: Leader | None = None
         self.role = Role.PEER
         self.changed_ms = 0
         self.changing = False
         self.leaving = False
-        self._pulsed_ms = -1 << 40
+        self._heartbeat_sent_ms = -1 << 40
         self._version = 0
-        self._level_told = 0
-        self._founding = LogBootstrap(log, fleet)
-        self._keeper = MembershipManager(self, fleet)
+        self._caught_up_reported = 0
+        self._bootstrap = LogBootstrap(log, fleet)
+        self._membership = MembershipManager(self, fleet)
         self.value: dict[str, Any] = {}
 
     def attach(self, node: Any) -> None:
         """Bind the part to its node."""
         super().attach(node)
-        self._watch = LeaderFailureDetector(self.log.identity, node.settings, node.env.now)
+        self._failure_detector = LeaderFailureDetector(
+            self.log.identity, node.settings, node.env.now
+        )
 
     # -- as a follower -----------------------------------------------------------------------------
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Handle a message of another store."""
         if isinstance(message, AppendResponse):
-            if self.holder is not None and not self.holder.deposed:
-                self.holder.answered(message, origin.sender)
+            if self.leader is not None and not self.leader.deposed:
+                self.leader.handle_response(message, origin.sender)
         elif isinstance(message, LeaderHeartbeat):
-            if message.sure and message.epoch >= self.value.get("epoch", 0):
-                self._watch.heard()
-                self._level_told = message.level
+            if message.has_quorum and message.epoch >= self.value.get("epoch", 0):
+                self._failure_detector.handle_heartbeat()
+                self._caught_up_reported = message.caught_up
         elif isinstance(message, LeaderPoll):
-            self._polled(message, origin)
+            self._answer_poll(message, origin)
         elif isinstance(message, TransferLeadership):
-            self._learn(message.number, message.body)
+            self._update_configuration(message.number, message.body)
             self._consider_claim()
         else:
             if message.epoch > self.log.meta.fence and self.role is not Role.PEER:
                 self.step_down("fenced", message.epoch)
-            self._peer.receive(
-                message, lambda receipt: self._receipt(origin, message, receipt), origin.sender
+            self._follower_role.receive(
+                message,
+                lambda receipt: self._send_response(origin, message, receipt),
+                origin.sender,
             )
 
-    def _receipt(self, origin: Origin, message: Message, receipt: Message) -> None:
+    def _send_response(self, origin: Origin, message: Message, receipt: Message) -> None:
         if isinstance(message, (AppendRequest, InstallSnapshot)):
             self.node.send(origin.sender, receipt)
         else:
             self.node.reply(origin, receipt)
 
-    def _polled(self, message: LeaderPoll, origin: Origin) -> None:
+    def _answer_poll(self, message: LeaderPoll, origin: Origin) -> None:
         epoch = self.value.get("epoch", 0)
         if (
             message.identity == self.value.get("holder")
             and message.epoch >= epoch
             and self.role is Role.PEER
         ):
-            self._watch.gone()
+            self._failure_detector.process_ended()
         self.node.reply(
             origin,
             LeaderPollResponse(
                 identity=self.log.identity,
                 epoch=max(epoch, self.log.meta.fence),
-                holds=self._at_work(),
-                hears=self.role is Role.PEER and self._watch.hears,
+                is_leader=self._is_leading(),
+                hears_leader=self.role is Role.PEER and self._failure_detector.hears_leader,
                 leaving=self.leaving,
             ),
         )
 
-    def _at_work(self) -> bool:
-        return self.role in _AT_WORK and (self.role is not Role.SERVING or self.holder.sure())
+    def _is_leading(self) -> bool:
+        return self.role in _AT_WORK and (self.role is not Role.SERVING or self.leader.has_quorum())
 
     def connection_closed(self, address: str) -> None:
         """Poll the members at once if the connection that ended is the holder's."""
@@ -172,7 +176,7 @@
     def connection_refused(self, address: str) -> None:
         """Record that the holder's process has ended, if the address is the holder's."""
         if self.role is Role.PEER and address == self._holder_address():
-            self._watch.gone()
+            self._failure_detector.process_ended()
 
     def _holder_address(self) -> str:
         return next(
@@ -189,81 +193,86 @@
     def tick(self) -> None:
         """Do the periodic work of the present role."""
         self._read_key()
-        self._watch.tick()
+        self._failure_detector.tick()
         self.log.disk.push()
-        if self.holder is not None:
-            self.holder.tick()
-        elif self.log.flush_due():
+        if self.leader is not None:
+            self.leader.tick()
+        elif self.log.is_flush_due():
             self.log.flush(lambda ok: None)
-        if self.holder is None:
-            self.log.tidy()
+        if self.leader is None:
+            self.log.maintain_snapshot()
         if self.role is Role.PEER:
             self._consider_claim()
             return
-        self.pulse()
+        self.send_heartbeat()
         if self.role is Role.SERVING:
-            self._keeper.tick()
+            self._membership.tick()
         elif self.node.env.now() - self.changed_ms > 2 * self.node.settings.force_ms:
             self._takeover.stuck()
 
-    def pulse(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send the holder's heartbeat to the other members, once in `pulse_ms`."""
         now_ms = self.node.env.now()
-        if self.role is Role.CLAIMING or now_ms - self._pulsed_ms < self.node.settings.pulse_ms:
+        if (
+            self.role is Role.CLAIMING
+            or now_ms - self._heartbeat_sent_ms < self.node.settings.pulse_ms
+        ):
             return
-        self._pulsed_ms = now_ms
+        self._heartbeat_sent_ms = now_ms
         for row in self.value["members"]:
             if row["identity"] != self.log.identity:
                 self.node.send(
                     row["address"],
                     LeaderHeartbeat(
-                        epoch=self.value["epoch"], sure=self._at_work(), level=self._level()
+                        epoch=self.value["epoch"],
+                        has_quorum=self._is_leading(),
+                        caught_up=self._count_caught_up(),
                     ),
                 )
 
-    def _level(self) -> int:
-        return self.holder.level_members() if self.holder is not None else 0
+    def _count_caught_up(self) -> int:
+        return self.leader.count_caught_up() if self.leader is not None else 0
 
     def _read_key(self) -> None:
-        self._learn(*self._fleet.log_key())
+        self._update_configuration(*self._fleet.log_key())
         held = self.value.get("epoch", 0)
-        if self.role is not Role.PEER and self.holder is not None and held > self.holder.epoch:
+        if self.role is not Role.PEER and self.leader is not None and held > self.leader.epoch:
             self.step_down("superseded", held)
 
-    def _learn(self, version: int, body: str) -> None:
+    def _update_configuration(self, version: int, body: str) -> None:
         if version > self._version:
             before = self.value.get("epoch", 0)
             self._version = version
             self.value = json.loads(body)
             if self.value["epoch"] != before:
-                self._watch.reset()
+                self._failure_detector.reset()
 
     def _consider_claim(self) -> None:
         if self.leaving or self.role is not Role.PEER:
             return
         if not self.value:
-            self._found()
+            self._consider_bootstrap()
             return
         names = [row["identity"] for row in self.value["members"]]
         if self.log.identity not in names:
             return
-        holder, epoch = self.value["holder"], self.value["epoch"]
-        orphaned = holder == self.log.identity
+        leader, epoch = self.value["holder"], self.value["epoch"]
+        orphaned = leader == self.log.identity
         if orphaned and self.value["phase"] == "recovering" and self.log.meta.fence < epoch:
             self._takeover.start(epoch)
             return
-        if self._watch.should_poll(orphaned):
+        if self._failure_detector.should_poll(orphaned):
             self._poll(epoch)
-        self._takeover.warn_if_unserved(names, self._watch)
-        if self._takeover.may_claim() and self._watch.should_claim(
-            names, holder, epoch, self._fleet.retired_stores()
+        self._takeover.warn_if_unserved(names, self._failure_detector)
+        if self._takeover.may_claim() and self._failure_detector.should_claim(
+            names, leader, epoch, self._fleet.retired_stores()
         ):
-            self.claim(self.value["members"], self.old_members(), self.log.identity)
+            self.claim(self.value["members"], self.recovery_members(), self.log.identity)
 
     def _poll(self, epoch: int) -> None:
         def polled(answer: Any) -> None:
             if answer is not None and self.role is Role.PEER and epoch == self.value.get("epoch"):
-                self._watch.polled(answer, self.value["holder"])
+                self._failure_detector.handle_poll_response(answer, self.value["holder"])
                 self._consider_claim()
 
         for row in self.value["members"]:
@@ -275,8 +284,8 @@
                     polled,
                 )
 
-    def _found(self) -> None:
-        members = self._founding.members(self.node, self.changed_ms)
+    def _consider_bootstrap(self) -> None:
+        members = self._bootstrap.members(self.node, self.changed_ms)
         if members:
             self.claim(members, members, self.log.identity)
 
@@ -285,24 +294,24 @@
         """The version of the control key that this store knows."""
         return self._version
 
-    def member_change_answered(self) -> None:
+    def on_change_answered(self) -> None:
         """Continue a change of members after the control key has answered."""
         if self.role is Role.SERVING:
-            self._keeper.follow_change()
+            self._membership.follow_change()
 
-    def old_members(self) -> list[dict[str, str]]:
+    def recovery_members(self) -> list[dict[str, str]]:
         """Return the members that a recovery has to ask."""
         return self.value["prev"] if self.value["phase"] == "recovering" else self.value["members"]
 
-    def claim(self, members: list, prev: list, holder: str) -> None:
-        """Claim the next epoch for `holder`, which may be another store, in the control key.
+    def claim(self, members: list, prev: list, leader: str) -> None:
+        """Claim the next epoch for `leader`, which may be another store, in the control key.
 
         `prev` are the members to recover from, `members` those to serve with.
         """
         epoch = max(self.value.get("epoch", 0), self.log.meta.fence) + 1
         body = {
             "epoch": epoch,
-            "holder": holder,
+            "holder": leader,
             "phase": "recovering",
             "members": members,
             "prev": prev,
@@ -315,18 +324,18 @@
             if (
                 serving
                 and self.role is Role.SERVING
-                and self.value.get("epoch", 0) > self.holder.epoch
+                and self.value.get("epoch", 0) > self.leader.epoch
             ):
                 self.step_down("succeeded", epoch)
             if self.role is not (Role.PEER if serving else Role.CLAIMING):
                 return
             mine = outcome == "ok" and self.value.get("epoch") == epoch
-            if mine and holder == self.log.identity:
+            if mine and leader == self.log.identity:
                 self._takeover.start(epoch)
             elif not serving:
                 self.become(Role.PEER, epoch)
-            if mine and holder != self.log.identity:
-                address = next(row["address"] for row in members if row["identity"] == holder)
+            if mine and leader != self.log.identity:
+                address = next(row["address"] for row in members if row["identity"] == leader)
                 self.node.send(
                     address, TransferLeadership(number=self._version, body=json.dumps(self.value))
                 )
@@ -340,7 +349,7 @@
         def changed(outcome: str, version: int, value: str) -> None:
             self.changing = False
             if version:
-                self._learn(version, value)
+                self._update_configuration(version, value)
                 self._fleet.learned(version, value)
             done(outcome)
 
@@ -349,18 +358,18 @@
     def serve(self, epoch: int) -> None:
         """Begin to serve as the holder of an epoch."""
         self.become(Role.SERVING, epoch)
-        self._keeper.serves()
-        self._on_role(self.holder)
+        self._membership.serves()
+        self._on_role(self.leader)
 
     # -- leaving ---------------------------------------------------------------------------
 
-    def hand_over(self) -> None:
+    def start_leaving(self) -> None:
         """Prepare to leave: a serving holder hands over to another live member at once."""
         self.leaving = True
         if self.role is Role.SERVING:
-            self._keeper.tick()
+            self._membership.tick()
 
-    def handing_over(self) -> bool:
+    def must_stay(self) -> bool:
         """Whether this store, told to stop, is still needed.
 
         It is needed while it is the holder or on its way there, and while a holder is at work and
@@ -369,8 +378,8 @@
         if not self.leaving or self.role is not Role.PEER:
             return self.leaving
         names = [row["identity"] for row in self.value.get("members", [])]
-        needed = self._level_told - 1 < self.node.settings.store_faults + 1
-        return self.log.identity in names and needed and self._watch.hears
+        needed = self._caught_up_reported - 1 < self.node.settings.store_faults + 1
+        return self.log.identity in names and needed and self._failure_detector.hears_leader
 
     # -- changes of role -----------------------------------------------------------------------
 
@@ -384,16 +393,16 @@
     def step_down(self, reason: str, epoch: int) -> None:
         """Go back to being a follower; waiting callers are told that their outcome is unknown."""
         self._takeover.stop()
-        holder, self.holder = self.holder, None
+        leader, self.leader = self.leader, None
         self.node.env.log("log-stepped-down", "INFO", reason=reason, epoch=epoch)
         self.become(Role.PEER, epoch)
-        self._watch.reset()
+        self._failure_detector.reset()
         self._on_role(None)
-        if holder is not None:
-            holder.stop()
+        if leader is not None:
+            leader.stop()
 
     def resumed(self, gap_ms: int) -> None:
         """Step down after the process stood still, since its view of the others is old."""
-        self._watch.reset()
+        self._failure_detector.reset()
         if self.role is not Role.PEER:
             self.step_down("frozen", 0)
--- a/libs/replicated_log/src/replicated_log/member_selection.py
+++ b/libs/replicated_log/src/replicated_log/member_selection.py
@@ -8,10 +8,10 @@
 
 from replicated_log.replica_placement import Row
 
-__all__ = ["crowded", "lost_members", "pick_spare", "warm_spares"]
+__all__ = ["member_in_shared_zone", "members_to_replace", "choose_replacement", "choose_standbys"]
 
 
-def lost_members(
+def members_to_replace(
     members: list[Row], live: list[Row], silent_ms: dict[str, int], retired: list[str], gone_ms: int
 ) -> list[str]:
     """Return the members to replace, in order of urgency.
@@ -33,7 +33,7 @@
     return gone + silent + leaving
 
 
-def crowded(members: list[Row], spare: Row) -> str | None:
+def member_in_shared_zone(members: list[Row], spare: Row) -> str | None:
     """Return a member that shares its zone with another, if the spare's zone has no member."""
     zones = [row.get("zone", "") for row in members]
     if spare["zone"] in zones:
@@ -48,7 +48,7 @@
     return row["identity"] not in warm, taken.count(row["zone"]), row["identity"]
 
 
-def warm_spares(
+def choose_standbys(
     members: list[Row], spares: list[Row], lost: list[str], warm: set[str], most: int
 ) -> list[Row]:
     """Return the spares to replicate to: one, or as many as are lost, up to `most`.
@@ -59,6 +59,6 @@
     return sorted(spares, key=lambda row: _worth(row, members, lost, warm))[:count]
 
 
-def pick_spare(members: list[Row], ready: list[Row], lost: list[str]) -> Row | None:
+def choose_replacement(members: list[Row], ready: list[Row], lost: list[str]) -> Row | None:
     """Return the ready spare whose zone has the fewest remaining members, or None."""
     return min(ready, key=lambda row: _worth(row, members, lost, set())[1:], default=None)
--- a/libs/replicated_log/src/replicated_log/membership_change.py
+++ b/libs/replicated_log/src/replicated_log/membership_change.py
@@ -20,7 +20,7 @@
         self._following = following
         self._version = -1
         self._began_ms = store.node.env.now()
-        store.holder.begin_change([row["identity"] for row in following])
+        store.leader.begin_change([row["identity"] for row in following])
 
     def tick(self) -> bool:
         """Take the next step and return whether the change has been made or given up.
@@ -28,7 +28,7 @@
         A change whose outcome isn't known is requested again until it is, as it may yet be decided.
         """
         store = self._store
-        if store.value["members"] == self._following and store.value["epoch"] == store.holder.epoch:
+        if store.value["members"] == self._following and store.value["epoch"] == store.leader.epoch:
             self._end(True)
             return True
         if self._version >= 0:
@@ -37,7 +37,7 @@
                 return True
             self._ask()
             return False
-        if store.holder.may_change():
+        if store.leader.is_change_ready():
             self._version = store.version
             self._ask()
             return False
@@ -53,19 +53,19 @@
 
     def _asked(self, outcome: str) -> None:
         if (
-            self._store.holder is not None
-            and self._store.holder.epoch == self._store.value["epoch"]
+            self._store.leader is not None
+            and self._store.leader.epoch == self._store.value["epoch"]
         ):
-            self._store.member_change_answered()
+            self._store.on_change_answered()
 
     def _end(self, made: bool) -> None:
         store = self._store
-        store.holder.end_change(made)
+        store.leader.end_change(made)
         names = sorted(row["identity"] for row in store.value["members"])
         store.node.env.log(
             "members-changed" if made else "members-change-given-back",
             "WARNING",
             members=names,
-            epoch=store.holder.epoch,
+            epoch=store.leader.epoch,
             took_ms=store.node.env.now() - self._began_ms,
         )
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -6,7 +6,12 @@
 
 from typing import Any
 
-from replicated_log.member_selection import crowded, lost_members, pick_spare, warm_spares
+from replicated_log.member_selection import (
+    choose_replacement,
+    choose_standbys,
+    member_in_shared_zone,
+    members_to_replace,
+)
 from replicated_log.membership_change import MembershipChange
 
 __all__ = ["MembershipManager"]
@@ -34,7 +39,7 @@
         """Look at the members, at most once in `pulse_ms`."""
         store = self._store
         now_ms = store.node.env.now()
-        if store.holder.epoch != store.value["epoch"]:
+        if store.leader.epoch != store.value["epoch"]:
             return
         if self._change is not None:
             self.follow_change()
@@ -62,35 +67,43 @@
 
     def _consider_replacement(self) -> None:
         store = self._store
-        holder, members, now_ms = store.holder, store.value["members"], store.node.env.now()
-        settings, retired, names = store.node.settings, self._fleet.retired_stores(), holder.members
+        leader, members, now_ms = store.leader, store.value["members"], store.node.env.now()
+        settings, retired, names = store.node.settings, self._fleet.retired_stores(), leader.members
         live = self._fleet.store_rows()
         spares = [
             row for row in live if row["identity"] not in names and row["identity"] not in retired
         ]
         silent_ms = {
-            name: now_ms - holder.peers[name].heard_ms for name in names if name in holder.peers
+            name: now_ms - leader.followers[name].last_heard_ms
+            for name in names
+            if name in leader.followers
         }
-        lost = lost_members(members, live, silent_ms, retired, settings.gone_ms)
-        warm = {name for name in holder.peers if name not in names}
-        wanted = warm_spares(members, spares, lost, warm, settings.store_faults)
-        holder.keep_spares([(row["identity"], row["address"]) for row in wanted])
-        ready = [row for row in wanted if holder.is_level(row["identity"])]
-        new = pick_spare(members, ready, lost)
+        lost = members_to_replace(members, live, silent_ms, retired, settings.gone_ms)
+        warm = {name for name in leader.followers if name not in names}
+        wanted = choose_standbys(members, spares, lost, warm, settings.store_faults)
+        leader.set_standbys([(row["identity"], row["address"]) for row in wanted])
+        ready = [row for row in wanted if leader.is_caught_up(row["identity"])]
+        new = choose_replacement(members, ready, lost)
         calm = now_ms - store.changed_ms > settings.resume_ms
-        old = lost[0] if lost else crowded(members, new) if new is not None and calm else None
+        old = (
+            lost[0]
+            if lost
+            else member_in_shared_zone(members, new)
+            if new is not None and calm
+            else None
+        )
         if new is None or old is None:
             self._wanted_ms = -1
             return
         self._wanted_ms = now_ms if self._wanted_ms < 0 else self._wanted_ms
-        if holder.waiters and now_ms - self._wanted_ms < settings.ask_ms:
+        if leader.pending_appends and now_ms - self._wanted_ms < settings.ask_ms:
             return
         if old == store.log.identity:
             self._hand_to_another()
             return
         following = [row for row in members if row["identity"] != old] + [new]
         store.node.env.log(
-            "store-replaced", "WARNING", old=old, new=new["identity"], epoch=holder.epoch
+            "store-replaced", "WARNING", old=old, new=new["identity"], epoch=leader.epoch
         )
         self._change = MembershipChange(store, following)
         self.follow_change()
@@ -103,11 +116,13 @@
     def _follower(self) -> str | None:
         """Return the successor: the member in touch, not retired, with the most of the log."""
         store = self._store
-        names = [name for name in store.holder.members if name != store.log.identity]
-        able = [name for name in names if store.holder.in_touch(name) and not self._retired(name)]
+        names = [name for name in store.leader.members if name != store.log.identity]
+        able = [
+            name for name in names if store.leader.is_responsive(name) and not self._retired(name)
+        ]
         return max(
             able,
-            key=lambda name: (store.holder.peers[name].last_seq, -names.index(name)),
+            key=lambda name: (store.leader.followers[name].last_seq, -names.index(name)),
             default=None,
         )
 
@@ -117,7 +132,11 @@
         now_ms = store.node.env.now()
         if store.log.disk.roomy(0):
             self._roomy_ms = now_ms
-        following = None if store.changing or store.holder is None else store.holder.roomier()
+        following = (
+            None
+            if store.changing or store.leader is None
+            else store.leader.member_with_disk_space()
+        )
         if (
             following is not None
             and now_ms - max(self._roomy_ms, store.changed_ms) > store.node.settings.dead_ms
@@ -130,4 +149,4 @@
         store = self._store
         following = self._follower()
         if following is not None:
-            store.claim(store.value["members"], store.old_members(), following)
+            store.claim(store.value["members"], store.recovery_members(), following)
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -44,7 +44,7 @@
 class Record(Message):
     """One record of the log as it is sent and written: a whole frame and where it lies in its file.
 
-    `bytes` is the frame, `nbytes` its length, `offset` its absolute position in `file`. The flag
+    `frame` is `size_bytes` long, `offset` its absolute position in `file`, in bytes. The flag
     TRUNCATE on the first record of a file tells the receiver to empty the file first.
     """
 
@@ -53,8 +53,8 @@
     seq: int
     file: str
     flags: int
-    nbytes: int
-    bytes: bytes
+    size_bytes: int
+    frame: bytes
     offset: int
 
     @property
@@ -88,7 +88,7 @@
     """From the holder to a follower: the records after `prev_seq`, or none as a heartbeat.
 
     The follower accepts them only if its record at `prev_seq` has the stamp (`prev_epoch`,
-    `prev_ms`). `base_seq` is the end of the recovered log of this epoch, `settled_seq` the last
+    `prev_ms`). `base_seq` is the end of the recovered log of this epoch, `committed_seq` the last
     record durable on f+1 disks. `flush` asks for a flush and a second answer after it; `probe` is
     returned as it came.
     """
@@ -99,7 +99,7 @@
     prev_epoch: int
     prev_ms: int
     records: list[bytes]
-    settled_seq: int
+    committed_seq: int
     flush: bool
     probe: int
 
@@ -109,7 +109,7 @@
 
     `ok` says that the records were taken; if not, `reason` is one of fenced, busy, gap, settled,
     full, part, installed and damaged. `last_seq` is how far the follower's log matches the
-    holder's, `flushed_seq` how far it is on its disk, `asked_seq` the place, in bytes for a part of
+    holder's, `flushed_seq` how far it is on its disk, `position` the place, in bytes for a part of
     a snapshot, that the answer is about. `roomy` says that its disk has room.
     """
 
@@ -124,8 +124,8 @@
     stamp_ms: int
     reception_ms: int
     probe: int
-    asked_seq: int
-    snap_seq: int
+    position: int
+    snapshot_seq: int
     roomy: bool
 
 
@@ -158,7 +158,7 @@
     ok: bool
     fence: int
     log_epoch: int
-    snap_seq: int
+    snapshot_seq: int
     last_seq: int
     count: int
 
@@ -178,13 +178,13 @@
 class LeaderHeartbeat(Message, wire_name="Pulse"):
     """The holder's heartbeat to the other members.
 
-    `sure` says that at least f members have answered the holder lately; `level` is how many
-    members, the holder included, have on disk what was settled one heartbeat ago.
+    `has_quorum` says that at least f members have answered the leader lately; `caught_up` is how
+    many members, the leader included, have on disk what was committed one heartbeat ago.
     """
 
     epoch: int
-    sure: bool
-    level: int
+    has_quorum: bool
+    caught_up: int
 
 
 class LeaderPoll(Message, wire_name="Poll"):
@@ -200,15 +200,15 @@
 class LeaderPollResponse(Message, wire_name="Polled"):
     """The answer to Poll.
 
-    `epoch` is the highest epoch known to the answering replica. `holds` says that it is at work as
-    the holder itself, `hears` that it receives the holder's heartbeats, `leaving` that it is
-    shutting down and won't become the holder.
+    `epoch` is the highest epoch known to the answering replica. `is_leader` says that it is at work
+    as the leader itself, `hears_leader` that it receives the leader's heartbeats, `leaving` that it
+    is shutting down and won't become the leader.
     """
 
     identity: str
     epoch: int
-    holds: bool
-    hears: bool
+    is_leader: bool
+    hears_leader: bool
     leaving: bool
 
 
--- a/libs/replicated_log/src/replicated_log/metadata_file.py
+++ b/libs/replicated_log/src/replicated_log/metadata_file.py
@@ -86,21 +86,21 @@
 
     def _write(self) -> None:
         rows, self._next = self._next, []
-        metas = [self.meta, *[wanted for wanted, _ in rows]]
+        metadata_file = [self.meta, *[wanted for wanted, _ in rows]]
         meta = self._writing = ReplicaMetadata(
             identity=self.meta.identity,
-            fence=max(row.fence for row in metas),
-            log_epoch=max(row.log_epoch for row in metas),
+            fence=max(row.fence for row in metadata_file),
+            log_epoch=max(row.log_epoch for row in metadata_file),
         )
         self._waiters = [done for _, done in rows]
 
         def kept(ok: bool) -> None:
             self._writing = None
-            waiters, self._waiters = self._waiters, []
+            pending_appends, self._waiters = self._waiters, []
             if ok:
                 self.meta = meta
-            for waiter in waiters:
-                waiter(ok)
+            for pending in pending_appends:
+                pending(ok)
             if self._next and self._writing is None:
                 self._write()
 
--- a/libs/replicated_log/src/replicated_log/pending_appends.py
+++ b/libs/replicated_log/src/replicated_log/pending_appends.py
@@ -13,7 +13,7 @@
     may or may not survive.
     """
 
-    KEPT = "kept"
+    ACKNOWLEDGED = "kept"
     FULL = "full"
     UNKNOWN = "unknown"
 
@@ -24,12 +24,12 @@
     Settled means durable on f+1 disks. `at_ms` is when the wait began.
     """
 
-    __slots__ = ("at_ms", "done", "seq", "settled")
+    __slots__ = ("at_ms", "done", "seq", "durable")
 
     def __init__(
-        self, seq: int, settled: bool, at_ms: int, done: Callable[[Outcome], None]
+        self, seq: int, durable: bool, at_ms: int, done: Callable[[Outcome], None]
     ) -> None:
         self.seq = seq
-        self.settled = settled
+        self.durable = durable
         self.at_ms = at_ms
         self.done = done
--- a/libs/replicated_log/src/replicated_log/quorums.py
+++ b/libs/replicated_log/src/replicated_log/quorums.py
@@ -21,37 +21,39 @@
 
     __slots__ = ("_change_seq", "_peers", "following", "members")
 
-    def __init__(self, members: list[str], peers: dict[str, FollowerProgress]) -> None:
+    def __init__(self, members: list[str], followers: dict[str, FollowerProgress]) -> None:
         self.members = members
         self.following: list[str] | None = None
-        self._peers = peers
+        self._peers = followers
         self._change_seq = 0
 
-    def peers_of(self, names: list[str]) -> list[FollowerProgress]:
+    def followers_of(self, names: list[str]) -> list[FollowerProgress]:
         """Return the followers in a list of identities; the holder itself is left out."""
         return [self._peers[name] for name in names if name in self._peers]
 
     def reached(self, faults: int, measure: Callable[[FollowerProgress], int]) -> int:
         """Return the highest value reached by `faults` followers in every list that counts."""
-        return min(_reached(self.peers_of(names), faults, measure) for names in self._lists())
+        return min(_reached(self.followers_of(names), faults, measure) for names in self._lists())
 
-    def settled_seq(self, faults: int, own_flushed_seq: int) -> int:
+    def committed_seq(self, faults: int, own_flushed_seq: int) -> int:
         """Return the last record that is durable on f+1 disks in every list that counts."""
         return min(
-            _settled([own_flushed_seq, *map(flushed_seq, self.peers_of(names))], faults)
+            _settled([own_flushed_seq, *map(flushed_seq, self.followers_of(names))], faults)
             for names in self._lists()
         )
 
     def _lists(self) -> list[list[str]]:
         return [self.members] if self.following is None else [self.members, self.following]
 
-    def roomy_member(self, heard_since_ms: int) -> str | None:
+    def member_with_disk_space(self, heard_since_ms: int) -> str | None:
         """Return a member under this epoch with room on its disk, heard since then, or None."""
         return next(
             (
-                peer.identity
-                for peer in self.peers_of(self.members)
-                if peer.adopted and not peer.full and peer.heard_ms >= heard_since_ms
+                follower.identity
+                for follower in self.followers_of(self.members)
+                if follower.adopted
+                and not follower.disk_full
+                and follower.last_heard_ms >= heard_since_ms
             ),
             None,
         )
@@ -63,10 +65,10 @@
         self.following = following
         self._change_seq = last_seq
 
-    def may_change(self, faults: int, own_flushed_seq: int) -> bool:
+    def is_change_ready(self, faults: int, own_flushed_seq: int) -> bool:
         """Whether f+1 of the following members, the holder included, have these records on disk."""
-        peers = self.peers_of(self.following or [])
-        return min(own_flushed_seq, _reached(peers, faults, flushed_seq)) >= self._change_seq
+        followers = self.followers_of(self.following or [])
+        return min(own_flushed_seq, _reached(followers, faults, flushed_seq)) >= self._change_seq
 
     def end_change(self, made: bool) -> None:
         """End the change: the following list is in force if it was `made`, else the present one."""
@@ -81,22 +83,22 @@
 
 
 def _reached(
-    peers: list[FollowerProgress], faults: int, measure: Callable[[FollowerProgress], int]
+    followers: list[FollowerProgress], faults: int, measure: Callable[[FollowerProgress], int]
 ) -> int:
-    values = sorted((measure(peer) for peer in peers), reverse=True)
+    values = sorted((measure(follower) for follower in followers), reverse=True)
     return values[faults - 1] if len(values) >= faults else 0
 
 
-def flushed_seq(peer: FollowerProgress) -> int:
+def flushed_seq(follower: FollowerProgress) -> int:
     """Return the last record of this epoch's log that a follower has on disk."""
-    return peer.flushed_seq if peer.adopted else 0
+    return follower.flushed_seq if follower.adopted else 0
 
 
-def held(peer: FollowerProgress) -> int:
+def held(follower: FollowerProgress) -> int:
     """Return the last record of this epoch's log that a follower has in memory."""
-    return peer.last_seq if peer.adopted else 0
+    return follower.last_seq if follower.adopted else 0
 
 
-def confirmed_probe(peer: FollowerProgress) -> int:
+def confirmed_probe(follower: FollowerProgress) -> int:
     """Return the latest probe of the holder's epoch that a follower has answered."""
-    return peer.probe
+    return follower.probe
--- a/libs/replicated_log/src/replicated_log/recovery.py
+++ b/libs/replicated_log/src/replicated_log/recovery.py
@@ -109,12 +109,12 @@
                 self._answers[self._log.identity] = started(self._log, True)
             self._consider_answers()
 
-        self._log.keep_meta(fenced, fence=self.epoch)
+        self._log.save_metadata(fenced, fence=self.epoch)
         for _, address in [member for member in self.members if member[0] != self._log.identity]:
             self._ask_start(address)
 
     def _ask_start(self, address: str) -> None:
-        def answered(message: Message | None) -> None:
+        def handle_response(message: Message | None) -> None:
             if self.state is not _State.FENCING:
                 return
             if isinstance(message, StartRecoveryResponse) and message.ok:
@@ -126,7 +126,9 @@
             else:
                 self._finish(False)
 
-        self._ask(address, StartRecovery(epoch=self.epoch), 4 * self.settings.delta_ms, answered)
+        self._ask(
+            address, StartRecovery(epoch=self.epoch), 4 * self.settings.delta_ms, handle_response
+        )
 
     def _answered(self, message: StartRecoveryResponse) -> None:
         names = [identity for identity, _ in self.members]
@@ -163,12 +165,12 @@
 
         Every later log has them too, so they stand even if this copy doesn't count as an answer.
         """
-        return [record for record in self._log.records if record.seq <= self._log.settled_seq]
+        return [record for record in self._log.records if record.seq <= self._log.committed_seq]
 
     def _reach(self) -> int:
         """Return the last sequence number of the log that has been gathered."""
         return max(
-            [self._log.settled_seq, *(records[-1].seq for records in self._records if records)]
+            [self._log.committed_seq, *(records[-1].seq for records in self._records if records)]
         )
 
     def _next_source(self) -> None:
@@ -188,10 +190,10 @@
         """
         log, seqs = self._log, []
         step = 0
-        while log.last_seq - step > log.settled_seq:
+        while log.last_seq - step > log.committed_seq:
             seqs.append(log.last_seq - step)
             step = max(1, 2 * step)
-        seqs.append(log.settled_seq)
+        seqs.append(log.committed_seq)
         stamps = [log.stamp_at(seq) or (0, 0) for seq in seqs]
 
         def fetched(message: Message | None) -> None:
@@ -273,10 +275,10 @@
                 self._finish(False)
                 return
             self._records = [
-                [record for record in records if record.seq > self._log.snap_seq]
+                [record for record in records if record.seq > self._log.snapshot_seq]
                 for records in self._records
             ]
-            self._fetch_from(address, self._log.snap_seq + 1)
+            self._fetch_from(address, self._log.snapshot_seq + 1)
 
         try:
             self._log.install(data, installed, address, lambda: self.state is _State.FETCHING)
@@ -285,37 +287,37 @@
 
     def _write(self) -> None:
         self.state = _State.WRITING
-        records = [record for record in union(self._records) if record.seq > self._log.snap_seq]
-        expected = self._log.snap_seq
+        records = [record for record in union(self._records) if record.seq > self._log.snapshot_seq]
+        expected = self._log.snapshot_seq
         for record in records:
             expected += 1
             if record.seq != expected:
                 self._finish(False)
                 return
-        same = self._log.snap_seq
+        same = self._log.snapshot_seq
         for record in records:
             if self._log.stamp_at(record.seq) != record.stamp:
                 break
             same = record.seq
-        if same < self._log.settled_seq:
+        if same < self._log.committed_seq:
             self._finish(False)
             return
-        self._log.cut_after(same)
+        self._log.truncate_after(same)
         try:
-            for record in records[same - self._log.snap_seq :]:
+            for record in records[same - self._log.snapshot_seq :]:
                 self._log.write(record, True)
         except DiskFullError:
             self._finish(False)
             return
-        self._log.secure(self._written)
+        self._log.ensure_flushed(self._written)
 
     def _written(self, ok: bool) -> None:
         if not ok:
             self._finish(False)
             return
-        self._log.keep_meta(self._finish, log_epoch=self.epoch)
+        self._log.save_metadata(self._finish, log_epoch=self.epoch)
 
-    def lacking(self) -> list[str]:
+    def unanswered(self) -> list[str]:
         """Return the members that haven't answered, or none once enough have."""
         if self._sources or len(self._answers) >= len(self.members) - self.settings.store_faults:
             return []
@@ -340,7 +342,7 @@
         ok=ok,
         fence=log.meta.fence,
         log_epoch=log.meta.log_epoch,
-        snap_seq=log.snap_seq,
+        snapshot_seq=log.snapshot_seq,
         last_seq=log.last_seq,
         count=len(log.records),
     )
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -44,9 +44,9 @@
         """Give up a takeover that has made no progress for too long."""
         store, lacks = self._store, []
         if self._recovery is not None:
-            lacks = self._recovery.lacking()
-        elif store.holder is not None:
-            lacks = [name for name in store.holder.members if not store.holder.in_touch(name)]
+            lacks = self._recovery.unanswered()
+        elif store.leader is not None:
+            lacks = [name for name in store.leader.members if not store.leader.is_responsive(name)]
         self._failed("takeover-stuck", lacks, store.value["epoch"])
         store.step_down("stuck", 0)
 
@@ -63,9 +63,9 @@
     def warn_if_unserved(self, names: list[str], watch: LeaderFailureDetector) -> None:
         """Log a warning while no holder is heard and too few members answer to elect one."""
         store, settings, now_ms = self._store, self._store.node.settings, self._store.node.env.now()
-        lacks = watch.lacking(names)
+        lacks = watch.unanswered(names)
         if (
-            watch.quiet_ms >= settings.force_ms
+            watch.silent_ms >= settings.force_ms
             and len(lacks) > settings.store_faults
             and now_ms - self._warned_ms >= settings.resume_ms
         ):
@@ -76,7 +76,7 @@
         """Recover the log under an epoch that the control key assigns to this store."""
         store = self._store
         store.become(Role.RECOVERING, epoch)
-        store.pulse()
+        store.send_heartbeat()
         prev = [(row["identity"], row["address"]) for row in store.value["prev"]]
 
         def recovered(ok: bool) -> None:
@@ -84,11 +84,11 @@
                 return
             recovery, self._recovery = self._recovery, None
             if not ok:
-                self._failed("recovery-failed", recovery.lacking(), epoch)
+                self._failed("recovery-failed", recovery.unanswered(), epoch)
                 store.become(Role.PEER, epoch)
                 return
             members = [(row["identity"], row["address"]) for row in store.value["members"]]
-            store.holder = Leader(
+            store.leader = Leader(
                 store.log,
                 epoch,
                 members,
@@ -100,7 +100,7 @@
                 self._adopted,
             )
             store.become(Role.ADOPTING, epoch)
-            store.holder.tick()
+            store.leader.tick()
 
         self._recovery = Recovery(
             store.log,
@@ -117,7 +117,7 @@
         store = self._store
         if store.role is not Role.ADOPTING:
             return
-        epoch = store.holder.epoch
+        epoch = store.leader.epoch
         if store.value["members"] == store.value["prev"]:
             self._serve(epoch)
             return
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -137,9 +137,9 @@
         serving = [
             host
             for host in self.with_role("store")
-            if host.up and host.node.log.holder is not None and host.node.log.role == "serving"
+            if host.up and host.node.log.leader is not None and host.node.log.role == "serving"
         ]
-        return max(serving, key=lambda host: host.node.log.holder.epoch, default=None)
+        return max(serving, key=lambda host: host.node.log.leader.epoch, default=None)
 
     def start_sampling(self) -> None:
         """Record free capacity, each edge's state and each holder's waiting room every 100 ms."""
@@ -164,7 +164,7 @@
                     mark=_mark(host.node.tree()),
                 )
         for host in self.with_role("store"):
-            holder = host.node.log.holder if host.up and not host.frozen else None
+            holder = host.node.log.leader if host.up and not host.frozen else None
             if holder is not None and not holder.deposed:
                 paths = {job.path for job in holder.state.open_jobs.values()}
                 for path in sorted(paths):
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -88,12 +88,12 @@
                 _DELAY_S,
                 stores[to].peer.receive,
                 message,
-                lambda receipt: loop.call_later(_DELAY_S, holder.answered, receipt, to),
+                lambda receipt: loop.call_later(_DELAY_S, holder.handle_response, receipt, to),
             )
 
         own = stores["a"].log
         ready = loop.create_future()
-        own.keep_meta(lambda ok: ready.set_result(ok), fence=1, log_epoch=1)
+        own.save_metadata(lambda ok: ready.set_result(ok), fence=1, log_epoch=1)
         await ready
         holder = Leader(
             own,
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -37,7 +37,7 @@
     def state(self) -> Any:
         return self.log.state
 
-    settled = state
+    committed_state = state
 
     def now(self) -> int:
         return time.monotonic_ns() // 1_000_000
@@ -45,7 +45,7 @@
     def log_line(self, *words: Any, **fields: Any) -> None:
         return None
 
-    def append(self, rows: list[Any], settled: bool, done: Any, urgent: bool = False) -> bool:
+    def append(self, rows: list[Any], durable: bool, done: Any, urgent: bool = False) -> bool:
         for row in rows:
             self.state.apply(row)
         done("kept")
@@ -120,15 +120,15 @@
             for row in _job(rng, number, body_bytes, True):
                 log.write(log.make((1, log.last_stamp[1] + 1), encode(row)))
             log.flushed_seq = log.last_seq
-            log.settle(log.last_seq)
+            log.commit(log.last_seq)
             if number % 100 == 99:
                 began_at = time.perf_counter()
-                log.tidy()
+                log.maintain_snapshot()
                 worst_ms = max(worst_ms, (time.perf_counter() - began_at) * 1000)
                 _wait(disk, lambda: not log.busy())
                 log.received_ms = [-1 << 40] * (len(log.records) - 1) + log.received_ms[-1:]
                 log.trim()
-        log.tidy(True)
+        log.maintain_snapshot(True)
         _wait(disk, lambda: not log.busy())
         del log.records[:-1], log.received_ms[:-1]
         gc.collect()
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -54,7 +54,7 @@
     def work() -> None:
         for _ in range(count):
             fleet.meter.run(
-                host.address, "append", host.node.log.holder.append, [entry], True, done.append
+                host.address, "append", host.node.log.leader.append, [entry], True, done.append
             )
             fleet.time.run_until(fleet.time.now_ms + 2)
         fleet.run_until_true(lambda: len(done) == count, 8000)
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -22,13 +22,13 @@
     ),
     "receipts before anything is settled": (
         "replicated_log/src/replicated_log/leader.py",
-        "if waiter.settled or self._now()",
+        "if pending.durable or self._now()",
         "if self._now()",
         _LOG + "cut_from_power",
     ),
     "acknowledged with one copy": (
         "replicated_log/src/replicated_log/leader.py",
-        "return waiter.seq <= held_seq",
+        "return pending.seq <= replicated_seq",
         "return True",
         _LOG + "f_peers",
     ),
@@ -40,8 +40,8 @@
     ),
     "a stale holder goes on": (
         "replicated_log/src/replicated_log/follower.py",
-        'if message.epoch < log.meta.fence:\n            reply(self._receipt(message.probe, False, "fenced"))',
-        'if False:\n            reply(self._receipt(message.probe, False, "fenced"))',
+        'if message.epoch < log.meta.fence:\n            reply(self._send_response(message.probe, False, "fenced"))',
+        'if False:\n            reply(self._send_response(message.probe, False, "fenced"))',
         _LOG + "stale_holder",
     ),
     "answers of an old log count": (
@@ -111,8 +111,8 @@
     ),
     "a holder that hears nobody is believed": (
         "replicated_log/src/replicated_log/log_replica.py",
-        "sure=self._at_work(), level",
-        "sure=True, level",
+        "has_quorum=self._is_leading(), caught_up",
+        "has_quorum=True, caught_up",
         "tests/test_holders.py -k hears_nobody",
     ),
     "a tail that is no longer shared is kept": (
@@ -135,7 +135,7 @@
     ),
     "only the first in order holds": (
         "replicated_log/src/replicated_log/failure_detector.py",
-        "return now_ms - self._ripe_ms >= willing.index(self._own) * settings.pulse_ms",
+        "return now_ms - self._eligible_since_ms >= willing.index(self._own) * settings.pulse_ms",
         "return self._own == names[0]",
         _MEMBERS + "swapped",
     ),
@@ -159,7 +159,7 @@
     ),
     "a change asked for before the new members are level": (
         "replicated_log/src/replicated_log/membership_change.py",
-        "if store.holder.may_change():",
+        "if store.leader.is_change_ready():",
         "if True:",
         "tests/test_member_change.py -k level_before",
     ),
@@ -177,7 +177,7 @@
     ),
     "a leaving member gives up a copy that is needed": (
         "replicated_log/src/replicated_log/log_replica.py",
-        "needed = self._level_told - 1 < self.node.settings.store_faults + 1",
+        "needed = self._caught_up_reported - 1 < self.node.settings.store_faults + 1",
         "needed = False",
         "tests/test_second_losses.py -k leaving",
     ),
@@ -189,7 +189,7 @@
     ),
     "an append overwrites what is settled": (
         "replicated_log/src/replicated_log/follower.py",
-        "if fresh and same < log.settled_seq:",
+        "if fresh and same < log.committed_seq:",
         "if False:",
         "tests/test_recovery.py -k contradicts",
     ),
--- a/tests/forward_ledger_stage.py
+++ b/tests/forward_ledger_stage.py
@@ -25,11 +25,11 @@
 
     def __init__(self):
         self.epoch, self.deposed = 1, False
-        self.state, self.settled = BatchState(), BatchState()
+        self.state, self.committed_state = BatchState(), BatchState()
         self.full = self.by_hand = False
         self.unsettled = []
 
-    def append(self, rows, settled, done, urgent=False):
+    def append(self, rows, durable, done, urgent=False):
         if self.full and not urgent:
             done("full")
             return False
@@ -44,7 +44,7 @@
         rows, self.unsettled = self.unsettled, []
         for entries, done in rows:
             for row in entries:
-                self.settled.apply(decode(encode(row)))
+                self.committed_state.apply(decode(encode(row)))
             done("kept")
 
     def read(self, done):
@@ -89,7 +89,7 @@
         )
         self.holder = AloneHolder()
         self.desk = BatchService(
-            lambda: self.profiles, lambda: (9, "10.0.0.9:1"), lambda: self.holder.settled
+            lambda: self.profiles, lambda: (9, "10.0.0.9:1"), lambda: self.holder.committed_state
         )
         self.desk.attach(node)
         self.desk.take_holder(self.holder)
--- a/tests/log_table.py
+++ b/tests/log_table.py
@@ -43,7 +43,7 @@
         self.disks = {}
         self.machines = {}
         self.logs = {}
-        self.peers = {}
+        self.followers = {}
         self.cut = set()
         self.holder = None
         self.deposed_by = []
@@ -56,7 +56,7 @@
         self.machines[name] = Machine()
         self.disks[name].bind(self.machines[name])
         self.logs[name] = LocalLog(self.disks[name], PARAMS, self.now, lambda: token or name)
-        self.peers[name] = Follower(self.logs[name])
+        self.followers[name] = Follower(self.logs[name])
 
     def now(self):
         return int(self.time.now_ms)
@@ -65,7 +65,7 @@
         return [(self.logs[name].identity, name) for name in ("a", "b", "c")]
 
     def hold(self, name, epoch, members=None):
-        self.logs[name].keep_meta(lambda ok: None, fence=epoch, log_epoch=epoch)
+        self.logs[name].save_metadata(lambda ok: None, fence=epoch, log_epoch=epoch)
         self.run(10)
         self.holder = Leader(
             self.logs[name],
@@ -83,20 +83,21 @@
     def post(self, to, message):
         if to not in self.cut:
             self.time.after(
-                1, lambda: self.peers[to].receive(message, lambda receipt: self.back(to, receipt))
+                1,
+                lambda: self.followers[to].receive(message, lambda receipt: self.back(to, receipt)),
             )
 
     def back(self, sender, receipt):
         if sender not in self.cut:
             self.time.after(
-                1, lambda: self.holder.answered(receipt, sender) if self.holder else None
+                1, lambda: self.holder.handle_response(receipt, sender) if self.holder else None
             )
 
     def ask(self, to, message, wait_ms, done):
         if to in self.cut:
             self.time.after(wait_ms, lambda: done(None))
         else:
-            self.time.after(1, lambda: self.peers[to].receive(message, done))
+            self.time.after(1, lambda: self.followers[to].receive(message, done))
 
     def run(self, for_ms):
         end_ms = self.time.now_ms + for_ms
@@ -105,9 +106,9 @@
             if self.holder is not None:
                 self.holder.tick()
 
-    def append(self, key, settled=False):
+    def append(self, key, durable=False):
         outcomes = []
-        self.holder.append([entry(key)], settled, outcomes.append)
+        self.holder.append([entry(key)], durable, outcomes.append)
         return outcomes
 
     def recover(self, name, epoch, members=None):
@@ -127,7 +128,7 @@
         return outcome
 
     def keys(self, name):
-        return [decode(decode(record.bytes[8:]).body).key for record in self.logs[name].records]
+        return [decode(decode(record.frame[8:]).body).key for record in self.logs[name].records]
 
 
 def entry(key):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -85,7 +85,7 @@
                 self.copied(node), Settings.model_construct(), lambda: 1000, lambda: "new"
             )
             state = b"".join(log.state.encoded())
-            records = b"".join(record.bytes for record in log.records)
+            records = b"".join(record.frame for record in log.records)
             archived_jobs = [job for job in log.state.jobs.values() if job.shelf is not None]
             archived_keys = [
                 (name, key) for name, key in log.state.keys.items() if key.shelf is not None
@@ -96,7 +96,7 @@
                     "identity": log.identity,
                     "first_seq": log.first_seq,
                     "last_seq": log.last_seq,
-                    "snapshot_seq": log.snap_seq,
+                    "snapshot_seq": log.snapshot_seq,
                     "metadata": encode(log.meta).hex(),
                     "jobs": {
                         name: [job.total, job.shelf is not None]
@@ -108,11 +108,11 @@
                     "records_sha256": sha256(records),
                     "records": len(log.records),
                     "archived_results": {
-                        job.job_id: sha256(repr(log.shelves.results(job, 0, 1000)).encode())
+                        job.job_id: sha256(repr(log.archive.read_results(job, 0, 1000)).encode())
                         for job in archived_jobs
                     },
                     "archived_answers": {
-                        name: log.shelves.receipt(key) for name, key in archived_keys
+                        name: log.archive.read_answer(key) for name, key in archived_keys
                     },
                 },
                 Equals(row),
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -27,15 +27,15 @@
 WHOLE_CHANGE = LogReplica.change
 
 
-def settled_here(self, waiter, held_seq):
+def settled_here(self, pending, replicated_seq):
     """The holder's own disk is enough."""
-    return waiter.seq <= self._log.flushed_seq
+    return pending.seq <= self._log.flushed_seq
 
 
 class Unsettled:
     """A log that doesn't know what is settled, so that nothing is refused for contradicting it."""
 
-    settled_seq = 0
+    committed_seq = 0
 
     def __init__(self, log):
         self._log = log
@@ -85,8 +85,8 @@
     WHOLE_CHANGE(self, body, changed)
 
 
-def kept_at_once(self, entries, settled, done, urgent=False):
-    done(Outcome.KEPT)
+def kept_at_once(self, entries, durable, done, urgent=False):
+    done(Outcome.ACKNOWLEDGED)
     return True
 
 
@@ -95,7 +95,7 @@
     return [self.members]
 
 
-def may_change_at_once(self, faults, own_flushed_seq):
+def change_ready_at_once(self, faults, own_flushed_seq):
     """The control key is changed before the following members have what was acknowledged."""
     return True
 
@@ -118,12 +118,12 @@
         ("L2",),
     ),
     "a change before its members have the log": (
-        (Quorums, "may_change", may_change_at_once),
+        (Quorums, "is_change_ready", change_ready_at_once),
         "gone-behind",
         ("L2",),
     ),
     "the same, a member leaves": (
-        (Quorums, "may_change", may_change_at_once),
+        (Quorums, "is_change_ready", change_ready_at_once),
         "retired-behind",
         ("L2",),
     ),
@@ -145,7 +145,7 @@
         for start in CHANGE_STARTS:
             explorer = Explorer(STARTS[start].world())
             store = explorer.local.run(explorer.first().nodes[1]).node.components[0]
-            following = store.holder._quorums.following
+            following = store.leader._quorums.following
             new = "store-n2-2-1" if start.startswith("returned") else "store-n4"
             self.assertThat(following, Equals(["store-n1", "store-n3", new]), start)
 
--- /dev/null
+++ b/tests/test_failure_detector.py
@@ -0,0 +1,196 @@
+"""When a member of the log claims its leadership: silence, the others' answers and their order."""
+
+from replicated_log.failure_detector import LeaderFailureDetector
+from replicated_log.messages import LeaderPollResponse
+from runtime import Settings
+from testtools import TestCase
+from testtools.matchers import Equals
+
+SETTINGS = Settings(
+    role="store",
+    link="10.0.0.1:1",
+    http="10.0.0.1:2",
+    zone="z",
+    seeds=["10.0.0.1:1"],
+    data_folder="d",
+)
+NAMES = ["a", "b", "c", "d", "e"]
+
+
+class Clock:
+    def __init__(self):
+        self.now_ms = 0
+
+    def __call__(self):
+        return self.now_ms
+
+
+def poll_response(name, epoch=7, is_leader=False, hears_leader=False, leaving=False):
+    return LeaderPollResponse(
+        identity=name,
+        epoch=epoch,
+        is_leader=is_leader,
+        hears_leader=hears_leader,
+        leaving=leaving,
+    )
+
+
+class ClaimOfLeadership(TestCase):
+    def make_detector(self, own="b", faults=1):
+        self.now = Clock()
+        return LeaderFailureDetector(
+            own, SETTINGS.model_copy(update={"store_faults": faults}), self.now
+        )
+
+    def pass_silence(self, detector, for_ms, step_ms=25):
+        for _ in range(for_ms // step_ms):
+            self.now.now_ms += step_ms
+            detector.tick()
+
+    def claims(
+        self,
+        answers,
+        silent_ms=500,
+        own="b",
+        names=("a", "b", "c"),
+        leader="a",
+        retired=(),
+        faults=1,
+        after_ms=0,
+    ):
+        detector = self.make_detector(own, faults)
+        self.pass_silence(detector, silent_ms)
+        for answer in answers:
+            detector.handle_poll_response(answer, leader)
+        claimed = detector.should_claim(list(names), leader, 7, list(retired))
+        if after_ms and not claimed:
+            self.pass_silence(detector, after_ms)
+            for answer in answers:
+                detector.handle_poll_response(answer, leader)
+            claimed = detector.should_claim(list(names), leader, 7, list(retired))
+        return claimed
+
+    def test_when_leadership_is_claimed(self):
+        for wanted, why, answers, more in (
+            (True, "silence, and another agrees", [poll_response("c")], {}),
+            (False, "nobody answers", [], {}),
+            (False, "not silent for long enough", [poll_response("c")], {"silent_ms": 350}),
+            (False, "another hears the leader", [poll_response("c", hears_leader=True)], {}),
+            (
+                False,
+                "the leader answers that it is at work",
+                [poll_response("a", is_leader=True), poll_response("c")],
+                {},
+            ),
+            (
+                True,
+                "the leader answers that it isn't, though just heard",
+                [poll_response("a"), poll_response("c")],
+                {"silent_ms": 50, "after_ms": 100},
+            ),
+            (
+                False,
+                "a leader that hasn't heard of its duty is waited for",
+                [poll_response("a", epoch=6), poll_response("c")],
+                {"silent_ms": 50},
+            ),
+            (False, "somebody knows of a later epoch", [poll_response("c", epoch=8)], {}),
+            (False, "the other one goes first", [poll_response("b")], {"own": "c"}),
+            (
+                True,
+                "the other one went first, in vain",
+                [poll_response("b")],
+                {"own": "c", "after_ms": 100},
+            ),
+            (
+                True,
+                "the other one is on its way out",
+                [poll_response("b", leaving=True)],
+                {"own": "c"},
+            ),
+            (
+                True,
+                "the other one is retired",
+                [poll_response("b")],
+                {"own": "c", "retired": ["b"]},
+            ),
+            (
+                False,
+                "a retired one stands back",
+                [poll_response("c")],
+                {"retired": ["b"], "after_ms": 500},
+            ),
+            (
+                True,
+                "a retired one serves if there is no other",
+                [poll_response("c", leaving=True)],
+                {"retired": ["b"]},
+            ),
+            (
+                True,
+                "named the leader and not at work",
+                [poll_response("b")],
+                {"own": "a", "silent_ms": 25},
+            ),
+            (False, "named the leader, with nobody in touch", [], {"own": "a"}),
+            (False, "two of five are too few", [poll_response("c")], {"names": NAMES, "faults": 2}),
+            (
+                True,
+                "three of five are enough",
+                [poll_response("c"), poll_response("d")],
+                {"names": NAMES, "faults": 2},
+            ),
+            (
+                True,
+                "one that hears the leader isn't enough for it",
+                [poll_response("c"), poll_response("d"), poll_response("e", hears_leader=True)],
+                {"names": NAMES, "faults": 2},
+            ),
+            (
+                False,
+                "two that hear the leader are",
+                [
+                    poll_response("c"),
+                    poll_response("d", hears_leader=True),
+                    poll_response("e", hears_leader=True),
+                ],
+                {"names": NAMES, "faults": 2},
+            ),
+            (False, "answers of strangers", [poll_response("x"), poll_response("y")], {}),
+        ):
+            self.assertThat((why, self.claims(answers, **more)), Equals((why, wanted)))
+
+    def test_a_store_that_stood_still_itself_suspects_nobody(self):
+        detector = self.make_detector()
+        self.now.now_ms += 5000
+        detector.tick()
+        self.assertThat(
+            (detector.silent_ms <= SETTINGS.pulse_ms, detector.hears_leader), Equals((True, True))
+        )
+
+    def test_a_heartbeat_ends_the_suspicion(self):
+        detector = self.make_detector()
+        self.pass_silence(detector, 500)
+        detector.handle_poll_response(poll_response("c"), "a")
+        detector.handle_heartbeat()
+        self.assertThat(detector.should_claim(["a", "b", "c"], "a", 7, []), Equals(False))
+
+    def test_old_answers_do_not_count(self):
+        detector = self.make_detector()
+        self.pass_silence(detector, 300)
+        detector.handle_poll_response(poll_response("c"), "a")
+        self.pass_silence(detector, 300)
+        self.assertThat(detector.should_claim(["a", "b", "c"], "a", 7, []), Equals(False))
+
+    def test_an_ended_process_is_suspected_at_once(self):
+        detector = self.make_detector()
+        detector.process_ended()
+        detector.handle_poll_response(poll_response("c"), "a")
+        self.assertThat(detector.should_claim(["a", "b", "c"], "a", 7, []), Equals(True))
+
+    def test_polls_are_as_far_apart_as_heartbeats(self):
+        detector, asked = self.make_detector(), 0
+        for _ in range(40):
+            self.pass_silence(detector, 25)
+            asked += detector.should_poll(False)
+        self.assertThat(asked, Equals((1000 - SETTINGS.doubt_ms) // SETTINGS.pulse_ms + 1))
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -33,7 +33,7 @@
 
     def settle(self, fleet, host, key):
         outcomes = []
-        host.node.log.holder.append(
+        host.node.log.leader.append(
             [entries.KeyOpened(key=key, digest="d", edge="e", transaction="t", at_ms=0)],
             True,
             outcomes.append,
@@ -97,14 +97,14 @@
         )
 
     def test_a_leaving_holder_hands_over(self):
-        took_ms = self.interruption(lambda fleet, host: host.node.log.hand_over(), 1)
+        took_ms = self.interruption(lambda fleet, host: host.node.log.start_leaving(), 1)
         self.assertThat(took_ms < 100, Equals(True))
 
     def test_all_stores_leave_one_after_another(self):
         run, fleet = self.founded(3)
         for host in fleet.with_role("store"):
-            host.node.log.hand_over()
-            self.until(fleet, lambda host=host: not host.node.log.handing_over(), 3000)
+            host.node.log.start_leaving()
+            self.until(fleet, lambda host=host: not host.node.log.must_stay(), 3000)
             host.kill()
             fleet.time.after(800, host.start)
             self.assertThat(
@@ -117,30 +117,30 @@
     def test_who_is_cut_off_from_the_holder_alone_leaves_it_alone(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         other = next(host for host in fleet.with_role("store") if host is not holder)
         fleet.network.partition(holder.address, other.address)
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
         self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
 
     def test_a_member_cut_off_from_the_other_stores_claims_nothing(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         other = next(host for host in fleet.with_role("store") if host is not holder)
         self.cut_from(fleet, other, "store")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_the_log_goes_on_without_control(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         for host in fleet.with_role("control"):
             host.kill()
         for number in range(6):
@@ -150,24 +150,24 @@
             host.start()
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_a_holder_cut_off_from_control_alone_goes_on(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         self.cut_from(fleet, holder, "control")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_short_stops_and_slow_links_change_no_holder(self):
         run, fleet = self.founded()
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         for host in fleet.with_role("store"):
             fleet.network.slow_ms[host.address] = 60.0
         for number in range(30):
@@ -176,7 +176,7 @@
             fleet.time.after(220, host.wake)
             fleet.run_until_true(lambda: False, 400)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_a_whole_restart_serves_in_time(self):
--- a/tests/test_log_conformance.py
+++ b/tests/test_log_conformance.py
@@ -21,7 +21,7 @@
         before = self.table.disks["a"].flushes
         outcomes = self.table.append("k1")
         self.table.run(20)
-        self.assertThat(outcomes, Equals([Outcome.KEPT]))
+        self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
         self.assertThat(self.table.disks["a"].flushes, Equals(before))
         self.assertThat(self.table.logs["a"].flushed_seq, Equals(0))
 
@@ -29,9 +29,9 @@
         for key in ("k1", "k2"):
             self.table.append(key)
         first, second = self.table.logs["a"].records
-        self.assertThat([first.offset, second.offset], Equals([0, first.nbytes]))
+        self.assertThat([first.offset, second.offset], Equals([0, first.size_bytes]))
         self.assertThat(
-            [len(first.bytes), len(second.bytes)], Equals([first.nbytes, second.nbytes])
+            [len(first.frame), len(second.frame)], Equals([first.size_bytes, second.size_bytes])
         )
         self.assertThat(first.file, Equals(second.file))
         self.assertThat(second.stamp, GreaterThan(first.stamp))
@@ -50,7 +50,7 @@
         outcomes = self.table.append("k1")
         self.assertThat(outcomes, Equals([]))
         self.table.run(10)
-        self.assertThat(outcomes, Equals([Outcome.KEPT]))
+        self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
         self.assertThat(self.table.logs["b"].flushed_seq, Equals(0))
         self.table.cut.add("b")
         alone = self.table.append("k2")
@@ -62,7 +62,7 @@
         self.table.run(10)
         receipts = []
         log = self.table.logs["a"]
-        self.table.peers["b"].receive(
+        self.table.followers["b"].receive(
             AppendRequest(
                 epoch=1,
                 base_seq=0,
@@ -70,7 +70,7 @@
                 prev_epoch=1,
                 prev_ms=log.records[0].stamp_ms,
                 records=[],
-                settled_seq=0,
+                committed_seq=0,
                 flush=False,
                 probe=9,
             ),
@@ -90,7 +90,9 @@
         self.assertThat((self.table.logs["a"].flushed_seq, outcomes), Equals((1, [])))
         self.table.cut.discard("b")
         self.table.run(250)
-        self.assertThat((outcomes, self.table.logs["b"].flushed_seq), Equals(([Outcome.KEPT], 1)))
+        self.assertThat(
+            (outcomes, self.table.logs["b"].flushed_seq), Equals(([Outcome.ACKNOWLEDGED], 1))
+        )
 
     def test_one_disk_is_never_enough(self):
         self.table.cut.update(("b", "c"))
@@ -108,26 +110,26 @@
         outcomes = self.table.append("k2")
         self.table.run(15)
         self.assertThat(
-            (outcomes, self.table.disks["b"].flushes), Equals(([Outcome.KEPT], flushes))
+            (outcomes, self.table.disks["b"].flushes), Equals(([Outcome.ACKNOWLEDGED], flushes))
         )
 
     def test_background_flush_within_tau(self):
         self.table.append("k1")
         self.table.run(PARAMS.flush_ms + 200)
         self.assertThat(
-            (self.table.logs["a"].settled_seq, self.table.logs["b"].flushed_seq), Equals((1, 1))
+            (self.table.logs["a"].committed_seq, self.table.logs["b"].flushed_seq), Equals((1, 1))
         )
 
     def test_peer_discards_below_k_tau_only_what_a_snapshot_has(self):
         log = self.table.logs["b"]
-        self.table.append("k1", settled=True)
+        self.table.append("k1", durable=True)
         self.table.run(50)
         self.table.run(int(PARAMS.keep_factor * PARAMS.flush_ms) + 500)
-        self.table.append("k2", settled=True)
+        self.table.append("k2", durable=True)
         self.table.run(300)
         log.trim()
         self.assertThat(self.table.keys("b"), Equals(["k1", "k2"]))
-        log.tidy(force=True)
+        log.maintain_snapshot(force=True)
         self.table.run(50)
         self.assertThat(self.table.keys("b"), Equals(["k2"]))
         self.assertThat(sorted(log.state.keys), Equals(["k1", "k2"]))
@@ -153,12 +155,12 @@
     def test_answers_count_and_fetches_all(self):
         table = self.grown()
         answers = []
-        table.peers["b"].receive(StartRecovery(epoch=2), answers.append)
+        table.followers["b"].receive(StartRecovery(epoch=2), answers.append)
         table.run(20)
         self.assertThat(
             (answers[0].count, answers[0].last_seq, answers[0].ok), Equals((3, 3, True))
         )
-        table.peers["b"].receive(FetchRecords(epoch=2, from_seq=1, offset=0), answers.append)
+        table.followers["b"].receive(FetchRecords(epoch=2, from_seq=1, offset=0), answers.append)
         self.assertThat([decode(row).seq for row in answers[1].records], Equals([1, 2, 3]))
 
     def test_duplicates_dropped_by_stamp_and_replayed_in_stamp_order(self):
@@ -207,7 +209,7 @@
         log = table.logs["b"]
         before = table.disks["b"].read(log.records[0].file)
         for record in log.records[1:]:
-            table.disks["b"].write(record.file, record.offset, record.bytes)
+            table.disks["b"].write(record.file, record.offset, record.frame)
         self.assertThat(table.disks["b"].read(log.records[0].file), Equals(before))
 
 
@@ -237,7 +239,7 @@
         self.assertThat((outcomes, table.deposed_by[:1]), Equals(([Outcome.UNKNOWN], [2])))
         receipts = []
         late = table.logs["a"].records[-1]
-        table.peers["c"].receive(
+        table.followers["c"].receive(
             AppendRequest(
                 epoch=1,
                 base_seq=0,
@@ -245,7 +247,7 @@
                 prev_epoch=0,
                 prev_ms=0,
                 records=[encode(late)],
-                settled_seq=0,
+                committed_seq=0,
                 flush=False,
                 probe=0,
             ),
@@ -263,7 +265,7 @@
         table.disks["b"].flush_ms = 150.0
         receipts = []
         for probe in range(100):
-            table.peers["b"].receive(
+            table.followers["b"].receive(
                 AppendRequest(
                     epoch=2,
                     base_seq=0,
@@ -271,7 +273,7 @@
                     prev_epoch=0,
                     prev_ms=0,
                     records=[],
-                    settled_seq=0,
+                    committed_seq=0,
                     flush=False,
                     probe=probe,
                 ),
@@ -301,9 +303,9 @@
         table.hold("a", 1)
         table.run(300)
         table.cut.add("c")
-        outcomes = table.append("k1", settled=True)
+        outcomes = table.append("k1", durable=True)
         table.run(100)
-        self.assertThat(outcomes, Equals([Outcome.KEPT]))
+        self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
         members = table.members()
         table.disks["a"].wipe()
         table.cut = {"a"}
@@ -322,7 +324,7 @@
                 outcomes = table.append("k1", settled)
                 while not outcomes:
                     table.run(1)
-                self.assertThat(outcomes, Equals([Outcome.KEPT]))
+                self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
                 for name in ("a", "b", "c"):
                     table.machines[name].up = False
                     table.disks[name].lose_power()
@@ -346,7 +348,7 @@
         self.assertThat(table.recover("b", 2), Equals([True]))
         table.hold("b", 2)
         table.run(300)
-        table.append("k2", settled=True)
+        table.append("k2", durable=True)
         table.run(100)
         table.cut = {"b"}
         self.assertThat(table.recover("c", 3), Equals([True]))
@@ -359,9 +361,9 @@
         table.hold("a", 1)
         table.run(300)
         table.cut.update(("b", "c"))
-        table.holder.learn("store-x", "x")
-        table.peers["x"] = table.peers["b"]
+        table.holder.add_learner("store-x", "x")
+        table.followers["x"] = table.followers["b"]
         table.logs["b"].meta.identity = "store-x"
-        outcomes = table.append("k1", settled=True)
+        outcomes = table.append("k1", durable=True)
         table.run(PARAMS.ask_ms + 100)
         self.assertThat(outcomes, Equals([Outcome.UNKNOWN]))
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -15,7 +15,7 @@
         table.hold("a", 1)
         table.run(300)
         for key in ("k1", "k2", "k3"):
-            table.append(key, settled=True)
+            table.append(key, durable=True)
             table.run(50)
         return table, table.logs["a"].records[0].file
 
@@ -35,7 +35,7 @@
 
     def test_damaged_snapshot_is_refused(self):
         table, _ = self.one()
-        table.logs["a"].tidy(force=True)
+        table.logs["a"].maintain_snapshot(force=True)
         table.run(50)
         table.disks["a"].damage("snapshot", 20)
         self.assertRaises(DamageError, table.open, "a")
@@ -43,47 +43,47 @@
     def test_full_disk_refuses_and_recovers_with_room_kept_back(self):
         table, _ = self.one()
         for place in range(20):
-            table.append(f"more{place}", settled=True)
+            table.append(f"more{place}", durable=True)
         table.run(100)
         disk = table.disks["a"]
         used = sum(len(disk.read(name)) for name in disk.names())
         room, disk.room_bytes = disk.room_bytes, int(used / (1 - KEPT_BACK)) - 1
-        self.assertThat(table.append("full", settled=True), Equals([Outcome.FULL]))
+        self.assertThat(table.append("full", durable=True), Equals([Outcome.FULL]))
         ended = []
         table.holder.append(
             [entries.JobCancelled(job_id="x", at_ms=0)], True, ended.append, urgent=True
         )
         table.run(50)
-        self.assertThat(ended, Equals([Outcome.KEPT]))
+        self.assertThat(ended, Equals([Outcome.ACKNOWLEDGED]))
         disk.room_bytes = room
-        outcomes = table.append("again", settled=True)
+        outcomes = table.append("again", durable=True)
         table.run(50)
-        self.assertThat(outcomes, Equals([Outcome.KEPT]))
+        self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
     def test_peer_with_a_snapshot_ahead_of_the_holders_is_met_at_it(self):
         table, _ = self.one()
-        table.logs["b"].tidy(force=True)
+        table.logs["b"].maintain_snapshot(force=True)
         table.run(50)
         table.logs["b"].received_ms = [-(10**6)] * 3
         table.open("b")
-        table.holder.peers["store-b"].next_seq = 2
+        table.holder.followers["store-b"].next_seq = 2
         sent = []
         plain = table.post
         table.holder._post = lambda to, message: (sent.append(to), plain(to, message))
-        outcomes = table.append("k4", settled=True)
+        outcomes = table.append("k4", durable=True)
         table.run(200)
         self.assertThat(
             (outcomes, table.logs["b"].last_seq, sent.count("b") < 20),
-            Equals(([Outcome.KEPT], 4, True)),
+            Equals(([Outcome.ACKNOWLEDGED], 4, True)),
         )
 
     def test_trimmed_log_is_mended_by_a_snapshot(self):
         table, _ = self.one()
         for name in ("a", "b"):
             table.logs[name].received_ms = [-(10**6)] * 3
-            table.logs[name].tidy(force=True)
+            table.logs[name].maintain_snapshot(force=True)
         table.run(50)
-        table.append("k4", settled=True)
+        table.append("k4", durable=True)
         table.run(50)
         table.logs["a"].received_ms = [-(10**6)] * 3 + [table.now()]
         table.logs["a"].trim()
@@ -92,7 +92,7 @@
         table.run(1500)
         self.assertThat(sorted(table.logs["c"].state.keys), Equals(["k1", "k2", "k3", "k4"]))
         self.assertThat(table.logs["c"].meta.log_epoch, Equals(1))
-        table.append("k5", settled=True)
+        table.append("k5", durable=True)
         table.run(200)
         before = (table.logs["c"].last_seq, table.logs["c"].flushed_seq)
         table.open("c")
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -36,7 +36,7 @@
                 safe=True,
                 due_ms=0,
                 holder_ms=node.env.now() - age_ms,
-                epoch=epoch or node.log.holder.epoch,
+                epoch=epoch or node.log.leader.epoch,
             ),
         ).outcome
 
@@ -122,7 +122,7 @@
     def test_all_finished_and_the_edge_with_the_listing_lease_lost(self):
         run, fleet = self.founded()
         run.clients.submit("summaries", 1)
-        state = fleet.leader().node.log.holder.state
+        state = fleet.leader().node.log.leader.state
         self.wait(fleet, lambda: state.jobs)
         job = next(iter(state.jobs.values()))
         while job.unfinished:
@@ -140,11 +140,11 @@
         self.wait(
             fleet,
             lambda: (
-                holder.log.holder.state.jobs
-                and next(iter(holder.log.holder.state.jobs.values())).listing_epoch
+                holder.log.leader.state.jobs
+                and next(iter(holder.log.leader.state.jobs.values())).listing_epoch
             ),
         )
-        job = next(iter(holder.log.holder.state.jobs.values()))
+        job = next(iter(holder.log.leader.state.jobs.values()))
         before = job.listing_epoch
         next(
             host for host in fleet.with_role("edge") if host.node.jobs.edge == job.listing_edge
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -16,8 +16,8 @@
         table = Table()
         table.hold("a", 1)
         table.run(300)
-        table.holder.learn("store-x", "x")
-        table.peers["x"] = table.peers["b"]
+        table.holder.add_learner("store-x", "x")
+        table.followers["x"] = table.followers["b"]
         return table
 
     def following(self, table):
@@ -27,12 +27,12 @@
         table = self.holding()
         table.cut.update(("b", "x"))
         table.holder.begin_change(self.following(table))
-        outcomes = table.append("k1", settled=True)
+        outcomes = table.append("k1", durable=True)
         table.run(200)
         self.assertThat(outcomes, Equals([]))
         table.cut.clear()
         table.run(300)
-        self.assertThat(outcomes, Equals([Outcome.KEPT]))
+        self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
     def test_the_new_members_are_level_before_the_change_is_asked_for(self):
         table = self.holding()
@@ -41,10 +41,10 @@
         table.run(20)
         table.holder.begin_change(self.following(table))
         table.run(200)
-        self.assertThat(table.holder.may_change(), Equals(False))
+        self.assertThat(table.holder.is_change_ready(), Equals(False))
         table.cut.remove("b")
         table.run(300)
-        self.assertThat(table.holder.may_change(), Equals(True))
+        self.assertThat(table.holder.is_change_ready(), Equals(True))
 
     def test_a_change_that_is_given_back_leaves_the_old_list(self):
         table = self.holding()
@@ -58,12 +58,12 @@
 
     def test_level_members_are_counted(self):
         table = self.holding()
-        table.append("k1", settled=True)
+        table.append("k1", durable=True)
         table.run(1500)
-        self.assertThat(table.holder.level_members(), Equals(3))
+        self.assertThat(table.holder.count_caught_up(), Equals(3))
         table.cut.add("c")
         table.run(PARAMS.dead_ms + 200)
-        self.assertThat(table.holder.level_members(), Equals(2))
+        self.assertThat(table.holder.count_caught_up(), Equals(2))
 
 
 class Asking(TestCase):
@@ -86,12 +86,12 @@
         asked, plain = [], LogReplica.change
 
         def change(this, body, done):
-            asked.append(this.holder.may_change())
+            asked.append(this.leader.is_change_ready())
             plain(this, body, done)
 
         LogReplica.change = change
         self.addCleanup(setattr, LogReplica, "change", plain)
-        fleet.run_until_true(lambda: spare.node.log.log.identity in log.holder.members, 4900)
+        fleet.run_until_true(lambda: spare.node.log.log.identity in log.leader.members, 4900)
         self.assertThat(asked[:1], Equals([True]))
 
 
@@ -123,9 +123,9 @@
         fleet = run.fleet
         holder = fleet.leader()
         for host in fleet.with_role("store"):
-            peer = host.node.log._peer
+            peer = host.node.log._follower_role
             plain = peer.receive
-            host.node.log._peer = _Deaf(plain)
+            host.node.log._follower_role = _Deaf(plain)
         holder.lose_power()
         fleet.run_until_true(lambda: False, 25_000)
         before = self.epoch(fleet)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -70,7 +70,7 @@
         host.wake()
         fleet.run_until_true(lambda: False, 2000)
         self.assertThat(
-            old in self.members(fleet) or host.node.log.holder is not None, Equals(False)
+            old in self.members(fleet) or host.node.log.leader is not None, Equals(False)
         )
         self.assertThat(fleet.leader().node.log.log.last_seq >= seq, Equals(True))
         self.kept(run)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -25,7 +25,7 @@
         table.hold("a", 1)
         table.run(300)
         for number in range(count):
-            table.append(f"k{number}", settled=True)
+            table.append(f"k{number}", durable=True)
             table.run(10)
         table.run(50)
         return table
@@ -52,7 +52,7 @@
         table = self.grown()
         table.cut.add("b")
         for number in range(3):
-            table.append(f"more{number}", settled=True)
+            table.append(f"more{number}", durable=True)
             table.run(10)
         table.cut = {"a"}
         fetched = self.watched(table)
@@ -63,7 +63,7 @@
         """What is settled isn't known any more, but the last place that both hold is found."""
         table = self.grown()
         table.cut.add("b")
-        table.append("more", settled=True)
+        table.append("more", durable=True)
         table.run(50)
         table.open("b")
         table.cut = {"a"}
@@ -80,7 +80,7 @@
         self.assertThat(table.recover("b", 2), Equals([True]))
         table.hold("b", 2)
         table.run(300)
-        table.append("real", settled=True)
+        table.append("real", durable=True)
         table.run(100)
         table.holder = None
         table.cut = {"b"}
@@ -98,7 +98,7 @@
         wanted = [f"k{number}" for number in range(5)]
         self.assertThat((table.keys("b"), table.keys("c")), Equals((wanted, wanted)))
         log = table.logs["b"]
-        self.assertThat((log.last_seq, log.settled_seq), Equals((5, 5)))
+        self.assertThat((log.last_seq, log.committed_seq), Equals((5, 5)))
 
     def test_a_blank_disk_at_the_address_of_the_store_that_was_counted_on_ends_the_recovery(self):
         """It would stand for an empty log, and what is settled on the lost disk and one more be cut off."""
@@ -106,7 +106,7 @@
             table = self.grown(2)
             table.cut.add("b")
             for number in range(40):
-                table.append(f"settled{number}" + "x" * 8000, settled=True)
+                table.append(f"settled{number}" + "x" * 8000, durable=True)
                 table.run(10)
             table.run(200)
             table.cut = {"a"}
@@ -144,7 +144,7 @@
         table = self.grown(40)
         for name in ("a", "b"):
             table.logs[name].received_ms = [-(10**6)] * len(table.logs[name].records)
-            table.logs[name].tidy(force=True)
+            table.logs[name].maintain_snapshot(force=True)
         table.run(50)
         table.logs["a"].trim()
         whole, module._PART_BYTES = module._PART_BYTES, 500
@@ -171,7 +171,7 @@
         table.hold("a", 1)
         table.run(300)
         for number in range(3):
-            table.append(f"k{number}", settled=True)
+            table.append(f"k{number}", durable=True)
             table.run(50)
         return table
 
@@ -179,9 +179,9 @@
         table = self.one()
         log, disk = table.logs["a"], table.disks["a"]
         mark = disk.read("mark")
-        log.keep_meta(lambda ok: None, fence=5)
+        log.save_metadata(lambda ok: None, fence=5)
         table.run(50)
-        log.cut_after(1)
+        log.truncate_after(1)
         log.flush(lambda ok: None)
         table.run(50)
         disk.write("mark", 0, mark, True)
@@ -198,7 +198,7 @@
         table = self.one()
         disk, log, sizes = table.disks["a"], table.logs["a"], []
         for fence in range(2, 122):
-            log.keep_meta(lambda ok: None, fence=fence)
+            log.save_metadata(lambda ok: None, fence=fence)
             table.run(10)
             sizes.append(len(disk.read("meta")))
         begun_anew = sum(size < before for before, size in zip(sizes, sizes[1:], strict=False))
@@ -211,7 +211,7 @@
     def test_a_torn_or_damaged_fence_takes_none_with_it(self):
         table = self.one()
         disk = table.disks["a"]
-        table.logs["a"].keep_meta(lambda ok: None, fence=7)
+        table.logs["a"].save_metadata(lambda ok: None, fence=7)
         table.run(50)
         whole = disk.read("meta")
         one = len(frame(encode(ReplicaMetadata(identity="store-a", fence=7, log_epoch=1))))
@@ -224,7 +224,7 @@
             table.run(50)
             table.open("a")
             self.assertThat(table.logs["a"].meta.fence, Equals(wanted))
-            table.logs["a"].keep_meta(lambda ok: None, fence=9)
+            table.logs["a"].save_metadata(lambda ok: None, fence=9)
             table.run(50)
             table.open("a")
             self.assertThat(table.logs["a"].meta.fence, Equals(9))
@@ -246,7 +246,7 @@
         after = [table.disks[name].flushes for name in ("b", "c")]
         self.assertThat(table.logs["c"].meta.log_epoch, Equals(2))
         self.assertThat(after[1] - before[1] <= 2, Equals(True))
-        self.assertThat(table.append("next", settled=True) is not None, Equals(True))
+        self.assertThat(table.append("next", durable=True) is not None, Equals(True))
 
 
 class Snapshots(TestCase):
@@ -259,12 +259,12 @@
         table.hold("a", 1)
         table.run(300)
         for number in range(30):
-            table.append(f"k{number}", settled=True)
+            table.append(f"k{number}", durable=True)
             table.run(10)
         table.run(50)
         log = table.logs["a"]
-        kept = log.settled_seq
-        log.tidy(force=True)
+        kept = log.committed_seq
+        log.maintain_snapshot(force=True)
         close = entries.KeyClosed(
             key="k25", transaction="t", state="done", status=200, body="late", at_ms=0
         )
@@ -275,7 +275,9 @@
         ):
             table.holder.append([entry], True, lambda outcome: None)
         table.run(8)
-        self.assertThat((log.settled_seq, log.busy(), log.snap_seq), Equals((kept + 3, True, 0)))
+        self.assertThat(
+            (log.committed_seq, log.busy(), log.snapshot_seq), Equals((kept + 3, True, 0))
+        )
         table.run(1500)
         head, rows = read_snapshot(table.disks["a"].read("snapshot"))
         state = BatchState()
@@ -289,7 +291,7 @@
         )
         table.open("a")
         self.assertThat(
-            (table.logs["a"].snap_seq, table.logs["a"].last_seq), Equals((kept, kept + 3))
+            (table.logs["a"].snapshot_seq, table.logs["a"].last_seq), Equals((kept, kept + 3))
         )
 
     def test_one_that_finds_no_room_is_tried_again(self):
@@ -299,19 +301,19 @@
         disk, log = table.disks["a"], table.logs["a"]
         log.settings = PARAMS.model_copy(update={"segment_bytes": 1 << 20})
         for number in range(200):
-            table.append(f"k{number}", settled=True)
+            table.append(f"k{number}", durable=True)
             table.run(10)
-        self.assertThat(log.snap_seq, Equals(0))
+        self.assertThat(log.snapshot_seq, Equals(0))
         room, disk.room_bytes = (
             disk.room_bytes,
             sum(len(disk.read(name)) for name in disk.names()) + 200,
         )
-        log.tidy(force=True)
+        log.maintain_snapshot(force=True)
         table.run(600)
-        self.assertThat(log.snap_seq, Equals(0))
+        self.assertThat(log.snapshot_seq, Equals(0))
         disk.room_bytes = room
         table.run(1000)
-        self.assertThat(log.snap_seq, Equals(200))
+        self.assertThat(log.snapshot_seq, Equals(200))
 
 
 class TakingRecords(TestCase):
@@ -327,11 +329,11 @@
             prev_epoch=prev_epoch,
             prev_ms=prev_ms,
             records=[encode(record) for record in records],
-            settled_seq=base_seq,
+            committed_seq=base_seq,
             flush=False,
             probe=1,
         )
-        table.peers["b"].receive(message, answers.append)
+        table.followers["b"].receive(message, answers.append)
         table.run(20)
         return answers[0]
 
@@ -340,7 +342,7 @@
         table.hold("a", 1)
         table.run(300)
         for number in range(count):
-            table.append(f"k{number}", settled=True)
+            table.append(f"k{number}", durable=True)
             table.run(10)
         table.run(1000)
         table.holder = None
@@ -371,9 +373,9 @@
         table.hold("a", 1)
         table.run(300)
         answers = []
-        table.logs["b"].keep_meta(lambda ok: None, fence=4)
+        table.logs["b"].save_metadata(lambda ok: None, fence=4)
         table.run(10)
-        table.peers["b"].receive(
+        table.followers["b"].receive(
             AppendRequest(
                 epoch=1,
                 base_seq=0,
@@ -381,7 +383,7 @@
                 prev_epoch=0,
                 prev_ms=0,
                 records=[],
-                settled_seq=0,
+                committed_seq=0,
                 flush=False,
                 probe=1,
             ),
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -17,7 +17,7 @@
 
 def change_of(fleet):
     holder = fleet.leader()
-    return None if holder is None else holder.node.log._keeper._change
+    return None if holder is None else holder.node.log._membership._change
 
 
 def listed(fleet, host):
@@ -37,7 +37,7 @@
 STEPS = {
     "the spare has just come": lambda fleet, spare: True,
     "the spare is sent the log": lambda fleet, spare: (
-        spare.node.log.log.identity in fleet.leader().node.log.holder.peers
+        spare.node.log.log.identity in fleet.leader().node.log.leader.followers
     ),
     "the change has begun": lambda fleet, spare: change_of(fleet) is not None,
     "the change is asked for": lambda fleet, spare: (
@@ -46,7 +46,7 @@
     "the change is decided": decided,
     "the holder knows": lambda fleet, spare: (
         fleet.leader() is not None
-        and spare.node.log.log.identity in fleet.leader().node.log.holder.members
+        and spare.node.log.log.identity in fleet.leader().node.log.leader.members
     ),
 }
 AGREED = ("the change is decided", "the holder knows")
@@ -79,7 +79,7 @@
         run.fleet.run_until_true(lambda: len(seen) == count, 12_000)
         self.assertThat([row["outcome"] for row in seen], Equals(["admitted"] * count))
 
-    def peers(self, fleet):
+    def followers(self, fleet):
         return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
     def until(self, fleet, check, limit_ms=CATCH_UP_MS):
@@ -107,7 +107,7 @@
         )
 
     def lose_one_for_good(self, fleet):
-        gone = self.peers(fleet)[0]
+        gone = self.followers(fleet)[0]
         gone.lose_disk()
         fleet.hosts.pop(gone.name)
 
@@ -115,7 +115,7 @@
         run, fleet = self.founded(seed)
         self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 200)
-        other, holder = self.peers(fleet)[0], fleet.leader()
+        other, holder = self.followers(fleet)[0], fleet.leader()
         spare = fleet.add("store", "spare")
         self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, spare)), Equals(True))
         struck = {"holder": holder, "other": other, "spare": spare}[of]
@@ -139,7 +139,7 @@
         """Of the old members only the holder is left, so nothing can be recovered from a majority of them."""
         run, fleet = self.founded(7)
         holder = fleet.leader()
-        epoch = holder.node.log.holder.epoch
+        epoch = holder.node.log.leader.epoch
         for _ in range(2):
             self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 1000)
@@ -149,7 +149,7 @@
             fleet.run_until_true(lambda: self.all_members(fleet), 2 * CATCH_UP_MS), Equals(True)
         )
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.holder.epoch), Equals((True, epoch))
+            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
         )
         self.jobs(run, 1)
         self.kept(run)
@@ -160,14 +160,14 @@
             run, fleet = self.founded(seed)
             self.lose_one_for_good(fleet)
             fleet.run_until_true(lambda: False, 300)
-            leaving = fleet.leader() if of_holder else self.peers(fleet)[0]
+            leaving = fleet.leader() if of_holder else self.followers(fleet)[0]
             log = leaving.node.log
-            log.hand_over()
+            log.start_leaving()
             fleet.run_until_true(lambda: False, 500)
-            self.assertThat(log.handing_over(), Equals(True))
+            self.assertThat(log.must_stay(), Equals(True))
             fleet.add("store", "spare1")
             fleet.add("store", "spare2")
-            gone = fleet.run_until_true(lambda log=log: not log.handing_over(), 2 * CATCH_UP_MS)
+            gone = fleet.run_until_true(lambda log=log: not log.must_stay(), 2 * CATCH_UP_MS)
             self.assertThat(gone, Equals(True))
             leaving.lose_disk()
             fleet.hosts.pop(leaving.name)
@@ -188,8 +188,8 @@
             run, fleet = self.founded(seed)
             self.burst(run, burst)
             fleet.run_until_true(lambda: False, 1500)
-            fleet.leader().node.log.log.tidy(force=True)
-            host = self.peers(fleet)[0]
+            fleet.leader().node.log.log.maintain_snapshot(force=True)
+            host = self.followers(fleet)[0]
             host.lose_disk()
             fleet.run_until_true(lambda: False, DOWN_MS)
             host.start()
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -1,6 +1,6 @@
 """Lots that are over leave memory for files with checksums: read back, moved to a spare, damaged and mended."""
 
-from replicated_log.archive import SHELF
+from replicated_log.archive import ARCHIVE_PREFIX
 from simulator import judge
 from simulator.runs import Run
 from testtools import TestCase
@@ -24,7 +24,7 @@
         fleet.run_until_true(lambda: moves, 4000)
         fleet.run_until_true(lambda: False, 600)
         for host in fleet.with_role("store"):
-            host.node.log.log.tidy(True)
+            host.node.log.log.maintain_snapshot(True)
         self.assertThat(
             fleet.run_until_true(
                 lambda: all(self.on_shelves(host) for host in fleet.with_role("store")), 9000
@@ -40,7 +40,7 @@
         )
 
     def leaves(self, host):
-        return [name for name in host.disk.names() if name.startswith(SHELF)]
+        return [name for name in host.disk.names() if name.startswith(ARCHIVE_PREFIX)]
 
     def results(self, run, job_id):
         seen = []
@@ -53,9 +53,7 @@
         self.assertThat(
             judge(run.fleet.history, ["kept-at-the-end", "bodies-are-whole"]), Equals({})
         )
-        self.assertThat(
-            len(run.fleet.history.encoded_entries("final")), Equals(len(run.clients.jobs))
-        )
+        self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
 
     def test_read_back_after_power_and_by_a_new_holder(self):
         run, fleet = self.founded()
@@ -88,7 +86,7 @@
 
             self.assertThat(fleet.run_until_true(joined, 15_000), Equals(True))
             self.assertThat(
-                fresh.node.log.log.shelves.used() <= set(self.leaves(fresh)), Equals(True)
+                fresh.node.log.log.archive.used() <= set(self.leaves(fresh)), Equals(True)
             )
         self.kept(run)
 
@@ -97,9 +95,9 @@
         holder = fleet.leader()
         job = holder.node.log.log.state.jobs["lot2"]
         holder.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
-        self.assertThat(holder.node.log.log.shelves.results(job, 0, 10), Equals(None))
+        self.assertThat(holder.node.log.log.archive.read_results(job, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot2"), Equals(30))
-        self.assertThat(len(holder.node.log.log.shelves.results(job, 0, 10)), Equals(10))
+        self.assertThat(len(holder.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
         self.kept(run)
 
     def test_a_leaf_in_anothers_place_is_not_taken_for_it(self):
@@ -111,7 +109,7 @@
             other.shelf.places,
             other.shelf.sizes,
         )
-        self.assertThat(log.shelves.results(one, 0, 10), Equals(None))
+        self.assertThat(log.archive.read_results(one, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot1"), Equals(30))
         self.kept(run)
 
@@ -123,8 +121,8 @@
         host.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
 
         def whole():
-            results = log.shelves.results(job, 0, 9) or []
-            return len(results) == 9 and (key.shelf is None or log.shelves.receipt(key))
+            results = log.archive.read_results(job, 0, 9) or []
+            return len(results) == 9 and (key.shelf is None or log.archive.read_answer(key))
 
         self.assertThat(bool(whole()), Equals(False))
         files = len(self.leaves(host))
@@ -145,7 +143,7 @@
         self.assertThat(
             fleet.run_until_true(lambda: not store.node.log.log.state.jobs, 60_000), Equals(True)
         )
-        store.node.log.log.tidy(True)
+        store.node.log.log.maintain_snapshot(True)
         self.assertThat(
             bool(fleet.run_until_true(lambda: not old & set(self.leaves(store)), 20_000)),
             Equals(True),
--- a/tests/test_stores.py
+++ b/tests/test_stores.py
@@ -140,7 +140,7 @@
         here = Surroundings(self.THREE)
         disk = SimDisk(here.time, 1 << 20)
         store = here.store("a", disk)
-        store.log.keep_meta(lambda ok: None, fence=4)
+        store.log.save_metadata(lambda ok: None, fence=4)
         here.run(store, 200)
         store = here.store("a", disk)
         here.run(store, 5000)
