--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -77,14 +77,16 @@
     form: parquet or csv.
     """
     try:
-        written, unread = export_usage(logs, out, form)
+        counts = export_usage(logs, out, form)
     except ModuleNotFoundError as error:
         sys.stderr.write(f"{error}; install the extra: pip install 'control_plane[usage]'\n")
         raise SystemExit(2) from error
     except OSError as error:
         sys.stderr.write(f"{error}\n")
         raise SystemExit(2) from error
-    sys.stdout.write(f"{written} rows in {out}; {unread} lines could not be read\n")
+    sys.stdout.write(
+        f"{counts.written} rows in {out}; {counts.unreadable} lines could not be read\n"
+    )
 
 
 @profiles.command(name="show")
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -1,10 +1,14 @@
-"""Changes of the tree by callers who number their trees themselves (`about.revision`).
+"""Changes of the configuration by callers who number its revisions themselves (`about.revision`).
 
-A change names the revision that it is based on. The key is read through a quorum. A change based on
-the revision in force is proposed under the key's own version, so that of two changes on one base
-only one is decided. A change on another base is only looked up, since it may be a retry of one
-decided before. Every caller is answered within answer_ms, if need be that the outcome is not known,
-or that the change is older than what is remembered.
+The configuration is the value of the control key `profiles`: the tree of profiles, and what the
+caller says about it. A change names the revision that it is based on, its base. The key is read
+through a quorum first. Invariants:
+
+- A change of the revision in force is proposed under the key's own version, so that of two changes
+  of one base only one is decided.
+- A change of another base is never proposed. It is only looked up, since it may be a retry of a
+  change that was decided before.
+- Every caller has its result within `answer_ms`, if need be that the outcome is not known.
 """
 
 import json
@@ -22,27 +26,36 @@
     ReadKey,
     check_tree,
 )
+from data_plane.control_keys import PROFILES_KEY
 from expression import Result
 from messaging import Component
 
-__all__ = ["PROFILES_KEY", "Order", "Taken", "ConfigurationChanges", "ConfigurationOutcome"]
+from control_plane.pending_calls import CallState, PendingCall, PendingCalls
+
+__all__ = [
+    "ConfigurationChange",
+    "ConfigurationChanges",
+    "ConfigurationResult",
+    "ConfigurationStatus",
+]
 
-PROFILES_KEY = "profiles"
-Make = Callable[[dict[str, Any]], Result[dict[str, Any], list[dict[str, str]]]]
+Configuration = dict[str, Any]
+Problem = dict[str, str]
+MakeConfiguration = Callable[[Configuration], Result[Configuration, list[Problem]]]
 
 
-class Taken(StrEnum):
-    """What became of an order.
+class ConfigurationStatus(StrEnum):
+    """What became of a change or a read of the configuration.
 
-    - TAKEN: the change is in force.
+    - APPLIED: the change is in force, or the configuration was read.
     - REPLACED: another change was decided instead; this one never will be.
-    - INVALID: the tree was not valid; nothing was changed.
+    - INVALID: the new configuration is not valid; nothing was changed.
     - REFUSED: nothing was proposed here.
     - DOUBT: not known; the change may still be decided.
-    - FORGOTTEN: not known; it may have been decided longer ago than is remembered.
+    - FORGOTTEN: not known; the change may have been decided longer ago than is remembered.
     """
 
-    TAKEN = "taken"
+    APPLIED = "taken"
     REPLACED = "replaced"
     INVALID = "invalid"
     REFUSED = "refused"
@@ -50,205 +63,214 @@
     FORGOTTEN = "forgotten"
 
 
-class Order:
-    """A change of the tree as its caller asks for it.
+class ConfigurationChange:
+    """A change of the configuration as its caller requests it.
 
     `base` is the revision that it is based on, and `revision` the one that it makes (NO_BASE if
-    that cannot be read). `change_id` identifies the order when it is sent again. `make` returns the
-    wanted tree for the tree in force, or the problems with what was sent.
+    that cannot be read). `change_id` identifies the change when it is sent again. `make` returns
+    the new configuration for the one in force, or the problems with what was sent; a problem has
+    the members `at` and `message`.
     """
 
     __slots__ = ("base", "change_id", "make", "revision")
 
-    def __init__(self, base: int, revision: int, change_id: str, make: Make) -> None:
+    def __init__(self, base: int, revision: int, change_id: str, make: MakeConfiguration) -> None:
         self.base = base
         self.revision = revision
         self.change_id = change_id
         self.make = make
 
 
-class ConfigurationOutcome:
-    """The answer to an order or a read; `tree` is set for a read that was answered."""
+class ConfigurationResult:
+    """The result of a change or a read; `configuration` is None unless it was read."""
 
-    __slots__ = ("kind", "problems", "reason", "tree")
+    __slots__ = ("configuration", "problems", "reason", "status")
 
     def __init__(
         self,
-        kind: Taken,
+        status: ConfigurationStatus,
         reason: str = "",
-        problems: list[dict[str, str]] | None = None,
-        tree: dict[str, Any] | None = None,
+        problems: list[Problem] | None = None,
+        configuration: Configuration | None = None,
     ) -> None:
-        self.kind = kind
+        self.status = status
         self.reason = reason
         self.problems = problems or []
-        self.tree = tree
+        self.configuration = configuration
+
+
+Done = Callable[[ConfigurationResult], None]
+
 
+class _ReadCall(PendingCall[ConfigurationResult]):
+    """A read of the configuration in force."""
 
-Done = Callable[[ConfigurationOutcome], None]
+    __slots__ = ()
 
 
-class _Call:
-    """An order, or a read if there is none, that waits for its answer until `due_ms`."""
+class _ChangeCall(PendingCall[ConfigurationResult]):
+    """A change that waits for its result; `was_proposed` stays set while it is tried again."""
 
-    __slots__ = ("done", "due_ms", "order", "sent")
+    __slots__ = ("change", "was_proposed")
 
-    def __init__(self, order: Order | None, due_ms: int, done: Done) -> None:
-        self.order = order
-        self.due_ms = due_ms
-        self.done: Done | None = done
-        self.sent = False
+    def __init__(self, change: ConfigurationChange, due_ms: int, done: Done) -> None:
+        super().__init__(due_ms, done)
+        self.change = change
+        self.was_proposed = False
 
-    def finish(self, outcome: ConfigurationOutcome) -> None:
-        """Call `done` with the outcome, at most once."""
-        done, self.done = self.done, None
-        if done is not None:
-            done(outcome)
 
+_Call = _ReadCall | _ChangeCall
 
-def _revision_of(tree: dict[str, Any]) -> int:
-    return tree.get("about", {}).get("revision", 0)
+
+def _revision_of(configuration: Configuration) -> int:
+    revision: int = configuration.get("about", {}).get("revision", 0)
+    return revision
+
+
+def _finish_unknown(call: _Call, reason: str) -> None:
+    """Finish a call without a decision: in doubt once it was proposed, refused before that."""
+    proposed = isinstance(call, _ChangeCall) and call.was_proposed
+    status = ConfigurationStatus.DOUBT if proposed else ConfigurationStatus.REFUSED
+    call.finish(ConfigurationResult(status, reason))
 
 
 class ConfigurationChanges(Component):
-    """Proposes, looks up and reads trees at a control node.
+    """The component of a control node that reads, proposes and looks up configurations.
 
-    `sure` returns whether this node is in contact with a majority of the voters.
+    `in_contact` returns whether this node hears a majority of the voters.
     """
 
-    __slots__ = ("_calls", "_owner", "_sure")
+    __slots__ = ("_calls", "_in_contact", "_owner")
 
-    def __init__(self, owner: KeyOwner, sure: Callable[[], bool]) -> None:
-        """Create the part; `owner` executes its operations or forwards them."""
+    def __init__(self, owner: KeyOwner, in_contact: Callable[[], bool]) -> None:
+        """Create the component; `owner` executes its operations or forwards them."""
         self._owner = owner
-        self._sure = sure
-        self._calls: list[_Call] = []
+        self._in_contact = in_contact
+        self._calls: PendingCalls[_Call] = PendingCalls(_finish_unknown)
 
     # -- calls ---------------------------------------------------------------------------------
 
-    def change(self, order: Order, done: Done) -> None:
-        """Bring about an order; `done` gets its outcome within answer_ms."""
-        self._begin(_Call(order, 0, done))
+    def change(self, change: ConfigurationChange, done: Done) -> None:
+        """Make a change; `done` gets its result within `answer_ms`."""
+        self._begin(_ChangeCall(change, self._due_ms(), done))
 
     def read(self, done: Done) -> None:
-        """Read the tree in force; `done` gets it, or why it could not be read, within answer_ms."""
-        self._begin(_Call(None, 0, done))
+        """Read the configuration in force; `done` gets the result within `answer_ms`."""
+        self._begin(_ReadCall(self._due_ms(), done))
+
+    def _due_ms(self) -> int:
+        due_ms: int = self.node.env.now() + self.node.settings.answer_ms
+        return due_ms
 
     def _begin(self, call: _Call) -> None:
-        if not self._sure():
-            call.finish(
-                ConfigurationOutcome(Taken.REFUSED, "this node hears no majority of the voters")
-            )
+        if not self._in_contact():
+            _finish_unknown(call, "this node hears no majority of the voters")
             return
-        call.due_ms = self.node.env.now() + self.node.settings.answer_ms
-        self._calls.append(call)
+        self._calls.add(call)
         self._read(call)
 
+    # -- reading -------------------------------------------------------------------------------
+
     def _read(self, call: _Call) -> None:
+        call.state = CallState.READING
         self._owner.submit(
-            ReadKey(key=PROFILES_KEY, hops=0), lambda receipt: self._have_read(call, receipt)
+            ReadKey(key=PROFILES_KEY, hops=0), lambda result: self._have_read(call, result)
         )
 
-    def _have_read(self, call: _Call, receipt: ChangeResult) -> None:
-        if call.done is None:
+    def _have_read(self, call: _Call, result: ChangeResult) -> None:
+        if not call.is_open:
             return
-        if receipt.outcome != Outcome.OK:
-            self._unknown(call, receipt.reason)
+        if result.outcome != Outcome.OK:
+            _finish_unknown(call, result.reason)
             return
-        tree = json.loads(receipt.body) if receipt.body else {}
-        if call.order is None:
-            call.finish(ConfigurationOutcome(Taken.TAKEN, tree=tree))
-        elif _revision_of(tree) != call.order.base:
-            self._find(call, tree)
+        configuration = json.loads(result.body) if result.body else {}
+        if isinstance(call, _ReadCall):
+            call.finish(
+                ConfigurationResult(ConfigurationStatus.APPLIED, configuration=configuration)
+            )
+        elif _revision_of(configuration) != call.change.base:
+            self._look_up(call, configuration)
         else:
-            self._propose(call, receipt.version, tree)
+            self._make(call, result.version, configuration)
 
-    # -- proposing and looking up --------------------------------------------------------------
+    # -- looking up ----------------------------------------------------------------------------
 
-    def _propose(self, call: _Call, version: int, tree: dict[str, Any]) -> None:
-        made = call.order.make(tree)
-        if made.is_ok():
-            made = check_tree(made.ok, tree.get("profiles"))
-        if made.is_error():
+    def _look_up(self, call: _ChangeCall, in_force: Configuration) -> None:
+        call.state = CallState.LOOKING_UP
+        question = FindChange(
+            key=PROFILES_KEY,
+            change_id=call.change.change_id,
+            version=NO_BASE,
+            base=call.change.base,
+            number=call.change.revision,
+            hops=0,
+        )
+        self._owner.submit(question, lambda result: self._looked_up(call, in_force, result))
+
+    def _looked_up(self, call: _ChangeCall, in_force: Configuration, result: ChangeResult) -> None:
+        if result.outcome == Outcome.OK:
+            call.finish(ConfigurationResult(ConfigurationStatus.APPLIED))
+        elif result.outcome == Outcome.LOST:
             call.finish(
-                ConfigurationOutcome(
-                    Taken.INVALID, f"{len(made.error)} problems; nothing was changed", made.error
+                ConfigurationResult(
+                    ConfigurationStatus.REPLACED,
+                    f"revision {_revision_of(in_force)} is in force; "
+                    "this change is not and will not be",
                 )
             )
-        elif _revision_of(made.ok) <= call.order.base:
+        elif result.outcome == Outcome.FORGOTTEN:
+            call.finish(ConfigurationResult(ConfigurationStatus.FORGOTTEN, result.reason))
+        else:
+            _finish_unknown(call, result.reason)
+
+    # -- proposing -----------------------------------------------------------------------------
+
+    def _make(self, call: _ChangeCall, version: int, in_force: Configuration) -> None:
+        """Make the new configuration, and propose it if it is valid."""
+        made = call.change.make(in_force)
+        if made.is_ok():
+            made = check_tree(made.ok, in_force.get("profiles"))
+        if made.is_error():
+            reason = f"{len(made.error)} problems; nothing was changed"
+            call.finish(ConfigurationResult(ConfigurationStatus.INVALID, reason, made.error))
+        elif _revision_of(made.ok) <= call.change.base:
+            problem = {
+                "at": "about.revision",
+                "message": f"has to be above {call.change.base}, the one in force",
+            }
             call.finish(
-                ConfigurationOutcome(
-                    Taken.INVALID,
-                    "nothing was changed",
-                    [
-                        {
-                            "at": "about.revision",
-                            "message": f"has to be above {call.order.base}, the one in force",
-                        }
-                    ],
-                )
+                ConfigurationResult(ConfigurationStatus.INVALID, "nothing was changed", [problem])
             )
         else:
-            call.sent = True
-            change = Change(
-                key=PROFILES_KEY,
-                version=version,
-                change_id=call.order.change_id,
-                body=json.dumps(made.ok, sort_keys=True),
-                hops=0,
-                base=call.order.base,
-            )
-            self._owner.submit(change, lambda found: self._changed(call, found))
+            self._propose(call, version, made.ok)
 
-    def _find(self, call: _Call, tree: dict[str, Any]) -> None:
-        order = call.order
-        question = FindChange(
+    def _propose(self, call: _ChangeCall, version: int, configuration: Configuration) -> None:
+        call.state = CallState.PROPOSING
+        call.was_proposed = True
+        change = Change(
             key=PROFILES_KEY,
-            change_id=order.change_id,
-            version=NO_BASE,
-            base=order.base,
-            number=order.revision,
+            version=version,
+            change_id=call.change.change_id,
+            body=json.dumps(configuration, sort_keys=True),
             hops=0,
+            base=call.change.base,
         )
-        self._owner.submit(question, lambda found: self._found(call, tree, found))
+        self._owner.submit(change, lambda result: self._proposed(call, result))
 
-    def _changed(self, call: _Call, receipt: ChangeResult) -> None:
-        if receipt.outcome == Outcome.OK:
-            call.finish(ConfigurationOutcome(Taken.TAKEN))
-        elif receipt.outcome == Outcome.LOST and call.done is not None:
+    def _proposed(self, call: _ChangeCall, result: ChangeResult) -> None:
+        if result.outcome == Outcome.OK:
+            call.finish(ConfigurationResult(ConfigurationStatus.APPLIED))
+        elif result.outcome == Outcome.LOST and call.is_open:
             self._read(call)
         else:
-            self._unknown(call, receipt.reason)
-
-    def _found(self, call: _Call, tree: dict[str, Any], receipt: ChangeResult) -> None:
-        if receipt.outcome == Outcome.OK:
-            call.finish(ConfigurationOutcome(Taken.TAKEN))
-        elif receipt.outcome == Outcome.LOST:
-            call.finish(
-                ConfigurationOutcome(
-                    Taken.REPLACED,
-                    f"revision {_revision_of(tree)} is in force; "
-                    "this change is not and will not be",
-                )
-            )
-        elif receipt.outcome == Outcome.FORGOTTEN:
-            call.finish(ConfigurationOutcome(Taken.FORGOTTEN, receipt.reason))
-        else:
-            self._unknown(call, receipt.reason)
+            _finish_unknown(call, result.reason)
 
-    def _unknown(self, call: _Call, reason: str) -> None:
-        call.finish(ConfigurationOutcome(Taken.DOUBT if call.sent else Taken.REFUSED, reason))
+    # -- time ----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Answer overdue calls."""
-        now_ms = self.node.env.now()
-        for call in self._calls:
-            if now_ms >= call.due_ms:
-                self._unknown(call, "no answer in time")
-        self._calls = [call for call in self._calls if call.done is not None]
+        """Finish the calls whose time is over."""
+        self._calls.expire_due(self.node.env.now())
 
     def resumed(self, gap_ms: int) -> None:
-        """Answer all waiting calls after a pause of the process."""
-        for call in self._calls:
-            self._unknown(call, "this node was frozen")
-        self._calls = []
+        """Finish all calls after a pause of the process."""
+        self._calls.expire_all("this node was frozen")
--- a/libs/control_plane/src/control_plane/loan_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -1,10 +1,10 @@
-"""HTTP interface of the loans of whole workers at a control node.
+"""HTTP interface of the loans of whole workers at a control node: `/loans`.
 
 Operators and borrowers list, grant and recall loans. A lent worker reports itself when it is free
 again, with the number of its loan and the weights that it has.
 """
 
-from typing import Annotated, Any
+from typing import Annotated
 
 from aiohttp import web
 from capacity_sharing import LoanOutcome
@@ -13,14 +13,17 @@
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
 
-__all__ = ["LoanApi"]
+from control_plane.nodes import ControlNode
+
+__all__ = ["LoansApi"]
 
 Text = Annotated[str, Field(min_length=1, max_length=128)]
 Weights = Annotated[str, Field(max_length=128, pattern=r"^[\x21-\x7e]*$")]
-_LONGEST_MS = 86_400_000
+_LONGEST_MS = 24 * 3600 * 1000
+_RETRY_AFTER_MS = 1000
 
 
-class _Granted(BaseModel):
+class _GrantBody(BaseModel):
     """The body of a grant; `lease_ms` and `recall_ms` are milliseconds."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
@@ -30,14 +33,14 @@
     recall_ms: int = Field(5000, ge=100, le=_LONGEST_MS)
 
 
-class _Recalled(BaseModel):
-    """The body of a recall."""
+class _RecallBody(BaseModel):
+    """The body of a rebody."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
     reason: str = Field("an operator wants it back", min_length=1, max_length=256)
 
 
-class _Returned(BaseModel):
+class _ReturnBody(BaseModel):
     """The body of a worker's report that it is free again."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
@@ -45,14 +48,14 @@
     weights: Weights = ""
 
 
-class LoanApi:
-    """Registers the handlers of `/loans` at `desk`."""
+class LoansApi:
+    """The handlers of `/loans`, which are registered at `service`."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpService) -> None:
+    def __init__(self, node: ControlNode, service: HttpService) -> None:
         self._node = node
-        router = desk.app.router
+        router = service.app.router
         router.add_get("/loans", self._show)
         router.add_put("/loans/{worker}", self._grant)
         router.add_post("/loans/{worker}/recalled", self._recall)
@@ -62,42 +65,42 @@
         return json_answer({"version": self._node.loans.number, "loans": self._node.loans.rows()})
 
     async def _grant(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.settings.max_body_bytes, _Granted)
-        if isinstance(call, Refusal):
-            return answer_refusal(call)
+        body = await read_call(request, self._node.settings.max_body_bytes, _GrantBody)
+        if isinstance(body, Refusal):
+            return answer_refusal(body)
         worker = request.match_info["worker"]
-        return _told(
+        return _response(
             worker,
             await awaited(
                 lambda done: self._node.loans.grant(
-                    worker, call.borrower, call.weights, call.lease_ms, call.recall_ms, done
+                    worker, body.borrower, body.weights, body.lease_ms, body.recall_ms, done
                 )
             ),
         )
 
     async def _recall(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.settings.max_body_bytes, _Recalled)
-        if isinstance(call, Refusal):
-            return answer_refusal(call)
+        body = await read_call(request, self._node.settings.max_body_bytes, _RecallBody)
+        if isinstance(body, Refusal):
+            return answer_refusal(body)
         worker = request.match_info["worker"]
-        return _told(
-            worker, await awaited(lambda done: self._node.loans.recall(worker, call.reason, done))
+        return _response(
+            worker, await awaited(lambda done: self._node.loans.recall(worker, body.reason, done))
         )
 
     async def _return(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.settings.max_body_bytes, _Returned)
-        if isinstance(call, Refusal):
-            return answer_refusal(call)
+        body = await read_call(request, self._node.settings.max_body_bytes, _ReturnBody)
+        if isinstance(body, Refusal):
+            return answer_refusal(body)
         worker = request.match_info["worker"]
-        return _told(
+        return _response(
             worker,
             await awaited(
-                lambda done: self._node.loans.hand_back(worker, call.loan, call.weights, done)
+                lambda done: self._node.loans.hand_back(worker, body.loan, body.weights, done)
             ),
         )
 
 
-def _told(worker: str, outcome: LoanOutcome) -> web.Response:
+def _response(worker: str, outcome: LoanOutcome) -> web.Response:
     """Return the response to an operation on a loan."""
     if outcome.name == "refused":
         return answer_refusal(
@@ -109,9 +112,6 @@
             )
         )
     if outcome.name != "ok":
-        return answer_refusal(
-            doubtful(
-                "loan-in-doubt", f"{outcome.reason}; look at the loans, and say it again", 1000
-            )
-        )
-    return json_answer({"worker": worker, **outcome.row})
+        reason = f"{outcome.reason}; look at the loans, and say it again"
+        return answer_refusal(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
+    return json_answer({"worker": worker, **(outcome.row or {})})
--- /dev/null
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -0,0 +1,114 @@
+"""HTTP interface of the members of the fleet at a control node: `/members`.
+
+It shows every node that this node has heard of lately, and the voters that it has not, with their
+status as this node knows it.
+"""
+
+from typing import Any
+
+from aiohttp import web
+from data_plane.control_keys import LOG_KEY, RETIRED_KEY
+from data_plane.http_service import HttpService, json_answer
+from membership.messages import NodeInfo
+
+from control_plane.member_status import describe
+from control_plane.nodes import ControlNode
+
+__all__ = ["MembersApi"]
+
+_ROLES = ("control", "store", "edge")
+_LIVE, _SILENT, _GONE = "live", "silent", "gone"
+
+
+class MembersApi:
+    """The handler of `/members`, which is registered at `service`."""
+
+    __slots__ = ("_node",)
+
+    def __init__(self, node: ControlNode, service: HttpService) -> None:
+        self._node = node
+        service.app.router.add_get("/members", self._show)
+
+    async def _show(self, request: web.Request) -> web.Response:
+        node = self._node
+        rows = self._rows()
+        for row in rows:
+            row["says"] = describe(node, row["role"], row["identity"], row["link"])
+        return json_answer(
+            {
+                "asked": node.acceptor.identity,
+                "at_ms": node.env.now(),
+                "members": rows,
+                "voters": sorted(node.acceptor.voters),
+                "voters_number": node.acceptor.list_number,
+                "steward": node.bootstrap.steward(),
+                "keys": node.owner.epochs(),
+                "roll": sorted(node.config_feed.roll()),
+                "log": node.config_feed.value(LOG_KEY),
+                "retired": (node.config_feed.value(RETIRED_KEY) or {}).get("identities", []),
+                "feed": node.config_feed.numbers(),
+                "place": node.config_feed.place,
+            }
+        )
+
+    def _rows(self) -> list[dict[str, Any]]:
+        """Return the JSON rows of the nodes heard of, this node, and the voters not heard of."""
+        node = self._node
+        rows = [
+            self._heard_row(role, info)
+            for role in _ROLES
+            for info in sorted(
+                node.neighbours.of_role(role, node.settings.gone_ms),
+                key=lambda info: info.address,
+            )
+        ]
+        rows.append(self._own_row())
+        heard = {row["identity"] for row in rows}
+        rows += [
+            _lost_voter_row(identity, address)
+            for identity, address in node.acceptor.voters.items()
+            if identity not in heard
+        ]
+        return rows
+
+    def _heard_row(self, role: str, info: NodeInfo) -> dict[str, Any]:
+        confirmed = self._node.config_feed.confirmed.get(info.identity)
+        return {
+            "role": role,
+            "name": info.name,
+            "identity": info.identity,
+            "link": info.address,
+            "http": info.http,
+            "zone": info.zone,
+            "standing": _LIVE if self._node.neighbours.live(info.identity) else _SILENT,
+            "ready": info.ready,
+            "feed": confirmed[2] if confirmed else None,
+        }
+
+    def _own_row(self) -> dict[str, Any]:
+        node = self._node
+        return {
+            "role": "control",
+            "name": node.settings.node_name or node.address,
+            "identity": node.acceptor.identity,
+            "link": node.address,
+            "http": node.settings.http,
+            "zone": node.settings.zone,
+            "standing": _LIVE,
+            "ready": not node.why_unready(),
+            "feed": node.config_feed.numbers(),
+        }
+
+
+def _lost_voter_row(identity: str, address: str) -> dict[str, Any]:
+    return {
+        "role": "control",
+        "name": address,
+        "identity": identity,
+        "link": address,
+        "http": "",
+        "zone": "",
+        "standing": _GONE,
+        "ready": False,
+        "feed": None,
+    }
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -1,8 +1,8 @@
-"""The control node, assembled from its parts.
+"""The control node, assembled from its components.
 
-These are a voter with its disk, the owner of keys, the bootstrap and the coordination of membership
-changes, the config feed, the failure detector of its neighbours, and the parts that keep the
-workers, the loans, the profiles and the retired stores.
+These are an acceptor with its disk, the owner of keys, the bootstrap and the coordination of
+membership changes, the config feed, the failure detector of its peers, and the components that keep
+the workers, the loans, the profiles and the retired stores.
 """
 
 import json
@@ -21,7 +21,7 @@
 )
 from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
 from membership import Membership
-from messaging import Environment, Node
+from messaging import Component, Environment, Node
 from storage import Disk
 
 from control_plane.configuration_changes import ConfigurationChanges
@@ -34,107 +34,138 @@
     """A control node; a damaged disk is set aside, and the node starts with a new identity."""
 
     __slots__ = (
-        "_tree",
-        "disk",
-        "founding",
+        "_profiles",
+        "_profiles_number",
+        "acceptor",
+        "bootstrap",
         "config_feed",
+        "configuration_changes",
+        "disk",
         "loans",
         "neighbours",
         "owner",
         "read_barrier",
         "retirement",
-        "roll",
-        "tree_changes",
-        "voter",
+        "serving_set",
         "worker_list",
     )
 
     def __init__(self, env: Environment, settings: Any, disk: Disk) -> None:
         self.disk = disk
-        self.voter = open_or_set_aside(env, disk, lambda: Acceptor(disk, env.token))
-        identity = self.voter.identity
+        self.acceptor: Acceptor = open_or_set_aside(env, disk, lambda: Acceptor(disk, env.token))
+        self._profiles_number = 0
+        self._profiles = ProfileTree({})
+        self._make_membership(settings)
+        self._make_control_store(settings)
+        self._make_services()
+        super().__init__(env, settings, self._components())
+
+    # -- assembly ------------------------------------------------------------------------------
+
+    def _make_membership(self, settings: Any) -> None:
+        """Make the failure detector and the config feed, which know of each other's nodes."""
+        identity = self.acceptor.identity
         self.neighbours = Membership(identity)
         self.config_feed = ConfigFeed(
             identity,
-            lambda: [card.address for card in self.neighbours.view()],
-            lambda: self.voter.voters.values(),
-            sure=self.quorate,
+            lambda: [info.address for info in self.neighbours.view()],
+            lambda: self.acceptor.voters.values(),
+            sure=self.has_quorum,
         )
         self.neighbours.wanted = lambda: (
-            self.voter.voters.values() or (() if settings.control_count else settings.seeds)
+            self.acceptor.voters.values() or (() if settings.control_count else settings.seeds)
         )
+        self.neighbours.ready = lambda: not self.why_unready()
+        self.neighbours.deaf = lambda: self._is_voter() and not self._hears(settings.cut_ms)
         self.config_feed.votes = self._is_voter
         self.config_feed.candidates = lambda: candidates(
-            self._list(), self.neighbours, settings.gone_ms
+            self._voter_list(), self.neighbours, settings.gone_ms
         )
-        self.neighbours.ready = lambda: not self.why_unready()
-        self.neighbours.deaf = lambda: (
-            identity in self.voter.voters and not self._hears(settings.cut_ms)
+        self.config_feed.hands_out = lambda: (
+            self.has_quorum() if self._is_voter() else self.hears_majority()
         )
-        self.owner = KeyOwner(self.voter, self.neighbours, self.config_feed)
+
+    def _make_control_store(self, settings: Any) -> None:
+        """Make the components that decide the control keys, their voters and the serving set."""
+        self.owner = KeyOwner(self.acceptor, self.neighbours, self.config_feed)
         self.read_barrier = ReadBarrier(
             self.owner, self.config_feed, lambda: self._is_voter() and self._hears(settings.cut_ms)
         )
-        self.config_feed.hands_out = lambda: (
-            self.quorate() if self._is_voter() else self.hears_majority()
-        )
-        self.founding = Bootstrap(self.voter, self.owner, self.neighbours, self.config_feed)
-        self.roll = ServingSet(
-            self.owner,
-            self.config_feed,
-            lambda: self.quorate() and self.founding.steward() == identity,
-        )
+        self.bootstrap = Bootstrap(self.acceptor, self.owner, self.neighbours, self.config_feed)
+        self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
+
+    def _make_services(self) -> None:
+        """Make the components that change the values of control keys for callers."""
         self.worker_list = WorkerList(
-            self.voter, self.owner, self.config_feed, sure=self.hears_majority
+            self.acceptor, self.owner, self.config_feed, sure=self.hears_majority
+        )
+        self.configuration_changes = ConfigurationChanges(
+            self.owner, in_contact=self.hears_majority
         )
-        self.tree_changes = ConfigurationChanges(self.owner, sure=self.hears_majority)
         self.retirement = Retirement(
-            self.owner, self.neighbours, self.config_feed, sure=self.hears_majority
+            self.owner, self.neighbours, self.config_feed, in_contact=self.hears_majority
         )
-        self._tree = (0, ProfileTree({}))
         self.loans = NodeLoans(
             self.owner,
             self.neighbours,
             self.config_feed,
-            self.tree,
+            self.profiles,
             sure=self.hears_majority,
-            mine=lambda: bool(self.voter.voters) and self.owner.owner_of(LOANS_KEY) == identity,
-        )
-        super().__init__(
-            env,
-            settings,
-            [
-                self.neighbours,
-                self.config_feed,
-                self.voter,
-                self.owner,
-                self.read_barrier,
-                self.founding,
-                self.roll,
-                self.worker_list,
-                self.tree_changes,
-                self.retirement,
-                self.loans,
-            ],
+            mine=self._owns_loans,
         )
 
-    def _list(self) -> dict[str, Any] | None:
+    def _components(self) -> list[Component]:
+        """Return the components in the order in which they get messages and ticks."""
+        return [
+            self.neighbours,
+            self.config_feed,
+            self.acceptor,
+            self.owner,
+            self.read_barrier,
+            self.bootstrap,
+            self.serving_set,
+            self.worker_list,
+            self.configuration_changes,
+            self.retirement,
+            self.loans,
+        ]
+
+    # -- contact with the voters ---------------------------------------------------------------
+
+    def _voter_list(self) -> dict[str, Any] | None:
         """Return the list of voters as this node's disk has it, or None."""
-        return json.loads(self.voter.metadata.list_body) if self.voter.metadata.list_body else None
+        body = self.acceptor.metadata.list_body
+        return json.loads(body) if body else None
+
+    def _is_voter(self) -> bool:
+        return self.acceptor.identity in self.acceptor.voters
+
+    def _is_steward(self) -> bool:
+        """Whether this node coordinates the changes of the voters and the serving set."""
+        return self.has_quorum() and self.bootstrap.steward() == self.acceptor.identity
+
+    def _owns_loans(self) -> bool:
+        has_voters = bool(self.acceptor.voters)
+        return has_voters and self.owner.owner_of(LOANS_KEY) == self.acceptor.identity
+
+    def _hears(self, within_ms: int) -> bool:
+        """Whether a majority of the voters sent this node heartbeats within the time."""
+        voters = self.acceptor.voters
+        heard = sum(1 for name in voters if self.neighbours.heard_itself(name, within_ms))
+        return 2 * heard > len(voters)
 
     def hears_majority(self) -> bool:
-        """Whether a majority of the voters sent this node heartbeats within dead_ms.
+        """Whether a majority of the voters sent this node heartbeats within `dead_ms`.
 
         This node need not be a voter itself.
         """
-        voters = self.voter.voters
-        return bool(voters) and self._hears(self.settings.dead_ms)
+        return bool(self.acceptor.voters) and self._hears(self.settings.dead_ms)
 
-    def quorate(self) -> bool:
+    def has_quorum(self) -> bool:
         """Whether this node is a voter in contact with a majority and its configuration is fresh.
 
         It has to have re-read the configuration from a majority since contact was last regained,
-        and must not have known of a newer version for longer than dead_ms.
+        and must not have known of a newer version for longer than `dead_ms`.
         """
         return (
             self._is_voter()
@@ -144,27 +175,20 @@
             and self.config_feed.behind_ms() <= self.settings.dead_ms
         )
 
-    def _is_voter(self) -> bool:
-        return self.voter.identity in self.voter.voters
-
-    def _hears(self, within_ms: int) -> bool:
-        voters = self.voter.voters
-        return 2 * sum(1 for name in voters if self.neighbours.heard_itself(name, within_ms)) > len(
-            voters
-        )
-
     def why_unready(self) -> str:
         """Return why this node is not ready, for operators; empty if it is."""
-        voters = self.voter.voters
-        if not voters:
+        if not self.acceptor.voters:
             return "not founded"
-        if self.voter.identity not in voters:
+        if not self._is_voter():
             return "spare: not a voter"
-        return "" if self.quorate() else "hears no majority of the voters"
+        return "" if self.has_quorum() else "hears no majority of the voters"
+
+    # -- configuration -------------------------------------------------------------------------
 
-    def tree(self) -> ProfileTree:
-        """Return the tree of profiles in force at this node."""
+    def profiles(self) -> ProfileTree:
+        """Return the profiles in force at this node."""
         number = self.config_feed.number(PROFILES_KEY)
-        if number != self._tree[0]:
-            self._tree = (number, ProfileTree.of_body(self.config_feed.body(PROFILES_KEY)))
-        return self._tree[1]
+        if number != self._profiles_number:
+            self._profiles_number = number
+            self._profiles = ProfileTree.of_body(self.config_feed.body(PROFILES_KEY))
+        return self._profiles
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -5,10 +5,12 @@
 from data_plane.http_service import HttpService
 from data_plane.process import NodeProcess
 
-from control_plane.loan_api import LoanApi
+from control_plane.loans_api import LoansApi
+from control_plane.members_api import MembersApi
 from control_plane.nodes import ControlNode
-from control_plane.operator_api import OperatorApi
-from control_plane.worker_list_api import WorkerListApi
+from control_plane.profiles_api import ProfilesApi
+from control_plane.retirement_api import RetirementApi
+from control_plane.workers_api import WorkersApi
 
 __all__ = ["ControlProcess"]
 
@@ -20,17 +22,16 @@
         """Create the node and the HTTP interface."""
         self._stopping = False
         self.node = ControlNode(self.env, self.settings, self.open_disk())
-        desk = HttpService(
+        service = HttpService(
             self.settings.http,
             self.settings.max_body_bytes,
             self.why_unready,
             self.status,
             self.metrics,
         )
-        OperatorApi(self.node, desk)
-        WorkerListApi(self.node, desk)
-        LoanApi(self.node, desk)
-        await self.add_runtime_dependency(desk)
+        for api in (ProfilesApi, MembersApi, RetirementApi, WorkersApi, LoansApi):
+            api(self.node, service)
+        await self.add_runtime_dependency(service)
 
     def why_unready(self) -> str:
         """Return why this process is not ready; empty if it is."""
@@ -45,13 +46,13 @@
         node = self.node
         return {
             "role": "control",
-            "identity": node.voter.identity,
+            "identity": node.acceptor.identity,
             "zone": self.settings.zone,
             "ready": not self.why_unready(),
             "reason": self.why_unready(),
-            "voters": node.voter.voters,
-            "voters_number": node.voter.list_number,
-            "steward": node.founding.steward() if node.voter.voters else None,
+            "voters": node.acceptor.voters,
+            "voters_number": node.acceptor.list_number,
+            "steward": node.bootstrap.steward() if node.acceptor.voters else None,
             "keys": node.owner.epochs(),
             "feed": node.config_feed.numbers(),
             "place": node.config_feed.place,
@@ -66,8 +67,8 @@
         )
         return {
             **rows,
-            "control_quorate": int(node.quorate()),
-            "control_voters_number": node.voter.list_number,
+            "control_quorate": int(node.has_quorum()),
+            "control_voters_number": node.acceptor.list_number,
             "feed_place": node.config_feed.place,
             "feed_sent_bytes_total": node.config_feed.sent_bytes,
             "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -1,32 +1,44 @@
 """Emptying a store that an operator names, so that it can be taken out of service.
 
-The order is kept in the control key `retired`, by identity and by name, so that an empty disk under
-the same name does not come back as a spare. The replicated log replaces the store by a spare. The
-order is finished once the decided list of the log's members no longer has the store and the log
-serves again.
+A store is retired by a change of the control key `retired`, which has it by identity and by name;
+the replicated log then replaces it by a spare. Invariants:
+
+- An empty disk that comes back under a retired name is retired too.
+- A retirement is finished once the decided list of the log's members no longer has the store and
+  the log serves again.
+- A request is refused only by a node that can have heard of all stores; otherwise the status is
+  DOUBT.
 """
 
 import json
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from enum import StrEnum
 from typing import Any
 
 from config_feed import ConfigFeed
 from control_store import Change, ChangeResult, KeyOwner, Outcome, ReadKey
+from data_plane.control_keys import LOG_KEY, RETIRED_KEY
 from membership import Membership
 from messaging import Component
 
-__all__ = ["RETIRED_KEY", "Retirement", "RetirementAnswer", "retired_body"]
+from control_plane.pending_calls import CallState, PendingCall, PendingCalls
+from control_plane.retired_machines import RetiredMachines
 
-RETIRED_KEY = "retired"
-_LOG_KEY = "log"
+__all__ = ["Retirement", "RetirementStatus"]
 
+_NEVER_MS = -1
+_LOG_SERVING = "serving"
 
-class RetirementAnswer(StrEnum):
-    """The answer to an order to empty a store, or to a question about its progress.
 
-    An order was taken (OK), is for an unknown machine (UNKNOWN) or would leave too few stores
-    (TOO_FEW). Progress is ROLLING_OUT or FINISHED. DOUBT means that the answer is not known.
+class RetirementStatus(StrEnum):
+    """The status of a request to retire a store, or of a question about its progress.
+
+    - OK: the request was accepted.
+    - UNKNOWN: no such store is known, or no such store was retired.
+    - TOO_FEW: too few stores would be left.
+    - DOUBT: the status is not known.
+    - ROLLING_OUT: the store is retired, and not yet replaced.
+    - FINISHED: the store is replaced and may be stopped.
     """
 
     OK = "ok"
@@ -37,228 +49,226 @@
     FINISHED = "finished"
 
 
-Done = Callable[[RetirementAnswer], None]
+Done = Callable[[RetirementStatus], None]
+
 
+class _Call(PendingCall[RetirementStatus]):
+    """A call about the store with the node name `name`."""
 
-def retired_body(identities: Iterable[str], names: dict[str, str]) -> str:
-    """Return the JSON body of the key `retired`; `names` maps node names to identities."""
-    return json.dumps({"identities": sorted(identities), "names": names}, sort_keys=True)
+    __slots__ = ("name",)
 
+    def __init__(self, name: str, due_ms: int, done: Done) -> None:
+        super().__init__(due_ms, done)
+        self.name = name
 
-class _Call:
-    """An operator's call that waits for its answer until `due_ms`."""
 
-    __slots__ = ("done", "due_ms")
+HaveRead = Callable[[_Call, ChangeResult], None]
 
-    def __init__(self, due_ms: int, done: Done) -> None:
-        self.due_ms = due_ms
-        self.done: Done | None = done
 
-    def finish(self, outcome: RetirementAnswer) -> None:
-        """Call `done` with the answer, at most once."""
-        done, self.done = self.done, None
-        if done is not None:
-            done(outcome)
+def _finish_in_doubt(call: _Call, reason: str) -> None:
+    call.finish(RetirementStatus.DOUBT)
 
 
 class Retirement(Component):
-    """Takes orders to empty stores at a control node, and reports their progress.
+    """The component of a control node that retires stores and reports the progress.
 
-    `sure` returns whether this node is in contact with a majority of the voters.
+    `in_contact` returns whether this node hears a majority of the voters.
     """
 
     __slots__ = (
-        "_busy",
         "_calls",
         "_config_feed",
-        "_names",
-        "_neighbours",
+        "_identities",
+        "_in_contact",
+        "_is_retiring_again",
+        "_membership",
         "_next_ms",
         "_owner",
         "_since_ms",
-        "_sure",
     )
 
     def __init__(
         self,
         owner: KeyOwner,
-        neighbours: Membership,
+        membership: Membership,
         config_feed: ConfigFeed,
-        sure: Callable[[], bool],
+        in_contact: Callable[[], bool],
     ) -> None:
         self._owner = owner
-        self._neighbours = neighbours
+        self._membership = membership
         self._config_feed = config_feed
-        self._busy = False
-        self._sure = sure
-        self._names: dict[str, str] = {}
-        self._calls: list[_Call] = []
-        self._since_ms = self._next_ms = -1
+        self._in_contact = in_contact
+        self._calls: PendingCalls[_Call] = PendingCalls(_finish_in_doubt)
+        self._identities: dict[str, str] = {}  # of the stores, by node name, as last heard
+        self._is_retiring_again = False
+        self._since_ms = _NEVER_MS  # in contact and without a pause since then
+        self._next_ms = _NEVER_MS
 
     # -- operators' calls ----------------------------------------------------------------------
 
-    def order(self, name: str, done: Done) -> None:
-        """Order that the store of this name be emptied; idempotent.
+    def retire(self, name: str, done: Done) -> None:
+        """Retire the store of this name; idempotent.
 
-        `done` gets OK, UNKNOWN, TOO_FEW or DOUBT within answer_ms.
+        `done` gets OK, UNKNOWN, TOO_FEW or DOUBT within `answer_ms`.
         """
-        self._with_key(
-            RETIRED_KEY, done, lambda call, version, value: self._order(call, name, version, value)
-        )
+        self._begin(name, done, self._have_orders)
 
-    def state(self, name: str, done: Done) -> None:
-        """Report the progress of an order by the store's name.
+    def progress(self, name: str, done: Done) -> None:
+        """Report the progress of a retirement by the store's name.
 
-        `done` gets ROLLING_OUT, FINISHED, UNKNOWN or DOUBT within answer_ms.
+        `done` gets ROLLING_OUT, FINISHED, UNKNOWN or DOUBT within `answer_ms`.
         """
+        self._begin(name, done, self._find_progress)
+
+    def _begin(self, name: str, done: Done, have_read: HaveRead) -> None:
+        call = _Call(name, self.node.env.now() + self.node.settings.answer_ms, done)
+        if not self._in_contact():
+            call.finish(RetirementStatus.DOUBT)
+            return
+        self._calls.add(call)
+        self._read(RETIRED_KEY, call, have_read)
 
-        def have_order(call: _Call, version: int, value: dict[str, Any]) -> None:
-            identity = value.get("names", {}).get(name)
-            if identity is None:
-                call.finish(RetirementAnswer.UNKNOWN)
+    def _read(self, key: str, call: _Call, have_read: HaveRead) -> None:
+        """Read a control key; `have_read` gets the result, unless the call is over by then."""
+
+        def done(result: ChangeResult) -> None:
+            if not call.is_open:
+                return
+            if result.outcome != Outcome.OK:
+                call.finish(RetirementStatus.DOUBT)
             else:
-                self._read(
-                    _LOG_KEY,
-                    call,
-                    lambda c, _, log: c.finish(
-                        self._progress(value["identities"], name, identity, log)
-                    ),
-                )
+                have_read(call, result)
+
+        call.state = CallState.READING
+        self._owner.submit(ReadKey(key=key, hops=0), done)
 
-        self._with_key(RETIRED_KEY, done, have_order)
+    # -- progress ------------------------------------------------------------------------------
 
-    def _progress(
-        self, retired: list[str], name: str, identity: str, log: dict[str, Any]
-    ) -> RetirementAnswer:
-        """Return how far an order is.
+    def _find_progress(self, call: _Call, result: ChangeResult) -> None:
+        identity = RetiredMachines.from_body(result.body).names.get(call.name)
+        if identity is None:
+            call.finish(RetirementStatus.UNKNOWN)
+            return
+
+        def have_log(call: _Call, result: ChangeResult) -> None:
+            log = json.loads(result.body) if result.body else {}
+            call.finish(self._progress(call.name, identity, log))
+
+        self._read(LOG_KEY, call, have_log)
+
+    def _progress(self, name: str, identity: str, log: dict[str, Any]) -> RetirementStatus:
+        """Return how far a retirement is.
 
         While the log recovers, its new members may still need the records of the previous ones.
         """
         members = {row["identity"] for row in (*log.get("members", ()), *log.get("prev", ()))}
-        gone = identity not in members and self._names.get(name, identity) not in members
-        serves = log.get("phase") == "serving" and self._neighbours.live(log["holder"])
-        return RetirementAnswer.FINISHED if gone and serves else RetirementAnswer.ROLLING_OUT
-
-    # -- carrying out orders -------------------------------------------------------------------
+        is_replaced = members.isdisjoint({identity, self._identities.get(name, identity)})
+        serves = log.get("phase") == _LOG_SERVING and self._membership.live(log["holder"])
+        return RetirementStatus.FINISHED if is_replaced and serves else RetirementStatus.ROLLING_OUT
+
+    # -- retiring ------------------------------------------------------------------------------
+
+    def _have_orders(self, call: _Call, result: ChangeResult) -> None:
+        """Retire the store of the call, unless it is retired already or has to be refused."""
+        retired = RetiredMachines.from_body(result.body)
+        status = self._status_without_change(call.name, retired)
+        if status is not None:
+            call.finish(status)
+            return
+        identity = self._identities[call.name]
+        self.node.env.log("store-retires", "WARNING", name=call.name, identity=identity)
+        call.state = CallState.PROPOSING
+        self._propose(
+            result.version,
+            retired.with_names({call.name: identity}),
+            lambda result: self._proposed(call, result),
+        )
 
-    def _order(self, call: _Call, name: str, version: int, value: dict[str, Any]) -> None:
-        names, retired = dict(value.get("names", {})), set(value.get("identities", ()))
-        identity = self._names.get(name)
+    def _status_without_change(
+        self, name: str, retired: RetiredMachines
+    ) -> RetirementStatus | None:
+        """Return the status of a request that changes nothing; None if it retires the store."""
+        settings = self.node.settings
+        identity = self._identities.get(name)
         if identity is None:
-            call.finish(
-                RetirementAnswer.OK
-                if name in names
-                else self._certain(RetirementAnswer.UNKNOWN, self.node.settings.gone_ms)
-            )
-            return
-        if identity in retired and names.get(name) == identity:
-            call.finish(RetirementAnswer.OK)
-            return
-        stays = [
-            card
-            for card in self._neighbours.of_role("store", self.node.settings.dead_ms)
-            if card.identity != identity and card.identity not in retired
+            if name in retired.names:
+                return RetirementStatus.OK
+            return self._certain(RetirementStatus.UNKNOWN, settings.gone_ms)
+        if identity in retired.identities and retired.names.get(name) == identity:
+            return RetirementStatus.OK
+        remaining = [
+            info
+            for info in self._membership.of_role("store", settings.dead_ms)
+            if info.identity != identity and info.identity not in retired.identities
         ]
-        if name not in names and len(stays) < self.node.settings.store_count:
-            call.finish(self._certain(RetirementAnswer.TOO_FEW, self.node.settings.dead_ms))
-            return
-        names[name] = identity
-        self.node.env.log("store-retires", "WARNING", name=name, identity=identity)
-        self._owner.submit(
-            Change(
-                key=RETIRED_KEY,
-                version=version,
-                change_id=self.node.env.token(),
-                hops=0,
-                body=retired_body(retired | {identity}, names),
-            ),
-            lambda receipt: self._ordered(call, name, receipt),
-        )
+        if name not in retired.names and len(remaining) < settings.store_count:
+            return self._certain(RetirementStatus.TOO_FEW, settings.dead_ms)
+        return None
 
-    def _certain(self, refusal: RetirementAnswer, after_ms: int) -> RetirementAnswer:
+    def _certain(self, refusal: RetirementStatus, after_ms: int) -> RetirementStatus:
         """Return the refusal, or DOUBT unless this node has run without a pause for `after_ms`."""
-        fresh = self.node.env.now() - self._since_ms < after_ms
-        return RetirementAnswer.DOUBT if fresh else refusal
-
-    def _ordered(self, call: _Call, name: str, receipt: ChangeResult) -> None:
-        if receipt.outcome == Outcome.OK:
-            call.finish(RetirementAnswer.OK)
-        elif receipt.outcome == Outcome.LOST and call.done is not None:
-            self._read(
-                RETIRED_KEY, call, lambda c, version, value: self._order(c, name, version, value)
-            )
+        is_recent = self.node.env.now() - self._since_ms < after_ms
+        return RetirementStatus.DOUBT if is_recent else refusal
+
+    def _propose(
+        self, version: int, retired: RetiredMachines, done: Callable[[ChangeResult], None]
+    ) -> None:
+        change = Change(
+            key=RETIRED_KEY,
+            version=version,
+            change_id=self.node.env.token(),
+            hops=0,
+            body=retired.body(),
+        )
+        self._owner.submit(change, done)
+
+    def _proposed(self, call: _Call, result: ChangeResult) -> None:
+        if result.outcome == Outcome.OK:
+            call.finish(RetirementStatus.OK)
+        elif result.outcome == Outcome.LOST and call.is_open:
+            self._read(RETIRED_KEY, call, self._have_orders)
         else:
-            call.finish(RetirementAnswer.DOUBT)
+            call.finish(RetirementStatus.DOUBT)
 
-    def _follow(self) -> None:
+    # -- stores that come back -----------------------------------------------------------------
+
+    def _retire_returned(self) -> None:
         """Retire stores that came back under a retired name with another identity, too."""
         if (
-            self._busy
-            or not self._sure()
-            or self._owner.owner_of(RETIRED_KEY) != self._neighbours.identity
+            self._is_retiring_again
+            or not self._in_contact()
+            or self._owner.owner_of(RETIRED_KEY) != self._membership.identity
         ):
             return
-        value = self._config_feed.value(RETIRED_KEY) or {}
-        names = value.get("names", {})
-        fresh = {
-            name: self._names[name]
-            for name, identity in names.items()
-            if self._names.get(name, identity) != identity
+        retired = RetiredMachines.from_value(self._config_feed.value(RETIRED_KEY))
+        returned = {
+            name: self._identities[name]
+            for name, identity in retired.names.items()
+            if self._identities.get(name, identity) != identity
         }
-        if not fresh:
+        if not returned:
             return
-        self._busy = True
-
-        def changed(receipt: ChangeResult) -> None:
-            self._busy = False
-
-        self._owner.submit(
-            Change(
-                key=RETIRED_KEY,
-                version=self._config_feed.number(RETIRED_KEY),
-                change_id=self.node.env.token(),
-                hops=0,
-                body=retired_body({*value["identities"], *fresh.values()}, {**names, **fresh}),
-            ),
-            changed,
-        )
+        self._is_retiring_again = True
 
-    # -- reading control keys ------------------------------------------------------------------
+        def done(result: ChangeResult) -> None:
+            self._is_retiring_again = False
 
-    def _with_key(self, key: str, done: Done, told: Callable[[_Call, int, dict], None]) -> None:
-        call = _Call(self.node.env.now() + self.node.settings.answer_ms, done)
-        if not self._sure():
-            call.finish(RetirementAnswer.DOUBT)
-            return
-        self._calls.append(call)
-        self._read(key, call, told)
+        self._propose(self._config_feed.number(RETIRED_KEY), retired.with_names(returned), done)
 
-    def _read(self, key: str, call: _Call, told: Callable[[_Call, int, dict], None]) -> None:
-        def have_read(receipt: ChangeResult) -> None:
-            if call.done is None:
-                return
-            if receipt.outcome != Outcome.OK:
-                call.finish(RetirementAnswer.DOUBT)
-            else:
-                told(call, receipt.version, json.loads(receipt.body) if receipt.body else {})
-
-        self._owner.submit(ReadKey(key=key, hops=0), have_read)
-
-    def resumed(self, gap_ms: int) -> None:
-        """Restart the time that this node has been up without a pause."""
-        self._since_ms = self.node.env.now()
+    # -- time ----------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Note the stores' names, follow retired names, and answer overdue calls with DOUBT."""
+        """Note the stores' names, retire those that came back, and finish overdue calls."""
         now_ms = self.node.env.now()
-        if self._since_ms < 0 or not self._sure():
+        if self._since_ms < 0 or not self._in_contact():
             self._since_ms = now_ms
         if now_ms >= self._next_ms:
             self._next_ms = now_ms + self.node.settings.beat_ms
-            for card in self._neighbours.of_role("store", self.node.settings.dead_ms):
-                self._names[card.name] = card.identity
-            self._follow()
-        for call in self._calls:
-            if now_ms >= call.due_ms:
-                call.finish(RetirementAnswer.DOUBT)
-        self._calls = [call for call in self._calls if call.done is not None]
+            for info in self._membership.of_role("store", self.node.settings.dead_ms):
+                self._identities[info.name] = info.identity
+            self._retire_returned()
+        self._calls.expire_due(now_ms)
+
+    def resumed(self, gap_ms: int) -> None:
+        """Restart the time that this node has been up without a pause."""
+        self._since_ms = self.node.env.now()
--- a/libs/control_plane/src/control_plane/usage.py
+++ b/libs/control_plane/src/control_plane/usage.py
@@ -3,14 +3,17 @@
 Each request and each batch item that finished is exported once; an item that ran again after a
 fault is counted by its first end. Lines that cannot be read are counted. Writing needs pyarrow,
 which is an optional extra.
+
+The names of the exported columns are an interface of their own (docs/operators.md). Log lines of
+earlier versions are read as well; `_FIELD_NAMES` has the names that a field has had.
 """
 
 import json
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, Literal, NamedTuple
 
-__all__ = ["FIELDS", "export_usage", "usage_rows"]
+__all__ = ["FIELDS", "ExportCounts", "Usage", "export_usage", "read_usage"]
 
 FIELDS = (
     ("ended_at", "string"),
@@ -26,62 +29,60 @@
     ("took_ms", "int64"),
     ("bytes", "int64"),
 )
+"""The exported columns, with their types in Arrow's terms."""
 
+UsageRow = dict[str, Any]
 
-def _row(logged: dict[str, Any]) -> dict[str, Any]:
-    # Edges of an earlier version call the field `lot`.
-    job = logged.get("job", logged.get("lot", ""))
-    item = logged.get("index", -1)
-    sends = logged.get("sends", [])
-    return {
-        "ended_at": logged["at"],
-        "edge": logged["node"],
-        "kind": "item" if job else "live",
-        "path": logged["path"],
-        "transaction": logged["transaction"],
-        "key": logged["key"],
-        "lot": job,
-        "item": item,
-        "worker": sends[-1][0] if sends else "",
-        "sends": len(sends),
-        "took_ms": logged["took_ms"],
-        "bytes": logged.get("bytes", 0),
-    }
+_REQUEST_ENDED_EVENTS = ("request-ended", "transaction-ended")
+_FIELD_NAMES = {
+    "request": ("request", "transaction"),
+    "job": ("job", "lot"),
+    "attempts": ("attempts", "sends"),
+    "route": ("route", "path"),
+}
+_FINISHED = "done"
 
 
-def usage_rows(paths: Iterable[Path]) -> tuple[list[dict[str, Any]], int]:
-    """Return the rows of all finished requests and items, and how many lines were unreadable.
+class Usage(NamedTuple):
+    """The rows of what finished, in the order of `ended_at`, and how many lines were unreadable."""
 
-    Rows are in the order of `ended_at`. Raises OSError if a log cannot be read.
+    rows: list[UsageRow]
+    unreadable: int
+
+
+class ExportCounts(NamedTuple):
+    """How many rows were written, and how many log lines could not be read."""
+
+    written: int
+    unreadable: int
+
+
+def read_usage(paths: Iterable[Path]) -> Usage:
+    """Return what finished according to the logs, each request and each item once.
+
+    Raises OSError if a log cannot be read.
     """
-    found: dict[Any, dict[str, Any]] = {}
-    unread = 0
-    for path in paths:
-        for line in path.read_text(errors="replace").splitlines():
-            if not line.strip():
-                continue
-            try:
-                logged = json.loads(line)
-                if (
-                    logged.get("event") != "transaction-ended"
-                    or logged["state"] != "done"
-                    or logged["replayed"]
-                ):
-                    continue
-                row = _row(logged)
-            except (ValueError, KeyError, TypeError, AttributeError):
-                unread += 1
-                continue
-            name = (row["lot"], row["item"]) if row["lot"] else row["transaction"]
-            if name not in found or row["ended_at"] < found[name]["ended_at"]:
-                found[name] = row
-    return sorted(found.values(), key=lambda row: (row["ended_at"], row["transaction"])), unread
-
-
-def export_usage(paths: Iterable[Path], out: Path, form: str) -> tuple[int, int]:
-    """Write the usage to `out` as "parquet" or "csv".
-
-    Returns how many rows were written, and how many lines could not be read.
+    first_rows: dict[Any, UsageRow] = {}
+    unreadable = 0
+    for line in _lines(paths):
+        try:
+            row = _row_of(json.loads(line))
+        except (ValueError, KeyError, TypeError, AttributeError):
+            unreadable += 1
+            continue
+        if row is None:
+            continue
+        subject = (row["lot"], row["item"]) if row["lot"] else row["transaction"]
+        if subject not in first_rows or row["ended_at"] < first_rows[subject]["ended_at"]:
+            first_rows[subject] = row
+    rows = sorted(first_rows.values(), key=lambda row: (row["ended_at"], row["transaction"]))
+    return Usage(rows, unreadable)
+
+
+def export_usage(
+    paths: Iterable[Path], out: Path, file_format: Literal["parquet", "csv"]
+) -> ExportCounts:
+    """Write the usage to the file `out`.
 
     Raises
     ------
@@ -91,11 +92,54 @@
     import pyarrow
     from pyarrow import csv, parquet
 
-    rows, unread = usage_rows(paths)
+    usage = read_usage(paths)
     schema = pyarrow.schema([(name, getattr(pyarrow, kind)()) for name, kind in FIELDS])
-    table = pyarrow.Table.from_pylist(rows, schema=schema)
-    if form == "parquet":
+    table = pyarrow.Table.from_pylist(usage.rows, schema=schema)
+    if file_format == "parquet":
         parquet.write_table(table, out)
     else:
         csv.write_csv(table, out)
-    return len(rows), unread
+    return ExportCounts(len(usage.rows), usage.unreadable)
+
+
+def _lines(paths: Iterable[Path]) -> Iterator[str]:
+    for path in paths:
+        for line in path.read_text(errors="replace").splitlines():
+            if line.strip():
+                yield line
+
+
+def _row_of(logged: dict[str, Any]) -> UsageRow | None:
+    """Return the row of a log line; None if it is not about a request that finished here."""
+    if (
+        logged.get("event") not in _REQUEST_ENDED_EVENTS
+        or logged["state"] != _FINISHED
+        or logged["replayed"]
+    ):
+        return None
+    job = _field(logged, "job", "")
+    attempts = _field(logged, "attempts", [])
+    return {
+        "ended_at": logged["at"],
+        "edge": logged["node"],
+        "kind": "item" if job else "live",
+        "path": _field(logged, "route"),
+        "transaction": _field(logged, "request"),
+        "key": logged["key"],
+        "lot": job,
+        "item": logged.get("index", -1),
+        "worker": attempts[-1][0] if attempts else "",
+        "sends": len(attempts),
+        "took_ms": logged["took_ms"],
+        "bytes": logged.get("bytes", 0),
+    }
+
+
+def _field(logged: dict[str, Any], field: str, default: Any = None) -> Any:
+    """Return a field under any name that it has had; raises KeyError if there is no default."""
+    for name in _FIELD_NAMES[field]:
+        if name in logged:
+            return logged[name]
+    if default is None:
+        raise KeyError(field)
+    return default
--- a/libs/control_plane/src/control_plane/worker_list_api.py
+++ b/libs/control_plane/src/control_plane/workers_api.py
@@ -1,11 +1,11 @@
-"""HTTP interface of the list of workers at a control node.
+"""HTTP interface of the list of workers at a control node: `/workers`.
 
 Workers send heartbeats and report that they leave; operators read the list. Workers send heartbeats
 to the edges as well, independently of this list.
 """
 
 import json
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
 from aiohttp import web
 from control_store import WorkerReport
@@ -14,9 +14,14 @@
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
 
-__all__ = ["WorkerListApi"]
+from control_plane.nodes import ControlNode
+
+__all__ = ["WorkersApi"]
 
 Text = Annotated[str, Field(min_length=1, max_length=255)]
+_MOST_SLOTS = 1_000_000
+_MOST_MODELS = 256
+_RETRY_AFTER_MS = 1000
 
 
 class _Model(BaseModel):
@@ -28,49 +33,49 @@
     adapters: list[Text] | None = None
 
 
-class _Beat(BaseModel):
-    """The body of a worker's heartbeat."""
+class _HeartbeatBody(BaseModel):
+    """The body of a worker's heartbeat; `seq` is its sequence number."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
     address: Text
     zone: Text
     label: Text
-    slots: int = Field(ge=0, le=1_000_000)
+    slots: int = Field(ge=0, le=_MOST_SLOTS)
     state: Literal["serving", "draining"] = "serving"
     seq: int = Field(ge=0, le=1 << 53)
-    models: list[_Model] = Field(default_factory=list, max_length=256)
+    models: list[_Model] = Field(default_factory=list, max_length=_MOST_MODELS)
 
 
-class WorkerListApi:
-    """Registers the handlers of `/workers` at `desk`."""
+class WorkersApi:
+    """The handlers of `/workers`, which are registered at `service`."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpService) -> None:
+    def __init__(self, node: ControlNode, service: HttpService) -> None:
         self._node = node
-        router = desk.app.router
+        router = service.app.router
         router.add_get("/workers", self._show)
-        router.add_put("/workers/{name:.+}", self._beat)
+        router.add_put("/workers/{name:.+}", self._heartbeat)
         router.add_delete("/workers/{name:.+}", self._leave)
 
     async def _show(self, request: web.Request) -> web.Response:
-        node = self._node
-        return json_answer({"version": node.worker_list.number, "workers": node.worker_list.rows()})
-
-    async def _beat(self, request: web.Request) -> web.Response:
-        call = await read_call(request, self._node.settings.max_body_bytes, _Beat)
-        if isinstance(call, Refusal):
-            return answer_refusal(call)
-        models = [row.model_dump(exclude_none=True) for row in call.models]
+        workers = self._node.worker_list
+        return json_answer({"version": workers.number, "workers": workers.rows()})
+
+    async def _heartbeat(self, request: web.Request) -> web.Response:
+        body = await read_call(request, self._node.settings.max_body_bytes, _HeartbeatBody)
+        if isinstance(body, Refusal):
+            return answer_refusal(body)
+        models = [model.model_dump(exclude_none=True) for model in body.models]
         return await self._report(
             WorkerReport(
                 identity=request.match_info["name"],
-                address=call.address,
-                zone=call.zone,
-                label=call.label,
-                slots=call.slots,
-                state=call.state,
-                seq=call.seq,
+                address=body.address,
+                zone=body.zone,
+                label=body.label,
+                slots=body.slots,
+                state=body.state,
+                seq=body.seq,
                 models=json.dumps(models),
             )
         )
@@ -98,7 +103,7 @@
                     "this node hears no majority of the voters, or not the list's "
                     "owner; ask another",
                     503,
-                    1000,
+                    _RETRY_AFTER_MS,
                 )
             )
         if outcome != "ok":
@@ -106,7 +111,7 @@
                 doubtful(
                     "worker-in-doubt",
                     "not known in time whether the edges have it; say it again",
-                    1000,
+                    _RETRY_AFTER_MS,
                 )
             )
         return json_answer({"worker": report.identity, "state": report.state})
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -129,7 +129,7 @@
             list(fleet.workers.values())[place].crash()
             fleet.time.after(600, lambda: self._add_worker(f"worker{len(fleet.workers) + 1}"))
             return
-        control = {host.node.voter.identity: host for host in fleet.running("control")}
+        control = {host.node.acceptor.identity: host for host in fleet.running("control")}
         host = {
             "edge": lambda: fleet.with_role("edge")[place],
             "holder": fleet.leader,
--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -33,7 +33,7 @@
 def crash_owner(fleet: Any, down_ms: float) -> None:
     """Kill the owner of the key `profiles` and start its process again after `down_ms`."""
     for host in fleet.with_role("control"):
-        if host.up and host.node.owner.owner_of("profiles") == host.node.voter.identity:
+        if host.up and host.node.owner.owner_of("profiles") == host.node.acceptor.identity:
             host.kill()
             fleet.time.after(down_ms, host.start)
             return
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -182,7 +182,7 @@
         """Return whether all edges and stores take requests and all control nodes have a quorum."""
         return all(
             not host.node.why_unready() for host in self.with_role("edge") + self.with_role("store")
-        ) and all(host.node.quorate() for host in self.with_role("control"))
+        ) and all(host.node.has_quorum() for host in self.with_role("control"))
 
     def in_serving_set(self) -> bool:
         """Return whether every running host's roll lists exactly the running edges and stores."""
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -60,7 +60,7 @@
         """Start the fleet; AssertionError if it does not get ready in time."""
         fleet = self.fleet
         if not fleet.run_until_true(
-            lambda: all(host.node.quorate() for host in fleet.with_role("control")), _FOUND_MS
+            lambda: all(host.node.has_quorum() for host in fleet.with_role("control")), _FOUND_MS
         ):
             raise AssertionError("control was not founded")
         self.operators.change()
--- a/libs/testbed/src/testbed/measure_scale.py
+++ b/libs/testbed/src/testbed/measure_scale.py
@@ -177,7 +177,7 @@
         settings={**SETTINGS, **(settings or {})},
     )
     if not fleet.run_until_true(
-        lambda: all(host.node.quorate() for host in fleet.with_role("control")), _FOUND_MS
+        lambda: all(host.node.has_quorum() for host in fleet.with_role("control")), _FOUND_MS
     ):
         raise AssertionError("control was not founded")
     Operators(fleet).change()
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -42,7 +42,7 @@
     ),
     "a retirement is refused by a node that knows too little": (
         "control_plane/src/control_plane/retirement.py",
-        "RetirementAnswer.DOUBT if fresh else refusal",
+        "RetirementStatus.DOUBT if is_recent else refusal",
         "refusal",
         _CUT_OFF + "retirement",
     ),
@@ -144,7 +144,7 @@
     ),
     "a change on any base is taken": (
         "control_plane/src/control_plane/configuration_changes.py",
-        "elif _revision_of(tree) != call.order.base:",
+        "elif _revision_of(configuration) != call.change.base:",
         "elif False:",
         _DAYS + "calm",
     ),
@@ -167,21 +167,21 @@
         _ORDERS + "nobody_hands_out",
     ),
     "a patch on another version is sent on": (
-        "control_plane/src/control_plane/operator_api.py",
-        "if receipt.version != call.version:",
+        "control_plane/src/control_plane/profiles_api.py",
+        "if result.version != body.version:",
         "if False:",
-        _OWN_ORDERS + "only_asked_after",
+        _OWN_ORDERS + "only_looked_up",
     ),
     "an id names any contents": (
-        "control_plane/src/control_plane/operator_bodies.py",
-        "text = json.dumps([change_id, type(contents).__name__, sent], sort_keys=True)",
+        "control_plane/src/control_plane/request_bodies.py",
+        "text = json.dumps([change_id, contents.KIND, sent], sort_keys=True)",
         "text = change_id",
         _OWN_ORDERS + "two_contents",
     ),
     "too few is told before all can be heard": (
         "control_plane/src/control_plane/retirement.py",
-        "fresh = self.node.env.now() - self._since_ms < after_ms",
-        "fresh = False",
+        "is_recent = self.node.env.now() - self._since_ms < after_ms",
+        "is_recent = False",
         _OWN_ORDERS + "too_few",
     ),
     "an old log takes a key back": (
--- a/tests/orders_case.py
+++ b/tests/orders_case.py
@@ -23,7 +23,7 @@
         return [(await platform.put(host, base, sent))[0] for host in hosts]
 
     def key_owner(self, platform):
-        hosts = {host.node.voter.identity: host for host in platform.fleet.with_role("control")}
+        hosts = {host.node.acceptor.identity: host for host in platform.fleet.with_role("control")}
         name = platform.fleet.hosts["control1"].node.owner.owner_of("profiles")
         return hosts[name]
 
--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -86,7 +86,7 @@
         assert self.fleet.run_until_true(self.ready, 12000), "not founded"
 
     def ready(self):
-        return all(host.node.quorate() for host in self.fleet.with_role("control")) and all(
+        return all(host.node.has_quorum() for host in self.fleet.with_role("control")) and all(
             host.node.worker_list._in_touch() for host in self.fleet.with_role("control")
         )
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -35,7 +35,7 @@
         fleet = SimFleet(seed, edges=sizes.pop("edges", 0), stores=3, workers=0, **sizes)
         self.assertThat(
             fleet.run_until_true(
-                lambda: all(host.node.quorate() for host in fleet.with_role("control")), 8000
+                lambda: all(host.node.has_quorum() for host in fleet.with_role("control")), 8000
             ),
             Equals(True),
         )
@@ -64,7 +64,7 @@
 
     def test_late_accept_of_an_older_version_is_refused(self):
         fleet = self.founded()
-        voter = fleet.hosts["control1"].node.voter
+        voter = fleet.hosts["control1"].node.acceptor
         asker = fleet.hosts["store1"]
         sent = []
         for message in (
@@ -102,7 +102,7 @@
     def test_who_is_answered_may_ask_again_at_once(self):
         """Asking from within an answer once began two rounds for one operation, whose second end answered another."""
         fleet = self.founded()
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")].node.owner
         seen = []
         owner.submit(
@@ -134,7 +134,7 @@
     def test_owner_killed_its_key_goes_on_under_a_higher_epoch(self):
         fleet = self.founded()
         self.ask(fleet, "control1", self.change(0, "a"))
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         before = owner.node.owner.epochs()["profiles"]["epoch"]
         owner.kill()
@@ -154,16 +154,16 @@
         self.assertThat(
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
-        first = {host.node.voter.identity for host in fleet.with_role("control")}
+        first = {host.node.acceptor.identity for host in fleet.with_role("control")}
         for number in range(5):
             fresh = fleet.add("control", f"fresh{number + 1}")
             fleet.hosts.pop(f"control{number + 1}").kill()
 
             def joined(fresh=fresh):
-                return fresh.node.quorate() and len(fresh.node.voter.voters) == 5
+                return fresh.node.has_quorum() and len(fresh.node.acceptor.voters) == 5
 
             self.assertThat(fleet.run_until_true(joined, 25000), Equals(True), f"fresh{number + 1}")
-        self.assertThat(first & set(fleet.hosts["fresh1"].node.voter.voters), HasLength(0))
+        self.assertThat(first & set(fleet.hosts["fresh1"].node.acceptor.voters), HasLength(0))
         read = self.ask(fleet, "fresh2", ReadKey(key="profiles", hops=0))
         self.assertThat((read.version, read.body), Equals((1, '{"kept": 1}')))
 
@@ -172,7 +172,7 @@
         the other two could be formed. What mends this in time is the sweep before each change of the list.
         """
         fleet = self.founded(edges=1)
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         fresh = fleet.add("control", "fresh")
         self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
         fleet.run_until_true(lambda: False, fresh.settings.gone_ms + 1500)
@@ -188,14 +188,14 @@
         fleet.run_until_true(lambda: seen, 2000)
         self.assertThat([receipt.outcome for receipt in seen], Equals(["ok"]))
         fleet.network.heal()
-        body = json.dumps({"identities": [leaves.node.voter.identity]})
+        body = json.dumps({"identities": [leaves.node.acceptor.identity]})
         owner.node.owner.submit(
             Change(key="retired", version=0, change_id="r", body=body, hops=0), lambda receipt: None
         )
         changed = fleet.run_until_true(
             lambda: (
-                leaves.node.voter.identity not in fresh.node.voter.voters
-                and len(fresh.node.voter.voters) == 5
+                leaves.node.acceptor.identity not in fresh.node.acceptor.voters
+                and len(fresh.node.acceptor.voters) == 5
             ),
             5000,
         )
@@ -211,12 +211,12 @@
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
         fleet.run_until_true(lambda: False, 500)
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         old = next(host for host in fleet.with_role("control") if host is not owner)
 
         def rows():
-            return [host.node.voter.registers["profiles"] for host in fleet.with_role("control")]
+            return [host.node.acceptor.registers["profiles"] for host in fleet.with_role("control")]
 
         def versions():
             return {row.version for row in rows()}
@@ -240,14 +240,16 @@
     def test_a_wiped_voter_is_a_spare_and_takes_no_part(self):
         fleet = self.founded()
         host = fleet.hosts["control1"]
-        old = host.node.voter.identity
+        old = host.node.acceptor.identity
         host.lose_disk()
         host.start()
         fleet.run_until_true(lambda: False, 1500)
-        self.assertThat(host.node.voter.identity != old and not host.node.quorate(), Equals(True))
-        self.assertThat(fleet.run_until_true(host.node.quorate, 20000), Equals(True))
         self.assertThat(
-            fleet.run_until_true(lambda: old not in host.node.voter.voters, 20000), Equals(True)
+            host.node.acceptor.identity != old and not host.node.has_quorum(), Equals(True)
+        )
+        self.assertThat(fleet.run_until_true(host.node.has_quorum, 20000), Equals(True))
+        self.assertThat(
+            fleet.run_until_true(lambda: old not in host.node.acceptor.voters, 20000), Equals(True)
         )
 
 
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -6,7 +6,7 @@
 import json
 
 from config_feed import KeyUpdates, VersionDigest
-from control_plane.configuration_changes import Order, Taken
+from control_plane.configuration_changes import ConfigurationChange, ConfigurationStatus
 from control_store import Change, ReadKey
 from simulator.fleet import SimFleet
 from testtools import TestCase
@@ -29,7 +29,7 @@
 
         def ready():
             return all(
-                host.node.quorate() and len(host.node.voter.voters) == control
+                host.node.has_quorum() and len(host.node.acceptor.voters) == control
                 for host in fleet.with_role("control")
             )
 
@@ -68,7 +68,7 @@
         self.assertThat(outcome, Equals(wanted))
 
     def owner(self, fleet, key):
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         return names[fleet.hosts["control1"].node.owner.owner_of(key)].name
 
     def other(self, fleet, *names):
@@ -176,7 +176,7 @@
 
                 def in_order(fresh=fresh, node=node, way=way):
                     for number, vouches in (
-                        (node.config_feed.number("profiles"), node.quorate()),
+                        (node.config_feed.number("profiles"), node.has_quorum()),
                         (fresh.node.config_feed.number("profiles"), not fresh.node.why_unready()),
                     ):
                         self.assertThat(not vouches or number == 4, Equals(True), (way, number))
@@ -198,18 +198,21 @@
                 for _ in range(4):
                     seen = []
                     asked_ms = fleet.time.now_ms
-                    node.tree_changes.read(seen.append)
-                    order = Order(0, 1, "mine", lambda tree: 1 / 0)
-                    node.tree_changes.change(order, seen.append)
-                    node.retirement.order("store1", seen.append)
-                    node.retirement.state("store1", seen.append)
+                    node.configuration_changes.read(seen.append)
+                    change = ConfigurationChange(0, 1, "mine", lambda tree: 1 / 0)
+                    node.configuration_changes.change(change, seen.append)
+                    node.retirement.retire("store1", seen.append)
+                    node.retirement.progress("store1", seen.append)
                     self.assertThat(
                         fleet.run_until_true(lambda seen=seen: len(seen) == 4, 1000), Equals(True)
                     )
                     self.assertThat(fleet.time.now_ms - asked_ms <= 1000, Equals(True))
-                    kinds = {getattr(row, "kind", row) for row in seen}
+                    statuses = {getattr(row, "status", row) for row in seen}
                     self.assertThat(
-                        kinds <= {Taken.REFUSED, Taken.DOUBT, "doubt"}, Equals(True), kinds
+                        statuses
+                        <= {ConfigurationStatus.REFUSED, ConfigurationStatus.DOUBT, "doubt"},
+                        Equals(True),
+                        statuses,
                     )
                     self.wait(fleet, CUT_MS // 10)
                 self.assertThat(
@@ -234,7 +237,7 @@
         end_ms = fleet.time.now_ms + 1000
         while fleet.time.now_ms < end_ms:
             for name in ("store1", "store5"):
-                node.retirement.order(named[name], answers.append)
+                node.retirement.retire(named[name], answers.append)
             self.wait(fleet, 10)
         self.wait(fleet, 1000)
         self.assertThat(set(answers) <= {"ok", "doubt"}, Equals(True), set(answers))
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -51,7 +51,7 @@
         self.assertThat(
             fleet.run_until_true(
                 lambda: all(
-                    host.node.quorate() and len(host.node.voter.voters) == control
+                    host.node.has_quorum() and len(host.node.acceptor.voters) == control
                     for host in fleet.with_role("control")
                 ),
                 8000,
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -115,7 +115,7 @@
 
     def all_vote(self, fleet, count):
         return lambda: all(
-            host.node.quorate() and len(host.node.voter.voters) == count
+            host.node.has_quorum() and len(host.node.acceptor.voters) == count
             for host in fleet.running("control")
         )
 
@@ -150,15 +150,15 @@
             fleet = self.fleet(control, seeds=seeds)
             founded = fleet.run_until_true(
                 lambda fleet=fleet: any(
-                    host.node.voter.voters for host in fleet.with_role("control")
+                    host.node.acceptor.voters for host in fleet.with_role("control")
                 ),
                 2000,
             )
             self.assertThat(founded, Equals(True), (control, seeds))
             self.voted(fleet, control, 6000)
             self.assertThat(
-                {host.node.voter.identity for host in fleet.with_role("control")},
-                Equals(set(fleet.hosts["control1"].node.voter.voters)),
+                {host.node.acceptor.identity for host in fleet.with_role("control")},
+                Equals(set(fleet.hosts["control1"].node.acceptor.voters)),
             )
             lists = {
                 event[2]["voters"].__len__()
@@ -171,7 +171,7 @@
         fleet = self.fleet(first_start=False)
         self.assertThat(
             fleet.run_until_true(
-                lambda: any(host.node.voter.voters for host in fleet.with_role("control")), 8000
+                lambda: any(host.node.acceptor.voters for host in fleet.with_role("control")), 8000
             ),
             Equals(False),
         )
@@ -181,7 +181,8 @@
         self.assertThat(
             fleet.run_until_true(
                 lambda: all(
-                    host.node.voter.metadata.bootstrap_vote for host in fleet.with_role("control")
+                    host.node.acceptor.metadata.bootstrap_vote
+                    for host in fleet.with_role("control")
                 ),
                 3000,
             ),
@@ -196,7 +197,7 @@
         fleet.hosts["control2"].start()
         self.assertThat(
             fleet.run_until_true(
-                lambda: any(host.node.voter.voters for host in fleet.with_role("control")), 5000
+                lambda: any(host.node.acceptor.voters for host in fleet.with_role("control")), 5000
             ),
             Equals(False),
         )
@@ -206,14 +207,14 @@
             fleet = self.voted(self.fleet(), 5)
             self.assertThat(self.change(fleet, "control2", 0)[0], Equals("ok"))
             host = fleet.hosts[name]
-            old = host.node.voter.identity
+            old = host.node.acceptor.identity
             host.lose_disk()
             fleet.time.run_until(fleet.time.now_ms + 700)
             host.start()
 
             def replaced(fleet=fleet, host=host, old=old):
-                voters = fleet.hosts["control2"].node.voter.voters
-                return old not in voters and len(voters) == 5 and host.node.quorate()
+                voters = fleet.hosts["control2"].node.acceptor.voters
+                return old not in voters and len(voters) == 5 and host.node.has_quorum()
 
             self.assertThat(fleet.run_until_true(replaced, 2500), Equals(True), name)
 
@@ -225,22 +226,24 @@
             host.lose_disk()
             host.start()
             fleet.time.run_until(fleet.time.now_ms + fleet.hosts[name].settings.catch_up_ms)
-            self.assertThat((len(host.node.voter.voters), host.node.quorate()), Equals((3, True)))
+            self.assertThat(
+                (len(host.node.acceptor.voters), host.node.has_quorum()), Equals((3, True))
+            )
             self.assertThat(host.node.config_feed.number("profiles"), Equals(1))
         self.assertThat(self.change(fleet, "control3", 1)[0], Equals("ok"))
 
     def test_a_replacement_at_a_new_address_votes_within_the_time_to_catch_up(self):
         for gap_ms in (0, 400, 3000):
             fleet = self.voted(self.fleet(), 5)
-            old = fleet.hosts["control3"].node.voter.identity
+            old = fleet.hosts["control3"].node.acceptor.identity
             fleet.hosts.pop("control3").kill()
             fleet.time.run_until(fleet.time.now_ms + gap_ms)
             fleet._settings["first_start"] = False
             fresh = fleet.add("control", "fresh")
 
             def replaced(fresh=fresh, old=old):
-                voters = fresh.node.voter.voters
-                return old not in voters and len(voters) == 5 and fresh.node.quorate()
+                voters = fresh.node.acceptor.voters
+                return old not in voters and len(voters) == 5 and fresh.node.has_quorum()
 
             self.assertThat(fleet.run_until_true(replaced, 4000), Equals(True), gap_ms)
 
@@ -249,7 +252,7 @@
         for name in ("control1", "control2"):
             fleet.hosts[name].kill()
         fleet.time.run_until(fleet.time.now_ms + 15_000)
-        self.assertThat(fleet.hosts["control3"].node.voter.voters, HasLength(5))
+        self.assertThat(fleet.hosts["control3"].node.acceptor.voters, HasLength(5))
         self.assertThat(self.change(fleet, "control3", 0)[0], Equals("ok"))
 
     def test_the_larger_side_of_a_cut_acknowledges(self):
@@ -277,7 +280,7 @@
         """Asked just as the owner dies: told to another control node, it is acknowledged within the bound."""
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         owner.kill()
         other = next(host for host in fleet.running("control"))
@@ -288,7 +291,7 @@
     def test_a_voter_that_hears_nobody_has_no_duty_though_all_hear_it(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         others = [host for host in fleet.hosts.values() if host is not owner]
         fleet.network.partitioned_pairs.update((host.address, owner.address) for host in others)
@@ -300,7 +303,7 @@
     def test_a_killed_owners_keys_pass_on_once_nothing_listens_there(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
-        names = {host.node.voter.identity: host for host in fleet.with_role("control")}
+        names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         owner.kill()
         others = fleet.running("control")
@@ -309,11 +312,11 @@
         outcome, took_ms = self.change(fleet, others[0].name, 1)
         self.assertThat((outcome, took_ms <= 200), Equals(("ok", True)), took_ms)
         self.assertThat(
-            others[0].node.owner.owner_of("profiles") != owner.node.voter.identity, Equals(True)
+            others[0].node.owner.owner_of("profiles") != owner.node.acceptor.identity, Equals(True)
         )
         owner.start()
         fleet.time.run_until(fleet.time.now_ms + 1000)
         self.assertThat(
-            others[0].node.owner.owner_of("profiles"), Equals(owner.node.voter.identity)
+            others[0].node.owner.owner_of("profiles"), Equals(owner.node.acceptor.identity)
         )
-        self.assertThat(fleet.hosts["control1"].node.voter.voters, HasLength(5))
+        self.assertThat(fleet.hosts["control1"].node.acceptor.voters, HasLength(5))
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -144,8 +144,8 @@
     def _founded(self):
         self.watch()
         nodes = [host.node for host in self.fleet.with_role("control")]
-        return sum(node.quorate() for node in nodes) >= 5 and all(
-            node.voter.voters for node in nodes
+        return sum(node.has_quorum() for node in nodes) >= 5 and all(
+            node.acceptor.voters for node in nodes
         )
 
     def _all_level(self):
@@ -175,7 +175,9 @@
 
     def value_bytes(self, key):
         """The size of a key's value, with the changes that it remembers, at the voter that has most."""
-        registers = [host.node.voter.registers.get(key) for host in self.fleet.with_role("control")]
+        registers = [
+            host.node.acceptor.registers.get(key) for host in self.fleet.with_role("control")
+        ]
         return max(len(register.value) for register in registers if register is not None)
 
     def change(self, key, count, through="control1"):
@@ -206,7 +208,9 @@
         node = self.fleet.hosts["control1"].node
         identity = node.owner.owner_of(key)
         return next(
-            host for host in self.fleet.with_role("control") if host.node.voter.identity == identity
+            host
+            for host in self.fleet.with_role("control")
+            if host.node.acceptor.identity == identity
         )
 
 
@@ -246,7 +250,7 @@
         through = next(
             host.name
             for host in fleet.with_role("control")
-            if host.name not in names and host.node.quorate()
+            if host.name not in names and host.node.has_quorum()
         )
         for host, leave in leaving:
             leave(fleet, host)
@@ -293,7 +297,7 @@
         """What is read through those that have just come back; it may be doubt, and is never old."""
         for name in names:
             host = watched.fleet.hosts[name]
-            if host.role == "control" and host.node.voter.voters:
+            if host.role == "control" and host.node.acceptor.voters:
                 host.node.owner.submit(
                     ReadKey(key="profiles", hops=0),
                     lambda receipt: told.append((receipt.outcome, receipt.version)),
@@ -338,10 +342,10 @@
         def held():
             watched.watch()
             return [
-                host.node.voter.registers["profiles"].flushed.version
+                host.node.acceptor.registers["profiles"].flushed.version
                 for host in watched.fleet.with_role("control")
-                if host.node.voter.identity in host.node.voter.voters
-                and "profiles" in host.node.voter.registers
+                if host.node.acceptor.identity in host.node.acceptor.voters
+                and "profiles" in host.node.acceptor.registers
             ]
 
         wanted = [watched.newest("profiles")] * 5
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -4,7 +4,7 @@
 
 import json
 
-from control_plane.status_text import says
+from control_plane.member_status import describe_member
 from control_store import Change
 from simulator import judge
 from simulator.runs import Run
@@ -41,7 +41,7 @@
 
     def test_rows(self):
         for asked, told in self.ROWS:
-            self.assertThat(says(*asked), Equals(told), str(asked))
+            self.assertThat(describe_member(*asked), Equals(told), str(asked))
 
 
 class Changing(TestCase):
@@ -174,7 +174,9 @@
                 run.operators.change()
             self.until(
                 fleet,
-                lambda fresh=fresh: fresh.node.quorate() and len(fresh.node.voter.voters) == 5,
+                lambda fresh=fresh: (
+                    fresh.node.has_quorum() and len(fresh.node.acceptor.voters) == 5
+                ),
                 25_000,
             )
         run.operators.resend_acknowledged(8)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -95,7 +95,7 @@
                 platform.run(1500)
                 self.assertThat(
                     fleet.run_until_true(
-                        lambda: all(fleet.hosts[name].node.quorate() for name in names), 25000
+                        lambda: all(fleet.hosts[name].node.has_quorum() for name in names), 25000
                     ),
                     Equals(True),
                 )
--- a/tests/test_orders_own.py
+++ b/tests/test_orders_own.py
@@ -1,5 +1,5 @@
-"""Orders of the product's own interface, and orders to empty stores: known by all that they say, and never
-refused by what only one node has heard.
+"""Changes through the product's own interface, and retirements of stores: a change is identified by all that
+it says, and a retirement is never refused by what only one node has heard.
 """
 
 import asyncio
@@ -8,7 +8,13 @@
 from unittest import mock
 
 from aiohttp import web
-from control_plane.operator_api import OperatorApi
+from control_plane.profiles_api import ProfilesApi
+from control_plane.request_bodies import (
+    ConfigurationBody,
+    ConfigurationPatchBody,
+    RetirementBody,
+    change_identity,
+)
 from control_store import Change, ChangeResult, ReadKey
 from membership import Membership
 from platform_calls import Platform
@@ -16,27 +22,27 @@
 from testtools.matchers import Equals
 
 
-class Answered:
-    """An owner of keys that notes what it is asked and answers from a table."""
+class RecordingKeyOwner:
+    """A key owner that records the operations and answers each with the same version and body."""
 
     def __init__(self, version, body):
         self.version, self.body = version, body
-        self.asked = []
+        self.operations = []
 
     def submit(self, message, done):
-        self.asked.append(message)
+        self.operations.append(message)
         outcome = "ok" if isinstance(message, ReadKey) else "lost"
         done(ChangeResult(outcome=outcome, version=self.version, body=self.body, reason=""))
 
 
-class OwnInterface(TestCase):
-    """The operators' calls of the product's own interface."""
+class ProfilesInterface(TestCase):
+    """The changes of the profiles through the product's own interface."""
 
     def call(self, owner, handler, sent):
         async def run():
-            desk = SimpleNamespace(app=web.Application())
+            service = SimpleNamespace(app=web.Application())
             settings = SimpleNamespace(max_body_bytes=1 << 20)
-            operators = OperatorApi(SimpleNamespace(owner=owner, settings=settings), desk)
+            api = ProfilesApi(SimpleNamespace(owner=owner, settings=settings), service)
 
             async def read():
                 return json.dumps(sent).encode()
@@ -45,32 +51,47 @@
                 content_length=100, content_type="application/json", headers={}, read=read
             )
             request.content = SimpleNamespace(read=lambda count=-1: read())
-            return (await getattr(operators, handler)(request)).status
+            return (await getattr(api, handler)(request)).status
 
         return asyncio.run(run())
 
-    def test_a_patch_on_another_version_is_only_asked_after(self):
-        """It once went to the key's owner with the tree as it was, to be taken, without the patch, if the version
+    def test_a_patch_of_another_version_is_only_looked_up(self):
+        """It once went to the key's owner with the tree as it was, to be applied, without the patch, if the version
         that it named came into force meanwhile.
         """
-        owner = Answered(4, json.dumps({"profiles": {}}))
+        owner = RecordingKeyOwner(4, json.dumps({"profiles": {}}))
         sent = {"version": 5, "change_id": "c", "patch": {"profiles": {"a": {"abstract": True}}}}
         self.assertThat(self.call(owner, "_patch", sent), Equals(409))
-        self.assertThat([row for row in owner.asked if isinstance(row, Change)], Equals([]))
+        self.assertThat([row for row in owner.operations if isinstance(row, Change)], Equals([]))
 
     def test_one_id_for_two_contents_is_two_changes(self):
-        owner = Answered(4, json.dumps({"profiles": {}}))
+        owner = RecordingKeyOwner(4, json.dumps({"profiles": {}}))
         for name, version in (("a", 4), ("b", 4), ("a", 4), ("a", 3)):
             tree = {"profiles": {name: {"abstract": True}}}
-            self.call(owner, "_send", {"version": version, "change_id": "c", "tree": tree})
+            self.call(owner, "_replace", {"version": version, "change_id": "c", "tree": tree})
         first, second, again, older = [
-            row.change_id for row in owner.asked if isinstance(row, Change)
+            row.change_id for row in owner.operations if isinstance(row, Change)
         ]
         self.assertThat((first == again, len({first, second, older})), Equals((True, 3)))
 
-
-class Stores(TestCase):
-    def test_a_node_that_has_just_started_refuses_no_emptying(self):
+    def test_the_id_of_a_change_is_the_same_in_all_versions(self):
+        """A change may be sent again to a node of another version; these are the ids of version 472a6a3."""
+        for contents, identity in (
+            (
+                ConfigurationBody(version=4, tree={"profiles": {}}),
+                "107885be94c6e2de30cae2cf42b6fcb0",
+            ),
+            (
+                ConfigurationPatchBody(version=4, patch={"profiles": {}}),
+                "bda5fdefa9a5ffd4ccda53707ea94f8d",
+            ),
+            (RetirementBody(identity="store1"), "c0259e6bd38ae0dee2c369dcd64021f0"),
+        ):
+            self.assertThat(change_identity("c", contents), Equals(identity))
+
+
+class Retirements(TestCase):
+    def test_a_node_that_has_just_started_refuses_no_retirement(self):
         """It has not heard of all stores yet: that too few would be left it cannot know."""
 
         async def run(seed):
@@ -83,14 +104,14 @@
             host.kill()
             platform.run(200)
             host.start()
-            found = []
-            while not found or found[-1] == 503:
-                told = await platform.ask(
+            statuses = []
+            while not statuses or statuses[-1] == 503:
+                response = await platform.ask(
                     host.name, "POST", f"/vaneledge/retire/{name}", {"overS": 10}
                 )
-                found.append(told[0])
+                statuses.append(response[0])
                 platform.run(10)
-            self.assertThat(set(found), Equals({200, 503}), f"seed {seed}: {found}")
+            self.assertThat(set(statuses), Equals({200, 503}), f"seed {seed}: {statuses}")
 
         for seed in range(1, 9):
             asyncio.run(run(seed))
@@ -106,7 +127,7 @@
             name = fleet.hosts["store1"].address
             host = fleet.hosts["control3"]
 
-            async def asked():
+            async def status():
                 neighbours = host.node.neighbours
                 heard = [row for row in neighbours.of_role("store", 9000) if row.name == name]
                 with mock.patch.object(Membership, "of_role", lambda *args: heard):
@@ -117,13 +138,13 @@
                         )
                     )[0]
 
-            self.assertThat(await asked(), Equals(409))
+            self.assertThat(await status(), Equals(409))
             host.freeze()
             platform.run(4000)
             host.wake()
             platform.run(400)
-            self.assertThat(await asked(), Equals(503))
+            self.assertThat(await status(), Equals(503))
             platform.run(1500)
-            self.assertThat(await asked(), Equals(409))
+            self.assertThat(await status(), Equals(409))
 
         asyncio.run(run())
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -51,7 +51,7 @@
         self._asked: list[tuple[str, int]] = [("", 0)]
         self.settings = SimpleNamespace(segment_bytes=_SEGMENT_BYTES)
         self.start()
-        listed = {"number": 1, "voters": [{"identity": self.voter.identity, "address": "a"}]}
+        listed = {"number": 1, "voters": [{"identity": self.acceptor.identity, "address": "a"}]}
         self.send(VoterListDecided(list_body=json.dumps(listed)))
         self.run(500)
 
@@ -67,8 +67,8 @@
     def start(self):
         self.incarnation += 1
         self.disk.bind(self)
-        self.voter = Acceptor(self.disk, lambda: f"{self.incarnation}")
-        self.voter.attach(self)
+        self.acceptor = Acceptor(self.disk, lambda: f"{self.incarnation}")
+        self.acceptor.attach(self)
 
     def lose_power(self):
         self.incarnation += 1
@@ -77,7 +77,7 @@
 
     def send(self, message, key="", version=0):
         self._asked.append((key, version))
-        self.voter.receive(message, Origin("a", len(self._asked) - 1))
+        self.acceptor.receive(message, Origin("a", len(self._asked) - 1))
 
     def accept(self, version, epoch=1, key="profiles", body=""):
         value = Value(version=version, body=body, change_ids=[], change_versions=[])
@@ -88,10 +88,10 @@
         end_ms = self.time.now_ms + span_ms
         while self.time.now_ms < end_ms:
             self.time.run_until(self.time.now_ms + step_ms)
-            self.voter.tick()
+            self.acceptor.tick()
 
     def version(self, key="profiles"):
-        register = self.voter.registers.get(key)
+        register = self.acceptor.registers.get(key)
         return register.version if register else 0
 
     def log_names(self):
@@ -234,10 +234,10 @@
             return plain(handle, data, at)
 
         os.pwrite = pwrite
-        self.voter = Acceptor(self.disk, lambda: "1")
-        self.voter.attach(self)
-        listed = {"number": 1, "voters": [{"identity": self.voter.identity, "address": "a"}]}
-        self.voter.receive(VoterListDecided(list_body=json.dumps(listed)), Origin("a", 1))
+        self.acceptor = Acceptor(self.disk, lambda: "1")
+        self.acceptor.attach(self)
+        listed = {"number": 1, "voters": [{"identity": self.acceptor.identity, "address": "a"}]}
+        self.acceptor.receive(VoterListDecided(list_body=json.dumps(listed)), Origin("a", 1))
         self.settle()
 
     def reply(self, origin, message):
@@ -245,7 +245,7 @@
 
     def settle(self):
         """Lets the disk's thread finish, and takes what it says."""
-        self.voter.tick()
+        self.acceptor.tick()
         for _ in range(3):
             self.disk._worker.submit(lambda: None).result()
             calls, self.calls[:] = list(self.calls), []
@@ -255,7 +255,7 @@
     def vote(self, version):
         value = Value(version=version, body="x" * 700, change_ids=[], change_versions=[])
         accept = Accept(key="profiles", epoch=1, proposer="o", value=encode(value), list_number=1)
-        self.voter.receive(accept, Origin("a", 1))
+        self.acceptor.receive(accept, Origin("a", 1))
         self.settle()
         return self.replies[-1]
 
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -28,7 +28,7 @@
 
         def all_vote():
             return all(
-                host.node.quorate() and len(host.node.voter.voters) == control
+                host.node.has_quorum() and len(host.node.acceptor.voters) == control
                 for host in fleet.with_role("control")
             )
 
@@ -65,8 +65,10 @@
     def settled(self, fleet):
         """All running control nodes, and no others, vote, by the lists on all of their disks."""
         running = fleet.running("control")
-        names = {host.node.voter.identity for host in running}
-        return all(set(host.node.voter.voters) == names and host.node.quorate() for host in running)
+        names = {host.node.acceptor.identity for host in running}
+        return all(
+            set(host.node.acceptor.voters) == names and host.node.has_quorum() for host in running
+        )
 
     def test_a_replacement_leaves_no_lost_voter_on_the_list(self):
         """Whoever is the steward meanwhile, also the replacement itself, which has heard little yet."""
