--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -9,7 +9,7 @@
 from typing import Annotated, Literal
 
 from cyclopts import App, Parameter
-from data_plane.cli import call, read_json, serve_flags
+from data_plane.cli import read_json, request_and_print, serve_flags
 from data_plane.process import run_process, settings_or_exit
 from runtime import load_settings
 
@@ -92,13 +92,13 @@
 @profiles.command(name="show")
 def show_profiles(*, server: Server) -> None:
     """Show the tree and its version."""
-    call("GET", server, "/profiles")
+    request_and_print("GET", server, "/profiles")
 
 
 @profiles.command
 def send(file: str, *, server: Server, version: int, change_id: str | None = None) -> None:
     """Send a whole tree from a JSON file, naming the version it replaces (0 for the first)."""
-    call(
+    request_and_print(
         "PUT",
         server,
         "/profiles",
@@ -113,7 +113,7 @@
 @profiles.command
 def patch(file: str, *, server: Server, version: int, change_id: str | None = None) -> None:
     """Send a JSON merge patch on the tree, naming the version it replaces."""
-    call(
+    request_and_print(
         "PATCH",
         server,
         "/profiles",
@@ -128,25 +128,25 @@
 @profiles.command
 def explain(name: str, *, server: Server) -> None:
     """Show where each value of a profile comes from."""
-    call("GET", server, f"/profiles/{name}/explained")
+    request_and_print("GET", server, f"/profiles/{name}/explained")
 
 
 @app.command
 def members(*, server: Server) -> None:
     """Show members, their status, duties and epochs, and their places in the feed."""
-    call("GET", server, "/members")
+    request_and_print("GET", server, "/members")
 
 
 @app.command
 def workers(*, server: Server) -> None:
     """Show the list of workers that control keeps, and the age of each one's last heartbeat."""
-    call("GET", server, "/workers")
+    request_and_print("GET", server, "/workers")
 
 
 @loans.command(name="show")
 def show_loans(*, server: Server) -> None:
     """Show who is lent to whom, in which state, and under which epoch."""
-    call("GET", server, "/loans")
+    request_and_print("GET", server, "/loans")
 
 
 @loans.command
@@ -170,7 +170,7 @@
     lease_ms: for how long; then it is recalled.
     recall_ms: how long the borrower has to hand it back.
     """
-    call(
+    request_and_print(
         "PUT",
         server,
         f"/loans/{worker}",
@@ -181,7 +181,7 @@
 @loans.command
 def recall(worker: str, *, server: Server, reason: str = "an operator wants it back") -> None:
     """Want a worker back; one that is only about to be lent serves again at once."""
-    call("POST", server, f"/loans/{worker}/recalled", {"reason": reason})
+    request_and_print("POST", server, f"/loans/{worker}/recalled", {"reason": reason})
 
 
 @app.command
@@ -190,7 +190,7 @@
 
     A spare takes its place; then it may be stopped.
     """
-    call(
+    request_and_print(
         "POST",
         server,
         "/retired",
@@ -201,7 +201,7 @@
 @app.command
 def forget(*links: str, server: Server) -> None:
     """Declare edges or stores, by link address, down for good, so that they no longer count."""
-    call("POST", server, "/forgotten", {"links": list(links)})
+    request_and_print("POST", server, "/forgotten", {"links": list(links)})
 
 
 def main() -> None:
--- a/libs/control_plane/src/control_plane/key_operations.py
+++ b/libs/control_plane/src/control_plane/key_operations.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 from control_store import Change, ChangeResult, FindChange, KeyOwner, Outcome, ReadKey
-from data_plane.http_service import answer_refusal, json_answer
+from data_plane.http_service import json_response, refusal_response
 from messaging.node_runner import awaited
 from runtime import Refusal, doubtful, refused
 
@@ -29,8 +29,8 @@
 def change_response(result: ChangeResult, change_id: str) -> web.Response:
     """Return the response to a change; `change_id` is the caller's identifier of it."""
     if result.outcome == Outcome.OK:
-        return json_answer({"version": result.version, "change_id": change_id})
-    return answer_refusal(change_refusal(result, change_id))
+        return json_response({"version": result.version, "change_id": change_id})
+    return refusal_response(change_refusal(result, change_id))
 
 
 def change_refusal(result: ChangeResult, change_id: str) -> Refusal:
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 from capacity_sharing import LoanOutcome
-from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
 from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
@@ -62,12 +62,12 @@
         router.add_post("/loans/{worker}/returned", self._return)
 
     async def _show(self, request: web.Request) -> web.Response:
-        return json_answer({"version": self._node.loans.number, "loans": self._node.loans.rows()})
+        return json_response({"version": self._node.loans.number, "loans": self._node.loans.rows()})
 
     async def _grant(self, request: web.Request) -> web.Response:
-        body = await read_call(request, self._node.settings.max_body_bytes, _GrantBody)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, _GrantBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         worker = request.match_info["worker"]
         return _response(
             worker,
@@ -79,18 +79,18 @@
         )
 
     async def _recall(self, request: web.Request) -> web.Response:
-        body = await read_call(request, self._node.settings.max_body_bytes, _RecallBody)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, _RecallBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         worker = request.match_info["worker"]
         return _response(
             worker, await awaited(lambda done: self._node.loans.recall(worker, body.reason, done))
         )
 
     async def _return(self, request: web.Request) -> web.Response:
-        body = await read_call(request, self._node.settings.max_body_bytes, _ReturnBody)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, _ReturnBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         worker = request.match_info["worker"]
         return _response(
             worker,
@@ -103,7 +103,7 @@
 def _response(worker: str, outcome: LoanOutcome) -> web.Response:
     """Return the response to an operation on a loan."""
     if outcome.name == "refused":
-        return answer_refusal(
+        return refusal_response(
             refused(
                 "loan-refused",
                 f"{worker}: {outcome.reason}; nothing was changed",
@@ -113,5 +113,5 @@
         )
     if outcome.name != "ok":
         reason = f"{outcome.reason}; look at the loans, and say it again"
-        return answer_refusal(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
-    return json_answer({"worker": worker, **(outcome.row or {})})
+        return refusal_response(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
+    return json_response({"worker": worker, **(outcome.row or {})})
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 from data_plane.control_keys import LOG_KEY, RETIRED_KEY
-from data_plane.http_service import HttpService, json_answer
+from data_plane.http_service import HttpService, json_response
 from membership.messages import NodeInfo
 
 from control_plane.member_status import describe
@@ -34,7 +34,7 @@
         rows = self._rows()
         for row in rows:
             row["says"] = describe(node, row["role"], row["identity"], row["link"])
-        return json_answer(
+        return json_response(
             {
                 "asked": node.acceptor.identity,
                 "at_ms": node.env.now(),
@@ -58,7 +58,7 @@
             self._heard_row(role, info)
             for role in _ROLES
             for info in sorted(
-                node.neighbours.of_role(role, node.settings.gone_ms),
+                node.membership.of_role(role, node.settings.gone_ms),
                 key=lambda info: info.address,
             )
         ]
@@ -80,7 +80,7 @@
             "link": info.address,
             "http": info.http,
             "zone": info.zone,
-            "standing": _LIVE if self._node.neighbours.live(info.identity) else _SILENT,
+            "standing": _LIVE if self._node.membership.live(info.identity) else _SILENT,
             "ready": info.ready,
             "feed": confirmed[2] if confirmed else None,
         }
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -42,7 +42,7 @@
         "configuration_changes",
         "disk",
         "loans",
-        "neighbours",
+        "membership",
         "owner",
         "read_barrier",
         "retirement",
@@ -65,21 +65,21 @@
     def _make_membership(self, settings: Any) -> None:
         """Make the failure detector and the config feed, which know of each other's nodes."""
         identity = self.acceptor.identity
-        self.neighbours = Membership(identity)
+        self.membership = Membership(identity)
         self.config_feed = ConfigFeed(
             identity,
-            lambda: [info.address for info in self.neighbours.view()],
+            lambda: [info.address for info in self.membership.view()],
             lambda: self.acceptor.voters.values(),
             sure=self.has_quorum,
         )
-        self.neighbours.wanted = lambda: (
+        self.membership.wanted = lambda: (
             self.acceptor.voters.values() or (() if settings.control_count else settings.seeds)
         )
-        self.neighbours.ready = lambda: not self.why_unready()
-        self.neighbours.deaf = lambda: self._is_voter() and not self._hears(settings.cut_ms)
+        self.membership.ready = lambda: not self.why_unready()
+        self.membership.deaf = lambda: self._is_voter() and not self._hears(settings.cut_ms)
         self.config_feed.votes = self._is_voter
         self.config_feed.candidates = lambda: candidates(
-            self._voter_list(), self.neighbours, settings.gone_ms
+            self._voter_list(), self.membership, settings.gone_ms
         )
         self.config_feed.hands_out = lambda: (
             self.has_quorum() if self._is_voter() else self.hears_majority()
@@ -87,11 +87,11 @@
 
     def _make_control_store(self, settings: Any) -> None:
         """Make the components that decide the control keys, their voters and the serving set."""
-        self.owner = KeyOwner(self.acceptor, self.neighbours, self.config_feed)
+        self.owner = KeyOwner(self.acceptor, self.membership, self.config_feed)
         self.read_barrier = ReadBarrier(
             self.owner, self.config_feed, lambda: self._is_voter() and self._hears(settings.cut_ms)
         )
-        self.bootstrap = Bootstrap(self.acceptor, self.owner, self.neighbours, self.config_feed)
+        self.bootstrap = Bootstrap(self.acceptor, self.owner, self.membership, self.config_feed)
         self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
 
     def _make_services(self) -> None:
@@ -103,11 +103,11 @@
             self.owner, in_contact=self.hears_majority
         )
         self.retirement = Retirement(
-            self.owner, self.neighbours, self.config_feed, in_contact=self.hears_majority
+            self.owner, self.membership, self.config_feed, in_contact=self.hears_majority
         )
         self.loans = NodeLoans(
             self.owner,
-            self.neighbours,
+            self.membership,
             self.config_feed,
             self.profiles,
             sure=self.hears_majority,
@@ -117,7 +117,7 @@
     def _components(self) -> list[Component]:
         """Return the components in the order in which they get messages and ticks."""
         return [
-            self.neighbours,
+            self.membership,
             self.config_feed,
             self.acceptor,
             self.owner,
@@ -151,7 +151,7 @@
     def _hears(self, within_ms: int) -> bool:
         """Whether a majority of the voters sent this node heartbeats within the time."""
         voters = self.acceptor.voters
-        heard = sum(1 for name in voters if self.neighbours.heard_itself(name, within_ms))
+        heard = sum(1 for name in voters if self.membership.heard_itself(name, within_ms))
         return 2 * heard > len(voters)
 
     def hears_majority(self) -> bool:
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -71,5 +71,5 @@
             "control_voters_number": node.acceptor.list_number,
             "feed_place": node.config_feed.place,
             "feed_sent_bytes_total": node.config_feed.sent_bytes,
-            "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
+            "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/control_plane/src/control_plane/profiles_api.py
+++ b/libs/control_plane/src/control_plane/profiles_api.py
@@ -12,7 +12,7 @@
 from config_feed.patches import apply_patch
 from control_store import NO_BASE, Change, FindChange, ProfileTree, check_tree, explain
 from data_plane.control_keys import PROFILES_KEY
-from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
 from runtime import Refusal, refused
 
 from control_plane.key_operations import change_response, read_key, submit
@@ -44,26 +44,26 @@
     async def _show(self, request: web.Request) -> web.Response:
         result = await read_key(self._node.owner, PROFILES_KEY)
         if isinstance(result, Refusal):
-            return answer_refusal(result)
-        return json_answer(
+            return refusal_response(result)
+        return json_response(
             {"version": result.version, "tree": json.loads(result.body or _NO_PROFILES)}
         )
 
     async def _replace(self, request: web.Request) -> web.Response:
         limit_bytes = self._node.settings.max_body_bytes
-        body = await read_call(request, limit_bytes, ConfigurationBody)
+        body = await read_json_body(request, limit_bytes, ConfigurationBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         return await self._propose(body, body.tree)
 
     async def _patch(self, request: web.Request) -> web.Response:
         limit_bytes = self._node.settings.max_body_bytes
-        body = await read_call(request, limit_bytes, ConfigurationPatchBody)
+        body = await read_json_body(request, limit_bytes, ConfigurationPatchBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         result = await read_key(self._node.owner, PROFILES_KEY)
         if isinstance(result, Refusal):
-            return answer_refusal(result)
+            return refusal_response(result)
         if result.version != body.version:
             return await self._look_up(body)
         tree = json.loads(result.body or _NO_PROFILES)
@@ -88,7 +88,7 @@
         """Propose a tree as the successor of the version that the body names, if it is valid."""
         checked = check_tree(tree)
         if checked.is_error():
-            return answer_refusal(
+            return refusal_response(
                 refused(
                     "bad-tree",
                     f"{len(checked.error)} problems; nothing was changed",
@@ -110,11 +110,11 @@
     async def _explain(self, request: web.Request) -> web.Response:
         result = await read_key(self._node.owner, PROFILES_KEY)
         if isinstance(result, Refusal):
-            return answer_refusal(result)
+            return refusal_response(result)
         name = request.match_info["name"]
         explained = explain(ProfileTree.of_body(result.body), name)
         if not explained:
-            return answer_refusal(
+            return refusal_response(
                 refused("unknown-profile", f"no profile is called {name!r}", 404, field="name")
             )
-        return json_answer({"version": result.version, **explained})
+        return json_response({"version": result.version, **explained})
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 from control_store import Change, ChangeResult, Outcome
 from data_plane.control_keys import LOG_KEY, RETIRED_KEY
-from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
 from messaging.node_runner import awaited
 from runtime import Refusal, refused
 
@@ -35,16 +35,16 @@
     # -- retiring ------------------------------------------------------------------------------
 
     async def _retire(self, request: web.Request) -> web.Response:
-        body = await read_call(request, self._node.settings.max_body_bytes, RetirementBody)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, RetirementBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         read = await read_key(self._node.owner, RETIRED_KEY)
         if isinstance(read, Refusal):
-            return answer_refusal(read)
+            return refusal_response(read)
         body.identity = self._identity_of(body.identity)
         retired = RetiredMachines.from_body(read.body)
         if not body.undo and not self._may_retire(body.identity, retired):
-            return answer_refusal(
+            return refusal_response(
                 refused(
                     "unknown-machine",
                     f"no control or store machine is called {body.identity!r}",
@@ -73,7 +73,7 @@
         result = await submit(self._node.owner, change)
         if result.outcome != Outcome.OK:
             return change_response(result, change_id)
-        return json_answer(
+        return json_response(
             {
                 "version": result.version,
                 "change_id": change_id,
@@ -87,7 +87,7 @@
         infos = [
             info
             for role in ("control", "store")
-            for info in self._node.neighbours.of_role(role, self._node.settings.gone_ms)
+            for info in self._node.membership.of_role(role, self._node.settings.gone_ms)
         ]
         return next((info.identity for info in infos if info.name == name), name)
 
@@ -95,7 +95,7 @@
         """Whether this is a machine with a disk, as far as this node knows, or retired already."""
         node = self._node
         log = node.config_feed.value(LOG_KEY) or {"members": []}
-        info = node.neighbours.known(identity)
+        info = node.membership.known(identity)
         return (
             identity in retired.identities
             or identity in node.acceptor.voters
@@ -106,7 +106,7 @@
 
     def _role_of(self, identity: str) -> str:
         """Return the role of a machine; that of one never heard of shows in its identity."""
-        info = self._node.neighbours.known(identity)
+        info = self._node.membership.known(identity)
         if info is not None:
             return info.role
         return "store" if identity.startswith("store") else "control"
@@ -116,16 +116,16 @@
     async def _forget(self, request: web.Request) -> web.Response:
         """Remove machines that the operator declares lost from the serving set."""
         node = self._node
-        body = await read_call(request, node.settings.max_body_bytes, ForgetMachinesBody)
+        body = await read_json_body(request, node.settings.max_body_bytes, ForgetMachinesBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         unknown = sorted(set(body.links) - node.config_feed.roll())
         if unknown:
             reason = f"not on the roll: {', '.join(unknown)}"
-            return answer_refusal(refused("unknown-machine", reason, 404, field="links"))
+            return refusal_response(refused("unknown-machine", reason, 404, field="links"))
         live = sorted(set(body.links) & node.config_feed.heard_links(node.settings.gone_ms))
         if live:
             reason = f"heard lately: {', '.join(live)}"
-            return answer_refusal(refused("still-live", reason, 409, field="links"))
+            return refusal_response(refused("still-live", reason, 409, field="links"))
         result: ChangeResult = await awaited(lambda done: node.serving_set.forget(body.links, done))
         return change_response(result, "")
--- a/libs/control_plane/src/control_plane/workers_api.py
+++ b/libs/control_plane/src/control_plane/workers_api.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 from control_store import WorkerReport
-from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
+from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
 from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field
 from runtime import Refusal, doubtful, refused
@@ -60,12 +60,12 @@
 
     async def _show(self, request: web.Request) -> web.Response:
         workers = self._node.worker_list
-        return json_answer({"version": workers.number, "workers": workers.rows()})
+        return json_response({"version": workers.number, "workers": workers.rows()})
 
     async def _heartbeat(self, request: web.Request) -> web.Response:
-        body = await read_call(request, self._node.settings.max_body_bytes, _HeartbeatBody)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, _HeartbeatBody)
         if isinstance(body, Refusal):
-            return answer_refusal(body)
+            return refusal_response(body)
         models = [model.model_dump(exclude_none=True) for model in body.models]
         return await self._report(
             WorkerReport(
@@ -97,7 +97,7 @@
     async def _report(self, report: WorkerReport) -> web.Response:
         outcome = await awaited(lambda done: self._node.worker_list.report(report, done))
         if outcome == "refused":
-            return answer_refusal(
+            return refusal_response(
                 refused(
                     "not-in-touch",
                     "this node hears no majority of the voters, or not the list's "
@@ -107,11 +107,11 @@
                 )
             )
         if outcome != "ok":
-            return answer_refusal(
+            return refusal_response(
                 doubtful(
                     "worker-in-doubt",
                     "not known in time whether the edges have it; say it again",
                     _RETRY_AFTER_MS,
                 )
             )
-        return json_answer({"worker": report.identity, "state": report.state})
+        return json_response({"worker": report.identity, "state": report.state})
--- a/libs/data_plane/src/data_plane/__init__.py
+++ b/libs/data_plane/src/data_plane/__init__.py
@@ -1,6 +1,16 @@
-"""Data plane: the data plane's nodes and processes.
+"""Data plane: edges serve clients and workers, storage nodes keep the replicated log.
 
-Edges serve clients and workers; stores keep the replicated log.
+The nodes (`EdgeNode`, `StoreNode`) put together the components of the packages below and have no
+sockets, so that the simulator runs the same code. `EdgeProcess` and `StoreProcess` give them HTTP
+servers, connections to workers, disks and signals; `cli` is the program `vaneledge-data`.
+
+It may import runtime, messaging, storage, membership, config_feed, control_store, replicated_log,
+batch_state, request_routing and capacity_sharing; of these packages none imports it.
+
+Invariants: whoever can't be told the outcome of a request gets a verdict that says so (doubtful);
+the HTTP modules decide nothing, they read, call a service and write its response. A change of what
+clients are told goes into `responses` and its kin, one of HTTP into the `..._api` and `..._server`
+modules, one of the assembly into `edge_node` or `store_node`.
 """
 
 from runtime.lazy_exports import lazy_exports
@@ -10,6 +20,7 @@
 __getattr__ = lazy_exports(
     __name__,
     {
-        "nodes": ("EdgeNode", "StoreNode"),
+        "edge_node": ("EdgeNode",),
+        "store_node": ("StoreNode",),
     },
 )
--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -18,7 +18,7 @@
 from data_plane.replay import compare, load_recording, play
 from data_plane.role_processes import EdgeProcess, StoreProcess
 
-__all__ = ["call", "main", "serve_flags"]
+__all__ = ["request_and_print", "main", "serve_flags"]
 
 app = App(
     name="vaneledge-data",
@@ -99,7 +99,7 @@
             return 0 if answer.status < 400 else 1
 
 
-def call(
+def request_and_print(
     method: str, server: str, address: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> None:
     """Make one request of an edge and print the answer; raises SystemExit(1) for a refusal."""
@@ -134,7 +134,7 @@
     stream: show the answer's events as they come.
     key: an Idempotency-Key, for paths that are not safe to repeat.
     """
-    call(
+    request_and_print(
         "POST",
         server,
         "/v1/completions",
@@ -184,25 +184,25 @@
 @job.command(name="hand-in")
 def hand_in(job_id: str, file: str, *, server: Server) -> None:
     """Hand in a lot from a JSON file with path, items and due_ms; - reads standard input."""
-    call("PUT", server, f"/lots/{job_id}", read_json(file))
+    request_and_print("PUT", server, f"/lots/{job_id}", read_json(file))
 
 
 @job.command
 def show(job_id: str, *, server: Server) -> None:
     """Show how far a lot is."""
-    call("GET", server, f"/lots/{job_id}")
+    request_and_print("GET", server, f"/lots/{job_id}")
 
 
 @job.command
 def results(job_id: str, *, server: Server, start: int = 0) -> None:
     """List a lot's results from a place on."""
-    call("GET", server, f"/lots/{job_id}/results?from={start}")
+    request_and_print("GET", server, f"/lots/{job_id}/results?from={start}")
 
 
 @job.command
 def end(job_id: str, *, server: Server) -> None:
     """End a lot: nothing of it runs any more within about three seconds."""
-    call("DELETE", server, f"/lots/{job_id}")
+    request_and_print("DELETE", server, f"/lots/{job_id}")
 
 
 @rollout.command(name="hand-in")
@@ -211,25 +211,25 @@
 
     The file has path, weights, samples, prompts and perhaps due_ms.
     """
-    call("PUT", server, f"/rollouts/{rollout_id}", read_json(file))
+    request_and_print("PUT", server, f"/rollouts/{rollout_id}", read_json(file))
 
 
 @rollout.command(name="show")
 def show_rollout(rollout_id: str, *, server: Server) -> None:
     """Show how far a rollout is."""
-    call("GET", server, f"/rollouts/{rollout_id}")
+    request_and_print("GET", server, f"/rollouts/{rollout_id}")
 
 
 @rollout.command(name="results")
 def rollout_results(rollout_id: str, *, server: Server, start: int = 0) -> None:
     """List a rollout's samples from a place on."""
-    call("GET", server, f"/rollouts/{rollout_id}/results?from={start}")
+    request_and_print("GET", server, f"/rollouts/{rollout_id}/results?from={start}")
 
 
 @rollout.command(name="end")
 def end_rollout(rollout_id: str, *, server: Server) -> None:
     """End a rollout: what is listed stays, nothing more of it runs."""
-    call("DELETE", server, f"/rollouts/{rollout_id}")
+    request_and_print("DELETE", server, f"/rollouts/{rollout_id}")
 
 
 def main() -> None:
--- a/libs/data_plane/src/data_plane/client_api.py
+++ b/libs/data_plane/src/data_plane/client_api.py
@@ -15,9 +15,9 @@
 from runtime import Refusal, boot_ms, refused
 
 from data_plane.edge_service import EdgeService
-from data_plane.http_service import HttpService, answer_refusal, read_call, write_answer
-from data_plane.request_bodies import LOT_ID, CompletionCall, SubmitJobBody
-from data_plane.responses import Answer
+from data_plane.http_service import HttpService, http_response, read_json_body, refusal_response
+from data_plane.request_bodies import JOB_ID_PATTERN, CompletionBody, SubmitJobBody
+from data_plane.responses import ServiceResponse
 
 __all__ = ["ClientApi"]
 
@@ -47,23 +47,25 @@
     async def _live(self, request: web.Request) -> web.StreamResponse:
         key = request.headers.get("Idempotency-Key", "")
         if (answer := self._counter.unready(bool(key))) is not None:
-            return write_answer(answer)
-        call = await read_call(request, self._node.settings.max_body_bytes, CompletionCall)
+            return http_response(answer)
+        call = await read_json_body(request, self._node.settings.max_body_bytes, CompletionBody)
         if isinstance(call, Refusal):
-            return answer_refusal(call)
+            return refusal_response(call)
         if fault := _live_fault(call, request):
-            return answer_refusal(fault)
+            return refusal_response(fault)
         body = call.model_dump(exclude_none=True, exclude={"model", "stream"})
         queue: asyncio.Queue = asyncio.Queue()
         began_ms = boot_ms()
 
-        def told(step: Step, answer: Answer) -> None:
+        def told(step: Step, answer: ServiceResponse) -> None:
             self._metrics.took(call.model, answer.verdict, (boot_ms() - began_ms) / 1000)
             queue.put_nowait((step, answer))
 
-        carriage = self._counter.live(call.model, key, body, call.stream, queue.put_nowait, told)
-        if isinstance(carriage, Answer):
-            return write_answer(carriage)
+        carriage = self._counter.complete(
+            call.model, key, body, call.stream, queue.put_nowait, told
+        )
+        if isinstance(carriage, ServiceResponse):
+            return http_response(carriage)
         self.live_now += 1
         try:
             return await self._write_live(request, queue, carriage.tx.transaction_id, call.stream)
@@ -90,7 +92,7 @@
         request: web.Request,
         response: web.StreamResponse | None,
         step: Step,
-        answer: Answer,
+        answer: ServiceResponse,
         transaction_id: str,
         stream: bool,
     ) -> web.StreamResponse:
@@ -107,7 +109,7 @@
             await response.write_eof()
             return response
         if response is None:
-            return write_answer(answer, transaction_id)
+            return http_response(answer, transaction_id)
         request["verdict"], request["code"] = answer.verdict, answer.code
         try:
             await response.write(b"event: error\ndata: " + answer.body.encode() + b"\n\n")
@@ -122,37 +124,37 @@
     async def _hand_in(self, request: web.Request) -> web.StreamResponse:
         job_id = _job_id(request)
         if isinstance(job_id, Refusal):
-            return answer_refusal(job_id)
+            return refusal_response(job_id)
         if (answer := self._counter.unready(True)) is not None:
-            return write_answer(answer)
-        call = await read_call(request, self._node.settings.max_body_bytes, SubmitJobBody)
+            return http_response(answer)
+        call = await read_json_body(request, self._node.settings.max_body_bytes, SubmitJobBody)
         if isinstance(call, Refusal):
-            return answer_refusal(call)
+            return refusal_response(call)
         items = [item.model_dump(exclude_none=True) for item in call.items]
-        return write_answer(
+        return http_response(
             await awaited(
-                lambda told: self._counter.hand_in(job_id, call.path, items, call.due_ms, told)
+                lambda told: self._counter.submit(job_id, call.path, items, call.due_ms, told)
             )
         )
 
     async def _job(self, request: web.Request) -> web.StreamResponse:
         job_id = _job_id(request)
         if isinstance(job_id, Refusal):
-            return answer_refusal(job_id)
-        return write_answer(await awaited(lambda told: self._counter.job(job_id, told)))
+            return refusal_response(job_id)
+        return http_response(await awaited(lambda told: self._counter.progress(job_id, told)))
 
     async def _results(self, request: web.Request) -> web.StreamResponse:
         job_id = _job_id(request)
         if isinstance(job_id, Refusal):
-            return answer_refusal(job_id)
+            return refusal_response(job_id)
         numbers: dict[str, int] = {"from": 0, "limit": _PAGE}
         for name, value in request.query.items():
             if name not in numbers or not re.match(r"^\d{1,9}$", value):
-                return answer_refusal(
+                return refusal_response(
                     refused("bad-field", f"{name}: a whole number from 0, or unknown", field=name)
                 )
             numbers[name] = int(value)
-        return write_answer(
+        return http_response(
             await awaited(
                 lambda told: self._counter.results(job_id, numbers["from"], numbers["limit"], told)
             )
@@ -161,8 +163,8 @@
     async def _end(self, request: web.Request) -> web.StreamResponse:
         job_id = _job_id(request)
         if isinstance(job_id, Refusal):
-            return answer_refusal(job_id)
-        return write_answer(await awaited(lambda told: self._counter.end(job_id, told)))
+            return refusal_response(job_id)
+        return http_response(await awaited(lambda told: self._counter.cancel(job_id, told)))
 
 
 async def _begin_stream(request: web.Request, transaction_id: str) -> web.StreamResponse:
@@ -180,7 +182,7 @@
 
 def _job_id(request: web.Request) -> str | Refusal:
     job_id = request.match_info["lot_id"]
-    if not re.match(LOT_ID, job_id):
+    if not re.match(JOB_ID_PATTERN, job_id):
         return refused(
             "bad-field",
             "lot_id: letters, digits, dot, dash, underscore; at most 128",
@@ -189,7 +191,7 @@
     return job_id
 
 
-def _live_fault(call: CompletionCall, request: web.Request) -> Refusal | None:
+def _live_fault(call: CompletionBody, request: web.Request) -> Refusal | None:
     chat = request.path.endswith("/chat/completions")
     wanted, other = ("messages", "prompt") if chat else ("prompt", "messages")
     if getattr(call, wanted) is None:
--- a/libs/data_plane/src/data_plane/connection_pool.py
+++ b/libs/data_plane/src/data_plane/connection_pool.py
@@ -18,7 +18,7 @@
 from aiohttp.client_proto import ResponseHandler
 from yarl import URL
 
-__all__ = ["CURRENT", "Outgoing", "WorkerPool", "pooled_session"]
+__all__ = ["CURRENT_REQUEST", "OutgoingRequest", "WorkerPool", "pooled_session"]
 
 _SURE_SHARE = 0.5
 _MARGIN_SHARE = 0.8
@@ -26,7 +26,7 @@
 _MOST_S = 30.0
 
 
-class Outgoing:
+class OutgoingRequest:
     """What a request's task knows and its library does not pass on.
 
     That is the target as it came, the request's id, whether it may be repeated, and whom to tell
@@ -42,7 +42,7 @@
         self.repeatable, self.connected = repeatable, connected
 
 
-CURRENT: ContextVar[Outgoing] = ContextVar("current")
+CURRENT_REQUEST: ContextVar[OutgoingRequest] = ContextVar("current")
 
 
 def _idle_s(headers: Any) -> float:
@@ -94,10 +94,10 @@
         return True
 
 
-class WorkerAnswer(aiohttp.ClientResponse):
+class WorkerResponse(aiohttp.ClientResponse):
     """An answer that keeps its connection's protocol, which the library drops at the end."""
 
-    async def start(self, connection: Any) -> "WorkerAnswer":
+    async def start(self, connection: Any) -> "WorkerResponse":
         """Read the head, and take from it how long the worker keeps an idle connection."""
         self.protocol = connection.protocol
         await super().start(connection)
@@ -128,11 +128,11 @@
     """
 
     async def send(self, conn: Any) -> Any:
-        """Write the request, with the target and the id of the task's `Outgoing`."""
-        target = CURRENT.get().target
+        """Write the request, with the target and the id of the task's `OutgoingRequest`."""
+        target = CURRENT_REQUEST.get().target
         if target != self.url.raw_path_qs:
             self.url = _Verbatim(self.url, target)
-        conn.protocol.ask(CURRENT.get().request_id)
+        conn.protocol.ask(CURRENT_REQUEST.get().request_id)
         return await super().send(conn)
 
 
@@ -158,7 +158,7 @@
     async def connect(self, req: Any, traces: Any, timeout: Any) -> Any:
         """Return a connection, kept or new, and tell the request's task that there is one."""
         connection = await super().connect(req, traces, timeout)
-        CURRENT.get().connected()
+        CURRENT_REQUEST.get().connected()
         return connection
 
     def _socket(self, info: tuple) -> socket.socket:
@@ -185,7 +185,7 @@
         return aiohttp.connector.Connection(self, key, found, self._loop)
 
     def _take(self, rows: Any) -> WorkerProtocol | None:
-        outgoing, now = CURRENT.get(), monotonic()
+        outgoing, now = CURRENT_REQUEST.get(), monotonic()
         share = _MARGIN_SHARE if outgoing.repeatable else _SURE_SHARE
         kept: list[tuple[WorkerProtocol, float]] = []
         found = None
@@ -227,7 +227,7 @@
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         request_class=RawRequest,
-        response_class=WorkerAnswer,
+        response_class=WorkerResponse,
         max_line_size=head_bytes,
         max_field_size=head_bytes,
         skip_auto_headers=("Accept", "Accept-Encoding", "User-Agent", "Content-Type"),
--- /dev/null
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -0,0 +1,63 @@
+"""What storage nodes and edges share: membership, the configuration feed, the profiles in force."""
+
+from typing import Any
+
+from config_feed import ConfigFeed, candidates
+from control_store import ProfileTree, profiles_digest
+from membership import Membership
+from messaging import Environment, Node
+
+from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY
+
+__all__ = ["DataNode"]
+
+
+class DataNode(Node):
+    """A node of the data plane before its own components.
+
+    `profile_tree_digest` is the digest of the profiles in force, as of the last call of
+    `profile_tree`.
+    """
+
+    __slots__ = (
+        "_profile_tree",
+        "_profile_tree_number",
+        "_started_ms",
+        "config_feed",
+        "membership",
+        "profile_tree_digest",
+    )
+
+    def _make_shared_components(self, env: Environment, settings: Any, identity: str) -> None:
+        """Make the components that all data-plane nodes have; called first in `__init__`."""
+        self.env, self.settings = env, settings
+        self._started_ms = env.now()
+        self.membership = Membership(identity)
+        self.config_feed = ConfigFeed(
+            identity,
+            lambda: [card.address for card in self.membership.view()],
+            self._control_addresses,
+        )
+        self.membership.wanted = self._control_addresses
+        self.config_feed.candidates = lambda: candidates(
+            self.config_feed.value(CONTROL_KEY), self.membership, self.settings.gone_ms
+        )
+        self._profile_tree = ProfileTree({})
+        self._profile_tree_number = 0
+        self.profile_tree_digest = ""
+
+    def _control_addresses(self) -> list[str]:
+        """Return the voters' addresses, or while they aren't known those of all control nodes."""
+        value = self.config_feed.value(CONTROL_KEY)
+        if value:
+            return [row["address"] for row in value["voters"]]
+        return [card.address for card in self.membership.of_role("control", self.settings.gone_ms)]
+
+    def profile_tree(self) -> ProfileTree:
+        """Return the profiles in force, parsed again when the feed has newer ones."""
+        number = self.config_feed.number(PROFILES_KEY)
+        if number != self._profile_tree_number:
+            self._profile_tree = ProfileTree.of_body(self.config_feed.body(PROFILES_KEY))
+            self._profile_tree_number = number
+            self.profile_tree_digest = profiles_digest(self.config_feed.body(PROFILES_KEY))
+        return self._profile_tree
--- /dev/null
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -0,0 +1,196 @@
+"""The edge node: it serves clients, and routes their requests to the workers it knows.
+
+It runs alike in a process and in the simulator; only the environment and the transport of requests
+are passed in. Its components are made by concern, in the order in which they depend on each other.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+from batch_state.messages import RolloutAssignment
+from capacity_sharing import Borrowing, LentWorkers
+from messaging import Environment
+from request_routing import (
+    ItemExecutor,
+    JobRunner,
+    LeaderClient,
+    PrefillTracker,
+    RequestRouter,
+    WorkerRegistry,
+)
+
+from data_plane.control_keys import LOG_KEY, PROFILES_KEY, WORKERS_KEY
+from data_plane.data_node import DataNode
+from data_plane.edge_readiness import EdgeReadiness
+from data_plane.edge_service import EdgeService
+from data_plane.forward_job_service import ForwardJobService
+from data_plane.forward_service import ForwardService
+from data_plane.rollouts import RolloutService
+
+__all__ = ["EdgeNode"]
+
+_SMALL_FLEET_EDGES = 12
+
+
+class EdgeNode(DataNode):
+    """An edge: it serves clients, and knows the workers.
+
+    `sender` transports requests to workers (`data_plane.sender.HttpSender`). `stopping` is set when
+    the process drains.
+    """
+
+    __slots__ = (
+        "_readiness",
+        "borrowing",
+        "carrier",
+        "edge_service",
+        "forward_job_service",
+        "forward_service",
+        "holder",
+        "item_executor",
+        "job_runner",
+        "lent_workers",
+        "readings",
+        "rollout_service",
+        "roster",
+        "stopping",
+    )
+
+    def __init__(self, env: Environment, settings: Any, sender: Any) -> None:
+        identity = f"edge-{env.token()}"
+        self._make_shared_components(env, settings, identity)
+        self._readiness = EdgeReadiness(self)
+        self.stopping = False
+        self.membership.ready = self.config_feed.sure = lambda: not self.why_unready()
+        self._make_routing(identity, sender)
+        self._make_batch_work(identity)
+        self._make_capacity_sharing(identity)
+        self._make_services()
+        super().__init__(
+            env,
+            settings,
+            [
+                self.membership,
+                self.config_feed,
+                self.holder,
+                self.roster,
+                self.carrier,
+                self.readings,
+                self.item_executor,
+                self.job_runner,
+                self.edge_service,
+                self.forward_service,
+                self.forward_job_service,
+                self.rollout_service,
+                self.borrowing,
+                self.lent_workers,
+            ],
+        )
+
+    # -- components by concern -----------------------------------------------------------------
+
+    def _make_routing(self, identity: str, sender: Any) -> None:
+        """Make what sends single requests to workers."""
+        self.holder = LeaderClient(
+            lambda: self.config_feed.body(LOG_KEY),
+            lambda: [
+                card.address for card in self.membership.of_role("store", self.settings.gone_ms)
+            ],
+        )
+        self.roster = WorkerRegistry(
+            lambda: [card.address for card in self.membership.view() if card.role == "edge"],
+            lambda identity, labels: self.profile_tree().allows_worker(identity, labels),
+            self._worker_list,
+        )
+        self.carrier = RequestRouter(
+            identity, self.holder, self.roster, self.profile_tree, sender, self._edge_count
+        )
+        self.readings = self.carrier.readings = PrefillTracker(self._prefill_peers)
+
+    def _make_batch_work(self, identity: str) -> None:
+        """Make what runs items of batch jobs and samples of rollouts."""
+        self.item_executor = ItemExecutor(
+            self.carrier, self.roster, self.profile_tree, self.why_unready, self._edge_count
+        )
+        self.borrowing = Borrowing(
+            identity,
+            self.carrier,
+            self.roster,
+            self.profile_tree,
+            self.why_unready,
+            self._live_edges,
+        )
+        self.job_runner = JobRunner(
+            identity, self.holder, self.item_executor.room, self._start_assignment
+        )
+        self.job_runner.samples = self.borrowing
+
+    def _make_capacity_sharing(self, identity: str) -> None:
+        """Make what leases whole workers to training."""
+        self.lent_workers = LentWorkers(
+            identity,
+            self.config_feed,
+            self.roster,
+            self.carrier,
+            self.borrowing.lends,
+            lambda: self.borrowing.recalled,
+            lambda: [*self._control_addresses(), *(address for _, address in self._live_edges())],
+        )
+        self.borrowing.live_peak = self.lent_workers.live_peak
+
+    def _make_services(self) -> None:
+        """Make what answers clients; the HTTP servers call these."""
+        self.edge_service = EdgeService(
+            self.carrier, self.holder, self.job_runner, self.profile_tree, self.why_unready
+        )
+        self.rollout_service = RolloutService(
+            self.edge_service, self.holder, self.job_runner, self.profile_tree
+        )
+        self.forward_service = ForwardService(
+            self.carrier, self.profile_tree, self._readiness.why_unsure
+        )
+        self.forward_job_service = ForwardJobService(
+            self.holder,
+            self.job_runner,
+            lambda: (self.config_feed.number(PROFILES_KEY), self.profile_tree()),
+        )
+
+    def _start_assignment(self, assignment: Any, done: Callable[..., None]) -> Any:
+        """Start an item or a sample that the leader has assigned to this edge."""
+        is_rollout = isinstance(assignment, RolloutAssignment)
+        executor = self.borrowing if is_rollout else self.item_executor
+        return executor.start(assignment, done)
+
+    # -- what the components ask about the fleet -----------------------------------------------
+
+    def _worker_list(self) -> tuple[int, str]:
+        """Return the number and the body of control's worker list, as the feed has it."""
+        return self.config_feed.number(WORKERS_KEY), self.config_feed.body(WORKERS_KEY)
+
+    def _live_edges(self) -> list[tuple[str, str]]:
+        """Return the identity and the address of each other live edge."""
+        return [
+            (card.identity, card.address)
+            for card in self.membership.of_role("edge", self.settings.dead_ms)
+        ]
+
+    def _prefill_peers(self) -> list[str]:
+        """Return the edges that hear of each prompt that is read.
+
+        Those are all of a small fleet, else those of this zone, which chooses workers near it
+        first.
+        """
+        cards = self.membership.of_role("edge", self.settings.gone_ms)
+        if len(cards) > _SMALL_FLEET_EDGES:
+            return [card.address for card in cards if card.zone == self.settings.zone]
+        return [card.address for card in cards]
+
+    def _edge_count(self) -> int:
+        """Return the number of edges: by the serving set, else those that are heard, and itself."""
+        return self.config_feed.edge_count() or 1 + len(
+            self.membership.of_role("edge", self.settings.dead_ms)
+        )
+
+    def why_unready(self) -> str:
+        """Return why it is not ready, or an empty string."""
+        return "stopping" if self.stopping else self._readiness.why_unsure()
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -24,18 +24,18 @@
 from runtime import refused
 
 from data_plane.responses import (
-    Answer,
-    hand_in_answer,
-    job_answer,
-    live_answer,
+    ServiceResponse,
+    completion_response,
+    job_response,
     not_ready,
-    results_answer,
+    results_response,
+    submission_response,
 )
 
 __all__ = ["EdgeService"]
 
 _PAGE = 1000
-Told = Callable[[Answer], None]
+Told = Callable[[ServiceResponse], None]
 
 
 def _digest(value: Any) -> str:
@@ -62,27 +62,27 @@
         self._tree, self._why_unready = tree, why_unready
         self._budgets: dict[str, RetryBudget] = {}
 
-    def unready(self, named: bool) -> Answer | None:
+    def unready(self, named: bool) -> ServiceResponse | None:
         """Return the refusal of an edge that is not ready; `named` as for `not_ready`."""
         reason = self._why_unready()
-        return Answer.no(not_ready(reason, named)) if reason else None
+        return ServiceResponse.no(not_ready(reason, named)) if reason else None
 
-    def _unknown(self, path: str, field: str) -> Answer | None:
+    def _unknown(self, path: str, field: str) -> ServiceResponse | None:
         if self._tree().usable(path) is not None:
             return None
-        return Answer.no(
+        return ServiceResponse.no(
             refused("unknown-path", f"{field}: no profile is called {path!r}", 404, field=field)
         )
 
-    def live(
+    def complete(
         self,
         path: str,
         key: str,
         body: dict[str, Any],
         stream: bool,
         sink: Callable[[bytes], None],
-        told: Callable[[Step, Answer], None],
-    ) -> InFlightRequest | Answer:
+        told: Callable[[Step, ServiceResponse], None],
+    ) -> InFlightRequest | ServiceResponse:
         """Begin a completion; return its transaction in flight, or an answer given at once.
 
         `sink` gets a stream's events; `told` the last step and the answer, unless the client hung
@@ -102,11 +102,11 @@
 
         def done(step: Step) -> None:
             if step.name != "gone":
-                told(step, live_answer(step))
+                told(step, completion_response(step))
 
         return self._carrier.carry(tx, call, sink if stream else None, done)
 
-    def hand_in(
+    def submit(
         self, job_id: str, path: str, items: list[dict[str, Any]], due_ms: int, told: Told
     ) -> None:
         """Hand a batch in at the leader; `due_ms` is the time it is given, in milliseconds."""
@@ -116,7 +116,7 @@
         bodies = [json.dumps(item, sort_keys=True) for item in items]
 
         def done(receipt: Any) -> None:
-            answer = hand_in_answer(job_id, receipt)
+            answer = submission_response(job_id, receipt)
             self.node.env.log(
                 "lot-handed-in",
                 job=job_id,
@@ -141,12 +141,12 @@
             done,
         )
 
-    def job(self, job_id: str, told: Told) -> None:
+    def progress(self, job_id: str, told: Told) -> None:
         """Answer a batch's progress."""
         self._holder.ask(
             m.GetJob(job_id=job_id),
             self.node.settings.force_ms,
-            lambda receipt: told(job_answer(job_id, receipt)),
+            lambda receipt: told(job_response(job_id, receipt)),
         )
 
     def results(self, job_id: str, from_index: int, limit: int, told: Told) -> None:
@@ -154,10 +154,10 @@
         self._holder.ask(
             m.ListResults(job_id=job_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
             self.node.settings.force_ms,
-            lambda receipt: told(results_answer(job_id, from_index, receipt)),
+            lambda receipt: told(results_response(job_id, from_index, receipt)),
         )
 
-    def end(self, job_id: str, told: Told) -> None:
+    def cancel(self, job_id: str, told: Told) -> None:
         """End a batch, and stop its items that run at this edge."""
 
         def done(receipt: Any) -> None:
@@ -168,6 +168,6 @@
                 job=job_id,
                 outcome=receipt.outcome if receipt is not None else "unknown",
             )
-            told(job_answer(job_id, receipt))
+            told(job_response(job_id, receipt))
 
         self._holder.ask(m.CancelJob(job_id=job_id), self.node.settings.force_ms, done)
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -13,11 +13,17 @@
 from messaging import Component, encode
 from request_routing import JobRunner, LeaderClient
 
-from data_plane.responses import Answer, ended_answer, item_answer, page_answer, taken_answer
+from data_plane.responses import (
+    ServiceResponse,
+    forward_cancellation_response,
+    forward_item_response,
+    forward_results_response,
+    forward_submission_response,
+)
 
 __all__ = ["ForwardJobService"]
 
-Told = Callable[[Answer], None]
+Told = Callable[[ServiceResponse], None]
 _PAGE_BYTES = 1 << 19
 _ANSWER_SHARE = 0.55
 _TRY_SHARE = 0.6
@@ -48,7 +54,7 @@
         """Return how long a client may be kept waiting for the leader, beyond what it asked for."""
         return int(self.node.settings.force_ms * _ANSWER_SHARE)
 
-    def hand_in(
+    def submit(
         self,
         job_id: str,
         path: str,
@@ -81,7 +87,7 @@
         )
 
         def done(receipt: Any) -> None:
-            answer = taken_answer(job_id, receipt, ask.sends > 0)
+            answer = forward_submission_response(job_id, receipt, ask.sends > 0)
             self.node.env.log(
                 "lot-handed-in",
                 "INFO" if answer.refusal is None else "WARNING",
@@ -94,7 +100,7 @@
 
         ask = self._holder.ask(message, int(client_ms * _TRY_SHARE), done)
 
-    def page(self, job_id: str, from_position: int, wait_ms: int, told: Told) -> None:
+    def results(self, job_id: str, from_position: int, wait_ms: int, told: Told) -> None:
         """Answer a page of results, waiting up to `wait_ms` milliseconds for the first.
 
         The leader holds each ask for a part of that time, so that another leader is found soon.
@@ -124,7 +130,7 @@
             if empty and self.node.env.now() < end_ms:
                 ask()
             else:
-                told(page_answer(job_id, from_position, receipt))
+                told(forward_results_response(job_id, from_position, receipt))
 
         ask()
 
@@ -133,10 +139,10 @@
         self._holder.ask(
             m.GetItem(job_id=job_id, item_id=item_id),
             self._patience_ms(),
-            lambda receipt: told(item_answer(job_id, receipt)),
+            lambda receipt: told(forward_item_response(job_id, receipt)),
         )
 
-    def end(self, job_id: str, told: Told) -> None:
+    def cancel(self, job_id: str, told: Told) -> None:
         """End a batch, and stop its items that run at this edge."""
 
         def done(receipt: Any) -> None:
@@ -147,6 +153,6 @@
                 job=job_id,
                 outcome=receipt.outcome if receipt is not None else "unknown",
             )
-            told(ended_answer(job_id, receipt))
+            told(forward_cancellation_response(job_id, receipt))
 
         self._holder.ask(m.CancelJob(job_id=job_id), self._patience_ms(), done)
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -16,7 +16,7 @@
 from request_routing import ForwardCall, InFlightRequest, Step
 from runtime import Refusal, log, refused
 
-__all__ = ["ForwardServer", "RequestReader", "answer_of"]
+__all__ = ["ForwardServer", "RequestReader", "forward_refusal_response"]
 
 _LINGER_SHARE = 0.45
 _ANNOUNCED_SHARE = 0.8
@@ -50,7 +50,7 @@
         ...
 
 
-def answer_of(refusal: Refusal) -> web.Response:
+def forward_refusal_response(refusal: Refusal) -> web.Response:
     """Return the response of a refusal; Retry-After is in seconds with three decimals."""
     headers = (
         {"Retry-After": f"{refusal.retry_after_ms / 1000:.3f}"} if refusal.retry_after_ms else None
@@ -182,7 +182,9 @@
         try:
             response = await self._answer(request)
         except web.HTTPRequestEntityTooLarge:
-            response = answer_of(refused("too-large", "the body is larger than the limit", 413))
+            response = forward_refusal_response(
+                refused("too-large", "the body is larger than the limit", 413)
+            )
             response.force_close()
         finally:
             self.live_now -= 1
@@ -200,7 +202,7 @@
                 response.headers["Keep-Alive"] = f"timeout={idle_s}"
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        counter = self._node.forwards
+        counter = self._node.forward_service
         if _expects_word(request) and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         profile = counter.route(request.headers.get("Host", ""), request.raw_path)
@@ -230,7 +232,7 @@
 
     def _refuse(self, refusal: Refusal) -> web.Response:
         self.counts[refusal.code] = self.counts.get(refusal.code, 0) + 1
-        return answer_of(refusal)
+        return forward_refusal_response(refusal)
 
     async def _write(
         self, request: web.BaseRequest, queue: asyncio.Queue, carriage: InFlightRequest
--- a/libs/data_plane/src/data_plane/http_service.py
+++ b/libs/data_plane/src/data_plane/http_service.py
@@ -15,14 +15,14 @@
 
 from data_plane.metrics import CONTENT_TYPE, Metrics
 from data_plane.request_bodies import parse
-from data_plane.responses import Answer
+from data_plane.responses import ServiceResponse
 
-__all__ = ["HttpService", "answer_refusal", "json_answer", "read_call", "write_answer"]
+__all__ = ["HttpService", "refusal_response", "json_response", "read_json_body", "http_response"]
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def json_answer(
+def json_response(
     value: Any, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
     """Return a response with a JSON body."""
@@ -31,10 +31,10 @@
     )
 
 
-def write_answer(answer: Answer, transaction_id: str = "") -> web.Response:
+def http_response(answer: ServiceResponse, transaction_id: str = "") -> web.Response:
     """Return the response of an answer, with the transaction's id in a header if it has one."""
     if answer.refusal is not None:
-        return answer_refusal(answer.refusal, transaction_id)
+        return refusal_response(answer.refusal, transaction_id)
     headers = {
         "X-Vaneledge-Transaction": transaction_id,
         "X-Vaneledge-Replayed": "true" if answer.replayed else "false",
@@ -47,15 +47,15 @@
     )
 
 
-def answer_refusal(refusal: Refusal, transaction_id: str = "") -> web.Response:
+def refusal_response(refusal: Refusal, transaction_id: str = "") -> web.Response:
     """Return the response of a refusal; Retry-After is in whole seconds, rounded up."""
     headers = {"X-Vaneledge-Transaction": transaction_id} if transaction_id else {}
     if refusal.retry_after_ms:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_ms / 1000)))
-    return json_answer(refusal.body(), refusal.status, headers)
+    return json_response(refusal.body(), refusal.status, headers)
 
 
-async def read_call(request: web.Request, limit_bytes: int, model: Any) -> Any:
+async def read_json_body(request: web.Request, limit_bytes: int, model: Any) -> Any:
     """Return the body as the model says, or a refusal that names what is wrong."""
     data = await _read_body(request, limit_bytes)
     if isinstance(data, Refusal):
@@ -82,17 +82,17 @@
     try:
         return await handler(request)
     except web.HTTPRequestEntityTooLarge:
-        return answer_refusal(refused("too-large", "the body is too large", 413, field="body"))
+        return refusal_response(refused("too-large", "the body is too large", 413, field="body"))
     except web.HTTPException as error:
         code = {404: "unknown-address", 405: "unknown-method"}.get(error.status, "bad-request")
-        return answer_refusal(
+        return refusal_response(
             refused(code, f"{request.method} {request.path}: {error.reason}", error.status)
         )
     except (ConnectionError, TimeoutError):
         raise
     except Exception as error:
         log("handler-failed", "ERROR", reason=repr(error), address=request.path)
-        return answer_refusal(doubtful("internal", "the request could not be completed", 1000))
+        return refusal_response(doubtful("internal", "the request could not be completed", 1000))
 
 
 class HttpService(Service):
@@ -140,13 +140,13 @@
 
     async def _ready(self, request: web.Request) -> web.Response:
         reason = self._why_unready()
-        return json_answer({"ready": not reason, "reason": reason}, 503 if reason else 200)
+        return json_response({"ready": not reason, "reason": reason}, 503 if reason else 200)
 
     async def _live(self, request: web.Request) -> web.Response:
-        return json_answer({"live": True})
+        return json_response({"live": True})
 
     async def _show_status(self, request: web.Request) -> web.Response:
-        return json_answer(self._status())
+        return json_response(self._status())
 
     async def _show_metrics(self, request: web.Request) -> web.Response:
         return web.Response(
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -37,7 +37,7 @@
         self.env = self.make_env()
         self.disk: FolderDisk | None = None
         self.node: Any = None
-        self.shell: NodeRunner | None = None
+        self.runner: NodeRunner | None = None
 
     def make_env(self) -> ProcessEnvironment:
         """Return the node's environment: clock, random numbers and log."""
@@ -73,8 +73,8 @@
     async def on_start(self) -> None:
         """Make the node, and start its loop."""
         await self.make()
-        self.shell = NodeRunner(self.node, self.env, self.make_switchboard(self.node.receive))
-        await self.add_runtime_dependency(self.shell)
+        self.runner = NodeRunner(self.node, self.env, self.make_switchboard(self.node.receive))
+        await self.add_runtime_dependency(self.runner)
 
     async def on_stop(self) -> None:
         """Close the disk."""
--- a/libs/data_plane/src/data_plane/request_bodies.py
+++ b/libs/data_plane/src/data_plane/request_bodies.py
@@ -10,9 +10,16 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 from runtime import Refusal, refused
 
-__all__ = ["Beat", "CompletionCall", "SubmitJobBody", "LOT_ID", "Leave", "parse"]
-
-LOT_ID = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
+__all__ = [
+    "HeartbeatBody",
+    "CompletionBody",
+    "SubmitJobBody",
+    "JOB_ID_PATTERN",
+    "LeaveBody",
+    "parse",
+]
+
+JOB_ID_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 Name = Annotated[str, Field(min_length=1, max_length=128)]
 Model = TypeVar("Model", bound=BaseModel)
 
@@ -46,7 +53,7 @@
     user: str | None = Field(None, max_length=256)
 
 
-class CompletionCall(Prompted):
+class CompletionBody(Prompted):
     """A live completion; `model` names the profile."""
 
     model: Name
@@ -71,7 +78,7 @@
     due_ms: int = Field(10_000, ge=100, le=7 * 86_400_000)
 
 
-class Beat(_Strict):
+class HeartbeatBody(_Strict):
     """A worker's heartbeat; `cache_use` is a share from 0 to 1."""
 
     identity: Name
@@ -86,7 +93,7 @@
     cache_use: float = Field(0.0, ge=0.0, le=1.0)
 
 
-class Leave(_Strict):
+class LeaveBody(_Strict):
     """A worker's word that it leaves; final for its incarnation."""
 
     identity: Name
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -12,20 +12,20 @@
 from runtime import Refusal, doubtful, refused
 
 __all__ = [
-    "Answer",
-    "ended_answer",
-    "hand_in_answer",
-    "item_answer",
-    "live_answer",
-    "job_answer",
+    "ServiceResponse",
+    "forward_cancellation_response",
+    "submission_response",
+    "forward_item_response",
+    "completion_response",
+    "job_response",
     "not_ready",
-    "page_answer",
-    "results_answer",
-    "taken_answer",
+    "forward_results_response",
+    "results_response",
+    "forward_submission_response",
 ]
 
 
-class Answer:
+class ServiceResponse:
     """A status with its body, or a refusal.
 
     `value` is the content of a positive answer that is not written out yet; `replayed` says that
@@ -46,12 +46,12 @@
         self.value = value
 
     @classmethod
-    def no(cls, refusal: Refusal) -> "Answer":
+    def no(cls, refusal: Refusal) -> "ServiceResponse":
         """Return the answer of a refusal."""
         return cls(refusal.status, json.dumps(refusal.body()), refusal)
 
     @classmethod
-    def ok(cls, value: Any, status: int = 200) -> "Answer":
+    def ok(cls, value: Any, status: int = 200) -> "ServiceResponse":
         """Return a positive answer with a JSON body."""
         return cls(status, json.dumps(value))
 
@@ -76,18 +76,18 @@
     return make("not-ready", reason, retry_after_ms=1000, status=503)
 
 
-def live_answer(step: Step) -> Answer:
+def completion_response(step: Step) -> ServiceResponse:
     """Return the answer of a live completion, from its transaction's last step."""
     if step.name in ("finish", "replay"):
-        return Answer(step.value[0], step.value[1], replayed=step.name == "replay")
-    return Answer.no(step.refusal)
+        return ServiceResponse(step.value[0], step.value[1], replayed=step.name == "replay")
+    return ServiceResponse.no(step.refusal)
 
 
-def hand_in_answer(job_id: str, receipt: Any) -> Answer:
+def submission_response(job_id: str, receipt: Any) -> ServiceResponse:
     """Return the answer to a batch handed in; without a receipt it may have been accepted."""
     outcome = receipt.outcome if receipt is not None else "unknown"
     if outcome in ("admitted", "known"):
-        return Answer.ok(_shown(receipt), 201 if outcome == "admitted" else 200)
+        return ServiceResponse.ok(_shown(receipt), 201 if outcome == "admitted" else 200)
     refusals = {
         "conflict": lambda: refused(
             "lot-reused",
@@ -104,8 +104,8 @@
         "full": lambda: refused("stores-full", "the stores have no room", 503, 5000),
     }
     if outcome in refusals:
-        return Answer.no(refusals[outcome]())
-    return Answer.no(
+        return ServiceResponse.no(refusals[outcome]())
+    return ServiceResponse.no(
         doubtful(
             "lot-in-doubt",
             f"lot {job_id} may have been accepted; hand the same in again to learn which",
@@ -114,29 +114,29 @@
     )
 
 
-def job_answer(job_id: str, receipt: Any) -> Answer:
+def job_response(job_id: str, receipt: Any) -> ServiceResponse:
     """Return a batch's progress, or why there is none."""
     if receipt is None or receipt.outcome == "unknown":
-        return Answer.no(doubtful("stores-silent", "the stores did not answer", 1000))
+        return ServiceResponse.no(doubtful("stores-silent", "the stores did not answer", 1000))
     if receipt.outcome == "missing":
-        return Answer.no(
+        return ServiceResponse.no(
             refused("unknown-lot", f"lot_id: no lot {job_id} was accepted", 404, field="lot_id")
         )
     if receipt.outcome == "full":
-        return Answer.no(refused("stores-full", "the stores have no room", 503, 5000))
-    return Answer.ok(_shown(receipt))
+        return ServiceResponse.no(refused("stores-full", "the stores have no room", 503, 5000))
+    return ServiceResponse.ok(_shown(receipt))
 
 
-def results_answer(job_id: str, from_index: int, receipt: Any) -> Answer:
+def results_response(job_id: str, from_index: int, receipt: Any) -> ServiceResponse:
     """Return a page of a batch's results, from index `from_index` on."""
     if receipt is not None and receipt.outcome == "beyond":
-        return Answer.no(
+        return ServiceResponse.no(
             refused("beyond", f"from: the lot has {receipt.total} items", 416, field="from")
         )
     if receipt is None or receipt.outcome != "known":
-        return job_answer(job_id, receipt)
+        return job_response(job_id, receipt)
     rows = [_result(decode(data)) for data in receipt.rows]
-    return Answer.ok(
+    return ServiceResponse.ok(
         {
             "lot_id": job_id,
             "from": from_index,
@@ -152,7 +152,7 @@
 # -- lots of forwarded calls -----------------------------------------------------------------------
 
 
-def taken_answer(job_id: str, receipt: Any, sent: bool) -> Answer:
+def forward_submission_response(job_id: str, receipt: Any, sent: bool) -> ServiceResponse:
     """Return the answer to a forwarded batch handed in; `sent` says that the leader was asked.
 
     A refusal that promises that nothing was taken is the leader's own word, or there was nobody to
@@ -160,9 +160,9 @@
     """
     outcome = receipt.outcome if receipt is not None else "unknown"
     if outcome in ("admitted", "known"):
-        return Answer(202, "", value=receipt)
+        return ServiceResponse(202, "", value=receipt)
     if receipt is None and not sent:
-        return Answer.no(
+        return ServiceResponse.no(
             refused(
                 "holder-unknown", "nobody holds the log at this moment; nothing was taken", 503, 500
             )
@@ -178,25 +178,25 @@
         "full": lambda: refused("stores-full", "the stores have no room", 503, 2000),
     }
     if outcome in refusals:
-        return Answer.no(refusals[outcome]())
-    return Answer.no(
+        return ServiceResponse.no(refusals[outcome]())
+    return ServiceResponse.no(
         doubtful(
             "lot-in-doubt", f"lot {job_id} may have been accepted; hand the same in again", 200, 504
         )
     )
 
 
-def _no_word(job_id: str, receipt: Any) -> Answer | None:
+def _no_word(job_id: str, receipt: Any) -> ServiceResponse | None:
     if receipt is None or receipt.outcome in ("unknown", "full"):
-        return Answer.no(doubtful("stores-silent", "the stores did not answer", 200, 503))
+        return ServiceResponse.no(doubtful("stores-silent", "the stores did not answer", 200, 503))
     if receipt.outcome == "missing":
-        return Answer.no(
+        return ServiceResponse.no(
             refused("unknown-lot", f"no lot {job_id}, or nothing more of it is kept", 404)
         )
     return None
 
 
-def page_answer(job_id: str, from_position: int, receipt: Any) -> Answer:
+def forward_results_response(job_id: str, from_position: int, receipt: Any) -> ServiceResponse:
     """Return a page of a forwarded batch's results.
 
     The value is the results, each with its item's id, outcome and text; the next position; and the
@@ -205,19 +205,19 @@
     if (answer := _no_word(job_id, receipt)) is not None:
         return answer
     rows = [decode(data) for data in receipt.rows]
-    return Answer(200, "", value=(rows, from_position + len(rows), receipt.total))
+    return ServiceResponse(200, "", value=(rows, from_position + len(rows), receipt.total))
 
 
-def item_answer(job_id: str, receipt: Any) -> Answer:
+def forward_item_response(job_id: str, receipt: Any) -> ServiceResponse:
     """Return one item; the value is the request that it makes of a worker."""
     if (answer := _no_word(job_id, receipt)) is not None:
         return answer
-    return Answer(200, "", value=decode(receipt.call))
+    return ServiceResponse(200, "", value=decode(receipt.call))
 
 
-def ended_answer(job_id: str, receipt: Any) -> Answer:
+def forward_cancellation_response(job_id: str, receipt: Any) -> ServiceResponse:
     """Return the answer to a forwarded batch's end; the value is the receipt."""
-    return _no_word(job_id, receipt) or Answer(200, "", value=receipt)
+    return _no_word(job_id, receipt) or ServiceResponse(200, "", value=receipt)
 
 
 def _shown(receipt: Any) -> dict[str, Any]:
--- a/libs/data_plane/src/data_plane/role_processes.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -5,12 +5,13 @@
 from runtime import Settings
 
 from data_plane.client_api import ClientApi
+from data_plane.edge_node import EdgeNode
 from data_plane.http_service import HttpService
-from data_plane.nodes import EdgeNode, StoreNode
 from data_plane.process import NodeProcess
 from data_plane.recorder import Recorder
-from data_plane.rollouts import Rollouts
+from data_plane.rollouts import RolloutApi
 from data_plane.sender import HttpSender
+from data_plane.store_node import StoreNode
 from data_plane.worker_api import WorkerApi
 
 __all__ = ["EdgeProcess", "StoreProcess"]
@@ -42,10 +43,10 @@
             self.metrics,
             (self._recorder.middleware,) if self._recorder else (),
         )
-        self._visitors = ClientApi(self.node, self.node.counter, desk)
+        self._visitors = ClientApi(self.node, self.node.edge_service, desk)
         WorkerApi(self.node, desk)
-        Rollouts(self.node, self.node.rollouts, desk)
-        self.desks: list[Any] = []
+        RolloutApi(self.node, self.node.rollout_service, desk)
+        self.forward_servers: list[Any] = []
         await self.add_runtime_dependency(desk)
 
     def make_sender(self) -> HttpSender:
@@ -55,22 +56,22 @@
     def start_draining(self) -> None:
         """Become unready, and take no more batch items."""
         self.node.stopping = True
-        self.node.jobs.paused = True
-        for desk in self.desks:
+        self.node.job_runner.paused = True
+        for desk in self.forward_servers:
             desk.start_draining()
 
     def busy(self) -> bool:
         """Whether live requests or batch items are in flight."""
         return (
-            any(desk.busy() for desk in self.desks)
+            any(desk.busy() for desk in self.forward_servers)
             or self.node.carrier.carrying(False) > 0
             or self._visitors.live_now > 0
-            or self.node.jobs.running() > 0
+            or self.node.job_runner.running() > 0
         )
 
     def wind_down(self) -> None:
         """Stop the batch items that still run; what they came to is reported."""
-        self.node.jobs.stop_all("stopping")
+        self.node.job_runner.stop_all("stopping")
 
     async def on_stop(self) -> None:
         """Close the connections to workers and the recording."""
@@ -82,20 +83,20 @@
     def status(self) -> dict[str, Any]:
         """Return the edge's state for operators, as `/status` shows it."""
         node = self.node
-        node.tree()
+        node.profile_tree()
         return {
             "role": "edge",
-            "identity": node.jobs.edge,
+            "identity": node.job_runner.edge,
             "zone": self.settings.zone,
             "ready": not node.why_unready(),
             "reason": node.why_unready(),
-            "profiles_digest": node.tree_digest,
+            "profiles_digest": node.profile_tree_digest,
             "feed": node.config_feed.numbers(),
             "place": node.config_feed.place,
             "holder_epoch": node.holder.epoch,
             "live": self._visitors.live_now,
-            "items": node.jobs.running(),
-            "neighbours": [card.address for card in node.neighbours.view()],
+            "items": node.job_runner.running(),
+            "neighbours": [card.address for card in node.membership.view()],
             "workers": [
                 {
                     "identity": worker.identity,
@@ -105,7 +106,7 @@
                     "leaving": worker.leaving,
                     "weight": worker.weight,
                     "slots": worker.slots,
-                    "allowed": node.tree().allows_worker(worker.identity, worker.labels),
+                    "allowed": node.profile_tree().allows_worker(worker.identity, worker.labels),
                 }
                 for worker in node.roster.all()
             ],
@@ -115,7 +116,7 @@
         """Return the edge's numbers by name; `data_plane.metrics.HELP` explains them."""
         node = self.node
         rows = {f"edge_{name}_total": count for name, count in node.carrier.counts.items()}
-        for desk in self.desks:
+        for desk in self.forward_servers:
             rows.update(
                 {
                     f"edge_told_{name.replace('-', '_')}_total": count
@@ -129,8 +130,8 @@
             "edge_waiting_now": node.carrier.waiting(),
             "edge_ready": int(not node.why_unready()),
             "edge_live_now": self._visitors.live_now,
-            "edge_items_now": node.jobs.running(),
-            "edge_items_finished_total": node.jobs.finished,
+            "edge_items_now": node.job_runner.running(),
+            "edge_items_finished_total": node.job_runner.finished,
             "edge_workers": len(node.roster.workers()),
             "edge_samples_now": node.borrowing.running(),
             "edge_samples_finished_total": node.borrowing.finished,
@@ -138,7 +139,7 @@
             "edge_loans_recalled_total": node.borrowing.recalls,
             "edge_workers_lent": len(node.roster.lent),
             "feed_place": node.config_feed.place,
-            "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
+            "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
 
 
@@ -202,13 +203,16 @@
             "open_lots": len(local.state.open_jobs),
             "keys": len(local.state.keys),
             "log": log.value,
-            "waiting_rooms": self.node.desk.backlogs(),
+            "waiting_rooms": self.node.batch_service.backlogs(),
         }
 
     def metrics(self) -> dict[str, float]:
         """Return the store's numbers by name; `data_plane.metrics.HELP` explains them."""
         local = self.node.log.log
-        rows = {f"store_asked_{name}_total": count for name, count in self.node.desk.counts.items()}
+        rows = {
+            f"store_asked_{name}_total": count
+            for name, count in self.node.batch_service.counts.items()
+        }
         holder = self.node.log.leader
         if holder is not None:
             level = holder.count_caught_up()
@@ -224,5 +228,5 @@
             "store_open_lots": len(local.state.open_jobs),
             "store_shelves": len(local.archive.names()),
             "feed_place": self.node.config_feed.place,
-            "worst_tick_ms": self.shell.worst_tick_ms if self.shell else 0,
+            "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/data_plane/src/data_plane/rollouts.py
+++ b/libs/data_plane/src/data_plane/rollouts.py
@@ -18,17 +18,22 @@
 from runtime import Refusal, refused
 
 from data_plane.edge_service import EdgeService, Told
-from data_plane.http_service import HttpService, answer_refusal, read_call, write_answer
-from data_plane.request_bodies import LOT_ID, JobItemBody, Name
-from data_plane.responses import Answer, hand_in_answer, job_answer, results_answer
+from data_plane.http_service import HttpService, http_response, read_json_body, refusal_response
+from data_plane.request_bodies import JOB_ID_PATTERN, JobItemBody, Name
+from data_plane.responses import (
+    ServiceResponse,
+    job_response,
+    results_response,
+    submission_response,
+)
 
-__all__ = ["RolloutCall", "RolloutCounter", "Rollouts", "log_name"]
+__all__ = ["RolloutBody", "RolloutService", "RolloutApi", "log_name"]
 
 _PAGE = 1000
 _MOST_SAMPLES = 100_000
 
 
-class RolloutCall(BaseModel):
+class RolloutBody(BaseModel):
     """A rollout as it is handed in: `samples` of each prompt.
 
     `due_ms` is the time it is given, in milliseconds from now; 0 for no limit.
@@ -42,7 +47,7 @@
     due_ms: int = Field(0, ge=0, le=7 * 86_400_000)
 
     @model_validator(mode="after")
-    def _not_too_many(self) -> "RolloutCall":
+    def _not_too_many(self) -> "RolloutBody":
         if len(self.prompts) * self.samples > _MOST_SAMPLES:
             raise ValueError(f"prompts times samples are more than {_MOST_SAMPLES}")
         return self
@@ -53,19 +58,19 @@
     return f"rollout:{rollout_id}"
 
 
-def _of_rollout(answer: Answer) -> Answer:
+def _of_rollout(answer: ServiceResponse) -> ServiceResponse:
     """Return the same answer in the words of rollouts."""
     if answer.refusal is not None:
         if answer.refusal.field == "lot_id":
             answer.refusal.field = "rollout_id"
-        return Answer.no(answer.refusal)
+        return ServiceResponse.no(answer.refusal)
     value = json.loads(answer.body)
-    return Answer.ok(
+    return ServiceResponse.ok(
         {"rollout_id": value.pop("lot_id").removeprefix("rollout:"), **value}, answer.status
     )
 
 
-class RolloutCounter(Component):
+class RolloutService(Component):
     """Serves rollouts; the HTTP side and the simulator's trainers use the same object."""
 
     __slots__ = ("_counter", "_holder", "_jobs", "_tree")
@@ -75,18 +80,18 @@
     ) -> None:
         self._counter, self._holder, self._jobs, self._tree = counter, holder, jobs, tree
 
-    def hand_in(self, rollout_id: str, call: RolloutCall, told: Told) -> None:
+    def submit(self, rollout_id: str, call: RolloutBody, told: Told) -> None:
         """Hand a rollout in at the leader, if its route lends slots."""
         profile = self._tree().usable(call.path)
         answer = self._counter.unready(True)
         if answer is None and profile is None:
-            answer = Answer.no(
+            answer = ServiceResponse.no(
                 refused(
                     "unknown-path", f"path: no profile is called {call.path!r}", 404, field="path"
                 )
             )
         if answer is None and not profile.loan_share:
-            answer = Answer.no(
+            answer = ServiceResponse.no(
                 refused(
                     "lends-nothing",
                     f"path: profile {call.path!r} lends no slots (loan_share)",
@@ -114,7 +119,7 @@
                 samples=call.samples,
                 outcome=receipt.outcome if receipt is not None else "unknown",
             )
-            told(_of_rollout(hand_in_answer(log_name(rollout_id), receipt)))
+            told(_of_rollout(submission_response(log_name(rollout_id), receipt)))
 
         self._holder.ask(
             m.SubmitRollout(
@@ -132,13 +137,13 @@
             done,
         )
 
-    def show(self, rollout_id: str, told: Told) -> None:
+    def progress(self, rollout_id: str, told: Told) -> None:
         """Answer a rollout's progress."""
         name = log_name(rollout_id)
         self._holder.ask(
             m.GetJob(job_id=name),
             self.node.settings.force_ms,
-            lambda receipt: told(_of_rollout(job_answer(name, receipt))),
+            lambda receipt: told(_of_rollout(job_response(name, receipt))),
         )
 
     def results(self, rollout_id: str, from_index: int, limit: int, told: Told) -> None:
@@ -147,20 +152,20 @@
         self._holder.ask(
             m.ListResults(job_id=name, from_index=from_index, limit=max(1, min(_PAGE, limit))),
             self.node.settings.force_ms,
-            lambda receipt: told(_of_rollout(results_answer(name, from_index, receipt))),
+            lambda receipt: told(_of_rollout(results_response(name, from_index, receipt))),
         )
 
-    def end(self, rollout_id: str, told: Told) -> None:
+    def cancel(self, rollout_id: str, told: Told) -> None:
         """End a rollout, and stop its samples that run at this edge."""
-        self._counter.end(log_name(rollout_id), lambda answer: told(_of_rollout(answer)))
+        self._counter.cancel(log_name(rollout_id), lambda answer: told(_of_rollout(answer)))
 
 
-class Rollouts:
+class RolloutApi:
     """The HTTP routes of rollouts."""
 
     __slots__ = ("_counter", "_node")
 
-    def __init__(self, node: Any, counter: RolloutCounter, desk: HttpService) -> None:
+    def __init__(self, node: Any, counter: RolloutService, desk: HttpService) -> None:
         self._node, self._counter = node, counter
         router = desk.app.router
         router.add_put("/rollouts/{rollout_id}", self._hand_in)
@@ -171,32 +176,32 @@
     async def _hand_in(self, request: web.Request) -> web.StreamResponse:
         rollout_id = _rollout_id(request)
         if isinstance(rollout_id, Refusal):
-            return answer_refusal(rollout_id)
-        call = await read_call(request, self._node.settings.max_body_bytes, RolloutCall)
+            return refusal_response(rollout_id)
+        call = await read_json_body(request, self._node.settings.max_body_bytes, RolloutBody)
         if isinstance(call, Refusal):
-            return answer_refusal(call)
-        return write_answer(
-            await awaited(lambda told: self._counter.hand_in(rollout_id, call, told))
+            return refusal_response(call)
+        return http_response(
+            await awaited(lambda told: self._counter.submit(rollout_id, call, told))
         )
 
     async def _show(self, request: web.Request) -> web.StreamResponse:
         rollout_id = _rollout_id(request)
         if isinstance(rollout_id, Refusal):
-            return answer_refusal(rollout_id)
-        return write_answer(await awaited(lambda told: self._counter.show(rollout_id, told)))
+            return refusal_response(rollout_id)
+        return http_response(await awaited(lambda told: self._counter.progress(rollout_id, told)))
 
     async def _results(self, request: web.Request) -> web.StreamResponse:
         rollout_id = _rollout_id(request)
         if isinstance(rollout_id, Refusal):
-            return answer_refusal(rollout_id)
+            return refusal_response(rollout_id)
         numbers: dict[str, int] = {"from": 0, "limit": _PAGE}
         for name, value in request.query.items():
             if name not in numbers or not re.match(r"^\d{1,9}$", value):
-                return answer_refusal(
+                return refusal_response(
                     refused("bad-field", f"{name}: a whole number from 0, or unknown", field=name)
                 )
             numbers[name] = int(value)
-        return write_answer(
+        return http_response(
             await awaited(
                 lambda told: self._counter.results(
                     rollout_id, numbers["from"], numbers["limit"], told
@@ -207,13 +212,13 @@
     async def _end(self, request: web.Request) -> web.StreamResponse:
         rollout_id = _rollout_id(request)
         if isinstance(rollout_id, Refusal):
-            return answer_refusal(rollout_id)
-        return write_answer(await awaited(lambda told: self._counter.end(rollout_id, told)))
+            return refusal_response(rollout_id)
+        return http_response(await awaited(lambda told: self._counter.cancel(rollout_id, told)))
 
 
 def _rollout_id(request: web.Request) -> str | Refusal:
     rollout_id = request.match_info["rollout_id"]
-    if not re.match(LOT_ID, rollout_id):
+    if not re.match(JOB_ID_PATTERN, rollout_id):
         return refused(
             "bad-field",
             "rollout_id: letters, digits, dot, dash, underscore; at most 128",
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -15,7 +15,7 @@
 from runtime import log
 from yarl import URL
 
-from data_plane.connection_pool import CURRENT, Outgoing, WorkerPool, pooled_session
+from data_plane.connection_pool import CURRENT_REQUEST, OutgoingRequest, WorkerPool, pooled_session
 
 __all__ = ["HttpSender"]
 
@@ -103,7 +103,7 @@
     ) -> None:
         send.connecting = True
         request_id = send.carriage.call.request_id
-        CURRENT.set(Outgoing(target, request_id, send.repeatable, send.connected))
+        CURRENT_REQUEST.set(OutgoingRequest(target, request_id, send.repeatable, send.connected))
         try:
             async with self._pooled().request(
                 method,
--- /dev/null
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -0,0 +1,146 @@
+"""The storage node: a replica of the log and, on the log's leader, the batch service.
+
+It runs alike in a process and in the simulator; only the environment and the disk are passed in.
+"""
+
+import json
+from typing import Any
+
+from batch_state import BatchService
+from capacity_sharing import JobOutlook
+from control_store import ControlClient
+from membership import duty_order
+from messaging import Environment
+from replicated_log import ArchiveRepair, LocalLog, LogReplica
+from storage import Disk
+
+from data_plane.control_keys import (
+    CONTROL_KEY,
+    LOG_KEY,
+    PROFILES_KEY,
+    RETIRED_KEY,
+    open_or_set_aside,
+)
+from data_plane.data_node import DataNode
+
+__all__ = ["StoreNode"]
+
+
+class StoreNode(DataNode):
+    """A storage node: it keeps the replicated log and, as the log's leader, assigns batch items."""
+
+    __slots__ = ("archive_repair", "batch_service", "control", "disk", "log")
+
+    def __init__(self, env: Environment, settings: Any, disk: Disk) -> None:
+        self.disk = disk
+        local = open_or_set_aside(env, disk, lambda: LocalLog(disk, settings, env.now, env.token))
+        self._make_shared_components(env, settings, local.identity)
+        self.control = ControlClient(self._control_addresses, self._key_owners)
+        self.batch_service = BatchService(
+            lambda: (self.config_feed.number(PROFILES_KEY), self.profile_tree()),
+            self._leader,
+            lambda: self.log.log.state,
+        )
+        self.log: LogReplica = LogReplica(local, self.control, self, self.batch_service.take_holder)
+        self.archive_repair = ArchiveRepair(local, self._other_members)
+        self.batch_service.make_forecast = lambda: JobOutlook(settings.dead_ms)
+        self.batch_service.shelves = local.archive
+        self.batch_service.mend = self.archive_repair.repair
+        local.archive.on_archived = self._release_archived
+        super().__init__(
+            env,
+            settings,
+            [
+                self.membership,
+                self.config_feed,
+                self.control,
+                self.log,
+                self.batch_service,
+                self.archive_repair,
+            ],
+        )
+
+    def _key_owners(self, key: str) -> list[str]:
+        """Return the voters known to live, in the order in which they would own the key."""
+        value = self.config_feed.value(CONTROL_KEY) or {"voters": []}
+        voters = {row["identity"]: row["address"] for row in value["voters"]}
+        return [voters[name] for name in duty_order(key, voters) if self.membership.live(name)]
+
+    # -- what the log asks about the fleet -----------------------------------------------------
+
+    def log_key(self) -> tuple[int, str]:
+        """Return the number and the body of the log's control key, as the feed has it."""
+        return self.config_feed.number(LOG_KEY), self.config_feed.body(LOG_KEY)
+
+    def _other_members(self) -> list[str]:
+        return [
+            row["address"]
+            for row in (self.config_feed.value(LOG_KEY) or {"members": []})["members"]
+            if row["address"] != self.address
+        ]
+
+    def _release_archived(self, entries: list[Any]) -> None:
+        """Have the leader's state machine release the entries that are archived here."""
+        if self.log.leader is not None:
+            for entry in entries:
+                self.log.leader.drop_archived(entry)
+
+    def live_stores(self) -> dict[str, str]:
+        """Return the addresses of the other live stores by identity."""
+        return {
+            card.identity: card.address
+            for card in self.membership.of_role("store", self.settings.dead_ms)
+        }
+
+    def store_rows(self) -> list[dict[str, str]]:
+        """Return the live stores, this one among them, ordered by identity."""
+        cards = [self.membership.card(), *self.membership.of_role("store", self.settings.dead_ms)]
+        return sorted(
+            (
+                {"identity": card.identity, "address": card.address, "zone": card.zone}
+                for card in cards
+            ),
+            key=lambda row: row["identity"],
+        )
+
+    def live_store(self, identity: str) -> bool:
+        """Whether this store is known to live."""
+        return self.membership.live(identity)
+
+    def retired_stores(self) -> list[str]:
+        """Return the identities of the stores that control has retired."""
+        return (self.config_feed.value(RETIRED_KEY) or {}).get("identities", [])
+
+    def settled_in(self) -> bool:
+        """Whether it is up long enough to know who lives, and in touch with a control majority."""
+        now_ms = self.env.now()
+        return (
+            now_ms - self._started_ms > self.settings.dead_ms
+            and now_ms - self.config_feed.quorate_ms < self.settings.dead_ms
+        )
+
+    def learned(self, number: int, body: str) -> None:
+        """Take a log key that control has told this store itself, ahead of the feed."""
+        self.config_feed.publish(LOG_KEY, number, body)
+
+    def _leader(self) -> tuple[int, str]:
+        """Return the leader's epoch and its address, empty if it isn't known."""
+        value = self.log.value
+        address = next(
+            (
+                row["address"]
+                for row in value.get("members", [])
+                if row["identity"] == value.get("holder")
+            ),
+            "",
+        )
+        return value.get("epoch", 0), address
+
+    def why_unready(self) -> str:
+        """Return why it is not ready, or an empty string."""
+        if not self.config_feed.number(LOG_KEY):
+            return "the log is not founded yet"
+        names = [row["identity"] for row in json.loads(self.config_feed.body(LOG_KEY))["members"]]
+        if self.log.log.identity not in names:
+            return "spare: not a member of the log"
+        return ""
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -6,8 +6,8 @@
 from request_routing import WorkerUpdate
 from runtime import Refusal, refused
 
-from data_plane.http_service import HttpService, answer_refusal, json_answer, read_call
-from data_plane.request_bodies import Beat, Leave
+from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
+from data_plane.request_bodies import HeartbeatBody, LeaveBody
 
 __all__ = ["WorkerApi"]
 
@@ -23,12 +23,12 @@
         desk.app.router.add_post("/workers/leave", self._leave)
 
     async def _beat(self, request: web.Request) -> web.Response:
-        beat = await read_call(request, self._node.settings.max_body_bytes, Beat)
+        beat = await read_json_body(request, self._node.settings.max_body_bytes, HeartbeatBody)
         if isinstance(beat, Refusal):
-            return answer_refusal(beat)
+            return refusal_response(beat)
         taken = self._node.roster.hear(WorkerUpdate(**beat.model_dump(), leaving=False))
         if not taken:
-            return answer_refusal(
+            return refusal_response(
                 refused(
                     "outdated",
                     "this incarnation has left or was replaced",
@@ -37,17 +37,17 @@
                 )
             )
         labels = frozenset(beat.labels)
-        return json_answer(
+        return json_response(
             {
-                "enrolled": self._node.tree().allows_worker(beat.identity, labels),
+                "enrolled": self._node.profile_tree().allows_worker(beat.identity, labels),
                 "beat_ms": self._node.settings.beat_ms,
             }
         )
 
     async def _leave(self, request: web.Request) -> web.Response:
-        leave = await read_call(request, self._node.settings.max_body_bytes, Leave)
+        leave = await read_json_body(request, self._node.settings.max_body_bytes, LeaveBody)
         if isinstance(leave, Refusal):
-            return answer_refusal(leave)
+            return refusal_response(leave)
         known = next(
             (
                 worker
@@ -71,4 +71,4 @@
                 leaving=True,
             )
         )
-        return json_answer({"left": True})
+        return json_response({"left": True})
--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from data_plane.responses import Answer
+from data_plane.responses import ServiceResponse
 
 from simulator.live_calls import LiveCall, flat_body
 
@@ -143,7 +143,7 @@
             if done is not None:
                 done(row)
 
-        def told(answer: Answer) -> None:
+        def told(answer: ServiceResponse) -> None:
             answered(
                 {200: "known", 201: "admitted"}.get(answer.status, answer.code), answer.verdict
             )
@@ -152,7 +152,7 @@
             {"prompt": f"lot {job_id} item {place} call item:{job_id}:{place}"}
             for place in range(count)
         ]
-        self._at(host, lambda: host.node.counter.hand_in(job_id, path, items, 10_000, told))
+        self._at(host, lambda: host.node.edge_service.submit(job_id, path, items, 10_000, told))
         self._time.after(_PATIENCE_MS, lambda: answered("lost", "may_have_run"))
         return job_id
 
@@ -187,7 +187,7 @@
         start = drawn if start is None else start
         incarnation, began_ms = host.incarnation, self._time.now_ms
 
-        def told(answer: Answer) -> None:
+        def told(answer: ServiceResponse) -> None:
             if host.incarnation != incarnation or not host.up or answer.status not in (200, 404):
                 return
             shown = json.loads(answer.body)
@@ -225,7 +225,7 @@
             if done is not None:
                 done(seen)
 
-        self._at(host, lambda: host.node.counter.results(job_id, start, 1000, told))
+        self._at(host, lambda: host.node.edge_service.results(job_id, start, 1000, told))
 
     def end(self, job_id: str) -> None:
         """End a batch before it is done."""
@@ -235,10 +235,10 @@
         incarnation = host.incarnation
         asked = self._history.ask("end", self._time.now_ms, lot=job_id)
 
-        def told(answer: Answer) -> None:
+        def told(answer: ServiceResponse) -> None:
             if answer.status == 200 and host.incarnation == incarnation and host.up:
                 asked.update(outcome="ok", answered_ms=self._time.now_ms)
                 self.jobs[job_id]["ended"] = True
                 self._history.add("end", self._time.now_ms, lot=job_id)
 
-        self._at(host, lambda: host.node.counter.end(job_id, told))
+        self._at(host, lambda: host.node.edge_service.cancel(job_id, told))
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -161,7 +161,7 @@
                     incarnation=host.incarnation,
                     ready=not host.node.why_unready(),
                     number=host.node.config_feed.number("profiles"),
-                    mark=_mark(host.node.tree()),
+                    mark=_mark(host.node.profile_tree()),
                 )
         for host in self.with_role("store"):
             holder = host.node.log.leader if host.up and not host.frozen else None
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from data_plane.responses import Answer
+from data_plane.responses import ServiceResponse
 from request_routing import Step
 
 __all__ = ["LiveCall", "flat_body", "flat_events"]
@@ -40,10 +40,10 @@
         row, host = self._row, self._host
         key = row["key"]
         prompt = f"key {key} asked {row['asked']}" if key else f"call {row['call']}"
-        carriage = host.node.counter.live(
+        carriage = host.node.edge_service.complete(
             row["path"], key, {"prompt": prompt}, self._stream, self._delivered, self._told
         )
-        if isinstance(carriage, Answer):
+        if isinstance(carriage, ServiceResponse):
             self._answered("error", carriage.verdict, carriage.code)
             return
         row["transaction"] = carriage.tx.transaction_id
@@ -67,7 +67,7 @@
         self._row.setdefault("first_ms", self._time.now_ms)
         self._row["pieces"].append(flat_events(event.decode()))
 
-    def _told(self, step: Step, answer: Answer) -> None:
+    def _told(self, step: Step, answer: ServiceResponse) -> None:
         row = self._row
         if answer.refusal is not None:
             row["back_ms"] = answer.refusal.retry_after_ms
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -7,8 +7,8 @@
 import json
 from typing import Any
 
-from data_plane.responses import Answer
-from data_plane.rollouts import RolloutCall
+from data_plane.responses import ServiceResponse
+from data_plane.rollouts import RolloutBody
 
 __all__ = ["Trainers"]
 
@@ -45,7 +45,7 @@
                 "done_ms": 0.0,
             }
         state, host = self.rollouts[rollout_id], self._edge()
-        call = RolloutCall(
+        call = RolloutBody(
             path="rollouts",
             weights=weights,
             samples=samples,
@@ -55,7 +55,7 @@
             ],
         )
 
-        def told(answer: Answer) -> None:
+        def told(answer: ServiceResponse) -> None:
             if answer.status in (200, 201) and not state["acked"]:
                 state["acked"] = True
                 self._history.add(
@@ -65,7 +65,7 @@
                 self.follow(rollout_id)
 
         if host is not None:
-            host.node.rollouts.hand_in(rollout_id, call, told)
+            host.node.rollout_service.submit(rollout_id, call, told)
         if not state["acked"]:
             self._time.after(
                 2500,
@@ -89,7 +89,7 @@
         """Read samples from an index on and record them."""
         state, host = self.rollouts[rollout_id], self._edge()
 
-        def told(answer: Answer) -> None:
+        def told(answer: ServiceResponse) -> None:
             if answer.status not in (200, 404):
                 return
             shown = json.loads(answer.body)
@@ -115,7 +115,7 @@
                 state["done_ms"] = self._time.now_ms
 
         if host is not None:
-            host.node.rollouts.results(rollout_id, start, 1000, told)
+            host.node.rollout_service.results(rollout_id, start, 1000, told)
 
     # -- whole workers -------------------------------------------------------------------------
 
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -280,7 +280,7 @@
             fleet.meter.run(
                 host.address,
                 "tick",
-                lambda host=host: host.node.tree().route("h1.example", "/p1/x"),
+                lambda host=host: host.node.profile_tree().route("h1.example", "/p1/x"),
             )
         fleet.time.run_until(fleet.time.now_ms + _APART_MS)
 
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -29,7 +29,7 @@
         _CUT_OFF + "vouches",
     ),
     "an edge begins by the word of a cut-off neighbour": (
-        "data_plane/src/data_plane/nodes.py",
+        "data_plane/src/data_plane/edge_readiness.py",
         "and not self._hears_some_control()",
         "",
         _CUT_OFF + "neighbour",
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -9,11 +9,11 @@
 _DAYS = "tests/test_platform_days.py -k "
 _CLAIMS = "tests/test_late_claims.py -k "
 _KEPT = "tests/test_kept_connections.py -k "
-_WIRE = "tests/test_wire_troubles.py -k "
+_WIRE = "tests/test_wire_faults.py -k "
 
 BREAKS: dict[str, tuple[str, str, str, str]] = {
     "a cut-off edge stays ready": (
-        "data_plane/src/data_plane/nodes.py",
+        "data_plane/src/data_plane/edge_readiness.py",
         "if not (self._hears_control(now_ms) or self._hears_most(now_ms)):",
         "if False:",
         _FEED + "cut_off",
@@ -120,10 +120,10 @@
         "if False:",
         _EXCHANGES,
     ),
-    "an edge stays with its first tree": (
-        "data_plane/src/data_plane/nodes.py",
-        "        if number != self._tree_number:\n",
-        "        if not self._tree_number:\n",
+    "an edge stays with its first profiles": (
+        "data_plane/src/data_plane/data_node.py",
+        "        if number != self._profile_tree_number:\n",
+        "        if not self._profile_tree_number:\n",
         _DAYS + "calm",
     ),
     "pieces of a result run together": (
--- a/tests/hollow_lots.py
+++ b/tests/fake_jobs.py
@@ -1,4 +1,4 @@
-"""The hollow platform's side of lots: handing in, working the items off, results and ends, out of memory."""
+"""The fake platform's side of lots: handing in, working the items off, results and ends, out of memory."""
 
 import asyncio
 import base64
@@ -9,8 +9,8 @@
 from aiohttp import web
 
 
-class HollowJobs:
-    """Part of `HollowFleet`, which has the workers, the settings and the session."""
+class FakeJobApi:
+    """Part of `FakeFleet`, which has the workers, the settings and the session."""
 
     async def _hand_in(self, route, request, body):
         name = request.headers["Request-Id"]
--- a/tests/hollow.py
+++ b/tests/fake_platform.py
@@ -1,4 +1,4 @@
-"""A hollow platform: all that clients, workers and the operator call, answered by one process out of memory. It shows that
+"""A fake platform: all that clients, workers and the operator call, answered by one process out of memory. It shows that
 the bench's own clients and rules work, and with one of its breaks, that a rule catches what breaks it.
 """
 
@@ -12,7 +12,7 @@
 
 import aiohttp
 from aiohttp import web
-from hollow_lots import HollowJobs
+from fake_jobs import FakeJobApi
 from platform_testbed.machines import loopback_net
 from platform_testbed.operators import patched
 from platform_testbed.site import allowed_services, route_of
@@ -21,7 +21,7 @@
 NETS = count()
 
 
-class HollowMachine:
+class FakeMachine:
     def __init__(self, name, machine_class, zone, ip):
         self.name, self.machine_class, self.zone, self.ip = name, machine_class, zone, ip
         self.life, self.removed, self.runs, self.settings = 1, False, True, {}
@@ -33,7 +33,7 @@
         }
 
 
-class HollowFleet(HollowJobs):
+class FakeFleet(FakeJobApi):
     """Stands where the runner's machines stand."""
 
     def __init__(self, sheet, history, clock, broken=""):
@@ -44,7 +44,7 @@
         self.workers, self.jobs, self.runners = {}, {}, []
         names = [("edge", place) for place in range(3)] + [("core", place) for place in range(2)]
         self.machines = [
-            HollowMachine(
+            FakeMachine(
                 f"{of}-{place}",
                 of,
                 sheet.zones[place % len(sheet.zones)],
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 
-import edge_side
+import edge_api
 from data_plane import EdgeNode
 from data_plane.forward_server import ForwardServer
 from data_plane.sender import HttpSender
@@ -192,10 +192,10 @@
         env = ProcessEnvironment(node_settings.link)
         self.sender = HttpSender(node_settings.ask_ms)
         self.node = EdgeNode(env, node_settings, self.sender)
-        self.node.carrier.dialect = edge_side.DIALECT
-        self.node.forwards._why_unready = lambda: "" if self.ready else "unsure"
-        self.shell = NodeRunner(self.node, env)
-        await self.shell.start()
+        self.node.carrier.dialect = edge_api.DIALECT
+        self.node.forward_service._why_unready = lambda: "" if self.ready else "unsure"
+        self.runner = NodeRunner(self.node, env)
+        await self.runner.start()
         self.node.config_feed.publish("profiles", 1, json.dumps(TREE))
         self.node.config_feed.publish(
             "workers",
@@ -217,18 +217,18 @@
                 }
             ),
         )
-        self.desk = ForwardServer(
+        self.server = ForwardServer(
             self.node,
             f"127.0.0.1:{self.port}",
             (f"127.0.0.1:{readiness}", "/vaneledge/ready"),
-            edge_side.Reader(),
+            edge_api.Reader(),
         )
-        await self.desk.start()
+        await self.server.start()
         return self
 
     async def __aexit__(self, *_):
-        await self.desk.stop()
-        await self.shell.stop()
+        await self.server.stop()
+        await self.runner.stop()
         await self.sender.close()
         for worker in self.workers:
             if isinstance(worker, Worker):
--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -8,7 +8,7 @@
 
 from aiohttp import streams, web
 from aiohttp.test_utils import make_mocked_request
-from control_side import ControlSide
+from control_api import ControlApi
 from simulator.fleet import SimFleet
 
 SERVE = {"cut_off": "serve", "worker_beat_ms": 1200, "log_level": "WARNING"}
@@ -92,7 +92,7 @@
 
     def start(self, name, method, path, body=None, headers=None):
         """The call's task; it goes on as the fleet's time does."""
-        side = ControlSide(self.fleet.hosts[name].node, "127.0.0.1:1", 1 << 20)
+        side = ControlApi(self.fleet.hosts[name].node, "127.0.0.1:1", 1 << 20)
         side._app.freeze()
         data = (
             body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -9,7 +9,7 @@
 
 from capacity_sharing import Borrowing, LentWorkers, NodeLoans
 from capacity_sharing.slots import LendableSlots
-from data_plane.rollouts import RolloutCall
+from data_plane.rollouts import RolloutBody
 from simulator import judge
 from simulator.clients import Clients
 from simulator.evening import Evening, play_evening
@@ -138,18 +138,21 @@
 
         def ask(what):
             heard = []
-            what(fleet.running("edge")[len(fleet.history.rows) % 3].node.rollouts, heard.append)
+            what(
+                fleet.running("edge")[len(fleet.history.rows) % 3].node.rollout_service,
+                heard.append,
+            )
             self.wait(fleet, lambda: heard)
             return heard[0]
 
-        def hand_in(name, path="rollouts", samples=2, **more):
-            call = RolloutCall(
+        def submit(name, path="rollouts", samples=2, **more):
+            call = RolloutBody(
                 path=path,
                 samples=samples,
                 prompts=[{"prompt": f"lot {name} item 0 call x"}],
                 **more,
             )
-            return ask(lambda counter, told: counter.hand_in(name, call, told))
+            return ask(lambda service, told: service.submit(name, call, told))
 
         for worker in fleet.workers.values():
             worker.piece_ms = 2000.0
@@ -165,20 +168,22 @@
             ("r5", {}, 429, "waiting-room-full"),
         ]
         for name, more, status, code in rows:
-            answer = hand_in(name, **more)
+            answer = submit(name, **more)
             self.assertThat((answer.status, answer.code), Equals((status, code)), f"{name} {more}")
         self.assertThat(
-            json.loads(ask(lambda counter, told: counter.show("r1", told)).body)["rollout_id"],
+            json.loads(ask(lambda service, told: service.progress("r1", told)).body)["rollout_id"],
             Equals("r1"),
         )
-        self.assertThat(ask(lambda counter, told: counter.end("r1", told)).status, Equals(200))
+        self.assertThat(ask(lambda service, told: service.cancel("r1", told)).status, Equals(200))
         self.assertThat(
-            ask(lambda counter, told: counter.show("nobody", told)).refusal.field,
+            ask(lambda service, told: service.progress("nobody", told)).refusal.field,
             Equals("rollout_id"),
         )
         fleet.time.run_until(fleet.time.now_ms + 3000)
         shown = [
-            json.loads(ask(lambda counter, told, name=name: counter.show(name, told)).body)["state"]
+            json.loads(ask(lambda service, told, name=name: service.progress(name, told)).body)[
+                "state"
+            ]
             for name in ("r1", "r2", "r3")
         ]
         self.assertThat(shown, Equals(["ended", "open", "ended"]))
--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -5,13 +5,13 @@
 import json
 
 from config_format import (
+    apply_patch,
     change_digest,
     encoded_name,
     parse_object,
-    patched_tree,
+    parse_settings,
     service_name,
     shown_settings,
-    tree_of,
 )
 from control_store import ProfileTree, check_tree
 from platform_calls import ROUTE, SERVICE, SETTINGS
@@ -30,7 +30,7 @@
 def taken(sent):
     """The tree as the product keeps it, by way of its JSON text."""
     parsed = parse_object(sent if isinstance(sent, bytes) else json.dumps(sent).encode())
-    found = parsed.bind(tree_of).bind(check_tree)
+    found = parsed.bind(parse_settings).bind(check_tree)
     return json.loads(json.dumps(found.ok, sort_keys=True)) if found.is_ok() else found.error
 
 
@@ -285,7 +285,7 @@
 
 class Patching(TestCase):
     def patched(self, sent, tree=SETTINGS):
-        found = patched_tree(taken(tree), sent).bind(check_tree)
+        found = apply_patch(taken(tree), sent).bind(check_tree)
         return json.loads(shown_settings(found.ok)) if found.is_ok() else found.error
 
     def test_rows_are_replaced_in_their_place_added_at_the_end_and_removed(self):
@@ -331,9 +331,7 @@
         )
 
     def test_patches_on_nothing(self):
-        found = patched_tree({}, {"revision": 1, "upsert": {"backends": [SERVICE]}}).bind(
-            check_tree
-        )
+        found = apply_patch({}, {"revision": 1, "upsert": {"backends": [SERVICE]}}).bind(check_tree)
         self.assertThat(
             json.loads(shown_settings(found.ok)),
             Equals({"revision": 1, "routes": [], "backends": [SERVICE]}),
--- a/tests/test_control_side.py
+++ b/tests/test_control_api.py
@@ -24,7 +24,7 @@
 
     def edges_have(self, platform, revision):
         return all(
-            host.node.tree().about.get("revision") == revision
+            host.node.profile_tree().about.get("revision") == revision
             for host in platform.fleet.with_role("edge")
         )
 
@@ -278,7 +278,7 @@
             )
             platform.fleet.add("store", "fresh")
             platform.run(1000)
-            identity = platform.fleet.leader().node.neighbours.identity
+            identity = platform.fleet.leader().node.membership.identity
             for host in ("control2", "control3", "control2"):
                 self.assertThat((await self.call(platform, "POST", host, name))[0], Equals(200))
             states = []
@@ -323,7 +323,7 @@
             host.start()
             platform.run(3000)
             retired = platform.fleet.hosts["control2"].node.config_feed.value("retired")
-            identity = host.node.neighbours.identity
+            identity = host.node.membership.identity
             self.assertThat(
                 (identity in retired["identities"], retired["names"]),
                 Equals((True, {host.address: identity})),
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -271,7 +271,7 @@
             )
         tx = RequestLifecycle(
             f"tx{safe:d}{'s' if streamed else 'p'}00{name}",
-            node.tree().usable("p"),
+            node.profile_tree().usable("p"),
             "",
             boot_ms(),
             RetryBudget(),
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -55,7 +55,8 @@
         fleet.hosts["control1"].node.send(node.address, KeyUpdates(items=[encode(old)]))
         fleet.time.run_until(fleet.time.now_ms + 50)
         self.assertThat(
-            (node.config_feed.number("profiles"), "rulings" in node.tree().rows), Equals((3, True))
+            (node.config_feed.number("profiles"), "rulings" in node.profile_tree().rows),
+            Equals((3, True)),
         )
 
     def test_a_cut_off_edge_turns_unready_within_a_second_and_delays_no_longer_than_the_bound(self):
--- a/tests/test_forward_lots_sim.py
+++ b/tests/test_forward_lots_sim.py
@@ -122,7 +122,7 @@
             elif tries:
                 self.time.after(50, lambda: self.hand_in(job_id, count, done, tries - 1))
 
-        self.time.rng.choice(self.edges()).node.job_service.hand_in(
+        self.time.rng.choice(self.edges()).node.forward_job_service.submit(
             job_id, "summaries", items, [5] * count, 2000, told
         )
 
@@ -149,7 +149,9 @@
                 )
 
         self.time.after(2500, lambda: told(None))
-        self.time.rng.choice(self.edges()).node.job_service.page(job_id, position, 1000, told)
+        self.time.rng.choice(self.edges()).node.forward_job_service.results(
+            job_id, position, 1000, told
+        )
 
 
 class Lots(TestCase):
@@ -207,7 +209,7 @@
     def test_an_edge_lost_in_the_middle(self):
         stage, _ = self.begin(5, 3, 30)
         stage.time.run_until(stage.time.now_ms + 120)
-        lost = max(stage.fleet.with_role("edge"), key=lambda host: host.node.jobs.running())
+        lost = max(stage.fleet.with_role("edge"), key=lambda host: host.node.job_runner.running())
         lost.kill()
         began_ms = stage.time.now_ms
         self.all_read(stage, 3)
@@ -217,13 +219,13 @@
         stage, _ = self.begin(6, 1, 60)
         stage.time.run_until(stage.time.now_ms + 60)
         ended = []
-        stage.edges()[0].node.job_service.end("lot0", ended.append)
+        stage.edges()[0].node.forward_job_service.cancel("lot0", ended.append)
         stage.fleet.run_until_true(lambda: ended, 2000)
         self.assertThat(ended[0].status, Equals(200))
         stage.time.run_until(stage.time.now_ms + 100)
         count = len(stage.runs)
         stage.time.run_until(stage.time.now_ms + 3000)
         self.assertThat(
-            (len(stage.runs), sum(host.node.jobs.running() for host in stage.edges())),
+            (len(stage.runs), sum(host.node.job_runner.running() for host in stage.edges())),
             Equals((count, 0)),
         )
--- a/tests/test_forward_desk.py
+++ b/tests/test_forward_server.py
@@ -329,12 +329,12 @@
             early.ask("/s/1")
             await asyncio.wait_for(early.reader.readuntil(b"data: x\n\n"), 2)
             edge.node.stopping = True
-            edge.desk.start_draining()
+            edge.server.start_draining()
             late = await Client(edge.port).open()
             late.ask("/s/2")
             text = await asyncio.wait_for(late.reader.readuntil(b"data: x\n\n"), 2)
             self.assertThat(
-                (b"Connection: close" in text, edge.node.why_unready(), edge.desk.busy()),
+                (b"Connection: close" in text, edge.node.why_unready(), edge.server.busy()),
                 Equals((True, "stopping", True)),
             )
             self.assertThat(await asyncio.wait_for(idle.ended(), 2), Equals(b""))
@@ -350,8 +350,8 @@
                 Equals((True, [True, True])),
             )
             await asyncio.sleep(0)
-            self.assertThat(edge.desk.busy(), Equals(False))
-            self.assertThat(edge.desk.live_now, Equals(0))
+            self.assertThat(edge.server.busy(), Equals(False))
+            self.assertThat(edge.server.live_now, Equals(0))
 
     def test_the_linger_outlasts_two_missed_seconds_of_eight(self):
         from data_plane import forward_server
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -334,7 +334,7 @@
         await shell.start()
         node.config_feed.publish("profiles", 1, TREE)
         node.config_feed.publish("workers", 1, LIST)
-        profile = node.tree().route("h", "/p/1")
+        profile = node.profile_tree().route("h", "/p/1")
         tx = ForwardLifecycle(
             name, profile, boot_ms(), boot_ms() + wait_ms, resumable=safe and streamed
         )
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -308,7 +308,7 @@
         owner.kill()
         others = fleet.running("control")
         for host in others:
-            host.node.neighbours.connection_refused(owner.address)
+            host.node.membership.connection_refused(owner.address)
         outcome, took_ms = self.change(fleet, others[0].name, 1)
         self.assertThat((outcome, took_ms <= 200), Equals(("ok", True)), took_ms)
         self.assertThat(
--- a/tests/test_lot_side.py
+++ b/tests/test_job_api.py
@@ -6,8 +6,13 @@
 from types import SimpleNamespace
 
 from batch_state import messages as m
-from data_plane.responses import ended_answer, item_answer, page_answer, taken_answer
-from lot_side import JobApi, items_of, prompt_of
+from data_plane.responses import (
+    forward_cancellation_response,
+    forward_item_response,
+    forward_results_response,
+    forward_submission_response,
+)
+from job_api import JobApi, items_of, prompt_of
 from messaging import encode
 from multidict import CIMultiDict
 from runtime import refused
@@ -36,27 +41,27 @@
 )
 
 
-class Counter:
-    """Answers as it was told, and keeps what it was asked."""
+class RecordingService:
+    """Gives each call the same response, and records the calls."""
 
     def __init__(self, answer):
-        self.asked = []
+        self.calls = []
         self._answer = answer
 
-    def hand_in(self, job_id, path, items, tokens, wait_ms, told):
-        self.asked.append((job_id, path, [item.item_id for item in items], tokens, wait_ms))
+    def submit(self, job_id, path, items, tokens, wait_ms, told):
+        self.calls.append((job_id, path, [item.item_id for item in items], tokens, wait_ms))
         told(self._answer)
 
-    def page(self, job_id, from_position, wait_ms, told):
-        self.asked.append((job_id, from_position, wait_ms))
+    def results(self, job_id, from_position, wait_ms, told):
+        self.calls.append((job_id, from_position, wait_ms))
         told(self._answer)
 
     def item(self, job_id, item_id, told):
-        self.asked.append((job_id, item_id))
+        self.calls.append((job_id, item_id))
         told(self._answer)
 
-    def end(self, job_id, told):
-        self.asked.append(job_id)
+    def cancel(self, job_id, told):
+        self.calls.append(job_id)
         told(self._answer)
 
 
@@ -66,7 +71,7 @@
 
 class Calls(TestCase):
     def call(self, answer, method, path, headers=None, body=b"", profile=PROFILE):
-        counter = Counter(answer)
+        service = RecordingService(answer)
         target, _, query = path.partition("?")
         pairs = dict(pair.split("=") for pair in query.split("&") if pair)
 
@@ -80,10 +85,10 @@
             headers=CIMultiDict([("Host", "h"), *(headers or {}).items()]),
             read=read,
         )
-        response = asyncio.run(JobApi(counter)(request, profile))
-        return response, counter.asked
+        response = asyncio.run(JobApi(service)(request, profile))
+        return response, service.calls
 
-    def hand_in(self, answer, headers=None, rows=(ITEM,), profile=PROFILE, body=None):
+    def submit(self, answer, headers=None, rows=(ITEM,), profile=PROFILE, body=None):
         return self.call(
             answer,
             "POST",
@@ -95,7 +100,7 @@
 
     def test_a_lot_has_one_id(self):
         """With two ids nobody could say which lot was taken."""
-        ok = taken_answer("7c", receipt("admitted"), True)
+        ok = forward_submission_response("7c", receipt("admitted"), True)
         for ids in ([], ["7c", "7d"], ["7c", "7c"]):
             headers = CIMultiDict([("Request-Id", name) for name in ids])
             response, asked = self.call(
@@ -103,7 +108,7 @@
             )
             self.assertThat((response.status, asked), Equals((400, [])), ids)
 
-    def test_hand_in_is_answered_as_the_holder_has_it(self):
+    def test_submission_is_answered_as_the_leader_decided(self):
         rows = [
             (receipt("admitted"), True, 202, False),
             (receipt("known"), True, 202, False),
@@ -116,13 +121,13 @@
             (receipt("unknown"), True, 504, False),
         ]
         for told, sent, status, back in rows:
-            response, asked = self.hand_in(taken_answer("7c", told, sent))
+            response, asked = self.submit(forward_submission_response("7c", told, sent))
             self.assertThat(
                 (response.status, "Retry-After" in response.headers), Equals((status, back)), told
             )
             self.assertThat(asked, Equals([("7c", "route/x", ["e5"], [940], 4000)]))
 
-    def test_how_long_a_hand_in_is_worked_on(self):
+    def test_how_long_a_submission_is_worked_on(self):
         for deadline, wait_ms in (
             ("1500", 1500),
             ("9000", 4000),
@@ -130,13 +135,13 @@
             ("", 4000),
             ("-1", 0),
         ):
-            _, asked = self.hand_in(
-                taken_answer("7c", receipt("known"), True), {"Deadline-Ms": deadline}
+            _, asked = self.submit(
+                forward_submission_response("7c", receipt("known"), True), {"Deadline-Ms": deadline}
             )
             self.assertThat(asked[0][-1], Equals(wait_ms), deadline)
 
     def test_what_is_no_lot_never_gets_to_the_holder(self):
-        ok = taken_answer("7c", receipt("admitted"), True)
+        ok = forward_submission_response("7c", receipt("admitted"), True)
         twice, bare = [ITEM, ITEM], [{"path": "/x"}]
         for body in (
             b"",
@@ -146,7 +151,7 @@
             b'{"requests": []}',
             b'{"requests": [null]}',
         ):
-            response, asked = self.hand_in(ok, body=body)
+            response, asked = self.submit(ok, body=body)
             self.assertThat((response.status, asked), Equals((400, [])), body)
         for rows in (
             twice,
@@ -155,11 +160,11 @@
             [{**ITEM, "serverId": str(n)} for n in range(201)],
             [{**ITEM, "tokens": "x"}],
         ):
-            response, asked = self.hand_in(ok, rows=rows)
+            response, asked = self.submit(ok, rows=rows)
             self.assertThat((response.status, asked), Equals((400, [])), rows[:1])
-        response, asked = self.hand_in(ok, {"Request-Id": ""})
+        response, asked = self.submit(ok, {"Request-Id": ""})
         self.assertThat((response.status, asked), Equals((400, [])))
-        response, asked = self.hand_in(ok, profile=refused("no-route", "none", 404))
+        response, asked = self.submit(ok, profile=refused("no-route", "none", 404))
         self.assertThat((response.status, asked), Equals((404, [])))
 
     def test_items_as_they_will_run(self):
@@ -208,7 +213,10 @@
             ],
         )
         response, asked = self.call(
-            page_answer("l", 12, page), "GET", "/vaneledge/lots/l?pageAfter=12", {"Wait-Ms": "1000"}
+            forward_results_response("l", 12, page),
+            "GET",
+            "/vaneledge/lots/l?pageAfter=12",
+            {"Wait-Ms": "1000"},
         )
         self.assertThat(
             (response.status, json.loads(response.body), asked),
@@ -232,7 +240,9 @@
             (m.ListForwardResultsResponse(outcome="unknown", total=0, over=False, rows=[]), 503),
             (m.ListForwardResultsResponse(outcome="missing", total=0, over=False, rows=[]), 404),
         ):
-            response, asked = self.call(page_answer("l", 0, told), "GET", "/vaneledge/lots/l")
+            response, asked = self.call(
+                forward_results_response("l", 0, told), "GET", "/vaneledge/lots/l"
+            )
             self.assertThat((response.status, asked), Equals((status, [("l", 0, 0)])))
 
     def test_bodies(self):
@@ -243,7 +253,7 @@
             (None, 503, None),
         ):
             response, asked = self.call(
-                item_answer("l", told), "GET", "/vaneledge/items/l?serverId=e5"
+                forward_item_response("l", told), "GET", "/vaneledge/items/l?serverId=e5"
             )
             self.assertThat((response.status, asked), Equals((status, [("l", "e5")])))
             if body is not None:
@@ -257,7 +267,9 @@
             (receipt("full"), 503),
             (None, 503),
         ):
-            response, asked = self.call(ended_answer("l", told), "DELETE", "/vaneledge/lots/l")
+            response, asked = self.call(
+                forward_cancellation_response("l", told), "DELETE", "/vaneledge/lots/l"
+            )
             self.assertThat((response.status, asked), Equals((status, ["l"])))
         for method, path in (
             ("POST", "/vaneledge/lots/l"),
@@ -265,5 +277,6 @@
             ("PUT", "/vaneledge/lots/l"),
         ):
             self.assertThat(
-                self.call(ended_answer("l", KNOWN), method, path)[0].status, Equals(405)
+                self.call(forward_cancellation_response("l", KNOWN), method, path)[0].status,
+                Equals(405),
             )
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -7,7 +7,7 @@
 from forward_stage import Client, Edge, Worker, good, head, run
 from testtools import TestCase
 from testtools.matchers import Equals
-from wire_stage import heard, ids, reset, statuses
+from wire_helpers import heard, ids, reset, statuses
 
 KEPT = "Keep-Alive: timeout=5\r\n"
 
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -92,8 +92,10 @@
         for worker in fleet.workers.values():
             worker.piece_ms = 1500.0
         run.clients.submit("summaries", 12)
-        self.wait(fleet, lambda: any(host.node.jobs.running() for host in fleet.with_role("edge")))
-        edges = sorted(fleet.with_role("edge"), key=lambda host: -host.node.jobs.running())
+        self.wait(
+            fleet, lambda: any(host.node.job_runner.running() for host in fleet.with_role("edge"))
+        )
+        edges = sorted(fleet.with_role("edge"), key=lambda host: -host.node.job_runner.running())
         workers = [worker.address for worker in fleet.workers.values()]
         others = [host.address for host in fleet.hosts.values() if host is not edges[0]]
         fleet.network.split([[edges[0].address], others])
@@ -101,10 +103,10 @@
         edges[1].node.holder.ask(m.CancelJob(job_id="lot1"), 2000, seen.append)
         self.wait(fleet, lambda: seen)
         self.assertThat(seen[0].outcome, Equals("known"))
-        self.assertThat(edges[0].node.jobs.running() > 0 and len(workers) == 3, Equals(True))
+        self.assertThat(edges[0].node.job_runner.running() > 0 and len(workers) == 3, Equals(True))
         self.wait(
             fleet,
-            lambda: not any(host.node.jobs.running() for host in edges),
+            lambda: not any(host.node.job_runner.running() for host in edges),
             edges[0].settings.end_ms,
         )
 
@@ -129,7 +131,9 @@
             fleet.time.run_until(fleet.time.now_ms + 0.2)
         self.assertThat(job.listed, Equals(0))
         next(
-            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.items[0].edge
+            host
+            for host in fleet.with_role("edge")
+            if host.node.job_runner.edge == job.items[0].edge
         ).kill()
         self.wait(fleet, lambda: job.listed == 1)
 
@@ -147,7 +151,9 @@
         job = next(iter(holder.log.leader.state.jobs.values()))
         before = job.listing_epoch
         next(
-            host for host in fleet.with_role("edge") if host.node.jobs.edge == job.listing_edge
+            host
+            for host in fleet.with_role("edge")
+            if host.node.job_runner.edge == job.listing_edge
         ).kill()
         self.wait(fleet, lambda: job.listed == 9, 12000)
         self.assertThat(job.listing_epoch > before, Equals(True))
--- a/tests/test_operator_wire.py
+++ b/tests/test_operator_wire.py
@@ -4,12 +4,12 @@
 import json
 from types import SimpleNamespace
 
+from control_api import ControlApi
 from control_plane.configuration_changes import ConfigurationResult, ConfigurationStatus
-from control_side import ControlSide
 from ports import free_ports
 from testtools import TestCase
 from testtools.matchers import Equals
-from wire_stage import reset, until
+from wire_helpers import reset, until
 
 
 class Changes:
@@ -49,7 +49,7 @@
         async def case():
             (port,) = free_ports(1)
             changes = Changes()
-            side = ControlSide(
+            side = ControlApi(
                 SimpleNamespace(configuration_changes=changes), f"127.0.0.1:{port}", 1 << 20
             )
             await side.start()
--- a/tests/test_orders_own.py
+++ b/tests/test_orders_own.py
@@ -128,8 +128,8 @@
             host = fleet.hosts["control3"]
 
             async def status():
-                neighbours = host.node.neighbours
-                heard = [row for row in neighbours.of_role("store", 9000) if row.name == name]
+                membership = host.node.membership
+                heard = [row for row in membership.of_role("store", 9000) if row.name == name]
                 with mock.patch.object(Membership, "of_role", lambda *args: heard):
                     platform.run(250)
                     return (
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -1,11 +1,11 @@
-"""The bench's own clients, workers, operator and rules, tried on the hollow platform: whole, no rule is broken; with each
+"""The bench's own clients, workers, operator and rules, tried on the fake platform: whole, no rule is broken; with each
 of its breaks, the rule that it belongs to catches it.
 """
 
 import asyncio
 from concurrent.futures import ProcessPoolExecutor
 
-from hollow import HollowFleet
+from fake_platform import FakeFleet
 from platform_testbed.batch_clients import JobClients
 from platform_testbed.entry import Entry
 from platform_testbed.live_clients import LiveClients
@@ -64,7 +64,7 @@
 }
 
 
-class HollowDay:
+class FakePlatformScenario:
     def __init__(self, broken, seed=3):
         self.broken = broken
         self.sheet = Sheet("small", seed)
@@ -74,7 +74,7 @@
             seed=seed, timing=self.sheet.timing, first_event=self.sheet.first_event
         )
         self.began_at = asyncio.get_running_loop().time()
-        self.fleet = HollowFleet(self.sheet, self.history, self.clock, broken)
+        self.fleet = FakeFleet(self.sheet, self.history, self.clock, broken)
         ills = (
             (("short", 0.3), ("error", 0.05))
             if broken in ("looks-complete", "splices")
@@ -144,7 +144,7 @@
     """Several days at a time in one process."""
 
     async def run():
-        return await asyncio.gather(*[HollowDay(name).play() for name in names])
+        return await asyncio.gather(*[FakePlatformScenario(name).play() for name in names])
 
     return list(zip(names, asyncio.run(run()), strict=True))
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -7,7 +7,7 @@
 from platform_testbed.oracle import PLATFORM_RULES
 from platform_testbed.scenarios import PLATFORM_DAYS
 from simulator.oracle import RULES
-from test_platform_bench import BREAKS as HOLLOW_BREAKS
+from test_platform_bench import BREAKS as FAKE_PLATFORM_FAULTS
 from test_sim import SCHEDULES
 from testbed.mutations import BREAKS
 from testbed.mutations.runner import applied
@@ -40,7 +40,7 @@
             ("break", BREAKS),
             ("platform-day", PLATFORM_DAYS),
             ("platform-rule", PLATFORM_RULES),
-            ("hollow", HOLLOW_BREAKS),
+            ("fake", FAKE_PLATFORM_FAULTS),
         ):
             self.assertThat((kind, self.named(kind) - set(held)), Equals((kind, set())))
         self.assertThat(
@@ -64,7 +64,7 @@
             self.assertThat(
                 (
                     "`platform-day:" in day or "every day" in day,
-                    "`hollow:" in broken or "by hand" in broken,
+                    "`fake:" in broken or "by hand" in broken,
                 ),
                 Equals((True, True)),
                 day,
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import testtools
-from settings_file import load_place
+from settings_file import load_node_config
 from testtools.matchers import Contains, Equals
 
 _FILE = textwrap.dedent("""
@@ -44,7 +44,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as page:
             page.write(text)
             page.flush()
-            return load_place(role, page.name)
+            return load_node_config(role, page.name)
 
     def test_what_is_said_in_our_words(self) -> None:
         place = self._load(_FILE).ok
@@ -81,5 +81,5 @@
 
     def test_no_file(self) -> None:
         self.assertThat(
-            load_place("edge", str(Path("/nowhere/at/all.toml"))).is_error(), Equals(True)
+            load_node_config("edge", str(Path("/nowhere/at/all.toml"))).is_error(), Equals(True)
         )
--- a/tests/test_wire_troubles.py
+++ b/tests/test_wire_faults.py
@@ -9,7 +9,7 @@
 from forward_stage import Client, Edge, Worker, chunk, event, good, head, run
 from testtools import TestCase
 from testtools.matchers import Equals
-from wire_stage import heard, ids, reset, statuses, until
+from wire_helpers import heard, ids, reset, statuses, until
 
 HEAD = "POST /p/1 HTTP/1.1\r\nHost: h\r\n"
 ID = "Request-Id: r-1\r\n"
@@ -201,7 +201,7 @@
             gate.set()
             told = await edge.one("/p/3", request_id="r-3")
             self.assertThat(
-                (told[0], told[1]["request-id"], ids(worker), edge.desk.live_now),
+                (told[0], told[1]["request-id"], ids(worker), edge.server.live_now),
                 Equals((200, "r-3", ["r-1", "r-3"], 0)),
             )
 
