--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -349,7 +349,7 @@
                 "sample",
                 began_ms,
                 edge=member.name,
-                life=body["identity"],
+                incarnation=body["identity"],
                 ready=body["ready"],
                 number=body["feed"].get("profiles", 0),
                 mark=self._marks.get(body["profiles_digest"], ""),
