--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -2,10 +2,11 @@
 
 What a process wrote outlives the process; what was not flushed may be lost, in part and out of
 order, when the machine loses power. Flushes and replacements are done one after another and take
-time. Room can be taken away and given back, and the whole disk can be replaced by a blank one.
+time. Space can be taken away and given back, and the whole disk can be replaced by a blank one.
 """
 
 from collections.abc import Callable
+from enum import Enum
 from typing import Any
 
 from storage.disk import KEPT_BACK, SMALL_BYTES, DiskFullError
@@ -13,6 +14,16 @@
 __all__ = ["SimDisk"]
 
 
+class _ChangeKind(Enum):
+    WRITE = "write"
+    TRUNCATE = "truncate"
+    REMOVE = "remove"
+
+
+_Change = tuple[_ChangeKind, int, bytes]
+"""A change that isn't durable yet: its kind, the offset or size, and the bytes written."""
+
+
 class SimDisk:
     """A disk of `room_bytes` with the interface of `storage.FolderDisk`.
 
@@ -38,7 +49,7 @@
         self._time = time
         self._files: dict[str, bytearray] = {}
         self._durable: dict[str, bytearray] = {}
-        self._pending: dict[str, list[tuple[str, int, bytes]]] = {}
+        self._pending: dict[str, list[_Change]] = {}
         self._busy_until_ms = 0.0
         self._host: Any = None
         self.room_bytes = self._full_room_bytes = room_bytes
@@ -71,54 +82,54 @@
         return sum(len(data) for data in self._files.values()) + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
-        """Write without flushing; DiskFullError if the file's growth finds no room."""
+        """Write without flushing; DiskFullError if the file's growth finds no space."""
         grows = max(0, offset + len(data) - len(self._files.get(name, b"")))
         if not self.roomy(grows, urgent):
             raise DiskFullError(name)
         _put(self._files.setdefault(name, bytearray()), offset, data)
-        self._pending.setdefault(name, []).append(("write", offset, data))
+        self._pending.setdefault(name, []).append((_ChangeKind.WRITE, offset, data))
 
     def push(self) -> None:
         """Do nothing: there is no buffer between the process and this disk."""
         return None
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut or extend a file to `size` bytes without flushing."""
+        """Shorten or extend a file to `size` bytes without flushing."""
         if name in self._files:
-            _cut(self._files[name], size)
-            self._pending.setdefault(name, []).append(("truncate", size, b""))
+            _resize(self._files[name], size)
+            self._pending.setdefault(name, []).append((_ChangeKind.TRUNCATE, size, b""))
 
     def remove(self, name: str) -> None:
         """Remove a file without flushing."""
         if self._files.pop(name, None) is not None:
-            self._pending.setdefault(name, []).append(("remove", 0, b""))
+            self._pending.setdefault(name, []).append((_ChangeKind.REMOVE, 0, b""))
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
         """Flush these files and all removals made so far, then call `done(True)`."""
         counts = {name: len(self._pending.get(name, [])) for name in names}
         counts.update(
             {
-                name: len(rows)
-                for name, rows in self._pending.items()
-                if name not in counts and any(kind == "remove" for kind, _, _ in rows)
+                name: len(changes)
+                for name, changes in self._pending.items()
+                if name not in counts and any(kind is _ChangeKind.REMOVE for kind, _, _ in changes)
             }
         )
 
         def flushed() -> None:
             self.flushes += 1
             for name, count in counts.items():
-                rows = self._pending.get(name, [])
-                for row in rows[:count]:
-                    self._settle(name, row)
-                del rows[:count]
+                changes = self._pending.get(name, [])
+                for change in changes[:count]:
+                    self._make_durable(name, change)
+                del changes[:count]
             done(True)
 
-        self._later(flushed)
+        self._schedule(flushed)
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
-        """Replace a whole file atomically and durably; `done(False)` if it finds no room."""
+        """Replace a whole file atomically and durably; `done(False)` if it finds no space."""
         if len(data) > SMALL_BYTES and not self.roomy(len(data), True):
-            self._later(lambda: done(False))
+            self._schedule(lambda: done(False))
             return
 
         def replaced() -> None:
@@ -127,7 +138,7 @@
             self._pending.pop(name, None)
             done(True)
 
-        self._later(replaced)
+        self._schedule(replaced)
 
     def set_aside(self) -> None:
         """Count a disk whose content is damaged, and start again from an empty one."""
@@ -138,44 +149,44 @@
 
     # -- what happens to it --------------------------------------------------------------------
 
-    def _later(self, what: Callable[[], None]) -> None:
+    def _schedule(self, action: Callable[[], None]) -> None:
         host, incarnation = self._host, self._host.incarnation
         start_ms = max(self._time.now_ms, self._busy_until_ms)
         self._busy_until_ms = start_ms + self.flush_ms * (0.5 + self._time.rng.random())
 
         def due() -> None:
             if host.incarnation == incarnation and host.up:
-                host.when_awake(what, incarnation)
+                host.when_awake(action, incarnation)
 
         self._time.after(self._busy_until_ms - self._time.now_ms, due)
 
-    def _settle(self, name: str, row: tuple[str, int, bytes]) -> None:
-        kind, at, data = row
-        if kind == "remove":
+    def _make_durable(self, name: str, change: _Change) -> None:
+        kind, at, data = change
+        if kind is _ChangeKind.REMOVE:
             self._durable.pop(name, None)
-        elif kind == "truncate":
+        elif kind is _ChangeKind.TRUNCATE:
             if name in self._durable:
-                _cut(self._durable[name], at)
+                _resize(self._durable[name], at)
         else:
             _put(self._durable.setdefault(name, bytearray()), at, data)
 
     def lose_power(self) -> None:
         """Drop each unflushed write, or let it reach the disk whole or in part, at random."""
         rng = self._time.rng
-        for name, rows in self._pending.items():
-            for kind, at, data in rows:
+        for name, changes in self._pending.items():
+            for kind, at, data in changes:
                 if rng.random() < 0.5:
                     part = data if rng.random() < 0.8 else data[: rng.randrange(len(data) + 1)]
-                    self._settle(name, (kind, at, part))
+                    self._make_durable(name, (kind, at, part))
         self._pending.clear()
         self._files = {name: bytearray(data) for name, data in self._durable.items()}
 
     def fill(self) -> None:
-        """Reduce the room to a tenth more than is in use."""
+        """Reduce the space to a tenth more than is in use."""
         self.room_bytes = int(sum(len(data) for data in self._files.values()) * 1.1)
 
     def restore_capacity(self) -> None:
-        """Restore the full room; files stay."""
+        """Restore the full space; files stay."""
         self.room_bytes = self._full_room_bytes
 
     def wipe(self) -> None:
@@ -197,7 +208,7 @@
     page[offset : offset + len(data)] = data
 
 
-def _cut(page: bytearray, size: int) -> None:
+def _resize(page: bytearray, size: int) -> None:
     if size < len(page):
         del page[size:]
     else:
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -9,6 +9,7 @@
 import random
 
 from simulator.clients import Clients
+from simulator.history import RowKind
 from simulator.reading_workers import ReadingWorker
 from simulator.runs import Run
 from simulator.trainers import Trainers
@@ -124,7 +125,7 @@
     def _fault(self, what: str, place: int) -> None:
         """Cause a fault: a process returns after 1.5 s, a lost worker is replaced after 0.6 s."""
         fleet = self.fleet
-        fleet.history.add("fault", fleet.time.now_ms, what=what)
+        fleet.history.add(RowKind.FAULT, fleet.time.now_ms, what=what)
         if what == "worker":
             list(fleet.workers.values())[place].crash()
             fleet.time.after(600, lambda: self._add_worker(f"worker{len(fleet.workers) + 1}"))
@@ -150,7 +151,7 @@
         fleet.run_until_true(
             lambda: (
                 all(row["done_ms"] for row in self.trainers.rollouts.values())
-                and all(job["done"] for job in self.run.clients.jobs.values() if job["acked"])
+                and all(job.done for job in self.run.clients.jobs.values() if job.acknowledged)
             ),
             rest_ms,
         )
--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -6,6 +6,8 @@
 
 from typing import Any
 
+from simulator.history import RowKind
+
 __all__ = ["FAULTS", "schedule"]
 
 
@@ -164,7 +166,7 @@
     workers = [
         worker
         for worker in fleet.workers.values()
-        if not (worker.gone or worker.leaving or worker.dark)
+        if not (worker.crashed or worker.leaving or worker.unresponsive)
     ]
     if len(workers) < 2:
         return
@@ -180,16 +182,20 @@
         worker.crash()
         fleet.time.after(100, lambda: fleet.add_worker(name, ["gpu"], worker.address))
     else:
-        worker.dark = True
+        worker.unresponsive = True
         row = fleet.history.add(
-            "worker-left", fleet.time.now_ms, worker=worker.stamp, how="dark", until_ms=1e12
+            RowKind.WORKER_LEFT,
+            fleet.time.now_ms,
+            worker=worker.instance_id,
+            how="dark",
+            until_ms=1e12,
         )
 
-        def light() -> None:
-            worker.dark = False
+        def respond_again() -> None:
+            worker.unresponsive = False
             row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
 
-        fleet.time.after(2500, light)
+        fleet.time.after(2500, respond_again)
 
 
 FAULTS: dict[str, Any] = {
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -7,7 +7,7 @@
 from runtime import Settings
 
 from simulator.disks import SimDisk
-from simulator.history import History
+from simulator.history import History, RowKind
 from simulator.hosts import SimEnvironment, SimHost
 from simulator.virtual import Network, VirtualTime
 from simulator.worker_transport import SimSender
@@ -120,7 +120,9 @@
     def _note(self, name: str, event: str, fields: dict) -> None:
         self.events.append((self.time.now_ms, name, event, fields))
         if event in ("killed", "frozen-by-fault") and name not in self._away:
-            self._away[name] = self.history.add("away", self.time.now_ms, name=name, until_ms=1e12)
+            self._away[name] = self.history.add(
+                RowKind.AWAY, self.time.now_ms, name=name, until_ms=1e12
+            )
         elif event in ("started", "woken") and name in self._away:
             self._away.pop(name)["until_ms"] = self.time.now_ms
 
@@ -144,24 +146,24 @@
     def start_sampling(self) -> None:
         """Record free capacity, each edge's state and each holder's waiting room every 100 ms."""
         able = [
-            worker for worker in self.workers.values() if not worker.gone and not worker.leaving
+            worker for worker in self.workers.values() if not worker.crashed and not worker.leaving
         ]
-        free = sum(max(0, worker.slots - worker.busy) for worker in able if not worker.dark)
+        free = sum(max(0, worker.slots - worker.busy) for worker in able if not worker.unresponsive)
         self.history.add(
-            "capacity",
+            RowKind.CAPACITY,
             self.time.now_ms,
             free=round(free / max(1, sum(worker.slots for worker in able)), 2),
         )
         for host in self.with_role("edge"):
             if host.up and not host.frozen:
                 self.history.add(
-                    "sample",
+                    RowKind.SAMPLE,
                     self.time.now_ms,
                     edge=host.name,
                     incarnation=host.incarnation,
                     ready=not host.node.why_unready(),
                     number=host.node.config_feed.number("profiles"),
-                    mark=_mark(host.node.profile_tree()),
+                    change_id=_change_id_in(host.node.profile_tree()),
                 )
         for host in self.with_role("store"):
             holder = host.node.log.leader if host.up and not host.frozen else None
@@ -169,7 +171,7 @@
                 paths = {job.path for job in holder.state.open_jobs.values()}
                 for path in sorted(paths):
                     self.history.add(
-                        "room",
+                        RowKind.BACKLOG,
                         self.time.now_ms,
                         store=host.name,
                         path=path,
@@ -199,6 +201,6 @@
         return False
 
 
-def _mark(tree: Any) -> str:
-    """Return the mark in a test tree: the name of a profile gives the change that made the tree."""
+def _change_id_in(tree: Any) -> str:
+    """Return the change that made a tree, which the name of one of its profiles gives."""
     return next((name[5:] for name in tree.rows if name.startswith("mark-")), "")
--- a/libs/simulator/src/simulator/hosts.py
+++ b/libs/simulator/src/simulator/hosts.py
@@ -11,8 +11,14 @@
 
 __all__ = ["SimEnvironment", "SimHost"]
 
+RecordEvent = Callable[[str, str, dict[str, Any]], None]
+"""Called with a host's name, an event and its fields."""
+
+BufferedMessage = tuple[str, int, int, Message]
+"""Sender, own number, number of the message that it answers, and the message."""
+
 _TICK_MS = 25.0
-_WALL_MS = 1_700_000_000_000
+_WALL_CLOCK_START_MS = 1_700_000_000_000
 
 
 class SimEnvironment:
@@ -31,7 +37,7 @@
 
     def wall(self) -> int:
         """Milliseconds of the host's wall clock, with its steps."""
-        return _WALL_MS + int(self._host.time.now_ms) + self._host.wall_step_ms
+        return _WALL_CLOCK_START_MS + int(self._host.time.now_ms) + self._host.wall_step_ms
 
     def token(self) -> str:
         """Return a random identifier of 48 bits in hexadecimal."""
@@ -49,12 +55,12 @@
 class SimHost:
     """A machine and its process; `incarnation` counts the process's starts and kills.
 
-    `make` builds the node for each start, `sink` gets the events to trace.
+    `make` builds the node for each start, `record_event` gets the events to trace.
     """
 
     __slots__ = (
         "_make",
-        "_sink",
+        "_record_event",
         "address",
         "boot_ms",
         "buffer",
@@ -82,24 +88,24 @@
         settings: Any,
         disk: Any,
         make: Callable[["SimHost", SimEnvironment], Any],
-        sink: Callable[[str, str, dict], None],
+        record_event: RecordEvent,
     ) -> None:
         self.name, self.role, self.address = name, role, address
         self.time, self.network, self.settings, self.disk = time, network, settings, disk
-        self._make, self._sink = make, sink
+        self._make, self._record_event = make, record_event
         self.node: Any = None
         self.up = False
         self.frozen = False
-        self.buffer: list[tuple] = []
+        self.buffer: list[BufferedMessage] = []
         self.deferred: list[tuple[Callable[[], None], int]] = []
         self.incarnation = 0
         self.boot_ms = time.rng.randrange(1, 10_000_000)
         self.wall_step_ms = 0
         network.hosts[address] = self
 
-    def trace(self, event: str, fields: dict) -> None:
+    def trace(self, event: str, fields: dict[str, Any]) -> None:
         """Record an event of this host."""
-        self._sink(self.name, event, fields)
+        self._record_event(self.name, event, fields)
 
     def start(self) -> None:
         """Start the process with a new node on the same disk; nothing if it is running."""
@@ -160,20 +166,20 @@
             return
         self.frozen = False
         self.trace("woken", {})
-        rows, self.buffer = self.buffer, []
+        messages, self.buffer = self.buffer, []
         deferred, self.deferred = self.deferred, []
         if self.time.rng.random() < 0.5:
             self.node.tick()
-        for sender, request_id, in_reply_to, message in rows:
+        for sender, request_id, in_reply_to, message in messages:
             if self.up:
                 self.node.receive(sender, request_id, in_reply_to, message)
-        for what, incarnation in deferred:
+        for action, incarnation in deferred:
             if incarnation == self.incarnation:
-                what()
+                action()
 
-    def when_awake(self, what: Callable[[], None], incarnation: int) -> None:
-        """Run `what` now, or on waking if the process is frozen; never in a later incarnation."""
+    def when_awake(self, action: Callable[[], None], incarnation: int) -> None:
+        """Run `action` now, or on waking if the process is frozen; never in a later incarnation."""
         if self.frozen:
-            self.deferred.append((what, incarnation))
+            self.deferred.append((action, incarnation))
         elif incarnation == self.incarnation:
-            what()
+            action()
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -7,6 +7,8 @@
 from data_plane.responses import ServiceResponse
 from request_routing import Step
 
+from simulator.history import Row
+
 __all__ = ["LiveCall", "flat_body", "flat_events"]
 
 _STREAMED = ("rulings", "narrations")
@@ -26,9 +28,9 @@
         self,
         time: Any,
         host: Any,
-        row: dict[str, Any],
+        row: Row,
         resend: Callable[[], None] | None,
-        done: Callable | None,
+        done: Callable[[Row], None] | None,
         hangs_up_ms: float,
     ) -> None:
         self._time, self._host, self._row = time, host, row
@@ -39,48 +41,46 @@
         """Send the call to the edge."""
         row, host = self._row, self._host
         key = row["key"]
-        prompt = f"key {key} asked {row['asked']}" if key else f"call {row['call']}"
-        carriage = host.node.edge_service.complete(
-            row["path"], key, {"prompt": prompt}, self._stream, self._delivered, self._told
+        prompt = f"key {key} asked {row['question']}" if key else f"call {row['call']}"
+        begun = host.node.edge_service.complete(
+            row["path"], key, {"prompt": prompt}, self._stream, self._receive_event, self._answered
         )
-        if isinstance(carriage, ServiceResponse):
-            self._answered("error", carriage.verdict, carriage.code)
+        if isinstance(begun, ServiceResponse):
+            self._conclude("error", begun.verdict, begun.code)
             return
-        row["transaction"] = carriage.tx.transaction_id
+        row["transaction"] = begun.tx.transaction_id
         if self._hangs_up_ms:
-            self._time.after(self._hangs_up_ms, lambda: self._hang_up(carriage, host.incarnation))
+            self._time.after(self._hangs_up_ms, lambda: self._hang_up(begun, host.incarnation))
 
     def give_up(self) -> None:
         """Record the call as lost, unless it has an outcome."""
-        self._answered("lost", "may_have_run")
-
-    def _hang_up(self, carriage: Any, incarnation: int) -> None:
-        if (
-            self._row["outcome"] == "none"
-            and self._host.up
-            and self._host.incarnation == incarnation
-        ):
-            self._answered("hung-up", "may_have_run")
-            self._host.when_awake(carriage.gone, incarnation)
-
-    def _delivered(self, event: bytes) -> None:
+        self._conclude("lost", "may_have_run")
+
+    def _hang_up(self, request: Any, incarnation: int) -> None:
+        host = self._host
+        if self._row["outcome"] == "none" and host.up and host.incarnation == incarnation:
+            self._conclude("hung-up", "may_have_run")
+            host.when_awake(request.gone, incarnation)
+
+    def _receive_event(self, event: bytes) -> None:
         self._row.setdefault("first_ms", self._time.now_ms)
-        self._row["pieces"].append(flat_events(event.decode()))
+        self._row["events"].append(flat_events(event.decode()))
 
-    def _told(self, step: Step, answer: ServiceResponse) -> None:
+    def _answered(self, step: Step, answer: ServiceResponse) -> None:
         row = self._row
         if answer.refusal is not None:
             row["back_ms"] = answer.refusal.retry_after_ms
-            self._answered("cut" if row["pieces"] else "error", answer.verdict, answer.code)
+            self._conclude("cut" if row["events"] else "error", answer.verdict, answer.code)
         elif answer.status != 200:
-            self._answered("error", "ran", str(answer.status))
+            self._conclude("error", "ran", str(answer.status))
         else:
             body = flat_events(answer.body) if self._stream else flat_body(answer.body)
             if not self._stream and step.name == "finish":
-                row["pieces"] = body.split("|")
-            self._answered(step.name, "ran", "", body)
+                row["events"] = body.split("|")
+            self._conclude(step.name, "ran", "", body)
 
-    def _answered(self, outcome: str, verdict: str, code: str = "", body: str = "") -> None:
+    def _conclude(self, outcome: str, verdict: str, code: str = "", body: str = "") -> None:
+        """Record the outcome, once; send the call again if it may have run and is to be resent."""
         row = self._row
         if row["outcome"] != "none":
             return
@@ -106,6 +106,5 @@
 def flat_body(text: str) -> str:
     """Return a plain answer in the same form, an index for each word."""
     body = json.loads(text)
-    return "|".join(
-        f"{body['id']}:{place}" for place in range(len(body["choices"][0]["text"].split()))
-    )
+    words = body["choices"][0]["text"].split()
+    return "|".join(f"{body['id']}:{index}" for index in range(len(words)))
--- a/libs/simulator/src/simulator/operators.py
+++ b/libs/simulator/src/simulator/operators.py
@@ -9,22 +9,25 @@
 
 from control_store import Change
 
-__all__ = ["ROOM", "Operators", "tree_of"]
+from simulator.history import RowKind
 
-ROOM = 3
+__all__ = ["BACKLOG_LIMIT", "Operators", "profiles_tree"]
 
+BACKLOG_LIMIT = 3
+"""How many jobs may wait on a path."""
 
-def tree_of(mark: str, room: int = ROOM) -> dict[str, Any]:
-    """Return a tree of profiles that carries `mark`, with `room` waiting batches on each path."""
+
+def profiles_tree(change_id: str, backlog: int = BACKLOG_LIMIT) -> dict[str, Any]:
+    """Return a tree of profiles that names its change; `backlog` jobs may wait on each path."""
     return {
         "profiles": {
             "base": {"abstract": True, "workers": {"labels": ["gpu"]}, "deadline_ms": 3000},
             "rulings": {"parent": "base", "deadline_ms": 2000},
             "narrations": {"parent": "base"},
             "moves": {"parent": "base", "repeatable": False},
-            "summaries": {"parent": "base", "waiting_room": room},
-            "claims": {"parent": "base", "waiting_room": room, "repeatable": False},
-            f"mark-{mark}": {"abstract": True},
+            "summaries": {"parent": "base", "waiting_room": backlog},
+            "claims": {"parent": "base", "waiting_room": backlog, "repeatable": False},
+            f"mark-{change_id}": {"abstract": True},
         }
     }
 
@@ -51,35 +54,35 @@
         The final answers are recorded for the oracle; rounds end when all are known.
         """
         rows = list(self.acked.items())[-count:]
-        left = {mark for mark, _ in rows}
+        left = {change_id for change_id, _ in rows}
 
-        def send(mark: str, named: int, body: str) -> None:
+        def send(change_id: str, named: int, body: str) -> None:
             def told(receipt: Any) -> None:
-                if mark in left and receipt.outcome in ("ok", "lost"):
-                    left.discard(mark)
+                if change_id in left and receipt.outcome in ("ok", "lost"):
+                    left.discard(change_id)
                     self._history.add(
-                        "final-change",
+                        RowKind.FINAL_CHANGE,
                         self._time.now_ms,
-                        mark=mark,
+                        change_id=change_id,
                         outcome=receipt.outcome,
                         version=receipt.version,
                     )
 
             host = self._time.rng.choice(self._fleet.running("control"))
             host.node.owner.submit(
-                Change(key="profiles", version=named, change_id=mark, body=body, hops=0), told
+                Change(key="profiles", version=named, change_id=change_id, body=body, hops=0), told
             )
 
         for _ in range(4):
-            for mark, (named, body) in rows:
-                if mark in left:
-                    send(mark, named, body)
+            for change_id, (named, body) in rows:
+                if change_id in left:
+                    send(change_id, named, body)
             self._fleet.run_until_true(lambda: not left, 3000)
 
     def change(
         self,
         tries: int = 3,
-        mark: str = "",
+        change_id: str = "",
         version: int | None = None,
         done: Callable | None = None,
     ) -> None:
@@ -91,20 +94,20 @@
         if not hosts:
             return
         host = self._time.rng.choice(hosts)
-        if not mark:
+        if not change_id:
             self.changes += 1
-            mark = f"change{self.changes}"
+            change_id = f"change{self.changes}"
         named = self.version if version is None else version
         row = self._history.add(
-            "change",
+            RowKind.CHANGE,
             self._time.now_ms,
-            mark=mark,
+            change_id=change_id,
             named=named,
             outcome="none",
             version=0,
             answered_ms=0.0,
         )
-        tree = tree_of(mark)
+        tree = profiles_tree(change_id)
         tree["profiles"].update(self.more)
         body = json.dumps(tree, sort_keys=True)
         incarnation = host.incarnation
@@ -118,9 +121,9 @@
             if receipt.outcome in ("ok", "lost"):
                 self.version = max(self.version, receipt.version)
                 if receipt.outcome == "ok":
-                    self.acked[mark] = (named, body)
+                    self.acked[change_id] = (named, body)
             elif tries > 1:
-                self._time.after(100, lambda: self.change(tries - 1, mark, named, done))
+                self._time.after(100, lambda: self.change(tries - 1, change_id, named, done))
             if done is not None:
                 done(row)
 
@@ -128,7 +131,9 @@
             if host.up and host.incarnation == incarnation:
                 host.when_awake(
                     lambda: host.node.owner.submit(
-                        Change(key="profiles", version=named, change_id=mark, body=body, hops=0),
+                        Change(
+                            key="profiles", version=named, change_id=change_id, body=body, hops=0
+                        ),
                         answered,
                     ),
                     incarnation,
--- a/libs/simulator/src/simulator/rules_calls.py
+++ b/libs/simulator/src/simulator/rules_calls.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import Any
 
-from simulator.history import History
+from simulator.history import History, RowKind
 
 __all__ = [
     "bodies",
@@ -26,7 +26,7 @@
 def unsafe_twice(history: History) -> Found:
     """A request that isn't safe to repeat runs at most once."""
     runs: dict[str, list[str]] = defaultdict(list)
-    for run in history.rows_of("run"):
+    for run in history.rows_of(RowKind.RUN):
         if not run["safe"]:
             runs[run["key"] or f"{run['lot']}#{run['index']}"].append(run["transaction"])
     return len(runs), [
@@ -40,10 +40,10 @@
     Runs are found by the call's name, which reaches the worker in the prompt, by its key, and by
     the batch.
     """
-    ran = {run["call"] for run in history.rows_of("run")}
-    told = [call for call in history.rows_of("call") if call["verdict"] == "not_run"]
+    ran = {run["call"] for run in history.rows_of(RowKind.RUN)}
+    told = [call for call in history.rows_of(RowKind.CALL) if call["verdict"] == "not_run"]
     found = [f"{call['call']} was told not_run and ran" for call in told if call["call"] in ran]
-    by_key = {run["key"]: run["at_ms"] for run in history.rows_of("run") if run["key"]}
+    by_key = {run["key"]: run["at_ms"] for run in history.rows_of(RowKind.RUN) if run["key"]}
     found += [
         f"key {call['key']} was told not_run at {call['answered_ms']} after it had run"
         for call in told
@@ -52,37 +52,37 @@
         and call["code"] != "key-reused"
     ]
     tries: dict[str, list[str]] = defaultdict(list)
-    for row in history.rows_of("hand-in"):
+    for row in history.rows_of(RowKind.SUBMISSION):
         tries[row["lot"]].append(row["verdict"])
     refused = [job for job, verdicts in tries.items() if set(verdicts) == {"not_run"}]
-    jobs = {run["lot"] for run in history.rows_of("run") if run["lot"]}
+    jobs = {run["lot"] for run in history.rows_of(RowKind.RUN) if run["lot"]}
     found += [f"{job} was refused at every try and ran" for job in refused if job in jobs]
     return len(told) + len(refused), found
 
 
 def streams(history: History) -> Found:
-    """A stream has the pieces of one run, in order and, if it ended well, all of them."""
-    ended = {row["transaction"]: row["pieces"] for row in history.rows_of("run-ended")}
+    """A stream has the events of one run, in order and, if it ended well, all of them."""
+    ended = {row["transaction"]: row["event_count"] for row in history.rows_of(RowKind.RUN_ENDED)}
     found, judged = [], 0
-    for call in history.rows_of("call"):
-        if not call["pieces"] and call["outcome"] not in ("finish", "cut"):
+    for call in history.rows_of(RowKind.CALL):
+        if not call["events"] and call["outcome"] not in ("finish", "cut"):
             continue
         judged += 1
-        names = {text.partition(":")[0] for text in call["pieces"]}
-        places = [int(text.partition(":")[2]) for text in call["pieces"]]
+        names = {text.partition(":")[0] for text in call["events"]}
+        places = [int(text.partition(":")[2]) for text in call["events"]]
         if len(names) > 1:
-            found.append(f"{call['call']}: pieces of {len(names)} runs")
+            found.append(f"{call['call']}: events of {len(names)} runs")
         if places != list(range(len(places))):
-            found.append(f"{call['call']}: pieces {places}")
+            found.append(f"{call['call']}: events {places}")
         if call["outcome"] == "finish" and (
             call["transaction"] not in ended or len(places) != ended[call["transaction"]]
         ):
-            found.append(f"{call['call']}: looked complete with {len(places)} pieces")
+            found.append(f"{call['call']}: looked complete with {len(places)} events")
     return judged, found
 
 
 def _whole(history: History) -> Any:
-    ended = {row["transaction"]: row["pieces"] for row in history.rows_of("run-ended")}
+    ended = {row["transaction"]: row["event_count"] for row in history.rows_of(RowKind.RUN_ENDED)}
 
     def whole(text: str) -> str:
         parts = text.split("|")
@@ -94,9 +94,9 @@
 
 def bodies(history: History) -> Found:
     """An answer or a result is the whole output of the run that it belongs to."""
-    runs = {run["transaction"]: run for run in history.rows_of("run")}
+    runs = {run["transaction"]: run for run in history.rows_of(RowKind.RUN)}
     found, judged, whole = [], 0, _whole(history)
-    for call in history.rows_of("call"):
+    for call in history.rows_of(RowKind.CALL):
         if call["outcome"] in ("finish", "replay"):
             judged += 1
             name = whole(call["body"])
@@ -106,7 +106,7 @@
                 or (not call["key"] and runs[name]["call"] != call["call"])
             ):
                 found.append(f"{call['call']}: body {call['body']!r}")
-    for read in history.rows_of("read"):
+    for read in history.rows_of(RowKind.READ):
         for index, outcome, text in read["results"]:
             if outcome == "ran":
                 judged += 1
@@ -118,17 +118,17 @@
 
 def keys_one_body(history: History) -> Found:
     """A key is answered with one body for ever, and with the answer to what was asked."""
-    runs = {run["transaction"]: run for run in history.rows_of("run")}
+    runs = {run["transaction"]: run for run in history.rows_of(RowKind.RUN)}
     by_key: dict[str, str] = {}
     found, judged = [], 0
-    for call in history.rows_of("call"):
+    for call in history.rows_of(RowKind.CALL):
         if not call["key"] or call["outcome"] not in ("finish", "replay"):
             continue
         judged += 1
         if by_key.setdefault(call["key"], call["body"]) != call["body"]:
             found.append(f"{call['call']}: key {call['key']} had another answer before")
         run = runs.get(call["body"].partition(":")[0])
-        if run is not None and run["asked"] != call["asked"]:
+        if run is not None and run["question"] != call["question"]:
             found.append(
                 f"{call['call']}: asked {call['asked']!r}, answered what {run['asked']!r} got"
             )
@@ -138,7 +138,7 @@
 def workers_allowed(history: History) -> Found:
     """A request reaches only workers that its profile allows."""
     allowed = set(history.settings.get("allowed", ["gpu"]))
-    runs = history.rows_of("run")
+    runs = history.rows_of(RowKind.RUN)
     return len(runs), [
         f"{run['transaction']} reached {run['worker']}"
         for run in runs
@@ -154,19 +154,19 @@
     """
     limit_ms = history.settings.get("force_ms", 2000) + SLACK_MS
     gone: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for row in history.rows_of("worker-left"):
+    for row in history.rows_of(RowKind.WORKER_LEFT):
         gone[row["worker"]].append((row["at_ms"] + limit_ms, row.get("until_ms", 1e12)))
     found = [
         f"{row['transaction']} was sent to {row['worker']} after it was gone"
-        for row in history.rows_of("send")
+        for row in history.rows_of(RowKind.SENT)
         if any(from_ms < row["at_ms"] < to_ms for from_ms, to_ms in gone[row["worker"]])
     ]
-    return len(history.rows_of("worker-left")), found
+    return len(history.rows_of(RowKind.WORKER_LEFT)), found
 
 
 def _away(history: History) -> Any:
     rows: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for row in history.rows_of("away"):
+    for row in history.rows_of(RowKind.AWAY):
         rows[row["name"]].append((row["at_ms"], row["until_ms"]))
 
     def away(name: str, from_ms: float, to_ms: float) -> bool:
@@ -182,10 +182,10 @@
     of all slots were free all the time.
     """
     limits = history.settings.get("limits_ms", {})
-    away, rooms = _away(history), history.rows_of("capacity")
-    faults = [row["at_ms"] for row in history.rows_of("fault")]
+    away, rooms = _away(history), history.rows_of(RowKind.CAPACITY)
+    faults = [row["at_ms"] for row in history.rows_of(RowKind.FAULT)]
     found, judged = [], 0
-    for call in history.rows_of("call"):
+    for call in history.rows_of(RowKind.CALL):
         end_ms = call["answered_ms"] or call["at_ms"] + 8000
         if call["path"] not in limits or away(call["edge"], call["at_ms"], end_ms):
             continue
--- a/libs/simulator/src/simulator/rules_rollouts.py
+++ b/libs/simulator/src/simulator/rules_rollouts.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from simulator.history import History
+from simulator.history import History, RowKind
 
 __all__ = ["LOAN_RULES", "first_events_ms", "judge_loans"]
 
@@ -25,11 +25,11 @@
 def _live(history: History) -> list[dict[str, Any]]:
     """Calls through edges that stayed up meanwhile."""
     away: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for row in history.rows_of("away"):
+    for row in history.rows_of(RowKind.AWAY):
         away[row["name"]].append((row["at_ms"], row["until_ms"]))
     return [
         call
-        for call in history.rows_of("call")
+        for call in history.rows_of(RowKind.CALL)
         if not any(
             from_ms < call["at_ms"] + _EDGE_AWAY_MS and to_ms > call["at_ms"]
             for from_ms, to_ms in away[call["edge"]]
@@ -114,10 +114,10 @@
 
     Each sample is of its own prompt, with the weights wanted, and of a whole run.
     """
-    runs = {run["transaction"]: run for run in having.rows_of("run")}
+    runs = {run["transaction"]: run for run in having.rows_of(RowKind.RUN)}
     found, judged = [], 0
     seen: dict[tuple[str, int], str] = {}
-    for read in having.rows_of("rollout-read"):
+    for read in having.rows_of(RowKind.ROLLOUT_READ):
         places = [index for index, _, _ in read["results"]]
         if places != list(range(read["start"], read["start"] + len(places))):
             found.append(f"{read['rollout']}: listed {places} from {read['start']}")
@@ -133,7 +133,7 @@
                 or not body["text"]
             ):
                 found.append(f"{read['rollout']}#{index}: {verdict} {text}")
-    for row in having.rows_of("rollout-accepted"):
+    for row in having.rows_of(RowKind.ROLLOUT_ACCEPTED):
         listed = sum(1 for rollout, _ in seen if rollout == row["rollout"])
         if listed != row["total"]:
             found.append(
@@ -145,7 +145,7 @@
 def unsafe_once(having: History, without: list[History]) -> Found:
     """A call that isn't safe to repeat runs at most once."""
     keys: dict[str, int] = defaultdict(int)
-    for run in having.rows_of("run"):
+    for run in having.rows_of(RowKind.RUN):
         if run["key"]:
             keys[run["key"]] += 1
     return len(keys), [f"{key} ran {count} times" for key, count in keys.items() if count > 1]
@@ -155,7 +155,9 @@
     """A batch that is done in time in all runs without rollouts is done in time with them."""
 
     def took(history: History) -> dict[str, float]:
-        return {row["lot"]: row["at_ms"] - row["from_ms"] for row in history.rows_of("lot-done")}
+        return {
+            row["lot"]: row["at_ms"] - row["from_ms"] for row in history.rows_of(RowKind.JOB_DONE)
+        }
 
     mine, others = took(having), [took(history) for history in without]
     fair = {
@@ -176,20 +178,20 @@
 
     Nothing runs there when it takes the worker, and nothing begins before it hands it back.
     """
-    back = {row["loan"]: row["at_ms"] for row in having.rows_of("handed-back")}
+    back = {row["loan"]: row["at_ms"] for row in having.rows_of(RowKind.HANDED_BACK)}
     found = []
-    for row in having.rows_of("borrowed"):
+    for row in having.rows_of(RowKind.BORROWED):
         if row["running"]:
             found.append(
                 f"{row['worker']} had {row['running']} calls under way when {row['loan']} began"
             )
         found += [
             f"{run['transaction']} ran at {row['worker']} during {row['loan']}"
-            for run in having.rows_of("run")
+            for run in having.rows_of(RowKind.RUN)
             if run["identity"] == row["worker"]
             and row["at_ms"] < run["at_ms"] < back.get(row["loan"], 1e12)
         ]
-    return len(having.rows_of("borrowed")), found
+    return len(having.rows_of(RowKind.BORROWED)), found
 
 
 LOAN_RULES: dict[str, Any] = {
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -10,7 +10,8 @@
 from simulator.clients import Clients
 from simulator.faults import FAULTS, schedule
 from simulator.fleet import SimFleet
-from simulator.operators import ROOM, Operators
+from simulator.history import RowKind
+from simulator.operators import BACKLOG_LIMIT, Operators
 from simulator.oracle import judge
 
 __all__ = ["SHAPES", "Run", "run_seed"]
@@ -48,7 +49,7 @@
         self.items = items
         self.fleet = SimFleet(seed, settings=settings, **sizes)
         self.fleet.history.settings.update(
-            room=ROOM,
+            room=BACKLOG_LIMIT,
             allowed=["gpu"],
             limits_ms={"rulings": 2000, "narrations": 5000, "moves": 5000},
         )
@@ -86,7 +87,7 @@
         elif dice < 0.93 and clients.jobs:
             clients.read(rng.choice(list(clients.jobs)[-6:]))
         elif dice < 0.95 and clients.jobs:
-            clients.end(rng.choice(list(clients.jobs)[-3:]))
+            clients.cancel(rng.choice(list(clients.jobs)[-3:]))
         elif dice >= 0.95:
             self.operators.change()
             if rng.random() < 0.5:
@@ -100,7 +101,7 @@
         if self.fleet.time.rng.random() < 0.2:
             self.fleet.time.after(
                 200 * self.fleet.time.rng.random(),
-                lambda: clients.live("moves", key, asked=f"{key}-other"),
+                lambda: clients.live("moves", key, question=f"{key}-other"),
             )
 
     def cause(self, rows: list[tuple[float, str]]) -> None:
@@ -112,7 +113,7 @@
 
     def _fault(self, name: str) -> None:
         self.fleet.events.append((self.fleet.time.now_ms, "fault", name, {}))
-        self.fleet.history.add("fault", self.fleet.time.now_ms, what=name)
+        self.fleet.history.add(RowKind.FAULT, self.fleet.time.now_ms, what=name)
         FAULTS[name](self.fleet)
 
     def back(self) -> None:
@@ -125,8 +126,8 @@
             host.wake()
             host.start()
         for worker in fleet.workers.values():
-            worker.dark = False
-        for row in fleet.history.rows_of("worker-left"):
+            worker.unresponsive = False
+        for row in fleet.history.rows_of(RowKind.WORKER_LEFT):
             if row["how"] == "dark":
                 row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
 
@@ -158,7 +159,7 @@
         }
         for what, wanted in good.items():
             fleet.history.add(
-                "probe",
+                RowKind.PROBE,
                 fleet.time.now_ms,
                 what=what,
                 worked=seen.get(what) in wanted,
@@ -169,14 +170,14 @@
     def read_all(self) -> None:
         """Read every acknowledged batch at the end and record what is listed."""
         fleet = self.fleet
-        left = {job_id for job_id, job in self.clients.jobs.items() if job["acked"]}
+        left = {job_id for job_id, job in self.clients.jobs.items() if job.acknowledged}
 
         def read(job_id: str) -> None:
             def done(row: dict[str, Any]) -> None:
                 if job_id in left:
                     left.discard(job_id)
                     fleet.history.add(
-                        "final",
+                        RowKind.FINAL_READ,
                         fleet.time.now_ms,
                         lot=job_id,
                         outcome=row["outcome"],
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -10,6 +10,8 @@
 from data_plane.responses import ServiceResponse
 from data_plane.rollouts import RolloutBody
 
+from simulator.history import RowKind
+
 __all__ = ["Trainers"]
 
 
@@ -59,7 +61,10 @@
             if answer.status in (200, 201) and not state["acked"]:
                 state["acked"] = True
                 self._history.add(
-                    "rollout-accepted", self._time.now_ms, rollout=rollout_id, total=state["total"]
+                    RowKind.ROLLOUT_ACCEPTED,
+                    self._time.now_ms,
+                    rollout=rollout_id,
+                    total=state["total"],
                 )
                 self.submit(prompts, samples, weights, rollout_id)
                 self.follow(rollout_id)
@@ -102,7 +107,7 @@
                 else []
             )
             self._history.add(
-                "rollout-read",
+                RowKind.ROLLOUT_READ,
                 self._time.now_ms,
                 rollout=rollout_id,
                 start=start,
@@ -128,7 +133,7 @@
             [
                 worker
                 for worker in self._fleet.workers.values()
-                if not worker.gone and not worker.borrower
+                if not worker.crashed and not worker.borrower
             ],
         )
         if hosts and workers:
@@ -140,7 +145,7 @@
                 6000,
                 1500,
                 lambda outcome: self._history.add(
-                    "loan-asked",
+                    RowKind.LOAN_REQUESTED,
                     self._time.now_ms,
                     worker=worker.identity,
                     outcome=outcome.name,
@@ -157,7 +162,7 @@
                     (
                         one
                         for one in self._fleet.workers.values()
-                        if one.identity == name and not one.gone
+                        if one.identity == name and not one.crashed
                     ),
                     None,
                 )
@@ -168,11 +173,11 @@
     def _take(self, worker: Any, row: dict[str, Any]) -> None:
         loan = f"loan{row['loan']}"
         if worker.borrower != loan:
-            if any(seen["loan"] == loan for seen in self._history.rows_of("borrowed")):
+            if any(seen["loan"] == loan for seen in self._history.rows_of(RowKind.BORROWED)):
                 return
             worker.borrower = loan
             self._history.add(
-                "borrowed",
+                RowKind.BORROWED,
                 self._time.now_ms,
                 worker=worker.identity,
                 loan=loan,
@@ -189,7 +194,7 @@
             return
         worker.borrower, worker.weights = "", row["weights"] or worker.weights
         self._history.add(
-            "handed-back", self._time.now_ms, worker=worker.identity, loan=loan, why=why
+            RowKind.HANDED_BACK, self._time.now_ms, worker=worker.identity, loan=loan, why=why
         )
         self._say_back(worker, row["loan"])
 
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -1,7 +1,7 @@
 """Virtual time and the simulated network.
 
 Events happen in the order of their times, then of their creation, so a seed gives the same run
-every time. The network delays, loses and duplicates messages, and cuts pairs of hosts; messages to
+every time. The network delays, loses and duplicates messages, and partitions hosts; messages to
 a frozen host wait in its buffers until it wakes, as on a real link.
 """
 
@@ -14,7 +14,8 @@
 
 __all__ = ["Network", "VirtualTime"]
 
-_BUFFERED = 2000
+_BUFFER_LIMIT = 2000
+"""How many messages wait for a frozen host; further ones are lost."""
 
 
 class VirtualTime:
@@ -28,16 +29,16 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
-    def after(self, wait_ms: float, what: Callable[[], None]) -> None:
-        """Run `what` after `wait_ms`; no earlier than the end of the present event."""
+    def after(self, wait_ms: float, action: Callable[[], None]) -> None:
+        """Run `action` after `wait_ms`; no earlier than the end of the present event."""
         self._count += 1
-        heapq.heappush(self._heap, (self.now_ms + max(0.0, wait_ms), self._count, what))
+        heapq.heappush(self._heap, (self.now_ms + max(0.0, wait_ms), self._count, action))
 
     def run_until(self, end_ms: float) -> None:
         """Run all events up to a time, which is then the present."""
         while self._heap and self._heap[0][0] <= end_ms:
-            self.now_ms, _, what = heapq.heappop(self._heap)
-            what()
+            self.now_ms, _, action = heapq.heappop(self._heap)
+            action()
         self.now_ms = end_ms
 
 
@@ -74,23 +75,23 @@
         self.sent = 0
 
     def partition(self, one: str, other: str) -> None:
-        """Cut a pair of hosts in both directions."""
+        """Drop all messages between two hosts, in both directions."""
         self.partitioned_pairs.update(((one, other), (other, one)))
 
     def split(self, groups: list[list[str]]) -> None:
-        """Cut every pair of hosts that are in different groups."""
-        for place, group in enumerate(groups):
-            for other in groups[place + 1 :]:
-                for a in group:
-                    for b in other:
-                        self.partition(a, b)
+        """Drop all messages between hosts that are in different groups."""
+        for index, group in enumerate(groups):
+            for other_group in groups[index + 1 :]:
+                for one in group:
+                    for other in other_group:
+                        self.partition(one, other)
 
     def isolate(self, address: str) -> None:
-        """Cut a host off from all others."""
+        """Drop all messages to and from a host."""
         self.isolated_hosts.add(address)
 
     def heal(self) -> None:
-        """Undo all cuts, losses and delays."""
+        """Undo all partitions, losses and delays."""
         self.partitioned_pairs.clear()
         self.isolated_hosts.clear()
         self.loss_rate = self.duplicate_rate = 0.0
@@ -115,7 +116,7 @@
     def send(
         self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
     ) -> None:
-        """Send a copy of a message, which may be lost, doubled or delayed."""
+        """Send a copy of a message, which may be lost, duplicated or delayed."""
         self.sent += 1
         rng = self._time.rng
         if not self.passes(sender, to) or (
@@ -141,7 +142,7 @@
         if host is None or not host.up or not self.passes(sender, to):
             return
         if host.frozen:
-            if len(host.buffer) < _BUFFERED:
+            if len(host.buffer) < _BUFFER_LIMIT:
                 host.buffer.append((sender, request_id, in_reply_to, message))
             return
         host.node.receive(sender, request_id, in_reply_to, message)
--- a/libs/simulator/src/simulator/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -1,46 +1,47 @@
-"""A simulated model worker, with slots, heartbeats to any edge, and runs that stream pieces.
+"""A simulated model worker, with slots, heartbeats to any edge, and runs that stream events.
 
 It can crash in the middle of a run, fall silent, leave, or be replaced at the same address.
 """
 
-import json
 from collections.abc import Callable
 from typing import Any
 
 from request_routing import WorkerUpdate
 
-__all__ = ["SimWorker", "UNSAFE", "told_in_prompt"]
+from simulator.history import RowKind
+from simulator.worker_runs import Reply, ReplyPart, WorkerRun, prompt_fields
 
-UNSAFE = ("moves", "claims")
+__all__ = ["SimWorker"]
 
-_BEAT_MS = 300.0
+_HEARTBEAT_MS = 300.0
+_EVENT_COUNT = 6
+_EVENT_MS = 12.0
 
 
 class SimWorker:
     """A worker; `incarnation` distinguishes it from earlier ones of its identity.
 
-    A run has `pieces` pieces of about `piece_ms` each. While `dark` the worker is silent and stands
-    still; `watches` says whether it notices closed connections at once.
+    A run has `event_count` events of about `event_ms` each. While `unresponsive` the worker is
+    silent and stands still; `watches_connections` says whether it notices closed ones at once.
     """
 
-    watches = False
+    watches_connections = False
     __slots__ = (
-        "_beat",
-        "_edges",
         "_fleet",
+        "_heartbeat_count",
+        "_running_count",
         "address",
-        "busy",
-        "dark",
-        "gone",
+        "crashed",
+        "event_count",
+        "event_ms",
         "history",
         "identity",
         "incarnation",
         "labels",
         "leaving",
-        "pieces",
-        "piece_ms",
         "slots",
         "time",
+        "unresponsive",
         "zone",
     )
 
@@ -49,41 +50,46 @@
     ) -> None:
         self._fleet = fleet
         self.time, self.history = fleet.time, fleet.history
-        self.identity, self.address, self.labels, self.slots, self.zone = (
-            identity,
-            address,
-            labels,
-            slots,
-            zone,
-        )
+        self.identity, self.address, self.zone = identity, address, zone
+        self.labels, self.slots = labels, slots
         self.incarnation = int(self.time.now_ms) + 1
-        self.pieces, self.piece_ms = 6, 12.0
-        self.busy = 0
-        self.dark = self.gone = self.leaving = False
-        self._beat = 0
-        self._beats()
+        self.event_count, self.event_ms = _EVENT_COUNT, _EVENT_MS
+        self.crashed = self.leaving = self.unresponsive = False
+        self._running_count = 0
+        self._heartbeat_count = 0
+        self._send_heartbeats()
 
     @property
-    def stamp(self) -> str:
+    def instance_id(self) -> str:
         """Identity and incarnation, by which requests are addressed."""
         return f"{self.identity}/{self.incarnation}"
 
-    def _beats(self) -> None:
-        if self.gone or self.leaving:
+    @property
+    def waiting_count(self) -> int:
+        """How many calls wait for a slot; this worker has no queue."""
+        return 0
+
+    @property
+    def busy(self) -> int:
+        """How many calls run or wait."""
+        return self._running_count + self.waiting_count
+
+    # -- heartbeats ----------------------------------------------------------------------------
+
+    def _send_heartbeats(self) -> None:
+        if self.crashed or self.leaving:
             return
-        self._beat += 1
-        if not self.dark:
-            self._tell(False)
-        self.time.after(_BEAT_MS * (0.9 + 0.2 * self.time.rng.random()), self._beats)
+        self._heartbeat_count += 1
+        if not self.unresponsive:
+            self._report(leaving=False)
+        self.time.after(_HEARTBEAT_MS * (0.9 + 0.2 * self.time.rng.random()), self._send_heartbeats)
 
-    def _tell(self, leaving: bool) -> bool:
+    def _report(self, leaving: bool) -> bool:
         """Report to a random edge that can be reached; return whether there is one."""
         edges = [
             host
-            for host in self._fleet.with_role("edge")
-            if host.up
-            and not host.frozen
-            and self._fleet.network.passes(self.address, host.address)
+            for host in self._fleet.running("edge")
+            if self._fleet.network.passes(self.address, host.address)
         ]
         if not edges:
             return False
@@ -95,9 +101,9 @@
                 address=self.address,
                 zone=self.zone,
                 labels=self.labels,
-                beat=self._beat,
-                running=self.busy,
-                waiting=0,
+                beat=self._heartbeat_count,
+                running=self._running_count,
+                waiting=self.waiting_count,
                 slots=self.slots,
                 cache_use=0.0,
                 leaving=leaving,
@@ -108,137 +114,86 @@
     def leave(self) -> None:
         """Announce that the worker takes no more requests."""
         self.leaving = True
-        if self._tell(True):
-            self.history.add("worker-left", self.time.now_ms, worker=self.stamp, how="left")
+        if self._report(leaving=True):
+            self._record_departure("left")
 
     def crash(self) -> None:
         """End the worker at once; its runs are cut off."""
-        self.gone = True
-        self.history.add("worker-left", self.time.now_ms, worker=self.stamp, how="crashed")
+        self.crashed = True
+        self._record_departure("crashed")
+
+    def _record_departure(self, how: str) -> None:
+        self.history.add(RowKind.WORKER_LEFT, self.time.now_ms, worker=self.instance_id, how=how)
+
+    # -- requests ------------------------------------------------------------------------------
 
     def call(
         self,
         headers: dict[str, str],
         body: dict[str, Any],
-        reply: Callable[..., None],
-        open_: Callable[[], bool],
+        reply: Reply,
+        is_open: Callable[[], bool],
     ) -> None:
-        """Take a request: run it, refuse it, or nothing at all while `dark`.
+        """Take a request: run it, refuse it, or nothing at all while unresponsive.
 
-        `reply(what, *args)` gets `head`, `data` or `end`, or how the connection broke. `open_` says
-        whether the edge still holds its end; a run whose caller has gone is ended.
+        `reply(part, *arguments)` gets the parts of the answer, or how the connection broke.
+        `is_open` says whether the edge still holds its end.
         """
-        run = _Run(self, headers["X-Vaneledge-Transaction"], body, reply, open_)
-        if self.gone:
-            reply("no connection")
-        elif self.dark:
+        run = WorkerRun(self, headers, body, reply, is_open, self.events_of(body["model"]))
+        if self.crashed:
+            reply(ReplyPart.NO_CONNECTION)
+        elif self.unresponsive:
             return
-        elif headers["X-Vaneledge-Worker"] != self.stamp:
-            run.refuse(409, "wrong-worker")
-        elif self.busy >= 2 * self.slots or self.leaving:
-            run.refuse(429, "busy")
+        elif (refusal := self.refusal(headers)) is not None:
+            run.refuse(*refusal)
         else:
-            self.busy += 1
-            self.history.add(
-                "run",
-                self.time.now_ms,
-                worker=self.stamp,
-                identity=self.identity,
-                labels=self.labels,
-                address=self.address,
-                transaction=run.transaction,
-                path=body["model"],
-                **told_in_prompt(body),
-            )
-            self.time.after(self.piece_ms, lambda: run.piece(0))
-
-
-def told_in_prompt(body: dict[str, Any]) -> dict[str, Any]:
-    """Return what the oracle needs to know of a run, which clients put into the prompt.
-
-    The prompt consists of `name value` pairs.
-    """
-    words = body["prompt"].split()
-    told = dict(zip(words[::2], words[1::2], strict=True))
-    return {
-        "call": told.get("call", ""),
-        "key": told.get("key", ""),
-        "asked": told.get("asked", ""),
-        "lot": told.get("lot", ""),
-        "index": int(told.get("item", -1)),
-        "safe": body["model"] not in UNSAFE,
-    }
-
-
-class _Run:
-    __slots__ = ("_body", "_open", "_reply", "_worker", "transaction")
-
-    def __init__(
-        self,
-        worker: SimWorker,
-        transaction: str,
-        body: dict[str, Any],
-        reply: Callable[..., None],
-        open_: Callable[[], bool],
-    ) -> None:
-        self._worker, self.transaction, self._body, self._reply, self._open = (
-            worker,
-            transaction,
-            body,
-            reply,
-            open_,
+            self.accept(run)
+
+    def events_of(self, path: str) -> int:
+        """Return how many events a run on `path` has."""
+        return self.event_count
+
+    def extra_headers(self) -> list[tuple[str, str]]:
+        """Return headers of each answer besides the worker's and the request's identity."""
+        return []
+
+    def refusal(self, headers: dict[str, str]) -> tuple[int, str] | None:
+        """Return status and code with which a request is refused, or None if it is accepted."""
+        if headers["X-Vaneledge-Worker"] != self.instance_id:
+            return 409, "wrong-worker"
+        if self.busy >= 2 * self.slots or self.leaving:
+            return 429, "busy"
+        return None
+
+    def accept(self, run: WorkerRun) -> None:
+        """Start a run; its first output follows after the time of one event."""
+        self._running_count += 1
+        self.record_run(run)
+        self.time.after(self.event_ms, lambda: run.write_event(0))
+
+    def record_run(self, run: WorkerRun, **details: Any) -> None:
+        """Record that a run has begun."""
+        self.history.add(
+            RowKind.RUN,
+            self.time.now_ms,
+            worker=self.instance_id,
+            identity=self.identity,
+            labels=self.labels,
+            address=self.address,
+            transaction=run.transaction,
+            path=run.path,
+            **details,
+            **prompt_fields(run.body),
         )
 
-    def _head(self, status: int, length: int | None) -> None:
-        self._reply(
-            "head",
-            status,
-            [
-                ("X-Vaneledge-Worker", self._worker.stamp),
-                ("X-Vaneledge-Transaction", self.transaction),
-            ],
-            length,
-        )
+    def is_running(self, run: WorkerRun) -> bool:
+        """Return whether a run that was accepted has not been finished."""
+        return True
 
-    def refuse(self, status: int, code: str) -> None:
-        data = json.dumps({"error": {"verdict": "not_run", "code": code}}).encode()
-        self._head(status, len(data))
-        self._reply("data", data)
-        self._reply("end")
-
-    def piece(self, place: int) -> None:
-        worker, stream = self._worker, self._body["stream"]
-        if worker.gone or not (self._open() or place == 0):
-            worker.busy -= 1
-            self._reply("connection lost")
-            return
-        if worker.dark:
-            worker.time.after(50.0, lambda: self.piece(place))
-            return
-        if stream and place == 0:
-            self._head(200, None)
-        if place < worker.pieces:
-            if stream:
-                data = json.dumps({"id": self.transaction, "choices": [{"index": 0, "text": "w "}]})
-                self._reply("data", f"id: {place}\ndata: {data}\n\n".encode())
-            worker.time.after(
-                worker.piece_ms * (0.5 + worker.time.rng.random()), lambda: self.piece(place + 1)
-            )
-            return
-        worker.busy -= 1
-        worker.history.add(
-            "run-ended",
-            worker.time.now_ms,
-            worker=worker.stamp,
-            transaction=self.transaction,
-            pieces=worker.pieces,
-        )
-        if stream:
-            self._reply("data", b"data: [DONE]\n\n")
-        else:
-            whole = json.dumps(
-                {"id": self.transaction, "choices": [{"index": 0, "text": "w " * worker.pieces}]}
-            ).encode()
-            self._head(200, len(whole))
-            self._reply("data", whole)
-        self._reply("end")
+    def is_abandoned(self, run: WorkerRun, index: int) -> bool:
+        """Return whether the caller has gone; this is not noticed before the first event."""
+        return index > 0 and not run.is_open()
+
+    def finish(self, run: WorkerRun) -> None:
+        """Free the slot of a run."""
+        self._running_count -= 1
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -53,14 +53,14 @@
 
     def _read(self, host: Any) -> None:
         fleet, life = self._run.fleet, host.incarnation
-        row = fleet.history.ask("read-key", fleet.time.now_ms)
+        row = fleet.history.begin_call("read-key", fleet.time.now_ms)
 
         def told(receipt: Any) -> None:
             if host.incarnation == life and host.up and row["outcome"] == "none":
                 row.update(
                     outcome=receipt.outcome,
                     version=receipt.version,
-                    mark=_mark(receipt.body),
+                    change_id=_change_id_in(receipt.body),
                     answered_ms=fleet.time.now_ms,
                 )
 
@@ -86,7 +86,7 @@
         self.undecided: list[str] = []
 
 
-def _mark(body: str) -> str:
+def _change_id_in(body: str) -> str:
     profiles = json.loads(body)["profiles"] if body else {}
     return next((name[5:] for name in profiles if name.startswith("mark-")), "")
 
@@ -95,26 +95,26 @@
     """All that operators asked of the profiles' key."""
     calls = []
     for row in history.rows_of("change"):
-        asked = ChangeKey(row["mark"], row["named"])
+        asked = ChangeKey(row["change_id"], row["named"])
         if row["outcome"] in ("ok", "lost"):
             answer = (row["outcome"], row["version"])
             calls.append(Call(asked, row["at_ms"], answer, row["answered_ms"]))
         elif row["outcome"] != "refused":
             calls.append(Call(asked, row["at_ms"]))
-    for row in history.asked:
+    for row in history.begun_calls:
         if row["kind"] == "read-key" and row["outcome"] == "ok":
-            answer = (row["version"], row["mark"])
+            answer = (row["version"], row["change_id"])
             calls.append(Call(ReadValue(), row["began_ms"], answer, row["answered_ms"]))
     return calls + _final_changes(history)
 
 
 def _final_changes(history: History) -> list[Call]:
     """Changes asked for again at the end; they began at some time after the last probe."""
-    named = {row["mark"]: row["named"] for row in history.rows_of("change")}
+    named = {row["change_id"]: row["named"] for row in history.rows_of("change")}
     began_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
     return [
         Call(
-            ChangeKey(row["mark"], named[row["mark"]]),
+            ChangeKey(row["change_id"], named[row["change_id"]]),
             began_ms,
             (row["outcome"], row["version"]),
             row["at_ms"],
@@ -139,7 +139,7 @@
         answer = JobState(row["ended"], row["listed"], row["total"], shown) if known else "missing"
         call = Call(GetJob(row["start"]), row["began_ms"], answer, row["at_ms"])
         found.setdefault(row["lot"], []).append(call)
-    for row in history.asked:
+    for row in history.begun_calls:
         if row["kind"] == "end":
             known = row["outcome"] == "ok"
             times = {"answered": "ended", "returned_ms": row["answered_ms"]} if known else {}
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -19,7 +19,7 @@
 from messaging.links import LinkTransport
 from request_routing import WorkerHeaderNames
 from request_routing.forward_exchange import ForwardExchange
-from simulator.operators import Operators, tree_of
+from simulator.operators import Operators, profiles_tree
 
 from testbed.measure_scale import founded, held_bytes
 from testbed.metered_costs import NODES, EdgeClient, MeteredCosts, big_disks, store_groups
@@ -288,7 +288,9 @@
     costs = MeteredCosts(fleet, groups)
     rows = costs.of(lambda: [change() for _ in range(changes)], changes)
     rows = {name: value / len(groups[name.split()[0]]) for name, value in rows.items()}
-    body = json.dumps({"profiles": {**tree_of("x")["profiles"], **operators.more}}, sort_keys=True)
+    body = json.dumps(
+        {"profiles": {**profiles_tree("x")["profiles"], **operators.more}}, sort_keys=True
+    )
     rows["body kB"] = len(body) / 1000
     tracemalloc.start()
     tree = ProfileTree.of_body(body)
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -48,7 +48,7 @@
                 path: 2000 if path in ("rulings", "flags") else 5000 for path, _, _ in _LIVE
             },
         )
-        self._marks: dict[str, str] = {}
+        self._change_ids: dict[str, str] = {}
         self._sent: dict[str, tuple[int, dict[str, Any]]] = {}
         self.latency_ms: dict[str, list[float]] = {}
         self.outcomes: Counter = Counter()
@@ -109,7 +109,7 @@
         key: str = "",
         avoid: str = "",
         tries: int = 3,
-        asked: str = "",
+        question: str = "",
     ) -> dict[str, Any]:
         """Make a live call and return its row.
 
@@ -121,7 +121,7 @@
             key = f"key{number}"
             if self.rng.random() < 0.1:
                 self._spawn(self._reuse(key))
-        asked = asked or key
+        question = question or key
         row = self.history.add(
             "call",
             self.now_ms(),
@@ -129,16 +129,18 @@
             path=path,
             key=key,
             edge=self._edge(avoid),
-            asked=asked,
+            question=question,
             outcome="lost",
             verdict="may_have_run",
-            pieces=[],
+            events=[],
             transaction="",
             body="",
             code="",
             answered_ms=0.0,
         )
-        prompt = f"{path} of {key} {asked}" if key else f"{path} table {number % 20}, call{number}"
+        prompt = (
+            f"{path} of {key} {question}" if key else f"{path} table {number % 20}, call{number}"
+        )
         call = {"model": path, "prompt": prompt, "stream": stream}
         began_ms = self.now_ms()
         try:
@@ -150,20 +152,20 @@
             ) as answer:
                 await take_answer(row, answer, stream)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            row["outcome"] = "cut" if row["pieces"] else "lost"
+            row["outcome"] = "cut" if row["events"] else "lost"
         row["answered_ms"] = self.now_ms()
         if row["verdict"] == "ran":
             self.latency_ms.setdefault(path, []).append(row["answered_ms"] - began_ms)
         self.outcomes[(path, row["verdict"], row["code"] or row["outcome"])] += 1
         if key and row["verdict"] == "may_have_run" and tries > 1:
             await asyncio.sleep(0.2)
-            await self.live(path, stream, key, row["edge"], tries - 1, asked)
+            await self.live(path, stream, key, row["edge"], tries - 1, question)
         return row
 
     async def _reuse(self, key: str) -> None:
         """Use a key again for another prompt, which must never get the first one's answer."""
         await asyncio.sleep(0.3 * self.rng.random())
-        await self.live("moves", False, key, tries=1, asked="another")
+        await self.live("moves", False, key, tries=1, question="another")
 
     # -- lots ----------------------------------------------------------------------------------
 
@@ -291,27 +293,32 @@
         ]
         return self.rng.choice(running).http
 
-    async def change(self, tries: int = 3, mark: str = "", named: int = 0) -> dict[str, Any]:
+    async def change(self, tries: int = 3, change_id: str = "", named: int = 0) -> dict[str, Any]:
         """Send a change of the profiles and return its row; one in doubt is sent again."""
         self._count += 1
-        mark = mark or f"change{self._count}"
+        change_id = change_id or f"change{self._count}"
         named = named or self.version
         row = self.history.add(
             "change",
             self.now_ms(),
-            mark=mark,
+            change_id=change_id,
             named=named,
             outcome="doubt",
             version=0,
             answered_ms=0.0,
         )
         control = self._control()
-        tree = {"profiles": {**TREE["profiles"], f"mark-{mark}": {"abstract": True}}}
-        self._marks[profiles_digest(json.dumps(check_tree(tree).ok, sort_keys=True))] = mark
-        self._sent[mark] = (named, tree)
+        tree = {"profiles": {**TREE["profiles"], f"mark-{change_id}": {"abstract": True}}}
+        self._change_ids[profiles_digest(json.dumps(check_tree(tree).ok, sort_keys=True))] = (
+            change_id
+        )
+        self._sent[change_id] = (named, tree)
         try:
             status, body = await self.fleet.ask(
-                "PUT", control, "/profiles", {"version": named, "change_id": mark, "tree": tree}
+                "PUT",
+                control,
+                "/profiles",
+                {"version": named, "change_id": change_id, "tree": tree},
             )
             outcome = {200: "ok", 409: "lost"}.get(status, "doubt")
             row.update(outcome=outcome, version=body.get("version", 0))
@@ -331,7 +338,7 @@
         ] += 1
         if row["outcome"] == "doubt" and tries > 1:
             await asyncio.sleep(0.2)
-            await self.change(tries - 1, mark, named)
+            await self.change(tries - 1, change_id, named)
         return row
 
     async def sample(self) -> None:
@@ -352,7 +359,7 @@
                 incarnation=body["identity"],
                 ready=body["ready"],
                 number=body["feed"].get("profiles", 0),
-                mark=self._marks.get(body["profiles_digest"], ""),
+                change_id=self._change_ids.get(body["profiles_digest"], ""),
             )
         for member in self.fleet.with_role("store"):
             try:
@@ -371,22 +378,22 @@
 
     async def ask_again(self, count: int) -> None:
         """Send the last `count` acknowledged changes once more under their ids."""
-        acked = [row["mark"] for row in self.history.rows_of("change") if row["outcome"] == "ok"][
-            -count:
-        ]
-        for mark in acked:
-            named, tree = self._sent[mark]
+        acked = [
+            row["change_id"] for row in self.history.rows_of("change") if row["outcome"] == "ok"
+        ][-count:]
+        for change_id in acked:
+            named, tree = self._sent[change_id]
             status, body = await self.fleet.ask(
                 "PUT",
                 self._control(),
                 "/profiles",
-                {"version": named, "change_id": mark, "tree": tree},
+                {"version": named, "change_id": change_id, "tree": tree},
             )
             if status in (200, 409):
                 self.history.add(
                     "final-change",
                     self.now_ms(),
-                    mark=mark,
+                    change_id=change_id,
                     version=body.get("version", 0),
                     outcome="ok" if status == 200 else "lost",
                 )
--- a/libs/testbed/src/testbed/traffic_answers.py
+++ b/libs/testbed/src/testbed/traffic_answers.py
@@ -22,16 +22,16 @@
             verdict="ran",
             body="|".join(f"{body['id']}:{place}" for place in range(len(words))),
         )
-        row["pieces"] = row["body"].split("|") if row["outcome"] == "finish" else []
+        row["events"] = row["body"].split("|") if row["outcome"] == "finish" else []
     else:
         async for line in answer.content:
             text = line.decode().strip()
             if text.startswith("id: "):
                 place = text[4:]
             elif text == "data: [DONE]":
-                row.update(outcome="finish", verdict="ran", body="|".join(row["pieces"]))
+                row.update(outcome="finish", verdict="ran", body="|".join(row["events"]))
             elif text.startswith("data: ") and '"error"' not in text:
-                row["pieces"].append(f"{json.loads(text[6:])['id']}:{place}")
+                row["events"].append(f"{json.loads(text[6:])['id']}:{place}")
         if row["outcome"] != "finish":
             row["outcome"] = "cut"
 
--- a/libs/testbed/src/testbed/traffic_runs.py
+++ b/libs/testbed/src/testbed/traffic_runs.py
@@ -38,7 +38,7 @@
                     at_ms,
                     worker=row["worker"],
                     transaction=row["transaction"],
-                    pieces=row["pieces"],
+                    event_count=row["pieces"],
                 )
             else:
                 history.add("worker-left", at_ms, worker=row["worker"], how=row["kind"])
@@ -73,7 +73,7 @@
         path=row["path"],
         safe=safe,
         body="",
-        asked=words[3] if key and len(words) > 3 else "",
+        question=words[3] if key and len(words) > 3 else "",
         call=name
         or (call["call"] if call else "" if not is_item else f"item:{words[1]}:{words[3]}"),
         lot=words[1] if is_item else "",
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -99,7 +99,7 @@
         for seed in (3, 5):
             evening, fleet = self.founded(seed)
             for worker in fleet.workers.values():
-                worker.piece_ms = 300.0
+                worker.event_ms = 300.0
             evening.trainers.submit(30, 2)
             self.wait(fleet, lambda fleet=fleet: self.samples(fleet) >= 12)
             edge = max(fleet.with_role("edge"), key=lambda host: host.node.borrowing.running())
@@ -124,7 +124,7 @@
         evening.trainers.submit(40, 4)
         self.wait(fleet, lambda: self.samples(fleet) >= 8)
         for worker in fleet.workers.values():
-            worker.piece_ms = 250.0
+            worker.event_ms = 250.0
         evening.run.clients.submit("summaries", 300)
         self.wait(
             fleet, lambda: any(event == "loans-recalled" for _, _, event, _ in fleet.events), 2000
@@ -155,7 +155,7 @@
             return ask(lambda service, told: service.submit(name, call, told))
 
         for worker in fleet.workers.values():
-            worker.piece_ms = 2000.0
+            worker.event_ms = 2000.0
         rows = [
             ("r1", {}, 201, ""),
             ("r1", {}, 200, ""),
@@ -193,7 +193,7 @@
         fleet.run_until_true(lambda: False, 3500)
         worker = next(worker for worker in fleet.workers.values() if worker.identity == "worker1")
         for one in fleet.workers.values():
-            one.piece_ms = 250.0
+            one.event_ms = 250.0
         for _ in range(14):
             evening._live.live("narrations")
         self.wait(fleet, lambda: worker.busy > 0, 500)
@@ -256,7 +256,7 @@
         self.ordered(fleet, lambda loans, done: loans.grant("worker1", "t", "", 60_000, 500, done))
         self.wait(fleet, lambda: self.state(fleet) == "lent", 3000)
         for worker in fleet.workers.values():
-            worker.piece_ms = 200.0
+            worker.event_ms = 200.0
         for _ in range(16):
             evening._live.live("narrations")
         self.wait(fleet, lambda: self.state(fleet) == "recalled", 800)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -97,7 +97,7 @@
         fleet.time.run_until(fleet.time.now_ms + 8000)
         fleet.network.heal()
         seen = []
-        run.operators.change(1, mark=row["mark"], version=1, done=seen.append)
+        run.operators.change(1, change_id=row["change_id"], version=1, done=seen.append)
         self.assertThat(fleet.run_until_true(lambda: seen, 4000), Equals(True))
         self.assertThat((seen[0]["outcome"], seen[0]["version"]), Equals(("ok", 2)))
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -52,7 +52,7 @@
         self.assertThat(found, Equals({}))
         self.assertThat(
             len(fleet.history.rows_of("final")),
-            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
+            Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
         )
 
     def peers(self, fleet):
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -73,10 +73,10 @@
         run, fleet = self.founded(seed)
         history = fleet.history
         run.clients.submit("claims", 6)
-        self.wait(fleet, lambda: history.encoded_entries("run"))
+        self.wait(fleet, lambda: history.rows_of("run"))
         for host in fleet.with_role("store"):
             host.disk.flush_ms = 400.0
-        self.wait(fleet, lambda: history.encoded_entries("run-ended"))
+        self.wait(fleet, lambda: history.rows_of("run-ended"))
         fleet.time.run_until(fleet.time.now_ms + 30)
         for host in fleet.with_role("store"):
             host.lose_power()
@@ -85,12 +85,12 @@
         fleet.run_until_true(lambda: False, 9000)
         run.read_all()
         self.assertThat(judge(history), Equals({}))
-        self.assertThat(history.encoded_entries("final")[0]["listed"], Equals(6))
+        self.assertThat(history.rows_of("final")[0]["listed"], Equals(6))
 
     def test_a_cut_off_edge_stops_an_ended_lot_in_time(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
-            worker.piece_ms = 1500.0
+            worker.event_ms = 1500.0
         run.clients.submit("summaries", 12)
         self.wait(
             fleet, lambda: any(host.node.job_runner.running() for host in fleet.with_role("edge"))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -36,8 +36,8 @@
         run.read_all()
         self.assertThat(judge(run.fleet.history), Equals({}))
         self.assertThat(
-            len(run.fleet.history.encoded_entries("final")),
-            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
+            len(run.fleet.history.rows_of("final")),
+            Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
         )
 
     def until_member(self, run, host, limit_ms=15000):
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -23,14 +23,18 @@
             "key": "",
             "body": "",
             "transaction": transaction,
-            "asked": "",
+            "question": "",
             **fields,
         },
     )
 
 
-def ended(transaction="t1", at_ms=150.0, pieces=2):
-    return ("run-ended", at_ms, {"worker": "w/1", "transaction": transaction, "pieces": pieces})
+def ended(transaction="t1", at_ms=150.0, event_count=2):
+    return (
+        "run-ended",
+        at_ms,
+        {"worker": "w/1", "transaction": transaction, "event_count": event_count},
+    )
 
 
 def call(at_ms=90.0, **fields):
@@ -44,12 +48,12 @@
             "edge": "e",
             "outcome": "finish",
             "verdict": "ran",
-            "pieces": ["t1:0", "t1:1"],
+            "events": ["t1:0", "t1:1"],
             "transaction": "t1",
             "body": "t1:0|t1:1",
             "code": "",
             "answered_ms": 160.0,
-            "asked": "",
+            "question": "",
             **fields,
         },
     )
@@ -87,20 +91,26 @@
     )
 
 
-def sample(at_ms, number, ready=True, mark="", incarnation=1):
+def sample(at_ms, number, ready=True, change_id="", incarnation=1):
     return (
         "sample",
         at_ms,
-        {"edge": "e", "incarnation": incarnation, "ready": ready, "number": number, "mark": mark},
+        {
+            "edge": "e",
+            "incarnation": incarnation,
+            "ready": ready,
+            "number": number,
+            "change_id": change_id,
+        },
     )
 
 
-def change(outcome, version, at_ms=100.0, mark="m"):
+def change(outcome, version, at_ms=100.0, change_id="m"):
     return (
         "change",
         at_ms - 10,
         {
-            "mark": mark,
+            "change_id": change_id,
             "named": version - 1,
             "outcome": outcome,
             "version": version,
@@ -111,9 +121,9 @@
 
 ITEM = [run("i0", lot="l", index=0, call="item:l:0"), ended("i0", 200.0, 1)]
 CLEAN = [
-    change("refused", 0, mark="z"),
-    change("ok", 1, mark="z"),
-    sample(3000.0, 1, mark="z"),
+    change("refused", 0, change_id="z"),
+    change("ok", 1, change_id="z"),
+    sample(3000.0, 1, change_id="z"),
     run(),
     ended(),
     call(),
@@ -128,14 +138,14 @@
     ("probe", 9000.0, {"what": "live", "worked": True, "after_ms": 12000.0, "seen": "finish"}),
     ("worker-left", 900.0, {"worker": "v/1", "how": "left"}),
     ("fault", 1.0, {"what": "f"}),
-    ("final-change", 9000.0, {"mark": "m", "outcome": "ok", "version": 1}),
-    change("lost", 1, mark="x"),
-    sample(3000.0, 1, mark="m"),
-    call(call="call2", transaction="t2", path="p", key="k", body="t2:0", pieces=["t2:0"]),
+    ("final-change", 9000.0, {"change_id": "m", "outcome": "ok", "version": 1}),
+    change("lost", 1, change_id="x"),
+    sample(3000.0, 1, change_id="m"),
+    call(call="call2", transaction="t2", path="p", key="k", body="t2:0", events=["t2:0"]),
     run("t2", call="call2", key="k", safe=False),
-    ended("t2", pieces=1),
+    ended("t2", event_count=1),
     ("lot-done", 15000.0, {"lot": "l", "from_ms": 11000.0}),
-    call(call="call3", verdict="not_run", outcome="error", pieces=[], code="busy", at_ms=1.0),
+    call(call="call3", verdict="not_run", outcome="error", events=[], code="busy", at_ms=1.0),
 ]
 
 BROKEN = {
@@ -144,14 +154,14 @@
         [run("i0", safe=False, lot="l", index=0), run("i1", 130.0, safe=False, lot="l", index=0)],
     ],
     "not-run-is-true": [
-        [run(at_ms=500.0), call(verdict="not_run", outcome="error", pieces=[])],
-        [run(key="k", call="call0"), call(verdict="not_run", outcome="error", pieces=[], key="k")],
+        [run(at_ms=500.0), call(verdict="not_run", outcome="error", events=[])],
+        [run(key="k", call="call0"), call(verdict="not_run", outcome="error", events=[], key="k")],
         [hand_in("no_room", "not_run"), *ITEM],
     ],
     "streams-are-whole": [
-        [run(), ended(), call(pieces=["t1:0", "t2:1"])],
-        [run(), ended(), call(pieces=["t1:0", "t1:0"])],
-        [run(), ended(), call(pieces=["t1:1"])],
+        [run(), ended(), call(events=["t1:0", "t2:1"])],
+        [run(), ended(), call(events=["t1:0", "t1:0"])],
+        [run(), ended(), call(events=["t1:1"])],
         [run(), call()],
     ],
     "bodies-are-whole": [
@@ -176,10 +186,14 @@
         [sample(100.0, 2), sample(200.0, 1)],
     ],
     "lost-changes-stay-lost": [
-        [change("lost", 2, mark="x"), sample(100.0, 2, mark="x")],
+        [change("lost", 2, change_id="x"), sample(100.0, 2, change_id="x")],
         [change("lost", 2), change("ok", 2)],
-        [change("refused", 0, mark="x"), sample(100.0, 2, mark="x")],
-        [change("doubt", 0, mark="x"), change("lost", 2, mark="x"), sample(100.0, 2, mark="x")],
+        [change("refused", 0, change_id="x"), sample(100.0, 2, change_id="x")],
+        [
+            change("doubt", 0, change_id="x"),
+            change("lost", 2, change_id="x"),
+            sample(100.0, 2, change_id="x"),
+        ],
     ],
     "accepted-is-kept": [
         [hand_in(), read([], 118.0, "missing")],
@@ -207,10 +221,13 @@
     ],
     "keys-one-body": [
         [run(key="k"), ended(), call(key="k"), call(key="k", call="call2", body="t9:0")],
-        [run(key="k", asked="a"), ended(), call(key="k", asked="b")],
+        [run(key="k", question="a"), ended(), call(key="k", question="b")],
     ],
     "changes-kept": [
-        [change("ok", 2), ("final-change", 900.0, {"mark": "m", "outcome": "lost", "version": 3})]
+        [
+            change("ok", 2),
+            ("final-change", 900.0, {"change_id": "m", "outcome": "lost", "version": 3}),
+        ]
     ],
     "live-in-time": [
         [call(answered_ms=2500.0)],
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -104,7 +104,7 @@
         self.assertThat(found, Equals({}))
         self.assertThat(
             len(run.fleet.history.rows_of("final")),
-            Equals(sum(job["acked"] for job in run.clients.jobs.values())),
+            Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
         )
 
     def lose_one_for_good(self, fleet):
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -16,7 +16,7 @@
         for path in ("summaries", "claims", "summaries"):
             name = run.clients.submit(path, 30)
             self.assertThat(
-                fleet.run_until_true(lambda name=name: run.clients.jobs[name]["done"], 12_000),
+                fleet.run_until_true(lambda name=name: run.clients.jobs[name].done, 12_000),
                 Equals(True),
             )
         moves = []
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -78,7 +78,7 @@
     def test_a_worker_lost_with_many_in_flight_fails_none_of_them(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
-            worker.slots, worker.piece_ms = 20, 60.0
+            worker.slots, worker.event_ms = 20, 60.0
         fleet.run_until_true(lambda: False, 900)
         worker = next(iter(fleet.workers.values()))
         fleet.time.after(40, worker.crash)
