--- a/libs/simulator/src/simulator/__init__.py
+++ b/libs/simulator/src/simulator/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from simulator.history import History
-from simulator.oracle import evidence, judge
+from simulator.oracle import judge, rows_judged
 from simulator.runs import run_seed
 
-__all__ = ["History", "evidence", "judge", "run_seed"]
+__all__ = ["History", "rows_judged", "judge", "run_seed"]
--- a/libs/simulator/src/simulator/oracle.py
+++ b/libs/simulator/src/simulator/oracle.py
@@ -4,39 +4,41 @@
 counts as broken.
 """
 
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Callable, Iterable
 
 from simulator import rules_calls as calls
-from simulator import rules_state as state
+from simulator import rules_changes as changes
+from simulator import rules_jobs as jobs
+from simulator import rules_timing as timing
 from simulator.history import History
+from simulator.judgement import Judgement
 
-__all__ = ["RULES", "evidence", "judge"]
+__all__ = ["RULES", "judge", "rows_judged"]
 
-RULES: dict[str, Any] = {
-    "unsafe-runs-once": calls.unsafe_twice,
-    "not-run-is-true": calls.not_run_but_ran,
-    "streams-are-whole": calls.streams,
-    "bodies-are-whole": calls.bodies,
+RULES: dict[str, Callable[[History], Judgement]] = {
+    "unsafe-runs-once": calls.unsafe_runs_once,
+    "not-run-is-true": calls.not_run_is_true,
+    "streams-are-whole": calls.streams_complete,
+    "bodies-are-whole": calls.bodies_complete,
     "keys-one-body": calls.keys_one_body,
     "workers-are-allowed": calls.workers_allowed,
-    "gone-workers-get-nothing": calls.gone_workers,
-    "versions-in-force": state.in_force,
-    "lost-changes-stay-lost": state.lost_changes,
-    "changes-kept": state.changes_kept,
-    "accepted-is-kept": state.kept,
-    "kept-at-the-end": state.kept_at_the_end,
-    "ended-lots-stop": state.cancelled_jobs,
-    "waiting-room-is-exact": state.waiting_room,
-    "service-resumes": state.resumed,
-    "live-in-time": calls.live_in_time,
-    "lots-in-time": state.jobs_in_time,
+    "gone-workers-get-nothing": calls.departed_workers_get_nothing,
+    "versions-in-force": changes.versions_in_force,
+    "lost-changes-stay-lost": changes.lost_changes,
+    "changes-kept": changes.changes_kept,
+    "accepted-is-kept": jobs.accepted_jobs_kept,
+    "kept-at-the-end": jobs.jobs_kept_at_end,
+    "ended-lots-stop": jobs.cancelled_jobs_stop,
+    "waiting-room-is-exact": jobs.backlog_limited,
+    "service-resumes": timing.service_resumes,
+    "live-in-time": timing.live_in_time,
+    "lots-in-time": timing.jobs_in_time,
 }
 
 
-def evidence(history: History) -> dict[str, int]:
+def rows_judged(history: History) -> dict[str, int]:
     """Return how many rows each rule judged."""
-    return {name: int(rule(history)[0]) for name, rule in RULES.items()}
+    return {name: int(rule(history).judged) for name, rule in RULES.items()}
 
 
 def judge(history: History, due: Iterable[str] = ()) -> dict[str, list[str]]:
@@ -44,9 +46,8 @@
 
     `due` names rules that must have had something to judge.
     """
-    found = {name: rule(history) for name, rule in RULES.items()}
-    wanted = set(due)
-    for name in wanted:
-        if not found[name][0]:
-            found[name][1].append("nothing to judge, though some was due")
-    return {name: rows for name, (_, rows) in found.items() if rows}
+    judgements = {name: rule(history) for name, rule in RULES.items()}
+    for name in set(due):
+        if not judgements[name].judged:
+            judgements[name].breaches.append("nothing to judge, though some was due")
+    return {name: breaches for name, (_, breaches) in judgements.items() if breaches}
--- a/libs/testbed/src/testbed/cli.py
+++ b/libs/testbed/src/testbed/cli.py
@@ -13,7 +13,7 @@
 from data_plane.process import settings_or_exit
 from platform_testbed.command import ALL_SHAPES, PLATFORM_DAYS, play_day
 from runtime import load_settings
-from simulator import evidence, run_seed
+from simulator import rows_judged, run_seed
 from simulator.oracle import RULES
 
 from testbed.fault_injection import Weather, run_node
@@ -172,7 +172,7 @@
     except Exception as error:
         return job[0], {"raised": [repr(error)]}, [], {}
     rows = [(round(at_ms), event) for at_ms, who, event, _ in run.fleet.events if who == "fault"]
-    return job[0], found, rows, evidence(run.fleet.history)
+    return job[0], found, rows, rows_judged(run.fleet.history)
 
 
 @app.command
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import Any
 
-from simulator.oracle import evidence
+from simulator.oracle import rows_judged
 
 __all__ = ["day_report", "spread"]
 
@@ -78,7 +78,7 @@
     )
     lines.append(
         "rows judged: "
-        + ", ".join(f"{name} {count}" for name, count in evidence(traffic.history).items())
+        + ", ".join(f"{name} {count}" for name, count in rows_judged(traffic.history).items())
     )
     if broken:
         for name, rows in broken.items():
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -4,7 +4,7 @@
 
 from concurrent.futures import ProcessPoolExecutor
 
-from simulator import evidence, run_seed
+from simulator import rows_judged, run_seed
 from simulator.oracle import RULES
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -79,7 +79,7 @@
 def judged(job):
     name, seed, shape = job
     found, run = run_seed(seed, faults=7, rows=SCHEDULES.get(name), shape=shape)
-    return (name, seed, shape, found), evidence(run.fleet.history)
+    return (name, seed, shape, found), rows_judged(run.fleet.history)
 
 
 class Simulated(TestCase):
