--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -233,7 +233,9 @@
             if done is not None:
                 done(seen)
 
-        self._run_at(host, lambda: host.node.edge_service.results(job_id, start, _READ_LIMIT, answered))
+        self._run_at(
+            host, lambda: host.node.edge_service.results(job_id, start, _READ_LIMIT, answered)
+        )
 
     def cancel(self, job_id: str) -> None:
         """Cancel a job before it is done."""
--- a/libs/simulator/src/simulator/rules_rollouts.py
+++ b/libs/simulator/src/simulator/rules_rollouts.py
@@ -21,6 +21,13 @@
 _MANY = 60
 """With fewer calls, only the median is compared."""
 _EDGE_AWAY_MS = 3000.0
+_COMPARED_CALLS = (
+    ("rulings", False),
+    ("narrations", False),
+    ("rulings", True),
+    ("narrations", True),
+)
+"""Paths, each in the evening and at night."""
 
 
 def _calls_at_running_edges(history: History) -> list[Row]:
@@ -58,16 +65,9 @@
     Evening and night are judged apart.
     """
     breaches, judged = [], 0
-    for path, night in (
-        ("rulings", False),
-        ("narrations", False),
-        ("rulings", True),
-        ("narrations", True),
-    ):
-        mine, others = (
-            first_events_ms(having, path, night),
-            [first_events_ms(history, path, night) for history in without],
-        )
+    for path, night in _COMPARED_CALLS:
+        mine = first_events_ms(having, path, night)
+        others = [first_events_ms(history, path, night) for history in without]
         judged += len(mine)
         name = f"{path} {'by night' if night else 'in the evening'}"
         for share in (0.5, 0.9, 0.95) if len(mine) >= _MANY else (0.5,):
