--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -12,11 +12,11 @@
 from config_feed import ConfigFeed, candidates
 from control_store import (
     Acceptor,
-    Bootstrap,
     KeyOwner,
     ProfileTree,
     ReadBarrier,
     ServingSet,
+    VoterListManager,
     WorkerList,
 )
 from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
@@ -37,7 +37,6 @@
         "_profiles",
         "_profiles_number",
         "acceptor",
-        "bootstrap",
         "config_feed",
         "configuration_changes",
         "disk",
@@ -47,6 +46,7 @@
         "read_barrier",
         "retirement",
         "serving_set",
+        "voter_list_manager",
         "worker_list",
     )
 
@@ -95,7 +95,7 @@
             self.config_feed,
             lambda: self._is_voter() and self._hears(settings.contact_timeout_ms),
         )
-        self.bootstrap = Bootstrap(self.acceptor, self.owner, self.membership, self.config_feed)
+        self.voter_list_manager = VoterListManager(self.acceptor, self.owner, self.membership, self.config_feed)
         self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
 
     def _make_services(self) -> None:
@@ -126,7 +126,7 @@
             self.acceptor,
             self.owner,
             self.read_barrier,
-            self.bootstrap,
+            self.voter_list_manager,
             self.serving_set,
             self.worker_list,
             self.configuration_changes,
@@ -146,7 +146,7 @@
 
     def _is_steward(self) -> bool:
         """Whether this node coordinates the changes of the voters and the serving set."""
-        return self.has_quorum() and self.bootstrap.steward() == self.acceptor.identity
+        return self.has_quorum() and self.voter_list_manager.steward() == self.acceptor.identity
 
     def _owns_loans(self) -> bool:
         has_voters = bool(self.acceptor.voters)
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -52,8 +52,8 @@
             "reason": self.why_unready(),
             "voters": node.acceptor.voters,
             "voters_number": node.acceptor.list_number,
-            "steward": node.bootstrap.steward() if node.acceptor.voters else None,
-            "keys": node.owner.epochs(),
+            "steward": node.voter_list_manager.steward() if node.acceptor.voters else None,
+            "keys": node.owner.ownership(),
             "feed": node.config_feed.numbers(),
             "place": node.config_feed.place,
         }
@@ -61,7 +61,9 @@
     def metrics(self) -> dict[str, float]:
         """Return the metrics by name: epochs, counters, sizes in bytes and durations in ms."""
         node = self.node
-        rows = {f"control_epoch_{name}": row["epoch"] for name, row in node.owner.epochs().items()}
+        rows = {
+            f"control_epoch_{name}": row["epoch"] for name, row in node.owner.ownership().items()
+        }
         rows.update(
             {f"control_loans_{state}_total": count for state, count in node.loans.counts.items()}
         )
--- a/libs/control_store/src/control_store/change_memory.py
+++ b/libs/control_store/src/control_store/change_memory.py
@@ -8,15 +8,21 @@
 
 from control_store.messages import NO_BASE, Change, FindChange, Value
 
-__all__ = ["REMEMBERED_CHANGES", "REMEMBERED_ORDERS", "add_change", "surely_untaken", "taken_as"]
+__all__ = [
+    "REMEMBERED_CHANGES",
+    "REMEMBERED_PROFILE_CHANGES",
+    "add_change",
+    "decided_version",
+    "surely_undecided",
+]
 
 REMEMBERED_CHANGES = 64
-REMEMBERED_ORDERS = 256
-_ORDER_KEYS = ("profiles",)
+REMEMBERED_PROFILE_CHANGES = 256
+PROFILES_KEY = "profiles"
 
 
-def taken_as(value: Value, change_id: str) -> int | None:
-    """Return the version that the change made, or None if it is not remembered."""
+def decided_version(value: Value, change_id: str) -> int | None:
+    """Return the version that a change made, or None if it is not remembered."""
     if change_id not in value.change_ids:
         return None
     return value.change_versions[value.change_ids.index(change_id)]
@@ -24,18 +30,18 @@
 
 def add_change(value: Value, change: Change) -> Value:
     """Return the value that results from applying the change to this one."""
-    most = REMEMBERED_ORDERS if change.key in _ORDER_KEYS else REMEMBERED_CHANGES
+    limit = REMEMBERED_PROFILE_CHANGES if change.key == PROFILES_KEY else REMEMBERED_CHANGES
     version = value.version + 1
     return Value(
         version=version,
         body=change.body,
-        change_ids=[*value.change_ids, change.change_id][-most:],
-        change_versions=[*value.change_versions, version][-most:],
-        change_bases=[*value.change_bases, change.base][-most:],
+        change_ids=[*value.change_ids, change.change_id][-limit:],
+        change_versions=[*value.change_versions, version][-limit:],
+        change_bases=[*value.change_bases, change.base][-limit:],
     )
 
 
-def surely_untaken(value: Value, change: Change | FindChange) -> bool:
+def surely_undecided(value: Value, change: Change | FindChange) -> bool:
     """Whether a change that is not remembered was certainly never decided.
 
     The `version` and `base` of decided changes rise from one to the next, and each one's base is
--- a/libs/control_store/src/control_store/client.py
+++ b/libs/control_store/src/control_store/client.py
@@ -6,30 +6,42 @@
 """
 
 from collections.abc import Callable, Iterable
+from typing import cast
 
 from messaging import Component, Message
 
-from control_store.messages import Change, ChangeResult, ReadKey
+from control_store.messages import Change, ChangeResult, Outcome, ReadKey
 
-__all__ = ["ControlClient"]
+__all__ = ["ClientCallback", "ControlClient"]
 
-Done = Callable[[str, int, str], None]
+ClientCallback = Callable[[str, int, str], None]
+"""Gets the outcome (a value of `Outcome`), the version and the body."""
 
 
-class _Asking:
-    """A change or read in progress, with the control nodes to ask in turn."""
+class _PendingRequest:
+    """A change or read in progress, and the control nodes that are asked in turn."""
 
-    __slots__ = ("done", "due_ms", "make", "next_ms", "order", "sends")
+    __slots__ = ("addresses", "attempts", "done", "due_ms", "make_message", "retry_ms")
 
     def __init__(
-        self, make: Callable[[], Message], order: list[str], due_ms: int, done: Done
+        self,
+        make_message: Callable[[], Change | ReadKey],
+        addresses: list[str],
+        due_ms: int,
+        done: ClientCallback,
     ) -> None:
-        self.make = make
-        self.order = order
+        self.make_message = make_message
+        self.addresses = addresses
         self.due_ms = due_ms
         self.done = done
-        self.sends = 0
-        self.next_ms = 0
+        self.attempts = 0
+        self.retry_ms = 0
+
+    def next_address(self) -> str:
+        """Return the control node that the next attempt goes to, and count the attempt."""
+        address = self.addresses[self.attempts % len(self.addresses)]
+        self.attempts += 1
+        return address
 
 
 class ControlClient(Component):
@@ -39,7 +51,7 @@
     key, the first of which is most likely its owner's.
     """
 
-    __slots__ = ("_addresses", "_askings", "_likely")
+    __slots__ = ("_addresses", "_likely", "_pending")
 
     def __init__(
         self,
@@ -48,66 +60,69 @@
     ) -> None:
         self._addresses = addresses
         self._likely = likely
-        self._askings: list[_Asking] = []
+        self._pending: list[_PendingRequest] = []
 
-    def change(self, key: str, version: int, body: str, done: Done) -> None:
+    def change(self, key: str, version: int, body: str, done: ClientCallback) -> None:
         """Replace `version` of a key by `body`; `done` gets the outcome, the version and the body.
 
-        The outcome is a value of `Outcome`; "doubt" after twice force_ms without a conclusive
-        reply.
+        The outcome is DOUBT after twice force_ms without a conclusive reply.
         """
         change_id = self.node.env.token()
-        self._begin(
+        self._submit(
             key,
             lambda: Change(key=key, version=version, change_id=change_id, body=body, hops=0),
             done,
         )
 
-    def read(self, key: str, done: Done) -> None:
+    def read(self, key: str, done: ClientCallback) -> None:
         """Read a key; `done` gets the outcome, the version and the body, as for `change`."""
-        self._begin(key, lambda: ReadKey(key=key, hops=0), done)
+        self._submit(key, lambda: ReadKey(key=key, hops=0), done)
 
-    def _begin(self, key: str, make: Callable[[], Message], done: Done) -> None:
+    def _submit(
+        self, key: str, make_message: Callable[[], Change | ReadKey], done: ClientCallback
+    ) -> None:
         likely = self._likely(key)
         others = [address for address in self._addresses() if address not in likely]
         self.node.env.rng.shuffle(others)
-        asking = _Asking(
-            make, likely + others, self.node.env.now() + 2 * self.node.settings.force_ms, done
+        due_ms = self.node.env.now() + 2 * self.node.settings.force_ms
+        request = _PendingRequest(make_message, likely + others, due_ms, done)
+        if not request.addresses:
+            done(Outcome.DOUBT, 0, "")
+            return
+        self._pending.append(request)
+        self._send(request)
+
+    def _send(self, request: _PendingRequest) -> None:
+        settings = self.node.settings
+        request.retry_ms = self.node.env.now() + settings.request_timeout_ms // 2
+        address = request.next_address()
+        attempt = request.attempts
+        self.node.request(
+            address,
+            request.make_message(),
+            settings.request_timeout_ms * 2,
+            lambda reply: self._replied(request, attempt, reply),
         )
-        if not asking.order:
-            done("doubt", 0, "")
+
+    def _replied(self, request: _PendingRequest, attempt: int, reply: Message | None) -> None:
+        if request not in self._pending or reply is None:
             return
-        self._askings.append(asking)
-        self._send(asking)
-
-    def _send(self, asking: _Asking) -> None:
-        settings, now_ms = self.node.settings, self.node.env.now()
-        asking.next_ms = now_ms + settings.request_timeout_ms // 2
-        address = asking.order[asking.sends % len(asking.order)]
-        asking.sends += 1
-        number = asking.sends
-
-        def answered(receipt: ChangeResult | None) -> None:
-            if asking not in self._askings:
-                return
-            if receipt is not None and receipt.outcome not in ("doubt", "refused"):
-                self._finish(asking, receipt.outcome, receipt.version, receipt.body)
-            elif receipt is not None and number == asking.sends:
-                asking.next_ms = min(
-                    asking.next_ms, self.node.env.now() + settings.leader_heartbeat_ms // 2
-                )
-
-        self.node.request(address, asking.make(), settings.request_timeout_ms * 2, answered)
-
-    def _finish(self, asking: _Asking, outcome: str, version: int, body: str) -> None:
-        self._askings.remove(asking)
-        asking.done(outcome, version, body)
+        result = cast(ChangeResult, reply)
+        if result.outcome not in (Outcome.DOUBT, Outcome.REFUSED):
+            self._finish(request, result.outcome, result.version, result.body)
+        elif attempt == request.attempts:
+            soon_ms = self.node.env.now() + self.node.settings.leader_heartbeat_ms // 2
+            request.retry_ms = min(request.retry_ms, soon_ms)
+
+    def _finish(self, request: _PendingRequest, outcome: str, version: int, body: str) -> None:
+        self._pending.remove(request)
+        request.done(outcome, version, body)
 
     def tick(self) -> None:
         """Give up overdue requests, and send the others to the next control node if due."""
         now_ms = self.node.env.now()
-        for asking in list(self._askings):
-            if now_ms >= asking.due_ms:
-                self._finish(asking, "doubt", 0, "")
-            elif now_ms >= asking.next_ms:
-                self._send(asking)
+        for request in list(self._pending):
+            if now_ms >= request.due_ms:
+                self._finish(request, Outcome.DOUBT, 0, "")
+            elif now_ms >= request.retry_ms:
+                self._send(request)
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -1,17 +1,28 @@
 """Forwarding of operations to the owners of their keys, with retries after silence."""
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, cast
 
 from membership import Membership, duty_order, first_live
 
 from control_store.acceptor import Acceptor
-from control_store.key_states import Done
-from control_store.messages import Change, ChangeResult, FindChange, Outcome, ReadKey
+from control_store.messages import ChangeResult, Outcome
+from control_store.operations import ClientOperation, KeyOperation, ResultCallback
 
 __all__ = ["OperationForwarder"]
 
-_RELAY_HOPS = 2
+MAX_HOPS = 2
+
+
+class _Retry:
+    """An operation whose owner did not reply, to be tried again until `due_ms`."""
+
+    __slots__ = ("done", "due_ms", "operation")
+
+    def __init__(self, operation: ClientOperation, due_ms: int, done: ResultCallback) -> None:
+        self.operation = operation
+        self.due_ms = due_ms
+        self.done = done
 
 
 class OperationForwarder:
@@ -20,102 +31,107 @@
     `enqueue` queues an operation at this node until a time in ms of the node's clock.
     """
 
-    __slots__ = ("_again", "_enqueue", "_neighbours", "_node", "_voter")
+    __slots__ = ("_acceptor", "_enqueue", "_membership", "_node", "_retries")
 
     def __init__(
         self,
-        voter: Acceptor,
-        neighbours: Membership,
-        enqueue: Callable[[Any, int, Done], None],
+        acceptor: Acceptor,
+        membership: Membership,
+        enqueue: Callable[[KeyOperation, int, ResultCallback], None],
     ) -> None:
-        self._voter = voter
-        self._neighbours = neighbours
+        self._acceptor = acceptor
+        self._membership = membership
         self._enqueue = enqueue
         self._node: Any = None
-        self._again: list[tuple[Change | FindChange | ReadKey, int, Done]] = []
+        self._retries: list[_Retry] = []
 
     def attach(self, node: Any) -> None:
         """Set the node, which gives the clock, the settings and the messages."""
         self._node = node
 
-    def submit(self, message: Any, done: Done) -> None:
-        """Work on an operation here, or forward it to the key's owner; `done` gets the reply.
+    def submit(self, operation: ClientOperation, done: ResultCallback) -> None:
+        """Execute an operation here, or forward it to the key's owner; `done` gets the result.
 
         The node that first submits it retries after silence, since ownership may have moved; a
         change is recognized by its identifier. The outcome is DOUBT if no reply comes at all.
         """
-        if not self._voter.voters:
-            done(ChangeResult(outcome=Outcome.REFUSED, version=0, body="", reason="not founded"))
+        if not self._acceptor.voters:
+            done(ChangeResult.without_value(Outcome.REFUSED, "not founded"))
             return
         settings = self._node.settings
-        self._try(
-            message,
-            message.hops,
-            self._node.env.now()
-            + settings.confirmation_timeout_ms
-            + 3 * settings.request_timeout_ms,
-            done,
-        )
+        due_ms = self._node.env.now() + settings.confirmation_timeout_ms + 3 * settings.request_timeout_ms
+        self._attempt(operation, operation.hops, due_ms, done)
 
-    def _try(self, message: Any, hops: int, due_ms: int, done: Done) -> None:
-        settings, now_ms = self._node.settings, self._node.env.now()
-
-        def answered(receipt: ChangeResult | None) -> None:
-            unheard = receipt is None or (
-                receipt.outcome == Outcome.DOUBT and settings.cut_off == "serve"
-            )
-            if unheard and hops == 0 and self._node.env.now() < due_ms:
-                self._again.append((message, due_ms, done))
+    def _attempt(
+        self, operation: ClientOperation, hops: int, due_ms: int, done: ResultCallback
+    ) -> None:
+        def replied(result: ChangeResult | None) -> None:
+            if hops == 0 and self._node.env.now() < due_ms and self._is_unanswered(result):
+                self._retries.append(_Retry(operation, due_ms, done))
             else:
-                done(
-                    receipt
-                    or ChangeResult(
-                        outcome=Outcome.DOUBT,
-                        version=0,
-                        body="",
-                        reason="the key's owner did not answer",
-                    )
-                )
-
-        message.hops = hops
-        duty = self.owner_of(message.key)
-        if duty in (None, self._voter.identity) or hops >= _RELAY_HOPS:
-            self._enqueue(
-                message,
-                min(now_ms + settings.request_timeout_ms * 2, due_ms)
-                if hops == 0
-                else now_ms + settings.request_timeout_ms * 2,
-                answered,
-            )
-            return
-        message.hops += 1
-        wait_ms = due_ms - now_ms
+                done(result or _no_reply())
+
+        operation.hops = hops
+        owner = self.owner_of(operation.key)
+        if owner is None or owner == self._acceptor.identity or hops >= MAX_HOPS:
+            self._enqueue(operation, self._queue_due_ms(hops, due_ms), replied)
+        else:
+            self._forward(operation, self._acceptor.voters[owner], due_ms, replied)
+
+    def _is_unanswered(self, result: ChangeResult | None) -> bool:
+        """Whether an attempt is to be repeated: without a reply, or in doubt where edges serve on.
+
+        With cut_off = "serve" another owner may still give a conclusive reply in time.
+        """
+        if result is None:
+            return True
+        return result.outcome == Outcome.DOUBT and bool(self._node.settings.cut_off == "serve")
+
+    def _queue_due_ms(self, hops: int, due_ms: int) -> int:
+        """Return until when an operation may wait in this node's own queue."""
+        queue_due_ms: int = self._node.env.now() + self._node.settings.request_timeout_ms * 2
+        return min(queue_due_ms, due_ms) if hops == 0 else queue_due_ms
+
+    def _forward(
+        self,
+        operation: ClientOperation,
+        address: str,
+        due_ms: int,
+        replied: Callable[[ChangeResult | None], None],
+    ) -> None:
+        first_hop = operation.hops == 0
+        operation.hops += 1
+        timeout_ms = due_ms - self._node.env.now()
         self._node.request(
-            self._voter.voters[duty],
-            message,
-            min(wait_ms, settings.failure_timeout_ms) if hops == 0 else wait_ms,
-            answered,
+            address,
+            operation,
+            min(timeout_ms, self._node.settings.failure_timeout_ms) if first_hop else timeout_ms,
+            lambda message: replied(cast(ChangeResult | None, message)),
         )
 
-    def owner_of(self, concern: str) -> str | None:
-        """Return the identity of the node responsible for `concern`, or None if no voter is live.
+    def owner_of(self, key: str) -> str | None:
+        """Return the identity of the node responsible for a key, or None if no voter is live.
 
         It is the first live voter that is itself in contact with a majority, or the first live one.
         Voters with direct heartbeats come first: one that only others report as live may be
         unreachable from here.
         """
-        neighbours = self._neighbours
-        order = [name for name in duty_order(concern, self._voter.voters) if neighbours.live(name)]
+        membership = self._membership
+        order = [name for name in duty_order(key, self._acceptor.voters) if membership.live(name)]
         failure_timeout_ms = self._node.settings.failure_timeout_ms
-        direct = [name for name in order if neighbours.heard_itself(name, failure_timeout_ms)]
+        direct = [name for name in order if membership.heard_itself(name, failure_timeout_ms)]
         return (
-            first_live(direct, neighbours.hears)
-            or first_live(order, neighbours.hears)
+            first_live(direct, membership.hears)
+            or first_live(order, membership.hears)
             or next(iter(order), None)
         )
 
     def tick(self) -> None:
         """Retry the operations whose owner did not reply."""
-        again, self._again = self._again, []
-        for message, due_ms, done in again:
-            self._try(message, 0, due_ms, done)
+        retries, self._retries = self._retries, []
+        for retry in retries:
+            self._attempt(retry.operation, 0, retry.due_ms, retry.done)
+
+
+def _no_reply() -> ChangeResult:
+    return ChangeResult.without_value(Outcome.DOUBT, "the key's owner did not answer")
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -1,143 +1,134 @@
-"""Owning keys: the proposer of the ballots.
+"""The owner of keys: it executes the operations on them, one at a time for each key.
 
 A key's owner is the first live voter in the key's own order. It takes the key over by preparing a
 higher epoch on a majority, completes the proposal that it finds there, and then proposes changes
-under that epoch; each is on a majority of disks before it is acknowledged. An owner that is refused
-prepares again, which settles what became of its last change; only when time runs out before that is
-the outcome DOUBT. The states of a key are unowned, preparing, owned and changing.
+under that epoch; each is on a majority of disks before it is acknowledged. An owner that is
+rejected prepares again, which settles what became of its last change; only when time runs out
+before that is the outcome DOUBT. `control_store.proposer` has the rounds of requests.
 """
 
-import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, cast
 
 from config_feed import ConfigFeed
 from membership import Membership
-from messaging import Component, Message, Origin, decode, encode
+from messaging import Component, Message, Origin
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
-from control_store.change_memory import add_change, surely_untaken, taken_as
+from control_store.change_memory import add_change, decided_version, surely_undecided
 from control_store.forwarding import OperationForwarder
-from control_store.key_states import Done, KeyState, Operation, Renew, State, blank_value, newest
+from control_store.key_state import KeyState, OwnershipState, newest_accepted
 from control_store.messages import (
-    Accept,
     Change,
     ChangeResult,
-    Confirm,
     FindChange,
     Outcome,
-    Prepare,
     ReadKey,
     Value,
-    VoterListDecided,
 )
-from control_store.pending_acknowledgements import CONFIRMED_KEYS, PendingAcknowledgements
-from control_store.quorum_round import QuorumRound
+from control_store.operations import (
+    ClientOperation,
+    EnsureReplicated,
+    KeyOperation,
+    PendingOperation,
+    ResultCallback,
+)
+from control_store.pending_acknowledgements import ACKNOWLEDGED_KEYS, PendingAcknowledgements
+from control_store.proposer import Proposer, VoteRound
+from control_store.voter_list import VoterList
 
-__all__ = ["KeyOwner", "newest"]
+__all__ = ["KeyOwner"]
 
-
-def _not_taken(value: Value, message: Change | FindChange) -> tuple[Outcome, str]:
-    """Return the reply to a change that is not remembered and not based on the newest version."""
-    if surely_untaken(value, message):
-        return Outcome.LOST, f"version {value.version} is in place; this change is not"
-    return Outcome.FORGOTTEN, "older than the changes that are remembered"
+RETRY_PROBABILITY = 0.5
 
 
 class KeyOwner(Component):
-    """Works on the operations of keys that this node owns, one at a time for each key.
+    """Executes operations on the keys that this node owns.
 
     Operations on other nodes' keys are forwarded to their owners.
     """
 
-    __slots__ = ("_by", "_confirmations", "_config_feed", "_keys", "_relay", "_voter")
+    __slots__ = (
+        "_acceptor",
+        "_acknowledgements",
+        "_config_feed",
+        "_forwarder",
+        "_keys",
+        "_proposer",
+    )
     HANDLES = (Change, FindChange, ReadKey)
 
-    def __init__(self, voter: Acceptor, neighbours: Membership, config_feed: ConfigFeed) -> None:
-        self._voter = voter
+    def __init__(self, acceptor: Acceptor, membership: Membership, config_feed: ConfigFeed) -> None:
+        self._acceptor = acceptor
         self._config_feed = config_feed
-        self._by = ""
         self._keys: dict[str, KeyState] = {}
-        self._relay = OperationForwarder(voter, neighbours, self._enqueue)
-        self._confirmations = PendingAcknowledgements(voter, config_feed)
+        self._proposer = Proposer(acceptor)
+        self._forwarder = OperationForwarder(acceptor, membership, self._enqueue)
+        self._acknowledgements = PendingAcknowledgements(acceptor, config_feed)
 
     def attach(self, node: Any) -> None:
-        """Attach the node; each process proposes under an identity of its own."""
+        """Attach the node to this component and its parts."""
         super().attach(node)
-        self._relay.attach(node)
-        self._confirmations.attach(node)
-        self._by = f"{self._voter.identity}/{node.env.token()}"
+        self._forwarder.attach(node)
+        self._acknowledgements.attach(node)
+        self._proposer.attach(node)
 
     # -- submitting operations -----------------------------------------------------------------
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Work on an operation that another node sent, and reply to it."""
-        self.submit(message, lambda receipt: self.node.reply(origin, receipt))
+        """Execute an operation that another node sent, and reply to it."""
+        operation = cast(ClientOperation, message)
+        self.submit(operation, lambda result: self.node.reply(origin, result))
 
-    def submit(self, message: Change | FindChange | ReadKey, done: Done) -> None:
-        """Work on an operation here, or forward it to the key's owner; `done` gets the reply."""
-        self._relay.submit(message, done)
+    def submit(self, operation: ClientOperation, done: ResultCallback) -> None:
+        """Execute an operation here, or forward it to the key's owner; `done` gets the result."""
+        self._forwarder.submit(operation, done)
 
-    def owner_of(self, concern: str) -> str | None:
-        """Return the identity of the node responsible for `concern`, or None if no voter is live.
+    def owner_of(self, key: str) -> str | None:
+        """Return the identity of the node responsible for a key, or None if no voter is live.
 
         It is the first live voter that is itself in contact with a majority, or the first live one.
         """
-        return self._relay.owner_of(concern)
+        return self._forwarder.owner_of(key)
 
-    def renew(self, key: str, done: Callable[[bool], None]) -> None:
+    def ensure_replicated(self, key: str, done: Callable[[bool], None]) -> None:
         """Make sure that a majority of the present voters has the key's newest value.
 
         `done` gets whether that was achieved within twice request_timeout_ms.
         """
-        self._enqueue(
-            Renew(key),
-            self.node.env.now() + self.node.settings.request_timeout_ms * 2,
-            lambda receipt: done(receipt.outcome == Outcome.OK),
+        self._ensure_replicated(
+            EnsureReplicated(key), lambda result: done(result.outcome == Outcome.OK)
         )
 
-    def mend(self, name: str) -> None:
+    def _ensure_replicated(self, operation: EnsureReplicated, done: ResultCallback) -> None:
+        due_ms = self.node.env.now() + self.node.settings.request_timeout_ms * 2
+        self._enqueue(operation, due_ms, done)
+
+    def repair(self, name: str) -> None:
         """Repair replicas of a key that are out of date, without anybody waiting for it.
 
         Every voter is asked for its version; the newest value is sent to all again only if one that
         replied lacks it.
         """
         key = self._keys.get(name)
-        if key is None or key.state is not State.OWNED:
-            self.renew(name, lambda ok: None)
+        if key is None or key.state is not OwnershipState.OWNED:
+            self.ensure_replicated(name, lambda ok: None)
             return
         epoch, version = key.epoch, key.value.version
 
-        def heard(round_: QuorumRound, ok: bool) -> None:
-            if (key.epoch, key.value.version) != (epoch, version) or key.state is not State.OWNED:
+        def queried(key: KeyState, round_: VoteRound, ok: bool) -> None:
+            unchanged = (key.epoch, key.value.version) == (epoch, version)
+            if not unchanged or key.state is not OwnershipState.OWNED:
                 return
-            self._note(key, round_)
-            if self._holders(key, round_) < len(round_.replies):
-                self._enqueue(
-                    Renew(name, True),
-                    self.node.env.now() + self.node.settings.request_timeout_ms * 2,
-                    lambda receipt: None,
+            self._proposer.observe(key, round_)
+            if self._proposer.replica_count(key, round_) < len(round_.replies):
+                self._ensure_replicated(
+                    EnsureReplicated(name, unconditional=True), lambda result: None
                 )
 
-        QuorumRound(
-            self.node,
-            self._voter.voters,
-            Confirm(key=name, epoch=epoch, proposer=self._by, list_number=self._voter.list_number),
-            self.node.settings.request_timeout_ms,
-            heard,
-            True,
-        )
-
-    def _holders(self, key: KeyState, round_: QuorumRound) -> int:
-        """Count the voters that reported the newest value under this owner's epoch in a round."""
-        return sum(
-            1
-            for vote in round_.yes.values()
-            if vote.accepted == (key.epoch, self._by)
-            and (decode(vote.value).version if vote.value else 0) == key.value.version
-        )
+        self._proposer.query_versions(key, queried)
 
-    def epochs(self) -> dict[str, dict[str, Any]]:
+    def ownership(self) -> dict[str, dict[str, Any]]:
         """Return for each key that was worked on here its state, epoch and owner, for operators."""
         return {
             key.name: {
@@ -148,237 +139,200 @@
             for key in self._keys.values()
         }
 
-    def _enqueue(self, message: Any, due_ms: int, done: Done) -> None:
-        key = self._keys.setdefault(message.key, KeyState(message.key))
-        key.ops.append(Operation(message, due_ms, done))
-        if len(key.ops) == 1:
-            self._next(key)
+    # -- the queue of a key --------------------------------------------------------------------
+
+    def _enqueue(self, operation: KeyOperation, due_ms: int, done: ResultCallback) -> None:
+        key = self._keys.setdefault(operation.key, KeyState(operation.key))
+        key.operations.append(PendingOperation(operation, due_ms, done))
+        if len(key.operations) == 1:
+            self._start_next(key)
 
-    # -- executing a key's operations ----------------------------------------------------------
+    def _start_next(self, key: KeyState) -> None:
+        """Start the first operation of a key, unless a round of the key is still under way.
 
-    def _next(self, key: KeyState) -> None:
-        while key.ops and self.node.env.now() >= key.ops[0].due_ms:
-            self._answer(key, Outcome.DOUBT, "no majority of voters answered in time")
-        if not key.ops or key.asking:
+        A caller may submit again from within its callback, before a round has been processed.
+        """
+        while key.operations and self.node.env.now() >= key.operations[0].due_ms:
+            self._reply(key, Outcome.DOUBT, "no majority of voters answered in time")
+        if not key.operations or key.round_in_progress:
             return
-        if key.state is State.UNOWNED:
-            self._prepare(key)
+        if key.state is OwnershipState.UNOWNED:
+            self._proposer.prepare(key, self._prepared)
         else:
-            self._round(
-                key,
-                Confirm(
-                    key=key.name,
-                    epoch=key.epoch,
-                    proposer=self._by,
-                    list_number=self._voter.list_number,
-                ),
-                self._confirmed,
-            )
+            self._proposer.confirm(key, self._confirmed)
 
-    def _round(
-        self, key: KeyState, message: Message, done: Callable[[KeyState, QuorumRound, bool], None]
+    def _finish(
+        self, key: KeyState, outcome: Outcome, reason: str, version: int | None = None
     ) -> None:
-        """Start the only round of a key.
+        self._reply(key, outcome, reason, version)
+        if key.operations:
+            self._start_next(key)
 
-        A caller that is answered may ask again before the reply has been processed.
-        """
-        epoch, key.asking = key.epoch, True
-
-        def ended(round_: QuorumRound, ok: bool) -> None:
-            if key.epoch == epoch:
-                key.asking = False
-                done(key, round_, ok)
-
-        QuorumRound(
-            self.node, self._voter.voters, message, self.node.settings.request_timeout_ms, ended
+    def _reply(
+        self, key: KeyState, outcome: Outcome, reason: str, version: int | None = None
+    ) -> None:
+        """Reply to the first operation; `version` is the one that it made, if not the newest."""
+        operation = key.operations.pop(0)
+        value = key.value
+        known = outcome in (Outcome.OK, Outcome.LOST)
+        result = ChangeResult(
+            outcome=outcome,
+            version=(version or value.version) if known else 0,
+            body=value.body if known else "",
+            reason=reason,
         )
+        if (
+            outcome == Outcome.OK
+            and isinstance(operation.message, (Change, FindChange))
+            and key.name in ACKNOWLEDGED_KEYS
+        ):
+            self._acknowledgements.add(key.name, result, key.published_ms, operation.done)
+        else:
+            operation.done(result)
 
-    def _prepare(self, key: KeyState) -> None:
-        key.state = State.PREPARING
-        own = self._voter.registers.get(key.name)
-        key.epoch = max(key.epoch, key.seen_epoch, own.promised.epoch if own else 0) + 1
-        self._round(
-            key,
-            Prepare(
-                key=key.name,
-                epoch=key.epoch,
-                proposer=self._by,
-                list_number=self._voter.list_number,
-            ),
-            self._prepared,
-        )
+    # -- taking a key over ---------------------------------------------------------------------
 
-    def _prepared(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
-        self._note(key, round_)
+    def _prepared(self, key: KeyState, round_: VoteRound, ok: bool) -> None:
+        self._proposer.observe(key, round_)
         if not ok:
-            self._lose(key)
+            self._give_up_ownership(key)
             return
-        key.value = newest(list(round_.yes.values()))
+        key.value = newest_accepted(round_.agreed.values())
         if key.value.version == 0:
-            key.state = State.OWNED
-            self._apply(key, round_)
+            key.state = OwnershipState.OWNED
+            self._execute(key, round_)
         else:
-            self._accept(key, key.value, self._refinished)
+            self._proposer.accept(key, key.value, self._taken_over)
 
-    def _refinished(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
-        self._note(key, round_)
+    def _taken_over(self, key: KeyState, round_: VoteRound, ok: bool) -> None:
+        self._proposer.observe(key, round_)
         if not ok:
-            self._lose(key)
+            self._give_up_ownership(key)
             return
-        key.state = State.OWNED
+        key.state = OwnershipState.OWNED
         self.node.env.log("key-owned", key=key.name, epoch=key.epoch, version=key.value.version)
         self._publish(key)
         if (
             key.name == CONTROL_KEY
-            and json.loads(key.value.body)["number"] > self._voter.list_number
+            and VoterList.from_body(key.value.body).number > self._acceptor.list_number
         ):
-            self._voter.adopt_list(key.value.body, lambda kept: self._lose(key))
+            self._acceptor.adopt_list(key.value.body, lambda ok: self._give_up_ownership(key))
             return
-        self._apply(key, round_)
+        self._execute(key, round_)
 
-    def _confirmed(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
-        self._note(key, round_)
+    def _confirmed(self, key: KeyState, round_: VoteRound, ok: bool) -> None:
+        self._proposer.observe(key, round_)
         if ok:
-            self._apply(key, round_)
+            self._execute(key, round_)
         else:
-            self._lose(key)
+            self._give_up_ownership(key)
+
+    def _give_up_ownership(self, key: KeyState) -> None:
+        """Give up ownership after a rejection or a timeout.
 
-    def _apply(self, key: KeyState, round_: QuorumRound) -> None:
+        What the last round achieved is found out by preparing again shortly.
+        """
+        if key.state is not OwnershipState.UNOWNED:
+            self.node.env.log(
+                "key-lost", key=key.name, epoch=key.epoch, highest_epoch=key.highest_epoch
+            )
+        key.state = OwnershipState.UNOWNED
+
+    # -- executing an operation ----------------------------------------------------------------
+
+    def _execute(self, key: KeyState, round_: VoteRound) -> None:
         """Execute the first operation, now that ownership was confirmed after it was submitted."""
-        if not key.ops:
+        if not key.operations:
             return
-        message = key.ops[0].message
-        value = key.value
+        message = key.operations[0].message
         if isinstance(message, ReadKey):
             self._finish(key, Outcome.OK, "")
-        elif isinstance(message, Renew):
-            if value.version == 0 or (
-                not message.always and 2 * self._holders(key, round_) > len(self._voter.voters)
-            ):
-                self._finish(key, Outcome.OK, "")
-                return
-            self._accept(key, value, self._renewed)
+        elif isinstance(message, EnsureReplicated):
+            self._execute_replication(key, message, round_)
         else:
-            self._apply_change(key, message)
+            self._execute_change(key, message)
 
-    def _apply_change(self, key: KeyState, message: Change | FindChange) -> None:
+    def _execute_replication(
+        self, key: KeyState, operation: EnsureReplicated, round_: VoteRound
+    ) -> None:
+        replicated = not operation.unconditional and 2 * self._proposer.replica_count(
+            key, round_
+        ) > len(self._acceptor.voters)
+        if key.value.version == 0 or replicated:
+            self._finish(key, Outcome.OK, "")
+        else:
+            self._proposer.accept(key, key.value, self._replicated)
+
+    def _execute_change(self, key: KeyState, message: Change | FindChange) -> None:
         value = key.value
-        taken = taken_as(value, message.change_id)
-        if taken is not None:
-            self._finish(key, Outcome.OK, "", taken)
+        version = decided_version(value, message.change_id)
+        if version is not None:
+            self._finish(key, Outcome.OK, "", version)
         elif isinstance(message, FindChange) or message.version != value.version:
-            self._finish(key, *_not_taken(value, message))
+            self._finish(key, *_outcome_unless_decided(value, message))
         else:
-            fresh = add_change(value, message)
-            key.state = State.CHANGING
-            self._accept(key, fresh, lambda k, round_, ok: self._changed(k, fresh, round_, ok))
-
-    def _accept(
-        self, key: KeyState, value: Value, done: Callable[[KeyState, QuorumRound, bool], None]
-    ) -> None:
-        self._round(
-            key,
-            Accept(
-                key=key.name,
-                epoch=key.epoch,
-                proposer=self._by,
-                value=encode(value),
-                list_number=self._voter.list_number,
-            ),
-            done,
-        )
+            new_value = add_change(value, message)
+            key.state = OwnershipState.CHANGING
+            self._proposer.accept(
+                key, new_value, lambda key, round_, ok: self._changed(key, new_value, round_, ok)
+            )
 
-    def _changed(self, key: KeyState, fresh: Value, round_: QuorumRound, ok: bool) -> None:
-        self._note(key, round_)
+    def _changed(self, key: KeyState, new_value: Value, round_: VoteRound, ok: bool) -> None:
+        self._proposer.observe(key, round_)
         if not ok:
-            self._lose(key)
+            self._give_up_ownership(key)
             return
-        key.state = State.OWNED
-        key.value = fresh
+        key.state = OwnershipState.OWNED
+        key.value = new_value
+        change = key.operations[0].message if key.operations else None
         self.node.env.log(
             "key-changed",
             key=key.name,
             epoch=key.epoch,
-            version=fresh.version,
-            change=key.ops[0].message.change_id if key.ops else "",
+            version=new_value.version,
+            change=change.change_id if isinstance(change, Change) else "",
         )
         self._publish(key)
-        self._finish(key, Outcome.OK, "", fresh.version)
+        self._finish(key, Outcome.OK, "", new_value.version)
 
-    def _renewed(self, key: KeyState, round_: QuorumRound, ok: bool) -> None:
-        self._note(key, round_)
+    def _replicated(self, key: KeyState, round_: VoteRound, ok: bool) -> None:
+        self._proposer.observe(key, round_)
         if ok:
             self._finish(key, Outcome.OK, "")
         else:
-            self._lose(key)
-
-    def _lose(self, key: KeyState) -> None:
-        """Give up ownership after a refusal or a timeout.
-
-        What the last round achieved is found out by preparing again shortly.
-        """
-        if key.state is not State.UNOWNED:
-            self.node.env.log("key-lost", key=key.name, epoch=key.epoch, seen=key.seen_epoch)
-        key.state = State.UNOWNED
-
-    def _note(self, key: KeyState, round_: QuorumRound) -> None:
-        for vote in round_.replies.values():
-            key.seen_epoch = max(key.seen_epoch, vote.promised_epoch)
-            if vote.list_body and json.loads(vote.list_body)["number"] > self._voter.list_number:
-                self._voter.adopt_list(vote.list_body, lambda ok: None)
-            elif vote.reason == "behind":
-                address = self._voter.voters.get(vote.identity)
-                if address:
-                    self.node.send(
-                        address, VoterListDecided(list_body=self._voter.metadata.list_body)
-                    )
+            self._give_up_ownership(key)
 
     def _publish(self, key: KeyState) -> None:
-        key.changed_ms = self.node.env.now()
+        key.published_ms = self.node.env.now()
         self._config_feed.publish(key.name, key.value.version, key.value.body)
 
-    def _finish(
-        self, key: KeyState, outcome: Outcome, reason: str, version: int | None = None
-    ) -> None:
-        self._answer(key, outcome, reason, version)
-        if key.ops:
-            self._next(key)
-
-    def _answer(
-        self, key: KeyState, outcome: Outcome, reason: str, version: int | None = None
-    ) -> None:
-        op = key.ops.pop(0)
-        value = key.value or blank_value()
-        known = outcome in (Outcome.OK, Outcome.LOST)
-        receipt = ChangeResult(
-            outcome=outcome,
-            version=(version or value.version) if known else 0,
-            body=value.body if known else "",
-            reason=reason,
-        )
-        if (
-            outcome == Outcome.OK
-            and isinstance(op.message, (Change, FindChange))
-            and key.name in CONFIRMED_KEYS
-        ):
-            self._confirmations.wait(key.name, receipt, key.changed_ms, op.done)
-        else:
-            op.done(receipt)
+    # -- timers --------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Check confirmations and retries, and prepare unowned keys again at random."""
-        self._confirmations.check()
-        self._relay.tick()
+        """Check acknowledgements and retries, and prepare unowned keys again at random."""
+        self._acknowledgements.check()
+        self._forwarder.tick()
         for key in self._keys.values():
-            if key.ops and key.state is State.UNOWNED and self.node.env.rng.random() < 0.5:
-                self._next(key)
+            if (
+                key.operations
+                and key.state is OwnershipState.UNOWNED
+                and self.node.env.rng.random() < RETRY_PROBABILITY
+            ):
+                self._start_next(key)
 
     def resumed(self, gap_ms: int) -> None:
         """Give up all keys after a pause, and answer queued operations with DOUBT."""
         for key in self._keys.values():
             key.epoch += 1
-            key.asking = False
-            self._lose(key)
-            while key.ops:
-                self._answer(key, Outcome.DOUBT, "the owner was frozen")
-        self._confirmations.give_up()
+            key.round_in_progress = False
+            self._give_up_ownership(key)
+            while key.operations:
+                self._reply(key, Outcome.DOUBT, "the owner was frozen")
+        self._acknowledgements.give_up()
+
+
+def _outcome_unless_decided(value: Value, message: Change | FindChange) -> tuple[Outcome, str]:
+    """Return outcome and reason for a change that can neither be found nor be applied."""
+    if surely_undecided(value, message):
+        return Outcome.LOST, f"version {value.version} is in place; this change is not"
+    return Outcome.FORGOTTEN, "older than the changes that are remembered"
--- a/libs/control_store/src/control_store/messages.py
+++ b/libs/control_store/src/control_store/messages.py
@@ -286,3 +286,8 @@
     version: int
     body: str
     reason: str
+
+    @classmethod
+    def without_value(cls, outcome: Outcome, reason: str) -> "ChangeResult":
+        """Return the result of an operation of which no version is known."""
+        return cls(outcome=outcome, version=0, body="", reason=reason)
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -10,112 +10,118 @@
 from config_feed.version_tracker import CONFIRMERS
 
 from control_store.acceptor import Acceptor
-from control_store.key_states import Done
 from control_store.messages import ChangeResult, Outcome
+from control_store.operations import ResultCallback
 
-__all__ = ["CONFIRMED_KEYS", "PendingAcknowledgements"]
+__all__ = ["ACKNOWLEDGED_KEYS", "PendingAcknowledgements"]
 
-CONFIRMED_KEYS = ("profiles",)
+ACKNOWLEDGED_KEYS = ("profiles",)
 
 
-def _in_doubt(version: int) -> ChangeResult:
-    return ChangeResult(
-        outcome=Outcome.DOUBT,
-        version=0,
-        body="",
-        reason=f"kept as version {version}, but not known to be in force at most edges and stores",
-    )
-
-
-class _Waiting:
+class _DecidedChange:
     """A change that was decided and is not yet acknowledged."""
 
-    __slots__ = ("done", "due_ms", "key", "receipt")
+    __slots__ = ("done", "due_ms", "key", "result")
 
-    def __init__(self, key: str, receipt: ChangeResult, due_ms: int, done: Done) -> None:
+    def __init__(self, key: str, result: ChangeResult, due_ms: int, done: ResultCallback) -> None:
         self.key = key
-        self.receipt = receipt
+        self.result = result
         self.due_ms = due_ms
         self.done = done
 
+    @property
+    def version(self) -> int:
+        """The version that has to be in force."""
+        return self.result.version
+
+    def answer_in_doubt(self) -> None:
+        """Answer that the version may not be in force everywhere."""
+        reason = (
+            f"kept as version {self.version}, but not known to be in force at most edges and stores"
+        )
+        self.done(ChangeResult.without_value(Outcome.DOUBT, reason))
+
 
 class PendingAcknowledgements:
-    """Holds back the replies to changes until their versions are in force."""
+    """Delays the results of changes until their versions are in force."""
 
-    __slots__ = ("_config_feed", "_node", "_voter", "_waiting")
+    __slots__ = ("_acceptor", "_changes", "_config_feed", "_node")
 
-    def __init__(self, voter: Acceptor, config_feed: ConfigFeed) -> None:
-        self._voter = voter
+    def __init__(self, acceptor: Acceptor, config_feed: ConfigFeed) -> None:
+        self._acceptor = acceptor
         self._config_feed = config_feed
         self._node: Any = None
-        self._waiting: list[_Waiting] = []
+        self._changes: list[_DecidedChange] = []
 
     def attach(self, node: Any) -> None:
         """Set the node, which gives the clock and the settings."""
         self._node = node
 
-    def wait(self, key: str, receipt: ChangeResult, changed_ms: int, done: Done) -> None:
-        """Call `done` with `receipt` once its version is in force, or with DOUBT after a timeout.
+    def add(self, key: str, result: ChangeResult, published_ms: int, done: ResultCallback) -> None:
+        """Call `done` with `result` once its version is in force, or with DOUBT after a timeout.
 
-        `changed_ms` is when the owner published the key's newest value, in ms of the node's clock.
+        `published_ms` is when the owner published the key's newest value, in ms of the node's
+        clock.
         """
         settings = self._node.settings
         due_ms = (
-            changed_ms + settings.edge_confirmation_timeout_ms
+            published_ms + settings.edge_confirmation_timeout_ms
             if settings.cut_off == "serve"
             else self._node.env.now() + settings.confirmation_timeout_ms
         )
-        self._waiting.append(_Waiting(key, receipt, due_ms, done))
+        self._changes.append(_DecidedChange(key, result, due_ms, done))
         self.check()
 
     def check(self) -> None:
         """Acknowledge the versions that are in force, and answer overdue ones with DOUBT.
 
-        A version is in force once a majority of the roster of edges and stores reports it and every
-        live node does too, or those that do not have had to become unready. Without a majority of
-        the roster the other side of a network partition may still serve under an older version, so
-        the outcome is DOUBT.
+        A version is in force once a majority of the serving set reports it and every live node does
+        too, or those that do not have had to become unready. Without a majority of the serving set
+        the other side of a network partition may still serve under an older version, so the outcome
+        is DOUBT.
 
-        With cut_off = "serve" there is no roster. A majority of the voters has to publish the
+        With cut_off = "serve" there is no serving set. A majority of the voters has to publish the
         version, and nodes that have not learned it from them in time count as disconnected. A
-        version that is only on the voters' disks is published after the next ballot.
+        version that is only on the voters' disks is published after the next proposal.
         """
-        now_ms, settings, config_feed = self._node.env.now(), self._node.settings, self._config_feed
-        waiting, self._waiting = self._waiting, []
-        for change in waiting:
-            name, version, due_ms = change.key, change.receipt.version, change.due_ms
-            serves = settings.cut_off == "serve"
-            most = (
-                self._handed_out(name, version)
-                if serves
-                else config_feed.most_confirm(name, version, settings.confirmation_timeout_ms)
-            )
-            within_ms = settings.failure_timeout_ms if serves else settings.confirmation_timeout_ms
-            if most and (
-                now_ms >= due_ms
-                or config_feed.all_confirm(name, version, CONFIRMERS[name], within_ms)
-            ):
-                change.done(change.receipt)
-            elif now_ms >= due_ms + 2 * settings.request_timeout_ms:
-                change.done(_in_doubt(version))
+        now_ms, settings = self._node.env.now(), self._node.settings
+        changes, self._changes = self._changes, []
+        for change in changes:
+            if self._is_in_force(change, now_ms):
+                change.done(change.result)
+            elif now_ms >= change.due_ms + 2 * settings.request_timeout_ms:
+                change.answer_in_doubt()
             else:
-                self._waiting.append(change)
+                self._changes.append(change)
+
+    def _is_in_force(self, change: _DecidedChange, now_ms: int) -> bool:
+        settings, config_feed = self._node.settings, self._config_feed
+        key, version = change.key, change.version
+        if settings.cut_off == "serve":
+            majority, within_ms = self._is_published_by_majority(key, version), settings.failure_timeout_ms
+        else:
+            within_ms = settings.confirmation_timeout_ms
+            majority = config_feed.most_confirm(key, version, within_ms)
+        return majority and (
+            now_ms >= change.due_ms
+            or config_feed.all_confirm(key, version, CONFIRMERS[key], within_ms)
+        )
 
-    def _handed_out(self, key: str, version: int) -> bool:
+    def _is_published_by_majority(self, key: str, version: int) -> bool:
         """Whether a majority of the voters publishes the version, this node counted if it votes."""
-        config_feed, voters = self._config_feed, self._voter.voters
-        floor_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
-        have = {
+        config_feed, voters = self._config_feed, self._acceptor.voters
+        oldest_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
+        publishing = {
             identity
             for identity, (_, at_ms, numbers, _) in config_feed.confirmed.items()
-            if at_ms >= floor_ms and numbers.get(key, 0) >= version
+            if at_ms >= oldest_ms and numbers.get(key, 0) >= version
         }
         if config_feed.number(key) >= version:
-            have.add(self._voter.identity)
-        return 2 * len(have & set(voters)) > len(voters)
+            publishing.add(self._acceptor.identity)
+        return 2 * len(publishing & set(voters)) > len(voters)
 
     def give_up(self) -> None:
-        """Answer all waiting changes with DOUBT."""
-        waiting, self._waiting = self._waiting, []
-        for change in waiting:
-            change.done(_in_doubt(change.receipt.version))
+        """Answer all pending changes with DOUBT."""
+        changes, self._changes = self._changes, []
+        for change in changes:
+            change.answer_in_doubt()
--- a/libs/control_store/src/control_store/quorum_round.py
+++ b/libs/control_store/src/control_store/quorum_round.py
@@ -1,59 +1,80 @@
-"""One round of asking all voters and counting their replies.
+"""One round of requests to all voters, with a count of their replies.
 
 A round ends as soon as a majority has agreed, as soon as that can no longer happen, or when its
-time is up. A patient round waits until all have replied or its time is up.
+time is up. A round that waits for all ends only once all have replied or its time is up.
 """
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Generic, Protocol, TypeVar, cast
 
 from messaging import Message
 
-__all__ = ["QuorumRound"]
+__all__ = ["QuorumReply", "QuorumRound"]
 
 
-class QuorumRound:
+class QuorumReply(Protocol):
+    """What a voter's reply says: who replied, and whether it agrees."""
+
+    identity: str
+    ok: bool
+
+
+Reply = TypeVar("Reply", bound=QuorumReply)
+
+
+class QuorumRound(Generic[Reply]):
     """Sends `message` to all `voters` (identity to address) and calls `done` with the result once.
 
-    `wait_ms` is how long each voter's reply is waited for. `yes` has the replies that agreed and
-    `replies` all of them, by identity; both may grow after the round has ended.
+    `timeout_ms` is how long each voter's reply is waited for. `agreed` has the replies that agreed
+    and `replies` all of them, by identity; both may grow after the round has ended.
     """
 
-    __slots__ = ("_done", "_left", "_need", "_patient", "replies", "yes")
+    __slots__ = ("_done", "_majority", "_outstanding", "_wait_for_all", "agreed", "replies")
 
     def __init__(
         self,
         node: Any,
         voters: dict[str, str],
         message: Message,
-        wait_ms: int,
-        done: Callable[["QuorumRound", bool], None],
-        patient: bool = False,
+        timeout_ms: int,
+        done: Callable[["QuorumRound[Reply]", bool], None],
+        wait_for_all: bool = False,
     ) -> None:
-        self._patient = patient
-        self._done: Callable | None = done
-        self._need = len(voters) // 2 + 1
-        self._left = set(voters)
-        self.yes: dict[str, Message] = {}
-        self.replies: dict[str, Message] = {}
+        self._wait_for_all = wait_for_all
+        self._done: Callable[[QuorumRound[Reply], bool], None] | None = done
+        self._majority = len(voters) // 2 + 1
+        self._outstanding = set(voters)
+        self.agreed: dict[str, Reply] = {}
+        self.replies: dict[str, Reply] = {}
         for identity, address in voters.items():
             node.request(
-                address, message, wait_ms, lambda receipt, name=identity: self._take(name, receipt)
+                address,
+                message,
+                timeout_ms,
+                lambda reply, identity=identity: self._take(identity, reply),
             )
 
-    def _take(self, name: str, receipt: Any) -> None:
-        if name not in self._left:
+    def _take(self, identity: str, message: Message | None) -> None:
+        """Count the reply of the voter that `identity` was expected of; None if it timed out."""
+        if identity not in self._outstanding:
+            return
+        self._outstanding.discard(identity)
+        if message is not None:
+            self._count(identity, cast(Reply, message))
+        if self._done is None or (self._wait_for_all and self._outstanding):
             return
-        self._left.discard(name)
-        if receipt is not None and receipt.identity == name:
-            self.replies[name] = receipt
-            if receipt.ok:
-                self.yes[name] = receipt
-        if self._done is None or (self._patient and self._left):
+        if len(self.agreed) >= self._majority:
+            self._end(self._done, True)
+        elif len(self.agreed) + len(self._outstanding) < self._majority:
+            self._end(self._done, False)
+
+    def _count(self, identity: str, reply: Reply) -> None:
+        if reply.identity != identity:
             return
-        if len(self.yes) >= self._need:
-            done, self._done = self._done, None
-            done(self, True)
-        elif len(self.yes) + len(self._left) < self._need:
-            done, self._done = self._done, None
-            done(self, False)
+        self.replies[identity] = reply
+        if reply.ok:
+            self.agreed[identity] = reply
+
+    def _end(self, done: Callable[["QuorumRound[Reply]", bool], None], ok: bool) -> None:
+        self._done = None
+        done(self, ok)
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -36,7 +36,7 @@
     ),
     "a duty is left with a voter that is only heard of": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, neighbours.hears) or",
+        "first_live(direct, membership.hears) or",
         "",
         _CUT_OFF + "vouches",
     ),
@@ -48,20 +48,20 @@
     ),
     "a new steward gives up a replacement": (
         "control_store/src/control_store/voter_succession.py",
-        "return _list(listed, rows) if back else None",
-        "return _list(listed, rows)",
+        "return current.successor(voters) if returned else None",
+        "return current.successor(voters)",
         _VOTER_LOSSES + "gives_up",
     ),
     "a lost voter stays on an even list": (
         "control_store/src/control_store/voter_succession.py",
-        "if gone and len(rows) % 2 == 0:",
+        "if lost and len(voters) % 2 == 0:",
         "if False:",
         _VOTER_LOSSES + "before_the_loss",
     ),
     "voters change without a sweep": (
-        "control_store/src/control_store/bootstrap.py",
-        "self._sweep(lambda ok: self._change_list(following) if ok else self._idle())",
-        "self._change_list(following)",
+        "control_store/src/control_store/steward.py",
+        "self._key_sweep.ensure_all_replicated(lambda ok: self._swept(next_list, ok))",
+        "self._swept(next_list, True)",
         _CONTROL + "swept",
     ),
     "a lost change is taken": (
@@ -72,7 +72,7 @@
     ),
     "a resent change is taken again": (
         "control_store/src/control_store/key_owner.py",
-        "if taken is not None:",
+        "if version is not None:",
         "if False:",
         _CONTROL + "resend",
     ),
@@ -90,8 +90,8 @@
     ),
     "acknowledged before it is in force": (
         "control_store/src/control_store/pending_acknowledgements.py",
-        "if most and (now_ms >= due_ms or config_feed.all_confirm(",
-        "if most and (True or config_feed.all_confirm(",
+        "return majority and ( now_ms >= change.due_ms or config_feed.all_confirm(",
+        "return majority and (True or config_feed.all_confirm(",
         _FEED + "not_acknowledged",
     ),
     "acknowledged with most edges cut off": (
@@ -126,19 +126,19 @@
     ),
     "a voter that hears nobody keeps its duties": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, neighbours.hears) or first_live(order, neighbours.hears) or",
+        "first_live(direct, membership.hears) or first_live(order, membership.hears) or",
         "",
         _FOUNDING + "hears_nobody",
     ),
     "a disk that lost its vote votes again": (
         "control_store/src/control_store/bootstrap.py",
-        "elif not self._may_found():",
+        "elif not self._may_bootstrap():",
         "elif False:",
         _FOUNDING + "wiped_before",
     ),
     "a lost disk's vote under way is not waited for": (
         "control_store/src/control_store/voter_succession.py",
-        "if settled(card):",
+        "if observations.is_settled(node):",
         "if True:",
         _FOUNDING + "another_identity",
     ),
@@ -162,7 +162,7 @@
     ),
     "acknowledged while no other voter hands it out": (
         "control_store/src/control_store/pending_acknowledgements.py",
-        "return 2 * len(have & set(voters)) > len(voters)",
+        "return 2 * len(publishing & set(voters)) > len(voters)",
         "return True",
         _ORDERS + "nobody_hands_out",
     ),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -4,7 +4,7 @@
 
 from config_feed.patches import apply_patch, merge, merge_diff
 from control_store import Change, ProfileTree, ReadKey, check_tree, explain
-from control_store.key_owner import newest
+from control_store.key_state import newest_accepted
 from control_store.messages import Accept, Prepare, Value, Vote
 from messaging import encode
 from simulator.fleet import SimFleet
@@ -59,8 +59,10 @@
         ]
         for first, second, wanted in rows:
             for pair in ((first, second), (second, first)):
-                self.assertThat(newest([vote(*row) for row in pair]).version, Equals(wanted))
-        self.assertThat(newest([vote(0, "", 0)]).version, Equals(0))
+                self.assertThat(
+                    newest_accepted([vote(*row) for row in pair]).version, Equals(wanted)
+                )
+        self.assertThat(newest_accepted([vote(0, "", 0)]).version, Equals(0))
 
     def test_late_accept_of_an_older_version_is_refused(self):
         fleet = self.founded()
@@ -136,14 +138,14 @@
         self.ask(fleet, "control1", self.change(0, "a"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
-        before = owner.node.owner.epochs()["profiles"]["epoch"]
+        before = owner.node.owner.ownership()["profiles"]["epoch"]
         owner.kill()
         other = next(host for host in fleet.with_role("control") if host.up)
         fleet.run_until_true(lambda: False, 1500)
         receipt = self.ask(fleet, other.name, self.change(1, "b"), 8000)
         self.assertThat((receipt.outcome, receipt.version), Equals(("ok", 2)))
         epochs = [
-            host.node.owner.epochs().get("profiles", {"epoch": 0})["epoch"]
+            host.node.owner.ownership().get("profiles", {"epoch": 0})["epoch"]
             for host in fleet.with_role("control")
             if host.up
         ]
@@ -223,7 +225,7 @@
             return {row.version for row in rows()}
 
         before = rows()
-        owner.node.owner.mend("profiles")
+        owner.node.owner.repair("profiles")
         fleet.run_until_true(lambda: False, 200)
         self.assertThat(
             all(row is was for row, was in zip(rows(), before, strict=True)), Equals(True)
@@ -234,7 +236,7 @@
         fleet.run_until_true(lambda: owner.node.config_feed.number("profiles") == 2, 2000)
         fleet.network.heal()
         self.assertThat(versions(), Equals({1, 2}))
-        owner.node.owner.mend("profiles")
+        owner.node.owner.repair("profiles")
         fleet.run_until_true(lambda: False, 200)
         self.assertThat(versions(), Equals({2}))
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -6,6 +6,8 @@
 from unittest import mock
 
 import control_store.key_owner
+import control_store.key_state
+import control_store.proposer
 import control_store.register_store
 from control_store.quorum_round import QuorumRound
 from hypothesis import HealthCheck, settings
@@ -35,11 +37,11 @@
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
-        self._need = 1
+        self._majority = 1
 
 
 def forget(votes):
-    return control_store.key_owner.blank_value()
+    return control_store.key_state.blank_value()
 
 
 def vote_unflushed(self):
@@ -48,19 +50,19 @@
         done(True)
 
 
-def refuse_cut_short(self, key, fresh, round_, ok):
+def refuse_cut_short(self, key, new_value, round_, ok):
     """A change whose round was cut short is refused instead of looked into."""
     if ok:
-        WHOLE_CHANGED(self, key, fresh, round_, ok)
+        WHOLE_CHANGED(self, key, new_value, round_, ok)
     else:
-        key.state = control_store.key_owner.State.UNOWNED
+        key.state = control_store.key_state.OwnershipState.UNOWNED
         self._finish(key, "lost", "")
 
 
 def read_unasked(self, key):
     """An owner that was one once answers without asking its voters again."""
-    if key.state is control_store.key_owner.State.OWNED and key.ops:
-        self._apply(key, None)
+    if key.state is control_store.key_state.OwnershipState.OWNED and key.operations:
+        self._execute(key, None)
     else:
         WHOLE_NEXT(self, key)
 
@@ -68,12 +70,12 @@
 def attach_unnamed(self, node):
     """Owners of one epoch can't be told apart."""
     WHOLE_ATTACH(self, node)
-    self._by = "owner"
+    self._proposer.identity = "owner"
 
 
 WHOLE_ATTACH = control_store.key_owner.KeyOwner.attach
 WHOLE_CHANGED = control_store.key_owner.KeyOwner._changed
-WHOLE_NEXT = control_store.key_owner.KeyOwner._next
+WHOLE_NEXT = control_store.key_owner.KeyOwner._start_next
 
 
 def patched(where, name, other):
@@ -93,19 +95,19 @@
 # What is broken, the start that shows it, its bounds, and the invariants that may be the first to fail.
 BREAKS = {
     "one vote is a majority": (
-        patched(control_store.key_owner, "QuorumRound", OneVote),
+        patched(control_store.proposer, "QuorumRound", OneVote),
         "owners-racing",
         {},
         ("C5",),
     ),
     "an owner forgets what it found": (
-        patched(control_store.key_owner, "newest", forget),
+        patched(control_store.key_owner, "newest_accepted", forget),
         "three-voters",
         {"powers": 0, "slow_disk": False},
         ("C1", "C2", "C6"),
     ),
     "two owners forget what they found": (
-        patched(control_store.key_owner, "newest", forget),
+        patched(control_store.key_owner, "newest_accepted", forget),
         "resent-connected",
         CALM,
         ("C1", "C2"),
@@ -129,7 +131,7 @@
         ("C4",),
     ),
     "a reading without a round": (
-        patched(control_store.key_owner.KeyOwner, "_next", read_unasked),
+        patched(control_store.key_owner.KeyOwner, "_start_next", read_unasked),
         "read-behind",
         {},
         ("C6",),
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -6,7 +6,8 @@
 from types import SimpleNamespace
 
 from control_store import Change
-from control_store.voter_succession import founding_rows, next_of_all
+from control_store.voter_list import Voter, VoterList
+from control_store.voter_succession import first_voters, next_list_of_all_nodes
 from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength, LessThan
@@ -22,33 +23,43 @@
 }
 
 
-def card(identity, address):
+def node_info(identity, address):
     return SimpleNamespace(identity=identity, address=address, zone="z", region="")
 
 
-def named(rows):
-    return [row["identity"] for row in rows]
+def identities(voters):
+    return [voter.identity for voter in voters]
+
+
+def observations(silent="", settled=True, all_heard=True):
+    """What the steward has observed: who is silent, and the rest the same for every node."""
+    return SimpleNamespace(
+        is_silent=lambda identity: identity in silent,
+        is_settled=lambda node: settled,
+        all_voters_heard_since=lambda node: all_heard,
+        has_returned=lambda identity: identity not in silent,
+    )
 
 
 class Rules(TestCase):
-    def test_who_founds(self):
-        cards = [card("c", "1"), card("a", "2"), card("b", "3"), card("d", "4")]
+    def test_who_votes_first(self):
+        nodes = [node_info("c", "1"), node_info("a", "2"), node_info("b", "3"), node_info("d", "4")]
         rows = [
-            (cards, 3, {"9"}, ["a", "b", "c"]),
-            (cards, 5, {"9"}, []),
-            (cards, 0, {"1", "2", "3"}, ["a", "b", "c"]),
-            (cards[:2], 0, {"1", "2", "3"}, []),
-            (cards, 0, {"4"}, ["d"]),
-            (cards, 0, {"1", "4"}, ["c", "d"]),
-            ([*cards, card("e", "1")], 0, {"1", "2"}, []),
+            (nodes, 3, {"9"}, ["a", "b", "c"]),
+            (nodes, 5, {"9"}, []),
+            (nodes, 0, {"1", "2", "3"}, ["a", "b", "c"]),
+            (nodes[:2], 0, {"1", "2", "3"}, []),
+            (nodes, 0, {"4"}, ["d"]),
+            (nodes, 0, {"1", "4"}, ["c", "d"]),
+            ([*nodes, node_info("e", "1")], 0, {"1", "2"}, []),
         ]
         for known, count, seeds, wanted in rows:
             self.assertThat(
-                named(founding_rows(known, count, seeds)), Equals(wanted), (count, seeds)
+                identities(first_voters(known, count, seeds)), Equals(wanted), (count, seeds)
             )
 
     def test_which_list_follows(self):
-        """Spares are (identity, address); then who is silent, retired, and whether all were heard since."""
+        """Standbys are (identity, address); then who is silent, retired, and whether all were heard since."""
         rows = [
             ("abc", "", [], "c", "", True, None),
             ("abc", "", [], "bc", "", True, None),
@@ -63,40 +74,28 @@
             ("abcd", "a", [], "", "a", True, ("bcd", "")),
             ("abc", "", [], "", "a", True, None),
         ]
-        for names, leaving, spares, quiet, retired, heard, wanted in rows:
-            listed = {
-                "number": 4,
-                "voters": [
-                    {"identity": name, "address": str(place + 1)}
-                    for place, name in enumerate(names)
-                ],
-                **({"leaving": leaving} if leaving else {}),
-            }
-            following = next_of_all(
-                listed,
-                [card(*spare) for spare in spares],
+        for names, leaving, standbys, silent, retired, all_heard, wanted in rows:
+            current = VoterList(
+                4,
+                [Voter(name, str(position), None, None) for position, name in enumerate(names, 1)],
+                leaving,
+            )
+            next_list = next_list_of_all_nodes(
+                current,
+                [node_info(*standby) for standby in standbys],
                 set(retired),
-                lambda name, quiet=quiet: name in quiet,
-                lambda spare: True,
-                lambda spare, heard=heard: heard,
-                lambda name, quiet=quiet: name not in quiet,
+                observations(silent=silent, all_heard=all_heard),
             )
-            got = following and ("".join(named(following["voters"])), following.get("leaving", ""))
-            self.assertThat(got, Equals(wanted), (names, leaving, spares, quiet, retired))
+            got = next_list and ("".join(next_list.identities()), next_list.leaving)
+            self.assertThat(got, Equals(wanted), (names, leaving, standbys, silent, retired))
 
     def test_another_identity_at_an_address_waits_until_no_vote_of_the_old_one_can_be_under_way(
         self,
     ):
-        listed = {"number": 1, "voters": [{"identity": name, "address": name} for name in "abc"]}
+        current = VoterList(1, [Voter(name, name, None, None) for name in "abc"])
         self.assertThat(
-            next_of_all(
-                listed,
-                [card("x", "a")],
-                set(),
-                lambda name: False,
-                lambda spare: False,
-                lambda spare: True,
-                lambda name: True,
+            next_list_of_all_nodes(
+                current, [node_info("x", "a")], set(), observations(settled=False)
             ),
             Equals(None),
         )
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -166,7 +166,7 @@
 
     def test_a_register_that_takes_a_lost_change_is_found(self):
         """The base version is not looked at: of two changes on one base both are confirmed."""
-        broken = mock.patch.object(control_store.key_owner.KeyOwner, "_apply", apply_on_any_base)
+        broken = mock.patch.object(control_store.key_owner.KeyOwner, "_execute", apply_on_any_base)
         with broken:
             found = any(check_seed(seed, FAULTS, "small").breaches for seed in SEEDS)
         self.assertThat(found, Equals(True))
@@ -187,11 +187,11 @@
         self.assertThat((result.objects, len(result.breaches)), Equals((2, 1)))
 
 
-WHOLE_APPLY = control_store.key_owner.KeyOwner._apply
+WHOLE_APPLY = control_store.key_owner.KeyOwner._execute
 
 
 def apply_on_any_base(self, key, round_):
-    message = key.ops[0].message if key.ops else None
+    message = key.operations[0].message if key.operations else None
     if hasattr(message, "change_id") and message.change_id not in key.value.change_ids:
         message.version = key.value.version
     WHOLE_APPLY(self, key, round_)
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -7,7 +7,7 @@
 
 from config_feed.patches import merge, merge_diff
 from control_store import Change, ReadKey, WorkerReport, apply_reports, empty_list
-from control_store.change_memory import REMEMBERED_ORDERS
+from control_store.change_memory import REMEMBERED_PROFILE_CHANGES
 from messaging import encode
 from simulator.fleet import SimFleet
 from simulator.virtual import Network
@@ -290,7 +290,9 @@
             )
         body = watched.bodies["profiles", watched.newest("profiles")]
         memory_bytes = value_bytes - len(body)
-        self.assertThat(memory_bytes <= REMEMBERED_ORDERS * self.REMEMBERED_BYTES, Equals(True))
+        self.assertThat(
+            memory_bytes <= REMEMBERED_PROFILE_CHANGES * self.REMEMBERED_BYTES, Equals(True)
+        )
         return rows
 
     def reads(self, watched, names, told):
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -3,9 +3,11 @@
 """
 
 import json
+from types import SimpleNamespace
 
 from control_store import Change
-from control_store.voter_succession import next_of_all
+from control_store.voter_list import Voter, VoterList
+from control_store.voter_succession import next_list_of_all_nodes
 from simulator.fleet import SimFleet
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -90,29 +92,23 @@
                     )
 
     def test_a_new_steward_gives_up_no_replacement_before_it_knows_more(self):
-        listed = {
-            "number": 4,
-            "leaving": "b",
-            "voters": [{"identity": name, "address": name} for name in "abcd"],
-        }
+        voters = [Voter(name, name, None, None) for name in "abcd"]
+        current = VoterList(4, voters, leaving="b")
         rows = [
-            # speaks again, the list that follows
+            # has returned, the list that follows
             (None, None),
             (False, ["a", "c", "d"]),
             (True, ["a", "b", "c", "d"]),
         ]
         for returned, wanted in rows:
-            following = next_of_all(
-                listed,
-                [],
-                set(),
-                lambda name: False,
-                lambda card: True,
-                lambda card: True,
-                lambda name, returned=returned: returned,
+            observations = SimpleNamespace(
+                is_silent=lambda identity: False,
+                is_settled=lambda node: True,
+                all_voters_heard_since=lambda node: True,
+                has_returned=lambda identity, returned=returned: returned,
             )
-            got = following and [row["identity"] for row in following["voters"]]
-            self.assertThat(got, Equals(wanted), returned)
+            next_list = next_list_of_all_nodes(current, [], set(), observations)
+            self.assertThat(next_list and next_list.identities(), Equals(wanted), returned)
 
     def test_a_replacement_that_comes_before_the_loss_leaves_no_lost_voter(self):
         """Planned: the new machine is a voter first, then the old one goes for good."""
