--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -95,7 +95,9 @@
             self.config_feed,
             lambda: self._is_voter() and self._hears(settings.contact_timeout_ms),
         )
-        self.voter_list_manager = VoterListManager(self.acceptor, self.owner, self.membership, self.config_feed)
+        self.voter_list_manager = VoterListManager(
+            self.acceptor, self.owner, self.membership, self.config_feed
+        )
         self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
 
     def _make_services(self) -> None:
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -59,7 +59,11 @@
             done(ChangeResult.without_value(Outcome.REFUSED, "not founded"))
             return
         settings = self._node.settings
-        due_ms = self._node.env.now() + settings.confirmation_timeout_ms + 3 * settings.request_timeout_ms
+        due_ms = (
+            self._node.env.now()
+            + settings.confirmation_timeout_ms
+            + 3 * settings.request_timeout_ms
+        )
         self._attempt(operation, operation.hops, due_ms, done)
 
     def _attempt(
--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -44,7 +44,10 @@
     # -- unknown values ------------------------------------------------------------------------
 
     def read_unknown(self) -> None:
-        """Read keys of which no value is known: once owned by this node, and then every removal_timeout_ms."""
+        """Read the keys of this node of which no value is known.
+
+        That is done as soon as it owns them, and then every removal_timeout_ms.
+        """
         for key in self._known_keys():
             if not self._owns(key):
                 self._read_ms.pop(key, None)
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -98,7 +98,10 @@
         settings, config_feed = self._node.settings, self._config_feed
         key, version = change.key, change.version
         if settings.cut_off == "serve":
-            majority, within_ms = self._is_published_by_majority(key, version), settings.failure_timeout_ms
+            majority, within_ms = (
+                self._is_published_by_majority(key, version),
+                settings.failure_timeout_ms,
+            )
         else:
             within_ms = settings.confirmation_timeout_ms
             majority = config_feed.most_confirm(key, version, within_ms)
--- a/libs/control_store/src/control_store/proposer.py
+++ b/libs/control_store/src/control_store/proposer.py
@@ -109,7 +109,13 @@
                 key.round_in_progress = False
                 done(key, round_, ok)
 
-        QuorumRound(self._node, self._acceptor.voters, request, self._node.settings.request_timeout_ms, ended)
+        QuorumRound(
+            self._node,
+            self._acceptor.voters,
+            request,
+            self._node.settings.request_timeout_ms,
+            ended,
+        )
 
     # -- replies -------------------------------------------------------------------------------
 
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -44,7 +44,9 @@
 
     def is_silent(self, identity: str) -> bool:
         """Whether a voter has sent no heartbeat for removal_timeout_ms."""
-        return self.is_long_awake() and not self._membership.live(identity, self._settings.removal_timeout_ms)
+        return self.is_long_awake() and not self._membership.live(
+            identity, self._settings.removal_timeout_ms
+        )
 
     def is_settled(self, node: NodeLocation) -> bool:
         """Whether a node has been known for longer than a request may be under way."""
