--- a/libs/batch_state/src/batch_state/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -1,8 +1,20 @@
-"""The state machine of the replicated log: what its entries add up to.
+"""The replicated state machine of batch jobs and idempotency keys, and the leader's service for it.
 
-It has jobs (batches of items), who may run which item, listing leases, listed results, and
-transactions that are not safe to repeat. A listing lease is the exclusive right of one edge to list
-the next results of a job; its epoch is a fencing token, so an edge that lost it can list nothing.
+`state` applies the entries of the log (`entries`); every replica that applies the same entries has
+the same state. `batch_service` handles the requests of edges (`messages`) on the store that leads
+the log: it decides, appends entries, and answers once they are committed. It admits jobs
+(`admission`), dispatches their items to edges (`item_dispatch`, `item_selection`, `item_claims`),
+takes results (`result_reports`, `forward_completion`), grants the right to list them
+(`listing_leases`) and answers reads (`job_responses`, `forward_reads`).
+
+Invariants: an item that isn't safe to repeat is dispatched only after its claim is committed; the
+results of a job are listed by the one edge that has its listing lease, whose epoch is a fencing
+token; what was listed doesn't change.
+
+It may import `messaging` and `runtime`. The log, archive files, profiles and forecasts come through
+`interfaces`. A new kind of entry goes into `entries` and `state`, and into `job_entries` or
+`idempotency_keys` for snapshots; a new request into `messages` and `leader_service`. Wire names and
+the text of `outcomes` must not change.
 """
 
 from runtime.lazy_exports import lazy_exports
--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -1,44 +1,56 @@
-"""Admission of lots by the holder of the log.
+"""Admission of jobs by the leader of the log.
 
-It is exact because only the holder admits, and it counts what it has logged, settled or not. A lot
-that was refused is admitted only under a later stamp, so that no late copy of the refused request
-is accepted.
+It is exact because only the leader admits, and it counts what it has logged, committed or not. A
+job that was refused is admitted only under a later stamp, so that no late copy of the refused
+request is accepted.
 """
 
 from collections.abc import Callable
 from functools import singledispatchmethod
-from typing import Any
 
-from messaging import Message, Origin
+from messaging import Message, Node, Origin
 
-from batch_state import entries as e
-from batch_state import messages as m
+from batch_state.entries import ForwardJobAdmitted, JobAdmitted, RolloutAdmitted
+from batch_state.interfaces import LogLeader, ProfileSource
 from batch_state.job_responses import job_response
-from batch_state.leader_replies import KEPT, LeaderReplies
+from batch_state.jobs import AdmissionEntry
+from batch_state.leader_replies import LeaderReplies
+from batch_state.messages import StaleRequest, SubmitForwardJob, SubmitJob, SubmitRollout
+from batch_state.outcomes import AppendOutcome, JobOutcome
 
 __all__ = ["JobAdmission"]
 
+Submission = SubmitJob | SubmitForwardJob | SubmitRollout
+
 
 class JobAdmission:
-    """Admits lots in the log of one holder.
+    """Admits jobs in the log of one leader.
 
-    `profiles` returns the number and the tree of the profiles in force here, `log_ms` the log's own
-    time; `wake` is called when there is something new to deal.
+    `log_ms` returns the log's own time; `on_new_items` is called when there is something new to
+    dispatch to edges that wait for it.
     """
 
-    __slots__ = ("_answers", "_holder", "_log_ms", "_node", "_profiles", "_refused_ms", "_wake")
+    __slots__ = (
+        "_leader",
+        "_log_ms",
+        "_node",
+        "_on_new_items",
+        "_profiles",
+        "_refused_ms",
+        "_replies",
+    )
 
     def __init__(
         self,
-        holder: Any,
-        node: Any,
-        answers: LeaderReplies,
-        profiles: Callable[[], tuple[int, Any]],
+        leader: LogLeader,
+        node: Node,
+        replies: LeaderReplies,
+        profiles: ProfileSource,
         log_ms: Callable[[], int],
-        wake: Callable[[], None],
+        on_new_items: Callable[[], None],
     ) -> None:
-        self._holder, self._node, self._answers = holder, node, answers
-        self._profiles, self._log_ms, self._wake = profiles, log_ms, wake
+        self._leader, self._node, self._replies = leader, node, replies
+        self._profiles, self._log_ms, self._on_new_items = profiles, log_ms, on_new_items
         self._refused_ms: dict[str, int] = {}
 
     def receive(self, message: Message, origin: Origin) -> None:
@@ -57,150 +69,149 @@
         raise TypeError(type(message).__name__)
 
     @_on.register
-    def _(self, message: m.SubmitJob, origin: Origin) -> None:
-        state = self._holder.state
+    def _(self, message: SubmitJob, origin: Origin) -> None:
+        state = self._leader.state
         capacity = self._profiles()[1].room(message.path)
-        if self._known(message, origin):
+        if self._answer_known(message, origin):
             return
-        if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.job_id, -1
-        ):
-            self._node.reply(origin, job_response("stale", message.job_id, None))
+        if self._stale(message):
+            self._node.reply(origin, job_response(JobOutcome.STALE, message.job_id, None))
         elif capacity is None:
-            self._answers.when_confirmed(
-                origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
-            )
+            self._answer_when_confirmed(message, origin, JobOutcome.UNKNOWN_PATH)
         elif state.backlog(message.path) >= capacity:
             self._refuse(message, origin)
         else:
-            self._admit(
-                message,
-                origin,
-                e.JobAdmitted(
-                    job_id=message.job_id,
-                    digest=message.digest,
-                    path=message.path,
-                    items=message.items,
-                    safe=message.safe,
-                    due_ms=self._log_ms() + message.due_ms,
-                    at_ms=self._log_ms(),
-                ),
-            )
+            self._admit(message, origin, self._job_admitted(message))
+
+    def _job_admitted(self, message: SubmitJob) -> JobAdmitted:
+        return JobAdmitted(
+            job_id=message.job_id,
+            digest=message.digest,
+            path=message.path,
+            items=message.items,
+            safe=message.safe,
+            due_ms=self._log_ms() + message.due_ms,
+            at_ms=self._log_ms(),
+        )
 
     @_on.register
-    def _(self, message: m.SubmitRollout, origin: Origin) -> None:
-        """Admit or refuse a rollout; rollouts have a queue limit of their own."""
-        if self._known(message, origin):
+    def _(self, message: SubmitRollout, origin: Origin) -> None:
+        """Admit or refuse a rollout; rollouts have a backlog limit of their own."""
+        if self._answer_known(message, origin):
             return
         profile = self._profiles()[1].usable(message.path)
-        if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.job_id, -1
-        ):
-            self._node.reply(origin, job_response("stale", message.job_id, None))
+        if self._stale(message):
+            self._node.reply(origin, job_response(JobOutcome.STALE, message.job_id, None))
         elif profile is None or not profile.loan_share:
-            self._answers.when_confirmed(
-                origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
-            )
-        elif self._holder.state.rollout_backlog(message.path) >= profile.rollout_room:
+            self._answer_when_confirmed(message, origin, JobOutcome.UNKNOWN_PATH)
+        elif self._leader.state.rollout_backlog(message.path) >= profile.rollout_room:
             self._refuse(message, origin)
         else:
-            self._admit(
-                message,
-                origin,
-                e.RolloutAdmitted(
-                    job_id=message.job_id,
-                    digest=message.digest,
-                    path=message.path,
-                    items=message.items,
-                    samples=message.samples,
-                    weights=message.weights,
-                    expires_ms=self._log_ms() + message.due_ms if message.due_ms else 0,
-                    at_ms=self._log_ms(),
-                ),
-            )
+            self._admit(message, origin, self._rollout_admitted(message))
+
+    def _rollout_admitted(self, message: SubmitRollout) -> RolloutAdmitted:
+        return RolloutAdmitted(
+            job_id=message.job_id,
+            digest=message.digest,
+            path=message.path,
+            items=message.items,
+            samples=message.samples,
+            weights=message.weights,
+            expires_ms=self._log_ms() + message.due_ms if message.due_ms else 0,
+            at_ms=self._log_ms(),
+        )
 
     @_on.register
-    def _(self, message: m.SubmitForwardJob, origin: Origin) -> None:
-        """Admit or refuse a forwarded lot; its queue is limited in tokens.
+    def _(self, message: SubmitForwardJob, origin: Origin) -> None:
+        """Admit or refuse a forwarded job; its backlog is limited in tokens.
 
         Profiles that are older here than at the edge refuse nothing.
         """
-        if self._known(message, origin):
+        if self._answer_known(message, origin):
             return
-        number, tree = self._profiles()
-        profile = tree.usable(message.path)
-        if self._answers.stale(message) or message.holder_ms <= self._refused_ms.get(
-            message.job_id, -1
-        ):
+        version, profiles = self._profiles()
+        profile = profiles.usable(message.path)
+        if self._stale(message):
             self._node.reply(
-                origin, m.StaleRequest(epoch=self._holder.epoch, holder_ms=self._node.env.now())
+                origin, StaleRequest(epoch=self._leader.epoch, leader_ms=self._node.env.now())
             )
-        elif number < message.version:
-            self._node.reply(origin, job_response("unknown", message.job_id, None))
+        elif version < message.version:
+            self._node.reply(origin, job_response(JobOutcome.UNKNOWN, message.job_id, None))
         elif profile is None:
-            self._answers.when_confirmed(
-                origin,
-                lambda ok: job_response("no_path" if ok else "unknown", message.job_id, None),
-            )
+            self._answer_when_confirmed(message, origin, JobOutcome.UNKNOWN_PATH)
         elif not self._fits(message, profile.waiting_tokens or 0):
             self._refuse(message, origin)
         else:
-            self._admit(
-                message,
-                origin,
-                e.ForwardJobAdmitted(
-                    job_id=message.job_id,
-                    digest=message.digest,
-                    path=message.path,
-                    item_ids=message.item_ids,
-                    tokens=message.tokens,
-                    calls=message.calls,
-                    attempts=message.attempts,
-                    due_ms=self._log_ms() + message.due_ms,
-                    expires_ms=self._log_ms() + message.keep_ms,
-                    version=number,
-                    at_ms=self._log_ms(),
-                ),
-            )
+            self._admit(message, origin, self._forward_job_admitted(message, version))
+
+    def _forward_job_admitted(self, message: SubmitForwardJob, version: int) -> ForwardJobAdmitted:
+        return ForwardJobAdmitted(
+            job_id=message.job_id,
+            digest=message.digest,
+            path=message.path,
+            item_ids=message.item_ids,
+            tokens=message.tokens,
+            calls=message.calls,
+            attempts=message.attempts,
+            due_ms=self._log_ms() + message.due_ms,
+            expires_ms=self._log_ms() + message.keep_ms,
+            version=version,
+            at_ms=self._log_ms(),
+        )
+
+    def _fits(self, message: SubmitForwardJob, limit_tokens: int) -> bool:
+        """Whether a path's backlog has space for a job; a limit of 0 means none."""
+        waiting_tokens = self._leader.state.waiting_tokens.get(message.path, 0)
+        return not limit_tokens or waiting_tokens + sum(message.tokens) <= limit_tokens
 
-    def _fits(self, message: m.SubmitForwardJob, most: int) -> bool:
-        return (
-            not most
-            or self._holder.state.waiting_tokens.get(message.path, 0) + sum(message.tokens) <= most
+    # -- common to all submissions ---------------------------------------------------------------
+
+    def _stale(self, message: Submission) -> bool:
+        """Whether a request is too old, or a copy of one that was refused."""
+        return self._replies.stale(message) or message.leader_ms <= self._refused_ms.get(
+            message.job_id, -1
         )
 
-    def _known(self, message: Any, origin: Origin) -> bool:
-        known = self._holder.state.jobs.get(message.job_id)
+    def _answer_known(self, message: Submission, origin: Origin) -> bool:
+        """Answer a submission whose id is taken, and return whether it is."""
+        known = self._leader.state.jobs.get(message.job_id)
         if known is not None:
             same = known.digest == message.digest
-            self._answers.when_settled(
+            outcome = JobOutcome.KNOWN if same else JobOutcome.CONFLICT
+            self._replies.when_committed(
                 origin,
                 lambda ok: job_response(
-                    "unknown" if not ok else "known" if same else "conflict", message.job_id, known
+                    outcome if ok else JobOutcome.UNKNOWN, message.job_id, known
                 ),
             )
         return known is not None
 
-    def _refuse(self, message: Any, origin: Origin) -> None:
-        self._refused_ms[message.job_id] = message.holder_ms
-        self._answers.when_confirmed(
-            origin, lambda ok: job_response("no_room" if ok else "unknown", message.job_id, None)
-        )
+    def _refuse(self, message: Submission, origin: Origin) -> None:
+        """Refuse a submission for want of capacity."""
+        self._refused_ms[message.job_id] = message.leader_ms
+        self._answer_when_confirmed(message, origin, JobOutcome.BACKLOG_FULL)
 
-    def _admit(self, message: Any, origin: Origin, entry: Message) -> None:
-        state = self._holder.state
-        taken = self._answers.log(
+    def _answer_when_confirmed(
+        self, message: Submission, origin: Origin, outcome: JobOutcome
+    ) -> None:
+        self._replies.when_confirmed(
             origin,
-            [entry],
-            lambda outcome: job_response(
-                "admitted" if outcome == KEPT else outcome,
+            lambda ok: job_response(outcome if ok else JobOutcome.UNKNOWN, message.job_id, None),
+        )
+
+    def _admit(self, message: Submission, origin: Origin, entry: AdmissionEntry) -> None:
+        state = self._leader.state
+
+        def respond(outcome: str) -> Message:
+            committed = outcome == AppendOutcome.COMMITTED
+            return job_response(
+                JobOutcome.ADMITTED if committed else outcome,
                 message.job_id,
                 state.jobs.get(message.job_id),
-            ),
-        )
-        if taken and isinstance(entry, e.ForwardJobAdmitted):
-            self._wake()
-        elif not taken:
-            self._refused_ms[message.job_id] = message.holder_ms
+            )
+
+        accepted = self._replies.append(origin, [entry], respond)
+        if accepted and isinstance(entry, ForwardJobAdmitted):
+            self._on_new_items()
+        elif not accepted:
+            self._refused_ms[message.job_id] = message.leader_ms
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -1,122 +1,146 @@
-"""Reads of forwarded lots at the holder.
+"""Reads of forwarded jobs at the leader.
 
-Only settled results are shown, and the holder's epoch was confirmed after the read came, either by
-followers or by the very append that settled the result. A read beyond the last result is held until
-there is one or its time is up.
+Only committed results are shown, and the leader's epoch was confirmed after the read came, either
+by followers or by the very append that committed the result. A read beyond the last result is
+parked until there is one or its time is up (a long poll).
 """
 
 from collections.abc import Callable
-from typing import Any
 
-from messaging import Message
-
-from batch_state import messages as m
-from batch_state.jobs import Job
+from messaging import Message, Node
+
+from batch_state.interfaces import ArchiveReader, LogLeader, RepairRequest, Reply
+from batch_state.jobs import Item, Job
+from batch_state.messages import (
+    GetItem,
+    GetItemResponse,
+    ListForwardResults,
+    ListForwardResultsResponse,
+)
+from batch_state.outcomes import ItemState, JobOutcome, RecordKind
 from batch_state.state import BatchState
 
 __all__ = ["ForwardJobReader"]
 
-Reply = Callable[[Message], None]
 
+def _empty_page(outcome: JobOutcome) -> ListForwardResultsResponse:
+    return ListForwardResultsResponse(outcome=outcome, rows=[], total=0, over=False)
 
-def _nothing(outcome: str) -> m.ListForwardResultsResponse:
-    return m.ListForwardResultsResponse(outcome=outcome, rows=[], total=0, over=False)
 
+class _ParkedRead:
+    """A read that waits for results until `due_ms` of the node's clock."""
 
-class _Held:
     __slots__ = ("due_ms", "message", "reply")
 
-    def __init__(self, message: m.ListForwardResults, reply: Reply, due_ms: int) -> None:
+    def __init__(self, message: ListForwardResults, reply: Reply, due_ms: int) -> None:
         self.message, self.reply, self.due_ms = message, reply, due_ms
 
 
 class ForwardJobReader:
-    """Answers reads under one holder.
+    """Answers reads under one leader.
 
-    `settled` returns the settled ledger; `mend` is told what can't be read from its archive file.
+    `committed_state` returns the committed state; `request_repair` is called for a job whose
+    archive file can't be read.
     """
 
-    __slots__ = ("_held", "_holder", "_mend", "_node", "_settled", "_shelves")
+    __slots__ = (
+        "_archive",
+        "_committed_state",
+        "_leader",
+        "_node",
+        "_parked",
+        "_request_repair",
+    )
 
     def __init__(
         self,
-        holder: Any,
-        node: Any,
-        settled: Callable[[], BatchState],
-        shelves: Any,
-        mend: Callable[[str, str], None],
+        leader: LogLeader,
+        node: Node,
+        committed_state: Callable[[], BatchState],
+        archive: ArchiveReader,
+        request_repair: RepairRequest,
     ) -> None:
-        self._holder, self._node, self._settled = holder, node, settled
-        self._shelves, self._mend = shelves, mend
-        self._held: dict[str, list[_Held]] = {}
+        self._leader, self._node, self._committed_state = leader, node, committed_state
+        self._archive, self._request_repair = archive, request_repair
+        self._parked: dict[str, list[_ParkedRead]] = {}
 
-    def read(self, message: m.ListForwardResults, reply: Reply) -> None:
+    def list_results(self, message: ListForwardResults, reply: Reply) -> None:
         """Answer a read of a page once there is something to show or its time is up."""
         due_ms = self._node.env.now() + message.wait_ms
-        self._holder.read(
-            lambda ok: self._confirmed(message, reply, due_ms) if ok else reply(_nothing("unknown"))
-        )
 
-    def _confirmed(self, message: m.ListForwardResults, reply: Reply, due_ms: int) -> None:
+        def confirmed(ok: bool) -> None:
+            if ok:
+                self._answer_or_park(message, reply, due_ms)
+            else:
+                reply(_empty_page(JobOutcome.UNKNOWN))
+
+        self._leader.read(confirmed)
+
+    def _answer_or_park(self, message: ListForwardResults, reply: Reply, due_ms: int) -> None:
         page = self._page(message)
-        if page.outcome != "known" or page.rows or page.over or self._node.env.now() >= due_ms:
+        complete = page.outcome != JobOutcome.KNOWN or page.rows or page.over
+        if complete or self._node.env.now() >= due_ms:
             reply(page)
         else:
-            self._held.setdefault(message.job_id, []).append(_Held(message, reply, due_ms))
+            parked = _ParkedRead(message, reply, due_ms)
+            self._parked.setdefault(message.job_id, []).append(parked)
 
-    def wake(self, job_ids: set[str]) -> None:
-        """Answer the held reads of these lots, in which something was settled under this epoch."""
-        for job_id in job_ids & set(self._held):
-            for held in self._held.pop(job_id):
-                self._confirmed(held.message, held.reply, held.due_ms)
+    def results_committed(self, job_ids: set[str]) -> None:
+        """Answer the parked reads of these jobs, of which something was committed."""
+        for job_id in job_ids & set(self._parked):
+            for parked in self._parked.pop(job_id):
+                self._answer_or_park(parked.message, parked.reply, parked.due_ms)
 
     def tick(self) -> None:
-        """Answer held reads whose time is up."""
+        """Answer parked reads whose time is up."""
         now_ms = self._node.env.now()
-        for job_id in list(self._held):
-            late = [held for held in self._held[job_id] if now_ms >= held.due_ms]
-            left = [held for held in self._held[job_id] if now_ms < held.due_ms]
-            if left:
-                self._held[job_id] = left
+        for job_id in list(self._parked):
+            due = [parked for parked in self._parked[job_id] if now_ms >= parked.due_ms]
+            waiting = [parked for parked in self._parked[job_id] if now_ms < parked.due_ms]
+            if waiting:
+                self._parked[job_id] = waiting
             else:
-                del self._held[job_id]
-            for held in late:
-                self._last(held)
+                del self._parked[job_id]
+            for parked in due:
+                self._answer_now(parked)
 
-    def _last(self, held: _Held) -> None:
+    def _answer_now(self, parked: _ParkedRead) -> None:
         """Answer a read whose time is up, after one more confirmation of the epoch."""
-        self.read(m.ListForwardResults(**{**held.message.as_dict(), "wait_ms": 0}), held.reply)
+        message = ListForwardResults(**{**parked.message.as_dict(), "wait_ms": 0})
+        self.list_results(message, parked.reply)
 
-    def stop(self, reply: Message) -> None:
-        """Answer all held reads with a message, because this holder's epoch is over."""
-        rows, self._held = self._held, {}
-        for held in rows.values():
-            for row in held:
-                row.reply(reply)
+    def close(self, response: Message) -> None:
+        """Answer all parked reads with a message, because this leader's epoch is over."""
+        jobs, self._parked = self._parked, {}
+        for reads in jobs.values():
+            for parked in reads:
+                parked.reply(response)
 
     # -- building the answers ----------------------------------------------------------------------
 
-    def _page(self, message: m.ListForwardResults) -> m.ListForwardResultsResponse:
-        job = self._settled().jobs.get(message.job_id)
+    def _page(self, message: ListForwardResults) -> ListForwardResultsResponse:
+        job = self._committed_state().jobs.get(message.job_id)
         if job is None:
-            return _nothing("unknown" if message.job_id in self._holder.state.jobs else "missing")
+            logged = message.job_id in self._leader.state.jobs
+            return _empty_page(JobOutcome.UNKNOWN if logged else JobOutcome.MISSING)
         rows = self._rows(job, message)
         if rows is None:
-            self._mend("lot", job.job_id)
-            return _nothing("unknown")
-        return m.ListForwardResultsResponse(
-            outcome="known", rows=rows, total=job.total, over=not job.open
+            self._request_repair(RecordKind.JOB, job.job_id)
+            return _empty_page(JobOutcome.UNKNOWN)
+        return ListForwardResultsResponse(
+            outcome=JobOutcome.KNOWN, rows=rows, total=job.total, over=not job.open
         )
 
-    def _rows(self, job: Job, message: m.ListForwardResults) -> list[bytes] | None:
+    def _rows(self, job: Job, message: ListForwardResults) -> list[bytes] | None:
+        """Return results up to `limit_bytes`, at least one; None if the archive can't be read."""
         rows: list[bytes] = []
         size_bytes = 0
         position = message.from_position
         while position < job.listed and size_bytes < message.limit_bytes:
             more = (
                 [job.row(position)]
-                if job.shelf is None
-                else self._shelves.read_results(job, position, job.listed)
+                if job.archived is None
+                else self._archive.read_results(job, position, job.listed)
             )
             if not more:
                 return None
@@ -128,24 +152,24 @@
             position = message.from_position + len(rows)
         return rows
 
-    def item(self, message: m.GetItem, reply: Reply) -> None:
+    def get_item(self, message: GetItem, reply: Reply) -> None:
         """Answer with the call of an item that hasn't ended."""
 
         def confirmed(ok: bool) -> None:
-            job = self._settled().jobs.get(message.job_id)
-            if not ok or (job is None and message.job_id in self._holder.state.jobs):
-                reply(m.GetItemResponse(outcome="unknown", call=b""))
+            job = self._committed_state().jobs.get(message.job_id)
+            if not ok or (job is None and message.job_id in self._leader.state.jobs):
+                reply(GetItemResponse(outcome=JobOutcome.UNKNOWN, call=b""))
                 return
-            found = (
-                None
-                if job is None or not job.open
-                else next((item for item in job.items if item.item_id == message.item_id), None)
-            )
-            listed = found is None or found.state == "finished"
-            reply(
-                m.GetItemResponse(
-                    outcome="missing" if listed else "known", call=b"" if listed else found.body
-                )
-            )
+            item = self._unfinished_item(job, message.item_id)
+            if item is None:
+                reply(GetItemResponse(outcome=JobOutcome.MISSING, call=b""))
+            else:
+                reply(GetItemResponse(outcome=JobOutcome.KNOWN, call=item.body))
+
+        self._leader.read(confirmed)
 
-        self._holder.read(confirmed)
+    def _unfinished_item(self, job: Job | None, item_id: str) -> Item | None:
+        if job is None or not job.open:
+            return None
+        item = next((item for item in job.items if item.item_id == item_id), None)
+        return None if item is None or item.state == ItemState.FINISHED else item
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -1,128 +1,113 @@
 """The choice of the items that an edge gets.
 
-Lots that are due first come first, forwarded ones up to the edge's share of what waits. Samples of
+Jobs that are due first come first, forwarded ones up to the edge's share of what waits. Samples of
 rollouts get only what is left.
 """
 
+import itertools
 import math
 from collections.abc import Callable
-from typing import Any
 
-from batch_state import messages as m
+from messaging import Node
+
+from batch_state.edge_liveness import EdgeLiveness
+from batch_state.interfaces import DeadlineForecast, LogLeader
 from batch_state.jobs import Job
+from batch_state.messages import (
+    EdgeHeartbeat,
+    ForwardAssignment,
+    ItemAssignment,
+    RolloutAssignment,
+    RolloutHeartbeat,
+)
+
+__all__ = ["Assignment", "ItemSelector"]
 
-__all__ = ["ItemSelector"]
+Assignment = ItemAssignment | ForwardAssignment | RolloutAssignment
+"""An item that an edge is to run."""
 
 
 class ItemSelector:
-    """Chooses items from the ledger of one holder.
+    """Chooses items from the state of one leader.
 
-    `outlook` gets each edge's slots; `recalled` says whether a lot may come late beside rollouts.
+    `forecast` gets each edge's capacity; `recalled` says whether a job may come late beside
+    rollouts.
     """
 
-    __slots__ = ("_holder", "_log_ms", "_node", "_outlook", "_recalled")
+    __slots__ = ("_edges", "_forecast", "_leader", "_log_ms", "_node", "_recalled")
 
     def __init__(
         self,
-        holder: Any,
-        node: Any,
+        leader: LogLeader,
+        node: Node,
+        edges: EdgeLiveness,
         log_ms: Callable[[], int],
-        outlook: Any,
+        forecast: DeadlineForecast | None,
         recalled: Callable[[], bool],
     ) -> None:
-        self._holder, self._node, self._log_ms = holder, node, log_ms
-        self._outlook, self._recalled = outlook, recalled
+        self._leader, self._node, self._edges, self._log_ms = leader, node, edges, log_ms
+        self._forecast, self._recalled = forecast, recalled
 
-    def pick(
-        self, message: m.EdgeHeartbeat, live_edges: Callable[[], int]
-    ) -> tuple[list[Any], bool]:
-        """Return the work for an edge, and whether all of it is safe to repeat.
+    def select(self, message: EdgeHeartbeat | RolloutHeartbeat) -> list[Assignment]:
+        """Return the work for an edge.
 
-        The edge gets as many items as it has room for, of forwarded lots no more than its share,
-        since other edges have room too.
+        The edge gets as many items as it has capacity for, of forwarded jobs no more than its
+        share, since other edges have capacity too.
         """
-        work: list[Any] = []
-        safe_only = True
-        if isinstance(message, m.RolloutHeartbeat) and self._outlook is not None:
-            self._outlook.heard(message, self._node.env.now())
-        if not message.capacity:
-            return self._pick_samples(message, work), safe_only
+        if isinstance(message, RolloutHeartbeat) and self._forecast is not None:
+            self._forecast.heard(message, self._node.env.now())
+        work: list[Assignment] = []
+        if message.capacity:
+            work = self._select_items(message)
+        if work or not isinstance(message, RolloutHeartbeat):
+            return work
+        if not message.sample_capacity or self._recalled():
+            return work
+        return self._select_samples(message)
+
+    def _select_items(self, message: EdgeHeartbeat | RolloutHeartbeat) -> list[Assignment]:
         jobs = sorted(
             (
                 job
-                for job in self._holder.state.open_jobs.values()
+                for job in self._leader.state.open_jobs.values()
                 if job.pending and job.path in message.paths and not job.rollout
             ),
             key=lambda job: (job.due_ms, job.at_ms, job.job_id),
         )
         waiting = sum(len(job.pending) for job in jobs if job.forward)
-        share = math.ceil(waiting / max(1, live_edges()))
+        share = math.ceil(waiting / max(1, self._edges.live_count()))
+        work: list[Assignment] = []
         for job in jobs:
-            for index in job.pending:
-                if len(work) >= message.capacity:
-                    return work, safe_only
-                if job.forward:
-                    if share <= 0:
-                        break
-                    share -= 1
-                    work.append(self._forward_work(job, index))
-                else:
-                    item = job.items[index]
-                    work.append(
-                        m.ItemAssignment(
-                            job_id=job.job_id,
-                            index=index,
-                            number=item.number + 1,
-                            path=job.path,
-                            safe=job.safe,
-                            body=item.body,
-                            due_ms=job.due_ms,
-                        )
-                    )
-                    safe_only = safe_only and job.safe
-        return self._pick_samples(message, work), safe_only
-
-    def _pick_samples(
-        self, message: m.EdgeHeartbeat | m.RolloutHeartbeat, work: list[Any]
-    ) -> list[Any]:
-        """Return samples of rollouts if no items go to this edge and no lot may come late."""
-        if (
-            work
-            or not isinstance(message, m.RolloutHeartbeat)
-            or not message.sample_capacity
-            or self._recalled()
-        ):
-            return work
-        rollouts = [
-            job
-            for job in self._holder.state.open_jobs.values()
-            if job.rollout and job.pending and job.path in message.sample_paths
-        ]
-        samples: list[Any] = []
-        for job in sorted(
-            rollouts, key=lambda job: (job.expires_ms or math.inf, job.at_ms, job.job_id)
-        ):
-            for index in job.pending:
-                if len(samples) >= message.sample_capacity:
-                    return samples
-                prompt, sample = divmod(index, job.samples)
-                samples.append(
-                    m.RolloutAssignment(
-                        job_id=job.job_id,
-                        index=index,
-                        number=job.items[index].number + 1,
-                        path=job.path,
-                        body=job.items[index].body,
-                        prompt=prompt,
-                        sample=sample,
-                        weights=job.weights,
-                    )
-                )
+            limit = message.capacity - len(work)
+            if job.forward:
+                limit = min(limit, share)
+            indexes = _first(job, limit)
+            if job.forward:
+                share -= len(indexes)
+                work += [self._forward_assignment(job, index) for index in indexes]
+            else:
+                work += [_item_assignment(job, index) for index in indexes]
+        return work
+
+    def _select_samples(self, message: RolloutHeartbeat) -> list[Assignment]:
+        """Return samples of rollouts, those first that expire first."""
+        rollouts = sorted(
+            (
+                job
+                for job in self._leader.state.open_jobs.values()
+                if job.rollout and job.pending and job.path in message.sample_paths
+            ),
+            key=lambda job: (job.expires_ms or math.inf, job.at_ms, job.job_id),
+        )
+        samples: list[Assignment] = []
+        for job in rollouts:
+            indexes = _first(job, message.sample_capacity - len(samples))
+            samples += [_rollout_assignment(job, index) for index in indexes]
         return samples
 
-    def _forward_work(self, job: Job, index: int) -> m.ForwardAssignment:
+    def _forward_assignment(self, job: Job, index: int) -> ForwardAssignment:
         item = job.items[index]
-        return m.ForwardAssignment(
+        return ForwardAssignment(
             job_id=job.job_id,
             index=index,
             number=item.number + 1,
@@ -131,3 +116,36 @@
             avoid=list(item.failed_at),
             left_ms=max(0, job.expires_ms - self._log_ms()),
         )
+
+
+def _first(job: Job, count: int) -> list[int]:
+    """Return the indexes of the first pending items, at most `count`."""
+    return list(itertools.islice(job.pending, max(0, count)))
+
+
+def _item_assignment(job: Job, index: int) -> ItemAssignment:
+    item = job.items[index]
+    return ItemAssignment(
+        job_id=job.job_id,
+        index=index,
+        number=item.number + 1,
+        path=job.path,
+        safe=job.safe,
+        body=item.body,
+        due_ms=job.due_ms,
+    )
+
+
+def _rollout_assignment(job: Job, index: int) -> RolloutAssignment:
+    prompt, sample = divmod(index, job.samples)
+    item = job.items[index]
+    return RolloutAssignment(
+        job_id=job.job_id,
+        index=index,
+        number=item.number + 1,
+        path=job.path,
+        body=item.body,
+        prompt=prompt,
+        sample=sample,
+        weights=job.weights,
+    )
--- /dev/null
+++ b/libs/batch_state/src/batch_state/job_entries.py
@@ -0,0 +1,180 @@
+"""The log entries that rebuild a job as it is, for snapshots and copies.
+
+They leave out what no longer matters, such as who held earlier claims of an item.
+"""
+
+from typing import TYPE_CHECKING
+
+from messaging import Message
+
+from batch_state.entries import (
+    AttemptFailed,
+    ForwardJobAdmitted,
+    ItemClaimed,
+    ItemFinished,
+    ItemReturned,
+    ItemsClaimed,
+    JobAdmitted,
+    JobArchived,
+    JobCancelled,
+    ListingAdvanced,
+    ListingLeaseGranted,
+    ResultListed,
+    RolloutAdmitted,
+)
+from batch_state.outcomes import ItemState
+
+if TYPE_CHECKING:
+    from batch_state.jobs import Item, Job
+
+__all__ = ["entries_of"]
+
+
+def entries_of(job: "Job") -> list[Message]:
+    """Return entries that rebuild this very job."""
+    if job.archived is not None:
+        return [_job_archived(job, job.archived)]
+    entries = _forward_job(job) if job.forward else _own_job(job)
+    if job.cancelled:
+        entries.append(JobCancelled(job_id=job.job_id, at_ms=job.cancelled_at_ms))
+    return entries
+
+
+def _job_archived(job: "Job", archived: JobArchived) -> JobArchived:
+    """Return the archive entry; the job may have been cancelled after it was made."""
+    return JobArchived(
+        **{
+            **archived.as_dict(),
+            "cancelled": job.cancelled,
+            "cancelled_at_ms": job.cancelled_at_ms,
+        }
+    )
+
+
+# -- ordinary jobs and rollouts ----------------------------------------------------------------
+
+
+def _own_job(job: "Job") -> list[Message]:
+    entries: list[Message] = [_rollout_admitted(job) if job.rollout else _job_admitted(job)]
+    for index, item in enumerate(job.items):
+        entries += _own_item(job, index, item)
+    if job.listing_epoch:
+        entries.append(
+            ListingLeaseGranted(job_id=job.job_id, edge=job.listing_edge, epoch=job.listing_epoch)
+        )
+    if job.listed:
+        entries.append(
+            ListingAdvanced(job_id=job.job_id, up_to=job.listed, epoch=job.listing_epoch)
+        )
+    return entries
+
+
+def _job_admitted(job: "Job") -> JobAdmitted:
+    return JobAdmitted(
+        job_id=job.job_id,
+        digest=job.digest,
+        path=job.path,
+        safe=job.safe,
+        items=[item.body for item in job.items],
+        due_ms=job.due_ms,
+        at_ms=job.at_ms,
+    )
+
+
+def _rollout_admitted(job: "Job") -> RolloutAdmitted:
+    return RolloutAdmitted(
+        job_id=job.job_id,
+        digest=job.digest,
+        path=job.path,
+        samples=job.samples,
+        weights=job.weights,
+        items=[item.body for item in job.items[:: job.samples]],
+        expires_ms=job.expires_ms,
+        at_ms=job.at_ms,
+    )
+
+
+def _own_item(job: "Job", index: int, item: "Item") -> list[Message]:
+    entries: list[Message] = []
+    if item.number:
+        entries.append(
+            ItemClaimed(job_id=job.job_id, index=index, edge=item.edge, number=item.number)
+        )
+    if item.number and item.state == ItemState.WAITING:
+        entries.append(ItemReturned(job_id=job.job_id, index=index, number=item.number))
+    if item.state == ItemState.FINISHED:
+        entries.append(
+            ItemFinished(
+                job_id=job.job_id,
+                index=index,
+                outcome=item.outcome,
+                body=item.result,
+                worker=item.worker,
+            )
+        )
+    return entries
+
+
+# -- forwarded jobs ----------------------------------------------------------------------------
+
+
+def _forward_job(job: "Job") -> list[Message]:
+    entries: list[Message] = [_forward_job_admitted(job)]
+    for index in [*job.pending, *job.claims]:
+        entries += _failed_attempts(job, index)
+        entries += _latest_claim(job, index)
+    entries += [_result_listed(job, index) for index in job.order]
+    return entries
+
+
+def _forward_job_admitted(job: "Job") -> ForwardJobAdmitted:
+    return ForwardJobAdmitted(
+        job_id=job.job_id,
+        digest=job.digest,
+        path=job.path,
+        item_ids=[item.item_id for item in job.items],
+        tokens=[item.tokens for item in job.items],
+        calls=[item.body for item in job.items],
+        attempts=job.attempts,
+        due_ms=job.due_ms,
+        expires_ms=job.expires_ms,
+        version=job.version,
+        at_ms=job.at_ms,
+    )
+
+
+def _failed_attempts(job: "Job", index: int) -> list[Message]:
+    entries: list[Message] = []
+    for number, worker in enumerate(job.items[index].failed_at, 1):
+        entries.append(ItemsClaimed(job_id=job.job_id, edge="", indexes=[index], numbers=[number]))
+        entries.append(
+            AttemptFailed(
+                job_id=job.job_id, index=index, number=number, failures=number, worker=worker
+            )
+        )
+    return entries
+
+
+def _latest_claim(job: "Job", index: int) -> list[Message]:
+    item = job.items[index]
+    if item.number <= item.failures and item.state != ItemState.CLAIMED:
+        return []
+    entries: list[Message] = [
+        ItemsClaimed(job_id=job.job_id, edge=item.edge, indexes=[index], numbers=[item.number])
+    ]
+    if item.state == ItemState.WAITING:
+        entries.append(ItemReturned(job_id=job.job_id, index=index, number=item.number))
+    return entries
+
+
+def _result_listed(job: "Job", index: int) -> ResultListed:
+    item = job.items[index]
+    return ResultListed(
+        job_id=job.job_id,
+        index=index,
+        outcome=item.outcome,
+        text=item.result,
+        worker=item.worker,
+        edge=job.listing_edge,
+        epoch=job.listing_epoch,
+    )
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -1,21 +1,22 @@
-"""What callers are told of a lot: its state, and pages of its results."""
+"""What clients are told of a job: its state, and pages of its results."""
 
 from collections.abc import Callable
-from typing import Any
 
-from batch_state import messages as m
+from batch_state.interfaces import ArchiveReader, LogLeader, RepairRequest
 from batch_state.jobs import Job
+from batch_state.messages import JobResponse, ListResults, ListResultsResponse
+from batch_state.outcomes import JobOutcome, RecordKind
 from batch_state.state import BatchState
 
-__all__ = ["JobReader", "job_response"]
+__all__ = ["JobReader", "job_response", "results_response"]
 
 _PAGE_BYTES = 1 << 20
 
 
-def job_response(outcome: str, job_id: str, job: Job | None) -> m.JobResponse:
-    """Return the state of a lot, or an empty one if there is none."""
+def job_response(outcome: str, job_id: str, job: Job | None) -> JobResponse:
+    """Return the state of a job, or an empty one if there is none; `outcome` is a `JobOutcome`."""
     if job is None:
-        return m.JobResponse(
+        return JobResponse(
             outcome=outcome,
             job_id=job_id,
             digest="",
@@ -28,7 +29,7 @@
             cancelled=False,
         )
     running = 0 if job.cancelled else len(job.claims)
-    return m.JobResponse(
+    return JobResponse(
         outcome=outcome,
         job_id=job_id,
         digest=job.digest,
@@ -42,61 +43,67 @@
     )
 
 
+def results_response(
+    outcome: str, job: Job | None = None, rows: list[bytes] | None = None
+) -> ListResultsResponse:
+    """Return a page of a job's results; without the job one that has nothing but an outcome."""
+    return ListResultsResponse(
+        outcome=outcome,
+        rows=rows or [],
+        listed=job.listed if job is not None else 0,
+        total=job.total if job is not None else 0,
+        cancelled=job.cancelled if job is not None else False,
+    )
+
+
 class JobReader:
-    """Answers from the settled ledger; entries that aren't settled are not known yet.
+    """Answers from the committed state; entries that aren't committed are not known yet.
 
-    `mend` is told of a lot whose archive file can't be read.
+    `request_repair` is called for a job whose archive file can't be read.
     """
 
-    __slots__ = ("_holder", "_mend", "_settled", "_shelves")
+    __slots__ = ("_archive", "_committed_state", "_leader", "_request_repair")
 
     def __init__(
         self,
-        holder: Any,
-        settled: Callable[[], BatchState],
-        shelves: Callable[[], Any],
-        mend: Callable[[str, str], None],
+        leader: LogLeader,
+        committed_state: Callable[[], BatchState],
+        archive: ArchiveReader,
+        request_repair: RepairRequest,
     ) -> None:
-        self._holder, self._settled = holder, settled
-        self._shelves, self._mend = shelves, mend
-
-    def job(self, job_id: str) -> m.JobResponse:
-        """Return the state of a lot."""
-        job = self._settled().jobs.get(job_id)
-        if job is None and job_id in self._holder.state.jobs:
-            return job_response("unknown", job_id, None)
-        return job_response("known" if job else "missing", job_id, job)
-
-    def results(self, message: m.ListResults) -> m.ListResultsResponse:
-        """Return a page of a lot's results, from memory or from its archive file."""
-        job = self._settled().jobs.get(message.job_id)
+        self._leader, self._committed_state = leader, committed_state
+        self._archive, self._request_repair = archive, request_repair
+
+    def job(self, job_id: str) -> JobResponse:
+        """Return the state of a job."""
+        job = self._committed_state().jobs.get(job_id)
         if job is None:
-            outcome = "unknown" if message.job_id in self._holder.state.jobs else "missing"
-            return m.ListResultsResponse(
-                outcome=outcome, rows=[], listed=0, total=0, cancelled=False
-            )
+            return job_response(self._absence(job_id), job_id, None)
+        return job_response(JobOutcome.KNOWN, job_id, job)
+
+    def _absence(self, job_id: str) -> JobOutcome:
+        """Return what is known of a job that isn't in the committed state."""
+        return JobOutcome.UNKNOWN if job_id in self._leader.state.jobs else JobOutcome.MISSING
+
+    def results(self, message: ListResults) -> ListResultsResponse:
+        """Return a page of a job's results, from memory or from its archive file."""
+        job = self._committed_state().jobs.get(message.job_id)
+        if job is None:
+            return results_response(self._absence(message.job_id))
         if message.from_index > job.total:
-            return m.ListResultsResponse(
-                outcome="beyond",
-                rows=[],
-                listed=job.listed,
-                total=job.total,
-                cancelled=job.cancelled,
-            )
-        rows = self._shelved(job, message) if job.shelf is not None else self._held(job, message)
+            return results_response(JobOutcome.BEYOND_END, job)
+        if job.archived is None:
+            return results_response(JobOutcome.KNOWN, job, self._rows_in_memory(job, message))
+        rows = self._archived_rows(job, message)
         if rows is None:
-            self._mend("lot", job.job_id)
-            return m.ListResultsResponse(
-                outcome="unknown", rows=[], listed=0, total=0, cancelled=False
-            )
-        return m.ListResultsResponse(
-            outcome="known", rows=rows, listed=job.listed, total=job.total, cancelled=job.cancelled
-        )
+            self._request_repair(RecordKind.JOB, job.job_id)
+            return results_response(JobOutcome.UNKNOWN)
+        return results_response(JobOutcome.KNOWN, job, rows)
 
-    def _shelved(self, job: Job, message: m.ListResults) -> list[bytes] | None:
+    def _archived_rows(self, job: Job, message: ListResults) -> list[bytes] | None:
         rows: list[bytes] = []
         while len(rows) < message.limit and sum(map(len, rows)) <= _PAGE_BYTES:
-            more = self._shelves().read_results(
+            more = self._archive.read_results(
                 job, message.from_index + len(rows), message.limit - len(rows)
             )
             if more is None:
@@ -106,8 +113,9 @@
             rows += more
         return rows
 
-    def _held(self, job: Job, message: m.ListResults) -> list[bytes]:
-        rows, size_bytes = [], 0
+    def _rows_in_memory(self, job: Job, message: ListResults) -> list[bytes]:
+        rows: list[bytes] = []
+        size_bytes = 0
         for index in range(message.from_index, min(job.listed, message.from_index + message.limit)):
             rows.append(job.row(index))
             size_bytes += len(rows[-1])
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -1,22 +1,34 @@
-"""A lot and its items as the fold of the log has them.
+"""A job and its items, as the entries of the log have made them.
 
-Results of an ordinary lot are listed in the order of its items, up to `listed`; those of a
-forwarded lot in the order in which they were settled, `order`.
+Results of an ordinary job are listed in the order of its items, up to `listed`; those of a
+forwarded job in the order in which they were committed, `order`.
 """
 
+from typing import Any
+
 from messaging import Message, encode
 
-from batch_state import entries as e
-from batch_state import messages as m
+from batch_state.entries import (
+    ForwardJobAdmitted,
+    JobAdmitted,
+    JobArchived,
+    RolloutAdmitted,
+)
+from batch_state.job_entries import entries_of
+from batch_state.messages import ForwardResult, ResultRow
+from batch_state.outcomes import ItemState
+
+__all__ = ["AdmissionEntry", "Item", "Job"]
 
-__all__ = ["Item", "Job"]
+AdmissionEntry = JobAdmitted | ForwardJobAdmitted | RolloutAdmitted
+"""The entries that begin a job."""
 
 
 class Item:
-    """One item of a lot: waiting, claimed or finished.
+    """One item of a job: waiting, claimed or finished.
 
-    `body` is what is asked: text, or the bytes of a forwarded call. `number` is that of its latest
-    claim; `failed_at` has the workers that failed on it.
+    `body` is what is asked: text, or the bytes of a forwarded call; so is `result`. `number` is
+    that of its latest claim; `failed_at` has the workers that failed on it.
     """
 
     __slots__ = (
@@ -33,98 +45,132 @@
         "worker",
     )
 
-    def __init__(self, body: str | bytes, item_id: str = "", tokens: int = 0) -> None:
+    def __init__(self, body: Any, item_id: str = "", tokens: int = 0) -> None:
         self.body = body
         self.item_id = item_id
         self.tokens = tokens
-        self.state = "waiting"
+        self.state = ItemState.WAITING
         self.edge = ""
         self.number = 0
         self.failures = 0
         self.failed_at: tuple[str, ...] = ()
         self.outcome = ""
-        self.result: str | bytes = ""
+        self.result: Any = ""
         self.worker = ""
 
+    def claimed_under(self, number: int) -> bool:
+        """Whether the claim of this number is the present one."""
+        return self.state == ItemState.CLAIMED and self.number == number
 
-class Job:
-    """A lot and the state of its items.
 
-    `pending` has the indexes of unclaimed items in the order in which they are dealt, `claims` the
-    claimed items. `tokens` counts items that haven't ended; `rows` caches encoded entries for
-    snapshots.
+def _items(entry: AdmissionEntry) -> list[Item]:
+    if isinstance(entry, ForwardJobAdmitted):
+        rows = zip(entry.item_ids, entry.tokens, entry.calls, strict=True)
+        return [Item(call, item_id, tokens) for item_id, tokens, call in rows]
+    if isinstance(entry, RolloutAdmitted):
+        return [Item(body) for body in entry.items for _ in range(entry.samples)]
+    return [Item(body) for body in entry.items]
+
+
+class Job:
+    """A job and the state of its items.
+
+    `pending` has the indexes of unclaimed items in the order in which they are dispatched, `claims`
+    the claimed items. `tokens` counts those of items that haven't ended. `listing_edge` has the
+    listing lease under `listing_epoch`. `archived` is set once the results are in an archive file.
+    Times are in milliseconds of the log's own time: `at_ms` of the admission, `due_ms` of the
+    deadline, `expires_ms` from when on items are given up. `cached_entries` caches the encoded
+    entries for snapshots.
     """
 
     __slots__ = (
         "at_ms",
         "attempts",
-        "listing_edge",
-        "listing_epoch",
+        "cached_entries",
+        "cancelled",
+        "cancelled_at_ms",
         "claims",
         "digest",
         "due_ms",
-        "cancelled",
-        "cancelled_at_ms",
         "expires_ms",
         "forward",
         "items",
-        "unfinished",
         "job_id",
+        "listed",
+        "listing_edge",
+        "listing_epoch",
         "order",
         "path",
         "pending",
-        "listed",
         "rollout",
-        "rows",
         "safe",
         "samples",
-        "shelf",
+        "archived",
         "tokens",
         "total",
+        "unfinished",
         "version",
         "weights",
     )
 
-    def __init__(self, entry: e.JobAdmitted | e.ForwardJobAdmitted | e.RolloutAdmitted) -> None:
+    def __init__(self, entry: AdmissionEntry) -> None:
         self.job_id = entry.job_id
         self.digest = entry.digest
         self.path = entry.path
-        self.rollout = isinstance(entry, e.RolloutAdmitted)
-        self.samples, self.weights = (entry.samples, entry.weights) if self.rollout else (1, "")
-        self.due_ms = entry.expires_ms if self.rollout else entry.due_ms
         self.at_ms = entry.at_ms
-        self.forward = isinstance(entry, e.ForwardJobAdmitted)
-        if self.forward:
-            self.items = [
-                Item(call, item_id, tokens)
-                for item_id, tokens, call in zip(
-                    entry.item_ids, entry.tokens, entry.calls, strict=True
-                )
-            ]
-            self.safe, self.attempts = True, entry.attempts
-            self.expires_ms, self.version = entry.expires_ms, entry.version
-        elif self.rollout:
-            self.items = [Item(body) for body in entry.items for _ in range(entry.samples)]
-            self.safe, self.attempts, self.expires_ms, self.version = True, 0, entry.expires_ms, 0
-        else:
-            self.items = [Item(body) for body in entry.items]
-            self.safe, self.attempts, self.expires_ms, self.version = entry.safe, 0, 0, 0
+        self._set_kind(entry)
+        self.items = _items(entry)
         self.unfinished = self.total = len(self.items)
         self.tokens = sum(item.tokens for item in self.items)
         self.pending: dict[int, None] = dict.fromkeys(range(self.total))
         self.claims: dict[int, Item] = {}
         self.order: list[int] = []
-        self.shelf: e.JobArchived | None = None
+        self.archived: JobArchived | None = None
         self.listed = 0
         self.listing_edge = ""
         self.listing_epoch = 0
         self.cancelled = False
         self.cancelled_at_ms = 0
-        self.rows: list[bytes] | None = None
+        self.cached_entries: list[bytes] | None = None
+
+    def _set_kind(self, entry: AdmissionEntry) -> None:
+        """Set what differs between ordinary jobs, forwarded jobs and rollouts."""
+        self.forward = isinstance(entry, ForwardJobAdmitted)
+        self.rollout = isinstance(entry, RolloutAdmitted)
+        self.safe = True
+        self.samples, self.weights = 1, ""
+        self.attempts = self.version = self.expires_ms = 0
+        if isinstance(entry, ForwardJobAdmitted):
+            self.due_ms, self.expires_ms = entry.due_ms, entry.expires_ms
+            self.attempts, self.version = entry.attempts, entry.version
+        elif isinstance(entry, RolloutAdmitted):
+            self.due_ms = self.expires_ms = entry.expires_ms
+            self.samples, self.weights = entry.samples, entry.weights
+        else:
+            self.due_ms, self.safe = entry.due_ms, entry.safe
+
+    @classmethod
+    def from_archive(cls, entry: JobArchived) -> "Job":
+        """Return a job that is known only by its archive entry, which is yet to be applied."""
+        job = cls(
+            JobAdmitted(
+                job_id=entry.job_id,
+                digest=entry.digest,
+                path=entry.path,
+                items=[],
+                safe=entry.safe,
+                due_ms=entry.due_ms,
+                at_ms=entry.at_ms,
+            )
+        )
+        job.total, job.listed = entry.total, entry.listed
+        job.unfinished = entry.total - entry.finished
+        job.cancelled, job.cancelled_at_ms = entry.cancelled, entry.cancelled_at_ms
+        return job
 
     @property
     def open(self) -> bool:
-        """Whether the lot still runs: neither ended nor listed to its last result."""
+        """Whether the job still runs: neither cancelled nor listed to its last result."""
         return not self.cancelled and self.listed < self.total
 
     @property
@@ -136,12 +182,12 @@
     def listable(self) -> int:
         """Up to which position results could be listed now.
 
-        Those of a forwarded lot are listed as they are settled.
+        Those of a forwarded job are listed as they are committed.
         """
         if self.forward:
             return self.listed
         up_to = self.listed
-        while up_to < len(self.items) and self.items[up_to].state == "finished":
+        while up_to < len(self.items) and self.items[up_to].state == ItemState.FINISHED:
             up_to += 1
         return up_to
 
@@ -150,156 +196,44 @@
         if self.forward:
             item = self.items[self.order[position]]
             return encode(
-                m.ForwardResult(item_id=item.item_id, outcome=item.outcome, text=item.result)
+                ForwardResult(item_id=item.item_id, outcome=item.outcome, text=item.result)
             )
         item = self.items[position]
-        return encode(m.ResultRow(index=position, outcome=item.outcome, body=item.result))
+        return encode(ResultRow(index=position, outcome=item.outcome, body=item.result))
 
     # -- changes of an item's state --------------------------------------------------------------
 
     def claim(self, index: int, edge: str, number: int) -> None:
-        """Note that an edge has claimed an item."""
+        """Record that an edge has claimed an item."""
         item = self.items[index]
         self.pending.pop(index, None)
         self.claims[index] = item
-        item.state, item.edge, item.number = "claimed", edge, number
+        item.state, item.edge, item.number = ItemState.CLAIMED, edge, number
 
     def give_back(self, index: int) -> None:
-        """Return an item's claim; it is dealt again after those that wait already."""
+        """Return an item's claim; it is dispatched again after those that wait already."""
         item = self.claims.pop(index)
         self.pending[index] = None
-        item.state, item.edge = "waiting", ""
+        item.state, item.edge = ItemState.WAITING, ""
 
-    def finish(self, index: int, outcome: str, result: str | bytes, worker: str) -> int:
-        """Note how an item ended, and return its tokens, which no longer count."""
+    def finish(self, index: int, outcome: str, result: Any, worker: str) -> int:
+        """Record how an item ended, and return its tokens, which no longer count."""
         item = self.items[index]
         self.pending.pop(index, None)
         self.claims.pop(index, None)
-        item.state, item.outcome, item.result, item.worker = "finished", outcome, result, worker
+        item.state = ItemState.FINISHED
+        item.outcome, item.result, item.worker = outcome, result, worker
         self.unfinished -= 1
         self.tokens -= item.tokens
         return item.tokens
 
-    # -- entries that fold to this very lot ------------------------------------------------------
+    # -- archiving -------------------------------------------------------------------------------
 
-    def dump(self) -> list[Message]:
-        """Return entries that fold to this very lot."""
-        if self.shelf is not None:
-            return [
-                e.JobArchived(
-                    **{
-                        **self.shelf.as_dict(),
-                        "cancelled": self.cancelled,
-                        "cancelled_at_ms": self.cancelled_at_ms,
-                    }
-                )
-            ]
-        rows = self._dump_forward() if self.forward else self._dump_own()
-        if self.cancelled:
-            rows.append(e.JobCancelled(job_id=self.job_id, at_ms=self.cancelled_at_ms))
-        return rows
-
-    def _dump_own(self) -> list[Message]:
-        rows: list[Message] = [self._admitted()]
-        for index, item in enumerate(self.items):
-            if item.number:
-                rows.append(
-                    e.ItemClaimed(
-                        job_id=self.job_id, index=index, edge=item.edge, number=item.number
-                    )
-                )
-            if item.number and item.state == "waiting":
-                rows.append(e.ItemReturned(job_id=self.job_id, index=index, number=item.number))
-            if item.state == "finished":
-                rows.append(
-                    e.ItemFinished(
-                        job_id=self.job_id,
-                        index=index,
-                        outcome=item.outcome,
-                        body=item.result,
-                        worker=item.worker,
-                    )
-                )
-        if self.listing_epoch:
-            rows.append(
-                e.ListingLeaseGranted(
-                    job_id=self.job_id, edge=self.listing_edge, epoch=self.listing_epoch
-                )
-            )
-        if self.listed:
-            rows.append(
-                e.ListingAdvanced(job_id=self.job_id, up_to=self.listed, epoch=self.listing_epoch)
-            )
-        return rows
-
-    def _admitted(self) -> Message:
-        if self.rollout:
-            return e.RolloutAdmitted(
-                job_id=self.job_id,
-                digest=self.digest,
-                path=self.path,
-                samples=self.samples,
-                weights=self.weights,
-                items=[item.body for item in self.items[:: self.samples]],
-                expires_ms=self.expires_ms,
-                at_ms=self.at_ms,
-            )
-        return e.JobAdmitted(
-            job_id=self.job_id,
-            digest=self.digest,
-            path=self.path,
-            safe=self.safe,
-            items=[item.body for item in self.items],
-            due_ms=self.due_ms,
-            at_ms=self.at_ms,
-        )
+    def archive(self, entry: JobArchived) -> None:
+        """Drop the items and results, which are in an archive file."""
+        self.archived, self.items, self.claims, self.cached_entries = entry, [], {}, None
+        self.pending, self.order = {}, []
 
-    def _dump_forward(self) -> list[Message]:
-        rows: list[Message] = [
-            e.ForwardJobAdmitted(
-                job_id=self.job_id,
-                digest=self.digest,
-                path=self.path,
-                item_ids=[item.item_id for item in self.items],
-                tokens=[item.tokens for item in self.items],
-                calls=[item.body for item in self.items],
-                attempts=self.attempts,
-                due_ms=self.due_ms,
-                expires_ms=self.expires_ms,
-                version=self.version,
-                at_ms=self.at_ms,
-            )
-        ]
-        for index in [*self.pending, *self.claims]:
-            item = self.items[index]
-            for place, worker in enumerate(item.failed_at, 1):
-                rows.append(
-                    e.ItemsClaimed(job_id=self.job_id, edge="", indexes=[index], numbers=[place])
-                )
-                rows.append(
-                    e.AttemptFailed(
-                        job_id=self.job_id, index=index, number=place, failures=place, worker=worker
-                    )
-                )
-            if item.number > item.failures or item.state == "claimed":
-                rows.append(
-                    e.ItemsClaimed(
-                        job_id=self.job_id, edge=item.edge, indexes=[index], numbers=[item.number]
-                    )
-                )
-                if item.state == "waiting":
-                    rows.append(e.ItemReturned(job_id=self.job_id, index=index, number=item.number))
-        for index in self.order:
-            item = self.items[index]
-            rows.append(
-                e.ResultListed(
-                    job_id=self.job_id,
-                    index=index,
-                    outcome=item.outcome,
-                    text=item.result,
-                    worker=item.worker,
-                    edge=self.listing_edge,
-                    epoch=self.listing_epoch,
-                )
-            )
-        return rows
+    def dump(self) -> list[Message]:
+        """Return entries that rebuild this very job."""
+        return entries_of(self)
--- a/libs/batch_state/src/batch_state/leader_replies.py
+++ b/libs/batch_state/src/batch_state/leader_replies.py
@@ -1,67 +1,74 @@
-"""How a holder of the log answers requests.
+"""How the leader of the log answers requests.
 
-An answer waits until an entry is settled or a read is confirmed, and a request is checked for a
-recent stamp of the holder's epoch.
+A response waits until an entry is committed or a read is confirmed, and a request is checked for a
+recent stamp of the leader's epoch.
 """
 
 from collections.abc import Callable
-from typing import Any
 
-from messaging import Message, Origin
+from messaging import Message, Node, Origin
 
-__all__ = ["KEPT", "LeaderReplies"]
+from batch_state.interfaces import LogLeader, StampedRequest
+from batch_state.outcomes import AppendOutcome
 
-KEPT = "kept"
+__all__ = ["LeaderReplies"]
 
 
 class LeaderReplies:
-    """The answers of one holder under one epoch."""
+    """Sends the responses of one leader under one epoch."""
 
-    __slots__ = ("_holder", "node")
+    __slots__ = ("_leader", "node")
 
-    def __init__(self, holder: Any, node: Any) -> None:
-        self._holder, self.node = holder, node
+    def __init__(self, leader: LogLeader, node: Node) -> None:
+        self._leader, self.node = leader, node
 
-    def stale(self, message: Any) -> bool:
-        """Whether a request's stamp is of another holder or too old (`max_submission_age_ms`).
+    def stale(self, message: StampedRequest) -> bool:
+        """Whether a request's stamp is of another leader or too old (`max_submission_age_ms`).
 
         Such a request may be one whose sender has already given up on it.
         """
-        age_ms = self.node.env.now() - message.holder_ms
+        age_ms = self.node.env.now() - message.leader_ms
         return (
-            message.epoch != self._holder.epoch
+            message.epoch != self._leader.epoch
             or not 0 <= age_ms <= self.node.settings.max_submission_age_ms
         )
 
-    def log(
+    def append(
         self,
         origin: Origin,
-        rows: list[Message],
-        make: Callable[[str], Message],
+        entries: list[Message],
+        make_response: Callable[[str], Message],
         urgent: bool = False,
     ) -> bool:
-        """Append entries and answer once they are settled; False if they were refused.
+        """Append entries and answer once they are committed; False if they were refused.
 
-        `make` gets the outcome: kept, full or unknown. A refusal for want of room is answered only
-        once it is confirmed that this store was still the holder.
+        `make_response` gets an `AppendOutcome`. A refusal for want of space is answered only once
+        it is confirmed that this store was still the leader.
         """
 
-        def logged(outcome: str) -> None:
-            if outcome == "full":
-                self._holder.read(
-                    lambda ok: self.node.reply(origin, make("full" if ok else "unknown"))
+        def appended(outcome: str) -> None:
+            if outcome == AppendOutcome.FULL:
+                self._leader.read(
+                    lambda ok: self.node.reply(
+                        origin, make_response(AppendOutcome.FULL if ok else AppendOutcome.UNKNOWN)
+                    )
                 )
             else:
-                self.node.reply(origin, make(str(outcome)))
-
-        return self._holder.append(rows, True, logged, urgent)
-
-    def when_settled(self, origin: Origin, make: Callable[[bool], Message]) -> None:
-        """Answer once everything logged so far is settled; `make` gets False if that fails."""
-        self._holder.append(
-            [], True, lambda outcome: self.node.reply(origin, make(outcome == KEPT)), True
+                self.node.reply(origin, make_response(str(outcome)))
+
+        return self._leader.append(entries, True, appended, urgent)
+
+    def when_committed(self, origin: Origin, make_response: Callable[[bool], Message]) -> None:
+        """Answer once everything logged so far is committed, or with False if that fails."""
+        self._leader.append(
+            [],
+            True,
+            lambda outcome: self.node.reply(
+                origin, make_response(outcome == AppendOutcome.COMMITTED)
+            ),
+            True,
         )
 
-    def when_confirmed(self, origin: Origin, make: Callable[[bool], Message]) -> None:
-        """Answer once followers have confirmed the epoch; `make` gets False if that fails."""
-        self._holder.read(lambda ok: self.node.reply(origin, make(ok)))
+    def when_confirmed(self, origin: Origin, make_response: Callable[[bool], Message]) -> None:
+        """Answer once followers have confirmed the epoch, or with False if that fails."""
+        self._leader.read(lambda ok: self.node.reply(origin, make_response(ok)))
--- /dev/null
+++ b/libs/batch_state/src/batch_state/messages/rollouts.py
@@ -0,0 +1,63 @@
+"""Requests about rollouts: jobs of samples that run on capacity which is shared with training.
+
+The messages mirror those of ordinary jobs. A rollout's `due_ms` is in milliseconds from now, 0 for
+no deadline.
+"""
+
+from messaging import Message
+
+__all__ = ["SubmitRollout", "RolloutAssignment", "RolloutHeartbeat", "RolloutHeartbeatResponse"]
+
+
+class SubmitRollout(Message, wire_name="RolloutHandIn"):
+    """Submit a rollout; `due_ms` is from now, 0 for no deadline."""
+
+    job_id: str
+    digest: str
+    path: str
+    items: list[str]
+    samples: int
+    weights: str
+    due_ms: int
+    epoch: int
+    leader_ms: int
+
+
+class RolloutAssignment(Message, wire_name="RolloutWork"):
+    """A sample for an edge to run; `index` is `prompt` * samples of each prompt + `sample`."""
+
+    safe = True
+    job_id: str
+    index: int
+    number: int
+    path: str
+    body: str
+    prompt: int
+    sample: int
+    weights: str
+
+
+class RolloutHeartbeat(Message, wire_name="RolloutBeat"):
+    """An EdgeHeartbeat with how many samples of rollouts may start, and on which paths."""
+
+    edge: str
+    address: str
+    capacity: int
+    paths: list[str]
+    running: list[str]
+    sample_capacity: int
+    sample_paths: list[str]
+
+
+class RolloutHeartbeatResponse(Message, wire_name="RolloutAnswer"):
+    """An EdgeHeartbeatResponse with how many samples run, and whether jobs need their slots."""
+
+    epoch: int
+    leader_ms: int
+    work: list[bytes]
+    listing_leases: list[bytes]
+    stops: list[str]
+    waiting: int
+    paths: list[str]
+    samples_out: int
+    recalled: bool
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -135,7 +135,7 @@
                 safe=self._tree().usable(path).repeatable,
                 due_ms=due_ms,
                 epoch=0,
-                holder_ms=0,
+                leader_ms=0,
             ),
             self.node.settings.force_ms,
             done,
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -83,7 +83,7 @@
             keep_ms=profile.keep_ms or self.node.settings.keep_ms,
             version=number,
             epoch=0,
-            holder_ms=0,
+            leader_ms=0,
         )
 
         def done(receipt: Any) -> None:
--- a/libs/data_plane/src/data_plane/rollouts.py
+++ b/libs/data_plane/src/data_plane/rollouts.py
@@ -131,7 +131,7 @@
                 weights=call.weights,
                 due_ms=call.due_ms,
                 epoch=0,
-                holder_ms=0,
+                leader_ms=0,
             ),
             self.node.settings.force_ms,
             done,
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -41,11 +41,11 @@
             self._leader,
             lambda: self.log.log.state,
         )
-        self.log: LogReplica = LogReplica(local, self.control, self, self.batch_service.take_holder)
+        self.log: LogReplica = LogReplica(local, self.control, self, self.batch_service.set_leader)
         self.archive_repair = ArchiveRepair(local, self._other_members)
         self.batch_service.make_forecast = lambda: JobOutlook(settings.failure_timeout_ms)
-        self.batch_service.shelves = local.archive
-        self.batch_service.mend = self.archive_repair.repair
+        self.batch_service.archive = local.archive
+        self.batch_service.request_repair = self.archive_repair.repair
         local.archive.on_archived = self._release_archived
         super().__init__(
             env,
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -66,8 +66,8 @@
     def used(self) -> set[str]:
         """Return the names of the files that the ledger in memory refers to."""
         state = self._log.state
-        return {job.shelf.file for job in state.jobs.values() if job.shelf is not None} | {
-            key.shelf.file for key in state.keys.values() if key.shelf is not None
+        return {job.archived.file for job in state.jobs.values() if job.archived is not None} | {
+            key.archived.file for key in state.keys.values() if key.archived is not None
         }
 
     def collect(self) -> None:
@@ -93,7 +93,7 @@
         for kind, key in list(state.unarchived):
             del state.unarchived[(kind, key)]
             held = state.jobs.get(key) if kind == "lot" else state.keys.get(key)
-            if held is not None and held.shelf is None:
+            if held is not None and held.archived is None:
                 entries.append(
                     self._put_job(held, name, page)
                     if kind == "lot"
@@ -209,7 +209,7 @@
 
         None is returned if the leaf is damaged or isn't here.
         """
-        shelf = job.shelf
+        shelf = job.archived
         at = max(
             (number for number, first in enumerate(shelf.firsts) if first <= from_index), default=-1
         )
@@ -220,7 +220,9 @@
 
     def read_answer(self, key: IdempotencyKey) -> str | None:
         """Return the archived final answer of a key, or None if it is damaged or isn't here."""
-        rows = self._leaf(key.shelf.key, key.shelf.file, key.shelf.place, key.shelf.size)
+        rows = self._leaf(
+            key.archived.key, key.archived.file, key.archived.place, key.archived.size
+        )
         return None if rows is None else rows[0].decode()
 
     def sweep(self) -> list[tuple[str, str]]:
@@ -238,17 +240,19 @@
         jobs = [
             ("lot", job.job_id)
             for job in state.jobs.values()
-            if job.shelf is not None
-            and job.shelf.file == file
+            if job.archived is not None
+            and job.archived.file == file
             and any(
                 self._leaf(job.job_id, file, place, size) is None
-                for place, size in zip(job.shelf.places, job.shelf.sizes, strict=True)
+                for place, size in zip(job.archived.places, job.archived.sizes, strict=True)
             )
         ]
         return jobs + [
             ("key", name)
             for name, key in state.keys.items()
-            if key.shelf is not None and key.shelf.file == file and self.read_answer(key) is None
+            if key.archived is not None
+            and key.archived.file == file
+            and self.read_answer(key) is None
         ]
 
     def rewrite(
@@ -261,7 +265,7 @@
         """
         log = self._log
         held = log.state.jobs.get(name) if kind == "lot" else log.state.keys.get(name)
-        if held is None or held.shelf is None or log.busy():
+        if held is None or held.archived is None or log.busy():
             done(False)
             return
         file, page = self._new_name(), bytearray()
@@ -270,7 +274,7 @@
         else:
             page += _packed(ArchiveBlock(name=name, rows=rows))
             entry = e.KeyArchived(
-                **{**held.shelf.as_dict(), "file": file, "place": 0, "size": len(page)}
+                **{**held.archived.as_dict(), "file": file, "place": 0, "size": len(page)}
             )
 
         def flushed(ok: bool) -> None:
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -142,14 +142,14 @@
                 None
                 if key is None or key.state != "done"
                 else key.body
-                if key.shelf is None
+                if key.archived is None
                 else archive.read_answer(key)
             )
             return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], listed=1)
         job = state.jobs.get(message.name)
         if job is None:
             return ArchivedRows(ok=False, rows=[], listed=0)
-        if job.shelf is None:
+        if job.archived is None:
             rows: list[bytes] | None = [
                 encode(m.ResultRow(index=index, outcome=item.outcome, body=item.result))
                 for index, item in list(enumerate(job.items[: job.listed]))[
--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -33,7 +33,7 @@
             edge=carrier.edge,
             transaction=tx.transaction_id,
             epoch=0,
-            holder_ms=0,
+            leader_ms=0,
         ),
         left_ms,
         told,
--- a/libs/request_routing/src/request_routing/leader_client.py
+++ b/libs/request_routing/src/request_routing/leader_client.py
@@ -40,7 +40,7 @@
 class LeaderClient(Component):
     """Asks the leader of the log; `log_key` gives the feed's body, `stores` addresses to try first.
 
-    `heard_ms` is when the last answered heartbeat was asked for, by this node's clock; `holder_ms`
+    `heard_ms` is when the last answered heartbeat was asked for, by this node's clock; `leader_ms`
     the leader's own time as last heard; both in milliseconds.
     """
 
@@ -52,7 +52,7 @@
         "_read",
         "_stores",
         "heard_ms",
-        "holder_ms",
+        "leader_ms",
     )
 
     def __init__(self, log_key: Callable[[], str], stores: Callable[[], list[str]]) -> None:
@@ -63,7 +63,7 @@
         self._read = ""
         self._asks: list[_Ask] = []
         self.heard_ms = -1 << 40
-        self.holder_ms = 0
+        self.leader_ms = 0
 
     @property
     def epoch(self) -> int:
@@ -99,7 +99,7 @@
         if message.epoch >= self._epoch:
             self._epoch = message.epoch
             self.heard_ms = asked_ms
-            self.holder_ms = message.holder_ms
+            self.leader_ms = message.leader_ms
 
     def redirected(self, receipt: m.NotLeader) -> bool:
         """Take a store's word that another one leads; true if that is news."""
@@ -133,7 +133,7 @@
             return
         if isinstance(ask.message, _STAMPED):
             ask.message = type(ask.message)(
-                **{**ask.message.as_dict(), "epoch": self._epoch, "holder_ms": self.holder_ms}
+                **{**ask.message.as_dict(), "epoch": self._epoch, "leader_ms": self.leader_ms}
             )
         ask.sends += 1
         ask.epoch = self._epoch
@@ -158,7 +158,7 @@
             self._again(ask, now_ms + wait_ms)
         elif isinstance(receipt, m.StaleRequest):
             if receipt.epoch >= self._epoch:
-                self._epoch, self.holder_ms = receipt.epoch, receipt.holder_ms
+                self._epoch, self.leader_ms = receipt.epoch, receipt.leader_ms
                 self._again(ask, now_ms)
         elif getattr(receipt, "outcome", "") in _RETRIED:
             self._again(ask, now_ms + self.node.settings.heartbeat_ms // 2)
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -164,17 +164,17 @@
     for number in range(count):
         for row in _job(rng, 10_000_000 + number, body_bytes, False):
             log.state.apply(row)
-    dealer = ItemDispatcher(alone, alone)
+    dispatcher = ItemDispatcher(alone, alone)
     took = []
     for _ in range(20):
         began_at = time.perf_counter()
-        dealer.beat(
+        dispatcher.heartbeat(
             m.EdgeHeartbeat(
                 edge="edge-1", address="x", capacity=0, paths=["summaries"], running=[]
             ),
             lambda receipt: None,
         )
-        dealer.tick()
+        dispatcher.tick()
         took.append((time.perf_counter() - began_at) * 1000)
     for number in range(count):
         log.state.apply(e.JobExpired(job_id=f"lot{10_000_000 + number}"))
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -91,10 +91,10 @@
         "keep_ms": 900_000,
         "version": 1,
     }
-    answer = client.ask(m.SubmitForwardJob(epoch=0, holder_ms=0, **values))
+    answer = client.ask(m.SubmitForwardJob(epoch=0, leader_ms=0, **values))
     if isinstance(answer, m.StaleRequest):
         answer = client.ask(
-            m.SubmitForwardJob(epoch=answer.epoch, holder_ms=answer.holder_ms, **values)
+            m.SubmitForwardJob(epoch=answer.epoch, leader_ms=answer.leader_ms, **values)
         )
     if answer.outcome != "admitted":
         raise AssertionError(f"a lot was not admitted: {answer.outcome}")
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -16,7 +16,7 @@
     ),
     "late hand-ins are taken": (
         "batch_state/src/batch_state/leader_replies.py",
-        "return (message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.settings.max_submission_age_ms)",
+        "return (message.epoch != self._leader.epoch or not 0 <= age_ms <= self.node.settings.max_submission_age_ms)",
         "return False",
         _LOTS + "late",
     ),
@@ -51,9 +51,9 @@
         "tests/test_recovery.py -k old_tail",
     ),
     "an unsafe report is acknowledged unsettled": (
-        "batch_state/src/batch_state/item_dispatch.py",
-        "self._holder.append(rows, not job.safe, logged, True)",
-        "self._holder.append(rows, False, logged, True)",
+        "batch_state/src/batch_state/result_reports.py",
+        "self._leader.append(entries, not job.safe, appended, True)",
+        "self._leader.append(entries, False, appended, True)",
         _LOTS + "unsafe_report",
     ),
     "a damaged leaf is listed": (
@@ -92,8 +92,8 @@
         "tests/test_shelves.py -k spare",
     ),
     "a lost listing lease stays lost": (
-        "batch_state/src/batch_state/item_dispatch.py",
-        "if job.listable > job.listed and not self._live(job.listing_edge):",
+        "batch_state/src/batch_state/listing_leases.py",
+        "if job.listable > job.listed and not self._edges.is_live(job.listing_edge):",
         "if False:",
         _LOTS + "all_finished",
     ),
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -259,18 +259,18 @@
         "tests/test_asks.py -k life",
     ),
     "a claim is handed back under an old number": (
-        "batch_state/src/batch_state/item_dispatch.py",
-        'if item.state == "claimed" and item.number == message.number:\n'
-        "rows.append(e.ItemReturned(\n"
-        "job_id=message.job_id, index=message.index, number=message.number",
-        'if item.state == "claimed": rows.append(e.ItemReturned('
-        "job_id=message.job_id, index=message.index, number=item.number",
+        "batch_state/src/batch_state/result_reports.py",
+        "if not item.claimed_under(message.number):\n"
+        "return []\n"
+        "return [ItemReturned(job_id=message.job_id, index=message.index, number=message.number)]",
+        "if item.state != ItemState.CLAIMED:\n                return []\n            "
+        "return [ItemReturned(job_id=message.job_id, index=message.index, number=item.number)]",
         _CLAIMS + "handed_back_late",
     ),
     "an item's failure counts under an old number": (
-        "batch_state/src/batch_state/item_completion.py",
-        'present = item.state == "claimed" and item.number == row.number',
-        'present = item.state == "claimed"',
+        "batch_state/src/batch_state/forward_completion.py",
+        "if not item.claimed_under(report.number):",
+        "if item.state != ItemState.CLAIMED:",
         _CLAIMS + "uses_up",
     ),
     "an edge that stood still runs on": (
--- a/tests/forward_ledger_stage.py
+++ b/tests/forward_ledger_stage.py
@@ -92,7 +92,7 @@
             lambda: self.profiles, lambda: (9, "10.0.0.9:1"), lambda: self.holder.committed_state
         )
         self.desk.attach(node)
-        self.desk.take_holder(self.holder)
+        self.desk.set_leader(self.holder)
         self._ref = 0
 
     def ask(self, message):
@@ -134,7 +134,7 @@
                     keep_ms=keep_ms,
                     version=version,
                     epoch=epoch,
-                    holder_ms=self.now_ms - age_ms,
+                    leader_ms=self.now_ms - age_ms,
                 )
             )
         )
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -86,9 +86,9 @@
             )
             state = b"".join(log.state.encoded())
             records = b"".join(record.frame for record in log.records)
-            archived_jobs = [job for job in log.state.jobs.values() if job.shelf is not None]
+            archived_jobs = [job for job in log.state.jobs.values() if job.archived is not None]
             archived_keys = [
-                (name, key) for name, key in log.state.keys.items() if key.shelf is not None
+                (name, key) for name, key in log.state.keys.items() if key.archived is not None
             ]
             self.assertThat(
                 {
@@ -99,7 +99,7 @@
                     "snapshot_seq": log.snapshot_seq,
                     "metadata": encode(log.meta).hex(),
                     "jobs": {
-                        name: [job.total, job.shelf is not None]
+                        name: [job.total, job.archived is not None]
                         for name, job in log.state.jobs.items()
                     },
                     "keys": sorted(log.state.keys),
--- a/tests/test_forward_dealing.py
+++ b/tests/test_forward_dealing.py
@@ -28,7 +28,7 @@
         bench.after(1)
         self.assertThat(bench.told(held).work, Equals([]))
         held = bench.beat()
-        bench.desk.take_holder(None)
+        bench.desk.set_leader(None)
         self.assertThat(bench.told(held), Equals(m.NotLeader(epoch=9, address="10.0.0.9:1")))
 
     def test_an_edge_known_to_be_dead_loses_its_items(self):
@@ -145,7 +145,7 @@
         )
         bench.hand_in("two")
         held = bench.page("two", 0, 500)
-        bench.desk.take_holder(None)
+        bench.desk.set_leader(None)
         self.assertThat(type(bench.told(held)), Equals(m.NotLeader))
 
     def test_missing_only_what_is_settled_nowhere_and_logged_nowhere(self):
--- a/tests/test_forward_ledger.py
+++ b/tests/test_forward_ledger.py
@@ -184,7 +184,7 @@
         bench.ask(m.CancelJob(job_id="one"))
         for row in ({"age_ms": 0}, {"age_ms": 50}, {"epoch": 2}, {"age_ms": 1001}, {"age_ms": -1}):
             told = bench.hand_in("two", (1,), **row)
-            self.assertThat(told, Equals(m.StaleRequest(epoch=1, holder_ms=bench.now_ms)), row)
+            self.assertThat(told, Equals(m.StaleRequest(epoch=1, leader_ms=bench.now_ms)), row)
         bench.now_ms += 1
         self.assertThat(bench.hand_in("two", (1,)).outcome, Equals("admitted"))
 
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -154,7 +154,7 @@
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
                 epoch=4,
-                holder_ms=1,
+                leader_ms=1,
                 work=work,
                 listing_leases=[],
                 stops=[],
@@ -310,7 +310,7 @@
         stage.answer(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
-                epoch=4, holder_ms=1, work=[], listing_leases=[], stops=["lot"], waiting=0, paths=[]
+                epoch=4, leader_ms=1, work=[], listing_leases=[], stops=["lot"], waiting=0, paths=[]
             ),
         )
         self.assertThat(
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -67,7 +67,7 @@
         )
         receipt = m.EdgeHeartbeatResponse(
             epoch=epoch,
-            holder_ms=0,
+            leader_ms=0,
             work=[encode(work)],
             listing_leases=[],
             stops=[],
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -35,7 +35,7 @@
                 items=['{"prompt": "lot a"}'],
                 safe=True,
                 due_ms=0,
-                holder_ms=node.env.now() - age_ms,
+                leader_ms=node.env.now() - age_ms,
                 epoch=epoch or node.log.leader.epoch,
             ),
         ).outcome
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -36,7 +36,7 @@
     def on_shelves(self, host):
         jobs = host.node.log.log.state.jobs
         return len(jobs) == 3 and all(
-            job.shelf is not None and not job.items for job in jobs.values()
+            job.archived is not None and not job.items for job in jobs.values()
         )
 
     def leaves(self, host):
@@ -94,7 +94,7 @@
         run, fleet = self.founded()
         holder = fleet.leader()
         job = holder.node.log.log.state.jobs["lot2"]
-        holder.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
+        holder.disk.damage(job.archived.file, job.archived.places[0] + 40)
         self.assertThat(holder.node.log.log.archive.read_results(job, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot2"), Equals(30))
         self.assertThat(len(holder.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
@@ -104,10 +104,10 @@
         run, fleet = self.founded()
         log = fleet.leader().node.log.log
         one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
-        one.shelf.file, one.shelf.places, one.shelf.sizes = (
-            other.shelf.file,
-            other.shelf.places,
-            other.shelf.sizes,
+        one.archived.file, one.archived.places, one.archived.sizes = (
+            other.archived.file,
+            other.archived.places,
+            other.archived.sizes,
         )
         self.assertThat(log.archive.read_results(one, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot1"), Equals(30))
@@ -118,11 +118,11 @@
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
         job, key = log.state.jobs["lot1"], log.state.keys["kept"]
-        host.disk.damage(job.shelf.file, job.shelf.places[0] + 40)
+        host.disk.damage(job.archived.file, job.archived.places[0] + 40)
 
         def whole():
             results = log.archive.read_results(job, 0, 9) or []
-            return len(results) == 9 and (key.shelf is None or log.archive.read_answer(key))
+            return len(results) == 9 and (key.archived is None or log.archive.read_answer(key))
 
         self.assertThat(bool(whole()), Equals(False))
         files = len(self.leaves(host))
