--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -11,7 +11,10 @@
 
 from storage.disk import KEPT_BACK, SMALL_BYTES, DiskFullError
 
-__all__ = ["SimDisk"]
+__all__ = ["FLUSH_MS", "SimDisk"]
+
+FLUSH_MS = 3.0
+"""What a flush takes, on the average."""
 
 
 class _ChangeKind(Enum):
@@ -45,7 +48,7 @@
         "room_bytes",
     )
 
-    def __init__(self, time: Any, room_bytes: int, flush_ms: float = 3.0) -> None:
+    def __init__(self, time: Any, room_bytes: int, flush_ms: float = FLUSH_MS) -> None:
         self._time = time
         self._files: dict[str, bytearray] = {}
         self._durable: dict[str, bytearray] = {}
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.run = Run(seed + 1000 * chance, settings=_SETTINGS, workers=0, control=3)
         self.fleet, self.faulty, self.share = self.run.fleet, faulty, share if rollouts else 0.0
-        self.run.operators.more = {
+        self.run.operators.extra_profiles = {
             "rollouts": {"parent": "base", "loan_share": self.share, "deadline_ms": 5000}
         }
         self._rng = random.Random(f"evening {seed}")
--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -4,28 +4,47 @@
 fleet has to tolerate. Times are milliseconds of virtual time.
 """
 
+from collections.abc import Callable
+from functools import partial
 from typing import Any
 
+from simulator.disks import FLUSH_MS
 from simulator.history import RowKind
 
-__all__ = ["FAULTS", "schedule"]
+__all__ = ["FAULTS", "LEADER", "UNRESPONSIVE", "FaultSchedule", "schedule"]
 
+LEADER = "leader"
+"""Takes the place of a role, for the store that leads the log."""
 
-def _pick(fleet: Any, role: str) -> Any:
+UNRESPONSIVE = "dark"
+"""How a worker left that is silent for a while, in its row."""
+
+FaultSchedule = list[tuple[float, str]]
+"""Times in milliseconds, with names of faults."""
+
+_FIRST_REPLACEMENT = 100
+_NEVER_MS = 1e12
+_SLOW_FLUSH_MS = 150.0
+
+
+def _choose_host(fleet: Any, role: str) -> Any:
+    """Return a random running host of a role, or the log's leader; None if there is none."""
+    if role == LEADER:
+        return fleet.leader()
     hosts = [host for host in fleet.with_role(role) if host.up]
     return fleet.time.rng.choice(hosts) if hosts else None
 
 
 def crash(fleet: Any, role: str, down_ms: float) -> None:
     """Kill a process of a role and start it again after `down_ms`."""
-    host = _pick(fleet, role)
+    host = _choose_host(fleet, role)
     if host is not None:
         host.kill()
         fleet.time.after(down_ms, host.start)
 
 
-def crash_holder(fleet: Any, down_ms: float) -> None:
-    """Kill the log's holder and start its process again after `down_ms`."""
+def crash_leader(fleet: Any, down_ms: float) -> None:
+    """Kill the log's leader and start its process again after `down_ms`."""
     host = fleet.leader()
     if host is not None:
         host.kill()
@@ -44,9 +63,9 @@
 def freeze(fleet: Any, role: str, for_ms: float, step_ms: int) -> None:
     """Freeze a process for `for_ms`, with its wall clock stepped by `step_ms`.
 
-    `role` may also be `holder`, for the log's holder.
+    `role` may also be LEADER.
     """
-    host = fleet.leader() if role == "holder" else _pick(fleet, role)
+    host = _choose_host(fleet, role)
     if host is not None:
         host.freeze()
         host.wall_step_ms += step_ms
@@ -74,22 +93,21 @@
     fleet.time.after(for_ms, fleet.network.heal)
 
 
-def control_split(fleet: Any, for_ms: float, cut_off: bool) -> None:
-    """Split two control nodes from the rest, or all of them from the fleet if `cut_off`."""
+def partition_control(fleet: Any, for_ms: float, from_fleet: bool) -> None:
+    """Split two control nodes from the rest, or all of them from the fleet if `from_fleet`."""
     control = [host.address for host in fleet.with_role("control")]
     others = [host.address for host in fleet.hosts.values() if host.role != "control"]
-    groups = [control, others] if cut_off else [control[:2], control[2:]]
+    groups = [control, others] if from_fleet else [control[:2], control[2:]]
     fleet.network.split(groups)
     fleet.time.after(for_ms, fleet.network.heal)
 
 
-def minority_cut(fleet: Any, for_ms: float, restart: bool) -> None:
-    """Cut most edges and a store off from control, for longer than any node is remembered."""
-    side = [host for host in fleet.with_role("edge")[1:]] + fleet.with_role("store")[:1]
-    names = [host.address for host in side]
-    fleet.network.split(
-        [names, [host.address for host in fleet.hosts.values() if host.address not in names]]
-    )
+def partition_minority(fleet: Any, for_ms: float, restart: bool) -> None:
+    """Partition most edges and a store from control, for longer than any node is remembered."""
+    side = fleet.with_role("edge")[1:] + fleet.with_role("store")[:1]
+    addresses = [host.address for host in side]
+    others = [host.address for host in fleet.hosts.values() if host.address not in addresses]
+    fleet.network.split([addresses, others])
     if restart:
         fleet.time.after(1500, side[0].kill)
         fleet.time.after(2000, side[0].start)
@@ -97,8 +115,8 @@
 
 
 def isolate(fleet: Any, role: str, for_ms: float) -> None:
-    """Cut one host of a role off from everything for `for_ms`."""
-    host = _pick(fleet, role)
+    """Partition one host of a role from everything for `for_ms`."""
+    host = _choose_host(fleet, role)
     if host is not None:
         fleet.network.isolate(host.address)
         fleet.time.after(for_ms, fleet.network.heal)
@@ -106,7 +124,7 @@
 
 def slow(fleet: Any, role: str, by_ms: float, for_ms: float) -> None:
     """Delay the messages of one host of a role by up to `by_ms`."""
-    host = _pick(fleet, role)
+    host = _choose_host(fleet, role)
     if host is not None:
         fleet.network.slow_ms[host.address] = by_ms
         fleet.time.after(for_ms, fleet.network.heal)
@@ -114,18 +132,18 @@
 
 def slow_disk(fleet: Any, for_ms: float) -> None:
     """Make the flushes of one store take about 150 ms each."""
-    host = _pick(fleet, "store")
+    host = _choose_host(fleet, "store")
     if host is not None:
-        host.disk.flush_ms = 150.0
+        host.disk.flush_ms = _SLOW_FLUSH_MS
 
-        def mend() -> None:
-            host.disk.flush_ms = 3.0
+        def restore() -> None:
+            host.disk.flush_ms = FLUSH_MS
 
-        fleet.time.after(for_ms, mend)
+        fleet.time.after(for_ms, restore)
 
 
 def fill(fleet: Any, role: str, for_ms: float) -> None:
-    """Take the free room of all disks of a role away for `for_ms`."""
+    """Take the free space of all disks of a role away for `for_ms`."""
     for host in fleet.with_role(role):
         host.disk.fill()
         fleet.time.after(for_ms, host.disk.restore_capacity)
@@ -133,7 +151,7 @@
 
 def damage(fleet: Any, role: str) -> None:
     """Invert a byte of a log or key file on one disk while its process is down."""
-    host = _pick(fleet, role)
+    host = _choose_host(fleet, role)
     names = (
         [name for name in host.disk.names() if name.startswith(("queue-", "keys-"))]
         if host is not None
@@ -147,93 +165,122 @@
 
 def lose_disk(fleet: Any, role: str, down_ms: float) -> None:
     """Kill a process, wipe its disk, and start it again after `down_ms`."""
-    host = fleet.leader() if role == "holder" else _pick(fleet, role)
+    host = _choose_host(fleet, role)
     if host is not None:
         host.lose_disk()
         fleet.time.after(down_ms, host.start)
 
 
-def power_cut(fleet: Any, roles: tuple[str, ...], down_ms: float) -> None:
-    """Cut the power of all hosts of these roles at once."""
+def power_loss(fleet: Any, roles: tuple[str, ...], down_ms: float) -> None:
+    """Take the power from all hosts of these roles at once."""
     for host in fleet.hosts.values():
         if host.role in roles:
             host.lose_power()
             fleet.time.after(down_ms + fleet.time.rng.random() * 500, host.start)
 
 
-def worker_fault(fleet: Any, how: str) -> None:
-    """Let one worker crash, leave, fall silent for a while or be replaced, if another remains."""
+def _choose_worker(fleet: Any) -> Any:
+    """Return a random worker that takes requests, if another remains, else None."""
     workers = [
         worker
         for worker in fleet.workers.values()
         if not (worker.crashed or worker.leaving or worker.unresponsive)
     ]
-    if len(workers) < 2:
-        return
-    worker = fleet.time.rng.choice(workers)
-    name = f"worker{len(fleet.history.rows_of('worker-left')) + 100}"
-    if how == "crash":
+    return fleet.time.rng.choice(workers) if len(workers) > 1 else None
+
+
+def _replacement_name(fleet: Any) -> str:
+    departures = len(fleet.history.rows_of(RowKind.WORKER_LEFT))
+    return f"worker{departures + _FIRST_REPLACEMENT}"
+
+
+def _add_worker_later(fleet: Any, name: str, wait_ms: float, address: str = "") -> None:
+    fleet.time.after(wait_ms, lambda: fleet.add_worker(name, ["gpu"], address))
+
+
+def crash_worker(fleet: Any) -> None:
+    """Crash a worker and start one at another address after 2 s."""
+    worker, name = _choose_worker(fleet), _replacement_name(fleet)
+    if worker is not None:
         worker.crash()
-        fleet.time.after(2000, lambda: fleet.add_worker(name, ["gpu"]))
-    elif how == "leave":
+        _add_worker_later(fleet, name, 2000)
+
+
+def dismiss_worker(fleet: Any) -> None:
+    """Let a worker leave and start one at another address after 2 s."""
+    worker, name = _choose_worker(fleet), _replacement_name(fleet)
+    if worker is not None:
         worker.leave()
-        fleet.time.after(2000, lambda: fleet.add_worker(name, ["gpu"]))
-    elif how == "replace":
+        _add_worker_later(fleet, name, 2000)
+
+
+def replace_worker(fleet: Any) -> None:
+    """Crash a worker and start another at its address after 100 ms."""
+    worker, name = _choose_worker(fleet), _replacement_name(fleet)
+    if worker is not None:
         worker.crash()
-        fleet.time.after(100, lambda: fleet.add_worker(name, ["gpu"], worker.address))
-    else:
-        worker.unresponsive = True
-        row = fleet.history.add(
-            RowKind.WORKER_LEFT,
-            fleet.time.now_ms,
-            worker=worker.instance_id,
-            how="dark",
-            until_ms=1e12,
-        )
-
-        def respond_again() -> None:
-            worker.unresponsive = False
-            row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
-
-        fleet.time.after(2500, respond_again)
-
-
-FAULTS: dict[str, Any] = {
-    "crash-edge": lambda f: crash(f, "edge", 800),
-    "crash-store": lambda f: crash(f, "store", 1500),
-    "crash-control": lambda f: crash(f, "control", 1500),
-    "crash-holder": lambda f: crash_holder(f, 2500),
-    "crash-owner": lambda f: crash_owner(f, 2500),
-    "freeze-holder": lambda f: freeze(f, "holder", 4000, 60_000),
-    "freeze-edge": lambda f: freeze(f, "edge", 3500, -60_000),
-    "freeze-control": lambda f: freeze(f, "control", 3000, 5000),
-    "freeze-store": lambda f: freeze(f, "store", 2000, -5000),
-    "step-clocks": lambda f: step_clocks(f, 3_600_000),
-    "loss": lambda f: loss(f, 0.1, 2500),
-    "split": lambda f: split(f, 3000),
-    "control-split": lambda f: control_split(f, 3000, False),
-    "control-cut-off": lambda f: control_split(f, 3000, True),
-    "minority-cut": lambda f: minority_cut(f, 9500, False),
-    "minority-cut-restart": lambda f: minority_cut(f, 9500, True),
-    "isolate-edge": lambda f: isolate(f, "edge", 3000),
-    "isolate-store": lambda f: isolate(f, "store", 3000),
-    "slow-store": lambda f: slow(f, "store", 120, 3000),
-    "slow-disk": lambda f: slow_disk(f, 3000),
-    "lose-store-disk": lambda f: lose_disk(f, "store", 1500),
-    "lose-holder-disk": lambda f: lose_disk(f, "holder", 1500),
-    "lose-control-disk": lambda f: lose_disk(f, "control", 1500),
-    "fill-stores": lambda f: fill(f, "store", 2500),
-    "fill-control": lambda f: fill(f, "control", 2500),
-    "damage-store": lambda f: damage(f, "store"),
-    "damage-control": lambda f: damage(f, "control"),
-    "power-stores": lambda f: power_cut(f, ("store",), 1000),
-    "power-all": lambda f: power_cut(f, ("store", "control", "edge"), 1000),
-    "worker-crash": lambda f: worker_fault(f, "crash"),
-    "worker-leave": lambda f: worker_fault(f, "leave"),
-    "worker-dark": lambda f: worker_fault(f, "dark"),
-    "worker-replace": lambda f: worker_fault(f, "replace"),
+        _add_worker_later(fleet, name, 100, worker.address)
+
+
+def silence_worker(fleet: Any) -> None:
+    """Make a worker unresponsive for 2.5 s."""
+    worker = _choose_worker(fleet)
+    if worker is None:
+        return
+    worker.unresponsive = True
+    row = fleet.history.add(
+        RowKind.WORKER_LEFT,
+        fleet.time.now_ms,
+        worker=worker.instance_id,
+        how=UNRESPONSIVE,
+        until_ms=_NEVER_MS,
+    )
+
+    def respond_again() -> None:
+        worker.unresponsive = False
+        row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
+
+    fleet.time.after(2500, respond_again)
+
+
+FAULTS: dict[str, Callable[[Any], None]] = {
+    "crash-edge": partial(crash, role="edge", down_ms=800),
+    "crash-store": partial(crash, role="store", down_ms=1500),
+    "crash-control": partial(crash, role="control", down_ms=1500),
+    "crash-holder": partial(crash_leader, down_ms=2500),
+    "crash-owner": partial(crash_owner, down_ms=2500),
+    "freeze-holder": partial(freeze, role=LEADER, for_ms=4000, step_ms=60_000),
+    "freeze-edge": partial(freeze, role="edge", for_ms=3500, step_ms=-60_000),
+    "freeze-control": partial(freeze, role="control", for_ms=3000, step_ms=5000),
+    "freeze-store": partial(freeze, role="store", for_ms=2000, step_ms=-5000),
+    "step-clocks": partial(step_clocks, step_ms=3_600_000),
+    "loss": partial(loss, rate=0.1, for_ms=2500),
+    "split": partial(split, for_ms=3000),
+    "control-split": partial(partition_control, for_ms=3000, from_fleet=False),
+    "control-cut-off": partial(partition_control, for_ms=3000, from_fleet=True),
+    "minority-cut": partial(partition_minority, for_ms=9500, restart=False),
+    "minority-cut-restart": partial(partition_minority, for_ms=9500, restart=True),
+    "isolate-edge": partial(isolate, role="edge", for_ms=3000),
+    "isolate-store": partial(isolate, role="store", for_ms=3000),
+    "slow-store": partial(slow, role="store", by_ms=120, for_ms=3000),
+    "slow-disk": partial(slow_disk, for_ms=3000),
+    "lose-store-disk": partial(lose_disk, role="store", down_ms=1500),
+    "lose-holder-disk": partial(lose_disk, role=LEADER, down_ms=1500),
+    "lose-control-disk": partial(lose_disk, role="control", down_ms=1500),
+    "fill-stores": partial(fill, role="store", for_ms=2500),
+    "fill-control": partial(fill, role="control", for_ms=2500),
+    "damage-store": partial(damage, role="store"),
+    "damage-control": partial(damage, role="control"),
+    "power-stores": partial(power_loss, roles=("store",), down_ms=1000),
+    "power-all": partial(power_loss, roles=("store", "control", "edge"), down_ms=1000),
+    "worker-crash": crash_worker,
+    "worker-leave": dismiss_worker,
+    "worker-dark": silence_worker,
+    "worker-replace": replace_worker,
 }
-_ONCE = (
+"""Each fault by the name under which schedules give it."""
+
+_DISK_LOSSES = (
     "lose-store-disk",
     "lose-holder-disk",
     "lose-control-disk",
@@ -244,13 +291,14 @@
 
 def schedule(
     rng: Any, start_ms: float, span_ms: float, count: int, only: list[str] | None = None
-) -> list[tuple[float, str]]:
+) -> FaultSchedule:
     """Draw `count` faults in `span_ms` from `start_ms` on; return (time, name) rows by time."""
-    names, rows, lost = list(only or FAULTS), [], False
+    names, lost = list(only or FAULTS), False
+    rows: FaultSchedule = []
     while len(rows) < count:
         name = rng.choice(names)
-        if name in _ONCE and lost:
+        if name in _DISK_LOSSES and lost:
             continue
-        lost = lost or name in _ONCE
+        lost = lost or name in _DISK_LOSSES
         rows.append((start_ms + rng.random() * span_ms, name))
     return sorted(rows)
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -1,13 +1,14 @@
 """A simulated fleet: hosts in zones, workers, and periodic samples of their state."""
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Literal, TypeVar
 
 from control_plane import ControlNode
 from data_plane import EdgeNode, StoreNode
 from runtime import Settings
 
 from simulator.disks import SimDisk
-from simulator.history import History, RowKind
+from simulator.history import History, Row, RowKind
 from simulator.hosts import SimEnvironment, SimHost
 from simulator.virtual import Network, VirtualTime
 from simulator.worker_transport import SimSender
@@ -16,7 +17,19 @@
 __all__ = ["SimFleet"]
 
 ZONES = ("north", "south", "west")
+Role = Literal["control", "edge", "store"]
+
+WorkerType = TypeVar("WorkerType", bound=SimWorker)
+
+HostEvent = tuple[float, str, str, dict[str, Any]]
+"""Time in milliseconds, host, event and its fields."""
+
 _SAMPLE_MS = 100.0
+_CHECK_MS = 50
+_WORKER_SLOTS = 4
+_NEVER_MS = 1e12
+_CHANGE_PREFIX = "mark-"
+"""What the name of the profile begins with that names the change that made a tree."""
 
 
 class SimFleet:
@@ -26,10 +39,10 @@
     """
 
     __slots__ = (
-        "_count",
+        "_address_count",
+        "_away",
         "_settings",
         "events",
-        "_away",
         "history",
         "hosts",
         "network",
@@ -50,11 +63,11 @@
         self.time = VirtualTime(seed)
         self.network = self.NETWORK(self.time)
         self.history = History(seed=seed)
-        self.events: list[tuple[float, str, str, dict]] = []
+        self.events: list[HostEvent] = []
         self.hosts: dict[str, SimHost] = {}
         self.workers: dict[str, SimWorker] = {}
-        self._count = 0
-        self._away: dict[str, dict] = {}
+        self._address_count = 0
+        self._away: dict[str, Row] = {}
         self._settings = {
             "flush_ms": 1500,
             "segment_bytes": 1 << 13,
@@ -72,26 +85,35 @@
         for index in range(workers):
             self.add_worker(f"worker{index + 1}", ["gpu"])
 
-    def _address(self) -> str:
-        self._count += 1
-        return f"10.0.{self._count >> 8}.{self._count & 255}:7000"
+    def new_address(self) -> str:
+        """Return an address that no host or worker has had."""
+        self._address_count += 1
+        return f"10.0.{self._address_count >> 8}.{self._address_count & 255}:7000"
 
-    def add(self, role: str, name: str) -> SimHost:
+    def add(self, role: Role, name: str) -> SimHost:
         """Start a host of a role, with a blank disk unless it is an edge."""
-        address = self._address()
+        address = self.new_address()
         known = [host.address for host in self.hosts.values() if host.up][:3] or ["10.0.0.1:7000"]
         settings = Settings(
             role=role,
             link=address,
             http=address.replace(":7000", ":7001"),
-            zone=ZONES[len(self.hosts) % 3],
+            zone=ZONES[len(self.hosts) % len(ZONES)],
             data_folder="disk",
             **{"seeds": known, **self._settings},
         )
         disk = SimDisk(self.time, settings.disk_bytes) if role != "edge" else None
         self.network.zones[address] = settings.zone
         host = self.HOST(
-            name, role, address, self.time, self.network, settings, disk, self._make, self._note
+            name,
+            role,
+            address,
+            self.time,
+            self.network,
+            settings,
+            disk,
+            self._make_node,
+            self._record_event,
         )
         self.hosts[name] = host
         host.start()
@@ -99,9 +121,12 @@
 
     def add_worker(self, name: str, labels: list[str], address: str = "") -> SimWorker:
         """Start a worker, at a new address if none is given."""
-        worker = SimWorker(
-            self, name, address or self._address(), labels, 4, ZONES[len(self.workers) % 3]
-        )
+        address = address or self.new_address()
+        zone = ZONES[len(self.workers) % len(ZONES)]
+        return self.attach(SimWorker(self, name, address, labels, _WORKER_SLOTS, zone))
+
+    def attach(self, worker: WorkerType) -> WorkerType:
+        """Connect a worker to the network at its address."""
         self.network.zones[worker.address] = worker.zone
         self.workers[worker.address] = worker
         return worker
@@ -110,18 +135,18 @@
         """Return the worker that listens at an address, or None."""
         return self.workers.get(address)
 
-    def _make(self, host: SimHost, env: SimEnvironment) -> Any:
+    def _make_node(self, host: SimHost, env: SimEnvironment) -> Any:
         if host.role == "control":
             return ControlNode(env, host.settings, host.disk)
         if host.role == "store":
             return StoreNode(env, host.settings, host.disk)
         return EdgeNode(env, host.settings, SimSender(self, host))
 
-    def _note(self, name: str, event: str, fields: dict) -> None:
+    def _record_event(self, name: str, event: str, fields: dict[str, Any]) -> None:
         self.events.append((self.time.now_ms, name, event, fields))
         if event in ("killed", "frozen-by-fault") and name not in self._away:
             self._away[name] = self.history.add(
-                RowKind.AWAY, self.time.now_ms, name=name, until_ms=1e12
+                RowKind.AWAY, self.time.now_ms, name=name, until_ms=_NEVER_MS
             )
         elif event in ("started", "woken") and name in self._away:
             self._away.pop(name)["until_ms"] = self.time.now_ms
@@ -135,7 +160,7 @@
         return [host for host in self.with_role(role) if host.up and not host.frozen]
 
     def leader(self) -> SimHost | None:
-        """Return the store that serves as holder under the highest epoch, or None."""
+        """Return the store that serves as leader under the highest epoch, or None."""
         serving = [
             host
             for host in self.with_role("store")
@@ -143,59 +168,78 @@
         ]
         return max(serving, key=lambda host: host.node.log.leader.epoch, default=None)
 
+    # -- samples -------------------------------------------------------------------------------
+
     def start_sampling(self) -> None:
-        """Record free capacity, each edge's state and each holder's waiting room every 100 ms."""
-        able = [
+        """Record free capacity, each edge's state and each leader's backlog every 100 ms."""
+        self._sample_capacity()
+        self._sample_edges()
+        self._sample_backlog()
+        self.time.after(_SAMPLE_MS, self.start_sampling)
+
+    def _sample_capacity(self) -> None:
+        workers = [
             worker for worker in self.workers.values() if not worker.crashed and not worker.leaving
         ]
-        free = sum(max(0, worker.slots - worker.busy) for worker in able if not worker.unresponsive)
-        self.history.add(
-            RowKind.CAPACITY,
-            self.time.now_ms,
-            free=round(free / max(1, sum(worker.slots for worker in able)), 2),
+        free = sum(
+            max(0, worker.slots - worker.busy) for worker in workers if not worker.unresponsive
         )
-        for host in self.with_role("edge"):
-            if host.up and not host.frozen:
+        slots = sum(worker.slots for worker in workers)
+        self.history.add(RowKind.CAPACITY, self.time.now_ms, free=round(free / max(1, slots), 2))
+
+    def _sample_edges(self) -> None:
+        for host in self.running("edge"):
+            self.history.add(
+                RowKind.SAMPLE,
+                self.time.now_ms,
+                edge=host.name,
+                incarnation=host.incarnation,
+                ready=not host.node.why_unready(),
+                number=host.node.config_feed.number("profiles"),
+                change_id=_change_id_in(host.node.profile_tree()),
+            )
+
+    def _sample_backlog(self) -> None:
+        for host in self.running("store"):
+            leader = host.node.log.leader
+            if leader is None or leader.deposed:
+                continue
+            for path in sorted({job.path for job in leader.state.open_jobs.values()}):
                 self.history.add(
-                    RowKind.SAMPLE,
+                    RowKind.BACKLOG,
                     self.time.now_ms,
-                    edge=host.name,
-                    incarnation=host.incarnation,
-                    ready=not host.node.why_unready(),
-                    number=host.node.config_feed.number("profiles"),
-                    change_id=_change_id_in(host.node.profile_tree()),
+                    store=host.name,
+                    path=path,
+                    epoch=leader.epoch,
+                    used=leader.state.backlog(path),
                 )
-        for host in self.with_role("store"):
-            holder = host.node.log.leader if host.up and not host.frozen else None
-            if holder is not None and not holder.deposed:
-                paths = {job.path for job in holder.state.open_jobs.values()}
-                for path in sorted(paths):
-                    self.history.add(
-                        RowKind.BACKLOG,
-                        self.time.now_ms,
-                        store=host.name,
-                        path=path,
-                        epoch=holder.epoch,
-                        used=holder.state.backlog(path),
-                    )
-        self.time.after(_SAMPLE_MS, self.start_sampling)
+
+    # -- state of the fleet --------------------------------------------------------------------
 
     def ready(self) -> bool:
         """Return whether all edges and stores take requests and all control nodes have a quorum."""
-        return all(
-            not host.node.why_unready() for host in self.with_role("edge") + self.with_role("store")
-        ) and all(host.node.has_quorum() for host in self.with_role("control"))
+        return (
+            all(
+                not host.node.why_unready()
+                for host in self.with_role("edge") + self.with_role("store")
+            )
+            and self.control_has_quorum()
+        )
+
+    def control_has_quorum(self) -> bool:
+        """Return whether all control nodes have a quorum."""
+        return all(host.node.has_quorum() for host in self.with_role("control"))
 
     def in_serving_set(self) -> bool:
-        """Return whether every running host's roll lists exactly the running edges and stores."""
+        """Return whether each running host's serving set has just the running edges and stores."""
         links = {host.address for host in self.hosts.values() if host.up and host.role != "control"}
         return all(host.node.config_feed.roll() == links for host in self.hosts.values() if host.up)
 
-    def run_until_true(self, check: Any, limit_ms: float) -> bool:
+    def run_until_true(self, check: Callable[[], Any], limit_ms: float) -> bool:
         """Run until `check` holds, tested every 50 ms; return whether it did within `limit_ms`."""
         end_ms = self.time.now_ms + limit_ms
         while self.time.now_ms < end_ms:
-            self.time.run_until(self.time.now_ms + 50)
+            self.time.run_until(self.time.now_ms + _CHECK_MS)
             if check():
                 return True
         return False
@@ -203,4 +247,11 @@
 
 def _change_id_in(tree: Any) -> str:
     """Return the change that made a tree, which the name of one of its profiles gives."""
-    return next((name[5:] for name in tree.rows if name.startswith("mark-")), "")
+    return next(
+        (
+            name.removeprefix(_CHANGE_PREFIX)
+            for name in tree.rows
+            if name.startswith(_CHANGE_PREFIX)
+        ),
+        "",
+    )
--- a/libs/simulator/src/simulator/hosts.py
+++ b/libs/simulator/src/simulator/hosts.py
@@ -33,7 +33,8 @@
 
     def now(self) -> int:
         """Milliseconds of the host's boot clock."""
-        return int(self._host.time.now_ms) + self._host.boot_ms
+        boot_ms: int = self._host.boot_ms
+        return int(self._host.time.now_ms) + boot_ms
 
     def wall(self) -> int:
         """Milliseconds of the host's wall clock, with its steps."""
--- a/libs/simulator/src/simulator/operators.py
+++ b/libs/simulator/src/simulator/operators.py
@@ -9,13 +9,20 @@
 
 from control_store import Change
 
-from simulator.history import RowKind
+from simulator.history import Row, RowKind
 
 __all__ = ["BACKLOG_LIMIT", "Operators", "profiles_tree"]
 
 BACKLOG_LIMIT = 3
 """How many jobs may wait on a path."""
 
+_PROFILES_KEY = "profiles"
+_DECIDED = ("ok", "lost")
+_SEND_DELAY_MS = 1.0
+_RESEND_MS = 100
+_FINAL_ROUNDS = 4
+_FINAL_ROUND_MS = 3000
+
 
 def profiles_tree(change_id: str, backlog: int = BACKLOG_LIMIT) -> dict[str, Any]:
     """Return a tree of profiles that names its change; `backlog` jobs may wait on each path."""
@@ -33,58 +40,37 @@
 
 
 class Operators:
-    """All operators of a run; `more` are further profiles that go into every tree.
+    """All operators of a run; `extra_profiles` go into every tree.
 
-    `version` is the highest that they know, `acked` the version and body of each change that was
-    acknowledged.
+    `version` is the highest that they know, `acknowledged` the base version and body of each change
+    that was acknowledged, by its id.
     """
 
-    __slots__ = ("_fleet", "_history", "_time", "acked", "changes", "more", "version")
+    __slots__ = (
+        "_change_count",
+        "_fleet",
+        "_history",
+        "_time",
+        "acknowledged",
+        "extra_profiles",
+        "version",
+    )
 
     def __init__(self, fleet: Any) -> None:
         self._fleet, self._time, self._history = fleet, fleet.time, fleet.history
-        self.changes = 0
+        self._change_count = 0
         self.version = 0
-        self.more: dict[str, Any] = {}
-        self.acked: dict[str, tuple[int, str]] = {}
-
-    def resend_acknowledged(self, count: int) -> None:
-        """Send the last `count` acknowledged changes once more under their ids.
-
-        The final answers are recorded for the oracle; rounds end when all are known.
-        """
-        rows = list(self.acked.items())[-count:]
-        left = {change_id for change_id, _ in rows}
-
-        def send(change_id: str, named: int, body: str) -> None:
-            def told(receipt: Any) -> None:
-                if change_id in left and receipt.outcome in ("ok", "lost"):
-                    left.discard(change_id)
-                    self._history.add(
-                        RowKind.FINAL_CHANGE,
-                        self._time.now_ms,
-                        change_id=change_id,
-                        outcome=receipt.outcome,
-                        version=receipt.version,
-                    )
-
-            host = self._time.rng.choice(self._fleet.running("control"))
-            host.node.owner.submit(
-                Change(key="profiles", version=named, change_id=change_id, body=body, hops=0), told
-            )
+        self.extra_profiles: dict[str, Any] = {}
+        self.acknowledged: dict[str, tuple[int, str]] = {}
 
-        for _ in range(4):
-            for change_id, (named, body) in rows:
-                if change_id in left:
-                    send(change_id, named, body)
-            self._fleet.run_until_true(lambda: not left, 3000)
+    # -- changes -------------------------------------------------------------------------------
 
     def change(
         self,
         tries: int = 3,
         change_id: str = "",
         version: int | None = None,
-        done: Callable | None = None,
+        done: Callable[[Row], None] | None = None,
     ) -> None:
         """Send a change to a control node; a change in doubt is sent again up to `tries` times.
 
@@ -95,48 +81,86 @@
             return
         host = self._time.rng.choice(hosts)
         if not change_id:
-            self.changes += 1
-            change_id = f"change{self.changes}"
-        named = self.version if version is None else version
+            self._change_count += 1
+            change_id = f"change{self._change_count}"
+        base_version = self.version if version is None else version
         row = self._history.add(
             RowKind.CHANGE,
             self._time.now_ms,
             change_id=change_id,
-            named=named,
+            base_version=base_version,
             outcome="none",
             version=0,
             answered_ms=0.0,
         )
-        tree = profiles_tree(change_id)
-        tree["profiles"].update(self.more)
-        body = json.dumps(tree, sort_keys=True)
+        message = _change(change_id, base_version, self._body(change_id))
         incarnation = host.incarnation
 
-        def answered(receipt: Any) -> None:
+        def resend() -> None:
+            self.change(tries - 1, change_id, base_version, done)
+
+        def answered(response: Any) -> None:
             if row["outcome"] != "none" or host.incarnation != incarnation or not host.up:
                 return
             row.update(
-                outcome=receipt.outcome, version=receipt.version, answered_ms=self._time.now_ms
+                outcome=response.outcome, version=response.version, answered_ms=self._time.now_ms
             )
-            if receipt.outcome in ("ok", "lost"):
-                self.version = max(self.version, receipt.version)
-                if receipt.outcome == "ok":
-                    self.acked[change_id] = (named, body)
+            if response.outcome in _DECIDED:
+                self._learn(message, response)
             elif tries > 1:
-                self._time.after(100, lambda: self.change(tries - 1, change_id, named, done))
+                self._time.after(_RESEND_MS, resend)
             if done is not None:
                 done(row)
 
-        def begin() -> None:
+        def arrive() -> None:
             if host.up and host.incarnation == incarnation:
-                host.when_awake(
-                    lambda: host.node.owner.submit(
-                        Change(
-                            key="profiles", version=named, change_id=change_id, body=body, hops=0
-                        ),
-                        answered,
-                    ),
-                    incarnation,
+                host.when_awake(lambda: host.node.owner.submit(message, answered), incarnation)
+
+        self._time.after(_SEND_DELAY_MS, arrive)
+
+    def _body(self, change_id: str) -> str:
+        tree = profiles_tree(change_id)
+        tree["profiles"].update(self.extra_profiles)
+        return json.dumps(tree, sort_keys=True)
+
+    def _learn(self, change: Change, response: Any) -> None:
+        """Note the version that an answer shows, and an acknowledged change."""
+        self.version = max(self.version, response.version)
+        if response.outcome == "ok":
+            self.acknowledged[change.change_id] = (change.version, change.body)
+
+    # -- the end of a run ----------------------------------------------------------------------
+
+    def resend_acknowledged(self, count: int) -> None:
+        """Send the last `count` acknowledged changes once more under their ids.
+
+        The final answers are recorded for the oracle; rounds end when all are known.
+        """
+        changes = list(self.acknowledged.items())[-count:]
+        unanswered = {change_id for change_id, _ in changes}
+        for _ in range(_FINAL_ROUNDS):
+            for change_id, (base_version, body) in changes:
+                if change_id in unanswered:
+                    self._resend(_change(change_id, base_version, body), unanswered)
+            self._fleet.run_until_true(lambda: not unanswered, _FINAL_ROUND_MS)
+
+    def _resend(self, change: Change, unanswered: set[str]) -> None:
+        """Send an acknowledged change again; its final answer takes it off `unanswered`."""
+
+        def answered(response: Any) -> None:
+            if change.change_id in unanswered and response.outcome in _DECIDED:
+                unanswered.discard(change.change_id)
+                self._history.add(
+                    RowKind.FINAL_CHANGE,
+                    self._time.now_ms,
+                    change_id=change.change_id,
+                    outcome=response.outcome,
+                    version=response.version,
                 )
 
-        self._time.after(1.0, begin)
+        host = self._time.rng.choice(self._fleet.running("control"))
+        host.node.owner.submit(change, answered)
+
+
+def _change(change_id: str, base_version: int, body: str) -> Change:
+    return Change(key=_PROFILES_KEY, version=base_version, change_id=change_id, body=body, hops=0)
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -5,12 +5,13 @@
 """
 
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from simulator.clients import Clients
-from simulator.faults import FAULTS, schedule
+from simulator.faults import FAULTS, UNRESPONSIVE, FaultSchedule, schedule
 from simulator.fleet import SimFleet
-from simulator.history import RowKind
+from simulator.history import Row, RowKind
 from simulator.operators import BACKLOG_LIMIT, Operators
 from simulator.oracle import judge
 
@@ -29,13 +30,26 @@
         "every_ms": 40.0,
     },
 }
-_CONSTANT = ("rulings", "rulings", "narrations")
-
-_FOUND_MS = 12_000
+_LIVE_PATHS = ("rulings", "rulings", "narrations")
+"""Paths of live calls, each as often as it is named."""
+
+_START_LIMIT_MS = 12_000
+_SETTLE_MS = 600
+_PROBE_LIMIT_MS = 8500
+_FINAL_ROUNDS = 4
+_FINAL_ROUND_MS = 3000
+_RESENT_CHANGES = 8
+_GOOD_OUTCOMES = {
+    "live": ("finish ",),
+    "move": ("finish ",),
+    "lot": ("admitted", "waiting-room-full"),
+    "change": ("ok", "lost"),
+}
+"""What is probed, and the outcomes that show that it works."""
 
 
 class Run:
-    """A fleet with its clients and operators; `items` bounds the size of batches."""
+    """A fleet with its clients and operators; `items` bounds the size of jobs."""
 
     __slots__ = ("fleet", "items", "operators", "stopped", "clients")
 
@@ -61,15 +75,16 @@
         """Start the fleet; AssertionError if it does not get ready in time."""
         fleet = self.fleet
         if not fleet.run_until_true(
-            lambda: all(host.node.has_quorum() for host in fleet.with_role("control")), _FOUND_MS
+            lambda: all(host.node.has_quorum() for host in fleet.with_role("control")),
+            _START_LIMIT_MS,
         ):
-            raise AssertionError("control was not founded")
+            raise AssertionError("control was not bootstrapped")
         self.operators.change()
-        if not fleet.run_until_true(fleet.ready, _FOUND_MS):
+        if not fleet.run_until_true(fleet.ready, _START_LIMIT_MS):
             raise AssertionError("the fleet did not get ready")
-        if not fleet.run_until_true(fleet.in_serving_set, _FOUND_MS):
-            raise AssertionError("edges and stores did not get on the roll")
-        fleet.run_until_true(lambda: False, 600)
+        if not fleet.run_until_true(fleet.in_serving_set, _START_LIMIT_MS):
+            raise AssertionError("edges and stores did not get into the serving set")
+        fleet.run_until_true(lambda: False, _SETTLE_MS)
         fleet.start_sampling()
 
     def traffic(self, every_ms: float) -> None:
@@ -79,7 +94,7 @@
         rng, clients = self.fleet.time.rng, self.clients
         dice = rng.random()
         if dice < 0.42:
-            clients.live(rng.choice(_CONSTANT), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0)
+            clients.live(rng.choice(_LIVE_PATHS), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0)
         elif dice < 0.65:
             self._move()
         elif dice < 0.72:
@@ -104,19 +119,17 @@
                 lambda: clients.live("moves", key, question=f"{key}-other"),
             )
 
-    def cause(self, rows: list[tuple[float, str]]) -> None:
+    def schedule_faults(self, rows: FaultSchedule) -> None:
         """Schedule faults, given as rows of time and name."""
         for at_ms, name in rows:
-            self.fleet.time.after(
-                at_ms - self.fleet.time.now_ms, lambda name=name: self._fault(name)
-            )
+            self.fleet.time.after(at_ms - self.fleet.time.now_ms, partial(self._inject, name))
 
-    def _fault(self, name: str) -> None:
+    def _inject(self, name: str) -> None:
         self.fleet.events.append((self.fleet.time.now_ms, "fault", name, {}))
         self.fleet.history.add(RowKind.FAULT, self.fleet.time.now_ms, what=name)
         FAULTS[name](self.fleet)
 
-    def back(self) -> None:
+    def undo_faults(self) -> None:
         """Undo all faults: heal the network and bring every machine back."""
         fleet = self.fleet
         fleet.network.heal()
@@ -128,68 +141,67 @@
         for worker in fleet.workers.values():
             worker.unresponsive = False
         for row in fleet.history.rows_of(RowKind.WORKER_LEFT):
-            if row["how"] == "dark":
+            if row["how"] == UNRESPONSIVE:
                 row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
 
     def probe(self, after_ms: float) -> None:
         """Try each kind of request once `after_ms` have passed; each must work at the first try.
 
-        These are live calls at as many edges as there are, a keyed call, a batch and a change.
+        These are live calls at as many edges as there are, a keyed call, a job and a change.
         """
         fleet = self.fleet
         fleet.time.run_until(fleet.time.now_ms + after_ms)
-        seen: dict[str, str] = {}
-        for _ in fleet.with_role("edge"):
-            self.clients.live(
-                "rulings", done=lambda row: seen.update(live=f"{row['outcome']} {row['code']}")
-            )
-        self.clients.live(
-            "moves",
-            f"probe{fleet.time.now_ms}",
-            done=lambda row: seen.update(move=f"{row['outcome']} {row['code']}"),
-        )
-        self.clients.submit("summaries", 2, 1, done=lambda row: seen.update(lot=row["outcome"]))
-        self.operators.change(1, version=None, done=lambda row: seen.update(change=row["outcome"]))
-        fleet.run_until_true(lambda: len(seen) == 4, 8500)
-        good = {
-            "live": ("finish ",),
-            "move": ("finish ",),
-            "lot": ("admitted", "waiting-room-full"),
-            "change": ("ok", "lost"),
-        }
-        for what, wanted in good.items():
+        outcomes = self._send_probes()
+        fleet.run_until_true(lambda: len(outcomes) == len(_GOOD_OUTCOMES), _PROBE_LIMIT_MS)
+        for what, good in _GOOD_OUTCOMES.items():
             fleet.history.add(
                 RowKind.PROBE,
                 fleet.time.now_ms,
                 what=what,
-                worked=seen.get(what) in wanted,
+                worked=outcomes.get(what) in good,
                 after_ms=after_ms,
-                seen=seen.get(what, "nothing"),
+                seen=outcomes.get(what, "nothing"),
             )
 
+    def _send_probes(self) -> dict[str, str]:
+        """Send one request of each kind; return what will have the outcomes as they come."""
+        outcomes: dict[str, str] = {}
+
+        def note_call(what: str, row: Row) -> None:
+            outcomes[what] = f"{row['outcome']} {row['code']}"
+
+        def note(what: str, row: Row) -> None:
+            outcomes[what] = row["outcome"]
+
+        for _ in self.fleet.with_role("edge"):
+            self.clients.live("rulings", done=partial(note_call, "live"))
+        key = f"probe{self.fleet.time.now_ms}"
+        self.clients.live("moves", key, done=partial(note_call, "move"))
+        self.clients.submit("summaries", 2, 1, done=partial(note, "lot"))
+        self.operators.change(1, done=partial(note, "change"))
+        return outcomes
+
     def read_all(self) -> None:
-        """Read every acknowledged batch at the end and record what is listed."""
+        """Read every acknowledged job at the end and record what is listed."""
         fleet = self.fleet
-        left = {job_id for job_id, job in self.clients.jobs.items() if job.acknowledged}
-
-        def read(job_id: str) -> None:
-            def done(row: dict[str, Any]) -> None:
-                if job_id in left:
-                    left.discard(job_id)
-                    fleet.history.add(
-                        RowKind.FINAL_READ,
-                        fleet.time.now_ms,
-                        lot=job_id,
-                        outcome=row["outcome"],
-                        listed=row["listed"],
-                    )
+        unread = {job_id for job_id, job in self.clients.jobs.items() if job.acknowledged}
 
-            self.clients.read(job_id, done)
+        def record(job_id: str, read: Row) -> None:
+            if job_id not in unread:
+                return
+            unread.discard(job_id)
+            fleet.history.add(
+                RowKind.FINAL_READ,
+                fleet.time.now_ms,
+                lot=job_id,
+                outcome=read["outcome"],
+                listed=read["listed"],
+            )
 
-        for _ in range(4):
-            for job_id in sorted(left):
-                read(job_id)
-            fleet.run_until_true(lambda: not left, 3000)
+        for _ in range(_FINAL_ROUNDS):
+            for job_id in sorted(unread):
+                self.clients.read(job_id, partial(record, job_id))
+            fleet.run_until_true(lambda: not unread, _FINAL_ROUND_MS)
 
 
 def run_seed(
@@ -197,7 +209,7 @@
     faults: int = 6,
     span_ms: float = 12_000,
     only: list[str] | None = None,
-    rows: list[tuple[float, str]] | None = None,
+    rows: FaultSchedule | None = None,
     settings: dict[str, Any] | None = None,
     shape: str = "small",
     watch: Callable[[Run], None] = lambda run: None,
@@ -205,10 +217,10 @@
     """Run one seed and return the breaches by rule, and the run.
 
     `rows` is a schedule of faults; without one, `faults` of them are drawn, from the names in
-    `only` if given. `shape` names a row of SHAPES. `watch` is given the run once it is founded.
+    `only` if given. `shape` names a row of SHAPES. `watch` is given the run once it has started.
     """
-    made = SHAPES[shape]
-    run = Run(seed, settings, made["items"], **made["sizes"])
+    shaped = SHAPES[shape]
+    run = Run(seed, settings, shaped["items"], **shaped["sizes"])
     run.start()
     watch(run)
     fleet = run.fleet
@@ -216,12 +228,12 @@
     planned = (
         rows if rows is not None else schedule(fleet.time.rng, 500, span_ms - 1000, faults, only)
     )
-    run.cause([(start_ms + at_ms, name) for at_ms, name in planned])
-    run.traffic(made["every_ms"])
+    run.schedule_faults([(start_ms + at_ms, name) for at_ms, name in planned])
+    run.traffic(shaped["every_ms"])
     fleet.time.run_until(start_ms + span_ms)
     run.stopped = True
-    run.back()
+    run.undo_faults()
     run.probe(fleet.hosts["edge1"].settings.resume_ms)
     run.read_all()
-    run.operators.resend_acknowledged(8)
+    run.operators.resend_acknowledged(_RESENT_CHANGES)
     return judge(fleet.history), run
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -8,6 +8,7 @@
 import heapq
 import random
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from messaging import Message
@@ -132,7 +133,7 @@
                 self._last_ms[(sender, to)] = due_ms
             self._time.after(
                 due_ms - self._time.now_ms,
-                lambda copy=copy: self._arrive(sender, to, request_id, in_reply_to, copy),
+                partial(self._arrive, sender, to, request_id, in_reply_to, copy),
             )
 
     def _arrive(
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -95,7 +95,7 @@
     """All that operators asked of the profiles' key."""
     calls = []
     for row in history.rows_of("change"):
-        asked = ChangeKey(row["change_id"], row["named"])
+        asked = ChangeKey(row["change_id"], row["base_version"])
         if row["outcome"] in ("ok", "lost"):
             answer = (row["outcome"], row["version"])
             calls.append(Call(asked, row["at_ms"], answer, row["answered_ms"]))
@@ -110,11 +110,11 @@
 
 def _final_changes(history: History) -> list[Call]:
     """Changes asked for again at the end; they began at some time after the last probe."""
-    named = {row["change_id"]: row["named"] for row in history.rows_of("change")}
+    base_versions = {row["change_id"]: row["base_version"] for row in history.rows_of("change")}
     began_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
     return [
         Call(
-            ChangeKey(row["change_id"], named[row["change_id"]]),
+            ChangeKey(row["change_id"], base_versions[row["change_id"]]),
             began_ms,
             (row["outcome"], row["version"]),
             row["at_ms"],
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -261,7 +261,7 @@
     fleet = founded(seed, nodes)
     operators = Operators(fleet)
     operators.version = 1
-    operators.more = wide_rows(routes, tenants)
+    operators.extra_profiles = wide_rows(routes, tenants)
     told: list[Any] = []
     groups = {
         role: [host.address for host in fleet.with_role(role)]
@@ -289,7 +289,7 @@
     rows = costs.of(lambda: [change() for _ in range(changes)], changes)
     rows = {name: value / len(groups[name.split()[0]]) for name, value in rows.items()}
     body = json.dumps(
-        {"profiles": {**profiles_tree("x")["profiles"], **operators.more}}, sort_keys=True
+        {"profiles": {**profiles_tree("x")["profiles"], **operators.extra_profiles}}, sort_keys=True
     )
     rows["body kB"] = len(body) / 1000
     tracemalloc.start()
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -293,16 +293,18 @@
         ]
         return self.rng.choice(running).http
 
-    async def change(self, tries: int = 3, change_id: str = "", named: int = 0) -> dict[str, Any]:
+    async def change(
+        self, tries: int = 3, change_id: str = "", base_version: int = 0
+    ) -> dict[str, Any]:
         """Send a change of the profiles and return its row; one in doubt is sent again."""
         self._count += 1
         change_id = change_id or f"change{self._count}"
-        named = named or self.version
+        base_version = base_version or self.version
         row = self.history.add(
             "change",
             self.now_ms(),
             change_id=change_id,
-            named=named,
+            base_version=base_version,
             outcome="doubt",
             version=0,
             answered_ms=0.0,
@@ -312,13 +314,13 @@
         self._change_ids[profiles_digest(json.dumps(check_tree(tree).ok, sort_keys=True))] = (
             change_id
         )
-        self._sent[change_id] = (named, tree)
+        self._sent[change_id] = (base_version, tree)
         try:
             status, body = await self.fleet.ask(
                 "PUT",
                 control,
                 "/profiles",
-                {"version": named, "change_id": change_id, "tree": tree},
+                {"version": base_version, "change_id": change_id, "tree": tree},
             )
             outcome = {200: "ok", 409: "lost"}.get(status, "doubt")
             row.update(outcome=outcome, version=body.get("version", 0))
@@ -338,7 +340,7 @@
         ] += 1
         if row["outcome"] == "doubt" and tries > 1:
             await asyncio.sleep(0.2)
-            await self.change(tries - 1, change_id, named)
+            await self.change(tries - 1, change_id, base_version)
         return row
 
     async def sample(self) -> None:
@@ -382,12 +384,12 @@
             row["change_id"] for row in self.history.rows_of("change") if row["outcome"] == "ok"
         ][-count:]
         for change_id in acked:
-            named, tree = self._sent[change_id]
+            base_version, tree = self._sent[change_id]
             status, body = await self.fleet.ask(
                 "PUT",
                 self._control(),
                 "/profiles",
-                {"version": named, "change_id": change_id, "tree": tree},
+                {"version": base_version, "change_id": change_id, "tree": tree},
             )
             if status in (200, 409):
                 self.history.add(
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -111,7 +111,7 @@
         at_ms - 10,
         {
             "change_id": change_id,
-            "named": version - 1,
+            "base_version": version - 1,
             "outcome": outcome,
             "version": version,
             "answered_ms": at_ms,
