--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -40,7 +40,7 @@
         "_files",
         "_host",
         "_pending",
-        "_time",
+        "time",
         "_full_room_bytes",
         "set_aside_count",
         "flush_ms",
@@ -49,7 +49,7 @@
     )
 
     def __init__(self, time: Any, room_bytes: int, flush_ms: float = FLUSH_MS) -> None:
-        self._time = time
+        self.time = time
         self._files: dict[str, bytearray] = {}
         self._durable: dict[str, bytearray] = {}
         self._pending: dict[str, list[_Change]] = {}
@@ -154,14 +154,14 @@
 
     def _schedule(self, action: Callable[[], None]) -> None:
         host, incarnation = self._host, self._host.incarnation
-        start_ms = max(self._time.now_ms, self._busy_until_ms)
-        self._busy_until_ms = start_ms + self.flush_ms * (0.5 + self._time.rng.random())
+        start_ms = max(self.time.now_ms, self._busy_until_ms)
+        self._busy_until_ms = start_ms + self.flush_ms * (0.5 + self.time.rng.random())
 
         def due() -> None:
             if host.incarnation == incarnation and host.up:
                 host.when_awake(action, incarnation)
 
-        self._time.after(self._busy_until_ms - self._time.now_ms, due)
+        self.time.after(self._busy_until_ms - self.time.now_ms, due)
 
     def _make_durable(self, name: str, change: _Change) -> None:
         kind, at, data = change
@@ -175,7 +175,7 @@
 
     def lose_power(self) -> None:
         """Drop each unflushed write, or let it reach the disk whole or in part, at random."""
-        rng = self._time.rng
+        rng = self.time.rng
         for name, changes in self._pending.items():
             for kind, at, data in changes:
                 if rng.random() < 0.5:
--- a/libs/simulator/src/simulator/run_digest.py
+++ b/libs/simulator/src/simulator/run_digest.py
@@ -7,7 +7,6 @@
 import hashlib
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from typing import Any
 
 from messaging import Message, encode
 
@@ -52,30 +51,39 @@
             in_reply_to: int,
             message: Message,
         ) -> None:
-            self.add(
-                network._time.now_ms, f"{sender} {to} {request_id} {in_reply_to}", encode(message)
-            )
+            numbers = f"{request_id} {in_reply_to}"
+            self.add(network.time.now_ms, f"{sender} {to} {numbers}", encode(message))
             send(network, sender, to, request_id, in_reply_to, message)
 
         def write_and_add(
             disk: SimDisk, name: str, offset: int, data: bytes, urgent: bool = False
         ) -> None:
-            self.add(disk._time.now_ms, f"write {name} {offset}", data)
+            self.add(disk.time.now_ms, f"write {name} {offset}", data)
             write(disk, name, offset, data, urgent)
 
         def replace_and_add(
             disk: SimDisk, name: str, data: bytes, done: Callable[[bool], None]
         ) -> None:
-            self.add(disk._time.now_ms, f"replace {name}", data)
+            self.add(disk.time.now_ms, f"replace {name}", data)
             replace(disk, name, data, done)
 
-        changed: Any = (send_and_add, write_and_add, replace_and_add)
-        Network.send, SimDisk.write, SimDisk.replace = changed
-        try:
+        with (
+            _replaced(Network, "send", send_and_add),
+            _replaced(SimDisk, "write", write_and_add),
+            _replaced(SimDisk, "replace", replace_and_add),
+        ):
             yield
-        finally:
-            unchanged: Any = (send, write, replace)
-            Network.send, SimDisk.write, SimDisk.replace = unchanged
+
+
+@contextmanager
+def _replaced(owner: type, name: str, method: Callable[..., None]) -> Iterator[None]:
+    """Replace a method of a class meanwhile."""
+    original = getattr(owner, name)
+    setattr(owner, name, method)
+    try:
+        yield
+    finally:
+        setattr(owner, name, original)
 
 
 def digest_of_run(shape: str, seed: int, faults: int) -> str:
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -12,7 +12,33 @@
 
 from simulator.history import RowKind
 
-__all__ = ["Trainers"]
+__all__ = ["RolloutProgress", "Trainers"]
+
+_RESUBMIT_MS = 2500
+_FOLLOW_MS = 400
+_WATCH_MS = 50
+_REPORT_MS = 400
+_READ_LIMIT = 1000
+_LOAN_MS = 6000
+_DRAIN_MS = 1500
+_OK, _CREATED, _NOT_FOUND = 200, 201, 404
+
+
+class RolloutProgress:
+    """What trainers know of one rollout: its samples by index, and when it was complete."""
+
+    __slots__ = ("acknowledged", "done_ms", "prompts", "results", "samples", "weights")
+
+    def __init__(self, prompts: int, samples: int, weights: str) -> None:
+        self.prompts, self.samples, self.weights = prompts, samples, weights
+        self.acknowledged = False
+        self.results: dict[int, str] = {}
+        self.done_ms = 0.0
+
+    @property
+    def total(self) -> int:
+        """How many samples the whole rollout has."""
+        return self.prompts * self.samples
 
 
 class Trainers:
@@ -23,104 +49,87 @@
     def __init__(self, fleet: Any, rng: Any) -> None:
         self._fleet, self._time, self._history, self._rng = fleet, fleet.time, fleet.history, rng
         self.hold_ms = 1200.0
-        self.rollouts: dict[str, dict[str, Any]] = {}
+        self.rollouts: dict[str, RolloutProgress] = {}
         self.stopped = False
 
-    def _edge(self) -> Any:
+    def _choose_edge(self) -> Any:
+        """Return a random running edge, or None."""
         edges = self._fleet.running("edge")
         return self._rng.choice(edges) if edges else None
 
     # -- rollouts ------------------------------------------------------------------------------
 
-    def submit(self, prompts: int, samples: int, weights: str = "w1", rollout_id: str = "") -> str:
+    def submit(self, prompts: int, samples: int, weights: str = "w1") -> str:
         """Submit a rollout until it is certainly accepted; return its id.
 
         After the first acknowledgement it is sent once more through another edge.
         """
-        if not rollout_id:
-            rollout_id = f"r{len(self.rollouts) + 1}"
-            self.rollouts[rollout_id] = {
-                "total": prompts * samples,
-                "samples": samples,
-                "acked": False,
-                "results": {},
-                "done_ms": 0.0,
-            }
-        state, host = self.rollouts[rollout_id], self._edge()
-        call = RolloutBody(
-            path="rollouts",
-            weights=weights,
-            samples=samples,
-            prompts=[
-                {"prompt": f"lot {rollout_id} item {place} call sample:{rollout_id}:{place}"}
-                for place in range(prompts)
-            ],
-        )
+        rollout_id = f"r{len(self.rollouts) + 1}"
+        self.rollouts[rollout_id] = RolloutProgress(prompts, samples, weights)
+        self._send(rollout_id)
+        return rollout_id
+
+    def _send(self, rollout_id: str) -> None:
+        rollout, host = self.rollouts[rollout_id], self._choose_edge()
+
+        def answered(answer: ServiceResponse) -> None:
+            if answer.status in (_OK, _CREATED) and not rollout.acknowledged:
+                self._acknowledged(rollout_id)
 
-        def told(answer: ServiceResponse) -> None:
-            if answer.status in (200, 201) and not state["acked"]:
-                state["acked"] = True
-                self._history.add(
-                    RowKind.ROLLOUT_ACCEPTED,
-                    self._time.now_ms,
-                    rollout=rollout_id,
-                    total=state["total"],
-                )
-                self.submit(prompts, samples, weights, rollout_id)
-                self.follow(rollout_id)
+        def resend() -> None:
+            if not rollout.acknowledged and not self.stopped:
+                self._send(rollout_id)
 
         if host is not None:
-            host.node.rollout_service.submit(rollout_id, call, told)
-        if not state["acked"]:
-            self._time.after(
-                2500,
-                lambda: (
-                    None
-                    if state["acked"] or self.stopped
-                    else self.submit(prompts, samples, weights, rollout_id)
-                ),
-            )
-        return rollout_id
+            host.node.rollout_service.submit(rollout_id, _body(rollout_id, rollout), answered)
+        if not rollout.acknowledged:
+            self._time.after(_RESUBMIT_MS, resend)
+
+    def _acknowledged(self, rollout_id: str) -> None:
+        """Note the first acknowledgement, send the rollout once more, and begin to read."""
+        rollout = self.rollouts[rollout_id]
+        rollout.acknowledged = True
+        self._history.add(
+            RowKind.ROLLOUT_ACCEPTED, self._time.now_ms, rollout=rollout_id, total=rollout.total
+        )
+        self._send(rollout_id)
+        self.follow(rollout_id)
 
     def follow(self, rollout_id: str) -> None:
         """Read on every 400 ms until all samples are there."""
-        state = self.rollouts[rollout_id]
-        if state["done_ms"] or self.stopped:
+        rollout = self.rollouts[rollout_id]
+        if rollout.done_ms or self.stopped:
             return
-        self.read(rollout_id, len(state["results"]))
-        self._time.after(400, lambda: self.follow(rollout_id))
+        self.read(rollout_id, len(rollout.results))
+        self._time.after(_FOLLOW_MS, lambda: self.follow(rollout_id))
 
     def read(self, rollout_id: str, start: int) -> None:
         """Read samples from an index on and record them."""
-        state, host = self.rollouts[rollout_id], self._edge()
+        rollout, host = self.rollouts[rollout_id], self._choose_edge()
 
-        def told(answer: ServiceResponse) -> None:
-            if answer.status not in (200, 404):
+        def answered(answer: ServiceResponse) -> None:
+            if answer.status not in (_OK, _NOT_FOUND):
                 return
-            shown = json.loads(answer.body)
-            rows = (
-                [
-                    (row["index"], row["verdict"], json.dumps(row["body"], sort_keys=True))
-                    for row in shown["results"]
-                ]
-                if answer.status == 200
-                else []
-            )
+            known = answer.status == _OK
+            results = [
+                (row["index"], row["verdict"], json.dumps(row["body"], sort_keys=True))
+                for row in (json.loads(answer.body)["results"] if known else [])
+            ]
             self._history.add(
                 RowKind.ROLLOUT_READ,
                 self._time.now_ms,
                 rollout=rollout_id,
                 start=start,
-                results=rows,
-                samples=state["samples"],
-                outcome="known" if answer.status == 200 else "missing",
+                results=results,
+                samples=rollout.samples,
+                outcome="known" if known else "missing",
             )
-            state["results"].update({index: text for index, _, text in rows})
-            if len(state["results"]) == state["total"] and not state["done_ms"]:
-                state["done_ms"] = self._time.now_ms
+            rollout.results.update({index: text for index, _, text in results})
+            if len(rollout.results) == rollout.total and not rollout.done_ms:
+                rollout.done_ms = self._time.now_ms
 
         if host is not None:
-            host.node.rollout_service.results(rollout_id, start, 1000, told)
+            host.node.rollout_service.results(rollout_id, start, _READ_LIMIT, answered)
 
     # -- whole workers -------------------------------------------------------------------------
 
@@ -128,66 +137,68 @@
         """Ask for a random worker every `every_ms` until a time is reached."""
         if self.stopped or self._time.now_ms > until_ms:
             return
-        hosts, workers = (
-            self._fleet.running("control"),
-            [
-                worker
-                for worker in self._fleet.workers.values()
-                if not worker.crashed and not worker.borrower
-            ],
-        )
+        hosts = self._fleet.running("control")
+        workers = [
+            worker
+            for worker in self._fleet.workers.values()
+            if not worker.crashed and not worker.borrower
+        ]
         if hosts and workers:
             worker = self._rng.choice(workers)
-            self._rng.choice(hosts).node.loans.grant(
-                worker.identity,
-                "trainer",
-                weights,
-                6000,
-                1500,
-                lambda outcome: self._history.add(
-                    RowKind.LOAN_REQUESTED,
-                    self._time.now_ms,
-                    worker=worker.identity,
-                    outcome=outcome.name,
-                    reason=outcome.reason,
-                ),
-            )
+            self._request_loan(self._rng.choice(hosts), worker.identity, weights)
         self._time.after(every_ms, lambda: self.borrow(every_ms, weights, until_ms))
 
+    def _request_loan(self, host: Any, identity: str, weights: str) -> None:
+        def answered(outcome: Any) -> None:
+            self._history.add(
+                RowKind.LOAN_REQUESTED,
+                self._time.now_ms,
+                worker=identity,
+                outcome=outcome.name,
+                reason=outcome.reason,
+            )
+
+        host.node.loans.grant(identity, "trainer", weights, _LOAN_MS, _DRAIN_MS, answered)
+
     def watch(self) -> None:
         """Follow the loans at control: take lent workers and hand recalled ones back."""
         for host in self._fleet.running("control"):
-            for name, row in host.node.loans.rows().items():
-                worker = next(
-                    (
-                        one
-                        for one in self._fleet.workers.values()
-                        if one.identity == name and not one.crashed
-                    ),
-                    None,
-                )
+            for identity, row in host.node.loans.rows().items():
+                worker = self._running_worker(identity)
                 if worker is not None and row["state"] in ("lent", "recalled"):
-                    self._take(worker, row)
-        self._time.after(50, self.watch)
+                    self._observe_loan(worker, row)
+        self._time.after(_WATCH_MS, self.watch)
+
+    def _running_worker(self, identity: str) -> Any:
+        return next(
+            (
+                worker
+                for worker in self._fleet.workers.values()
+                if worker.identity == identity and not worker.crashed
+            ),
+            None,
+        )
 
-    def _take(self, worker: Any, row: dict[str, Any]) -> None:
+    def _observe_loan(self, worker: Any, row: dict[str, Any]) -> None:
+        """Take a worker whose loan is new, or return it if it is recalled."""
         loan = f"loan{row['loan']}"
-        if worker.borrower != loan:
-            if any(seen["loan"] == loan for seen in self._history.rows_of(RowKind.BORROWED)):
-                return
-            worker.borrower = loan
-            self._history.add(
-                RowKind.BORROWED,
-                self._time.now_ms,
-                worker=worker.identity,
-                loan=loan,
-                running=worker.busy,
-            )
-            self._time.after(self.hold_ms, lambda: self._back(worker, row, "done"))
-        elif row["state"] == "recalled":
-            self._back(worker, row, "recalled")
+        if worker.borrower == loan:
+            if row["state"] == "recalled":
+                self._return(worker, row, "recalled")
+            return
+        if any(seen["loan"] == loan for seen in self._history.rows_of(RowKind.BORROWED)):
+            return
+        worker.borrower = loan
+        self._history.add(
+            RowKind.BORROWED,
+            self._time.now_ms,
+            worker=worker.identity,
+            loan=loan,
+            running=worker.busy,
+        )
+        self._time.after(self.hold_ms, lambda: self._return(worker, row, "done"))
 
-    def _back(self, worker: Any, row: dict[str, Any], why: str) -> None:
+    def _return(self, worker: Any, row: dict[str, Any], why: str) -> None:
         """Return a worker with the agreed weights; the worker reports it until control knows."""
         loan = f"loan{row['loan']}"
         if worker.borrower != loan:
@@ -196,15 +207,33 @@
         self._history.add(
             RowKind.HANDED_BACK, self._time.now_ms, worker=worker.identity, loan=loan, why=why
         )
-        self._say_back(worker, row["loan"])
+        self._report_return(worker, row["loan"])
+
+    def _report_return(self, worker: Any, loan: int) -> None:
+        hosts = self._fleet.running("control")
+        outcomes: list[Any] = []
+
+        def report_again() -> None:
+            if not outcomes or outcomes[0].name == "doubt":
+                self._report_return(worker, loan)
 
-    def _say_back(self, worker: Any, loan: int) -> None:
-        hosts, heard = self._fleet.running("control"), []
         if hosts:
             self._rng.choice(hosts).node.loans.hand_back(
-                worker.identity, loan, worker.weights, heard.append
+                worker.identity, loan, worker.weights, outcomes.append
             )
-        self._time.after(
-            400,
-            lambda: None if heard and heard[0].name != "doubt" else self._say_back(worker, loan),
-        )
+        self._time.after(_REPORT_MS, report_again)
+
+
+def _body(rollout_id: str, rollout: RolloutProgress) -> RolloutBody:
+    prompts = [
+        {"prompt": f"lot {rollout_id} item {index} call sample:{rollout_id}:{index}"}
+        for index in range(rollout.prompts)
+    ]
+    return RolloutBody.model_validate(
+        {
+            "path": "rollouts",
+            "weights": rollout.weights,
+            "samples": rollout.samples,
+            "prompts": prompts,
+        }
+    )
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -27,10 +27,10 @@
     def __init__(self, seed: int) -> None:
         self.now_ms = 0.0
         self.rng = random.Random(seed)
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
+        self._heap: list[tuple[float, int, Callable[[], object]]] = []
         self._count = 0
 
-    def after(self, wait_ms: float, action: Callable[[], None]) -> None:
+    def after(self, wait_ms: float, action: Callable[[], object]) -> None:
         """Run `action` after `wait_ms`; no earlier than the end of the present event."""
         self._count += 1
         heapq.heappush(self._heap, (self.now_ms + max(0.0, wait_ms), self._count, action))
@@ -52,7 +52,7 @@
 
     __slots__ = (
         "_last_ms",
-        "_time",
+        "time",
         "partitioned_pairs",
         "isolated_hosts",
         "duplicate_rate",
@@ -64,7 +64,7 @@
     )
 
     def __init__(self, time: VirtualTime) -> None:
-        self._time = time
+        self.time = time
         self.hosts: dict[str, Any] = {}
         self.partitioned_pairs: set[tuple[str, str]] = set()
         self.isolated_hosts: set[str] = set()
@@ -110,8 +110,8 @@
         near = self.zones.get(one) == self.zones.get(other)
         return (
             (0.2 if near else 1.0)
-            + self._time.rng.random() * (0.5 if near else 1.0)
-            + slow_ms * self._time.rng.random()
+            + self.time.rng.random() * (0.5 if near else 1.0)
+            + slow_ms * self.time.rng.random()
         )
 
     def send(
@@ -119,7 +119,7 @@
     ) -> None:
         """Send a copy of a message, which may be lost, duplicated or delayed."""
         self.sent += 1
-        rng = self._time.rng
+        rng = self.time.rng
         if not self.passes(sender, to) or (
             self.loss_rate and sender != to and rng.random() < self.loss_rate
         ):
@@ -127,12 +127,12 @@
         copies = 2 if self.duplicate_rate and rng.random() < self.duplicate_rate else 1
         for _ in range(copies):
             copy = type(message)(**message.as_dict())
-            due_ms = self._time.now_ms + (self.delay(sender, to) if sender != to else 0.01)
+            due_ms = self.time.now_ms + (self.delay(sender, to) if sender != to else 0.01)
             if copies == 1 and not self.loss_rate:
                 due_ms = max(due_ms, self._last_ms.get((sender, to), 0.0))
                 self._last_ms[(sender, to)] = due_ms
-            self._time.after(
-                due_ms - self._time.now_ms,
+            self.time.after(
+                due_ms - self.time.now_ms,
                 partial(self._arrive, sender, to, request_id, in_reply_to, copy),
             )
 
