--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -103,7 +103,7 @@
     def _make_services(self) -> None:
         """Make the components that change the values of control keys for callers."""
         self.worker_list = WorkerList(
-            self.acceptor, self.owner, self.config_feed, sure=self.hears_majority
+            self.acceptor, self.owner, self.config_feed, in_contact=self.hears_majority
         )
         self.configuration_changes = ConfigurationChanges(
             self.owner, in_contact=self.hears_majority
@@ -196,5 +196,5 @@
         number = self.config_feed.number(PROFILES_KEY)
         if number != self._profiles_number:
             self._profiles_number = number
-            self._profiles = ProfileTree.of_body(self.config_feed.body(PROFILES_KEY))
+            self._profiles = ProfileTree.from_body(self.config_feed.body(PROFILES_KEY))
         return self._profiles
--- a/libs/control_plane/src/control_plane/profiles_api.py
+++ b/libs/control_plane/src/control_plane/profiles_api.py
@@ -112,7 +112,7 @@
         if isinstance(result, Refusal):
             return refusal_response(result)
         name = request.match_info["name"]
-        explained = explain(ProfileTree.of_body(result.body), name)
+        explained = explain(ProfileTree.from_body(result.body), name)
         if not explained:
             return refusal_response(
                 refused("unknown-profile", f"no profile is called {name!r}", 404, field="name")
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -129,5 +129,7 @@
         if live:
             reason = f"heard lately: {', '.join(live)}"
             return refusal_response(refused("still-live", reason, 409, field="links"))
-        result: ChangeResult = await awaited(lambda done: node.serving_set.forget(body.links, done))
+        result: ChangeResult = await awaited(
+            lambda done: node.serving_set.remove_lost(body.links, done)
+        )
         return change_response(result, "")
--- a/libs/control_store/src/control_store/defaults.py
+++ b/libs/control_store/src/control_store/profile_defaults.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-__all__ = ["DEFAULTS", "OWN_ONLY"]
+__all__ = ["DEFAULTS", "NOT_INHERITED"]
 
 DEFAULTS: dict[str, Any] = {
     "workers": {"identities": [], "labels": []},
@@ -39,4 +39,4 @@
     "rank": 0,
     "source": "",
 }
-OWN_ONLY = ("abstract", "parent", "match", "rank", "source")
+NOT_INHERITED = ("abstract", "parent", "match", "rank", "source")
--- /dev/null
+++ b/libs/control_store/src/control_store/profile_inheritance.py
@@ -0,0 +1,79 @@
+"""Inheritance of profiles.
+
+A child inherits every value of its parent that it does not set; maps are merged, lists and plain
+values are replaced. The fields of NOT_INHERITED are a profile's own.
+"""
+
+from typing import Any
+
+from toolz import merge
+
+from control_store.profile_defaults import DEFAULTS, NOT_INHERITED
+
+__all__ = ["ancestry", "explain_values", "resolve_values"]
+
+ProfileRows = dict[str, dict[str, Any]]
+
+DEFAULT_ORIGIN = "default"
+_NOT_EXPLAINED = ("workers", "rank", "source")
+_EXPLAINED = (
+    ("workers", "identities"),
+    ("workers", "labels"),
+    *[(key,) for key in DEFAULTS if key not in _NOT_EXPLAINED],
+)
+
+
+def ancestry(rows: ProfileRows, name: str) -> list[str]:
+    """Return the names of a profile and its ancestors, nearest first."""
+    names = [name]
+    while (parent := rows[names[-1]].get("parent")) is not None:
+        names.append(parent)
+    return names
+
+
+def resolve_values(rows: ProfileRows, name: str) -> dict[str, Any]:
+    """Return all values of a profile, with those that it inherits and the defaults."""
+    values = dict(DEFAULTS)
+    for ancestor in reversed(ancestry(rows, name)):
+        own = {
+            key: value
+            for key, value in rows[ancestor].items()
+            if value is not None and (key not in NOT_INHERITED or ancestor == name)
+        }
+        if "workers" in own:
+            own["workers"] = merge(
+                values["workers"],
+                {key: value for key, value in own["workers"].items() if value is not None},
+            )
+        values = merge(values, own)
+    return values
+
+
+def explain_values(rows: ProfileRows, name: str) -> dict[str, dict[str, Any]]:
+    """Return each value of a profile with the profile that it comes from, or "default".
+
+    The parts of a map are listed one by one, by their dotted path.
+    """
+    explained: dict[str, dict[str, Any]] = {}
+    for keys in _EXPLAINED:
+        origin, value = _find_value(rows, name, keys)
+        if keys == ("path",) and not value:
+            value = name
+        explained[".".join(keys)] = {"value": value, "from": origin}
+    return explained
+
+
+def _find_value(rows: ProfileRows, name: str, keys: tuple[str, ...]) -> tuple[str, Any]:
+    """Return where the value at a path of keys comes from, and the value."""
+    names = [name] if keys[0] in NOT_INHERITED else ancestry(rows, name)
+    for ancestor in names:
+        value = _lookup(rows[ancestor], keys)
+        if value is not None:
+            return ancestor, value
+    return DEFAULT_ORIGIN, _lookup(DEFAULTS, keys)
+
+
+def _lookup(value: Any, keys: tuple[str, ...]) -> Any:
+    for key in keys:
+        value = value.get(key) if isinstance(value, dict) else None
+    return value
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -1,130 +1,131 @@
-"""The roster of edges and stores that are counted for a quorum, kept in a control key.
+"""The serving set: the edges and stores that are counted for a quorum, kept in a control key.
 
-A majority of the roster decides whether a version is in force, and whether an edge without control
-may go on serving. The coordinator changes the roster by one address at a time, and only once a
-majority of the present roster has the present roster. So the two sides of a network partition never
-both have a majority, however many machines join and leave meanwhile. With cut_off = "serve" nobody
-is counted and there is no roster.
+A majority of the serving set decides whether a version is in force, and whether an edge without
+control may go on serving. The coordinator changes the set by one address at a time, and only once a
+majority of the present set has the present set. So the two sides of a network partition never both
+have a majority, however many machines join and leave meanwhile. With cut_off = "serve" nobody is
+counted and there is no serving set.
 """
 
 import json
-from typing import Any
+from collections.abc import Callable
 
 from config_feed import ConfigFeed
 from config_feed.version_tracker import LEAST, ROLL_KEY
 from messaging import Component
 
 from control_store.key_owner import KeyOwner
-from control_store.messages import Change, ReadKey
+from control_store.messages import Change, ChangeResult, Outcome, ReadKey
+from control_store.operations import ResultCallback
 
 __all__ = ["ServingSet"]
 
+NOT_SCHEDULED_MS = -1
+
 
 class ServingSet(Component):
-    """Keeps the roster in step with the edges and stores that are live.
+    """Keeps the serving set in step with the edges and stores that are live.
 
-    `steward` returns whether this node is the coordinator of membership changes.
+    `is_steward` returns whether this node is the coordinator of membership changes.
     """
 
-    __slots__ = ("_busy", "_config_feed", "_next_ms", "_owner", "_steward")
+    __slots__ = ("_change_in_progress", "_config_feed", "_is_steward", "_next_run_ms", "_owner")
 
-    def __init__(self, owner: KeyOwner, config_feed: ConfigFeed, steward: Any) -> None:
+    def __init__(
+        self, owner: KeyOwner, config_feed: ConfigFeed, is_steward: Callable[[], bool]
+    ) -> None:
         self._owner = owner
         self._config_feed = config_feed
-        self._steward = steward
-        self._busy = False
-        self._next_ms = -1
+        self._is_steward = is_steward
+        self._change_in_progress = False
+        self._next_run_ms = NOT_SCHEDULED_MS
 
     def tick(self) -> None:
-        """Propose the next roster if this node is the coordinator and a change is due."""
-        if self.node.settings.cut_off == "serve":
+        """Propose the next serving set if this node is the coordinator and a change is due."""
+        settings, now_ms = self.node.settings, self.node.env.now()
+        if settings.cut_off == "serve":
             return
-        now_ms = self.node.env.now()
-        if self._next_ms < 0:
-            self._next_ms = now_ms + self.node.settings.failure_timeout_ms
-        if now_ms < self._next_ms or self._busy:
+        if self._next_run_ms < 0:
+            self._next_run_ms = now_ms + settings.failure_timeout_ms
+        if now_ms < self._next_run_ms or self._change_in_progress:
             return
-        self._next_ms = now_ms + self.node.settings.heartbeat_ms
-        if not self._steward():
+        self._next_run_ms = now_ms + settings.heartbeat_ms
+        if not self._is_steward():
             return
-        links = self._following()
-        if links is not None:
-            self._change(links)
+        addresses = self._next_set()
+        if addresses is not None:
+            self._propose(addresses)
 
-    def _following(self) -> list[str] | None:
+    def _next_set(self) -> list[str] | None:
+        """Return the addresses of the next serving set, or None without cause for a change."""
         settings, config_feed = self.node.settings, self._config_feed
-        held = config_feed.roll()
-        heard = config_feed.heard_links(settings.failure_timeout_ms)
-        if not held:
-            return sorted(heard) or None
-        fresh = sorted(heard - held)[:1]
-        gone = (
-            sorted(held - config_feed.heard_links(settings.removal_timeout_ms))[:1]
-            if config_feed.listened(settings.removal_timeout_ms)
-            else []
-        )
+        current = config_feed.roll()
+        live = config_feed.heard_links(settings.failure_timeout_ms)
+        if not current:
+            return sorted(live) or None
+        joining = sorted(live - current)[:1]
+        lost = self._first_lost(current)
         if not config_feed.binding:
-            return self._begun(held, heard, fresh, gone)
+            return self._next_set_unless_binding(current, live, joining, lost)
         if not config_feed.most_confirm(
             ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirmation_timeout_ms
         ):
             return None
-        if fresh:
-            return sorted({*held, *fresh})
-        return sorted(held - set(gone)) if gone and len(held) > LEAST else None
-
-    def _begun(
-        self, held: frozenset[str], heard: set[str], fresh: list[str], gone: list[str]
+        if joining:
+            return sorted({*current, *joining})
+        return sorted(current - set(lost)) if lost and len(current) > LEAST else None
+
+    def _first_lost(self, current: frozenset[str]) -> list[str]:
+        """Return the first machine that has been silent for long, if there is one."""
+        timeout_ms = self.node.settings.removal_timeout_ms
+        if not self._config_feed.listened(timeout_ms):
+            return []
+        return sorted(current - self._config_feed.heard_links(timeout_ms))[:1]
+
+    def _next_set_unless_binding(
+        self, current: frozenset[str], live: set[str], joining: list[str], lost: list[str]
     ) -> list[str] | None:
-        """Return the next roster while it is too small to be binding, or None.
+        """Return the next serving set while it is too small to be binding, or None.
 
         Silent machines are dropped freely; it grows only if a majority of the result is live.
         """
-        if gone:
-            return sorted(held - set(gone))
-        wider = {*held, *fresh}
-        return sorted(wider) if fresh and 2 * len(wider & heard) > len(wider) else None
+        if lost:
+            return sorted(current - set(lost))
+        larger = {*current, *joining}
+        return sorted(larger) if joining and 2 * len(larger & live) > len(larger) else None
 
-    def forget(self, links: list[str], done: Any) -> None:
-        """Remove machines that an operator declares lost, whatever the roster's majority reports.
+    def remove_lost(self, addresses: list[str], done: ResultCallback) -> None:
+        """Remove machines that an operator declares lost, whatever the set's majority reports.
 
-        `done` gets the `Changed` reply of the owner.
+        `done` gets the owner's result; that of the read if none of them is in the set.
         """
 
-        def told(receipt: Any) -> None:
-            held = json.loads(receipt.body)["links"] if receipt.body else []
-            if receipt.outcome != "ok" or not set(links) & set(held):
-                done(receipt)
+        def read(result: ChangeResult) -> None:
+            current = set(json.loads(result.body)["links"] if result.body else [])
+            if result.outcome != Outcome.OK or not set(addresses) & current:
+                done(result)
                 return
-            self._owner.submit(
-                Change(
-                    key=ROLL_KEY,
-                    version=receipt.version,
-                    change_id=self.node.env.token(),
-                    hops=0,
-                    body=json.dumps({"links": sorted(set(held) - set(links))}, sort_keys=True),
-                ),
-                done,
-            )
-
-        self._owner.submit(ReadKey(key=ROLL_KEY, hops=0), told)
-
-    def _change(self, links: list[str]) -> None:
-        """Propose the roster `links`."""
-        self._busy = True
-        env = self.node.env
-
-        def changed(receipt: Any) -> None:
-            self._busy = False
-
-        env.log("roll-changing", links=links)
+            self._change(sorted(current - set(addresses)), result.version, done)
+
+        self._owner.submit(ReadKey(key=ROLL_KEY, hops=0), read)
+
+    def _propose(self, addresses: list[str]) -> None:
+        def changed(result: ChangeResult) -> None:
+            self._change_in_progress = False
+
+        self._change_in_progress = True
+        self.node.env.log("serving-set-changing", addresses=addresses)
+        self._change(addresses, self._config_feed.number(ROLL_KEY), changed)
+
+    def _change(self, addresses: list[str], version: int, done: ResultCallback) -> None:
+        """Replace `version` of the serving set by these addresses."""
         self._owner.submit(
             Change(
                 key=ROLL_KEY,
-                version=self._config_feed.number(ROLL_KEY),
-                change_id=env.token(),
+                version=version,
+                change_id=self.node.env.token(),
                 hops=0,
-                body=json.dumps({"links": links}, sort_keys=True),
+                body=json.dumps({"links": addresses}, sort_keys=True),
             ),
-            changed,
+            done,
         )
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -7,247 +7,268 @@
 
 import json
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 from config_feed import ConfigFeed
 
 from control_store.key_owner import KeyOwner
-from control_store.messages import Change, ChangeResult, ReadKey
-from control_store.worker_rows import WORKERS_KEY, WorkerReport, apply_reports, empty_list
+from control_store.messages import Change, ChangeResult, Outcome, ReadKey
+from control_store.worker_messages import WorkerReport, WorkerState
+from control_store.worker_records import WORKERS_KEY, WorkerRecords, apply_reports
 
-__all__ = ["Done", "Wait", "WorkerChanges"]
+__all__ = ["OutcomeCallback", "WaitingCaller", "WorkerChanges"]
 
-Done = Callable[[str], None]
+NOT_OWNED_MS = -1
 
+OutcomeCallback = Callable[[Outcome], None]
 
-class Wait:
-    """A caller that waits for a drain or an end of a worker to be in force."""
+
+class WaitingCaller:
+    """A caller that waits until the drain or end of a worker is in force, at most until `due_ms`.
+
+    `done` is None once it has been called.
+    """
 
     __slots__ = ("done", "due_ms", "identity")
 
-    def __init__(self, identity: str, due_ms: int, done: Done) -> None:
-        self.identity, self.due_ms = identity, due_ms
-        self.done: Done | None = done
+    def __init__(self, identity: str, due_ms: int, done: OutcomeCallback) -> None:
+        self.identity = identity
+        self.due_ms = due_ms
+        self.done: OutcomeCallback | None = done
 
-    def finish(self, outcome: str) -> None:
+    def finish(self, outcome: Outcome) -> None:
         """Call `done` with the outcome, at most once."""
         done, self.done = self.done, None
         if done is not None:
             done(outcome)
 
 
+class _DecidedChange(NamedTuple):
+    """The version that last changed a worker, and when it was decided in ms."""
+
+    version: int
+    at_ms: int
+
+
 class WorkerChanges:
     """The list of workers as this node has it, and the owner's changes of it.
 
-    `value` is the list and `number` its version. Times are ms of the node's clock.
+    `records` is the list and `number` its version. Times are ms of the node's clock.
     """
 
     __slots__ = (
-        "_busy",
-        "_changed_at",
-        "_first_ms",
+        "_callers",
+        "_change_in_progress",
         "_config_feed",
-        "_owned_ms",
+        "_decided",
+        "_first_report_ms",
+        "_heartbeat_ms",
+        "_owned_since_ms",
         "_owner",
         "_reports",
-        "_seen_ms",
-        "_waits",
         "node",
         "number",
-        "value",
+        "records",
     )
 
     def __init__(self, owner: KeyOwner, config_feed: ConfigFeed) -> None:
         self._owner = owner
         self._config_feed = config_feed
         self.node: Any = None
-        self.value: dict[str, Any] = empty_list()
+        self.records = WorkerRecords()
         self.number = 0
-        self._owned_ms = -1
-        self._seen_ms: dict[str, int] = {}
+        self._owned_since_ms = NOT_OWNED_MS
+        self._heartbeat_ms: dict[str, int] = {}
         self._reports: dict[str, WorkerReport] = {}
-        self._first_ms = 0
-        self._busy = False
-        self._waits: list[Wait] = []
-        self._changed_at: dict[str, tuple[int, int]] = {}
+        self._first_report_ms = 0
+        self._change_in_progress = False
+        self._callers: list[WaitingCaller] = []
+        self._decided: dict[str, _DecidedChange] = {}
 
     def published(self, key: str, number: int, body: str) -> None:
         """Take a newer version of the list from the config feed."""
         if key == WORKERS_KEY and body:
-            self.value, self.number = json.loads(body), number
+            self.records, self.number = WorkerRecords.from_json(json.loads(body)), number
+
+    # -- reports -------------------------------------------------------------------------------
 
     def heard(self, identities: Iterable[str], reports: Iterable[WorkerReport]) -> None:
         """Note which workers sent heartbeats to a control node, and gather the reports."""
         now_ms = self.node.env.now()
-        for name in identities:
-            self._seen_ms[name] = now_ms
+        for identity in identities:
+            self._heartbeat_ms[identity] = now_ms
         for report in reports:
             self._gather(report)
 
-    def leave(self, report: WorkerReport, done: Done) -> None:
-        """Process a drain or an end: `done` gets "ok" once it is in force, or "doubt"."""
+    def leave(self, report: WorkerReport, done: OutcomeCallback) -> None:
+        """Process a drain or an end: `done` gets OK once it is in force, or DOUBT."""
         self._gather(report)
-        self._waits.append(
-            Wait(
-                report.identity,
-                self.node.env.now() + self.node.settings.control_call_timeout_ms,
-                done,
-            )
-        )
+        due_ms = self.node.env.now() + self.node.settings.control_call_timeout_ms
+        self._callers.append(WaitingCaller(report.identity, due_ms, done))
 
     def _gather(self, report: WorkerReport) -> None:
         now_ms = self.node.env.now()
-        if report.state in ("serving", "draining"):
-            self._seen_ms[report.identity] = now_ms
-        held = self._reports.get(report.identity)
+        if report.state in (WorkerState.SERVING, WorkerState.DRAINING):
+            self._heartbeat_ms[report.identity] = now_ms
         if not self._reports:
-            self._first_ms = now_ms
+            self._first_report_ms = now_ms
+        gathered = self._reports.get(report.identity)
         if (
-            held is None
-            or report.state == "gone"
-            or (held.state != "gone" and report.seq >= held.seq)
+            gathered is None
+            or report.state == WorkerState.GONE
+            or (gathered.state != WorkerState.GONE and report.seq >= gathered.seq)
         ):
             self._reports[report.identity] = report
 
+    def report_silent(self, now_ms: int) -> None:
+        """Report workers without heartbeats for longer than worker_removal_timeout_ms as silent.
+
+        Done only by a node that has owned the key, running and in contact, for that long itself.
+        """
+        silent_ms = self.node.settings.worker_removal_timeout_ms
+        owned_since_ms = self._owned_since_ms
+        if owned_since_ms < 0 or now_ms - owned_since_ms <= silent_ms:
+            return
+        for identity, record in self.records.workers.items():
+            heartbeat_ms = self._heartbeat_ms.get(identity, owned_since_ms)
+            if now_ms - heartbeat_ms > silent_ms and identity not in self._reports:
+                self._gather(record.silence_report(identity))
+
+    # -- changes -------------------------------------------------------------------------------
+
     def _change(self) -> None:
         """Propose all gathered reports as one change; callers are answered once edges have it."""
         reports, self._reports = self._reports, {}
-        waits, self._waits = self._waits, []
-        self._busy = True
-        self._attempt(reports, waits, 0)
+        callers, self._callers = self._callers, []
+        self._change_in_progress = True
+        self._attempt(reports, callers, 0)
 
     def _attempt(
-        self, reports: dict[str, WorkerReport], waits: list[Wait], confirmed_number: int
+        self,
+        reports: dict[str, WorkerReport],
+        callers: list[WaitingCaller],
+        confirmed_number: int,
     ) -> None:
+        """Propose the reports; a version that was just read is given as `confirmed_number`."""
         number = self.number
-        value, changed = apply_reports(self.value, reports.values())
+        records, changed = apply_reports(self.records, reports.values())
         if changed:
-            body = json.dumps(value, sort_keys=True)
             self._owner.submit(
                 Change(
                     key=WORKERS_KEY,
                     version=number,
                     change_id=self.node.env.token(),
-                    body=body,
+                    body=json.dumps(records.to_json(), sort_keys=True),
                     hops=0,
                 ),
-                lambda receipt: self._changed(reports, waits, changed, receipt),
+                lambda result: self._changed(reports, callers, changed, result),
             )
-        elif waits and confirmed_number != number:
-            self._reread(reports, waits)
+        elif callers and confirmed_number != number:
+            self._read_and_retry(reports, callers)
         else:
-            self._finish_change(waits)
+            self._finish_change(callers)
 
     def _changed(
         self,
         reports: dict[str, WorkerReport],
-        waits: list[Wait],
+        callers: list[WaitingCaller],
         changed: list[str],
-        receipt: ChangeResult,
+        result: ChangeResult,
     ) -> None:
-        if receipt.outcome != "ok":
-            self._reread(reports, waits)
+        if result.outcome != Outcome.OK:
+            self._read_and_retry(reports, callers)
             return
-        self._config_feed.publish(WORKERS_KEY, receipt.version, receipt.body)
+        self._config_feed.publish(WORKERS_KEY, result.version, result.body)
+        decided = _DecidedChange(result.version, self.node.env.now())
+        for identity in changed:
+            self._decided[identity] = decided
+        self.node.env.log("workers-changed", version=result.version, workers=changed)
+        self._finish_change(callers)
+
+    def _read_and_retry(
+        self, reports: dict[str, WorkerReport], callers: list[WaitingCaller]
+    ) -> None:
+        """Read the newest list and propose the reports on it; without it callers get DOUBT."""
+
+        def read(result: ChangeResult) -> None:
+            if result.outcome == Outcome.OK:
+                self._config_feed.publish(WORKERS_KEY, result.version, result.body)
+                self._attempt(reports, callers, result.version)
+            else:
+                self._abandon_change(reports, callers)
+
+        self._owner.submit(ReadKey(key=WORKERS_KEY, hops=0), read)
+
+    def _abandon_change(
+        self, reports: dict[str, WorkerReport], callers: list[WaitingCaller]
+    ) -> None:
+        """Answer the callers with DOUBT, and gather the reports again for the next change."""
+        self._change_in_progress = False
+        for caller in callers:
+            caller.finish(Outcome.DOUBT)
+        for report in reports.values():
+            if report.identity not in self._reports:
+                self._gather(report)
+
+    def _finish_change(self, callers: list[WaitingCaller]) -> None:
+        self._change_in_progress = False
+        self._callers += callers
+        unchanged = _DecidedChange(self.number, self.node.env.now())
+        for caller in callers:
+            self._decided.setdefault(caller.identity, unchanged)
+        self._answer_callers()
+
+    def _answer_callers(self) -> None:
         now_ms = self.node.env.now()
-        for name in changed:
-            self._changed_at[name] = (receipt.version, now_ms)
-        self.node.env.log("workers-changed", version=receipt.version, workers=changed)
-        self._finish_change(waits)
-
-    def _reread(self, reports: dict[str, WorkerReport], waits: list[Wait]) -> None:
-        def told(receipt: ChangeResult) -> None:
-            if receipt.outcome == "ok":
-                self._config_feed.publish(WORKERS_KEY, receipt.version, receipt.body)
-                self._attempt(reports, waits, receipt.version)
-                return
-            self._busy = False
-            for wait in waits:
-                wait.finish("doubt")
-            for report in reports.values():
-                if report.identity not in self._reports:
-                    self._gather(report)
-
-        self._owner.submit(ReadKey(key=WORKERS_KEY, hops=0), told)
-
-    def _finish_change(self, waits: list[Wait]) -> None:
-        self._busy = False
-        self._waits += waits
-        for wait in waits:
-            self._changed_at.setdefault(wait.identity, (self.number, self.node.env.now()))
-        self._check_waits()
-
-    def _check_waits(self) -> None:
-        now_ms, settings = self.node.env.now(), self.node.settings
-        for wait in self._waits:
-            version, at_ms = self._changed_at.get(wait.identity, (0, 0))
-            if (
-                version
-                and wait.identity not in self._reports
-                and (
-                    now_ms - at_ms >= settings.edge_confirmation_timeout_ms
-                    or self._config_feed.all_confirm(
-                        WORKERS_KEY, version, ("edge",), settings.confirmation_timeout_ms
-                    )
-                )
-            ):
-                wait.finish("ok")
-            elif now_ms >= wait.due_ms:
-                wait.finish("doubt")
-        self._waits = [wait for wait in self._waits if wait.done is not None]
-
-    def judge_silent(self, now_ms: int) -> None:
-        """Remove workers without heartbeats for longer than worker_removal_timeout_ms.
+        for caller in self._callers:
+            if self._is_in_force(caller.identity, now_ms):
+                caller.finish(Outcome.OK)
+            elif now_ms >= caller.due_ms:
+                caller.finish(Outcome.DOUBT)
+        self._callers = [caller for caller in self._callers if caller.done is not None]
+
+    def _is_in_force(self, identity: str, now_ms: int) -> bool:
+        """Whether the edges have the last change of a worker, or had long enough to learn it."""
+        settings = self.node.settings
+        decided = self._decided.get(identity)
+        if decided is None or not decided.version or identity in self._reports:
+            return False
+        if now_ms - decided.at_ms >= settings.edge_confirmation_timeout_ms:
+            return True
+        return self._config_feed.all_confirm(
+            WORKERS_KEY, decided.version, ("edge",), settings.confirmation_timeout_ms
+        )
 
-        Done only by a node that has owned the key, running and in contact, for that long itself.
-        """
-        worker_removal_timeout_ms = self.node.settings.worker_removal_timeout_ms
-        if self._owned_ms < 0 or now_ms - self._owned_ms <= worker_removal_timeout_ms:
-            return
-        for name, row in self.value["workers"].items():
-            if (
-                now_ms - self._seen_ms.get(name, self._owned_ms) > worker_removal_timeout_ms
-                and name not in self._reports
-            ):
-                self._gather(
-                    WorkerReport(
-                        identity=name,
-                        address=row["address"],
-                        zone=row["zone"],
-                        label=row["label"],
-                        slots=row["slots"],
-                        state="silent",
-                        seq=row["seq"],
-                        models="[]",
-                    )
-                )
-
-    def forget(self, floor_ms: int) -> None:
-        """Drop what is known of workers without heartbeat or change since `floor_ms`."""
-        for name in [name for name, at_ms in self._seen_ms.items() if at_ms < floor_ms]:
-            del self._seen_ms[name]
-        for name in [name for name, (_, at_ms) in self._changed_at.items() if at_ms < floor_ms]:
-            del self._changed_at[name]
+    # -- timers --------------------------------------------------------------------------------
+
+    def forget(self, oldest_ms: int) -> None:
+        """Drop what is known of workers without heartbeat or change since `oldest_ms`."""
+        for identity in [name for name, at_ms in self._heartbeat_ms.items() if at_ms < oldest_ms]:
+            del self._heartbeat_ms[identity]
+        for identity in [
+            name for name, decided in self._decided.items() if decided.at_ms < oldest_ms
+        ]:
+            del self._decided[identity]
 
     def tick(self, owns: bool) -> None:
         """Propose gathered reports that are due; `owns` is whether this node owns the key."""
         now_ms = self.node.env.now()
         if not owns:
-            self._owned_ms = -1
+            self._owned_since_ms = NOT_OWNED_MS
             return
-        if self._owned_ms < 0:
-            self._owned_ms = now_ms
+        if self._owned_since_ms < 0:
+            self._owned_since_ms = now_ms
         if (
             self._reports
-            and not self._busy
-            and now_ms - self._first_ms >= self.node.settings.worker_list_batch_ms
+            and not self._change_in_progress
+            and now_ms - self._first_report_ms >= self.node.settings.worker_list_batch_ms
         ):
             self._change()
-        self._check_waits()
+        self._answer_callers()
 
     def resumed(self) -> None:
-        """After a pause of the process, restart the time of ownership and answer with "doubt"."""
-        self._owned_ms = -1
-        for wait in self._waits:
-            wait.finish("doubt")
-        self._waits = []
+        """After a pause of the process, restart the time of ownership and answer with DOUBT."""
+        self._owned_since_ms = NOT_OWNED_MS
+        for caller in self._callers:
+            caller.finish(Outcome.DOUBT)
+        self._callers = []
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -60,7 +60,7 @@
         """Return the profiles in force, parsed again when the feed has newer ones."""
         number = self.config_feed.number(PROFILES_KEY)
         if number != self._profile_tree_number:
-            self._profile_tree = ProfileTree.of_body(self.config_feed.body(PROFILES_KEY))
+            self._profile_tree = ProfileTree.from_body(self.config_feed.body(PROFILES_KEY))
             self._profile_tree_number = number
             self.profile_tree_digest = profiles_digest(self.config_feed.body(PROFILES_KEY))
         return self._profile_tree
--- a/libs/request_routing/src/request_routing/attempt_requests.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -101,7 +101,7 @@
 @allowed_workers.register
 def _(call: ForwardCall, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
     """Return the workers of the service drawn by the traffic shares, else all that may serve it."""
-    return roster.listed(tx.profile.pick(carrier.node.env.rng.random())) or roster.listed(
+    return roster.listed(tx.profile.choose_labels(carrier.node.env.rng.random())) or roster.listed(
         tx.profile.labels
     )
 
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -293,7 +293,7 @@
     )
     rows["body kB"] = len(body) / 1000
     tracemalloc.start()
-    tree = ProfileTree.of_body(body)
+    tree = ProfileTree.from_body(body)
     tree.route("h1.example", "/p1/x")
     rows["a parsed tree kB"] = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -209,15 +209,15 @@
         _VOTER_FILES + "votes_again",
     ),
     "a late beat ends its successor": (
-        "control_store/src/control_store/worker_rows.py",
-        "**{other: at for other, (_, at) in self._silent.items()},",
+        "control_store/src/control_store/worker_records.py",
+        "**{other: worker.address for other, worker in self._silent.items()},",
         "",
         _MANY + "late_beat",
     ),
     "an exchanged fleet's ended workers are forgotten": (
-        "control_store/src/control_store/worker_rows.py",
-        "most = max(_REMEMBERED, 2 * len(self._workers))",
-        "most = _REMEMBERED",
+        "control_store/src/control_store/worker_records.py",
+        "limit = max(REMEMBERED_IDENTITIES, 2 * len(self._workers))",
+        "limit = REMEMBERED_IDENTITIES",
         _MANY + "turned_over",
     ),
     "a patch is merged into any base": (
--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -87,7 +87,7 @@
 
     def ready(self):
         return all(host.node.has_quorum() for host in self.fleet.with_role("control")) and all(
-            host.node.worker_list._in_touch() for host in self.fleet.with_role("control")
+            host.node.worker_list._can_acknowledge() for host in self.fleet.with_role("control")
         )
 
     def start(self, name, method, path, body=None, headers=None):
--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -100,7 +100,7 @@
         tree = ProfileTree(taken(SETTINGS)["profiles"])
         found = tree.route("nony24.example", "/lohu930/x")
         self.assertThat(
-            [found.pick(number) for number in (0.1, 0.95)],
+            [found.choose_labels(number) for number in (0.1, 0.95)],
             Equals([{"service/huvo11a"}, {"service/jo"}]),
         )
         self.assertThat(tree.get("service/jo").abstract, Equals(True))
@@ -108,7 +108,7 @@
             shares=[{"backend": "jo", "share": 0}, {"backend": "huvo11a", "share": 5}]
         )
         tree = ProfileTree(taken(settings([zero_first], SETTINGS["backends"]))["profiles"])
-        self.assertThat(tree.line("route/r-a"), Equals(["route/r-a", "service/huvo11a"]))
+        self.assertThat(tree.ancestry("route/r-a"), Equals(["route/r-a", "service/huvo11a"]))
 
     def test_names_of_any_kind_stay_apart(self):
         names = [
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from config_feed.patches import merge, merge_diff
-from control_store import Change, ReadKey, WorkerReport, apply_reports, empty_list
+from control_store import Change, ReadKey, WorkerRecords, WorkerReport, apply_reports
 from control_store.change_memory import REMEMBERED_PROFILE_CHANGES
 from messaging import encode
 from simulator.fleet import SimFleet
@@ -28,34 +28,34 @@
     )
 
 
-def _after(value, *reports):
+def _after(records, *reports):
     for report in reports:
-        value, _ = apply_reports(value, [report])
-    return value
+        records, _ = apply_reports(records, [report])
+    return records
 
 
 class ManyWorkers(TestCase):
     def test_a_late_beat_of_one_taken_off_by_silence_does_not_end_its_successor(self):
         """It crashed and was silent; its address went to another; a beat of it was still on its way."""
-        value = _after(
-            empty_list(),
+        records = _after(
+            WorkerRecords(),
             _report("old"),
             _report("old", "silent"),
             _report("new"),
             _report("old", seq=9),
         )
-        self.assertThat(list(value["workers"]), Equals(["new"]))
-        value = _after(value, _report("new", seq=2), _report("old", seq=10))
-        self.assertThat(list(value["workers"]), Equals(["new"]))
+        self.assertThat(list(records.workers), Equals(["new"]))
+        records = _after(records, _report("new", seq=2), _report("old", seq=10))
+        self.assertThat(list(records.workers), Equals(["new"]))
 
     def test_silence_alone_lets_a_worker_come_back(self):
-        value = _after(empty_list(), _report("a"), _report("a", "silent"), _report("a", seq=5))
-        self.assertThat(list(value["workers"]), Equals(["a"]))
-        value = _after(value, _report("a", "silent", seq=5), _report("a", seq=8))
-        self.assertThat(list(value["workers"]), Equals(["a"]))
+        records = _after(WorkerRecords(), _report("a"), _report("a", "silent"), _report("a", seq=5))
+        self.assertThat(list(records.workers), Equals(["a"]))
+        records = _after(records, _report("a", "silent", seq=5), _report("a", seq=8))
+        self.assertThat(list(records.workers), Equals(["a"]))
 
     def test_two_thousand_started_and_ended_leave_a_bounded_list_and_small_changes(self):
-        value, sizes, patches = empty_list(), [], []
+        records, sizes, patches = WorkerRecords(), [], []
         for index in range(2000):
             address = f"10.1.{index % 8}.1:80"
             for report in (
@@ -64,34 +64,36 @@
                 _report(f"w{index}", "gone"),
                 _report(f"w{index}", seq=9, address=address),
             ):
-                before, value = value, _after(value, report)
-                bodies = [json.dumps(one, sort_keys=True) for one in (before, value)]
+                before, records = records, _after(records, report)
+                bodies = [json.dumps(one.to_json(), sort_keys=True) for one in (before, records)]
                 patch = merge_diff(*bodies)
                 self.assertThat(merge(bodies[0], patch), Equals(bodies[1]))
                 patches.append(len(patch))
             sizes.append(len(bodies[1]))
-        self.assertThat(value["workers"], Equals({}))
+        self.assertThat(records.workers, Equals({}))
         self.assertThat(
             (max(sizes[300:]) < 1.3 * sizes[300], max(patches) < 400), Equals((True, True))
         )
 
     def test_a_list_kept_by_an_earlier_version_is_read(self):
-        value = _after({"workers": {}, "ended": ["b", "a"]}, _report("a"), _report("c", "gone"))
-        self.assertThat(value, Equals({**empty_list(), "ended": {"b": 1, "a": 2, "c": 3}}))
+        stored = {"workers": {}, "ended": ["b", "a"]}
+        records = _after(WorkerRecords.from_json(stored), _report("a"), _report("c", "gone"))
+        wanted = {"workers": {}, "ended": {"b": 1, "a": 2, "c": 3}, "silent": {}}
+        self.assertThat(records.to_json(), Equals(wanted))
 
     def test_ended_ones_are_remembered_until_the_list_has_turned_over_twice(self):
         """A large fleet is exchanged at once: a late beat of the first that ended revives nobody."""
-        value = empty_list()
+        records = WorkerRecords()
         joins = [_report(f"w{index}", address=f"10.1.{index}.1:80") for index in range(700)]
-        value, _ = apply_reports(value, joins)
+        records, _ = apply_reports(records, joins)
         for index in range(700):
-            value = _after(
-                value,
+            records = _after(
+                records,
                 _report(f"n{index}", address=f"10.2.{index}.1:80"),
                 _report(f"w{index}", "gone"),
             )
-        value = _after(value, _report("w0", seq=9, address="10.1.0.1:80"))
-        self.assertThat(("w0" in value["workers"], len(value["workers"])), Equals((False, 700)))
+        records = _after(records, _report("w0", seq=9, address="10.1.0.1:80"))
+        self.assertThat(("w0" in records.workers, len(records.workers)), Equals((False, 700)))
 
 
 class _MeteredNetwork(Network):
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -25,7 +25,7 @@
 
 def tree(**routes):
     checked = check_tree({"profiles": {**SERVICES, **routes}, "about": {"revision": 3}})
-    return ProfileTree.of_body(json.dumps(checked.ok))
+    return ProfileTree.from_body(json.dumps(checked.ok))
 
 
 class Routes(TestCase):
@@ -109,7 +109,7 @@
         ]
         for shares, number, wanted in rows:
             one = tree(one=route("h", "/", **({"shares": shares} if shares else {}))).get("one")
-            self.assertThat(one.pick(number), Equals({wanted}), (shares, number))
+            self.assertThat(one.choose_labels(number), Equals({wanted}), (shares, number))
         split = tree(one=route("h", "/", shares=half))
         self.assertThat(split.get("one").labels, Equals({"a", "b"}))
         self.assertThat(
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from control_store import WorkerReport, apply_reports, empty_list
+from control_store import WorkerRecords, WorkerReport, apply_reports
 from platform_calls import Platform, beat
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength
@@ -25,15 +25,15 @@
 
 
 def after(*reports):
-    value = empty_list()
+    records = WorkerRecords()
     for one in reports:
-        value, _ = apply_reports(value, [one])
-    return {name: row["state"] for name, row in value["workers"].items()}, in_order(value)
+        records, _ = apply_reports(records, [one])
+    return {name: record.state for name, record in records.workers.items()}, in_order(records)
 
 
-def in_order(value):
+def in_order(records):
     """The ended ones, the first to end first."""
-    return sorted(value["ended"], key=value["ended"].__getitem__)
+    return sorted(records.ended, key=records.ended.__getitem__)
 
 
 class Reports(TestCase):
@@ -96,7 +96,7 @@
             self.assertThat(after(*reports), Equals((listed, ended)), name)
 
     def test_what_changes_nothing_is_no_change(self):
-        held, _ = apply_reports(empty_list(), [report()])
+        records, _ = apply_reports(WorkerRecords(), [report()])
         rows = [
             ([report()], []),
             ([report(seq=2)], []),
@@ -109,14 +109,14 @@
             ([report("b"), report("c"), report("d")], ["b", "c", "d"]),
         ]
         for reports, wanted in rows:
-            _, changed = apply_reports(held, reports)
+            _, changed = apply_reports(records, reports)
             self.assertThat(changed, Equals(wanted))
 
     def test_ended_ones_are_remembered_to_a_bound(self):
-        value = empty_list()
+        records = WorkerRecords()
         for index in range(600):
-            value, _ = apply_reports(value, [report(f"w{index}", state="gone")])
-        self.assertThat(in_order(value), Equals([f"w{index}" for index in range(344, 600)]))
+            records, _ = apply_reports(records, [report(f"w{index}", state="gone")])
+        self.assertThat(in_order(records), Equals([f"w{index}" for index in range(344, 600)]))
 
 
 class Calls(TestCase):
@@ -141,7 +141,7 @@
         return next(
             host
             for host in platform.fleet.with_role("control")
-            if host.up and host.node.worker_list._mine()
+            if host.up and host.node.worker_list._owns_list()
         )
 
     async def keep_beating(self, platform, names, for_ms, first_count):
