--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -71,7 +71,7 @@
     @_on.register
     def _(self, message: SubmitJob, origin: Origin) -> None:
         state = self._leader.state
-        capacity = self._profiles()[1].room(message.path)
+        capacity = self._profiles()[1].backlog_limit(message.path)
         if self._answer_known(message, origin):
             return
         if self._stale(message):
--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -1,27 +1,54 @@
 """Replicated control state: a small versioned key-value store that is decided by quorum.
 
-Each key is a register that the voters replicate on their disks and that one node, its owner,
-changes by ballots. The package also has the values that these keys hold: the tree of profiles, the
-list of workers, the list of voters and the roster of edges and stores.
+Each key is a register that the voters replicate on their disks and that one node at a time, its
+owner, changes by proposals (single-decree Paxos for each key, with a new epoch for each owner). The
+package also has the values of these keys: profiles, workers, voters and the serving set.
+
+It may import `messaging`, `storage`, `membership`, `config_feed` and `runtime`.
+
+Invariants:
+
+- A vote is on the voter's disk before it is sent, and a promise or an accepted version is never
+  undone.
+- A change is acknowledged only once a majority of the voters has it on disk; for profiles, only
+  once the nodes that serve have it in force too.
+- A read or a change is answered as certain only after a majority confirmed the owner's epoch since
+  the call arrived.
+- Two consecutive lists of voters differ by one step, and every key is on a majority of the first
+  before the second is proposed.
+
+Where a change goes:
+
+- votes and files of a voter: `acceptor`, `register`, `register_store`, `metadata_file`
+- the proposer's rounds: `proposer`, `quorum_round`; operations on a key: `key_owner`, `key_state`,
+  `operations`, `change_memory`; the way to the owner: `forwarding`, `client`
+- when a change is acknowledged: `pending_acknowledgements`; fresh reads: `read_barrier`
+- the voters: `voter_list`, `bootstrap`, `steward`, `voter_succession`, `key_sweep`, with
+  `voter_list_manager` as their component
+- profiles: `profile_schema`, `profile_validation`, `profile_defaults`, `profile_inheritance`,
+  `profile`, `profile_tree`, `routes`
+- workers: `worker_messages`, `worker_records`, `worker_list`, `worker_changes`
+- the edges and stores that are counted: `serving_set`
+- messages, whose wire names and fields' order never change: `messages`, `worker_messages`
 """
 
 from runtime.lazy_exports import lazy_exports
 
 __all__ = [
+    "NO_BASE",
+    "Acceptor",
     "Change",
     "ChangeResult",
     "ControlClient",
     "FindChange",
-    "NO_BASE",
-    "Outcome",
     "KeyOwner",
+    "Outcome",
     "Profile",
+    "ProfileTree",
     "ReadBarrier",
     "ReadKey",
     "Register",
     "ServingSet",
-    "ProfileTree",
-    "Acceptor",
     "VoterListManager",
     "WorkerList",
     "WorkerRecords",
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -12,10 +12,12 @@
 from messaging import Component
 
 from control_store.key_owner import KeyOwner
-from control_store.messages import ChangeResult, ReadKey
+from control_store.messages import ChangeResult, Outcome, ReadKey
 
 __all__ = ["ReadBarrier"]
 
+LONG_AGO_MS = -1 << 40
+
 
 class ReadBarrier(Component):
     """Tracks whether every key has been re-read since contact with a majority was regained.
@@ -42,7 +44,7 @@
         self._passed = False
         self._attempt = 0
         self._missing: set[str] = set()
-        self._retry_at_ms = -1 << 40
+        self._retry_at_ms = LONG_AGO_MS
 
     def passed(self) -> bool:
         """Whether every key has been read since contact with a majority was last regained."""
@@ -67,7 +69,7 @@
         """Start over; replies to reads of an older attempt no longer count."""
         self._passed = False
         self._attempt += 1
-        self._retry_at_ms = -1 << 40
+        self._retry_at_ms = LONG_AGO_MS
 
     def _read_all(self) -> None:
         settings = self.node.settings
@@ -78,14 +80,14 @@
             self._read(key, self._attempt)
 
     def _read(self, key: str, attempt: int) -> None:
-        def answered(receipt: ChangeResult) -> None:
-            if attempt == self._attempt and receipt.outcome == "ok":
-                self._take(key, receipt)
+        def replied(result: ChangeResult) -> None:
+            if attempt == self._attempt and result.outcome == Outcome.OK:
+                self._take(key, result)
 
-        self._owner.submit(ReadKey(key=key, hops=0), answered)
+        self._owner.submit(ReadKey(key=key, hops=0), replied)
 
-    def _take(self, key: str, receipt: ChangeResult) -> None:
-        if receipt.version:
-            self._config_feed.publish(key, receipt.version, receipt.body)
+    def _take(self, key: str, result: ChangeResult) -> None:
+        if result.version:
+            self._config_feed.publish(key, result.version, result.body)
         self._missing.discard(key)
         self._passed = not self._missing
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -32,7 +32,7 @@
         "data_plane/src/data_plane/edge_readiness.py",
         "and not self._hears_some_control()",
         "",
-        _CUT_OFF + "neighbour",
+        _CUT_OFF + "peer",
     ),
     "a duty is left with a voter that is only heard of": (
         "control_store/src/control_store/forwarding.py",
@@ -164,7 +164,7 @@
         "control_store/src/control_store/pending_acknowledgements.py",
         "return 2 * len(publishing & set(voters)) > len(voters)",
         "return True",
-        _ORDERS + "nobody_hands_out",
+        _ORDERS + "nobody_publishes",
     ),
     "a patch on another version is sent on": (
         "control_plane/src/control_plane/profiles_api.py",
@@ -194,7 +194,7 @@
         "control_store/src/control_store/acceptor.py",
         "if with_body else register.flushed",
         "if True else register.flushed",
-        _VOTER_FILES + "told_as_held",
+        _VOTER_FILES + "reported_as_flushed",
     ),
     "a voter's log grows while its disk is busy": (
         "control_store/src/control_store/register_store.py",
@@ -212,7 +212,7 @@
         "control_store/src/control_store/worker_records.py",
         "**{other: worker.address for other, worker in self._silent.items()},",
         "",
-        _MANY + "late_beat",
+        _MANY + "late_heartbeat",
     ),
     "an exchanged fleet's ended workers are forgotten": (
         "control_store/src/control_store/worker_records.py",
@@ -224,7 +224,7 @@
         "config_feed/src/config_feed/feed.py",
         "elif item.base_number == self.number(item.key):",
         "elif True:",
-        _MANY + "with_a_spare",
+        _MANY + "with_a_standby",
     ),
     "votes before they are on disk": (
         "control_store/src/control_store/register_store.py",
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -31,7 +31,7 @@
 
 
 class Keys(TestCase):
-    def founded(self, seed=1, **sizes):
+    def bootstrapped(self, seed=1, **sizes):
         fleet = SimFleet(seed, edges=sizes.pop("edges", 0), stores=3, workers=0, **sizes)
         self.assertThat(
             fleet.run_until_true(
@@ -65,7 +65,7 @@
         self.assertThat(newest_accepted([vote(0, "", 0)]).version, Equals(0))
 
     def test_late_accept_of_an_older_version_is_refused(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         voter = fleet.hosts["control1"].node.acceptor
         asker = fleet.hosts["store1"]
         sent = []
@@ -78,32 +78,32 @@
         ):
             asker.node.request(fleet.hosts["control1"].address, message, 400, sent.append)
         fleet.run_until_true(lambda: len(sent) == 4, 500)
-        self.assertThat(sorted(receipt.ok for receipt in sent), Equals([False, True, True, True]))
+        self.assertThat(sorted(result.ok for result in sent), Equals([False, True, True, True]))
         self.assertThat(voter.registers["k"].value, Equals(encode(value(2))))
 
     def test_two_changes_at_once_one_wins(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         seen = []
         for host, name in (("control1", "one"), ("control4", "two")):
             fleet.hosts[host].node.owner.submit(
                 self.change(0, name, json.dumps({"by": name})), seen.append
             )
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
-        self.assertThat(sorted(receipt.outcome for receipt in seen), Equals(["lost", "ok"]))
+        self.assertThat(sorted(result.outcome for result in seen), Equals(["lost", "ok"]))
         read = self.ask(fleet, "control2", ReadKey(key="profiles", hops=0))
-        winner = next(receipt for receipt in seen if receipt.outcome == "ok")
+        winner = next(result for result in seen if result.outcome == "ok")
         self.assertThat((read.version, read.body), Equals((1, winner.body)))
 
     def test_resend_with_its_change_id_learns_what_happened(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
         self.assertThat(self.ask(fleet, "control2", self.change(1, "b")).outcome, Equals("ok"))
         again = self.ask(fleet, "control3", self.change(0, "a"))
         self.assertThat((again.outcome, again.version), Equals(("ok", 1)))
 
-    def test_who_is_answered_may_ask_again_at_once(self):
+    def test_a_callback_may_submit_again_at_once(self):
         """Asking from within an answer once began two rounds for one operation, whose second end answered another."""
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")].node.owner
         seen = []
@@ -111,30 +111,30 @@
             ReadKey(key="profiles", hops=0),
             lambda read: owner.submit(
                 self.change(read.version, "a"),
-                lambda receipt: (
-                    seen.append(receipt),
-                    owner.submit(self.change(receipt.version, "b"), seen.append),
+                lambda result: (
+                    seen.append(result),
+                    owner.submit(self.change(result.version, "b"), seen.append),
                 ),
             ),
         )
         fleet.run_until_true(lambda: len(seen) == 2, 4000)
         self.assertThat(
-            [(receipt.outcome, receipt.version) for receipt in seen], Equals([("ok", 1), ("ok", 2)])
+            [(result.outcome, result.version) for result in seen], Equals([("ok", 1), ("ok", 2)])
         )
 
     def test_a_minority_answers_neither_old_nor_new(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         self.ask(fleet, "control1", self.change(0, "a"))
         names = sorted(fleet.hosts[name].address for name in ("control1", "control2"))
         fleet.network.split(
             [names, [host.address for host in fleet.hosts.values() if host.address not in names]]
         )
         for message in (ReadKey(key="profiles", hops=0), self.change(1, "b")):
-            receipt = self.ask(fleet, "control1", message, 6000)
-            self.assertThat(receipt.outcome, Equals("doubt"))
+            result = self.ask(fleet, "control1", message, 6000)
+            self.assertThat(result.outcome, Equals("doubt"))
 
     def test_owner_killed_its_key_goes_on_under_a_higher_epoch(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         self.ask(fleet, "control1", self.change(0, "a"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
@@ -142,8 +142,8 @@
         owner.kill()
         other = next(host for host in fleet.with_role("control") if host.up)
         fleet.run_until_true(lambda: False, 1500)
-        receipt = self.ask(fleet, other.name, self.change(1, "b"), 8000)
-        self.assertThat((receipt.outcome, receipt.version), Equals(("ok", 2)))
+        result = self.ask(fleet, other.name, self.change(1, "b"), 8000)
+        self.assertThat((result.outcome, result.version), Equals(("ok", 2)))
         epochs = [
             host.node.owner.ownership().get("profiles", {"epoch": 0})["epoch"]
             for host in fleet.with_role("control")
@@ -151,18 +151,18 @@
         ]
         self.assertThat(max(epochs) > before, Equals(True))
 
-    def test_all_control_machines_exchanged_one_after_another(self):
-        fleet = self.founded()
+    def test_all_control_machines_replaced_one_after_another(self):
+        fleet = self.bootstrapped()
         self.assertThat(
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
         first = {host.node.acceptor.identity for host in fleet.with_role("control")}
         for number in range(5):
-            fresh = fleet.add("control", f"fresh{number + 1}")
+            new_host = fleet.add("control", f"fresh{number + 1}")
             fleet.hosts.pop(f"control{number + 1}").kill()
 
-            def joined(fresh=fresh):
-                return fresh.node.has_quorum() and len(fresh.node.acceptor.voters) == 5
+            def joined(new_host=new_host):
+                return new_host.node.has_quorum() and len(new_host.node.acceptor.voters) == 5
 
             self.assertThat(fleet.run_until_true(joined, 25000), Equals(True), f"fresh{number + 1}")
         self.assertThat(first & set(fleet.hosts["fresh1"].node.acceptor.voters), HasLength(0))
@@ -174,14 +174,16 @@
         the other two could be formed. What mends this in time is the sweep before each change of
         the list.
         """
-        fleet = self.founded(edges=1)
+        fleet = self.bootstrapped(edges=1)
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
-        fresh = fleet.add("control", "fresh")
+        new_host = fleet.add("control", "fresh")
         self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
-        fleet.run_until_true(lambda: False, fresh.settings.removal_timeout_ms + 1500)
+        fleet.run_until_true(lambda: False, new_host.settings.removal_timeout_ms + 1500)
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         others = [
-            host for host in fleet.with_role("control") if host is not owner and host is not fresh
+            host
+            for host in fleet.with_role("control")
+            if host is not owner and host is not new_host
         ]
         leaves, stays, missing = others[0], others[1], others[2:]
         for host in missing:
@@ -189,16 +191,16 @@
         seen = []
         owner.node.owner.submit(self.change(1, "b", '{"b": 1}'), seen.append)
         fleet.run_until_true(lambda: seen, 2000)
-        self.assertThat([receipt.outcome for receipt in seen], Equals(["ok"]))
+        self.assertThat([result.outcome for result in seen], Equals(["ok"]))
         fleet.network.heal()
         body = json.dumps({"identities": [leaves.node.acceptor.identity]})
         owner.node.owner.submit(
-            Change(key="retired", version=0, change_id="r", body=body, hops=0), lambda receipt: None
+            Change(key="retired", version=0, change_id="r", body=body, hops=0), lambda result: None
         )
         changed = fleet.run_until_true(
             lambda: (
-                leaves.node.acceptor.identity not in fresh.node.acceptor.voters
-                and len(fresh.node.acceptor.voters) == 5
+                leaves.node.acceptor.identity not in new_host.node.acceptor.voters
+                and len(new_host.node.acceptor.voters) == 5
             ),
             5000,
         )
@@ -208,8 +210,8 @@
         read = self.ask(fleet, missing[0].name, ReadKey(key="profiles", hops=9), 8000)
         self.assertThat((read.outcome, read.version, read.body), Equals(("ok", 2, '{"b": 1}')))
 
-    def test_a_sweep_sends_a_value_only_where_a_copy_is_old(self):
-        fleet = self.founded()
+    def test_a_sweep_sends_a_value_only_where_a_replica_is_outdated(self):
+        fleet = self.bootstrapped()
         self.assertThat(
             self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
         )
@@ -240,8 +242,8 @@
         fleet.run_until_true(lambda: False, 200)
         self.assertThat(versions(), Equals({2}))
 
-    def test_a_wiped_voter_is_a_spare_and_takes_no_part(self):
-        fleet = self.founded()
+    def test_a_wiped_voter_is_a_standby_and_does_not_vote(self):
+        fleet = self.bootstrapped()
         host = fleet.hosts["control1"]
         old = host.node.acceptor.identity
         host.lose_disk()
@@ -273,16 +275,16 @@
         self.assertThat(
             (c.deadline_ms, c.labels, c.identities, c.abstract), Equals((70, {"x"}, {"w2"}, False))
         )
-        told = explain(tree, "c")["values"]
+        explained = explain(tree, "c")["values"]
         self.assertThat(
             [
-                told[name]["from"]
+                explained[name]["from"]
                 for name in ("workers.labels", "workers.identities", "deadline_ms", "zone")
             ],
             Equals(["a", "b", "c", "default"]),
         )
 
-    def test_every_problem_is_listed_with_its_place(self):
+    def test_every_problem_is_reported_with_its_path(self):
         rows = [
             ([], "profiles"),
             ({"profiles": {}, "x": 1}, "x"),
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -24,7 +24,7 @@
 
 
 class CutOff(TestCase):
-    def founded(self, control=5, seed=4):
+    def bootstrapped(self, control=5, seed=4):
         fleet = SimFleet(seed, edges=3, stores=3, control=control, workers=0, settings=SETTINGS)
 
         def ready():
@@ -95,7 +95,7 @@
     def test_who_starts_at_a_cut_off_control_node_gets_no_settings(self):
         """Whichever duty it had, and for as long as the cut lasts; afterwards it gets the newest."""
         for duty in ("profiles", "steward", "none"):
-            fleet = self.founded()
+            fleet = self.bootstrapped()
             away = (
                 self.owner(fleet, duty)
                 if duty != "none"
@@ -104,12 +104,12 @@
             self.cut(fleet, away)
             self.wait(fleet, 2 * fleet.hosts[away].settings.failure_timeout_ms)
             self.change(fleet, self.other(fleet, away), 1)
-            fresh = [
+            new_hosts = [
                 self.start_at(fleet, role, f"fresh-{role}", away) for role in ("edge", "store")
             ]
             for _ in range(CUT_MS // 500):
                 self.wait(fleet, 500)
-                for host in fresh:
+                for host in new_hosts:
                     self.assertThat(
                         (host.node.why_unready() != "", host.node.config_feed.number("profiles")),
                         Equals((True, 0)),
@@ -117,14 +117,14 @@
                     )
             fleet.network.heal()
 
-            def have_the_newest(fresh=fresh):
-                numbers = {host.node.config_feed.number("profiles") for host in fresh}
-                return numbers == {2} and not fresh[0].node.why_unready()
+            def have_the_newest(new_hosts=new_hosts):
+                numbers = {host.node.config_feed.number("profiles") for host in new_hosts}
+                return numbers == {2} and not new_hosts[0].node.why_unready()
 
             self.assertThat(fleet.run_until_true(have_the_newest, 2000), Equals(True), duty)
 
-    def test_an_edge_begins_by_no_neighbour_that_is_cut_off_with_a_control_node(self):
-        fleet = self.founded()
+    def test_an_edge_does_not_start_from_a_peer_that_is_cut_off_with_a_control_node(self):
+        fleet = self.bootstrapped()
         away = self.owner(fleet, "profiles")
         self.cut(fleet, away)
         together = {fleet.hosts[name].address for name in (away, "edge1")}
@@ -133,20 +133,20 @@
         self.wait(fleet, 2000)
         self.change(fleet, self.other(fleet, away), 1)
         fleet._settings["seeds"] = sorted(together)
-        fresh = fleet.add("edge", "fresh")
-        fleet.network.split([[fresh.address], rest])
+        new_host = fleet.add("edge", "fresh")
+        fleet.network.split([[new_host.address], rest])
         for _ in range(16):
             self.wait(fleet, 500)
-            self.assertThat(fresh.node.why_unready() != "", Equals(True))
+            self.assertThat(new_host.node.why_unready() != "", Equals(True))
         fleet.network.heal()
         self.assertThat(
-            fleet.run_until_true(lambda: not fresh.node.why_unready(), 4000), Equals(True)
+            fleet.run_until_true(lambda: not new_host.node.why_unready(), 4000), Equals(True)
         )
-        self.assertThat(fresh.node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(new_host.node.config_feed.number("profiles"), Equals(2))
 
-    def test_digests_of_who_gets_nothing_go_at_the_beat(self):
+    def test_digests_of_nodes_that_get_nothing_go_at_the_heartbeat(self):
         """A cut-off node that tells of more than it hands out once was asked again at once, without end."""
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         away = self.owner(fleet, "profiles")
         self.cut(fleet, away)
         self.wait(fleet, 2 * fleet.hosts[away].settings.failure_timeout_ms)
@@ -159,7 +159,7 @@
         """Each way of the cut; an edge that hears only this node begins with the newest or not at all."""
         for way in ("all", "both", "in", "out"):
             for seed in range(3):
-                fleet = self.founded(3, seed)
+                fleet = self.bootstrapped(3, seed)
                 away = self.owner(fleet, "profiles")
                 self.cut(fleet, away, way)
                 self.wait(fleet, 3000)
@@ -167,20 +167,23 @@
                 for version in (1, 2, 3):
                     self.change(fleet, other, version)
                 self.wait(fleet, 2000)
-                fresh = self.start_at(fleet, "edge", "fresh", away)
+                new_host = self.start_at(fleet, "edge", "fresh", away)
                 node = fleet.hosts[away].node
-                keep = fresh.address
+                keep = new_host.address
                 fleet.network.partitioned_pairs = {
                     pair for pair in fleet.network.partitioned_pairs if keep in pair
                 }
 
-                def in_order(fresh=fresh, node=node, way=way):
+                def in_order(new_host=new_host, node=node, way=way):
                     for number, vouches in (
                         (node.config_feed.number("profiles"), node.has_quorum()),
-                        (fresh.node.config_feed.number("profiles"), not fresh.node.why_unready()),
+                        (
+                            new_host.node.config_feed.number("profiles"),
+                            not new_host.node.why_unready(),
+                        ),
                     ):
                         self.assertThat(not vouches or number == 4, Equals(True), (way, number))
-                    return not fresh.node.why_unready()
+                    return not new_host.node.why_unready()
 
                 end_ms = fleet.time.now_ms + 4000
                 while fleet.time.now_ms < end_ms and not in_order():
@@ -191,7 +194,7 @@
         """Orders and reads of settings, at once or within the time that a caller waits."""
         for way in ("both", "in"):
             for duty in ("profiles",):
-                fleet = self.founded()
+                fleet = self.bootstrapped()
                 away = self.owner(fleet, duty)
                 self.cut(fleet, away, way)
                 node = fleet.hosts[away].node
@@ -221,7 +224,7 @@
 
     def test_a_retirement_is_not_refused_by_a_node_that_was_just_cut_off(self):
         """It hears too few stores yet, and may not know the newest of them: that's no certain answer."""
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         fleet.add("store", "store4")
         self.wait(fleet, 4000)
         node = fleet.hosts["control3"].node
@@ -242,9 +245,9 @@
         self.wait(fleet, 1000)
         self.assertThat(set(answers) <= {"ok", "doubt"}, Equals(True), set(answers))
 
-    def test_a_woken_node_neither_reads_nor_confirms_by_votes_from_before(self):
+    def test_a_resumed_node_neither_reads_nor_confirms_by_votes_from_before(self):
         for freeze_ms in (500, 3000, 6000):
-            fleet = self.founded()
+            fleet = self.bootstrapped()
             away = self.owner(fleet, "profiles")
             host = fleet.hosts[away]
             seen = []
@@ -257,16 +260,16 @@
             host.wake()
             self.wait(fleet, 4000)
             newest = 2 if freeze_ms > 2000 else 1
-            for receipt in seen:
+            for result in seen:
                 self.assertThat(
-                    (receipt.outcome, receipt.version) in (("doubt", 0), ("ok", newest)),
+                    (result.outcome, result.version) in (("doubt", 0), ("ok", newest)),
                     Equals(True),
-                    (freeze_ms, receipt.outcome, receipt.version),
+                    (freeze_ms, result.outcome, result.version),
                 )
             self.assertThat(host.node.config_feed.number("profiles"), Equals(newest))
 
     def test_no_item_reaches_an_edge_or_store_while_there_is_no_majority(self):
-        fleet = self.founded(control=3)
+        fleet = self.bootstrapped(control=3)
         away = self.owner(fleet, "workers")
         self.cut(fleet, away)
         self.wait(fleet, fleet.hosts[away].settings.failure_timeout_ms)
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -138,7 +138,7 @@
         fleet.run_until_true(lambda: seen, limit_ms)
         return (seen[0].outcome if seen else "none"), fleet.time.now_ms - began_ms
 
-    def test_the_seeds_found_and_all_widen(self):
+    def test_the_seeds_bootstrap_and_all_nodes_join(self):
         for control, seeds in (
             (5, SEEDS),
             (9, SEEDS),
@@ -147,13 +147,13 @@
             (1, SEEDS[:1]),
         ):
             fleet = self.fleet(control, seeds=seeds)
-            founded = fleet.run_until_true(
+            bootstrapped = fleet.run_until_true(
                 lambda fleet=fleet: any(
                     host.node.acceptor.voters for host in fleet.with_role("control")
                 ),
                 2000,
             )
-            self.assertThat(founded, Equals(True), (control, seeds))
+            self.assertThat(bootstrapped, Equals(True), (control, seeds))
             self.voted(fleet, control, 6000)
             self.assertThat(
                 {host.node.acceptor.identity for host in fleet.with_role("control")},
@@ -166,7 +166,7 @@
             }
             self.assertThat(lists, Equals(set()))
 
-    def test_without_a_first_start_nobody_founds(self):
+    def test_without_a_first_start_nobody_bootstraps(self):
         fleet = self.fleet(first_start=False)
         self.assertThat(
             fleet.run_until_true(
@@ -175,7 +175,7 @@
             Equals(False),
         )
 
-    def test_a_founder_wiped_before_it_voted_holds_the_founding_up_and_one_that_voted_goes_on(self):
+    def test_a_seed_wiped_before_it_voted_delays_the_bootstrap_and_one_that_voted_goes_on(self):
         fleet = self.fleet(3)
         self.assertThat(
             fleet.run_until_true(
@@ -238,15 +238,15 @@
             fleet.hosts.pop("control3").kill()
             fleet.time.run_until(fleet.time.now_ms + gap_ms)
             fleet._settings["first_start"] = False
-            fresh = fleet.add("control", "fresh")
+            new_host = fleet.add("control", "fresh")
 
-            def replaced(fresh=fresh, old=old):
-                voters = fresh.node.acceptor.voters
-                return old not in voters and len(voters) == 5 and fresh.node.has_quorum()
+            def replaced(new_host=new_host, old=old):
+                voters = new_host.node.acceptor.voters
+                return old not in voters and len(voters) == 5 and new_host.node.has_quorum()
 
             self.assertThat(fleet.run_until_true(replaced, 4000), Equals(True), gap_ms)
 
-    def test_nobody_is_dropped_without_a_spare(self):
+    def test_nobody_is_dropped_without_a_standby(self):
         fleet = self.voted(self.fleet(), 5)
         for name in ("control1", "control2"):
             fleet.hosts[name].kill()
@@ -254,7 +254,7 @@
         self.assertThat(fleet.hosts["control3"].node.acceptor.voters, HasLength(5))
         self.assertThat(self.change(fleet, "control3", 0)[0], Equals("ok"))
 
-    def test_the_larger_side_of_a_cut_acknowledges(self):
+    def test_the_larger_side_of_a_partition_acknowledges(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         for pair in (("control1", "control2"), ("control3", "control5")):
@@ -289,7 +289,7 @@
         self.assertThat((outcome, took_ms), Equals(("ok", took_ms)))
         self.assertThat(took_ms, LessThan(3000))
 
-    def test_a_voter_that_hears_nobody_has_no_duty_though_all_hear_it(self):
+    def test_a_voter_that_hears_nobody_owns_no_key_though_all_hear_it(self):
         fleet = self.voted(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -13,7 +13,7 @@
 
 
 class Losses(TestCase):
-    def founded(self, seed, **sizes):
+    def bootstrapped(self, seed, **sizes):
         settings = {**SETTINGS, **sizes.pop("settings", {})}
         run = Run(seed, settings=settings, **sizes)
         run.start()
@@ -58,7 +58,7 @@
     def peers(self, fleet):
         return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
-    def strike(self, fleet, wiped, dark, down_ms=1200):
+    def inject_fault(self, fleet, wiped, dark, down_ms=1200):
         for host in dark:
             host.lose_power()
         for host in wiped:
@@ -89,23 +89,27 @@
             ),
         }
         for seed, choose in enumerate(rows.values()):
-            run, fleet = self.founded(seed)
+            run, fleet = self.bootstrapped(seed)
             for host in fleet.with_role("store"):
                 host.disk.flush_ms = 20.0
             wiped, dark = choose(fleet.leader(), self.peers(fleet))
             self.after(fleet, 1500)
             self.jobs(
-                run, 1, lambda fleet=fleet, wiped=wiped, dark=dark: self.strike(fleet, wiped, dark)
+                run,
+                1,
+                lambda fleet=fleet, wiped=wiped, dark=dark: self.inject_fault(fleet, wiped, dark),
             )
             self.after(fleet, 3000)
             self.kept(run)
 
     def test_two_of_five_disks_lost_and_the_others_cut_from_power(self):
-        run, fleet = self.founded(4, stores=5, settings={"store_faults": 2})
+        run, fleet = self.bootstrapped(4, stores=5, settings={"store_faults": 2})
         for _ in range(2):
             stores = fleet.with_role("store")
             fleet.time.rng.shuffle(stores)
-            self.jobs(run, 1, lambda stores=stores: self.strike(fleet, stores[:2], stores[2:]))
+            self.jobs(
+                run, 1, lambda stores=stores: self.inject_fault(fleet, stores[:2], stores[2:])
+            )
             self.after(fleet, 1500 + CATCH_UP_MS)
             self.assertThat(
                 [self.is_member(fleet, host) for host in fleet.with_role("store")],
@@ -114,26 +118,26 @@
         self.kept(run)
 
     def test_disks_lost_one_after_another_each_caught_up(self):
-        run, fleet = self.founded(5)
+        run, fleet = self.bootstrapped(5)
         for _ in range(3):
             for host in fleet.with_role("store"):
-                self.jobs(run, 1, lambda host=host: self.strike(fleet, [host], [], 600))
+                self.jobs(run, 1, lambda host=host: self.inject_fault(fleet, [host], [], 600))
                 self.after(fleet, 600 + CATCH_UP_MS)
                 self.assertThat(self.is_member(fleet, host), Equals(True))
         self.kept(run)
 
     def test_a_machine_replaced_at_another_address_and_then_another_disk_lost(self):
-        run, fleet = self.founded(6)
+        run, fleet = self.bootstrapped(6)
         for number in range(2):
             gone = fleet.leader() if number else self.peers(fleet)[0]
             gone.lose_disk()
             fleet.hosts.pop(gone.name)
             self.after(fleet, 2000)
-            fresh = fleet.add("store", f"fresh{number}")
+            new_host = fleet.add("store", f"fresh{number}")
             self.jobs(run, 1)
             self.after(fleet, CATCH_UP_MS - 1000)
-            self.assertThat(self.is_member(fleet, fresh), Equals(True))
-            self.jobs(run, 1, lambda: self.strike(fleet, [fleet.leader()], []))
+            self.assertThat(self.is_member(fleet, new_host), Equals(True))
+            self.jobs(run, 1, lambda: self.inject_fault(fleet, [fleet.leader()], []))
             self.after(fleet, 1200 + CATCH_UP_MS)
         self.kept(run)
 
@@ -146,12 +150,12 @@
         body = '{"identities": [' + ", ".join(f'"{name}"' for name in names) + "]}"
         node.owner.submit(
             Change(key="retired", version=version, change_id=f"r{version}", body=body, hops=0),
-            lambda receipt: None,
+            lambda result: None,
         )
 
     def test_a_retired_machine_gone_at_the_end_and_another_disk_lost_at_once(self):
         for seed, of_holder in enumerate((True, False, True, False)):
-            run, fleet = self.founded(20 + seed)
+            run, fleet = self.bootstrapped(20 + seed)
             fleet.add("store", "fresh")
             self.after(fleet, 1000)
             self.jobs(run, 1)
@@ -166,15 +170,15 @@
             host.lose_disk()
             fleet.hosts.pop(host.name)
             rest = fleet.with_role("store")
-            self.strike(fleet, [rest.pop(seed % len(rest))], rest if seed > 1 else [])
+            self.inject_fault(fleet, [rest.pop(seed % len(rest))], rest if seed > 1 else [])
             self.after(fleet, 1500 + CATCH_UP_MS)
             self.jobs(run, 1)
             self.kept(run)
 
     def test_a_wiped_machine_comes_back_while_another_is_frozen(self):
-        run, fleet = self.founded(8)
+        run, fleet = self.bootstrapped(8)
         holder, (one, _) = fleet.leader(), self.peers(fleet)
-        self.jobs(run, 1, lambda: self.strike(fleet, [holder], [], 400))
+        self.jobs(run, 1, lambda: self.inject_fault(fleet, [holder], [], 400))
         one.freeze()
         self.after(fleet, 4000)
         self.assertThat(fleet.leader(), Equals(None))
@@ -184,7 +188,7 @@
         self.kept(run, held_up=True)
 
     def test_the_first_one_back_neither_recovers_alone_nor_founds(self):
-        run, fleet = self.founded(9)
+        run, fleet = self.bootstrapped(9)
         holder, peers = fleet.leader(), self.peers(fleet)
         number = fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
         for host in fleet.hosts.values():
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -35,7 +35,7 @@
 
 
 class ManyWorkers(TestCase):
-    def test_a_late_beat_of_one_taken_off_by_silence_does_not_end_its_successor(self):
+    def test_a_late_heartbeat_of_a_worker_removed_as_silent_does_not_end_its_successor(self):
         """It crashed and was silent; its address went to another; a beat of it was still on its way."""
         records = _after(
             WorkerRecords(),
@@ -139,11 +139,11 @@
         self._seen: dict[tuple[str, int], int] = {}
         self._nodes: set[int] = set()
         self.watch()
-        assert self.fleet.run_until_true(self._founded, 15000), "not founded"
+        assert self.fleet.run_until_true(self._bootstrapped, 15000), "not founded"
         self.change("profiles", 2)
         assert self.fleet.run_until_true(self._all_level, 8000), "not level"
 
-    def _founded(self):
+    def _bootstrapped(self):
         self.watch()
         nodes = [host.node for host in self.fleet.with_role("control")]
         return sum(node.has_quorum() for node in nodes) >= 5 and all(
@@ -203,7 +203,7 @@
         node = self.fleet.hosts[through].node
         node.owner.submit(
             Change(key=key, version=version, change_id=f"{key}-{version}", hops=0, body=body),
-            lambda receipt: None,
+            lambda result: None,
         )
 
     def owner(self, key="profiles"):
@@ -304,10 +304,10 @@
             if host.role == "control" and host.node.acceptor.voters:
                 host.node.owner.submit(
                     ReadKey(key="profiles", hops=0),
-                    lambda receipt: told.append((receipt.outcome, receipt.version)),
+                    lambda result: told.append((result.outcome, result.version)),
                 )
 
-    def test_level_again_in_the_same_time_after_any_number(self):
+    def test_up_to_date_again_in_the_same_time_after_any_number(self):
         watched = _Watched(5, _SERVE, 5)
         hosts = watched.fleet.hosts
         other = next(
@@ -320,7 +320,7 @@
             self.assertThat(max(sent) <= 2 * min(sent) + 4000, Equals(True), str(rows))
         self.check_registers(watched)
 
-    def test_with_a_spare_and_where_nodes_that_are_cut_off_refuse(self):
+    def test_with_a_standby_and_where_nodes_that_are_cut_off_refuse(self):
         watched = _Watched(7, _REFUSE, 6)
         hosts = watched.fleet.hosts
         spare = next(
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,7 +10,7 @@
 
 
 class Members(TestCase):
-    def founded(self, seed=5):
+    def bootstrapped(self, seed=5):
         run = Run(seed)
         run.start()
         fleet = run.fleet
@@ -47,24 +47,24 @@
         )
         self.assertThat(joined, Equals(True))
 
-    def test_every_store_is_swapped_for_an_empty_one_at_a_new_address(self):
-        run, fleet = self.founded()
+    def test_every_store_is_replaced_by_an_empty_one_at_a_new_address(self):
+        run, fleet = self.bootstrapped()
         first = self.members(fleet)
         for number in range(3):
             fleet.hosts.pop(f"store{number + 1}").lose_disk()
-            fresh = fleet.add("store", f"fresh{number + 1}")
-            self.until_member(run, fresh)
+            new_host = fleet.add("store", f"fresh{number + 1}")
+            self.until_member(run, new_host)
             self.jobs(run, 1)
         self.assertThat(first & self.members(fleet), Equals(set()))
         self.kept(run)
 
     def test_a_frozen_member_that_was_replaced_is_refused(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         host = fleet.leader()
         old = host.node.log.log.identity
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         host.freeze()
-        self.until_member(run, fresh, 20000)
+        self.until_member(run, new_host, 20000)
         self.jobs(run, 1)
         seq = fleet.leader().node.log.log.last_seq
         host.wake()
@@ -75,8 +75,8 @@
         self.assertThat(fleet.leader().node.log.log.last_seq >= seq, Equals(True))
         self.kept(run)
 
-    def test_a_damaged_store_is_mended_by_the_others(self):
-        run, fleet = self.founded()
+    def test_a_damaged_store_is_repaired_by_the_others(self):
+        run, fleet = self.bootstrapped()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         old = host.node.log.log.identity
         host.kill()
@@ -92,18 +92,18 @@
         self.assertThat(sorted(host.node.log.log.state.jobs), Equals(sorted(wanted)))
         self.kept(run)
 
-    def test_retired_holder_hands_over_to_a_spare(self):
-        run, fleet = self.founded()
+    def test_a_retired_leader_hands_over_to_a_standby(self):
+        run, fleet = self.bootstrapped()
         old = fleet.leader().node.log.log.identity
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         control = fleet.with_role("control")[0].node
         control.owner.submit(
             Change(
                 key="retired", version=0, change_id="r", body=f'{{"identities": ["{old}"]}}', hops=0
             ),
-            lambda receipt: None,
+            lambda result: None,
         )
-        self.until_member(run, fresh)
+        self.until_member(run, new_host)
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() is not None, 5000), Equals(True)
         )
@@ -111,8 +111,8 @@
         self.jobs(run, 1)
         self.kept(run)
 
-    def test_two_stores_lost_at_once_nothing_is_promised_until_one_returns(self):
-        run, fleet = self.founded()
+    def test_two_stores_lost_at_once_nothing_is_acknowledged_until_one_returns(self):
+        run, fleet = self.bootstrapped()
         hosts = fleet.with_role("store")
         for host in hosts[:2]:
             host.kill()
@@ -131,7 +131,7 @@
         self.kept(run)
 
     def test_whole_fleet_cut_and_started_in_any_order(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         for host in fleet.hosts.values():
             host.lose_power()
         order = list(fleet.hosts.values())
@@ -148,7 +148,7 @@
         self.kept(run)
 
     def test_clocks_moved_over_a_restart_hide_nobody_and_forget_nothing(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         seen = []
         run.clients.live("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: seen, 5000)
@@ -172,7 +172,7 @@
         self.assertThat([row["outcome"] for row in seen], Equals(["finish", "replay"]))
         self.kept(run)
 
-    def test_what_is_over_is_forgotten_after_the_time_it_is_kept(self):
+    def test_finished_jobs_are_forgotten_after_their_retention(self):
         run = Run(6, settings={"keep_ms": 2000})
         run.start()
         fleet = run.fleet
@@ -190,8 +190,8 @@
             Equals(True),
         )
 
-    def test_a_holder_with_a_full_disk_makes_way_for_one_with_room(self):
-        run, fleet = self.founded()
+    def test_a_leader_with_a_full_disk_makes_way_for_one_with_space(self):
+        run, fleet = self.bootstrapped()
         first = fleet.leader()
         first.disk.fill()
         first.disk.room_bytes = int(first.disk.room_bytes / 1.1)
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -45,7 +45,7 @@
 
 
 class Changing(TestCase):
-    def founded(self, seed=11):
+    def bootstrapped(self, seed=11):
         run = Run(seed)
         run.start()
         run.fleet.run_until_true(lambda: False, 1000)
@@ -87,26 +87,26 @@
             judge(run.fleet.history, ["kept-at-the-end", "service-resumes"]), Equals({})
         )
 
-    def test_a_retired_holder_serves_until_the_spare_comes(self):
-        run, fleet = self.founded()
+    def test_a_retired_leader_serves_until_the_standby_comes(self):
+        run, fleet = self.bootstrapped()
         old = fleet.leader().node.log.log.identity
         self.retire(fleet, [old])
         fleet.run_until_true(lambda: False, 5000)
         self.assertThat(
             (old in self.members(fleet), fleet.leader() is not None), Equals((True, True))
         )
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         self.until(
             fleet,
             lambda: (
-                fresh.node.log.log.identity in self.members(fleet)
+                new_host.node.log.log.identity in self.members(fleet)
                 and old not in self.members(fleet)
             ),
         )
         self.kept(run)
 
     def test_retired_and_undone_midway(self):
-        run, fleet = self.founded(12)
+        run, fleet = self.bootstrapped(12)
         old = next(
             host.node.log.log.identity
             for host in fleet.with_role("store")
@@ -115,28 +115,28 @@
         self.retire(fleet, [old])
         fleet.run_until_true(lambda: False, 800)
         self.retire(fleet, [])
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (old in self.members(fleet), fresh.node.log.log.identity in self.members(fleet)),
+            (old in self.members(fleet), new_host.node.log.log.identity in self.members(fleet)),
             Equals((True, False)),
         )
         self.kept(run)
 
-    def test_a_swap_while_the_power_of_the_others_fails(self):
-        run, fleet = self.founded(13)
+    def test_a_replacement_while_the_power_of_the_others_fails(self):
+        run, fleet = self.bootstrapped(13)
         gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(gone.name).lose_disk()
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         fleet.run_until_true(lambda: False, fleet.hosts["edge1"].settings.removal_timeout_ms - 500)
         for host in fleet.with_role("store"):
             host.lose_power()
             fleet.time.after(900, host.start)
-        self.until(fleet, lambda: fresh.node.log.log.identity in self.members(fleet), 25_000)
+        self.until(fleet, lambda: new_host.node.log.log.identity in self.members(fleet), 25_000)
         self.kept(run)
 
-    def test_a_spare_lost_while_it_catches_up_and_another_comes(self):
-        run, fleet = self.founded(14)
+    def test_a_standby_lost_while_it_catches_up_and_another_comes(self):
+        run, fleet = self.bootstrapped(14)
         gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(gone.name).lose_disk()
         first = fleet.add("store", "first")
@@ -148,12 +148,12 @@
         self.kept(run)
 
     def test_a_retired_machine_that_comes_back_with_its_disk_counts_for_nothing(self):
-        run, fleet = self.founded(15)
+        run, fleet = self.bootstrapped(15)
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         old = host.node.log.log.identity
-        fresh = fleet.add("store", "fresh")
+        new_host = fleet.add("store", "fresh")
         self.retire(fleet, [old])
-        self.until(fleet, lambda: fresh.node.log.log.identity in self.members(fleet))
+        self.until(fleet, lambda: new_host.node.log.log.identity in self.members(fleet))
         host.kill()
         fleet.run_until_true(lambda: False, 2000)
         host.start()
@@ -165,17 +165,17 @@
         fleet.hosts.pop(host.name).kill()
         self.kept(run)
 
-    def test_control_exchanged_while_two_operators_send(self):
-        run, fleet = self.founded(16)
+    def test_control_nodes_replaced_while_two_operators_send(self):
+        run, fleet = self.bootstrapped(16)
         for number in range(5):
-            fresh = fleet.add("control", f"fresh{number + 1}")
+            new_host = fleet.add("control", f"fresh{number + 1}")
             fleet.hosts.pop(f"control{number + 1}").kill()
             for _ in range(2):
                 run.operators.change()
             self.until(
                 fleet,
-                lambda fresh=fresh: (
-                    fresh.node.has_quorum() and len(fresh.node.acceptor.voters) == 5
+                lambda new_host=new_host: (
+                    new_host.node.has_quorum() and len(new_host.node.acceptor.voters) == 5
                 ),
                 25_000,
             )
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,15 +12,15 @@
 
 
 class SentAgain(OrdersCase):
-    def test_a_taken_order_is_never_refused_however_many_came_after(self):
+    def test_a_decided_change_is_never_refused_however_many_followed(self):
         """The oldest of 300 orders are forgotten: sent again they get no clear answer. What is remembered is
         acknowledged, and what cannot have been taken is refused at once.
         """
 
         async def body(platform):
             for number in range(300):
-                told = await platform.put("control1", 2 * number, revised(2 * number + 2))
-                self.assertThat(told[0], Equals(200), str((number, told)))
+                response = await platform.put("control1", 2 * number, revised(2 * number + 2))
+                self.assertThat(response[0], Equals(200), str((number, response)))
             rows = [
                 # base, revision, note, its status
                 (0, 2, None, 503),
@@ -38,9 +38,11 @@
             for base, revision, note, status in rows:
                 sent = revised(revision, **({"note": note} if note else {}))
                 for host in ("control2", "control5"):
-                    told = await platform.put(host, base, sent)
+                    response = await platform.put(host, base, sent)
                     self.assertThat(
-                        (told[0], told[2] <= 700), Equals((status, True)), str((base, sent, told))
+                        (response[0], response[2] <= 700),
+                        Equals((status, True)),
+                        str((base, sent, response)),
                     )
             self.assertThat(self.version(platform), Equals(300))
 
@@ -62,7 +64,7 @@
 
         self.play(body, edges=0)
 
-    def test_a_key_of_the_control_state_tells_forgotten_from_lost(self):
+    def test_a_control_key_distinguishes_forgotten_from_lost(self):
         async def body(platform):
             seen = []
             owner = platform.fleet.hosts["control1"].node.owner
@@ -146,8 +148,8 @@
                     for _ in range(3):
                         await asyncio.sleep(0)
                     platform.run(3)
-                told = await platform.finish(*tasks)
-                self.assertThat([row[0] for row in told], Equals([200] * 8), str(told))
+                responses = await platform.finish(*tasks)
+                self.assertThat([row[0] for row in responses], Equals([200] * 8), str(responses))
                 self.assertThat(self.version(platform), Equals(turn + 1))
                 base += 2
 
@@ -200,12 +202,14 @@
 
             async def after(names):
                 one, other = revised(5, note="one"), revised(5, note="other")
-                told = [
+                responses = [
                     await platform.put(names[0], 3, one),
                     await platform.put(names[1], 3, other),
                 ]
-                self.assertThat(sorted(row[0] for row in told), Equals([200, 412]), str(told))
-                refused.append(other if told[0][0] == 200 else one)
+                self.assertThat(
+                    sorted(row[0] for row in responses), Equals([200, 412]), str(responses)
+                )
+                refused.append(other if responses[0][0] == 200 else one)
 
             late = await self.held_up(platform, revised(5, note="other"), 3, after)
             self.assertThat(late is None or late[0] in (200, 412, 503), Equals(True), str(late))
@@ -217,7 +221,7 @@
         for seed in range(1, 5):
             self.play(body, seed=seed, edges=1)
 
-    def test_no_acknowledgement_from_an_owner_whose_change_nobody_hands_out(self):
+    def test_no_acknowledgement_from_an_owner_whose_change_nobody_publishes(self):
         """The owner is cut off once a majority of disks has the change and before the news of it is out: only
         nodes that it cannot reach have the change, and none of them hands it out.
         """
@@ -238,12 +242,12 @@
             while not published():
                 fleet.time.run_until(fleet.time.now_ms + 0.05)
             fleet.network.isolate(owner.address)
-            told = (await platform.finish(task, wait_ms=1000))[0]
+            response = (await platform.finish(task, wait_ms=1000))[0]
             in_force = [host.node.config_feed.number("profiles") for host in (*others, *edges)]
-            if told is not None and told[0] == 200:
+            if response is not None and response[0] == 200:
                 self.assertThat(sum(1 for number in in_force[:4] if number == 2) >= 2, Equals(True))
             else:
-                self.assertThat(told is None or told[0] == 503, Equals(True), str(told))
+                self.assertThat(response is None or response[0] == 503, Equals(True), str(response))
             fleet.network.heal()
             platform.run(3000)
             self.assertThat((await platform.put(others[0].name, 3, revised(5)))[0], Equals(200))
@@ -253,7 +257,7 @@
 
 
 class Identity(OrdersCase):
-    def test_the_whole_order_is_what_is_known(self):
+    def test_a_change_is_identified_by_its_whole_content(self):
         async def body(platform):
             one, other = revised(5, note="one"), revised(5, note="other")
             for host in ("control1", "control2"):
@@ -279,7 +283,7 @@
                 await asyncio.sleep(0)
             platform.run(rng.random() * 12)
             platform.fleet.network.isolate(owner.address)
-            told = (await platform.finish(task, wait_ms=900))[0]
+            response = (await platform.finish(task, wait_ms=900))[0]
             platform.run(1500)
             names = [host.name for host in hosts if host is not owner]
             second = (await platform.put(names[0], 0, other))[0]
@@ -292,7 +296,9 @@
                 self.assertThat(len(found), Equals(1))
                 final[label] = found.pop()
             self.assertThat(sorted(final.values()), Equals([200, 412]), str(final))
-            self.assertThat(final["one"] == 200 or told is None or told[0] != 200, Equals(True))
+            self.assertThat(
+                final["one"] == 200 or response is None or response[0] != 200, Equals(True)
+            )
             self.assertThat(final["other"] == second or second == 503, Equals(True))
 
         for seed in range(1, 9):
--- a/tests/test_orders_history.py
+++ b/tests/test_orders_history.py
@@ -56,7 +56,7 @@
     def awake(self):
         return [host.name for host in self.hosts if host.up and not host.frozen]
 
-    def strike(self):
+    def inject_fault(self):
         struck = self.rng.choice(self.hosts)
         network = self.fleet.network
         {
@@ -75,7 +75,7 @@
         for host in self.hosts:
             host.start()
 
-    def mend(self):
+    def repair(self):
         self.fleet.network.heal()
         for host in self.hosts:
             if host.frozen:
@@ -105,11 +105,11 @@
             {"If-Match": str(call["base"])},
         )
 
-    def note(self, call, told):
+    def note(self, call, response):
         """What the operator hears; a lost answer is as none."""
-        if told is None or told[0] == 503 or self.rng.random() < 0.5:
+        if response is None or response[0] == 503 or self.rng.random() < 0.5:
             return
-        call["outcome"] = {200: "taken", 412: "refused"}[told[0]]
+        call["outcome"] = {200: "taken", 412: "refused"}[response[0]]
         call["end"] = self.fleet.time.now_ms
 
     async def round(self, turn):
@@ -124,14 +124,14 @@
                 for _ in range(4):
                     await asyncio.sleep(0)
                 self.platform.run(self.rng.random() * 25)
-                self.strike()
+                self.inject_fault()
             if attempt == 4:
-                self.mend()
+                self.repair()
             answers = await self.platform.finish(*tasks, wait_ms=1000)
-            for call, told in zip(left, answers, strict=True):
-                self.note(call, told)
+            for call, response in zip(left, answers, strict=True):
+                self.note(call, response)
             self.platform.run(self.rng.randrange(10, 400))
-        self.mend()
+        self.repair()
         self.platform.run(1500)
         await self.read()
 
@@ -192,5 +192,5 @@
     def test_several_operators_in_drawn_trouble(self):
         for seed in range(900, 908):
             calls = asyncio.run(self.drawn(seed, 6))
-            told = [{key: call[key] for key in call if key != "sent"} for call in calls]
-            self.assertThat(explained(calls), Equals(True), f"seed {seed}: {told}")
+            response = [{key: call[key] for key in call if key != "sent"} for call in calls]
+            self.assertThat(explained(calls), Equals(True), f"seed {seed}: {response}")
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -81,9 +81,9 @@
             Equals(("h.example", "/a/", 3, 40, [{"name": "m", "revision": 2}], "/health", 900)),
         )
         self.assertThat(held.get("two").give_up_ms, Equals(held.get("two").deadline_ms))
-        told = explain(held, "one")["values"]
+        explained = explain(held, "one")["values"]
         self.assertThat(
-            [told[name]["from"] for name in ("slots", "give_up_ms", "match", "urgency")],
+            [explained[name]["from"] for name in ("slots", "give_up_ms", "match", "urgency")],
             Equals(["service/a", "one", "one", "default"]),
         )
 
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -112,7 +112,7 @@
         machine.start()
         self.assertThat((machine.version(), machine.used_bytes() == largest), Equals((2000, False)))
 
-    def test_the_log_is_cut_also_when_the_disk_is_never_idle(self):
+    def test_the_log_is_truncated_also_when_the_disk_is_never_idle(self):
         """Votes come faster than a slow disk flushes, so that one flush follows the other."""
         machine, largest = _Machine(2, flush_ms=60.0), 0
         for version in range(1, 1001):
@@ -125,7 +125,7 @@
         machine.lose_power()
         self.assertThat(machine.version(), Equals(1000))
 
-    def test_an_old_log_that_comes_back_takes_no_key_back(self):
+    def test_an_old_log_that_reappears_restores_no_old_value(self):
         """Two logs were let go behind one snapshot, without a sync of their folder between; the older one is
         there again after a loss of power, the newer one isn't.
         """
@@ -164,7 +164,7 @@
                     self.assertThat(machine.version(key) >= version, Equals(True), f"{seed} {key}")
                 sent = {key: machine.version(key) for key in sent}
 
-    def test_a_vote_whose_flush_failed_is_not_told_as_held(self):
+    def test_a_vote_whose_flush_failed_is_not_reported_as_flushed(self):
         machine = _Machine(5)
         machine.accept(1)
         machine.run(50)
@@ -175,7 +175,7 @@
         machine.send(Confirm(key="profiles", epoch=1, proposer="o", list_number=1))
         self.assertThat(decode(machine.replies[-1].value).version, Equals(1))
 
-    def test_a_vote_that_is_not_flushed_yet_is_not_told_as_held(self):
+    def test_a_vote_that_is_not_flushed_yet_is_not_reported_as_flushed(self):
         machine = _Machine(6, flush_ms=40.0)
         machine.accept(1)
         machine.run(200)
@@ -188,7 +188,7 @@
         machine.send(Confirm(key="profiles", epoch=1, proposer="o", list_number=1))
         self.assertThat(decode(machine.replies[-1].value).version, Equals(2))
 
-    def test_what_a_killed_process_wrote_is_flushed_before_it_is_told_as_held(self):
+    def test_what_a_killed_process_wrote_is_flushed_before_it_is_reported_as_flushed(self):
         machine = _Machine(8, flush_ms=40.0)
         machine.accept(1)
         machine.start()
@@ -200,7 +200,7 @@
         machine.lose_power()
         self.assertThat(machine.version(), Equals(1))
 
-    def test_a_full_disk_that_has_room_again_lets_its_logs_go(self):
+    def test_a_full_disk_that_has_space_again_removes_its_logs(self):
         machine, version = _Machine(7), 0
         for room_bytes in (24_000, 1 << 20):
             machine.disk.room_bytes = room_bytes
@@ -259,7 +259,7 @@
         self.settle()
         return self.replies[-1]
 
-    def test_it_votes_again_once_there_is_room(self):
+    def test_it_votes_again_once_there_is_space(self):
         self.assertThat([self.vote(version) for version in (1, 2)], Equals([True, True]))
         self.full = True
         self.assertThat([self.vote(version) for version in (3, 4, 5)], Equals([False] * 3))
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -25,7 +25,7 @@
 
 
 class VoterLosses(TestCase):
-    def founded(self, control, seed=5):
+    def bootstrapped(self, control, seed=5):
         fleet = SimFleet(seed, edges=2, stores=3, control=control, workers=0, settings=SETTINGS)
 
         def all_vote():
@@ -56,7 +56,7 @@
             seen.append,
         )
         fleet.run_until_true(lambda: seen, 6000)
-        self.assertThat([receipt.outcome for receipt in seen], Equals(["ok"]))
+        self.assertThat([result.outcome for result in seen], Equals(["ok"]))
         self.assertThat(seen[0].version, Equals(version + 1))
 
     def replace(self, fleet, name, gap_ms, fresh_name):
@@ -77,7 +77,7 @@
         for control in (3, 5):
             for seed in range(6):
                 for gap_ms in (0, 1000, 3000):
-                    fleet = self.founded(control, seed)
+                    fleet = self.bootstrapped(control, seed)
                     self.replace(fleet, "control3", gap_ms, "fresh")
                     began_ms = fleet.time.now_ms
                     self.assertThat(
@@ -114,7 +114,7 @@
         """Planned: the new machine is a voter first, then the old one goes for good."""
         for control in (3, 5):
             for seed in range(4):
-                fleet = self.founded(control, seed)
+                fleet = self.bootstrapped(control, seed)
                 fleet.add("control", "fresh")
                 self.assertThat(
                     fleet.run_until_true(lambda fleet=fleet: self.settled(fleet), CATCH_UP_MS),
@@ -135,7 +135,7 @@
     def test_a_second_loss_after_a_replacement_leaves_a_majority(self):
         """Of three voters one is replaced; once that has had its time, another loses its disk."""
         for seed in range(4):
-            fleet = self.founded(3, seed)
+            fleet = self.bootstrapped(3, seed)
             self.replace(fleet, "control2", 1000, "fresh")
             self.wait(fleet, CATCH_UP_MS)
             for version, name in enumerate(("control1", "fresh", "control3"), 1):
@@ -149,7 +149,7 @@
         """Five voters bear two losses: the second comes at each of these times after the first."""
         for after_ms in range(0, 4000, 400):
             for strike in ("kill", "lose_power", "lose_disk"):
-                fleet = self.founded(5, 1 + after_ms // 400)
+                fleet = self.bootstrapped(5, 1 + after_ms // 400)
                 lost = fleet.hosts["control2"]
                 lost.lose_disk()
                 fleet.time.after(600, lost.start)
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -261,7 +261,7 @@
 
         self.run_test(body)
 
-    def test_silence_takes_a_worker_off_and_a_beat_brings_it_back(self):
+    def test_silence_removes_a_worker_and_a_heartbeat_restores_it(self):
         async def body(platform):
             silent_ms = platform.fleet.hosts["control1"].settings.worker_removal_timeout_ms
             for name in ("1", "2"):
@@ -276,7 +276,7 @@
 
         self.run_test(body)
 
-    def test_who_beats_at_one_node_only_stays_whoever_owns_the_list(self):
+    def test_a_worker_known_to_one_node_only_stays_whoever_owns_the_list(self):
         async def body(platform):
             await self.keep_beating(platform, ("1", "2"), 2000, 1)
             owner = self.owner(platform)
@@ -290,7 +290,7 @@
 
         self.run_test(body)
 
-    def test_a_node_that_the_owner_does_not_hear_sends_workers_on(self):
+    def test_a_node_that_the_owner_does_not_hear_refers_workers_to_others(self):
         async def body(platform):
             owner = self.owner(platform)
             other = next(host for host in platform.fleet.with_role("control") if host is not owner)
@@ -325,7 +325,7 @@
 
         self.run_test(body)
 
-    def test_beats_that_are_not_as_they_have_to_be(self):
+    def test_invalid_heartbeats_are_rejected(self):
         async def body(platform):
             rows = [
                 b"",
--- a/tests/test_worker_list_troubles.py
+++ b/tests/test_worker_list_troubles.py
@@ -69,7 +69,7 @@
             if not (worker.state == "gone" and worker.acked_ms is not None):
                 self.call(worker, now_ms)
 
-    def strike(self):
+    def inject_fault(self):
         hosts = self.fleet.with_role("control")
         if self.struck is None:
             self.struck = self.rng.choice(hosts)
@@ -109,7 +109,7 @@
         for step in range(260):
             now_ms = self.fleet.time.now_ms
             if step % 25 == 10 and step < 150:
-                self.strike()
+                self.inject_fault()
             if step % 20 == 15 and step < 160:
                 worker = self.rng.choice(
                     [worker for worker in self.workers if worker.state == "serving"] or self.workers
