--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -43,7 +43,7 @@
         """Return the node's environment: clock, random numbers and log."""
         return ProcessEnvironment(self.settings.link)
 
-    def make_switchboard(self, deliver: Any) -> LinkTransport:
+    def make_transport(self, deliver: Any) -> LinkTransport:
         """Return what sends and receives the fleet's messages; `deliver` gets them."""
         return LinkTransport(self.settings.link, self.settings.request_timeout_ms, deliver)
 
@@ -73,7 +73,7 @@
     async def on_start(self) -> None:
         """Make the node, and start its loop."""
         await self.make()
-        self.runner = NodeRunner(self.node, self.env, self.make_switchboard(self.node.receive))
+        self.runner = NodeRunner(self.node, self.env, self.make_transport(self.node.receive))
         await self.add_runtime_dependency(self.runner)
 
     async def on_stop(self) -> None:
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -1,4 +1,4 @@
-"""Links between processes: TCP connections that carry length-prefixed Avro envelopes.
+"""Links between processes: TCP connections that carry framed envelopes.
 
 There is one queue and one outgoing connection for each address. Only the order of messages on one
 connection is guaranteed; whoever needs a lost message repeats the request. Ended connections and
@@ -6,131 +6,79 @@
 """
 
 import asyncio
-import io
 import socket
-import struct
-from collections import deque
 from collections.abc import Callable
-from typing import Any
 
-from fastavro import parse_schema, schemaless_reader, schemaless_writer
 from mode import Service
 from runtime import log
 
-from messaging.message import BadMessageError, Message, decode, encode
-
-__all__ = ["LinkTransport"]
-
-_ENVELOPE = parse_schema(
-    {
-        "type": "record",
-        "name": "Envelope",
-        "fields": [
-            {"name": "sender", "type": "string"},
-            {"name": "ref", "type": "long"},
-            {"name": "re", "type": "long"},
-            {"name": "body", "type": "bytes"},
-        ],
-    }
-)
-_LENGTH = struct.Struct(">I")
-_FRAME_BYTES = 1 << 26
-_QUEUE_LENGTH = 4096
-_QUEUE_BYTES = 1 << 25
-_CHUNK_BYTES = 1 << 18
-_BACKLOG = 512
-_DARK_FACTOR = 2
-_CONNECT_SHARE = 0.5
-_PAUSE_SHARE = 0.1
-
-
-def _pack(sender: str, request_id: int, in_reply_to: int, message: Message) -> bytes:
-    page = io.BytesIO()
-    schemaless_writer(
-        page,
-        _ENVELOPE,
-        {"sender": sender, "ref": request_id, "re": in_reply_to, "body": encode(message)},
-    )
-    data = page.getvalue()
-    return _LENGTH.pack(len(data)) + data
-
-
-def _tuned(sock: socket.socket, dark_ms: int) -> None:
-    """Set the socket's options; unacknowledged data breaks the connection after `dark_ms`.
+from messaging.envelope import Envelope, pack_frame, take_frames
+from messaging.message import BadMessageError, Message
+from messaging.send_queue import SendQueue
 
-    The kernel's own limit would be many minutes.
-    """
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    if hasattr(socket, "TCP_USER_TIMEOUT"):
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, dark_ms)
+__all__ = ["Deliver", "LinkTransport"]
 
+Deliver = Callable[[str, int, int, Message], None]
+"""Takes (sender, request_id, in_reply_to, message) of one received message."""
 
-class _Queue:
-    """Messages waiting for one address, limited by count, by size and, when taken, by age."""
+_READ_BYTES = 1 << 18
+_LISTEN_BACKLOG = 512
+_UNACKNOWLEDGED_SHARE = 2
+_CONNECT_SHARE = 0.5
+_RETRY_SHARE = 0.1
+_BAD_FRAME_ERRORS = (ValueError, EOFError, IndexError, KeyError, TypeError)
 
-    __slots__ = ("_bytes", "_filled", "_rows")
 
-    def __init__(self) -> None:
-        self._rows: deque[tuple[float, bytes]] = deque()
-        self._bytes = 0
-        self._filled = asyncio.Event()
+class _Connection:
+    """One outgoing TCP connection."""
 
-    def put(self, at: float, frame: bytes) -> None:
-        if len(self._rows) < _QUEUE_LENGTH and (
-            self._bytes + len(frame) <= _QUEUE_BYTES or not self._rows
-        ):
-            self._rows.append((at, frame))
-            self._bytes += len(frame)
-            self._filled.set()
+    __slots__ = ("_reader", "writer")
 
-    async def filled(self) -> None:
-        await self._filled.wait()
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._reader = reader
+        self.writer = writer
 
-    def take(self, since: float) -> bytes:
-        """Return all frames put since a time as one piece and drop the older ones."""
-        data = b"".join(frame for at, frame in self._rows if at >= since)
-        self._rows.clear()
-        self._bytes = 0
-        self._filled.clear()
-        return data
+    @property
+    def is_open(self) -> bool:
+        """Whether neither side has closed it, as far as is known here."""
+        return not self.writer.is_closing() and not self._reader.at_eof()
 
 
 class LinkTransport(Service):
     """The service that owns all connections of a process.
 
-    `address` is IP:PORT, `wait_ms` the longest that a message waits or a connection may stall.
-    `deliver` gets (sender, ref, re, message) of each message. `on_closed` and `on_refused` get an
-    address.
+    `address` is IP:PORT, `timeout_ms` the longest that a message waits or a connection may stall;
+    further time-outs are shares of it. `deliver` gets each received message. `on_closed` and
+    `on_refused` get an address.
     """
 
-    def __init__(
-        self, address: str, wait_ms: int, deliver: Callable[[str, int, int, Message], None]
-    ) -> None:
+    def __init__(self, address: str, timeout_ms: int, deliver: Deliver) -> None:
         super().__init__()
         self._address = address
-        self._wait_ms = wait_ms
+        self._timeout_ms = timeout_ms
         self._deliver = deliver
-        self._queues: dict[str, _Queue] = {}
+        self._queues: dict[str, SendQueue] = {}
         self._server: asyncio.Server | None = None
-        self._readers: set[asyncio.StreamWriter] = set()
-        self._packed: tuple[Message | None, bytes] = (None, b"")
+        self._incoming: set[asyncio.StreamWriter] = set()
+        self._last_packed: Message | None = None
+        self._last_frame = b""
         self.on_refused: Callable[[str], None] = lambda address: None
         self.on_closed: Callable[[str], None] = lambda address: None
 
     async def on_start(self) -> None:
         """Listen at the own address."""
-        host, _, port = self._address.rpartition(":")
-        self._server = await asyncio.start_server(
-            self._read, host.strip("[]"), int(port), backlog=_BACKLOG
-        )
+        host, port = _host_and_port(self._address)
+        self._server = await asyncio.start_server(self._read, host, port, backlog=_LISTEN_BACKLOG)
 
     async def on_stop(self) -> None:
         """Close the listener and all incoming connections."""
         if self._server is not None:
             self._server.close()
-        for writer in list(self._readers):
+        for writer in list(self._incoming):
             writer.close()
 
+    # -- sending -----------------------------------------------------------------------------------
+
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Queue a message for an address; one to the own address is delivered in the next turn.
 
@@ -142,110 +90,114 @@
             return
         queue = self._queues.get(to)
         if queue is None:
-            queue = self._queues[to] = _Queue()
+            queue = self._queues[to] = SendQueue()
             self.add_future(self._write(to, queue))
         queue.put(loop.time(), self._pack(request_id, in_reply_to, message))
 
     def _pack(self, request_id: int, in_reply_to: int, message: Message) -> bytes:
         """Encode a message; one sent to many addresses in turn is encoded once."""
         if request_id or in_reply_to:
-            return _pack(self._address, request_id, in_reply_to, message)
-        if self._packed[0] is not message:
-            self._packed = (message, _pack(self._address, 0, 0, message))
-        return self._packed[1]
+            return pack_frame(self._address, request_id, in_reply_to, message)
+        if self._last_packed is not message:
+            self._last_packed = message
+            self._last_frame = pack_frame(self._address, 0, 0, message)
+        return self._last_frame
 
-    async def _write(self, to: str, queue: _Queue) -> None:
+    async def _write(self, to: str, queue: SendQueue) -> None:
         """Send the queue of one address, all that waits in one write.
 
         A connection that fails loses what was queued meanwhile.
         """
-        reader: asyncio.StreamReader | None = None
-        writer: asyncio.StreamWriter | None = None
-        loop, wait = asyncio.get_running_loop(), self._wait_ms / 1000
+        connection: _Connection | None = None
+        loop, timeout_s = asyncio.get_running_loop(), self._timeout_ms / 1000
         while not self.should_stop:
-            await queue.filled()
+            await queue.wait_for_frames()
             try:
-                if reader is None or writer is None or writer.is_closing() or reader.at_eof():
-                    if writer is not None:
-                        writer.close()
-                    reader, writer = await self._connect(to)
-                writer.write(queue.take(loop.time() - wait))
-                await self._drained(writer)
+                if connection is None or not connection.is_open:
+                    if connection is not None:
+                        connection.writer.close()
+                    connection = await self._connect(to)
+                connection.writer.write(queue.take(loop.time() - timeout_s))
+                await self._drain(connection.writer)
             except (TimeoutError, OSError) as error:
                 if isinstance(error, ConnectionRefusedError):
                     self.on_refused(to)
-                if writer is not None:
-                    writer.transport.abort()
-                reader = writer = None
+                if connection is not None:
+                    connection.writer.transport.abort()
+                connection = None
                 queue.take(loop.time())
-                await asyncio.sleep(wait * _PAUSE_SHARE)
+                await asyncio.sleep(timeout_s * _RETRY_SHARE)
 
-    async def _drained(self, writer: asyncio.StreamWriter) -> None:
+    async def _drain(self, writer: asyncio.StreamWriter) -> None:
         """Wait until the data is sent; a slow link may take long, as long as it makes progress."""
-        left = writer.transport.get_write_buffer_size()
-        while left:
+        unsent_bytes = writer.transport.get_write_buffer_size()
+        while unsent_bytes:
             try:
-                await asyncio.wait_for(writer.drain(), self._wait_ms / 1000)
+                await asyncio.wait_for(writer.drain(), self._timeout_ms / 1000)
                 return
             except TimeoutError:
-                before, left = left, writer.transport.get_write_buffer_size()
-                if left >= before:
+                unsent_before_bytes = unsent_bytes
+                unsent_bytes = writer.transport.get_write_buffer_size()
+                if unsent_bytes >= unsent_before_bytes:
                     raise
 
-    async def _connect(self, to: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        host, _, port = to.rpartition(":")
+    async def _connect(self, to: str) -> _Connection:
+        host, port = _host_and_port(to)
         reader, writer = await asyncio.wait_for(
-            asyncio.open_connection(host.strip("[]"), int(port)),
-            self._wait_ms * _CONNECT_SHARE / 1000,
+            asyncio.open_connection(host, port), self._timeout_ms * _CONNECT_SHARE / 1000
+        )
+        _set_socket_options(
+            writer.get_extra_info("socket"), self._timeout_ms * _UNACKNOWLEDGED_SHARE
         )
-        _tuned(writer.get_extra_info("socket"), self._wait_ms * _DARK_FACTOR)
-        return reader, writer
+        return _Connection(reader, writer)
 
-    async def _hand_on(self, envelope: Any, message: Message) -> None:
+    # -- receiving ---------------------------------------------------------------------------------
+
+    async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Deliver the messages of one incoming connection; bytes that are none end it."""
+        self._incoming.add(writer)
+        sender, received = "", bytearray()
+        try:
+            while chunk := await reader.read(_READ_BYTES):
+                received += chunk
+                for frame in take_frames(received):
+                    envelope = Envelope(frame)
+                    sender = envelope.sender
+                    await self._receive(envelope, envelope.message())
+        except OSError:
+            pass
+        except _BAD_FRAME_ERRORS as error:
+            log("link-refused", "WARNING", reason=repr(error))
+        finally:
+            self._incoming.discard(writer)
+            writer.close()
+            if sender and not self.should_stop:
+                self.on_closed(sender)
+
+    async def _receive(self, envelope: Envelope, message: Message) -> None:
         """Deliver a message; any error but a bad message ends the process.
 
         The error may have left the node's state inconsistent.
         """
         try:
-            self._deliver(envelope["sender"], envelope["ref"], envelope["re"], message)
+            self._deliver(envelope.sender, envelope.request_id, envelope.in_reply_to, message)
         except BadMessageError:
             raise
         except Exception as error:
             log("receive-failed", "ERROR", message=type(message).__name__, reason=repr(error))
             await self.crash(error)
 
-    async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._readers.add(writer)
-        sender, held = "", bytearray()
-        try:
-            while chunk := await reader.read(_CHUNK_BYTES):
-                held += chunk
-                for frame in _frames(held):
-                    envelope = schemaless_reader(io.BytesIO(frame), _ENVELOPE, None)
-                    sender = envelope["sender"]
-                    await self._hand_on(envelope, decode(envelope["body"]))
-        except OSError:
-            pass
-        except (ValueError, EOFError, IndexError, KeyError, TypeError) as error:
-            log("link-refused", "WARNING", reason=repr(error))
-        finally:
-            self._readers.discard(writer)
-            writer.close()
-            if sender and not self.should_stop:
-                self.on_closed(sender)
 
+def _host_and_port(address: str) -> tuple[str, int]:
+    host, _, port = address.rpartition(":")
+    return host.strip("[]"), int(port)
+
+
+def _set_socket_options(sock: socket.socket, unacknowledged_ms: int) -> None:
+    """Send at once, and break the connection if data stays unacknowledged for so long.
 
-def _frames(held: bytearray) -> list[bytes]:
-    """Remove the complete frames from the front of the buffer and return them."""
-    frames, start = [], 0
-    while len(held) - start >= _LENGTH.size:
-        (size,) = _LENGTH.unpack_from(held, start)
-        if size > _FRAME_BYTES:
-            raise ValueError(f"a frame of {size} bytes")
-        end = start + _LENGTH.size + size
-        if end > len(held):
-            break
-        frames.append(bytes(held[start + _LENGTH.size : end]))
-        start = end
-    del held[:start]
-    return frames
+    The kernel's own limit would be many minutes.
+    """
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    if hasattr(socket, "TCP_USER_TIMEOUT"):
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacknowledged_ms)
--- a/libs/messaging/src/messaging/message.py
+++ b/libs/messaging/src/messaging/message.py
@@ -26,6 +26,18 @@
 _MessageT = typing.TypeVar("_MessageT", bound="Message")
 _WIRE_NAME_SCHEMA = parse_schema({"type": "string"})
 
+# What reading bytes that are no message may raise in the Avro decoder.
+_DECODING_ERRORS = (
+    ValueError,
+    EOFError,
+    IndexError,
+    KeyError,
+    TypeError,
+    UnicodeError,
+    OverflowError,
+    MemoryError,
+)
+
 
 class BadMessageError(ValueError):
     """The bytes do not encode a message of a known type."""
@@ -126,43 +138,38 @@
 def encode(message: Message) -> bytes:
     """Return a message as bytes."""
     buffer = io.BytesIO()
-    kind = type(message)
-    buffer.write(kind.WIRE_PREFIX)
-    schemaless_writer(
-        buffer, kind.SCHEMA, {field: getattr(message, field) for field in kind.FIELDS}
-    )
+    message_type = type(message)
+    buffer.write(message_type.WIRE_PREFIX)
+    values = {field: getattr(message, field) for field in message_type.FIELDS}
+    schemaless_writer(buffer, message_type.SCHEMA, values)
     return buffer.getvalue()
 
 
 def decode(data: bytes) -> Message:
     """Return the message that the bytes encode. Raises BadMessageError."""
     try:
-        buffer = io.BytesIO(data)
-        kind = _TYPES[schemaless_reader(buffer, _WIRE_NAME_SCHEMA, None)]
-        values = schemaless_reader(buffer, kind.SCHEMA, None)
-        message = kind.__new__(kind)
-        for field in kind.FIELDS:
-            setattr(message, field, values[field])
-        return message
-    except (
-        ValueError,
-        EOFError,
-        IndexError,
-        KeyError,
-        TypeError,
-        UnicodeError,
-        OverflowError,
-        MemoryError,
-    ) as error:
+        return _read_message(io.BytesIO(data))
+    except _DECODING_ERRORS as error:
         raise BadMessageError(repr(error)) from error
 
 
-def decode_as(kind: type[_MessageT], data: bytes) -> _MessageT:
-    """Return the message of type `kind` that the bytes encode.
+def _read_message(buffer: io.BytesIO) -> Message:
+    wire_name = typing.cast(str, schemaless_reader(buffer, _WIRE_NAME_SCHEMA, None))
+    message_type = _TYPES[wire_name]
+    record = schemaless_reader(buffer, message_type.SCHEMA, None)
+    values = typing.cast("dict[str, Any]", record)
+    message = message_type.__new__(message_type)
+    for field in message_type.FIELDS:
+        setattr(message, field, values[field])
+    return message
+
+
+def decode_as(message_type: type[_MessageT], data: bytes) -> _MessageT:
+    """Return the message of type `message_type` that the bytes encode.
 
     Raises BadMessageError, also if they encode a message of another type.
     """
     message = decode(data)
-    if not isinstance(message, kind):
-        raise BadMessageError(f"expected {kind.__name__}, got {type(message).__name__}")
+    if not isinstance(message, message_type):
+        raise BadMessageError(f"expected {message_type.__name__}, got {type(message).__name__}")
     return message
--- a/libs/messaging/src/messaging/node_runner.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -1,4 +1,4 @@
-"""The shell of a process: a service that owns one node, its connections and its clock.
+"""The service that runs one node in a process, with its connections and its clock.
 
 Nothing in a node blocks. Code that needs an answer passes a callback; `awaited` turns that into a
 future.
@@ -17,16 +17,21 @@
 from messaging.links import LinkTransport
 from messaging.message import Message
 
-__all__ = ["ProcessEnvironment", "NodeRunner", "awaited"]
+__all__ = ["NodeRunner", "ProcessEnvironment", "awaited"]
+
+_TOKEN_BYTES = 6
+_MIN_TICK_MS = 5
+_TICKS_PER_DELTA = 2
+_TICKS_PER_HEARTBEAT = 8
 
 
 class ProcessEnvironment:
-    """The environment of a node in a real process; see messaging.components.Env."""
+    """The environment of a node in a real process; see `messaging.Environment`."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.rng = random.Random()
-        self.switchboard: LinkTransport | None = None
+        self.transport: LinkTransport | None = None
 
     def now(self) -> int:
         """Return the time since boot in milliseconds."""
@@ -38,19 +43,19 @@
 
     def token(self) -> str:
         """Return 12 random hexadecimal digits."""
-        return secrets.token_hex(6)
+        return secrets.token_hex(_TOKEN_BYTES)
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Send a message; one sent before the connections are set up is dropped."""
-        if self.switchboard is not None:
-            self.switchboard.send(to, request_id, in_reply_to, message)
+        if self.transport is not None:
+            self.transport.send(to, request_id, in_reply_to, message)
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Write a log line as JSON."""
         log(event, level, **fields)
 
 
-def awaited(start: Callable[[Callable[[Any], None]], Any]) -> asyncio.Future:
+def awaited(start: Callable[[Callable[[Any], None]], Any]) -> asyncio.Future[Any]:
     """Return a future for the value with which `start` calls its callback first."""
     future = asyncio.get_running_loop().create_future()
 
@@ -69,27 +74,30 @@
     """
 
     def __init__(
-        self, node: Node, env: ProcessEnvironment, switchboard: LinkTransport | None = None
+        self, node: Node, env: ProcessEnvironment, transport: LinkTransport | None = None
     ) -> None:
         super().__init__()
         self.node = node
         self.worst_tick_ms = 0
-        self._env = env
-        self._tick_ms = max(5, min(node.settings.delta_ms // 2, node.settings.heartbeat_ms // 8))
-        self._switchboard = switchboard or LinkTransport(
+        self._tick_ms = _tick_interval_ms(node.settings)
+        self._transport = transport or LinkTransport(
             env.address, node.settings.request_timeout_ms, node.receive
         )
-        env.switchboard = self._switchboard
-        self._switchboard.on_refused = lambda address: self._tell("connection_refused", address)
-        self._switchboard.on_closed = lambda address: self._tell("connection_closed", address)
+        env.transport = self._transport
+        self._transport.on_refused = self._connection_refused
+        self._transport.on_closed = self._connection_closed
+
+    def _connection_refused(self, address: str) -> None:
+        for component in self.node.components:
+            component.connection_refused(address)
 
-    def _tell(self, what: str, address: str) -> None:
-        for part in self.node.components:
-            getattr(part, what)(address)
+    def _connection_closed(self, address: str) -> None:
+        for component in self.node.components:
+            component.connection_closed(address)
 
     async def on_start(self) -> None:
         """Open the connections and start ticking."""
-        await self.add_runtime_dependency(self._switchboard)
+        await self.add_runtime_dependency(self._transport)
         self.add_future(self._run())
 
     async def _run(self) -> None:
@@ -103,3 +111,10 @@
             took_ms = boot_ms() - started_ms
             self.worst_tick_ms = max(self.worst_tick_ms, took_ms)
             await asyncio.sleep(max(1, self._tick_ms - took_ms) / 1000)
+
+
+def _tick_interval_ms(settings: Any) -> int:
+    """Return the pause between ticks: several ticks in each delta and in each heartbeat."""
+    of_delta_ms: int = settings.delta_ms // _TICKS_PER_DELTA
+    of_heartbeat_ms: int = settings.heartbeat_ms // _TICKS_PER_HEARTBEAT
+    return max(_MIN_TICK_MS, min(of_delta_ms, of_heartbeat_ms))
--- a/libs/modelcheck/src/modelcheck/local.py
+++ b/libs/modelcheck/src/modelcheck/local.py
@@ -185,24 +185,24 @@
     # -- equal states --------------------------------------------------------------------------
 
     def _intern(self, state: LocalState, live: Live) -> LocalState:
-        asks = {
-            request_id: ask
-            for request_id, ask in live.node._asks.items()
-            if not self._world.inert(ask[0])
+        open_requests = {
+            request_id: request
+            for request_id, request in live.node.open_requests.items()
+            if not self._world.inert(request.on_reply)
         }
-        key = self._key(state.index, live, asks)
+        key = self._key(state.index, live, open_requests)
         known = self._by_key.get(key)
         if known is not None:
             return known
         state.number = len(self.states)
         state.busy = live.disk.busy
-        state.pending = frozenset(asks)
+        state.pending = frozenset(open_requests)
         state.seen = self._see(self._world.observe(state.index, live))
         self.states.append(state)
         self._by_key[key] = state
         return state
 
-    def _key(self, index: int, live: Live, asks: dict) -> bytes:
+    def _key(self, index: int, live: Live, open_requests: dict) -> bytes:
         encoder = Encoder(
             (Node, ModelEnvironment, ModelDisk, *self._world.opaque), self._world.skip
         )
@@ -212,8 +212,8 @@
                 index,
                 live.env.life,
                 live.env.now_ms,
-                live.node._next_request_id,
-                asks,
+                live.node.last_request_id,
+                open_requests,
                 list(live.node.components),
                 self._world.disk_key(live.disk),
                 waiting,
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -129,7 +129,7 @@
         def make_env(self) -> _Env:
             return _Env(self.settings.link, weather)
 
-        def make_switchboard(self, deliver: Any) -> _Links:
+        def make_transport(self, deliver: Any) -> _Links:
             return _Links(self.settings.link, self.settings.request_timeout_ms, deliver, weather)
 
         def make_sender(self) -> _Sender:
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -248,13 +248,13 @@
     ),
     "a reply after its time is told": (
         "messaging/src/messaging/components.py",
-        "waiting[0](message if self.env.now() <= waiting[1] else None)",
-        "waiting[0](message)",
+        "request.on_reply(message if is_in_time else None)",
+        "request.on_reply(message)",
         "tests/test_asks.py -k stood_still",
     ),
     "lives of a node number their asks alike": (
         "messaging/src/messaging/components.py",
-        "env.rng.getrandbits(40) + 1",
+        "env.rng.getrandbits(_REQUEST_ID_BITS) + 1",
         "1",
         "tests/test_asks.py -k life",
     ),
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -5,8 +5,10 @@
 
 from membership.messages import Heartbeat, ShuffleRequest
 from messaging import Message, decode, decode_as, encode
-from messaging.links import LinkTransport, _frames, _pack, _Queue
+from messaging.envelope import pack_frame, take_frames
+from messaging.links import LinkTransport
 from messaging.message import BadMessageError
+from messaging.send_queue import SendQueue
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength
 
@@ -62,13 +64,13 @@
             def deliver(sender, request_id, in_reply_to, message):
                 taken.append(decode(message.card))
 
-            board = LinkTransport("127.0.0.1:23990", 500, deliver)
-            await board.start()
-            good = _pack("127.0.0.1:1", 0, 0, Heartbeat(card=encode(Heartbeat(card=b""))))
+            transport = LinkTransport("127.0.0.1:23990", 500, deliver)
+            await transport.start()
+            good = pack_frame("127.0.0.1:1", 0, 0, Heartbeat(card=encode(Heartbeat(card=b""))))
             for data in (
                 b"\0\0\0\x05xxxxx",
                 b"\xff\xff\xff\xff",
-                _pack("x:1", 0, 0, ShuffleRequest(card=b"\x02a", cards=[])),
+                pack_frame("x:1", 0, 0, ShuffleRequest(card=b"\x02a", cards=[])),
                 good,
             ):
                 reader, writer = await asyncio.open_connection("127.0.0.1", 23990)
@@ -78,8 +80,8 @@
                     self.assertThat(await asyncio.wait_for(reader.read(), 5), Equals(b""))
             while not taken:
                 await asyncio.wait_for(asyncio.sleep(0), 5)
-            crashed = board.crash_reason
-            await board.stop()
+            crashed = transport.crash_reason
+            await transport.stop()
             return taken, crashed
 
         taken, crashed = asyncio.run(run())
@@ -90,22 +92,22 @@
 class Links(TestCase):
     def test_frames_are_taken_off_whole_however_they_arrive(self):
         frames = [
-            _pack("x:1", request_id, 0, Heartbeat(card=b"c" * size))
+            pack_frame("x:1", request_id, 0, Heartbeat(card=b"c" * size))
             for request_id, size in enumerate((0, 5, 3000, 1))
         ]
         data = b"".join(frames)
         for step in (1, 2, 7, 1000, len(data)):
-            held, got = bytearray(), []
+            received, got = bytearray(), []
             for start in range(0, len(data), step):
-                held += data[start : start + step]
-                got += _frames(held)
+                received += data[start : start + step]
+                got += take_frames(received)
             self.assertThat(
-                (got, held), Equals(([frame[4:] for frame in frames], bytearray())), step
+                (got, received), Equals(([frame[4:] for frame in frames], bytearray())), step
             )
 
     def test_a_queue_to_a_dark_peer_is_bounded_and_lets_old_frames_go(self):
         async def run():
-            queue = _Queue()
+            queue = SendQueue()
             for at in range(6000):
                 queue.put(float(at), b"x" * 10)
             taken = queue.take(4000.0)
