--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -1,7 +1,7 @@
 """The data plane's command line: serve, and a client's commands.
 
-Answers go to standard output as JSON, refusals to standard error with exit code 1, wrong settings
-with exit code 2.
+Responses go to standard output as JSON, refusals to standard error with exit code 1, wrong
+settings with exit code 2.
 """
 
 import asyncio
@@ -14,9 +14,11 @@
 from cyclopts import App, Parameter
 from runtime import load_settings
 
+from data_plane.edge_process import EdgeProcess
 from data_plane.process import run_process, settings_or_exit
-from data_plane.replay import compare, load_recording, play
-from data_plane.role_processes import EdgeProcess, StoreProcess
+from data_plane.recording_file import load_recording
+from data_plane.replay import compare, play
+from data_plane.store_process import StoreProcess
 
 __all__ = ["request_and_print", "main", "serve_flags"]
 
@@ -29,6 +31,8 @@
 app.command(job)
 app.command(rollout)
 
+_TIMEOUT_S = 60
+
 Server = Annotated[str, Parameter(name="--server", help="an edge's HTTP address, IP:PORT")]
 
 
@@ -88,28 +92,28 @@
     run_process(EdgeProcess if role == "edge" else StoreProcess, checked, settings, flags)
 
 
-async def _call(method: str, url: str, body: Any, headers: dict[str, str] | None) -> int:
-    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=60)) as session:
-        async with session.request(method, url, json=body, headers=headers) as answer:
-            out = sys.stdout if answer.status < 400 else sys.stderr
-            async for line in answer.content:
+async def _request(method: str, url: str, body: Any, headers: dict[str, str] | None) -> int:
+    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S)) as session:
+        async with session.request(method, url, json=body, headers=headers) as response:
+            out = sys.stdout if response.status < 400 else sys.stderr
+            async for line in response.content:
                 out.write(line.decode(errors="replace"))
                 out.flush()
             out.write("\n")
-            return 0 if answer.status < 400 else 1
+            return 0 if response.status < 400 else 1
 
 
 def request_and_print(
     method: str, server: str, address: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> None:
-    """Make one request of an edge and print the answer; raises SystemExit(1) for a refusal."""
+    """Make one request of an edge and print the response; raises SystemExit(1) for a refusal."""
     try:
-        code = asyncio.run(_call(method, f"http://{server}{address}", body, headers))
+        exit_code = asyncio.run(_request(method, f"http://{server}{address}", body, headers))
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         sys.stderr.write(f"{server}: {type(error).__name__}: {error}\n")
-        code = 1
-    if code:
-        raise SystemExit(code)
+        exit_code = 1
+    if exit_code:
+        raise SystemExit(exit_code)
 
 
 def read_json(path: str) -> Any:
@@ -163,50 +167,51 @@
     seed: names the run; keys and lot ids carry it, so each run needs its own.
     check: only look whether the recordings are whole.
     """
-    rows, problems = [], [] if files and pace > 0 else ["wanted: files, and a pace above nought"]
+    calls: list[dict[str, Any]] = []
+    problems = [] if files and pace > 0 else ["wanted: files, and a pace above nought"]
     for path in files:
-        found, wrong = load_recording(path)
-        rows += found
-        problems += wrong
+        recording = load_recording(path)
+        calls += recording.calls
+        problems += recording.problems
     for problem in problems:
         sys.stderr.write(problem + "\n")
     if problems:
         raise SystemExit(2)
-    if check or not rows:
-        sys.stdout.write(f"{len(rows)} calls, all whole\n")
+    if check or not calls:
+        sys.stdout.write(f"{len(calls)} calls, all whole\n")
         return
-    report, differing = compare(asyncio.run(play(rows, server, pace, seed)))
+    report, differing = compare(asyncio.run(play(calls, server, pace, seed)))
     sys.stdout.write(report + "\n")
     if differing:
         raise SystemExit(1)
 
 
 @job.command(name="hand-in")
-def hand_in(job_id: str, file: str, *, server: Server) -> None:
+def submit_job(job_id: str, file: str, *, server: Server) -> None:
     """Hand in a lot from a JSON file with path, items and due_ms; - reads standard input."""
     request_and_print("PUT", server, f"/lots/{job_id}", read_json(file))
 
 
-@job.command
-def show(job_id: str, *, server: Server) -> None:
+@job.command(name="show")
+def show_job(job_id: str, *, server: Server) -> None:
     """Show how far a lot is."""
     request_and_print("GET", server, f"/lots/{job_id}")
 
 
-@job.command
-def results(job_id: str, *, server: Server, start: int = 0) -> None:
+@job.command(name="results")
+def list_results(job_id: str, *, server: Server, start: int = 0) -> None:
     """List a lot's results from a place on."""
     request_and_print("GET", server, f"/lots/{job_id}/results?from={start}")
 
 
-@job.command
-def end(job_id: str, *, server: Server) -> None:
+@job.command(name="end")
+def cancel_job(job_id: str, *, server: Server) -> None:
     """End a lot: nothing of it runs any more within about three seconds."""
     request_and_print("DELETE", server, f"/lots/{job_id}")
 
 
 @rollout.command(name="hand-in")
-def hand_in_rollout(rollout_id: str, file: str, *, server: Server) -> None:
+def submit_rollout(rollout_id: str, file: str, *, server: Server) -> None:
     """Hand in a rollout from a JSON file; - reads standard input.
 
     The file has path, weights, samples, prompts and perhaps due_ms.
@@ -221,13 +226,13 @@
 
 
 @rollout.command(name="results")
-def rollout_results(rollout_id: str, *, server: Server, start: int = 0) -> None:
+def list_rollout_samples(rollout_id: str, *, server: Server, start: int = 0) -> None:
     """List a rollout's samples from a place on."""
     request_and_print("GET", server, f"/rollouts/{rollout_id}/results?from={start}")
 
 
 @rollout.command(name="end")
-def end_rollout(rollout_id: str, *, server: Server) -> None:
+def cancel_rollout(rollout_id: str, *, server: Server) -> None:
     """End a rollout: what is listed stays, nothing more of it runs."""
     request_and_print("DELETE", server, f"/rollouts/{rollout_id}")
 
--- /dev/null
+++ b/libs/data_plane/src/data_plane/completion_api.py
@@ -0,0 +1,176 @@
+"""The HTTP routes of live completions, of our own interface.
+
+Calls are read and checked, passed to the `EdgeService`, and the responses are written out. A
+stream's events wait in a queue of their own, so a client that reads slowly holds no worker's slot;
+the request in flight learns at once of one that disconnects.
+"""
+
+import asyncio
+import re
+from typing import Any
+
+from aiohttp import web
+from request_routing import Step
+from runtime import Refusal, boot_ms, refused
+
+from data_plane.edge_service import EdgeService
+from data_plane.http_service import (
+    TRANSACTION_HEADER,
+    HttpService,
+    http_response,
+    read_json_body,
+    refusal_response,
+)
+from data_plane.request_bodies import CompletionBody
+from data_plane.responses import ServiceResponse
+
+__all__ = ["CompletionApi"]
+
+_IDEMPOTENCY_KEY = "Idempotency-Key"
+_KEY_PATTERN = re.compile(r"^[\x21-\x7e]{1,255}$")
+_END_OF_STREAM = b"data: [DONE]\n\n"
+
+
+class _End:
+    """The last step of a completion, and the response that goes with it."""
+
+    __slots__ = ("response", "step")
+
+    def __init__(self, step: Step, response: ServiceResponse[None]) -> None:
+        self.step = step
+        self.response = response
+
+
+class CompletionApi:
+    """Adds the routes of completions to `server`; `live_now` counts those in progress."""
+
+    __slots__ = ("_metrics", "_node", "_service", "live_now")
+
+    def __init__(self, node: Any, service: EdgeService, server: HttpService) -> None:
+        self._node = node
+        self._service = service
+        self._metrics = server.metrics
+        self.live_now = 0
+        server.app.router.add_post("/v1/completions", self._complete)
+        server.app.router.add_post("/v1/chat/completions", self._complete)
+
+    async def _complete(self, request: web.Request) -> web.StreamResponse:
+        key = request.headers.get(_IDEMPOTENCY_KEY, "")
+        if (response := self._service.unready_response(bool(key))) is not None:
+            return http_response(response)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, CompletionBody)
+        if isinstance(body, Refusal):
+            return refusal_response(body)
+        if refusal := _body_refusal(body, request):
+            return refusal_response(refusal)
+        return await self._run(request, key, body)
+
+    async def _run(
+        self, request: web.Request, key: str, body: CompletionBody
+    ) -> web.StreamResponse:
+        """Begin the completion, and write its events and its end as they come."""
+        queue: asyncio.Queue[bytes | _End] = asyncio.Queue()
+        began_ms = boot_ms()
+
+        def on_end(step: Step, response: ServiceResponse[None]) -> None:
+            seconds = (boot_ms() - began_ms) / 1000
+            self._metrics.observe_completion(body.model, response.verdict, seconds)
+            queue.put_nowait(_End(step, response))
+
+        carriage = self._service.complete(
+            body.model,
+            key,
+            body.model_dump(exclude_none=True, exclude={"model", "stream"}),
+            body.stream,
+            queue.put_nowait,
+            on_end,
+        )
+        if isinstance(carriage, ServiceResponse):
+            return http_response(carriage)
+        self.live_now += 1
+        try:
+            return await self._write(request, queue, carriage.tx.transaction_id, body.stream)
+        except (ConnectionError, asyncio.CancelledError):
+            carriage.gone()
+            raise
+        finally:
+            self.live_now -= 1
+
+    async def _write(
+        self,
+        request: web.Request,
+        queue: asyncio.Queue[bytes | _End],
+        request_id: str,
+        stream: bool,
+    ) -> web.StreamResponse:
+        started: web.StreamResponse | None = None
+        while True:
+            item = await queue.get()
+            if isinstance(item, _End):
+                complete = item.response.refusal is None and item.response.status == 200
+                if stream and complete:
+                    return await _end_stream(request, started, item, request_id)
+                if started is not None:
+                    return await _cut_stream(request, started, item.response)
+                return http_response(item.response, request_id)
+            if started is None:
+                started = await _start_stream(request, request_id)
+            await started.write(item)
+
+
+async def _start_stream(request: web.Request, request_id: str) -> web.StreamResponse:
+    """Start a stream with its first event, so that a refusal before it can still be an error."""
+    started = web.StreamResponse(
+        headers={
+            "Content-Type": "text/event-stream",
+            "Cache-Control": "no-store",
+            TRANSACTION_HEADER: request_id,
+        }
+    )
+    await started.prepare(request)
+    return started
+
+
+async def _end_stream(
+    request: web.Request, started: web.StreamResponse | None, end: _End, request_id: str
+) -> web.StreamResponse:
+    """Write a stream's end mark, only now that the response is known to be complete."""
+    if started is None:
+        started = await _start_stream(request, request_id)
+    if end.step.name == "replay":
+        await started.write(end.response.body.encode())
+    await started.write(_END_OF_STREAM)
+    await started.write_eof()
+    return started
+
+
+async def _cut_stream(
+    request: web.Request, started: web.StreamResponse, response: ServiceResponse[None]
+) -> web.StreamResponse:
+    """End a stream with an error event and without the end mark, and drop the connection."""
+    request["verdict"], request["code"] = response.verdict, response.code
+    try:
+        await started.write(b"event: error\ndata: " + response.body.encode() + b"\n\n")
+    except ConnectionError:
+        pass
+    if request.transport is not None:
+        request.transport.abort()
+    return started
+
+
+def _body_refusal(body: CompletionBody, request: web.Request) -> Refusal | None:
+    """Return why a completion can't be asked at this address, or None."""
+    chat = request.path.endswith("/chat/completions")
+    wanted, other = ("messages", "prompt") if chat else ("prompt", "messages")
+    if getattr(body, wanted) is None:
+        return refused("bad-field", f"{wanted}: this address needs it", field=wanted)
+    if getattr(body, other) is not None:
+        return refused("bad-field", f"{other}: does not belong to this address", field=other)
+    key = request.headers.get(_IDEMPOTENCY_KEY, "")
+    if key and not _KEY_PATTERN.match(key):
+        return refused(
+            "bad-field",
+            f"{_IDEMPOTENCY_KEY}: 1 to 255 printable characters",
+            field=_IDEMPOTENCY_KEY,
+        )
+    return None
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -25,7 +25,7 @@
 from data_plane.edge_service import EdgeService
 from data_plane.forward_job_service import ForwardJobService
 from data_plane.forward_service import ForwardService
-from data_plane.rollouts import RolloutService
+from data_plane.rollout_service import RolloutService
 
 __all__ = ["EdgeNode"]
 
@@ -144,9 +144,7 @@
         self.edge_service = EdgeService(
             self.carrier, self.holder, self.job_runner, self.profile_tree, self.why_unready
         )
-        self.rollout_service = RolloutService(
-            self.edge_service, self.holder, self.job_runner, self.profile_tree
-        )
+        self.rollout_service = RolloutService(self.edge_service, self.holder, self.profile_tree)
         self.forward_service = ForwardService(
             self.carrier, self.profile_tree, self._readiness.why_unsure
         )
--- /dev/null
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -0,0 +1,146 @@
+"""The process of an edge: its HTTP servers, its connections to workers, its status and metrics."""
+
+from typing import Any
+
+from request_routing import Worker
+
+from data_plane.completion_api import CompletionApi
+from data_plane.edge_node import EdgeNode
+from data_plane.forward_server import ForwardServer
+from data_plane.http_service import HttpService
+from data_plane.job_api import JobApi
+from data_plane.process import NodeProcess
+from data_plane.recorder import Recorder
+from data_plane.rollout_api import RolloutApi
+from data_plane.sender import HttpSender
+from data_plane.worker_api import WorkerApi
+
+__all__ = ["EdgeProcess"]
+
+
+class EdgeProcess(NodeProcess):
+    """An edge with its clients, workers and batch items.
+
+    `forward_servers` are those for forwarded requests, which the platform's adapter adds.
+    """
+
+    async def make(self) -> None:
+        """Make the edge and its HTTP server."""
+        self._sender = self.make_sender()
+        self.node = EdgeNode(self.env, self.settings, self._sender)
+        self._recorder = self._make_recorder()
+        server = HttpService(
+            self.settings.http,
+            self.settings.max_body_bytes,
+            self.node.why_unready,
+            self.status,
+            self.metrics,
+            (self._recorder.middleware,) if self._recorder else (),
+        )
+        self._completions = CompletionApi(self.node, self.node.edge_service, server)
+        JobApi(self.node, self.node.edge_service, server)
+        WorkerApi(self.node, server)
+        RolloutApi(self.node, self.node.rollout_service, server)
+        self.forward_servers: list[ForwardServer] = []
+        await self.add_runtime_dependency(server)
+
+    def make_sender(self) -> HttpSender:
+        """Return the transport of requests to workers."""
+        return HttpSender(self.settings.request_timeout_ms)
+
+    def _make_recorder(self) -> Recorder | None:
+        settings = self.settings
+        if not settings.record_folder:
+            return None
+        return Recorder(
+            settings.record_folder,
+            settings.link.replace(":", "-"),
+            settings.record_rows,
+            settings.record_bodies,
+        )
+
+    def start_draining(self) -> None:
+        """Become unready, and take no more batch items."""
+        self.node.stopping = True
+        self.node.job_runner.paused = True
+        for server in self.forward_servers:
+            server.start_draining()
+
+    def busy(self) -> bool:
+        """Whether live requests or batch items are in flight."""
+        return (
+            any(server.busy() for server in self.forward_servers)
+            or self.node.carrier.carrying(False) > 0
+            or self._completions.live_now > 0
+            or self.node.job_runner.running() > 0
+        )
+
+    def wind_down(self) -> None:
+        """Stop the batch items that still run; their outcomes are reported."""
+        self.node.job_runner.stop_all("stopping")
+
+    async def on_stop(self) -> None:
+        """Close the connections to workers and the recording."""
+        await self._sender.close()
+        if self._recorder is not None:
+            self._recorder.close()
+        await super().on_stop()
+
+    def status(self) -> dict[str, Any]:
+        """Return the edge's state for operators, as `/status` shows it."""
+        node = self.node
+        node.profile_tree()
+        return {
+            "role": "edge",
+            "identity": node.job_runner.edge,
+            "zone": self.settings.zone,
+            "ready": not node.why_unready(),
+            "reason": node.why_unready(),
+            "profiles_digest": node.profile_tree_digest,
+            "feed": node.config_feed.numbers(),
+            "place": node.config_feed.place,
+            "holder_epoch": node.holder.epoch,
+            "live": self._completions.live_now,
+            "items": node.job_runner.running(),
+            "neighbours": [card.address for card in node.membership.view()],
+            "workers": [self._worker_row(worker) for worker in node.roster.all()],
+        }
+
+    def _worker_row(self, worker: Worker) -> dict[str, Any]:
+        node = self.node
+        return {
+            "identity": worker.identity,
+            "incarnation": worker.incarnation,
+            "address": worker.address,
+            "usable": node.roster.usable(worker),
+            "leaving": worker.leaving,
+            "weight": worker.weight,
+            "slots": worker.slots,
+            "allowed": node.profile_tree().allows_worker(worker.identity, worker.labels),
+        }
+
+    def metrics(self) -> dict[str, float]:
+        """Return the edge's numbers by name; `data_plane.metrics.HELP` explains them."""
+        node = self.node
+        rows = {f"edge_{name}_total": count for name, count in node.carrier.counts.items()}
+        for server in self.forward_servers:
+            for code, count in server.counts.items():
+                rows[f"edge_told_{code.replace('-', '_')}_total"] = count
+        pool = self._sender.pool
+        rows["edge_connections_opened_total"] = pool.opened if pool is not None else 0
+        return {
+            **rows,
+            "edge_waiting_now": node.carrier.waiting(),
+            "edge_ready": int(not node.why_unready()),
+            "edge_live_now": self._completions.live_now,
+            "edge_items_now": node.job_runner.running(),
+            "edge_items_finished_total": node.job_runner.finished,
+            "edge_workers": len(node.roster.workers()),
+            "edge_samples_now": node.borrowing.running(),
+            "edge_samples_finished_total": node.borrowing.finished,
+            "edge_samples_given_up_total": node.borrowing.given_up,
+            "edge_loans_recalled_total": node.borrowing.recalls,
+            "edge_workers_lent": len(node.roster.lent),
+            "feed_place": node.config_feed.place,
+            "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
+        }
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -1,4 +1,4 @@
-"""What an edge does for its clients, once a request has been read and checked.
+"""What an edge does for clients of our own interface, once a request has been read and checked.
 
 It has no socket; the HTTP side and the simulator's clients use the same object.
 """
@@ -8,7 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import messages as m
+from batch_state.messages import CancelJob, GetJob, JobResponse, ListResults, SubmitJob
+from batch_state.outcomes import JobOutcome
+from control_store import ProfileTree
 from messaging import Component
 from request_routing import (
     Call,
@@ -23,151 +25,162 @@
 )
 from runtime import refused
 
-from data_plane.responses import (
-    ServiceResponse,
-    completion_response,
-    job_response,
-    not_ready,
-    results_response,
-    submission_response,
-)
+from data_plane.job_responses import job_response, results_response, submission_response
+from data_plane.responses import ServiceResponse, completion_response, not_ready
+
+__all__ = ["EdgeService", "OnResponse"]
 
-__all__ = ["EdgeService"]
+OnResponse = Callable[[ServiceResponse[None]], None]
 
-_PAGE = 1000
-Told = Callable[[ServiceResponse], None]
+_MAX_PAGE_RESULTS = 1000
+_DIGEST_BYTES = 16
 
 
 def _digest(value: Any) -> str:
-    return hashlib.blake2b(json.dumps(value, sort_keys=True).encode(), digest_size=16).hexdigest()
+    data = json.dumps(value, sort_keys=True).encode()
+    return hashlib.blake2b(data, digest_size=_DIGEST_BYTES).hexdigest()
 
 
 class EdgeService(Component):
-    """Serves completions and batches of our own interface.
+    """Serves completions and batch jobs of our own interface.
 
-    `tree` gives the profiles in force; `why_unready` why the edge is not ready, or an empty string.
+    `profile_tree` gives the profiles in force; `why_unready` why the edge is not ready, or an empty
+    string. Responses are given to callbacks on the node's thread.
     """
 
-    __slots__ = ("_budgets", "_carrier", "_holder", "_jobs", "_tree", "_why_unready")
+    __slots__ = ("_carrier", "_holder", "_jobs", "_profile_tree", "_retry_budgets", "_why_unready")
 
     def __init__(
         self,
         carrier: RequestRouter,
         holder: LeaderClient,
         jobs: JobRunner,
-        tree: Callable[[], Any],
+        profile_tree: Callable[[], ProfileTree],
         why_unready: Callable[[], str],
     ) -> None:
-        self._carrier, self._holder, self._jobs = carrier, holder, jobs
-        self._tree, self._why_unready = tree, why_unready
-        self._budgets: dict[str, RetryBudget] = {}
-
-    def unready(self, named: bool) -> ServiceResponse | None:
+        self._carrier = carrier
+        self._holder = holder
+        self._jobs = jobs
+        self._profile_tree = profile_tree
+        self._why_unready = why_unready
+        self._retry_budgets: dict[str, RetryBudget] = {}
+
+    def unready_response(self, named: bool) -> ServiceResponse[None] | None:
         """Return the refusal of an edge that is not ready; `named` as for `not_ready`."""
         reason = self._why_unready()
-        return ServiceResponse.no(not_ready(reason, named)) if reason else None
+        return ServiceResponse.refuse(not_ready(reason, named)) if reason else None
 
-    def _unknown(self, path: str, field: str) -> ServiceResponse | None:
-        if self._tree().usable(path) is not None:
+    def _unknown_path_response(self, path: str, field: str) -> ServiceResponse[None] | None:
+        """Return the refusal of a path that no profile has; `field` names it in the request."""
+        if self._profile_tree().usable(path) is not None:
             return None
-        return ServiceResponse.no(
+        return ServiceResponse.refuse(
             refused("unknown-path", f"{field}: no profile is called {path!r}", 404, field=field)
         )
 
+    # -- completions ---------------------------------------------------------------------------
+
     def complete(
         self,
         path: str,
         key: str,
         body: dict[str, Any],
         stream: bool,
-        sink: Callable[[bytes], None],
-        told: Callable[[Step, ServiceResponse], None],
-    ) -> InFlightRequest | ServiceResponse:
-        """Begin a completion; return its transaction in flight, or an answer given at once.
+        on_event: Callable[[bytes], None],
+        on_end: Callable[[Step, ServiceResponse[None]], None],
+    ) -> InFlightRequest | ServiceResponse[None]:
+        """Begin a completion; return the request in flight, or a response given at once.
 
-        `sink` gets a stream's events; `told` the last step and the answer, unless the client hung
-        up.
+        `key` is the idempotency key or empty. `on_event` gets a stream's events; `on_end` the last
+        step and the response, unless the client disconnected.
         """
-        if (answer := self.unready(bool(key)) or self._unknown(path, "model")) is not None:
-            return answer
+        refusal = self.unready_response(bool(key)) or self._unknown_path_response(path, "model")
+        if refusal is not None:
+            return refusal
         env = self.node.env
-        tx = RequestLifecycle(
+        lifecycle = RequestLifecycle(
             env.token() + env.token(),
-            self._tree().usable(path),
+            self._profile_tree().usable(path),
             key,
             env.now(),
-            self._budgets.setdefault(path, RetryBudget()),
+            self._retry_budgets.setdefault(path, RetryBudget()),
         )
         call = Call(body, _digest([path, stream, body]), prefix_of(body), False, stream)
 
-        def done(step: Step) -> None:
+        def on_last_step(step: Step) -> None:
             if step.name != "gone":
-                told(step, completion_response(step))
+                on_end(step, completion_response(step))
+
+        return self._carrier.carry(lifecycle, call, on_event if stream else None, on_last_step)
 
-        return self._carrier.carry(tx, call, sink if stream else None, done)
+    # -- batch jobs ----------------------------------------------------------------------------
 
     def submit(
-        self, job_id: str, path: str, items: list[dict[str, Any]], due_ms: int, told: Told
+        self,
+        job_id: str,
+        path: str,
+        items: list[dict[str, Any]],
+        due_ms: int,
+        on_response: OnResponse,
     ) -> None:
-        """Hand a batch in at the leader; `due_ms` is the time it is given, in milliseconds."""
-        if (answer := self.unready(True) or self._unknown(path, "path")) is not None:
-            told(answer)
+        """Submit a job to the leader; `due_ms` is the time it is given, in milliseconds."""
+        refusal = self.unready_response(True) or self._unknown_path_response(path, "path")
+        if refusal is not None:
+            on_response(refusal)
             return
         bodies = [json.dumps(item, sort_keys=True) for item in items]
 
-        def done(receipt: Any) -> None:
-            answer = submission_response(job_id, receipt)
+        def on_leader_response(message: JobResponse | None) -> None:
+            response = submission_response(job_id, message)
             self.node.env.log(
-                "lot-handed-in",
+                "job-submitted",
                 job=job_id,
                 path=path,
                 items=len(items),
-                outcome=receipt.outcome if receipt is not None else "unknown",
+                outcome=message.outcome if message is not None else JobOutcome.UNKNOWN,
             )
-            told(answer)
+            on_response(response)
 
         self._holder.ask(
-            m.SubmitJob(
+            SubmitJob(
                 job_id=job_id,
                 digest=_digest([path, due_ms, bodies]),
                 path=path,
                 items=bodies,
-                safe=self._tree().usable(path).repeatable,
+                safe=self._profile_tree().usable(path).repeatable,
                 due_ms=due_ms,
                 epoch=0,
                 leader_ms=0,
             ),
             self.node.settings.force_ms,
-            done,
+            on_leader_response,
         )
 
-    def progress(self, job_id: str, told: Told) -> None:
-        """Answer a batch's progress."""
+    def progress(self, job_id: str, on_response: OnResponse) -> None:
+        """Give a job's progress."""
         self._holder.ask(
-            m.GetJob(job_id=job_id),
+            GetJob(job_id=job_id),
             self.node.settings.force_ms,
-            lambda receipt: told(job_response(job_id, receipt)),
+            lambda message: on_response(job_response(job_id, message)),
         )
 
-    def results(self, job_id: str, from_index: int, limit: int, told: Told) -> None:
-        """Answer a page of at most `limit` results, from index `from_index` on."""
+    def results(self, job_id: str, from_index: int, limit: int, on_response: OnResponse) -> None:
+        """Give a page of at most `limit` results, from index `from_index` on."""
+        limit = max(1, min(_MAX_PAGE_RESULTS, limit))
         self._holder.ask(
-            m.ListResults(job_id=job_id, from_index=from_index, limit=max(1, min(_PAGE, limit))),
+            ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
-            lambda receipt: told(results_response(job_id, from_index, receipt)),
+            lambda message: on_response(results_response(job_id, from_index, message)),
         )
 
-    def cancel(self, job_id: str, told: Told) -> None:
-        """End a batch, and stop its items that run at this edge."""
+    def cancel(self, job_id: str, on_response: OnResponse) -> None:
+        """Cancel a job, and stop its items that run at this edge."""
 
-        def done(receipt: Any) -> None:
-            if receipt is not None and receipt.outcome == "known":
+        def on_leader_response(message: JobResponse | None) -> None:
+            outcome = message.outcome if message is not None else JobOutcome.UNKNOWN
+            if outcome == JobOutcome.KNOWN:
                 self._jobs.stop(job_id, "ended here")
-            self.node.env.log(
-                "lot-ended",
-                job=job_id,
-                outcome=receipt.outcome if receipt is not None else "unknown",
-            )
-            told(job_response(job_id, receipt))
+            self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
+            on_response(job_response(job_id, message))
 
-        self._holder.ask(m.CancelJob(job_id=job_id), self.node.settings.force_ms, done)
+        self._holder.ask(CancelJob(job_id=job_id), self.node.settings.force_ms, on_leader_response)
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -1,36 +1,49 @@
-"""Batches of forwarded requests: what clients hand in, read and end, asked of the log's leader.
+"""Jobs of forwarded requests: clients' submissions, reads and cancellations, sent to the leader.
 
 While the leader changes the edge goes on asking for as long as the client gives; what it can't know
-by then it says at once. It promises that nothing was taken only where nothing was sent, or where
+by then it says at once. It promises that nothing was accepted only where nothing was sent, or where
 the leader itself said so.
 """
 
 import hashlib
 from collections.abc import Callable, Iterable
-from typing import Any
 
-from batch_state import messages as m
+from batch_state.messages import (
+    CancelJob,
+    ForwardItem,
+    GetItem,
+    GetItemResponse,
+    JobResponse,
+    ListForwardResults,
+    ListForwardResultsResponse,
+    SubmitForwardJob,
+)
+from batch_state.outcomes import JobOutcome
+from control_store import ProfileTree
 from messaging import Component, encode
 from request_routing import JobRunner, LeaderClient
 
-from data_plane.responses import (
-    ServiceResponse,
+from data_plane.forward_job_responses import (
+    ForwardResultsPage,
     forward_cancellation_response,
     forward_item_response,
     forward_results_response,
     forward_submission_response,
 )
+from data_plane.responses import ServiceResponse
 
 __all__ = ["ForwardJobService"]
 
-Told = Callable[[ServiceResponse], None]
 _PAGE_BYTES = 1 << 19
-_ANSWER_SHARE = 0.55
-_TRY_SHARE = 0.6
+_DIGEST_BYTES = 16
+# the part of force_ms for which the leader is asked beyond the time that a client waits anyway
+_LEADER_CHANGE_SHARE = 0.55
+# the part of a client's time that is used here; the rest is for a retry at another edge
+_CLIENT_TIME_SHARE = 0.6
 
 
 def _digest(path: str, calls: Iterable[bytes], tokens: Iterable[int]) -> str:
-    digest = hashlib.blake2b(path.encode(), digest_size=16)
+    digest = hashlib.blake2b(path.encode(), digest_size=_DIGEST_BYTES)
     for call, count in zip(calls, tokens, strict=True):
         digest.update(b"%d %d " % (len(call), count))
         digest.update(call)
@@ -38,40 +51,68 @@
 
 
 class ForwardJobService(Component):
-    """Serves batches of forwarded requests.
+    """Serves jobs of forwarded requests.
 
-    `profiles` gives the number and the tree of the profiles in force here.
+    `profiles` gives the number and the tree of the profiles in force here. Responses are given to
+    callbacks on the node's thread.
     """
 
     __slots__ = ("_holder", "_jobs", "_profiles")
 
     def __init__(
-        self, holder: LeaderClient, jobs: JobRunner, profiles: Callable[[], tuple[int, Any]]
+        self,
+        holder: LeaderClient,
+        jobs: JobRunner,
+        profiles: Callable[[], tuple[int, ProfileTree]],
     ) -> None:
-        self._holder, self._jobs, self._profiles = holder, jobs, profiles
+        self._holder = holder
+        self._jobs = jobs
+        self._profiles = profiles
 
     def _patience_ms(self) -> int:
         """Return how long a client may be kept waiting for the leader, beyond what it asked for."""
-        return int(self.node.settings.force_ms * _ANSWER_SHARE)
+        return int(self.node.settings.force_ms * _LEADER_CHANGE_SHARE)
 
     def submit(
         self,
         job_id: str,
         path: str,
-        items: list[m.ForwardItem],
+        items: list[ForwardItem],
         tokens: list[int],
         client_ms: int,
-        told: Told,
+        on_response: Callable[[ServiceResponse[JobResponse]], None],
     ) -> None:
-        """Hand a batch in at the leader.
+        """Submit a job to the leader.
 
         `client_ms` is how many milliseconds the client waits; it is left enough of that to try at
         another edge. `tokens` are the expected tokens of each item.
         """
-        number, tree = self._profiles()
-        profile = tree.usable(path)
+
+        def on_leader_response(message: JobResponse | None) -> None:
+            response = forward_submission_response(job_id, message, request.sends > 0)
+            self.node.env.log(
+                "job-submitted",
+                "INFO" if response.refusal is None else "WARNING",
+                job=job_id,
+                path=path,
+                items=len(items),
+                code=response.code,
+            )
+            on_response(response)
+
+        request = self._holder.ask(
+            self._submission(job_id, path, items, tokens),
+            int(client_ms * _CLIENT_TIME_SHARE),
+            on_leader_response,
+        )
+
+    def _submission(
+        self, job_id: str, path: str, items: list[ForwardItem], tokens: list[int]
+    ) -> SubmitForwardJob:
+        number, profile_tree = self._profiles()
+        profile = profile_tree.usable(path)
         calls = [encode(item) for item in items]
-        message = m.SubmitForwardJob(
+        return SubmitForwardJob(
             job_id=job_id,
             digest=_digest(path, calls, tokens),
             path=path,
@@ -86,75 +127,76 @@
             leader_ms=0,
         )
 
-        def done(receipt: Any) -> None:
-            answer = forward_submission_response(job_id, receipt, ask.sends > 0)
-            self.node.env.log(
-                "lot-handed-in",
-                "INFO" if answer.refusal is None else "WARNING",
-                job=job_id,
-                path=path,
-                items=len(items),
-                code=answer.code,
-            )
-            told(answer)
-
-        ask = self._holder.ask(message, int(client_ms * _TRY_SHARE), done)
-
-    def results(self, job_id: str, from_position: int, wait_ms: int, told: Told) -> None:
-        """Answer a page of results, waiting up to `wait_ms` milliseconds for the first.
+    def results(
+        self,
+        job_id: str,
+        from_position: int,
+        wait_ms: int,
+        on_response: Callable[[ServiceResponse[ForwardResultsPage]], None],
+    ) -> None:
+        """Give a page of results, waiting up to `wait_ms` milliseconds for the first.
 
-        The leader holds each ask for a part of that time, so that another leader is found soon.
+        The leader waits with each request for a part of that time, so that another leader is found
+        soon.
         """
         end_ms = self.node.env.now() + wait_ms
 
-        def ask() -> None:
-            held_ms = max(
-                0, min(end_ms - self.node.env.now(), self.node.settings.request_timeout_ms)
-            )
+        def remaining_ms() -> int:
+            return max(0, end_ms - self.node.env.now())
+
+        def request_page() -> None:
             self._holder.ask(
-                m.ListForwardResults(
+                ListForwardResults(
                     job_id=job_id,
                     from_position=from_position,
                     limit_bytes=_PAGE_BYTES,
-                    wait_ms=held_ms,
+                    wait_ms=min(remaining_ms(), self.node.settings.request_timeout_ms),
                 ),
-                max(0, end_ms - self.node.env.now()) + self._patience_ms(),
-                done,
+                remaining_ms() + self._patience_ms(),
+                on_page,
             )
 
-        def done(receipt: Any) -> None:
-            empty = (
-                receipt is not None
-                and receipt.outcome == "known"
-                and not receipt.rows
-                and not receipt.over
-            )
-            if empty and self.node.env.now() < end_ms:
-                ask()
+        def on_page(message: ListForwardResultsResponse | None) -> None:
+            if _more_may_come(message) and self.node.env.now() < end_ms:
+                request_page()
             else:
-                told(forward_results_response(job_id, from_position, receipt))
+                on_response(forward_results_response(job_id, from_position, message))
 
-        ask()
+        request_page()
 
-    def item(self, job_id: str, item_id: str, told: Told) -> None:
-        """Answer the request that one item makes."""
-        self._holder.ask(
-            m.GetItem(job_id=job_id, item_id=item_id),
-            self._patience_ms(),
-            lambda receipt: told(forward_item_response(job_id, receipt)),
-        )
+    def item(
+        self,
+        job_id: str,
+        item_id: str,
+        on_response: Callable[[ServiceResponse[ForwardItem]], None],
+    ) -> None:
+        """Give the request that one item makes of a worker."""
+
+        def on_item(message: GetItemResponse | None) -> None:
+            on_response(forward_item_response(job_id, message))
 
-    def cancel(self, job_id: str, told: Told) -> None:
-        """End a batch, and stop its items that run at this edge."""
+        self._holder.ask(GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item)
 
-        def done(receipt: Any) -> None:
-            if receipt is not None and receipt.outcome == "known":
+    def cancel(
+        self, job_id: str, on_response: Callable[[ServiceResponse[JobResponse]], None]
+    ) -> None:
+        """Cancel a job, and stop its items that run at this edge."""
+
+        def on_leader_response(message: JobResponse | None) -> None:
+            outcome = message.outcome if message is not None else JobOutcome.UNKNOWN
+            if outcome == JobOutcome.KNOWN:
                 self._jobs.stop(job_id, "ended here")
-            self.node.env.log(
-                "lot-ended",
-                job=job_id,
-                outcome=receipt.outcome if receipt is not None else "unknown",
-            )
-            told(forward_cancellation_response(job_id, receipt))
+            self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
+            on_response(forward_cancellation_response(job_id, message))
+
+        self._holder.ask(CancelJob(job_id=job_id), self._patience_ms(), on_leader_response)
+
 
-        self._holder.ask(m.CancelJob(job_id=job_id), self._patience_ms(), done)
+def _more_may_come(message: ListForwardResultsResponse | None) -> bool:
+    """Whether a page is empty though further results may still be listed."""
+    return (
+        message is not None
+        and message.outcome == JobOutcome.KNOWN
+        and not message.rows
+        and not message.over
+    )
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -1,8 +1,9 @@
-"""The clients' side of an edge for forwarded requests, over HTTP.
+"""The HTTP server of an edge for forwarded requests.
 
-A request is read whole, its route is found, and the worker's answer is written as it comes: whole
-events, and never the end of what is not whole. A client that reads slowly holds back the worker
-(backpressure); one that hangs up releases it. How requests are read is given by a `RequestReader`.
+A request is read as a whole, its route is found, and the worker's response is written as it comes:
+complete events, and never the end of what is not complete. A client that reads slowly holds back
+the worker (backpressure); one that disconnects releases it. How requests are read is given by a
+`RequestReader`.
 """
 
 import asyncio
@@ -11,23 +12,23 @@
 from typing import Any, Protocol
 
 from aiohttp import HttpVersion11, web
-from aiohttp.web_protocol import RequestHandler
 from mode import Service
 from request_routing import ForwardCall, InFlightRequest, Step
 from runtime import Refusal, log, refused
 
+from data_plane.forward_connections import DEFAULT_LIMITS, ConnectionServer, listen
+
 __all__ = ["ForwardServer", "RequestReader", "forward_refusal_response"]
 
+# shares of grace_ms and of the idle time that a kept connection is announced with
 _LINGER_SHARE = 0.45
 _ANNOUNCED_SHARE = 0.8
-_LAST_S = 0.05
-_LIMITS = {
-    "header_bytes": 1 << 14,
-    "body_bytes": 1 << 22,
-    "header_wait_ms": 5000,
-    "idle_ms": 30_000,
-}
+_SHUTDOWN_S = 0.05
+_NO_JOBS_RETRY_MS = 1000
+_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
 JobRoutes = Callable[[web.BaseRequest, Any], Awaitable[web.StreamResponse]]
+EventQueue = asyncio.Queue[bytes | Step]
 
 
 class RequestReader(Protocol):
@@ -63,116 +64,74 @@
     )
 
 
-class _Protocol(RequestHandler):
-    __slots__ = ()
-
-    def leave(self) -> None:
-        """Close now if no request has been read, else with the answer.
-
-        A request that was taken off the queue and isn't handled yet shows only in that nothing
-        waits for the next one.
-        """
-        waiting = self._waiter is not None and not self._waiter.done()
-        if self._request_in_progress or self._messages or (self._request_count and not waiting):
-            self.close()
-        elif self.transport is not None:
-            self.transport.close()
-
-
-class _Server(web.Server):
-    """The HTTP server; new connections get the limits that are in force when they come."""
-
-    limits: dict[str, int] = _LIMITS
-
-    def __call__(self) -> RequestHandler:
-        limits = self.limits
-        return _Protocol(
-            self,
-            loop=self._loop,
-            access_log=None,
-            auto_decompress=False,
-            keepalive_timeout=limits["idle_ms"] / 1000,
-            max_line_size=limits["header_bytes"],
-            max_field_size=limits["header_bytes"],
-            lingering_time=0.0,
-        )
-
-    def _make_request(
-        self, message: Any, payload: Any, protocol: Any, writer: Any, task: Any
-    ) -> web.BaseRequest:
-        return web.BaseRequest(
-            message,
-            payload,
-            protocol,
-            writer,
-            task,
-            self._loop,
-            client_max_size=self.limits["body_bytes"],
-        )
-
-
 class ForwardServer(Service):
     """Listens for clients, and answers readiness probes on an address of its own.
 
     `readiness` is that address and the path. `job_routes`, if there is one, is given the requests
-    of batches. `live_now` counts the requests in progress, `counts` the refusals by code.
+    of batch jobs. `live_now` counts the requests in progress, `counts` the refusals by code.
     """
 
     def __init__(
         self, node: Any, address: str, readiness: tuple[str, str], reader: RequestReader
     ) -> None:
         super().__init__()
-        self._node, self._address, self._readiness, self._reader = node, address, readiness, reader
+        self._node = node
+        self._address = address
+        self._readiness_address, self._readiness_path = readiness
+        self._reader = reader
         self.job_routes: JobRoutes | None = None
         self.live_now = 0
         self.counts: dict[str, int] = {}
-        self._stopping_at: float | None = None
+        self._draining_since_s: float | None = None
         self._listeners: list[asyncio.Server] = []
 
     async def on_start(self) -> None:
         """Listen at both addresses; raises OSError if that can't be done."""
         loop = asyncio.get_running_loop()
-        self._server = _Server(self._handle, handler_cancellation=True)
-        ready = web.Server(self._ready, access_log=None)
+        self._server = ConnectionServer(self._handle, handler_cancellation=True)
+        readiness_server = web.Server(self._handle_readiness, access_log=None)
         self._listeners = [
-            await _listen(loop, self._server, self._address),
-            await _listen(loop, ready, self._readiness[0]),
+            await listen(loop, self._server, self._address),
+            await listen(loop, readiness_server, self._readiness_address),
         ]
 
     async def on_stop(self) -> None:
         """Stop listening and close the connections."""
         for listener in self._listeners:
             listener.close()
-        await self._server.shutdown(_LAST_S)
+        await self._server.shutdown(_SHUTDOWN_S)
 
-    # -- the end -------------------------------------------------------------------------------
+    # -- draining ------------------------------------------------------------------------------
+
+    def _linger_ms(self) -> float:
+        """Return for how long a draining edge takes new clients, in milliseconds."""
+        return float(self._node.settings.grace_ms * _LINGER_SHARE)
 
     def start_draining(self) -> None:
         """Begin to drain; connections are closed after a part of the grace time.
 
-        New clients may come until the platform has noticed; each answer closes its connection,
+        New clients may come until the platform has noticed; each response closes its connection,
         which sends the client elsewhere.
         """
         loop = asyncio.get_running_loop()
-        self._stopping_at = loop.time()
-        loop.call_later(self._node.settings.grace_ms * _LINGER_SHARE / 1000, self._close_door)
+        self._draining_since_s = loop.time()
+        loop.call_later(self._linger_ms() / 1000, self._stop_accepting)
 
-    def _close_door(self) -> None:
+    def _stop_accepting(self) -> None:
         self._listeners[0].close()
-        for protocol in self._server.connections:
-            protocol.leave()
+        self._server.close_idle_connections()
 
     def busy(self) -> bool:
         """Whether a client is being served, or may still come."""
-        if self._stopping_at is None:
+        if self._draining_since_s is None:
             return self.live_now > 0
-        waited_ms = (asyncio.get_running_loop().time() - self._stopping_at) * 1000
-        return self.live_now > 0 or waited_ms < self._node.settings.grace_ms * _LINGER_SHARE
+        drained_ms = (asyncio.get_running_loop().time() - self._draining_since_s) * 1000
+        return self.live_now > 0 or drained_ms < self._linger_ms()
 
     # -- requests ------------------------------------------------------------------------------
 
-    async def _ready(self, request: web.BaseRequest) -> web.Response:
-        if request.path != self._readiness[1]:
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
+        if request.path != self._readiness_path:
             return web.Response(status=404)
         reason = self._node.why_unready()
         return web.Response(status=503 if reason else 200, text=reason)
@@ -180,7 +139,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         self.live_now += 1
         try:
-            response = await self._answer(request)
+            response = await self._respond(request)
         except web.HTTPRequestEntityTooLarge:
             response = forward_refusal_response(
                 refused("too-large", "the body is larger than the limit", 413)
@@ -189,39 +148,53 @@
         finally:
             self.live_now -= 1
         if not response.prepared:
-            self._prepare(response)
+            self._set_keep_alive(response)
         return response
 
-    def _prepare(self, response: web.StreamResponse) -> None:
+    def _set_keep_alive(self, response: web.StreamResponse) -> None:
         """Announce how long the connection is kept, with a margin; a draining edge keeps none."""
-        if self._stopping_at is not None:
+        if self._draining_since_s is not None:
             response.force_close()
         else:
             idle_s = int(self._server.limits["idle_ms"] * _ANNOUNCED_SHARE / 1000)
             if idle_s > 0:
                 response.headers["Keep-Alive"] = f"timeout={idle_s}"
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
-        counter = self._node.forward_service
-        if _expects_word(request) and request.transport is not None:
-            request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        profile = counter.route(request.headers.get("Host", ""), request.raw_path)
-        job = self._reader.is_job(request.path) or getattr(profile, "kind", "") == "lot"
-        if job and self.job_routes is not None:
+    async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
+        service = self._node.forward_service
+        if _expects_continue(request) and request.transport is not None:
+            request.transport.write(_CONTINUE)
+        profile = service.route(request.headers.get("Host", ""), request.raw_path)
+        is_job = self._reader.is_job(request.path) or getattr(profile, "kind", "") == "lot"
+        if is_job and self.job_routes is not None:
             return await self.job_routes(request, profile)
         body = await request.read()
         if isinstance(profile, Refusal):
             return self._refuse(profile)
-        self._server.limits = {**_LIMITS, **self._reader.limits(counter.about())}
-        call = (
-            refused("no-lots", "lots are not served here", 503, 1000)
-            if job
-            else self._reader.call(request, profile, body)
-        )
+        self._server.limits = {**DEFAULT_LIMITS, **self._reader.limits(service.about())}
+        if is_job:
+            return self._refuse(
+                refused("no-lots", "lots are not served here", 503, _NO_JOBS_RETRY_MS)
+            )
+        call = self._reader.call(request, profile, body)
         if isinstance(call, Refusal):
             return self._refuse(call)
-        queue: asyncio.Queue[bytes | Step] = asyncio.Queue()
-        carriage = counter.forward(
+        return await self._forward(request, profile, call)
+
+    def _refuse(self, refusal: Refusal) -> web.Response:
+        self._count(refusal.code)
+        return forward_refusal_response(refusal)
+
+    def _count(self, code: str) -> None:
+        self.counts[code] = self.counts.get(code, 0) + 1
+
+    # -- responses of workers ------------------------------------------------------------------
+
+    async def _forward(
+        self, request: web.BaseRequest, profile: Any, call: ForwardCall
+    ) -> web.StreamResponse:
+        queue: EventQueue = asyncio.Queue()
+        carriage = self._node.forward_service.forward(
             profile, call, self._reader.client_ms(request), queue.put_nowait, queue.put_nowait
         )
         try:
@@ -230,39 +203,33 @@
             carriage.gone()
             raise
 
-    def _refuse(self, refusal: Refusal) -> web.Response:
-        self.counts[refusal.code] = self.counts.get(refusal.code, 0) + 1
-        return forward_refusal_response(refusal)
-
     async def _write(
-        self, request: web.BaseRequest, queue: asyncio.Queue, carriage: InFlightRequest
+        self, request: web.BaseRequest, queue: EventQueue, carriage: InFlightRequest
     ) -> web.StreamResponse:
+        """Write the response as it comes, until the request's last step."""
         response: web.StreamResponse | None = None
         last: Step | None = None
         while last is None:
-            pieces, last = _take(await queue.get(), queue)
-            if pieces:
+            chunks, last = _take_queued(await queue.get(), queue)
+            if chunks:
                 if response is None:
-                    response = await self._begin(request, carriage)
-                data = b"".join(pieces)
+                    response = await self._start_response(request, carriage)
+                data = b"".join(chunks)
                 await response.write(data)
                 carriage.taken(len(data))
         if last.name == "finish":
             return await self._finish(request, response, carriage, last)
         if response is None:
             return self._refuse(last.refusal)
-        self.counts["cut"] = self.counts.get("cut", 0) + 1
-        log("answer-cut", "WARNING", code=last.refusal.code, reason=last.refusal.message)
-        if request.transport is not None:
-            request.transport.abort()
+        self._cut(request, last.refusal)
         return response
 
-    async def _begin(
+    async def _start_response(
         self, request: web.BaseRequest, carriage: InFlightRequest
     ) -> web.StreamResponse:
         status, headers, _ = carriage.head
         response = web.StreamResponse(status=status, headers=headers)
-        self._prepare(response)
+        self._set_keep_alive(response)
         await response.prepare(request)
         return response
 
@@ -273,45 +240,46 @@
         carriage: InFlightRequest,
         last: Step,
     ) -> web.StreamResponse:
+        """End a complete response; one that wasn't begun is written as a whole."""
         status, body = last.value
-        if response is None:
-            _, headers, length = carriage.head
-            if request.method == "HEAD":
-                return _head_alone(status, headers, length)
-            return web.Response(status=status, headers=headers, body=body)
-        await response.write_eof()
-        return response
+        if response is not None:
+            await response.write_eof()
+            return response
+        _, headers, length = carriage.head
+        if request.method == "HEAD":
+            return _head_response(status, headers, length)
+        return web.Response(status=status, headers=headers, body=body)
+
+    def _cut(self, request: web.BaseRequest, refusal: Refusal) -> None:
+        """Drop the connection of a response that can't be completed, without ending it."""
+        self._count("cut")
+        log("response-cut", "WARNING", code=refusal.code, reason=refusal.message)
+        if request.transport is not None:
+            request.transport.abort()
 
 
-def _head_alone(
+def _head_response(
     status: int, headers: list[tuple[str, str]], length: int | None
 ) -> web.StreamResponse:
-    """Return the answer to HEAD: its length, in bytes, is that of a body which isn't sent."""
+    """Return the response to HEAD: its length, in bytes, is that of a body which isn't sent."""
     response = web.StreamResponse(status=status, headers=headers)
     response.content_length = length
     return response
 
 
-def _expects_word(request: web.BaseRequest) -> bool:
-    """Whether the client waits before its body; one of HTTP/1.0 knows no interim answers."""
+def _expects_continue(request: web.BaseRequest) -> bool:
+    """Whether the client waits before its body; one of HTTP/1.0 knows no interim responses."""
     expects = request.headers.get("Expect", "").lower() == "100-continue"
     return expects and request.version >= HttpVersion11
 
 
-def _take(first: bytes | Step, queue: asyncio.Queue) -> tuple[list[bytes], Step | None]:
+def _take_queued(first: bytes | Step, queue: EventQueue) -> tuple[list[bytes], Step | None]:
     """Return all that is queued by now, so that it is written at once, and the last step."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     item: bytes | Step = first
     while not isinstance(item, Step):
-        pieces.append(item)
+        chunks.append(item)
         if queue.empty():
-            return pieces, None
+            return chunks, None
         item = queue.get_nowait()
-    return pieces, item
-
-
-async def _listen(loop: asyncio.AbstractEventLoop, factory: Any, address: str) -> asyncio.Server:
-    host, _, port = address.rpartition(":")
-    return await loop.create_server(
-        factory, host.strip("[]"), int(port), backlog=1024, reuse_address=True
-    )
+    return chunks, item
--- a/libs/data_plane/src/data_plane/http_service.py
+++ b/libs/data_plane/src/data_plane/http_service.py
@@ -1,4 +1,4 @@
-"""What the HTTP sides of both programs share.
+"""What the HTTP servers of both programs share.
 
 Every error becomes a body with a verdict. There are the four paths that the platform and operators
 poll (ready, live, status, metrics), and the service that owns the listening socket.
@@ -7,55 +7,75 @@
 import json
 import math
 from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Any, TypeVar
 
 from aiohttp import web
 from mode import Service
+from pydantic import BaseModel
 from runtime import Refusal, doubtful, log, refused
 
 from data_plane.metrics import CONTENT_TYPE, Metrics
 from data_plane.request_bodies import parse
 from data_plane.responses import ServiceResponse
 
-__all__ = ["HttpService", "refusal_response", "json_response", "read_json_body", "http_response"]
+__all__ = [
+    "TRANSACTION_HEADER",
+    "HttpService",
+    "http_response",
+    "json_response",
+    "read_json_body",
+    "refusal_response",
+]
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
+BodyT = TypeVar("BodyT", bound=BaseModel)
+
+TRANSACTION_HEADER = "X-Vaneledge-Transaction"
+_REPLAYED_HEADER = "X-Vaneledge-Replayed"
+_SHUTDOWN_S = 1.0
+_DOUBT_RETRY_MS = 1000
 
 
 def json_response(
-    value: Any, status: int = 200, headers: dict[str, str] | None = None
+    content: Any, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
     """Return a response with a JSON body."""
     return web.Response(
-        text=json.dumps(value), status=status, content_type="application/json", headers=headers
+        text=json.dumps(content), status=status, content_type="application/json", headers=headers
     )
 
 
-def http_response(answer: ServiceResponse, transaction_id: str = "") -> web.Response:
-    """Return the response of an answer, with the transaction's id in a header if it has one."""
-    if answer.refusal is not None:
-        return refusal_response(answer.refusal, transaction_id)
+def http_response(response: ServiceResponse[Any], request_id: str = "") -> web.Response:
+    """Return the HTTP response of a service's, with the request's id in a header if it has one."""
+    if response.refusal is not None:
+        return refusal_response(response.refusal, request_id)
     headers = {
-        "X-Vaneledge-Transaction": transaction_id,
-        "X-Vaneledge-Replayed": "true" if answer.replayed else "false",
+        TRANSACTION_HEADER: request_id,
+        _REPLAYED_HEADER: "true" if response.replayed else "false",
     }
     return web.Response(
-        text=answer.body,
-        status=answer.status,
+        text=response.body,
+        status=response.status,
         content_type="application/json",
-        headers=headers if transaction_id else None,
+        headers=headers if request_id else None,
     )
 
 
-def refusal_response(refusal: Refusal, transaction_id: str = "") -> web.Response:
+def refusal_response(refusal: Refusal, request_id: str = "") -> web.Response:
     """Return the response of a refusal; Retry-After is in whole seconds, rounded up."""
-    headers = {"X-Vaneledge-Transaction": transaction_id} if transaction_id else {}
+    headers = {TRANSACTION_HEADER: request_id} if request_id else {}
     if refusal.retry_after_ms:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_ms / 1000)))
     return json_response(refusal.body(), refusal.status, headers)
 
 
-async def read_json_body(request: web.Request, limit_bytes: int, model: Any) -> Any:
+def _too_large(message: str) -> Refusal:
+    return refused("too-large", message, 413, field="body")
+
+
+async def read_json_body(
+    request: web.Request, limit_bytes: int, model: type[BodyT]
+) -> BodyT | Refusal:
     """Return the body as the model says, or a refusal that names what is wrong."""
     data = await _read_body(request, limit_bytes)
     if isinstance(data, Refusal):
@@ -65,24 +85,22 @@
 
 
 async def _read_body(request: web.Request, limit_bytes: int) -> bytes | Refusal:
+    too_large = f"the body is larger than {limit_bytes} bytes"
     if request.content_length is not None and request.content_length > limit_bytes:
-        return refused(
-            "too-large", f"the body is larger than {limit_bytes} bytes", 413, field="body"
-        )
+        return _too_large(too_large)
     try:
         return await request.read()
     except web.HTTPRequestEntityTooLarge:
-        return refused(
-            "too-large", f"the body is larger than {limit_bytes} bytes", 413, field="body"
-        )
+        return _too_large(too_large)
 
 
 @web.middleware
-async def _verdicts(request: web.Request, handler: Handler) -> web.StreamResponse:
+async def _errors_as_refusals(request: web.Request, handler: Handler) -> web.StreamResponse:
+    """Give every error a body with a verdict; one of the program itself is doubtful."""
     try:
         return await handler(request)
     except web.HTTPRequestEntityTooLarge:
-        return refusal_response(refused("too-large", "the body is too large", 413, field="body"))
+        return refusal_response(_too_large("the body is too large"))
     except web.HTTPException as error:
         code = {404: "unknown-address", 405: "unknown-method"}.get(error.status, "bad-request")
         return refusal_response(
@@ -92,7 +110,9 @@
         raise
     except Exception as error:
         log("handler-failed", "ERROR", reason=repr(error), address=request.path)
-        return refusal_response(doubtful("internal", "the request could not be completed", 1000))
+        return refusal_response(
+            doubtful("internal", "the request could not be completed", _DOUBT_RETRY_MS)
+        )
 
 
 class HttpService(Service):
@@ -116,7 +136,7 @@
         self._why_unready, self._status = why_unready, status
         self.metrics = Metrics(metrics)
         self.app = web.Application(
-            middlewares=[*middlewares, _verdicts], client_max_size=limit_bytes
+            middlewares=[*middlewares, _errors_as_refusals], client_max_size=limit_bytes
         )
         self.app.router.add_get("/ready", self._ready)
         self.app.router.add_get("/live", self._live)
@@ -127,7 +147,7 @@
     async def on_start(self) -> None:
         """Listen at the address; raises OSError if that can't be done."""
         self._runner = web.AppRunner(
-            self.app, access_log=None, shutdown_timeout=1.0, handler_cancellation=True
+            self.app, access_log=None, shutdown_timeout=_SHUTDOWN_S, handler_cancellation=True
         )
         await self._runner.setup()
         host, _, port = self._address.rpartition(":")
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -23,8 +23,10 @@
 
 Load = Callable[[], Result[Settings, list[str]]]
 
+# shares of grace_ms: the most that draining takes, and how often it looks
 _DRAIN_SHARE = 0.8
 _POLL_SHARE = 0.02
+# the share of resume_ms after which the settings file is looked at again
 _WATCH_SHARE = 0.1
 
 
@@ -34,12 +36,12 @@
     def __init__(self, settings: Settings) -> None:
         super().__init__()
         self.settings = settings
-        self.env = self.make_env()
+        self.env = self.make_environment()
         self.disk: FolderDisk | None = None
         self.node: Any = None
         self.runner: NodeRunner | None = None
 
-    def make_env(self) -> ProcessEnvironment:
+    def make_environment(self) -> ProcessEnvironment:
         """Return the node's environment: clock, random numbers and log."""
         return ProcessEnvironment(self.settings.link)
 
@@ -50,11 +52,12 @@
     def open_disk(self) -> FolderDisk:
         """Open the data folder; if a flush fails the process crashes."""
         loop = asyncio.get_running_loop()
+
+        def run_on_loop(callback: Callable[[], None]) -> None:
+            loop.call_soon_threadsafe(callback)
+
         self.disk = FolderDisk(
-            self.settings.data_folder,
-            self.settings.disk_bytes,
-            loop.call_soon_threadsafe,
-            self._disk_broken,
+            self.settings.data_folder, self.settings.disk_bytes, run_on_loop, self._disk_broken
         )
         return self.disk
 
@@ -118,64 +121,91 @@
     return loaded.ok
 
 
-async def _run(
-    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str
-) -> None:
-    loop = asyncio.get_running_loop()
-    stopping = asyncio.Event()
-    process = make(settings)
+class _Supervisor:
+    """Runs a process until a signal or a crash; rereads its settings meanwhile.
+
+    `load` reads the settings; `watched` is a file that may change without a signal, or empty.
+    """
+
+    __slots__ = ("_load", "_process", "_stopping", "_watched")
+
+    def __init__(self, process: NodeProcess, load: Load, watched: str) -> None:
+        self._process = process
+        self._load = load
+        self._watched = watched
+        self._stopping = asyncio.Event()
 
-    def reread() -> None:
-        loaded = load()
+    async def run(self) -> None:
+        """Run the process; raises SystemExit(1) if it has crashed."""
+        loop = asyncio.get_running_loop()
+        loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
+        loop.add_signal_handler(signal.SIGINT, self._stopping.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reread_settings)
+        await self._process.start()
+        settings = self._process.settings
+        log("started", zone=settings.zone, http=settings.http)
+        await self._wait_for_the_end()
+        if self._stopping.is_set():
+            log("draining")
+            await self._process.drain()
+        failure = self._process.crash_reason
+        await self._process.stop()
+        log("stopped")
+        if failure is not None:
+            raise SystemExit(1)
+
+    async def _wait_for_the_end(self) -> None:
+        """Wait for a signal to stop or a crash, and watch the settings meanwhile."""
+        crashed = asyncio.ensure_future(self._process.wait_until_stopped())
+        stopped = asyncio.ensure_future(self._stopping.wait())
+        watching = asyncio.ensure_future(self._watch_settings()) if self._watched else None
+        await asyncio.wait([crashed, stopped], return_when=asyncio.FIRST_COMPLETED)
+        if watching is not None:
+            watching.cancel()
+
+    def _reread_settings(self) -> None:
+        """Read the settings again, apply those that may change, and log those that may not."""
+        loaded = self._load()
         if loaded.is_error():
             log("settings-refused", "ERROR", problems=loaded.error)
             return
-        settings, applied, held = changed_settings(process.settings, loaded.ok)
-        process.apply(settings)
+        settings, applied, need_restart = changed_settings(self._process.settings, loaded.ok)
+        self._process.apply(settings)
         set_up_logs(settings.log_level, role=settings.role, node=settings.link)
-        log("settings-reread", applied=applied, need_restart=held)
+        log("settings-reread", applied=applied, need_restart=need_restart)
 
-    async def watch() -> None:
-        """The file may change without a signal; it is read again when its time or size has."""
-        seen = _stamp(watched)
+    async def _watch_settings(self) -> None:
+        """Reread the settings whenever the file's time or size has changed."""
+        interval_s = _WATCH_SHARE * self._process.settings.resume_ms / 1000
+        seen = _file_stamp(self._watched)
         while True:
-            await asyncio.sleep(_WATCH_SHARE * settings.resume_ms / 1000)
-            stamp = _stamp(watched)
+            await asyncio.sleep(interval_s)
+            stamp = _file_stamp(self._watched)
             if stamp not in (seen, None):
                 seen = stamp
-                reread()
-
-    loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    loop.add_signal_handler(signal.SIGINT, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, reread)
-    await process.start()
-    log("started", zone=settings.zone, http=settings.http)
-    crashed = asyncio.ensure_future(process.wait_until_stopped())
-    stopped = asyncio.ensure_future(stopping.wait())
-    watching = asyncio.ensure_future(watch()) if watched else None
-    await asyncio.wait([crashed, stopped], return_when=asyncio.FIRST_COMPLETED)
-    if watching is not None:
-        watching.cancel()
-    if stopping.is_set():
-        log("draining")
-        await process.drain()
-    failure = process.crash_reason
-    await process.stop()
-    log("stopped")
-    if failure is not None:
-        raise SystemExit(1)
-
-
-def _stamp(path: str) -> tuple[int, int] | None:
+                self._reread_settings()
+
+
+def _file_stamp(path: str) -> tuple[int, int] | None:
+    """Return a file's time of change in nanoseconds and its size, or None if there is none."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size
+    return status.st_mtime_ns, status.st_size
+
+
+async def _supervise(
+    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str
+) -> None:
+    await _Supervisor(make(settings), load, watched).run()
 
 
 def run_process(
-    make: Callable[[Settings], NodeProcess], settings: Settings, path: str | None, flags: dict
+    make: Callable[[Settings], NodeProcess],
+    settings: Settings,
+    path: str | None,
+    flags: dict[str, Any],
 ) -> None:
     """Run a process until SIGTERM, with settings from a TOML file and flags."""
     run_loaded(make, settings, lambda: load_settings(path, flags))
@@ -190,7 +220,7 @@
     """
     set_up_logs(settings.log_level, role=settings.role, node=settings.link)
     try:
-        asyncio.run(_run(make, settings, load, watched))
+        asyncio.run(_supervise(make, settings, load, watched))
     except OSError as error:
         log("cannot-start", "ERROR", reason=str(error))
         raise SystemExit(1) from error
--- a/libs/data_plane/src/data_plane/recorder.py
+++ b/libs/data_plane/src/data_plane/recorder.py
@@ -1,7 +1,7 @@
-"""Records an edge's day: one JSON line for each call of a client and what came of it.
+"""Records an edge's day: one JSON line for each call of a client and its outcome.
 
-Bodies are recorded whole, or by size and a digest of their start. A file has a first line that says
-what it is, a checksum in each line, and a last line that counts them, so that a truncated or
+Bodies are recorded as a whole, or by size and a digest of their start. A file has a first line that
+says what it is, a checksum in each line, and a last line that counts them, so that a truncated or
 altered one is detected. Serving goes on when nothing can be written: that is logged once, and
 recording stops.
 """
@@ -9,15 +9,39 @@
 import hashlib
 import json
 import zlib
+from collections.abc import Awaitable, Callable
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, TextIO
 
 from aiohttp import web
 from runtime import boot_ms, log, wall_ms
 
-__all__ = ["FORMAT", "Recorder", "sealed"]
+__all__ = ["FORMAT", "CallKind", "LineKind", "Recorder", "sealed"]
 
 FORMAT = "vaneledge-recording-1"
+_DIGESTED_CHARS = 256
+_DIGEST_BYTES = 6
+
+
+class CallKind(StrEnum):
+    """The kinds of recorded calls; the values are those of the file."""
+
+    LIVE = "live"
+    SUBMIT = "hand-in"
+    READ = "read"
+    CANCEL = "end"
+
+
+class LineKind(StrEnum):
+    """The kinds of a recording's first and last line; the values are those of the file."""
+
+    FIRST = "begin"
+    LAST = "finis"
+
+
+_JOB_CALL_KINDS = {"PUT": CallKind.SUBMIT, "DELETE": CallKind.CANCEL}
+Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def sealed(row: dict[str, Any]) -> str:
@@ -26,43 +50,56 @@
     return json.dumps({**row, "sum": zlib.crc32(text.encode())}, sort_keys=True)
 
 
-def _kind(request: web.Request) -> str:
+def _call_kind(request: web.Request) -> str:
+    """Return the kind under which a call is recorded, or an empty string if it isn't."""
     if request.path.startswith("/v1/"):
-        return "live"
-    return (
-        {"PUT": "hand-in", "DELETE": "end"}.get(request.method, "read")
-        if request.path.startswith("/lots/")
-        else ""
-    )
+        return CallKind.LIVE
+    if request.path.startswith("/lots/"):
+        return _JOB_CALL_KINDS.get(request.method, CallKind.READ)
+    return ""
 
 
 def _redacted(text: str) -> dict[str, Any]:
+    start = text[:_DIGESTED_CHARS].encode()
     return {
         "chars": len(text),
-        "start": hashlib.blake2b(text[:256].encode(), digest_size=6).hexdigest(),
+        "start": hashlib.blake2b(start, digest_size=_DIGEST_BYTES).hexdigest(),
     }
 
 
 class Recorder:
     """Writes recordings into `folder`, a new file after each `rows` calls.
 
-    `bodies` says that prompts are recorded whole.
+    `bodies` says that prompts are recorded as a whole.
     """
 
-    __slots__ = ("_bodies", "_count", "_edge", "_folder", "_number", "_page", "_rows", "_stopped")
+    __slots__ = (
+        "_bodies",
+        "_edge",
+        "_file",
+        "_file_count",
+        "_folder",
+        "_row_count",
+        "_rows_per_file",
+        "_stopped",
+    )
 
     def __init__(self, folder: str, edge: str, rows: int, bodies: bool) -> None:
         self._folder = Path(folder)
-        self._edge, self._rows, self._bodies = edge, rows, bodies
-        self._page: Any = None
-        self._count = 0
-        self._number = 0
+        self._edge = edge
+        self._rows_per_file = rows
+        self._bodies = bodies
+        self._file: TextIO | None = None
+        self._row_count = 0
+        self._file_count = 0
         self._stopped = False
 
+    # -- calls ---------------------------------------------------------------------------------
+
     @web.middleware
-    async def middleware(self, request: web.Request, handler: Any) -> web.StreamResponse:
-        """Serve the request, and record it with its answer."""
-        kind = _kind(request)
+    async def middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        """Serve the request, and record it with its response."""
+        kind = _call_kind(request)
         if not kind:
             return await handler(request)
         began_ms, at_ms = boot_ms(), wall_ms()
@@ -70,107 +107,108 @@
             data = await request.read()
         except web.HTTPException:
             data = b""
-        answer = await handler(request)
-        self._note(
+        response = await handler(request)
+        self._record(
             {
                 "kind": kind,
                 "at_ms": at_ms,
                 "took_ms": boot_ms() - began_ms,
-                **self._asked(request, kind, data),
-                **self._came_of(request, answer),
+                **self._request_fields(request, kind, data),
+                **_response_fields(request, response),
             }
         )
-        return answer
+        return response
 
-    def _asked(self, request: web.Request, kind: str, data: bytes) -> dict[str, Any]:
+    def _request_fields(self, request: web.Request, kind: str, data: bytes) -> dict[str, Any]:
+        body = _json_object(data)
         row: dict[str, Any] = {
             "lot": request.match_info.get("lot_id", ""),
             "address": request.path,
             "key": request.headers.get("Idempotency-Key", ""),
             "from": request.query.get("from", ""),
+            "path": str(body.get("model") or body.get("path") or ""),
         }
-        try:
-            body = json.loads(data) if data else {}
-        except ValueError:
-            body = {}
-        if not isinstance(body, dict):
-            body = {}
-        row["path"] = str(body.get("model") or body.get("path") or "")
-        if kind == "live":
+        if kind == CallKind.LIVE:
             row["stream"] = body.get("stream") is True
-        items = (
-            body.get("items")
-            if isinstance(body.get("items"), list)
-            else [body]
-            if kind == "live"
-            else []
-        )
-        row["prompts"] = [self._prompt(item) for item in items]
+        items = body.get("items")
+        if not isinstance(items, list):
+            items = [body] if kind == CallKind.LIVE else []
+        row["prompts"] = [self._prompt_fields(item) for item in items]
         return row
 
-    def _prompt(self, item: Any) -> Any:
+    def _prompt_fields(self, item: Any) -> dict[str, Any]:
         item = item if isinstance(item, dict) else {}
         text = (
             item["prompt"]
             if isinstance(item.get("prompt"), str)
             else json.dumps(item.get("messages", ""))
         )
-        shown: dict[str, Any] = {"text": text} if self._bodies else _redacted(text)
+        row: dict[str, Any] = {"text": text} if self._bodies else _redacted(text)
         if isinstance(item.get("max_tokens"), int):
-            shown["max_tokens"] = item["max_tokens"]
-        return shown
-
-    def _came_of(self, request: web.Request, answer: web.StreamResponse) -> dict[str, Any]:
-        verdict, code = (
-            request.get("verdict", "ran" if answer.status < 400 else ""),
-            request.get("code", ""),
-        )
-        if answer.status >= 400 and isinstance(answer, web.Response):
-            try:
-                error = json.loads(answer.text or "")["error"]
-                verdict, code = error.get("verdict", ""), error.get("code", "")
-            except (ValueError, KeyError, TypeError, AttributeError):
-                pass
-        return {
-            "status": answer.status,
-            "verdict": verdict,
-            "code": code,
-            "bytes": answer.body_length,
-        }
+            row["max_tokens"] = item["max_tokens"]
+        return row
 
     # -- the file ------------------------------------------------------------------------------
 
-    def _note(self, row: dict[str, Any]) -> None:
+    def _record(self, row: dict[str, Any]) -> None:
         if self._stopped:
             return
         try:
-            if self._page is None:
-                self._begin()
-            self._page.write(sealed(row) + "\n")
-            self._count += 1
-            if self._count >= self._rows:
+            file = self._open_file() if self._file is None else self._file
+            file.write(sealed(row) + "\n")
+            self._row_count += 1
+            if self._row_count >= self._rows_per_file:
                 self.close()
         except OSError as error:
             log("recording-stopped", "ERROR", reason=str(error))
-            self._page = None
+            self._file = None
             self._stopped = True
 
-    def _begin(self) -> None:
+    def _open_file(self) -> TextIO:
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._number += 1
-        path = self._folder / f"{self._edge}-{wall_ms()}-{self._number:04d}.jsonl"
-        self._page = open(path, "w", buffering=1)
-        self._count = 0
-        self._page.write(
-            sealed({"kind": "begin", "format": FORMAT, "edge": self._edge, "at_ms": wall_ms()})
-            + "\n"
-        )
+        self._file_count += 1
+        path = self._folder / f"{self._edge}-{wall_ms()}-{self._file_count:04d}.jsonl"
+        self._file = open(path, "w", buffering=1)
+        self._row_count = 0
+        first = {
+            "kind": LineKind.FIRST,
+            "format": FORMAT,
+            "edge": self._edge,
+            "at_ms": wall_ms(),
+        }
+        self._file.write(sealed(first) + "\n")
+        return self._file
 
     def close(self) -> None:
         """End the present file."""
-        if self._page is not None:
-            self._page.write(
-                sealed({"kind": "finis", "rows": self._count, "at_ms": wall_ms()}) + "\n"
-            )
-            self._page.close()
-            self._page = None
+        if self._file is not None:
+            last = {"kind": LineKind.LAST, "rows": self._row_count, "at_ms": wall_ms()}
+            self._file.write(sealed(last) + "\n")
+            self._file.close()
+            self._file = None
+
+
+def _json_object(data: bytes) -> dict[str, Any]:
+    """Return the JSON object of a body, or an empty one if it has none."""
+    try:
+        body = json.loads(data) if data else {}
+    except ValueError:
+        return {}
+    return body if isinstance(body, dict) else {}
+
+
+def _response_fields(request: web.Request, response: web.StreamResponse) -> dict[str, Any]:
+    verdict = request.get("verdict", "ran" if response.status < 400 else "")
+    code = request.get("code", "")
+    if response.status >= 400 and isinstance(response, web.Response):
+        try:
+            error = json.loads(response.text or "")["error"]
+            verdict, code = error.get("verdict", ""), error.get("code", "")
+        except (ValueError, KeyError, TypeError, AttributeError):
+            pass
+    return {
+        "status": response.status,
+        "verdict": verdict,
+        "code": code,
+        "bytes": response.body_length,
+    }
--- a/libs/data_plane/src/data_plane/replay.py
+++ b/libs/data_plane/src/data_plane/replay.py
@@ -1,182 +1,183 @@
 """Plays recorded days against a fleet at a chosen pace, and compares the outcomes.
 
-Keys and batch ids get the run's seed, so that they are new; a redacted prompt becomes a text of the
-same length that starts alike for alike starts. A recording that is not whole is refused, with the
-line and what is wrong with it, before anything is sent.
+Keys and job ids get the run's seed, so that they are new; a redacted prompt becomes a text of the
+same length that starts alike for alike starts.
 """
 
 import asyncio
 import json
 import random
-import zlib
 from collections import Counter, defaultdict
 from collections.abc import Iterable
-from pathlib import Path
 from typing import Any
 
 import aiohttp
 
-from data_plane.recorder import FORMAT
-
-__all__ = ["compare", "load_recording", "play"]
-
-_NEEDED = {
-    "live": ("path", "stream", "prompts", "status"),
-    "hand-in": ("path", "lot", "prompts", "status"),
-    "read": ("lot", "status"),
-    "end": ("lot", "status"),
-}
-
-
-def _problem(row: Any, place: int) -> str:
-    if not isinstance(row, dict) or "sum" not in row:
-        return "not a row of a recording"
-    rest = {key: value for key, value in row.items() if key != "sum"}
-    if zlib.crc32(json.dumps(rest, sort_keys=True).encode()) != row["sum"]:
-        return "the checksum is wrong"
-    if (place == 1) != (row.get("kind") == "begin"):
-        return "a recording begins with its first line, once"
-    if place == 1 and row.get("format") != FORMAT:
-        return f"not of format {FORMAT}"
-    missing = [name for name in _NEEDED.get(row.get("kind"), ()) if name not in row]
-    if missing:
-        return f"lacks {', '.join(missing)}"
-    return "" if row["kind"] in (*_NEEDED, "begin", "finis") else f"unknown kind {row['kind']!r}"
-
-
-def load_recording(path: Path) -> tuple[list[dict[str, Any]], list[str]]:
-    """Return the calls of one file, and every problem as FILE:LINE: what."""
-    rows: list[dict[str, Any]] = []
-    problems: list[str] = []
-    ended = False
-    try:
-        lines = path.read_text(errors="replace").splitlines()
-    except OSError as error:
-        return [], [f"{path}: {error}"]
-    for place, line in enumerate(lines, 1):
-        try:
-            row = json.loads(line)
-        except ValueError:
-            problems.append(f"{path}:{place}: not JSON")
-            continue
-        if ended:
-            problems.append(f"{path}:{place}: after the end")
-        elif problem := _problem(row, place):
-            problems.append(f"{path}:{place}: {problem}")
-        elif row["kind"] == "finis":
-            ended = True
-            if row["rows"] != len(rows):
-                problems.append(
-                    f"{path}:{place}: counts {row['rows']} calls, {len(rows)} are there"
-                )
-        elif row["kind"] != "begin":
-            rows.append(row)
-    if not ended and not problems:
-        problems.append(f"{path}:{len(lines) + 1}: cut off, the last line is missing")
-    return rows, problems
-
-
-def _text(prompt: dict[str, Any]) -> str:
+from data_plane.recorder import CallKind
+
+__all__ = ["CallOutcome", "PlayedCall", "compare", "play"]
+
+_CALL_TIMEOUT_S = 60
+_PROMPT_START_CHARS = 256
+_CUT = "cut"
+_NO_ANSWER = "no-answer"
+
+
+class CallOutcome:
+    """The outcome of a call: HTTP status, verdict, code, and the milliseconds that it took."""
+
+    __slots__ = ("code", "status", "took_ms", "verdict")
+
+    def __init__(self, status: int, verdict: str, code: str, took_ms: int = 0) -> None:
+        self.status = status
+        self.verdict = verdict
+        self.code = code
+        self.took_ms = took_ms
+
+    def label(self) -> str:
+        """Return the status and the code as text, by which outcomes are compared."""
+        return f"{self.status} {self.code}".strip()
+
+
+class PlayedCall:
+    """A recorded call with its outcome then and now."""
+
+    __slots__ = ("before", "kind", "now", "path")
+
+    def __init__(self, row: dict[str, Any], now: CallOutcome) -> None:
+        self.kind: str = row["kind"]
+        self.path: str = row.get("path", "")
+        self.before = CallOutcome(
+            row["status"], row.get("verdict", ""), row["code"], row["took_ms"]
+        )
+        self.now = now
+
+
+class _Request:
+    """A call to be made: method, address on the server, JSON body and headers."""
+
+    __slots__ = ("address", "body", "headers", "method")
+
+    def __init__(
+        self,
+        method: str,
+        address: str,
+        body: Any = None,
+        headers: dict[str, str] | None = None,
+    ) -> None:
+        self.method = method
+        self.address = address
+        self.body = body
+        self.headers = headers
+
+
+def _prompt_text(prompt: dict[str, Any]) -> str:
+    """Return a recorded prompt, or a text of its length made from the digest of its start."""
     if "text" in prompt:
-        return prompt["text"]
+        return str(prompt["text"])
     unit = prompt["start"] + " "
-    head = (unit * (256 // len(unit) + 1))[:256]
-    return (head + " " + "filler " * (prompt["chars"] // 7 + 1))[: max(1, prompt["chars"])]
+    head = (unit * (_PROMPT_START_CHARS // len(unit) + 1))[:_PROMPT_START_CHARS]
+    filler = "filler " * (prompt["chars"] // 7 + 1)
+    return str((head + " " + filler)[: max(1, prompt["chars"])])
+
+
+def _prompt_body(prompt: dict[str, Any]) -> dict[str, Any]:
+    body: dict[str, Any] = {"prompt": _prompt_text(prompt)}
+    if "max_tokens" in prompt:
+        body["max_tokens"] = prompt["max_tokens"]
+    return body
 
 
 class _Player:
+    """Makes recorded calls again, each at a server drawn by the run's seed."""
+
+    __slots__ = ("_rng", "_seed", "_servers", "_session")
+
     def __init__(self, servers: list[str], seed: int, session: aiohttp.ClientSession) -> None:
-        self._servers, self._seed, self._session = servers, seed, session
+        self._servers = servers
+        self._seed = seed
+        self._session = session
         self._rng = random.Random(seed)
 
-    def _fresh(self, name: str) -> str:
+    def _renamed(self, name: str) -> str:
+        """Return a recorded key or id as it is in this run."""
         return f"{name}.r{self._seed}"
 
-    async def call(self, row: dict[str, Any]) -> dict[str, Any]:
-        """Make one recorded call again; return status, verdict, code and milliseconds taken."""
-        method, address, body, headers = self._request(row)
+    async def call(self, row: dict[str, Any]) -> CallOutcome:
+        """Make one recorded call again."""
+        request = self._request(row)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        seen: dict[str, Any] = {"status": 0, "verdict": "", "code": "no-answer"}
+        outcome = await self._outcome(request)
+        outcome.took_ms = round((loop.time() - began) * 1000)
+        return outcome
+
+    async def _outcome(self, request: _Request) -> CallOutcome:
+        outcome = CallOutcome(0, "", _NO_ANSWER)
         try:
             async with self._session.request(
-                method,
-                f"http://{self._rng.choice(self._servers)}{address}",
-                json=body,
-                headers=headers,
-            ) as answer:
-                text = await answer.text()
-                seen = {
-                    "status": answer.status,
-                    "verdict": "ran" if answer.status < 400 else "",
-                    "code": "",
-                }
-                if answer.status >= 400:
-                    error = json.loads(text)["error"]
-                    seen.update(verdict=error["verdict"], code=error["code"])
+                request.method,
+                f"http://{self._rng.choice(self._servers)}{request.address}",
+                json=request.body,
+                headers=request.headers,
+            ) as response:
+                text = await response.text()
+                if response.status < 400:
+                    return CallOutcome(response.status, "ran", "")
+                outcome = CallOutcome(response.status, "", "")
+                error = json.loads(text)["error"]
+                return CallOutcome(response.status, error["verdict"], error["code"])
         except (aiohttp.ClientPayloadError, aiohttp.ServerDisconnectedError):
-            seen = {"status": 200, "verdict": "may_have_run", "code": "cut"}
+            return CallOutcome(200, "may_have_run", _CUT)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError):
-            pass
-        return {**seen, "took_ms": round((loop.time() - began) * 1000)}
-
-    def _request(self, row: dict[str, Any]) -> tuple[str, str, Any, dict[str, str] | None]:
-        if row["kind"] == "live":
-            prompt = row["prompts"][0] if row["prompts"] else {"text": ""}
-            body: dict[str, Any] = {
-                "model": row["path"],
-                "prompt": _text(prompt),
-                "stream": row["stream"],
-            }
-            if "max_tokens" in prompt:
-                body["max_tokens"] = prompt["max_tokens"]
-            return (
-                "POST",
-                "/v1/completions",
-                body,
-                {"Idempotency-Key": self._fresh(row["key"])} if row.get("key") else None,
-            )
-        job = f"/lots/{self._fresh(row['lot'])}"
-        if row["kind"] == "hand-in":
-            items = [
-                {
-                    "prompt": _text(prompt),
-                    **({"max_tokens": prompt["max_tokens"]} if "max_tokens" in prompt else {}),
-                }
-                for prompt in row["prompts"]
-            ]
-            return "PUT", job, {"path": row["path"], "items": items}, None
-        if row["kind"] == "end":
-            return "DELETE", job, None, None
-        reads = row.get("address", "").endswith("/results")
-        return "GET", f"{job}/results?from={row.get('from') or 0}" if reads else job, None, None
+            return outcome
+
+    def _request(self, row: dict[str, Any]) -> _Request:
+        if row["kind"] == CallKind.LIVE:
+            return self._completion(row)
+        address = f"/lots/{self._renamed(row['lot'])}"
+        if row["kind"] == CallKind.SUBMIT:
+            items = [_prompt_body(prompt) for prompt in row["prompts"]]
+            return _Request("PUT", address, {"path": row["path"], "items": items})
+        if row["kind"] == CallKind.CANCEL:
+            return _Request("DELETE", address)
+        if row.get("address", "").endswith("/results"):
+            return _Request("GET", f"{address}/results?from={row.get('from') or 0}")
+        return _Request("GET", address)
+
+    def _completion(self, row: dict[str, Any]) -> _Request:
+        prompt = row["prompts"][0] if row["prompts"] else {"text": ""}
+        body = {"model": row["path"], "stream": row["stream"], **_prompt_body(prompt)}
+        key = row.get("key")
+        headers = {"Idempotency-Key": self._renamed(key)} if key else None
+        return _Request("POST", "/v1/completions", body, headers)
 
 
 async def play(
     rows: list[dict[str, Any]], servers: list[str], pace: float, seed: int
-) -> list[dict[str, Any]]:
-    """Return each row with what came of it now.
+) -> list[PlayedCall]:
+    """Return each recorded call with its outcome now.
 
     Calls begin as far apart as they did then, divided by the pace.
     """
     rows = sorted(rows, key=lambda row: row["at_ms"])
     loop = asyncio.get_running_loop()
     began = loop.time()
-    timeout = aiohttp.ClientTimeout(total=60)
     async with aiohttp.ClientSession(
-        timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
+        timeout=aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S),
+        connector=aiohttp.TCPConnector(limit=0),
     ) as session:
         player = _Player(servers, seed, session)
 
-        async def one(row: dict[str, Any]) -> dict[str, Any]:
+        async def play_one(row: dict[str, Any]) -> PlayedCall:
             due_s = (row["at_ms"] - rows[0]["at_ms"]) / 1000 / pace
             await asyncio.sleep(max(0.0, began + due_s - loop.time()))
-            return {"row": row, "now": await player.call(row)}
+            return PlayedCall(row, await player.call(row))
 
-        return list(await asyncio.gather(*[one(row) for row in rows]))
+        return list(await asyncio.gather(*[play_one(row) for row in rows]))
 
 
-def _middle(values: list[float]) -> str:
+def _percentiles(values: list[int]) -> str:
     rows = sorted(values)
     return (
         f"50% {rows[len(rows) // 2]:.0f} ms, "
@@ -184,29 +185,31 @@
     )
 
 
-def compare(played: Iterable[dict[str, Any]]) -> tuple[str, int]:
-    """Return a report by kind and route, and how many calls had another outcome than then."""
-    groups: dict[tuple[str, str], list[dict[str, Any]]] = defaultdict(list)
-    for pair in played:
-        groups[(pair["row"]["kind"], pair["row"].get("path", ""))].append(pair)
-    lines, differing = [], 0
-    for (kind, path), pairs in sorted(groups.items()):
-        then = [pair["row"]["took_ms"] for pair in pairs]
-        now = [pair["now"]["took_ms"] for pair in pairs]
-        changed = Counter(
-            (
-                f"{pair['row']['status']} {pair['row']['code']}".strip(),
-                f"{pair['now']['status']} {pair['now']['code']}".strip(),
-            )
-            for pair in pairs
-            if (pair["row"]["status"], pair["row"]["code"])
-            != (pair["now"]["status"], pair["now"]["code"])
-        )
+def compare(played: Iterable[PlayedCall]) -> tuple[str, int]:
+    """Return a report by kind and path, and how many calls had another outcome than then."""
+    groups: dict[tuple[str, str], list[PlayedCall]] = defaultdict(list)
+    for call in played:
+        groups[(call.kind, call.path)].append(call)
+    lines: list[str] = []
+    differing = 0
+    for (kind, path), calls in sorted(groups.items()):
+        before = _percentiles([call.before.took_ms for call in calls])
+        now = _percentiles([call.now.took_ms for call in calls])
+        lines.append(f"{kind} {path}: {len(calls)} calls; then {before}; now {now}")
+        changed = _changed_outcomes(calls)
         differing += sum(changed.values())
-        lines.append(f"{kind} {path}: {len(pairs)} calls; then {_middle(then)}; now {_middle(now)}")
         lines += [
-            f"    {count} were {before}, now {after}"
-            for (before, after), count in sorted(changed.items())
+            f"    {count} were {before_label}, now {now_label}"
+            for (before_label, now_label), count in sorted(changed.items())
         ]
     lines.append(f"{differing} calls came to something else")
     return "\n".join(lines), differing
+
+
+def _changed_outcomes(calls: list[PlayedCall]) -> Counter[tuple[str, str]]:
+    """Count the calls whose status or code has changed, by their outcomes then and now."""
+    return Counter(
+        (call.before.label(), call.now.label())
+        for call in calls
+        if (call.before.status, call.before.code) != (call.now.status, call.now.code)
+    )
--- a/libs/data_plane/src/data_plane/request_bodies.py
+++ b/libs/data_plane/src/data_plane/request_bodies.py
@@ -21,14 +21,16 @@
 
 JOB_ID_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
 Name = Annotated[str, Field(min_length=1, max_length=128)]
-Model = TypeVar("Model", bound=BaseModel)
+BodyT = TypeVar("BodyT", bound=BaseModel)
 
+_MAX_PROBLEMS = 20
 
-class _Strict(BaseModel):
+
+class _StrictBody(BaseModel):
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
 
 
-class ChatMessage(_Strict):
+class ChatMessage(_StrictBody):
     """One message of a chat completion."""
 
     role: Literal["system", "user", "assistant", "developer", "tool"]
@@ -36,8 +38,8 @@
     name: str | None = None
 
 
-class Prompted(_Strict):
-    """The part of OpenAI's completion calls that workers are given."""
+class PromptBody(_StrictBody):
+    """The part of OpenAI's completion calls that is forwarded to workers."""
 
     prompt: str | None = None
     messages: list[ChatMessage] | None = Field(None, min_length=1)
@@ -53,15 +55,15 @@
     user: str | None = Field(None, max_length=256)
 
 
-class CompletionBody(Prompted):
+class CompletionBody(PromptBody):
     """A live completion; `model` names the profile."""
 
     model: Name
     stream: bool = False
 
 
-class JobItemBody(Prompted):
-    """One item of a batch: either a prompt or messages."""
+class JobItemBody(PromptBody):
+    """One item of a job: either a prompt or messages."""
 
     @model_validator(mode="after")
     def _one_kind(self) -> "JobItemBody":
@@ -70,15 +72,15 @@
         return self
 
 
-class SubmitJobBody(_Strict):
-    """A batch as it is handed in; `due_ms` is the time it is given, in milliseconds from now."""
+class SubmitJobBody(_StrictBody):
+    """A job as it is submitted; `due_ms` is the time it is given, in milliseconds from now."""
 
     path: Name
     items: list[JobItemBody] = Field(min_length=1, max_length=10_000)
     due_ms: int = Field(10_000, ge=100, le=7 * 86_400_000)
 
 
-class HeartbeatBody(_Strict):
+class HeartbeatBody(_StrictBody):
     """A worker's heartbeat; `cache_use` is a share from 0 to 1."""
 
     identity: Name
@@ -93,14 +95,14 @@
     cache_use: float = Field(0.0, ge=0.0, le=1.0)
 
 
-class LeaveBody(_Strict):
-    """A worker's word that it leaves; final for its incarnation."""
+class LeaveBody(_StrictBody):
+    """A worker's notice that it leaves; final for its incarnation."""
 
     identity: Name
     incarnation: int = Field(ge=0)
 
 
-def parse(model: type[Model], data: bytes) -> Result[Model, Refusal]:
+def parse(model: type[BodyT], data: bytes) -> Result[BodyT, Refusal]:
     """Return the body as the model says, or a refusal that names the fields that are wrong."""
     try:
         value: Any = json.loads(data)
@@ -111,7 +113,7 @@
     except ValidationError as error:
         problems = [
             {"field": ".".join(str(part) for part in row["loc"]) or "body", "message": row["msg"]}
-            for row in error.errors()[:20]
+            for row in error.errors()[:_MAX_PROBLEMS]
         ]
         first = problems[0]
         return Error(
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -112,14 +112,16 @@
 
     def retired_stores(self) -> list[str]:
         """Return the identities of the stores that control has retired."""
-        return (self.config_feed.value(RETIRED_KEY) or {}).get("identities", [])
+        value = self.config_feed.value(RETIRED_KEY) or {}
+        identities: list[str] = value.get("identities", [])
+        return identities
 
     def settled_in(self) -> bool:
         """Whether it is up long enough to know who lives, and in touch with a control majority."""
-        now_ms = self.env.now()
+        now_ms, timeout_ms = self.env.now(), int(self.settings.failure_timeout_ms)
         return (
-            now_ms - self._started_ms > self.settings.failure_timeout_ms
-            and now_ms - self.config_feed.quorate_ms < self.settings.failure_timeout_ms
+            now_ms - self._started_ms > timeout_ms
+            and now_ms - self.config_feed.quorate_ms < timeout_ms
         )
 
     def learned(self, number: int, body: str) -> None:
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -13,21 +13,21 @@
 
 
 class WorkerApi:
-    """The HTTP routes of workers."""
+    """Adds the routes of workers to `server`; `node` is the edge that has the registry."""
 
     __slots__ = ("_node",)
 
-    def __init__(self, node: Any, desk: HttpService) -> None:
+    def __init__(self, node: Any, server: HttpService) -> None:
         self._node = node
-        desk.app.router.add_post("/workers/beat", self._beat)
-        desk.app.router.add_post("/workers/leave", self._leave)
+        server.app.router.add_post("/workers/beat", self._heartbeat)
+        server.app.router.add_post("/workers/leave", self._leave)
 
-    async def _beat(self, request: web.Request) -> web.Response:
-        beat = await read_json_body(request, self._node.settings.max_body_bytes, HeartbeatBody)
-        if isinstance(beat, Refusal):
-            return refusal_response(beat)
-        taken = self._node.roster.hear(WorkerUpdate(**beat.model_dump(), leaving=False))
-        if not taken:
+    async def _heartbeat(self, request: web.Request) -> web.Response:
+        body = await read_json_body(request, self._node.settings.max_body_bytes, HeartbeatBody)
+        if isinstance(body, Refusal):
+            return refusal_response(body)
+        accepted = self._node.roster.hear(WorkerUpdate(**body.model_dump(), leaving=False))
+        if not accepted:
             return refusal_response(
                 refused(
                     "outdated",
@@ -36,39 +36,41 @@
                     field="incarnation",
                 )
             )
-        labels = frozenset(beat.labels)
+        labels = frozenset(body.labels)
         return json_response(
             {
-                "enrolled": self._node.profile_tree().allows_worker(beat.identity, labels),
-                "heartbeat_ms": self._node.settings.heartbeat_ms,
+                "enrolled": self._node.profile_tree().allows_worker(body.identity, labels),
+                "beat_ms": self._node.settings.heartbeat_ms,
             }
         )
 
     async def _leave(self, request: web.Request) -> web.Response:
-        leave = await read_json_body(request, self._node.settings.max_body_bytes, LeaveBody)
-        if isinstance(leave, Refusal):
-            return refusal_response(leave)
+        body = await read_json_body(request, self._node.settings.max_body_bytes, LeaveBody)
+        if isinstance(body, Refusal):
+            return refusal_response(body)
+        self._node.roster.hear(self._leave_update(body))
+        return json_response({"left": True})
+
+    def _leave_update(self, body: LeaveBody) -> WorkerUpdate:
+        """Return the update that marks an incarnation as leaving, with what is known of it."""
         known = next(
             (
                 worker
                 for worker in self._node.roster.all()
-                if worker.identity == leave.identity and worker.incarnation == leave.incarnation
+                if worker.identity == body.identity and worker.incarnation == body.incarnation
             ),
             None,
         )
-        self._node.roster.hear(
-            WorkerUpdate(
-                identity=leave.identity,
-                incarnation=leave.incarnation,
-                address=known.address if known else "",
-                zone=known.zone if known else "",
-                labels=sorted(known.labels) if known else [],
-                beat=known.beat if known else 0,
-                running=0,
-                waiting=0,
-                slots=1,
-                cache_use=0.0,
-                leaving=True,
-            )
+        return WorkerUpdate(
+            identity=body.identity,
+            incarnation=body.incarnation,
+            address=known.address if known else "",
+            zone=known.zone if known else "",
+            labels=sorted(known.labels) if known else [],
+            beat=known.beat if known else 0,
+            running=0,
+            waiting=0,
+            slots=1,
+            cache_use=0.0,
+            leaving=True,
         )
-        return json_response({"left": True})
--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -157,7 +157,7 @@
             if done is not None:
                 done(row)
 
-        def answered(answer: ServiceResponse) -> None:
+        def answered(answer: ServiceResponse[None]) -> None:
             outcome = {_OK: "known", _CREATED: "admitted"}.get(answer.status, answer.code)
             conclude(outcome, answer.verdict)
 
@@ -207,7 +207,7 @@
         start = drawn if start is None else start
         incarnation, began_ms = host.incarnation, self._time.now_ms
 
-        def answered(answer: ServiceResponse) -> None:
+        def answered(answer: ServiceResponse[None]) -> None:
             same_process = host.up and host.incarnation == incarnation
             if not same_process or answer.status not in (_OK, _NOT_FOUND):
                 return
@@ -245,7 +245,7 @@
         incarnation = host.incarnation
         call = self._history.begin_call(RowKind.CANCELLATION, self._time.now_ms, lot=job_id)
 
-        def answered(answer: ServiceResponse) -> None:
+        def answered(answer: ServiceResponse[None]) -> None:
             if answer.status == _OK and host.incarnation == incarnation and host.up:
                 call.update(outcome="ok", answered_ms=self._time.now_ms)
                 self.jobs[job_id].cancelled = True
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -66,7 +66,7 @@
         self._row.setdefault("first_ms", self._time.now_ms)
         self._row["events"].append(flat_events(event.decode()))
 
-    def _answered(self, step: Step, answer: ServiceResponse) -> None:
+    def _answered(self, step: Step, answer: ServiceResponse[None]) -> None:
         row = self._row
         if answer.refusal is not None:
             row["back_ms"] = answer.refusal.retry_after_ms
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from data_plane.responses import ServiceResponse
-from data_plane.rollouts import RolloutBody
+from data_plane.rollout_service import RolloutBody
 
 from simulator.history import RowKind
 
@@ -72,7 +72,7 @@
     def _send(self, rollout_id: str) -> None:
         rollout, host = self.rollouts[rollout_id], self._choose_edge()
 
-        def answered(answer: ServiceResponse) -> None:
+        def answered(answer: ServiceResponse[None]) -> None:
             if answer.status in (_OK, _CREATED) and not rollout.acknowledged:
                 self._acknowledged(rollout_id)
 
@@ -107,7 +107,7 @@
         """Read samples from an index on and record them."""
         rollout, host = self.rollouts[rollout_id], self._choose_edge()
 
-        def answered(answer: ServiceResponse) -> None:
+        def answered(answer: ServiceResponse[None]) -> None:
             if answer.status not in (_OK, _NOT_FOUND):
                 return
             known = answer.status == _OK
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -9,9 +9,10 @@
 from typing import Any
 
 from control_plane.process import ControlProcess
+from data_plane.edge_process import EdgeProcess
 from data_plane.process import run_process
-from data_plane.role_processes import EdgeProcess, StoreProcess
 from data_plane.sender import HttpSender
+from data_plane.store_process import StoreProcess
 from messaging import Message
 from messaging.links import LinkTransport
 from messaging.node_runner import ProcessEnvironment
@@ -126,7 +127,7 @@
 
 def _surrounded(base: type, weather: Weather, seed: int) -> type:
     class Surrounded(base):
-        def make_env(self) -> _Env:
+        def make_environment(self) -> _Env:
             return _Env(self.settings.link, weather)
 
         def make_transport(self, deliver: Any) -> _Links:
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -212,13 +212,13 @@
     ),
     "unasked bytes are overlooked": (
         "data_plane/src/data_plane/connection_pool.py",
-        "if data and not self._asked:",
+        "if data and not self._awaiting_response:",
         "if False:",
         _KEPT + "nobody_asked",
     ),
     "a begun surplus answer is overlooked": (
         "data_plane/src/data_plane/connection_pool.py",
-        "elif protocol.holds_surplus():",
+        "elif protocol.has_surplus():",
         "elif False:",
         _KEPT + "nobody_asked",
     ),
@@ -235,7 +235,7 @@
         _KEPT + "before_anything",
     ),
     "the door closes on a request just read": (
-        "data_plane/src/data_plane/forward_server.py",
+        "data_plane/src/data_plane/forward_connections.py",
         "or (self._request_count and not waiting)",
         "",
         _WIRE + "closing_of_the_door",
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -6,6 +6,7 @@
 import json
 
 import edge_api
+import platform_names
 from data_plane import EdgeNode
 from data_plane.forward_server import ForwardServer
 from data_plane.sender import HttpSender
@@ -192,7 +193,7 @@
         env = ProcessEnvironment(node_settings.link)
         self.sender = HttpSender(node_settings.request_timeout_ms)
         self.node = EdgeNode(env, node_settings, self.sender)
-        self.node.carrier.dialect = edge_api.DIALECT
+        self.node.carrier.dialect = platform_names.WORKER_HEADERS
         self.node.forward_service._why_unready = lambda: "" if self.ready else "unsure"
         self.runner = NodeRunner(self.node, env)
         await self.runner.start()
@@ -221,7 +222,7 @@
             self.node,
             f"127.0.0.1:{self.port}",
             (f"127.0.0.1:{readiness}", "/vaneledge/ready"),
-            edge_api.Reader(),
+            edge_api.PlatformRequestReader(),
         )
         await self.server.start()
         return self
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -9,7 +9,7 @@
 
 from capacity_sharing import Borrowing, LentWorkers, NodeLoans
 from capacity_sharing.slots import LendableSlots
-from data_plane.rollouts import RolloutBody
+from data_plane.rollout_service import RolloutBody
 from simulator import judge
 from simulator.clients import Clients
 from simulator.evening import Evening, play_evening
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -6,13 +6,14 @@
 from types import SimpleNamespace
 
 from batch_state import messages as m
-from data_plane.responses import (
+from data_plane.forward_job_responses import (
     forward_cancellation_response,
     forward_item_response,
     forward_results_response,
     forward_submission_response,
 )
-from job_api import JobApi, items_of, prompt_of
+from job_api import JobApi
+from job_bodies import prompt_of, read_submission
 from messaging import encode
 from multidict import CIMultiDict
 from runtime import refused
@@ -168,9 +169,9 @@
         self.assertThat((response.status, asked), Equals((404, [])))
 
     def test_items_as_they_will_run(self):
-        items, tokens = items_of(json.dumps({"requests": [ITEM]}).encode(), "h.example")
+        submission = read_submission(json.dumps({"requests": [ITEM]}).encode(), "h.example")
         self.assertThat(
-            items,
+            submission.items,
             Equals(
                 [
                     m.ForwardItem(
@@ -194,7 +195,7 @@
                 ]
             ),
         )
-        self.assertThat(tokens, Equals([940]))
+        self.assertThat(submission.tokens, Equals([940]))
         rows = [
             ({}, ((0, 0), [])),
             ({"token-counts": "x,3", "prompt-prefix": "a:1,b,:2,c:x"}, ((0, 3), [("a", 1)])),
@@ -246,7 +247,7 @@
             self.assertThat((response.status, asked), Equals((status, [("l", 0, 0)])))
 
     def test_bodies(self):
-        call = encode(items_of(json.dumps({"requests": [ITEM]}).encode(), "h")[0][0])
+        call = encode(read_submission(json.dumps({"requests": [ITEM]}).encode(), "h").items[0])
         for told, status, body in (
             (m.GetItemResponse(outcome="known", call=call), 200, b"\xab\x00"),
             (m.GetItemResponse(outcome="missing", call=b""), 404, None),
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,7 +17,7 @@
             }
         )
         for seconds in (0.02, 0.3, 4.0):
-            metrics.took("rulings", "ran", seconds)
+            metrics.observe_completion("rulings", "ran", seconds)
         found = {family.name: family for family in text_string_to_metric_families(metrics.text())}
         rows = [
             ("vaneledge_edge_sends_live", "counter", HELP["edge_sends"], 3),
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -5,7 +5,8 @@
 from pathlib import Path
 
 from data_plane.recorder import FORMAT, sealed
-from data_plane.replay import compare, load_recording, play
+from data_plane.recording_file import load_recording
+from data_plane.replay import PlayedCall, compare, play
 from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
@@ -35,16 +36,16 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "day"
             path.write_text("".join(line + "\n" for line in lines))
-            rows, problems = load_recording(path)
-            return rows, [problem.replace(folder, "") for problem in problems]
+            recording = load_recording(path)
+            return recording.calls, [problem.replace(folder, "") for problem in recording.problems]
 
-    def test_whole(self):
-        rows, problems = self.load(
+    def test_a_complete_recording(self):
+        calls, problems = self.load(
             sealed(BEGIN), sealed(LIVE), sealed({"kind": "finis", "rows": 1, "at_ms": 2})
         )
-        self.assertThat((len(rows), problems), Equals((1, [])))
+        self.assertThat((len(calls), problems), Equals((1, [])))
 
-    def test_bad_ones_are_named_by_line(self):
+    def test_problems_are_named_by_line(self):
         finis = sealed({"kind": "finis", "rows": 1, "at_ms": 2})
         rows = [
             ((sealed(BEGIN), sealed(LIVE)), ":3: cut off"),
@@ -84,9 +85,10 @@
                     await until(lambda: fleet.all_ready(("edge",)), 10000, "the edge is ready")
                     await fleet.workers_known(1)
                     (path,) = recordings.glob("*.jsonl")
-                    rows, problems = load_recording(path)
+                    recording = load_recording(path)
+                    rows = recording.calls
                     self.assertThat(
-                        ([row["kind"] for row in rows], problems),
+                        ([row["kind"] for row in rows], recording.problems),
                         Equals((["live", "live", "live", "live", "hand-in", "read", "end"], [])),
                     )
                     self.assertThat("secret" in path.read_text(), Equals(False))
@@ -96,7 +98,7 @@
                     status, _ = await fleet.ask("GET", edge.http, "/lots/day.r7")
                     self.assertThat(status, Equals(200))
                     rows[0]["status"] = 503
-                    _, differing = compare([{"row": rows[0], "now": played[0]["now"]}])
+                    _, differing = compare([PlayedCall(rows[0], played[0].now)])
                     self.assertThat(differing, Equals(1))
 
         asyncio.run(run())
--- a/tests/test_wire_faults.py
+++ b/tests/test_wire_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from unittest import mock
 
-from data_plane.forward_server import _Protocol
+from data_plane.forward_connections import ClientConnection
 from forward_stage import Client, Edge, Worker, chunk, event, good, head, run
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -263,7 +263,7 @@
     async def test_a_request_that_was_just_read_outlives_the_closing_of_the_door(self):
         """The door is closed in each turn of the loop between the last byte read and the first of its handling."""
         loop = asyncio.get_running_loop()
-        real = _Protocol.data_received
+        real = ClientConnection.data_received
         for turns in range(6):
 
             def leave(protocol, left):
@@ -277,7 +277,7 @@
                 loop.call_soon(leave, protocol, turns)
 
             worker = Worker("w0", good)
-            with mock.patch.object(_Protocol, "data_received", received):
+            with mock.patch.object(ClientConnection, "data_received", received):
                 async with Edge([worker]) as edge:
                     client = await Client(edge.port).open()
                     await asyncio.sleep(0.02)
