--- /dev/null
+++ b/libs/testbed/src/testbed/measure_command.py
@@ -0,0 +1,54 @@
+"""The command of measurements."""
+
+import sys
+from typing import Annotated, Literal
+
+from cyclopts import Parameter
+
+from testbed.measure import measure_fleet, measure_log
+from testbed.measure_ledger import measure_ledger
+from testbed.measure_more import measure_crowd, measure_prefix, measure_routes
+from testbed.measure_rollouts import measure_rollouts
+from testbed.measure_scale import measure_scale
+from testbed.measure_units import measure_units
+
+__all__ = ["measure"]
+
+
+def measure(
+    what: Literal[
+        "log", "fleet", "routes", "prefix", "crowd", "ledger", "rollouts", "scale", "units"
+    ],
+    *,
+    repeats: int = 3,
+    count: int = 400,
+    body_bytes: int = 500,
+    seconds: float = 6.0,
+    sync_ms: float = 0.0,
+    nodes: Annotated[list[int] | None, Parameter(consume_multiple=True, negative=())] = None,
+) -> None:
+    """Measure the log, a fleet, routes, placement, overload, the ledger, rollouts or costs.
+
+    Parameters
+    ----------
+    what: log (against syncs), fleet, routes, prefix, crowd, ledger, rollouts, scale or units.
+    repeats: how many paired runs, or seeds.
+    count: appends in a run, how many profiles there are, or how many lots.
+    body_bytes: size of an entry.
+    seconds: length of a live run.
+    sync_ms: time added to each sync, for disks slower than this machine's.
+    nodes: sizes of simulated fleets.
+    """
+    sizes = nodes or [20, 60, 120]
+    ways = {
+        "log": lambda: measure_log(count, body_bytes, repeats, sync_ms),
+        "prefix": measure_prefix,
+        "fleet": lambda: measure_fleet(seconds, repeats),
+        "routes": lambda: measure_routes(count),
+        "crowd": measure_crowd,
+        "ledger": lambda: measure_ledger(count, body_bytes),
+        "rollouts": lambda: measure_rollouts(seconds, repeats),
+        "scale": lambda: measure_scale(sizes, repeats, seconds),
+        "units": lambda: measure_units(count, body_bytes, repeats),
+    }
+    sys.stdout.write(ways[what]() + "\n")
