--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -118,7 +118,7 @@
             for host in fleet.running("control")
         )
 
-    def voted(self, fleet, count, limit_ms=8000):
+    def wait_until_all_vote(self, fleet, count, limit_ms=8000):
         self.assertThat(fleet.run_until_true(self.all_vote(fleet, count), limit_ms), Equals(True))
         return fleet
 
@@ -154,7 +154,7 @@
                 2000,
             )
             self.assertThat(bootstrapped, Equals(True), (control, seeds))
-            self.voted(fleet, control, 6000)
+            self.wait_until_all_vote(fleet, control, 6000)
             self.assertThat(
                 {host.node.acceptor.identity for host in fleet.with_role("control")},
                 Equals(set(fleet.hosts["control1"].node.acceptor.voters)),
@@ -190,7 +190,7 @@
         for host in fleet.with_role("control"):
             host.kill()
             host.start()
-        self.voted(fleet, 3)
+        self.wait_until_all_vote(fleet, 3)
         fleet = self.fleet(3)
         fleet.hosts["control2"].kill()
         fleet.hosts["control2"].start()
@@ -203,7 +203,7 @@
 
     def test_a_wiped_voter_is_replaced_at_its_address_within_the_time_to_catch_up(self):
         for name in ("control1", "control4"):
-            fleet = self.voted(self.fleet(), 5)
+            fleet = self.wait_until_all_vote(self.fleet(), 5)
             self.assertThat(self.change(fleet, "control2", 0)[0], Equals("ok"))
             host = fleet.hosts[name]
             old = host.node.acceptor.identity
@@ -218,7 +218,7 @@
             self.assertThat(fleet.run_until_true(replaced, 2500), Equals(True), name)
 
     def test_each_in_turn_wiped_and_brought_up_to_date_loses_nothing(self):
-        fleet = self.voted(self.fleet(3), 3)
+        fleet = self.wait_until_all_vote(self.fleet(3), 3)
         self.assertThat(self.change(fleet, "control2", 0)[0], Equals("ok"))
         for name in ("control1", "control2", "control3", "control1"):
             host = fleet.hosts[name]
@@ -233,7 +233,7 @@
 
     def test_a_replacement_at_a_new_address_votes_within_the_time_to_catch_up(self):
         for gap_ms in (0, 400, 3000):
-            fleet = self.voted(self.fleet(), 5)
+            fleet = self.wait_until_all_vote(self.fleet(), 5)
             old = fleet.hosts["control3"].node.acceptor.identity
             fleet.hosts.pop("control3").kill()
             fleet.time.run_until(fleet.time.now_ms + gap_ms)
@@ -247,7 +247,7 @@
             self.assertThat(fleet.run_until_true(replaced, 4000), Equals(True), gap_ms)
 
     def test_nobody_is_dropped_without_a_standby(self):
-        fleet = self.voted(self.fleet(), 5)
+        fleet = self.wait_until_all_vote(self.fleet(), 5)
         for name in ("control1", "control2"):
             fleet.hosts[name].kill()
         fleet.time.run_until(fleet.time.now_ms + 15_000)
@@ -255,7 +255,7 @@
         self.assertThat(self.change(fleet, "control3", 0)[0], Equals("ok"))
 
     def test_the_larger_side_of_a_partition_acknowledges(self):
-        fleet = self.voted(self.fleet(), 5)
+        fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         for pair in (("control1", "control2"), ("control3", "control5")):
             names = [fleet.hosts[name].address for name in pair]
@@ -279,7 +279,7 @@
 
     def test_a_change_outlives_its_owner(self):
         """Asked just as the owner dies: told to another control node, it is acknowledged within the bound."""
-        fleet = self.voted(self.fleet(), 5)
+        fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
@@ -290,7 +290,7 @@
         self.assertThat(took_ms, LessThan(3000))
 
     def test_a_voter_that_hears_nobody_owns_no_key_though_all_hear_it(self):
-        fleet = self.voted(self.fleet(), 5)
+        fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
@@ -302,7 +302,7 @@
         self.assertThat((outcome, took_ms < 1000), Equals(("ok", True)), took_ms)
 
     def test_a_killed_owners_keys_pass_on_once_nothing_listens_there(self):
-        fleet = self.voted(self.fleet(), 5)
+        fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -26,28 +26,28 @@
         for number in range(count):
             seen = []
 
-            def told(row, last=number == count - 1, seen=seen):
+            def acknowledged(row, last=number == count - 1, seen=seen):
                 seen.append(row)
                 if last and then is not None:
                     then()
 
-            run.clients.submit("summaries", 5, 6, done=told)
+            run.clients.submit("summaries", 5, 6, done=acknowledged)
             run.fleet.run_until_true(lambda seen=seen: seen, 12_000)
             self.assertThat([row["outcome"] for row in seen], Equals(["admitted"]))
 
-    def after(self, fleet, wait_ms):
+    def wait(self, fleet, wait_ms):
         fleet.run_until_true(lambda: False, wait_ms)
 
-    def kept(self, run, held_up=False):
-        """`held_up`: more was lost at once than is to be borne, so lots were late."""
+    def check_nothing_lost(self, run, delayed=False):
+        """`delayed`: more was lost at once than is to be borne, so lots were late."""
         fleet = run.fleet
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() is not None, 12_000), Equals(True)
         )
-        self.after(fleet, 3000)
+        self.wait(fleet, 3000)
         run.read_all()
         found = judge(fleet.history)
-        if held_up:
+        if delayed:
             found.pop("lots-in-time", None)
         self.assertThat(found, Equals({}))
         self.assertThat(
@@ -58,13 +58,13 @@
     def peers(self, fleet):
         return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
-    def inject_fault(self, fleet, wiped, dark, down_ms=1200):
-        for host in dark:
+    def inject_fault(self, fleet, wiped, unpowered, down_ms=1200):
+        for host in unpowered:
             host.lose_power()
         for host in wiped:
             host.lose_disk()
-        for place, host in enumerate(wiped + dark):
-            fleet.time.after(down_ms + 150 * place, host.start)
+        for index, host in enumerate(wiped + unpowered):
+            fleet.time.after(down_ms + 150 * index, host.start)
 
     def members(self, fleet):
         value = fleet.with_role("control")[0].node.config_feed.value("log")
@@ -92,15 +92,17 @@
             run, fleet = self.bootstrapped(seed)
             for host in fleet.with_role("store"):
                 host.disk.flush_ms = 20.0
-            wiped, dark = choose(fleet.leader(), self.peers(fleet))
-            self.after(fleet, 1500)
+            wiped, unpowered = choose(fleet.leader(), self.peers(fleet))
+            self.wait(fleet, 1500)
             self.jobs(
                 run,
                 1,
-                lambda fleet=fleet, wiped=wiped, dark=dark: self.inject_fault(fleet, wiped, dark),
+                lambda fleet=fleet, wiped=wiped, unpowered=unpowered: self.inject_fault(
+                    fleet, wiped, unpowered
+                ),
             )
-            self.after(fleet, 3000)
-            self.kept(run)
+            self.wait(fleet, 3000)
+            self.check_nothing_lost(run)
 
     def test_two_of_five_disks_lost_and_the_others_cut_from_power(self):
         run, fleet = self.bootstrapped(4, stores=5, settings={"store_faults": 2})
@@ -110,21 +112,21 @@
             self.jobs(
                 run, 1, lambda stores=stores: self.inject_fault(fleet, stores[:2], stores[2:])
             )
-            self.after(fleet, 1500 + CATCH_UP_MS)
+            self.wait(fleet, 1500 + CATCH_UP_MS)
             self.assertThat(
                 [self.is_member(fleet, host) for host in fleet.with_role("store")],
                 Equals([True] * 5),
             )
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_disks_lost_one_after_another_each_caught_up(self):
         run, fleet = self.bootstrapped(5)
         for _ in range(3):
             for host in fleet.with_role("store"):
                 self.jobs(run, 1, lambda host=host: self.inject_fault(fleet, [host], [], 600))
-                self.after(fleet, 600 + CATCH_UP_MS)
+                self.wait(fleet, 600 + CATCH_UP_MS)
                 self.assertThat(self.is_member(fleet, host), Equals(True))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_machine_replaced_at_another_address_and_then_another_disk_lost(self):
         run, fleet = self.bootstrapped(6)
@@ -132,14 +134,14 @@
             gone = fleet.leader() if number else self.peers(fleet)[0]
             gone.lose_disk()
             fleet.hosts.pop(gone.name)
-            self.after(fleet, 2000)
+            self.wait(fleet, 2000)
             new_host = fleet.add("store", f"fresh{number}")
             self.jobs(run, 1)
-            self.after(fleet, CATCH_UP_MS - 1000)
+            self.wait(fleet, CATCH_UP_MS - 1000)
             self.assertThat(self.is_member(fleet, new_host), Equals(True))
             self.jobs(run, 1, lambda: self.inject_fault(fleet, [fleet.leader()], []))
-            self.after(fleet, 1200 + CATCH_UP_MS)
-        self.kept(run)
+            self.wait(fleet, 1200 + CATCH_UP_MS)
+        self.check_nothing_lost(run)
 
     def retire(self, fleet, host):
         node = fleet.with_role("control")[0].node
@@ -157,7 +159,7 @@
         for seed, of_holder in enumerate((True, False, True, False)):
             run, fleet = self.bootstrapped(20 + seed)
             fleet.add("store", "fresh")
-            self.after(fleet, 1000)
+            self.wait(fleet, 1000)
             self.jobs(run, 1)
             host = fleet.leader() if of_holder else self.peers(fleet)[0]
             old, began_ms = host.node.log.log.identity, fleet.time.now_ms
@@ -171,21 +173,21 @@
             fleet.hosts.pop(host.name)
             rest = fleet.with_role("store")
             self.inject_fault(fleet, [rest.pop(seed % len(rest))], rest if seed > 1 else [])
-            self.after(fleet, 1500 + CATCH_UP_MS)
+            self.wait(fleet, 1500 + CATCH_UP_MS)
             self.jobs(run, 1)
-            self.kept(run)
+            self.check_nothing_lost(run)
 
     def test_a_wiped_machine_comes_back_while_another_is_frozen(self):
         run, fleet = self.bootstrapped(8)
         holder, (one, _) = fleet.leader(), self.peers(fleet)
         self.jobs(run, 1, lambda: self.inject_fault(fleet, [holder], [], 400))
         one.freeze()
-        self.after(fleet, 4000)
+        self.wait(fleet, 4000)
         self.assertThat(fleet.leader(), Equals(None))
         one.wake()
-        self.after(fleet, CATCH_UP_MS)
+        self.wait(fleet, CATCH_UP_MS)
         self.jobs(run, 1)
-        self.kept(run, held_up=True)
+        self.check_nothing_lost(run, delayed=True)
 
     def test_the_first_one_back_neither_recovers_alone_nor_founds(self):
         run, fleet = self.bootstrapped(9)
@@ -198,13 +200,13 @@
             host.start()
         fleet.add("store", "fresh")
         fleet.add("store", "another")
-        self.after(fleet, 7000)
+        self.wait(fleet, 7000)
         self.assertThat(fleet.leader(), Equals(None))
         self.assertThat(
             fleet.with_role("control")[0].node.config_feed.value("log")["epoch"] >= number,
             Equals(True),
         )
         peers[1].start()
-        self.after(fleet, CATCH_UP_MS)
+        self.wait(fleet, CATCH_UP_MS)
         self.jobs(run, 1)
-        self.kept(run, held_up=True)
+        self.check_nothing_lost(run, delayed=True)
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -135,13 +135,13 @@
         )
         self.routes = {f"route-{index}": {"deadline_ms": 1000} for index in range(routes)}
         self.bodies: dict[tuple[str, int], str] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._seen: dict[tuple[str, int], int] = {}
         self._nodes: set[int] = set()
         self.watch()
         assert self.fleet.run_until_true(self._bootstrapped, 15000), "not founded"
         self.change("profiles", 2)
-        assert self.fleet.run_until_true(self._all_level, 8000), "not level"
+        assert self.fleet.run_until_true(self._all_up_to_date, 8000), "not up to date"
 
     def _bootstrapped(self):
         self.watch()
@@ -150,7 +150,7 @@
             node.acceptor.voters for node in nodes
         )
 
-    def _all_level(self):
+    def _all_up_to_date(self):
         return all(
             host.node.config_feed.number("profiles") == self.newest("profiles")
             for host in self.fleet.hosts.values()
@@ -161,19 +161,21 @@
             if id(host.node) not in self._nodes:
                 self._nodes.add(id(host.node))
                 host.node.config_feed.watch(
-                    lambda key, number, body, host=host: self._noted(host, key, number, body)
+                    lambda key, number, body, host=host: self._note_published(
+                        host, key, number, body
+                    )
                 )
 
-    def _noted(self, host, key, number, body):
+    def _note_published(self, host, key, number, body):
         if self.bodies.setdefault((key, number), body) != body:
-            self.broken.append(f"{host.name}: two bodies under {key} {number}")
-        place = (f"{host.name}/{host.incarnation}/{key}", 0)
-        if number <= self._seen.get(place, 0):
-            self.broken.append(f"{host.name}: {key} back to {number}")
-        self._seen[place] = number
+            self.violations.append(f"{host.name}: two bodies under {key} {number}")
+        stream = (f"{host.name}/{host.incarnation}/{key}", 0)
+        if number <= self._seen.get(stream, 0):
+            self.violations.append(f"{host.name}: {key} back to {number}")
+        self._seen[stream] = number
 
     def newest(self, key):
-        return max((number for held, number in self.bodies if held == key), default=0)
+        return max((number for body_key, number in self.bodies if body_key == key), default=0)
 
     def value_bytes(self, key):
         """The size of a key's value, with the changes that it remembers, at the voter that has most."""
@@ -184,16 +186,16 @@
 
     def change(self, key, count, through="control1"):
         """So many changes, one after another, each as soon as the one before it is decided."""
-        goal, asked_ms = self.newest(key) + count, -1 << 40
+        goal, submitted_ms = self.newest(key) + count, -1 << 40
         while self.newest(key) < goal:
             newest, now_ms = self.newest(key), self.fleet.time.now_ms
-            if newest != self._asked_at or now_ms - asked_ms > 700:
-                self._asked_at, asked_ms = newest, now_ms
+            if newest != self._submitted_at or now_ms - submitted_ms > 700:
+                self._submitted_at, submitted_ms = newest, now_ms
                 self._submit(key, newest, through)
             self.fleet.time.run_until(now_ms + 5)
             self.watch()
 
-    _asked_at = -1
+    _submitted_at = -1
 
     def _submit(self, key, version, through):
         self.routes[f"route-{version % len(self.routes)}"]["deadline_ms"] = 1000 + version
@@ -264,12 +266,12 @@
                 host.disk.restore_capacity()
             host.start()
         before = Counter(fleet.network.bytes_to)
-        begun_ms, told = fleet.time.now_ms, []
+        begun_ms, results = fleet.time.now_ms, []
         watched.change("profiles", 1, through)
-        self.reads(watched, names, told)
+        self.reads(watched, names, results)
         rows = {}
 
-        def level():
+        def up_to_date():
             watched.watch()
             for host, _ in leaving:
                 if host.node.config_feed.number("profiles") >= watched.newest("profiles"):
@@ -277,11 +279,11 @@
                     rows.setdefault(host.name, (fleet.time.now_ms - begun_ms, sent))
             return len(rows) == len(leaving)
 
-        self.assertThat(fleet.run_until_true(level, 6000), Equals(True), f"{rows} of {names}")
+        self.assertThat(fleet.run_until_true(up_to_date, 6000), Equals(True), f"{rows} of {names}")
         fleet.time.run_until(fleet.time.now_ms + 3000)
-        self.assertThat({row[0] for row in told if row[0] != "doubt"} <= {"ok"}, Equals(True))
-        old = [row for row in told if row[0] == "ok" and row[1] < watched.newest("profiles")]
-        self.assertThat((old, watched.broken), Equals(([], [])))
+        self.assertThat({row[0] for row in results if row[0] != "doubt"} <= {"ok"}, Equals(True))
+        old = [row for row in results if row[0] == "ok" and row[1] < watched.newest("profiles")]
+        self.assertThat((old, watched.violations), Equals(([], [])))
         value_bytes = watched.value_bytes("profiles")
         most_bytes = self.SENT_BYTES + self.SENT_VALUES * value_bytes
         for took_ms, sent_bytes in rows.values():
@@ -297,14 +299,14 @@
         )
         return rows
 
-    def reads(self, watched, names, told):
+    def reads(self, watched, names, results):
         """What is read through those that have just come back; it may be doubt, and is never old."""
         for name in names:
             host = watched.fleet.hosts[name]
             if host.role == "control" and host.node.acceptor.voters:
                 host.node.owner.submit(
                     ReadKey(key="profiles", hops=0),
-                    lambda result: told.append((result.outcome, result.version)),
+                    lambda result: results.append((result.outcome, result.version)),
                 )
 
     def test_up_to_date_again_in_the_same_time_after_any_number(self):
@@ -364,4 +366,4 @@
         body = watched.bodies["profiles", watched.newest("profiles")]
         sent_bytes = watched.fleet.network.bytes_to[edge] - before
         self.assertThat((sent_bytes < 60 * 700, len(body) > 5000), Equals((True, True)), sent_bytes)
-        self.assertThat(watched.broken, Equals([]))
+        self.assertThat(watched.violations, Equals([]))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -32,7 +32,7 @@
             {row["identity"] for row in value["members"]} if value["phase"] == "serving" else set()
         )
 
-    def kept(self, run):
+    def check_nothing_lost(self, run):
         run.read_all()
         self.assertThat(judge(run.fleet.history), Equals({}))
         self.assertThat(
@@ -56,7 +56,7 @@
             self.until_member(run, new_host)
             self.jobs(run, 1)
         self.assertThat(first & self.members(fleet), Equals(set()))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_frozen_member_that_was_replaced_is_refused(self):
         run, fleet = self.bootstrapped()
@@ -73,7 +73,7 @@
             old in self.members(fleet) or host.node.log.leader is not None, Equals(False)
         )
         self.assertThat(fleet.leader().node.log.log.last_seq >= seq, Equals(True))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_damaged_store_is_repaired_by_the_others(self):
         run, fleet = self.bootstrapped()
@@ -90,7 +90,7 @@
         wanted = fleet.leader().node.log.log.state.jobs
         fleet.run_until_true(lambda: host.node.log.log.state.jobs.keys() == wanted.keys(), 4000)
         self.assertThat(sorted(host.node.log.log.state.jobs), Equals(sorted(wanted)))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_retired_leader_hands_over_to_a_standby(self):
         run, fleet = self.bootstrapped()
@@ -109,7 +109,7 @@
         )
         self.assertThat(old in self.members(fleet), Equals(False))
         self.jobs(run, 1)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_two_stores_lost_at_once_nothing_is_acknowledged_until_one_returns(self):
         run, fleet = self.bootstrapped()
@@ -128,7 +128,7 @@
         )
         fleet.run_until_true(lambda: False, 1500)
         self.jobs(run, 1)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_whole_fleet_cut_and_started_in_any_order(self):
         run, fleet = self.bootstrapped()
@@ -145,7 +145,7 @@
             Equals(True),
         )
         self.jobs(run, 1)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_clocks_moved_over_a_restart_hide_nobody_and_forget_nothing(self):
         run, fleet = self.bootstrapped()
@@ -170,7 +170,7 @@
         run.clients.live("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
         self.assertThat([row["outcome"] for row in seen], Equals(["finish", "replay"]))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_finished_jobs_are_forgotten_after_their_retention(self):
         run = Run(6, settings={"keep_ms": 2000})
@@ -200,4 +200,4 @@
         )
         self.jobs(run, 2)
         first.disk.restore_capacity()
-        self.kept(run)
+        self.check_nothing_lost(run)
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -12,7 +12,7 @@
 from testtools.matchers import Equals
 
 
-class Words(TestCase):
+class MemberDescriptions(TestCase):
     ROWS = [
         (("store", "a", "abc", "a", "", "", 3), "counts: a member of the log, and its holder"),
         (("store", "b", "abc", "a", "", "d", 3), "counts: a member of the log"),
@@ -40,8 +40,8 @@
     ]
 
     def test_rows(self):
-        for asked, told in self.ROWS:
-            self.assertThat(describe_member(*asked), Equals(told), str(asked))
+        for arguments, description in self.ROWS:
+            self.assertThat(describe_member(*arguments), Equals(description), str(arguments))
 
 
 class Changing(TestCase):
@@ -77,7 +77,7 @@
         self.until(fleet, lambda: seen)
         self.assertThat(seen[0].outcome, Equals("ok"))
 
-    def kept(self, run):
+    def check_nothing_lost(self, run):
         """Traffic went on all the while; now it ends, everything is back, and the oracle judges."""
         run.stopped = True
         run.fleet.run_until_true(lambda: False, 1500)
@@ -103,7 +103,7 @@
                 and old not in self.members(fleet)
             ),
         )
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_retired_and_undone_midway(self):
         run, fleet = self.bootstrapped(12)
@@ -121,7 +121,7 @@
             (old in self.members(fleet), new_host.node.log.log.identity in self.members(fleet)),
             Equals((True, False)),
         )
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_replacement_while_the_power_of_the_others_fails(self):
         run, fleet = self.bootstrapped(13)
@@ -133,7 +133,7 @@
             host.lose_power()
             fleet.time.after(900, host.start)
         self.until(fleet, lambda: new_host.node.log.log.identity in self.members(fleet), 25_000)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_standby_lost_while_it_catches_up_and_another_comes(self):
         run, fleet = self.bootstrapped(14)
@@ -145,7 +145,7 @@
         second = fleet.add("store", "second")
         self.until(fleet, lambda: second.node.log.log.identity in self.members(fleet))
         self.assertThat(first.node.log.log.identity in self.members(fleet), Equals(False))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_retired_machine_that_comes_back_with_its_disk_counts_for_nothing(self):
         run, fleet = self.bootstrapped(15)
@@ -163,7 +163,7 @@
             Equals((False, "spare: not a member of the log")),
         )
         fleet.hosts.pop(host.name).kill()
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_control_nodes_replaced_while_two_operators_send(self):
         run, fleet = self.bootstrapped(16)
@@ -181,4 +181,4 @@
             )
         run.operators.resend_acknowledged(8)
         self.assertThat(len(fleet.history.rows_of("final-change")) > 3, Equals(True))
-        self.kept(run)
+        self.check_nothing_lost(run)
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -29,13 +29,13 @@
 
     def flush(self, names, done):
         if self.flushes_fail:
-            self._later(lambda: done(False))
+            self._schedule(lambda: done(False))
         else:
             super().flush(names, done)
 
     def replace(self, name, data, done):
         if self.replaces_fail:
-            self._later(lambda: done(False))
+            self._schedule(lambda: done(False))
         else:
             super().replace(name, data, done)
 
@@ -48,7 +48,7 @@
         self.disk = _Disk(self.time, room_bytes, flush_ms)
         self.incarnation, self.up, self.replies = 0, True, []
         self.acknowledged: dict[str, int] = {}
-        self._asked: list[tuple[str, int]] = [("", 0)]
+        self._requests: list[tuple[str, int]] = [("", 0)]
         self.settings = SimpleNamespace(segment_bytes=_SEGMENT_BYTES)
         self.start()
         listed = {"number": 1, "voters": [{"identity": self.acceptor.identity, "address": "a"}]}
@@ -60,7 +60,7 @@
 
     def reply(self, origin, message):
         self.replies.append(message)
-        key, version = self._asked[origin.request_id]
+        key, version = self._requests[origin.request_id]
         if key and message.ok:
             self.acknowledged[key] = max(self.acknowledged.get(key, 0), version)
 
@@ -76,8 +76,8 @@
         self.start()
 
     def send(self, message, key="", version=0):
-        self._asked.append((key, version))
-        self.acceptor.receive(message, Origin("a", len(self._asked) - 1))
+        self._requests.append((key, version))
+        self.acceptor.receive(message, Origin("a", len(self._requests) - 1))
 
     def accept(self, version, epoch=1, key="profiles", body=""):
         value = Value(version=version, body=body, change_ids=[], change_versions=[])
@@ -238,12 +238,12 @@
         self.acceptor.attach(self)
         listed = {"number": 1, "voters": [{"identity": self.acceptor.identity, "address": "a"}]}
         self.acceptor.receive(VoterListDecided(list_body=json.dumps(listed)), Origin("a", 1))
-        self.settle()
+        self.finish_disk_work()
 
     def reply(self, origin, message):
         self.replies.append(message.ok)
 
-    def settle(self):
+    def finish_disk_work(self):
         """Lets the disk's thread finish, and takes what it says."""
         self.acceptor.tick()
         for _ in range(3):
@@ -256,7 +256,7 @@
         value = Value(version=version, body="x" * 700, change_ids=[], change_versions=[])
         accept = Accept(key="profiles", epoch=1, proposer="o", value=encode(value), list_number=1)
         self.acceptor.receive(accept, Origin("a", 1))
-        self.settle()
+        self.finish_disk_work()
         return self.replies[-1]
 
     def test_it_votes_again_once_there_is_space(self):
@@ -264,8 +264,8 @@
         self.full = True
         self.assertThat([self.vote(version) for version in (3, 4, 5)], Equals([False] * 3))
         self.full = False
-        self.settle()
-        told = [self.vote(version) for version in range(6, 40)]
-        self.assertThat(told, Equals([True] * len(told)))
+        self.finish_disk_work()
+        accepted = [self.vote(version) for version in range(6, 40)]
+        self.assertThat(accepted, Equals([True] * len(accepted)))
         names = self.disk.names()
         self.assertThat(len(names) <= 4, Equals(True), str(names))
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -128,7 +128,7 @@
 
         asyncio.run(run())
 
-    async def beat(self, platform, host, name, wait_ms=2000, **values):
+    async def heartbeat(self, platform, host, name, wait_ms=2000, **values):
         return await platform.ask(
             host, "PUT", f"/vaneledge/servers/{name}", beat(**values), wait_ms=wait_ms
         )
@@ -144,12 +144,12 @@
             if host.up and host.node.worker_list._owns_list()
         )
 
-    async def keep_beating(self, platform, names, for_ms, first_count):
+    async def send_heartbeats(self, platform, names, for_ms, first_count):
         """All at the same node, the first that is up."""
         for index in range(for_ms // 400):
             host = next(host.name for host in platform.fleet.with_role("control") if host.up)
             for name in names:
-                await self.beat(
+                await self.heartbeat(
                     platform, host, name, address=f"10.9.9.{name}:80", callCount=first_count + index
                 )
             platform.run(400)
@@ -157,7 +157,7 @@
     def test_many_join_at_once_in_one_change(self):
         async def body(platform):
             for index in range(40):
-                told = await self.beat(
+                told = await self.heartbeat(
                     platform, f"control{index % 5 + 1}", f"w{index}", address=f"10.9.9.{index}:80"
                 )
                 self.assertThat(told, Equals((200, {}, 0.0)))
@@ -169,7 +169,7 @@
             )
             before = node.config_feed.number("workers")
             for index in range(40):
-                await self.beat(
+                await self.heartbeat(
                     platform,
                     f"control{(index + 1) % 5 + 1}",
                     f"w{index}",
@@ -183,17 +183,17 @@
 
     def test_a_drain_is_answered_once_the_edges_have_it(self):
         async def body(platform):
-            await self.beat(platform, "control1", "w")
+            await self.heartbeat(platform, "control1", "w")
             platform.run(500)
             for count, host in ((5, "control2"), (6, "control3")):
-                status, _, took_ms = await self.beat(
+                status, _, took_ms = await self.heartbeat(
                     platform, host, "w", state="draining", callCount=count
                 )
                 self.assertThat((status, took_ms < 300), Equals((200, True)), str(took_ms))
                 for edge in ("edge1", "edge2"):
                     self.assertThat(self.listed(platform, edge), Equals({"w": "draining"}))
             self.assertThat(
-                (await self.beat(platform, "control4", "w", callCount=4))[0], Equals(200)
+                (await self.heartbeat(platform, "control4", "w", callCount=4))[0], Equals(200)
             )
             platform.run(1500)
             self.assertThat(self.listed(platform), Equals({"w": "draining"}))
@@ -203,7 +203,7 @@
                 Equals((200, {}, {})),
             )
             self.assertThat(
-                (await self.beat(platform, "control4", "w", callCount=9))[0], Equals(200)
+                (await self.heartbeat(platform, "control4", "w", callCount=9))[0], Equals(200)
             )
             platform.run(1500)
             self.assertThat(self.listed(platform), Equals({}))
@@ -212,11 +212,11 @@
 
     def test_an_edge_that_does_not_take_it_is_waited_for_so_long(self):
         async def body(platform):
-            await self.beat(platform, "control1", "w")
+            await self.heartbeat(platform, "control1", "w")
             platform.run(500)
             platform.fleet.hosts["edge1"].freeze()
             told = [
-                await self.beat(platform, "control2", "w", state="draining", callCount=count)
+                await self.heartbeat(platform, "control2", "w", state="draining", callCount=count)
                 for count in (5, 6)
             ]
             settings = platform.fleet.hosts["control1"].settings
@@ -236,7 +236,7 @@
 
     def test_without_a_majority_nothing_is_acknowledged(self):
         async def body(platform):
-            await self.beat(platform, "control1", "w")
+            await self.heartbeat(platform, "control1", "w")
             platform.run(500)
             names = ("control1", "control2")
             cut = [platform.fleet.hosts[name].address for name in names]
@@ -250,13 +250,13 @@
                     ],
                 ]
             )
-            told = await self.beat(platform, "control1", "w", state="draining", callCount=5)
+            told = await self.heartbeat(platform, "control1", "w", state="draining", callCount=5)
             self.assertThat((told[0], told[2] <= 750), Equals((503, True)), str(told))
             platform.run(1500)
             for state in ("draining", "serving"):
-                told = await self.beat(platform, "control1", "w", state=state, callCount=6)
+                told = await self.heartbeat(platform, "control1", "w", state=state, callCount=6)
                 self.assertThat((told[0], told[2]), Equals((503, 0.0)))
-            told = await self.beat(platform, "control3", "w", state="draining", callCount=7)
+            told = await self.heartbeat(platform, "control3", "w", state="draining", callCount=7)
             self.assertThat(told[0], Equals(200), str(told))
 
         self.run_test(body)
@@ -265,12 +265,12 @@
         async def body(platform):
             silent_ms = platform.fleet.hosts["control1"].settings.worker_removal_timeout_ms
             for name in ("1", "2"):
-                await self.beat(platform, "control1", name, address=f"10.9.9.{name}:80")
+                await self.heartbeat(platform, "control1", name, address=f"10.9.9.{name}:80")
             platform.run(silent_ms)
-            await self.beat(platform, "control2", "1", address="10.9.9.1:80", callCount=2)
+            await self.heartbeat(platform, "control2", "1", address="10.9.9.1:80", callCount=2)
             platform.run(2000)
             self.assertThat(self.listed(platform), Equals({"1": "serving"}))
-            await self.beat(platform, "control3", "2", address="10.9.9.2:80", callCount=3)
+            await self.heartbeat(platform, "control3", "2", address="10.9.9.2:80", callCount=3)
             platform.run(500)
             self.assertThat(self.listed(platform), Equals({"1": "serving", "2": "serving"}))
 
@@ -278,14 +278,14 @@
 
     def test_a_worker_known_to_one_node_only_stays_whoever_owns_the_list(self):
         async def body(platform):
-            await self.keep_beating(platform, ("1", "2"), 2000, 1)
+            await self.send_heartbeats(platform, ("1", "2"), 2000, 1)
             owner = self.owner(platform)
             owner.kill()
             platform.run(1200)
-            await self.keep_beating(platform, ("1", "2"), 8000, 100)
+            await self.send_heartbeats(platform, ("1", "2"), 8000, 100)
             self.assertThat(self.listed(platform), Equals({"1": "serving", "2": "serving"}))
             self.assertThat(self.owner(platform) is owner, Equals(False))
-            await self.keep_beating(platform, ("1",), 9000, 200)
+            await self.send_heartbeats(platform, ("1",), 9000, 200)
             self.assertThat(self.listed(platform), Equals({"1": "serving"}))
 
         self.run_test(body)
@@ -296,11 +296,11 @@
             other = next(host for host in platform.fleet.with_role("control") if host is not owner)
             platform.fleet.network.isolate(other.address)
             platform.run(2500)
-            self.assertThat((await self.beat(platform, other.name, "w"))[0], Equals(503))
+            self.assertThat((await self.heartbeat(platform, other.name, "w"))[0], Equals(503))
             platform.fleet.network.heal()
             platform.run(2500)
             self.assertThat(
-                (await self.beat(platform, other.name, "w", callCount=2))[0], Equals(200)
+                (await self.heartbeat(platform, other.name, "w", callCount=2))[0], Equals(200)
             )
 
         self.run_test(body)
@@ -308,7 +308,7 @@
     def test_the_list_is_there_after_all_machines_start_again(self):
         async def body(platform):
             for name in ("1", "2"):
-                await self.beat(platform, "control1", name, address=f"10.9.9.{name}:80")
+                await self.heartbeat(platform, "control1", name, address=f"10.9.9.{name}:80")
             platform.run(500)
             hosts = list(platform.fleet.hosts.values())
             for host in hosts:
--- a/tests/test_worker_list_troubles.py
+++ b/tests/test_worker_list_troubles.py
@@ -47,7 +47,7 @@
             )
         self.calls.append((worker, worker.state, task, now_ms))
 
-    def take_answers(self, now_ms):
+    def collect_responses(self, now_ms):
         for row in list(self.calls):
             worker, state, task, begun_ms = row
             told = task.result().status if task.done() else None
@@ -127,7 +127,7 @@
             self.platform.run(_STEP_MS)
             for _ in range(4):
                 await asyncio.sleep(0)
-            self.take_answers(now_ms)
+            self.collect_responses(now_ms)
             self.check(now_ms)
         return start_ms
 
