--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -59,7 +59,7 @@
             machine for machine in self.machines if machine_class in ("", machine.machine_class)
         ]
 
-    of = everyone
+    with_role = everyone
 
     def control_list(self):
         return [machine.addresses["control"] for machine in self.with_role("core")]
--- a/tests/test_lots.py
+++ b/tests/test_lots.py
@@ -44,7 +44,7 @@
         run, fleet = self.founded()
         settings = fleet.leader().settings
         for worker in fleet.workers.values():
-            worker.gone = True
+            worker.crashed = True
         rows = [
             ("old", settings.max_submission_age_ms + 50, None, "stale"),
             ("other", 0, 99, "stale"),
@@ -113,7 +113,7 @@
     def test_the_waiting_room_is_exact_in_a_crowd_through_every_edge(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
-            worker.gone = True
+            worker.crashed = True
         rows = []
         for _ in range(20):
             run.clients.submit("summaries", 2, done=rows.append)
