--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -2,7 +2,7 @@
 
 __all__ = ["BREAKS"]
 
-_LOTS = "tests/test_lots.py -k "
+_BATCH_JOBS = "tests/test_batch_jobs.py -k "
 _LOG = "tests/test_log_conformance.py -k "
 _MEMBERS = "tests/test_members.py -k "
 _EXPLORE = "tests/test_explore_log.py -k "
@@ -12,13 +12,13 @@
         "batch_state/src/batch_state/admission.py",
         "state.backlog(message.path) >= capacity",
         "state.backlog(message.path) > capacity",
-        _LOTS + "exact",
+        _BATCH_JOBS + "exact",
     ),
     "late hand-ins are taken": (
         "batch_state/src/batch_state/leader_replies.py",
         "return (message.epoch != self._leader.epoch or not 0 <= age_ms <= self.node.settings.max_submission_age_ms)",
         "return False",
-        _LOTS + "late",
+        _BATCH_JOBS + "late",
     ),
     "receipts before anything is settled": (
         "replicated_log/src/replicated_log/leader.py",
@@ -54,7 +54,7 @@
         "batch_state/src/batch_state/result_reports.py",
         "self._leader.append(entries, not job.safe, appended, True)",
         "self._leader.append(entries, False, appended, True)",
-        _LOTS + "unsafe_report",
+        _BATCH_JOBS + "unsafe_report",
     ),
     "a damaged leaf is listed": (
         "storage/src/storage/frames.py",
@@ -95,7 +95,7 @@
         "batch_state/src/batch_state/listing_leases.py",
         "if job.listable > job.listed and not self._edges.is_live(job.listing_edge):",
         "if False:",
-        _LOTS + "all_finished",
+        _BATCH_JOBS + "all_finished",
     ),
     "listed under an old listing lease": (
         "batch_state/src/batch_state/state.py",
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -2,7 +2,7 @@
 
 __all__ = ["BREAKS"]
 
-_LOTS = "tests/test_lots.py -k "
+_BATCH_JOBS = "tests/test_batch_jobs.py -k "
 _FEED = "tests/test_feed.py -k "
 _CIRC = "tests/test_request_routing.py -k "
 _EXCHANGES = "tests/test_exchanges.py"
@@ -22,7 +22,7 @@
         "request_routing/src/request_routing/job_runner.py",
         "if self.running() and now_ms - self._holder.heard_ms > settings.claim_timeout_ms:",
         "if False:",
-        _LOTS + "cut_off",
+        _BATCH_JOBS + "partitioned",
     ),
     "who cannot make it is held": (
         "request_routing/src/request_routing/admission_queue.py",
@@ -283,7 +283,7 @@
         "request_routing/src/request_routing/job_runner.py",
         "if receipt.epoch < self._holder.epoch:",
         "if False:",
-        _CLAIMS + "succeeded",
+        _CLAIMS + "superseded",
     ),
     "any answer ends a begun stream": (
         "request_routing/src/request_routing/attempt_outcomes.py",
--- a/tests/forward_ledger_stage.py
+++ b/tests/leader_fixture.py
@@ -1,15 +1,12 @@
-"""What the tests of forwarded lots at the holder share: a desk with a clock, on a holder of the log whose
-appends settle when the test says so.
-"""
+"""A batch service with a clock, on a leader of the log whose appends commit when the test says so."""
 
 from types import SimpleNamespace
 
-from batch_state import BatchState
-from batch_state import messages as m
+from batch_state import BatchState, messages
 from batch_state.batch_service import BatchService
 from messaging import Origin, decode, encode
 
-PARAMS = SimpleNamespace(
+SETTINGS = SimpleNamespace(
     heartbeat_ms=200,
     failure_timeout_ms=1000,
     claim_revocation_ms=3300,
@@ -20,14 +17,14 @@
 )
 
 
-class AloneHolder:
-    """A holder of the log whose appends settle when the test says so."""
+class SingleNodeLeader:
+    """A leader of the log without followers; with `manual_commit` appends wait for `commit()`."""
 
     def __init__(self):
         self.epoch, self.deposed = 1, False
         self.state, self.committed_state = BatchState(), BatchState()
-        self.full = self.by_hand = False
-        self.unsettled = []
+        self.full = self.manual_commit = False
+        self.uncommitted = []
 
     def append(self, rows, durable, done, urgent=False):
         if self.full and not urgent:
@@ -35,13 +32,13 @@
             return False
         for row in rows:
             self.state.apply(decode(encode(row)))
-        self.unsettled.append((rows, done))
-        if not self.by_hand:
-            self.settle()
+        self.uncommitted.append((rows, done))
+        if not self.manual_commit:
+            self.commit()
         return True
 
-    def settle(self):
-        rows, self.unsettled = self.unsettled, []
+    def commit(self):
+        rows, self.uncommitted = self.uncommitted, []
         for entries, done in rows:
             for row in entries:
                 self.committed_state.apply(decode(encode(row)))
@@ -51,8 +48,8 @@
         done(True)
 
 
-class Tree:
-    """Two routes; one of them has room for a hundred tokens."""
+class FakeProfiles:
+    """Two routes; one of them has a backlog limit of a hundred tokens."""
 
     def __init__(self, *names):
         self.names = names or ("route/a", "route/b")
@@ -68,46 +65,46 @@
         return None
 
 
-class Bench:
-    """A desk with a clock, asked directly."""
+class LeaderFixture:
+    """A batch service under a leader; `request` returns a number, `response` the answer to it."""
 
     def __init__(self):
         self.now_ms = 50_000
-        self.profiles = (7, Tree())
-        self.replies, self.logged = {}, []
+        self.profiles = (7, FakeProfiles())
+        self.replies, self.log_events = {}, []
         env = SimpleNamespace(
             now=lambda: self.now_ms,
             wall=lambda: 1_000_000,
-            log=lambda event, level="INFO", **fields: self.logged.append(event),
+            log=lambda event, level="INFO", **fields: self.log_events.append(event),
         )
         node = SimpleNamespace(
             env=env,
-            settings=PARAMS,
+            settings=SETTINGS,
             reply=lambda origin, message: self.replies.setdefault(origin.request_id, []).append(
                 message
             ),
         )
-        self.holder = AloneHolder()
-        self.desk = BatchService(
-            lambda: self.profiles, lambda: (9, "10.0.0.9:1"), lambda: self.holder.committed_state
+        self.leader = SingleNodeLeader()
+        self.service = BatchService(
+            lambda: self.profiles, lambda: (9, "10.0.0.9:1"), lambda: self.leader.committed_state
         )
-        self.desk.attach(node)
-        self.desk.set_leader(self.holder)
+        self.service.attach(node)
+        self.service.set_leader(self.leader)
         self._ref = 0
 
-    def ask(self, message):
+    def request(self, message):
         self._ref += 1
-        self.desk.receive(message, Origin("edge", self._ref))
+        self.service.receive(message, Origin("edge", self._ref))
         return self._ref
 
-    def told(self, ref):
+    def response(self, ref):
         return self.replies.get(ref, [None])[-1]
 
-    def after(self, wait_ms):
+    def advance(self, wait_ms):
         self.now_ms += wait_ms
-        self.desk.tick()
+        self.service.tick()
 
-    def hand_in(
+    def submit(
         self,
         job_id,
         tokens=(10,),
@@ -120,9 +117,9 @@
         attempts=3,
     ):
         ids = [f"{job_id}-{place}" for place in range(len(tokens))]
-        return self.told(
-            self.ask(
-                m.SubmitForwardJob(
+        return self.response(
+            self.request(
+                messages.SubmitForwardJob(
                     job_id=job_id,
                     digest=digest,
                     path=path,
@@ -139,9 +136,11 @@
             )
         )
 
-    def beat(self, edge="e1", capacity=9, running=(), paths=("route/a", "route/b"), address=""):
-        return self.ask(
-            m.EdgeHeartbeat(
+    def heartbeat(
+        self, edge="e1", capacity=9, running=(), paths=("route/a", "route/b"), address=""
+    ):
+        return self.request(
+            messages.EdgeHeartbeat(
                 edge=edge,
                 address=address or edge,
                 capacity=capacity,
@@ -150,17 +149,17 @@
             )
         )
 
-    def work(self, ref):
-        return [decode(row) for row in self.told(ref).work]
+    def assignments(self, ref):
+        return [decode(row) for row in self.response(ref).work]
 
-    def end(self, work, outcome="finished", text=b"t", worker="w1", edge="e1"):
+    def report(self, work, outcome="finished", text=b"t", worker="w1", edge="e1"):
         rows = work if isinstance(work, list) else [work]
-        return self.ask(
-            m.ReportItemOutcomes(
+        return self.request(
+            messages.ReportItemOutcomes(
                 edge=edge,
                 rows=[
                     encode(
-                        m.ItemOutcome(
+                        messages.ItemOutcome(
                             job_id=row.job_id,
                             index=row.index,
                             number=row.number,
@@ -174,14 +173,15 @@
             )
         )
 
-    def page(self, job_id, position=0, wait_ms=0):
-        return self.ask(
-            m.ListForwardResults(
+    def list_results(self, job_id, position=0, wait_ms=0):
+        return self.request(
+            messages.ListForwardResults(
                 job_id=job_id, from_position=position, limit_bytes=1000, wait_ms=wait_ms
             )
         )
 
-    def listed(self, job_id):
+    def listed_results(self, job_id):
         return [
-            (row.item_id, row.outcome) for row in map(decode, self.told(self.page(job_id)).rows)
+            (row.item_id, row.outcome)
+            for row in map(decode, self.response(self.list_results(job_id)).rows)
         ]
--- a/tests/test_lots.py
+++ b/tests/test_batch_jobs.py
@@ -1,13 +1,13 @@
-"""What the desk and the edges' runners promise about lots, each provoked by itself."""
+"""Guarantees of batch jobs on a simulated fleet, each under the one fault that threatens it."""
 
-from batch_state import messages as m
+from batch_state import messages
 from simulator import judge
 from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
 
-class Lots(TestCase):
+class BatchJobs(TestCase):
     def founded(self, seed=9):
         run = Run(seed)
         run.start()
@@ -17,18 +17,18 @@
     def wait(self, fleet, check, limit_ms=8000):
         self.assertThat(bool(fleet.run_until_true(check, limit_ms)), Equals(True))
 
-    def ask(self, fleet, message):
+    def request(self, fleet, message):
         seen = []
         edge = next(host for host in fleet.with_role("edge") if host.up)
         edge.node.request(fleet.leader().address, message, 400, seen.append)
         self.wait(fleet, lambda: seen)
         return seen[0]
 
-    def hand_in(self, fleet, job_id, age_ms=0, path="summaries", epoch=None):
+    def submit(self, fleet, job_id, age_ms=0, path="summaries", epoch=None):
         node = fleet.leader().node
-        return self.ask(
+        return self.request(
             fleet,
-            m.SubmitJob(
+            messages.SubmitJob(
                 job_id=job_id,
                 digest=job_id,
                 path=path,
@@ -40,7 +40,7 @@
             ),
         ).outcome
 
-    def test_late_hand_ins_are_not_taken(self):
+    def test_late_submissions_are_not_admitted(self):
         run, fleet = self.founded()
         settings = fleet.leader().settings
         for worker in fleet.workers.values():
@@ -57,15 +57,15 @@
         ]
         for job_id, age_ms, epoch, wanted in rows:
             self.assertThat(
-                self.hand_in(fleet, job_id, age_ms, epoch=epoch),
+                self.submit(fleet, job_id, age_ms, epoch=epoch),
                 Equals(wanted),
                 f"{job_id} {age_ms}",
             )
-        self.ask(fleet, m.CancelJob(job_id="one"))
-        self.assertThat(self.hand_in(fleet, "four", 400), Equals("stale"))
-        self.assertThat(self.hand_in(fleet, "four"), Equals("admitted"))
+        self.request(fleet, messages.CancelJob(job_id="one"))
+        self.assertThat(self.submit(fleet, "four", 400), Equals("stale"))
+        self.assertThat(self.submit(fleet, "four"), Equals("admitted"))
 
-    def test_an_unsafe_report_is_acknowledged_only_once_settled(self):
+    def test_an_unsafe_report_is_acknowledged_only_once_committed(self):
         for seed in range(3):
             self.lose_power_after_a_report(seed)
 
@@ -87,7 +87,7 @@
         self.assertThat(judge(history), Equals({}))
         self.assertThat(history.rows_of("final")[0]["listed"], Equals(6))
 
-    def test_a_cut_off_edge_stops_an_ended_lot_in_time(self):
+    def test_a_partitioned_edge_stops_a_cancelled_job_in_time(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
             worker.event_ms = 1500.0
@@ -100,7 +100,7 @@
         others = [host.address for host in fleet.hosts.values() if host is not edges[0]]
         fleet.network.split([[edges[0].address], others])
         seen = []
-        edges[1].node.holder.ask(m.CancelJob(job_id="lot1"), 2000, seen.append)
+        edges[1].node.holder.ask(messages.CancelJob(job_id="lot1"), 2000, seen.append)
         self.wait(fleet, lambda: seen)
         self.assertThat(seen[0].outcome, Equals("known"))
         self.assertThat(edges[0].node.job_runner.running() > 0 and len(workers) == 3, Equals(True))
@@ -110,7 +110,7 @@
             edges[0].settings.end_ms,
         )
 
-    def test_the_waiting_room_is_exact_in_a_crowd_through_every_edge(self):
+    def test_the_backlog_limit_is_exact_in_a_crowd_through_every_edge(self):
         run, fleet = self.founded()
         for worker in fleet.workers.values():
             worker.crashed = True
@@ -140,15 +140,12 @@
     def test_the_listing_lease_of_a_lost_edge_is_granted_again_under_a_higher_epoch(self):
         run, fleet = self.founded()
         run.clients.submit("summaries", 9)
-        holder = fleet.leader().node
+        leader = fleet.leader().node.log.leader
         self.wait(
             fleet,
-            lambda: (
-                holder.log.leader.state.jobs
-                and next(iter(holder.log.leader.state.jobs.values())).listing_epoch
-            ),
+            lambda: leader.state.jobs and next(iter(leader.state.jobs.values())).listing_epoch,
         )
-        job = next(iter(holder.log.leader.state.jobs.values()))
+        job = next(iter(leader.state.jobs.values()))
         before = job.listing_epoch
         next(
             host
@@ -157,7 +154,7 @@
         ).kill()
         self.wait(fleet, lambda: job.listed == 9, 12000)
         self.assertThat(job.listing_epoch > before, Equals(True))
-        stale = self.ask(
-            fleet, m.AdvanceListing(job_id="lot1", edge="whoever", epoch=before, up_to=9)
+        stale = self.request(
+            fleet, messages.AdvanceListing(job_id="lot1", edge="whoever", epoch=before, up_to=9)
         )
         self.assertThat(stale.ok, Equals(False))
--- a/tests/test_batch_state.py
+++ b/tests/test_batch_state.py
@@ -1,21 +1,20 @@
-"""The fold: its states, and that a ledger, its dump, its encoded rows and its copy say the same."""
+"""The state machine; a state, its dump, its encoded entries and its copy are the same."""
 
 import random
 
-from batch_state import BatchState
-from batch_state import entries as e
+from batch_state import BatchState, entries
 from messaging import decode
 from testtools import TestCase
 from testtools.matchers import Equals
 
 
-def drawn(seed):
+def random_entries(seed):
     """Entries in any order, some of which no longer apply."""
     rng = random.Random(seed)
     rows = []
     for job in range(4):
         rows.append(
-            e.JobAdmitted(
+            entries.JobAdmitted(
                 job_id=f"l{job}",
                 digest="d",
                 path="p",
@@ -27,21 +26,23 @@
         )
     for _ in range(120):
         job, index, number = f"l{rng.randrange(5)}", rng.randrange(4), rng.randrange(1, 5)
-        key, tx = f"k{rng.randrange(4)}", f"t{rng.randrange(3)}"
+        key, transaction = f"k{rng.randrange(4)}", f"t{rng.randrange(3)}"
         rows.append(
             rng.choice(
                 [
-                    e.ItemClaimed(job_id=job, index=index, edge="e", number=number),
-                    e.ItemReturned(job_id=job, index=index, number=number),
-                    e.ItemFinished(
+                    entries.ItemClaimed(job_id=job, index=index, edge="e", number=number),
+                    entries.ItemReturned(job_id=job, index=index, number=number),
+                    entries.ItemFinished(
                         job_id=job, index=index, outcome="ran", body=f"r{rng.random()}", worker="w"
                     ),
-                    e.ListingLeaseGranted(job_id=job, edge="e", epoch=number),
-                    e.ListingAdvanced(job_id=job, up_to=index, epoch=number),
-                    e.KeyOpened(key=key, digest="d", edge="e", transaction=tx, at_ms=number),
-                    e.KeyClosed(
+                    entries.ListingLeaseGranted(job_id=job, edge="e", epoch=number),
+                    entries.ListingAdvanced(job_id=job, up_to=index, epoch=number),
+                    entries.KeyOpened(
+                        key=key, digest="d", edge="e", transaction=transaction, at_ms=number
+                    ),
+                    entries.KeyClosed(
                         key=key,
-                        transaction=tx,
+                        transaction=transaction,
                         state=rng.choice(("done", "void", "doubt")),
                         status=200,
                         body="b",
@@ -50,11 +51,11 @@
                 ]
             )
         )
-    rows.insert(rng.randrange(60, 120), e.JobCancelled(job_id="l1", at_ms=9))
+    rows.insert(rng.randrange(60, 120), entries.JobCancelled(job_id="l1", at_ms=9))
     return rows
 
 
-def shown(state):
+def snapshot_of(state):
     jobs = {
         name: (
             job.listed,
@@ -76,15 +77,15 @@
     return jobs, keys, sorted(state.open_jobs)
 
 
-class Fold(TestCase):
-    def test_dump_encoded_and_copy_say_the_same(self):
+class StateMachine(TestCase):
+    def test_dump_encoded_and_copy_rebuild_the_same_state(self):
         for seed in range(30):
-            rows = drawn(seed)
+            rows = random_entries(seed)
             state, cached = BatchState(), BatchState()
-            for place, row in enumerate(rows):
+            for position, row in enumerate(rows):
                 state.apply(row)
                 cached.apply(row)
-                if place % 7 == 0:
+                if position % 7 == 0:
                     cached.encoded()
             dumped, encoded = BatchState(), BatchState()
             for row in state.dump():
@@ -93,37 +94,37 @@
                 encoded.apply(decode(row))
             twin = state.copy()
             for other in (dumped, encoded, twin):
-                self.assertThat(shown(other), Equals(shown(state)), f"seed {seed}")
+                self.assertThat(snapshot_of(other), Equals(snapshot_of(state)), f"seed {seed}")
 
-    def test_a_copy_goes_its_own_way(self):
+    def test_a_copy_is_independent(self):
         state = BatchState()
-        for row in drawn(1)[:4]:
+        for row in random_entries(1)[:4]:
             state.apply(row)
-        state.apply(e.KeyOpened(key="k", digest="d", edge="e", transaction="t", at_ms=1))
-        before = shown(state)
+        state.apply(entries.KeyOpened(key="k", digest="d", edge="e", transaction="t", at_ms=1))
+        before = snapshot_of(state)
         twin = state.copy()
         for row in (
-            e.ItemClaimed(job_id="l0", index=0, edge="e", number=1),
-            e.JobCancelled(job_id="l2", at_ms=1),
-            e.KeyClosed(key="k", transaction="t", state="void", status=0, body="", at_ms=1),
+            entries.ItemClaimed(job_id="l0", index=0, edge="e", number=1),
+            entries.JobCancelled(job_id="l2", at_ms=1),
+            entries.KeyClosed(key="k", transaction="t", state="void", status=0, body="", at_ms=1),
         ):
             twin.apply(row)
-        self.assertThat(shown(state), Equals(before))
-        self.assertThat(shown(twin) == before, Equals(False))
+        self.assertThat(snapshot_of(state), Equals(before))
+        self.assertThat(snapshot_of(twin) == before, Equals(False))
 
     def test_results_are_listed_in_order_under_the_present_listing_lease(self):
         state = BatchState()
-        state.apply(drawn(1)[0])
+        state.apply(random_entries(1)[0])
         steps = [
-            (e.ItemFinished(job_id="l0", index=1, outcome="ran", body="1", worker=""), 0),
-            (e.ListingLeaseGranted(job_id="l0", edge="a", epoch=1), 0),
-            (e.ListingAdvanced(job_id="l0", up_to=1, epoch=1), 0),
-            (e.ItemFinished(job_id="l0", index=0, outcome="ran", body="0", worker=""), 0),
-            (e.ListingLeaseGranted(job_id="l0", edge="b", epoch=2), 0),
-            (e.ListingAdvanced(job_id="l0", up_to=2, epoch=1), 0),
-            (e.ListingAdvanced(job_id="l0", up_to=3, epoch=2), 0),
-            (e.ListingAdvanced(job_id="l0", up_to=2, epoch=2), 2),
-            (e.ItemFinished(job_id="l0", index=0, outcome="ran", body="other", worker=""), 2),
+            (entries.ItemFinished(job_id="l0", index=1, outcome="ran", body="1", worker=""), 0),
+            (entries.ListingLeaseGranted(job_id="l0", edge="a", epoch=1), 0),
+            (entries.ListingAdvanced(job_id="l0", up_to=1, epoch=1), 0),
+            (entries.ItemFinished(job_id="l0", index=0, outcome="ran", body="0", worker=""), 0),
+            (entries.ListingLeaseGranted(job_id="l0", edge="b", epoch=2), 0),
+            (entries.ListingAdvanced(job_id="l0", up_to=2, epoch=1), 0),
+            (entries.ListingAdvanced(job_id="l0", up_to=3, epoch=2), 0),
+            (entries.ListingAdvanced(job_id="l0", up_to=2, epoch=2), 2),
+            (entries.ItemFinished(job_id="l0", index=0, outcome="ran", body="other", worker=""), 2),
         ]
         for entry, listed in steps:
             state.apply(entry)
--- a/tests/test_forward_ledger.py
+++ b/tests/test_forward_jobs.py
@@ -1,21 +1,19 @@
-"""Lots of forwarded calls at the holder: the fold's states, and admission by tokens."""
+"""Forwarded jobs at the leader: the state machine, and admission by tokens."""
 
 import random
 
-from batch_state import BatchState
-from batch_state import entries as e
-from batch_state import messages as m
-from forward_ledger_stage import Bench
+from batch_state import BatchState, entries, messages
+from leader_fixture import LeaderFixture
 from messaging import decode
 from testtools import TestCase
 from testtools.matchers import Equals
 
 
-def drawn(seed):
+def random_entries(seed):
     """Entries in any order, some of which no longer apply."""
     rng = random.Random(seed)
     rows = [
-        e.ForwardJobAdmitted(
+        entries.ForwardJobAdmitted(
             job_id=f"l{job}",
             digest="d",
             path=f"p{job % 2}",
@@ -40,18 +38,18 @@
         rows.append(
             rng.choice(
                 [
-                    e.ItemsClaimed(
+                    entries.ItemsClaimed(
                         job_id=job,
                         edge=edge,
                         indexes=[index, (index + 1) % 3],
                         numbers=[number, number],
                     ),
-                    e.ItemsClaimed(job_id=job, edge=edge, indexes=[index], numbers=[number]),
-                    e.ItemReturned(job_id=job, index=index, number=number),
-                    e.AttemptFailed(
+                    entries.ItemsClaimed(job_id=job, edge=edge, indexes=[index], numbers=[number]),
+                    entries.ItemReturned(job_id=job, index=index, number=number),
+                    entries.AttemptFailed(
                         job_id=job, index=index, number=number, failures=0, worker=f"w{number}"
                     ),
-                    e.ResultListed(
+                    entries.ResultListed(
                         job_id=job,
                         index=index,
                         outcome="finished",
@@ -63,25 +61,25 @@
                 ]
             )
         )
-    rows.insert(rng.randrange(60, 150), e.JobCancelled(job_id="l1", at_ms=9))
+    rows.insert(rng.randrange(60, 150), entries.JobCancelled(job_id="l1", at_ms=9))
     return rows
 
 
-def applied(state, rows):
-    """As the holder does, which counts an attempt that failed on top of those before it."""
+def apply_all(state, rows):
+    """Apply entries as the leader does, which counts an attempt that failed on top of those before it."""
     for row in rows:
-        if isinstance(row, e.AttemptFailed):
+        if isinstance(row, entries.AttemptFailed):
             job = state.jobs.get(row.job_id)
             before = (
                 job.items[row.index].failures
                 if job is not None and row.index < len(job.items)
                 else 0
             )
-            row = e.AttemptFailed(**{**row.as_dict(), "failures": before + 1})
+            row = entries.AttemptFailed(**{**row.as_dict(), "failures": before + 1})
         state.apply(row)
 
 
-def shown(state):
+def snapshot_of(state):
     jobs = {
         name: (
             job.order,
@@ -109,26 +107,26 @@
     return jobs, sorted(state.open_jobs), state.waiting_tokens
 
 
-class Fold(TestCase):
-    def test_dump_encoded_and_copy_say_the_same(self):
+class StateMachine(TestCase):
+    def test_dump_encoded_and_copy_rebuild_the_same_state(self):
         for seed in range(30):
             state = BatchState()
-            applied(state, drawn(seed))
+            apply_all(state, random_entries(seed))
             dumped, encoded = BatchState(), BatchState()
             for row in state.dump():
                 dumped.apply(row)
             for row in state.encoded():
                 encoded.apply(decode(row))
             for other in (dumped, encoded, state.copy()):
-                self.assertThat(shown(other), Equals(shown(state)), f"seed {seed}")
+                self.assertThat(snapshot_of(other), Equals(snapshot_of(state)), f"seed {seed}")
             self.assertThat(
                 sum(state.waiting_tokens.values()),
                 Equals(sum(job.tokens for job in state.open_jobs.values())),
             )
 
-    def test_results_are_listed_as_they_settle_under_a_rising_epoch(self):
+    def test_results_are_listed_as_they_commit_under_a_rising_epoch(self):
         state = BatchState()
-        state.apply(drawn(1)[0])
+        state.apply(random_entries(1)[0])
         steps = [
             (2, "e", 1, [2]),
             (2, "e", 1, [2]),
@@ -140,7 +138,7 @@
         ]
         for index, edge, epoch, order in steps:
             state.apply(
-                e.ResultListed(
+                entries.ResultListed(
                     job_id="l0",
                     index=index,
                     outcome="finished",
@@ -156,8 +154,8 @@
 
 
 class Admission(TestCase):
-    def test_the_waiting_room_is_exact_in_tokens(self):
-        bench = Bench()
+    def test_the_backlog_limit_is_exact_in_tokens(self):
+        fixture = LeaderFixture()
         rows = [
             ("one", (30, 30), "admitted"),
             ("two", (41,), "no_room"),
@@ -166,30 +164,32 @@
             ("one", (30, 30), "known"),
         ]
         for job_id, tokens, outcome in rows:
-            self.assertThat(bench.hand_in(job_id, tokens).outcome, Equals(outcome), job_id)
-        self.assertThat(bench.hand_in("free", (9999,), "route/b").outcome, Equals("admitted"))
-        work = bench.work(bench.beat(paths=["route/a"]))
-        bench.end(work[0])
-        bench.now_ms += 1
-        self.assertThat(bench.hand_in("five", (31,)).outcome, Equals("no_room"))
-        self.assertThat(bench.hand_in("six", (30,)).outcome, Equals("admitted"))
-        bench.ask(m.CancelJob(job_id="three"))
-        bench.now_ms += 1
-        self.assertThat(bench.hand_in("seven", (40,)).outcome, Equals("admitted"))
+            self.assertThat(fixture.submit(job_id, tokens).outcome, Equals(outcome), job_id)
+        self.assertThat(fixture.submit("free", (9999,), "route/b").outcome, Equals("admitted"))
+        work = fixture.assignments(fixture.heartbeat(paths=["route/a"]))
+        fixture.report(work[0])
+        fixture.now_ms += 1
+        self.assertThat(fixture.submit("five", (31,)).outcome, Equals("no_room"))
+        self.assertThat(fixture.submit("six", (30,)).outcome, Equals("admitted"))
+        fixture.request(messages.CancelJob(job_id="three"))
+        fixture.now_ms += 1
+        self.assertThat(fixture.submit("seven", (40,)).outcome, Equals("admitted"))
 
     def test_what_was_refused_runs_only_under_a_later_stamp(self):
-        bench = Bench()
-        bench.hand_in("one", (100,))
-        self.assertThat(bench.hand_in("two", (1,)).outcome, Equals("no_room"))
-        bench.ask(m.CancelJob(job_id="one"))
+        fixture = LeaderFixture()
+        fixture.submit("one", (100,))
+        self.assertThat(fixture.submit("two", (1,)).outcome, Equals("no_room"))
+        fixture.request(messages.CancelJob(job_id="one"))
         for row in ({"age_ms": 0}, {"age_ms": 50}, {"epoch": 2}, {"age_ms": 1001}, {"age_ms": -1}):
-            told = bench.hand_in("two", (1,), **row)
-            self.assertThat(told, Equals(m.StaleRequest(epoch=1, leader_ms=bench.now_ms)), row)
-        bench.now_ms += 1
-        self.assertThat(bench.hand_in("two", (1,)).outcome, Equals("admitted"))
+            response = fixture.submit("two", (1,), **row)
+            self.assertThat(
+                response, Equals(messages.StaleRequest(epoch=1, leader_ms=fixture.now_ms)), row
+            )
+        fixture.now_ms += 1
+        self.assertThat(fixture.submit("two", (1,)).outcome, Equals("admitted"))
 
     def test_older_profiles_than_the_edges_refuse_nothing(self):
-        bench = Bench()
+        fixture = LeaderFixture()
         rows = [
             ("route/c", 8, "unknown"),
             ("route/c", 7, "no_path"),
@@ -198,21 +198,21 @@
         ]
         for number, (path, version, outcome) in enumerate(rows):
             self.assertThat(
-                bench.hand_in(f"lot{number}", path=path, version=version).outcome,
+                fixture.submit(f"lot{number}", path=path, version=version).outcome,
                 Equals(outcome),
                 (path, version),
             )
 
-    def test_answered_once_settled_and_known_ever_after(self):
-        bench = Bench()
-        bench.holder.by_hand = True
-        self.assertThat(bench.hand_in("one"), Equals(None))
-        self.assertThat(bench.hand_in("one"), Equals(None))
-        bench.holder.settle()
+    def test_answered_once_committed_and_known_ever_after(self):
+        fixture = LeaderFixture()
+        fixture.leader.manual_commit = True
+        self.assertThat(fixture.submit("one"), Equals(None))
+        self.assertThat(fixture.submit("one"), Equals(None))
+        fixture.leader.commit()
         self.assertThat(
-            [rows[0].outcome for rows in bench.replies.values()], Equals(["admitted", "known"])
+            [rows[0].outcome for rows in fixture.replies.values()], Equals(["admitted", "known"])
         )
-        bench.holder.by_hand = False
-        self.assertThat(bench.hand_in("one", digest="other").outcome, Equals("conflict"))
-        bench.holder.full = True
-        self.assertThat(bench.hand_in("two").outcome, Equals("full"))
+        fixture.leader.manual_commit = False
+        self.assertThat(fixture.submit("one", digest="other").outcome, Equals("conflict"))
+        fixture.leader.full = True
+        self.assertThat(fixture.submit("two").outcome, Equals("full"))
--- a/tests/test_forward_lots_sim.py
+++ b/tests/test_forward_jobs_sim.py
@@ -1,16 +1,16 @@
-"""Lots of forwarded calls on a simulated fleet, with workers played here: what is taken is listed once, in one
-order at every edge, while the holder of the log, an edge or a store is lost in the middle.
+"""Forwarded jobs on a simulated fleet with simulated workers: what is admitted is listed once, in one
+order at every edge, while the leader of the log, an edge or a store is lost in the middle.
 """
 
 import json
 
-from batch_state import messages as m
+from batch_state import messages
 from request_routing import WorkerHeaderNames
 from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals
 
-DIALECT = WorkerHeaderNames(
+HEADER_NAMES = WorkerHeaderNames(
     request_id="Id",
     worker="Worker",
     stamp="Stamp",
@@ -22,8 +22,8 @@
 EVENTS, GAP_MS = 5, 20.0
 
 
-class Theatre:
-    """Edges whose sends of forwarded calls are answered here, event by event; a lot's client at any edge."""
+class ForwardJobClients:
+    """Clients of forwarded jobs at any edge, and workers that answer the calls event by event."""
 
     def __init__(self, seed):
         self.run = Run(seed)
@@ -51,7 +51,7 @@
         )
         for host in self.fleet.with_role("edge"):
             host.node.roster._listed = lambda: (1, listed)
-            host.node.carrier.dialect = DIALECT
+            host.node.carrier.dialect = HEADER_NAMES
             host.node.carrier._sender = self._sender_of(host)
         self.fleet.run_until_true(lambda: False, 800)
 
@@ -97,10 +97,10 @@
     def edges(self):
         return self.fleet.running("edge")
 
-    def hand_in(self, job_id, count, done=None, tries=6):
+    def submit(self, job_id, count, done=None, tries=6):
         items = [
-            m.ForwardItem(
-                item_id=f"{job_id}.{place}",
+            messages.ForwardItem(
+                item_id=f"{job_id}.{number}",
                 target="/x",
                 host="h",
                 headers=[],
@@ -110,122 +110,123 @@
                 tokens_in=1,
                 tokens_out=1,
             )
-            for place in range(count)
+            for number in range(count)
         ]
         began_ms = self.time.now_ms
 
-        def told(answer):
+        def on_answer(answer):
             if answer.status == 202:
                 self.total[job_id] = count
                 if done is not None:
                     done(self.time.now_ms - began_ms)
             elif tries:
-                self.time.after(50, lambda: self.hand_in(job_id, count, done, tries - 1))
+                self.time.after(50, lambda: self.submit(job_id, count, done, tries - 1))
 
         self.time.rng.choice(self.edges()).node.forward_job_service.submit(
-            job_id, "summaries", items, [5] * count, 2000, told
+            job_id, "summaries", items, [5] * count, 2000, on_answer
         )
 
     def follow(self, job_id):
-        """Reads on from what it has until all is there; what was read before has to come again as it was."""
+        """Read until all results are there; results that were read before must not have changed."""
         rows = self.read.setdefault(job_id, [])
         position = 0 if self.time.rng.random() < 0.2 else len(rows)
         state = {"over": False}
 
-        def told(answer):
+        def on_answer(answer):
             if state["over"]:
                 return
             state["over"] = True
             if answer is not None and answer.status == 200:
-                got = [(row.item_id, row.outcome, row.text) for row in answer.value[0]]
-                for place, row in enumerate(got, position):
-                    if place < len(rows) and rows[place] != row:
-                        raise AssertionError(f"{job_id} {place}: {rows[place]} and then {row}")
-                rows[position : position + len(got)] = got
+                page = [(row.item_id, row.outcome, row.text) for row in answer.value[0]]
+                for index, row in enumerate(page, position):
+                    if index < len(rows) and rows[index] != row:
+                        raise AssertionError(f"{job_id} {index}: {rows[index]} and then {row}")
+                rows[position : position + len(page)] = page
             if len(rows) < self.total[job_id]:
                 self.time.after(
                     100 if answer is not None and answer.status == 200 else 300,
                     lambda: self.follow(job_id),
                 )
 
-        self.time.after(2500, lambda: told(None))
+        self.time.after(2500, lambda: on_answer(None))
         self.time.rng.choice(self.edges()).node.forward_job_service.results(
-            job_id, position, 1000, told
+            job_id, position, 1000, on_answer
         )
 
 
-class Lots(TestCase):
-    def all_read(self, stage, jobs, limit_ms=15_000):
+class ForwardJobs(TestCase):
+    def all_read(self, clients, jobs, limit_ms=15_000):
         def done():
-            return len(stage.total) == jobs and all(
-                len(stage.read.get(job_id, [])) == count for job_id, count in stage.total.items()
+            return len(clients.total) == jobs and all(
+                len(clients.read.get(job_id, [])) == count
+                for job_id, count in clients.total.items()
             )
 
-        self.assertThat(bool(stage.fleet.run_until_true(done, limit_ms)), Equals(True))
-        for job_id, rows in stage.read.items():
+        self.assertThat(bool(clients.fleet.run_until_true(done, limit_ms)), Equals(True))
+        for job_id, rows in clients.read.items():
             texts = {
-                f"{job_id}.{place}": b"\n".join(
-                    b"%s.%d-%d" % (job_id.encode(), place, event) for event in range(EVENTS)
+                f"{job_id}.{number}": b"\n".join(
+                    b"%s.%d-%d" % (job_id.encode(), number, event) for event in range(EVENTS)
                 )
-                for place in range(stage.total[job_id])
+                for number in range(clients.total[job_id])
             }
             self.assertThat({item: text for item, _, text in rows}, Equals(texts))
             self.assertThat({outcome for _, outcome, _ in rows}, Equals({"finished"}))
 
     def begin(self, seed, jobs=3, items=20):
-        stage = Theatre(seed)
+        clients = ForwardJobClients(seed)
         took = []
         for number in range(jobs):
             job_id = f"lot{number}"
-            stage.hand_in(
-                job_id, items, lambda ms, job_id=job_id: (took.append(ms), stage.follow(job_id))
+            clients.submit(
+                job_id, items, lambda ms, job_id=job_id: (took.append(ms), clients.follow(job_id))
             )
-        return stage, took
+        return clients, took
 
-    def test_a_calm_lot_is_taken_dealt_and_listed_at_once(self):
-        stage, took = self.begin(3, 2, 9)
-        began_ms = stage.time.now_ms
-        self.all_read(stage, 2)
+    def test_a_calm_job_is_admitted_dispatched_and_listed_at_once(self):
+        clients, took = self.begin(3, 2, 9)
+        began_ms = clients.time.now_ms
+        self.all_read(clients, 2)
         self.assertThat(
             (
                 max(took) < 60,
-                max(at_ms for at_ms, _ in stage.runs) - began_ms < 500,
-                len(stage.runs),
+                max(at_ms for at_ms, _ in clients.runs) - began_ms < 500,
+                len(clients.runs),
             ),
             Equals((True, True, 18)),
         )
 
-    def test_the_holder_lost_in_the_middle(self):
+    def test_the_leader_lost_in_the_middle(self):
         for seed, how in ((1, "kill"), (2, "freeze"), (3, "lose_power"), (4, "lose_disk")):
-            stage, _ = self.begin(seed)
-            stage.time.run_until(stage.time.now_ms + 80 + 40 * seed)
-            holder = stage.fleet.leader()
-            getattr(holder, how)()
-            stage.hand_in("late", 5, lambda ms, stage=stage: stage.follow("late"))
+            clients, _ = self.begin(seed)
+            clients.time.run_until(clients.time.now_ms + 80 + 40 * seed)
+            leader = clients.fleet.leader()
+            getattr(leader, how)()
+            clients.submit("late", 5, lambda ms, clients=clients: clients.follow("late"))
             if how == "freeze":
-                stage.time.after(4000, holder.wake)
-            self.all_read(stage, 4)
+                clients.time.after(4000, leader.wake)
+            self.all_read(clients, 4)
 
     def test_an_edge_lost_in_the_middle(self):
-        stage, _ = self.begin(5, 3, 30)
-        stage.time.run_until(stage.time.now_ms + 120)
-        lost = max(stage.fleet.with_role("edge"), key=lambda host: host.node.job_runner.running())
+        clients, _ = self.begin(5, 3, 30)
+        clients.time.run_until(clients.time.now_ms + 120)
+        lost = max(clients.fleet.with_role("edge"), key=lambda host: host.node.job_runner.running())
         lost.kill()
-        began_ms = stage.time.now_ms
-        self.all_read(stage, 3)
-        self.assertThat(stage.time.now_ms - began_ms < 4000, Equals(True))
-
-    def test_ended_everywhere_in_time(self):
-        stage, _ = self.begin(6, 1, 60)
-        stage.time.run_until(stage.time.now_ms + 60)
-        ended = []
-        stage.edges()[0].node.forward_job_service.cancel("lot0", ended.append)
-        stage.fleet.run_until_true(lambda: ended, 2000)
-        self.assertThat(ended[0].status, Equals(200))
-        stage.time.run_until(stage.time.now_ms + 100)
-        count = len(stage.runs)
-        stage.time.run_until(stage.time.now_ms + 3000)
+        began_ms = clients.time.now_ms
+        self.all_read(clients, 3)
+        self.assertThat(clients.time.now_ms - began_ms < 4000, Equals(True))
+
+    def test_cancelled_everywhere_in_time(self):
+        clients, _ = self.begin(6, 1, 60)
+        clients.time.run_until(clients.time.now_ms + 60)
+        answers = []
+        clients.edges()[0].node.forward_job_service.cancel("lot0", answers.append)
+        clients.fleet.run_until_true(lambda: answers, 2000)
+        self.assertThat(answers[0].status, Equals(200))
+        clients.time.run_until(clients.time.now_ms + 100)
+        count = len(clients.runs)
+        clients.time.run_until(clients.time.now_ms + 3000)
         self.assertThat(
-            (len(stage.runs), sum(host.node.job_runner.running() for host in stage.edges())),
+            (len(clients.runs), sum(host.node.job_runner.running() for host in clients.edges())),
             Equals((count, 0)),
         )
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -1,24 +1,23 @@
-"""Claims of items at edges and at the holder: notices that come late, ends of a former claim, and edges that stood
-still. What may not be repeated is begun under one claim only.
+"""Claims of items at edges and at the leader: notices that come late, results of a former claim, and edges that were
+frozen. What may not be repeated is started under one claim only.
 """
 
 from types import SimpleNamespace
 
-from batch_state import entries as e
-from batch_state import messages as m
-from forward_ledger_stage import Bench
+from batch_state import entries, messages
+from leader_fixture import LeaderFixture
 from messaging import encode
 from request_routing import JobRunner
 from testtools import TestCase
 from testtools.matchers import Equals
 
-PARAMS = SimpleNamespace(
+SETTINGS = SimpleNamespace(
     heartbeat_ms=200, request_timeout_ms=500, claim_timeout_ms=1500, force_ms=2000
 )
 
 
-class HolderStub:
-    """What an edge knows of the holder; keeps what is asked of it."""
+class LeaderStub:
+    """What an edge knows of the leader; keeps the requests to it."""
 
     def __init__(self):
         self.epoch, self.heard_ms, self.asked = 5, 0, []
@@ -37,18 +36,24 @@
 
 
 class Runner:
-    """An edge's runner of lots, with its beats answered by hand."""
+    """An edge's job runner, with its heartbeats answered by hand."""
 
     def __init__(self):
-        self.now_ms, self.beats, self.begun, self.cancelled, self.ends = 10_000, [], [], [], {}
-        self.holder = HolderStub()
-        self.jobs = JobRunner("e1", self.holder, lambda: (9, frozenset(["p"])), self._start)
+        self.now_ms, self.heartbeats, self.started, self.cancelled, self.ends = (
+            10_000,
+            [],
+            [],
+            [],
+            {},
+        )
+        self.leader = LeaderStub()
+        self.jobs = JobRunner("e1", self.leader, lambda: (9, frozenset(["p"])), self._start)
         self.jobs.attach(
             SimpleNamespace(
-                env=SimpleNamespace(now=lambda: self.now_ms, log=lambda *told, **fields: None),
-                settings=PARAMS,
+                env=SimpleNamespace(now=lambda: self.now_ms, log=lambda *event, **fields: None),
+                settings=SETTINGS,
                 address="e:1",
-                request=lambda to, message, timeout_ms, on_reply: self.beats.append(
+                request=lambda to, message, timeout_ms, on_reply: self.heartbeats.append(
                     (message, on_reply)
                 ),
             )
@@ -56,16 +61,16 @@
         self.jobs.tick()
 
     def _start(self, work, done):
-        self.begun.append((work.index, work.number))
+        self.started.append((work.index, work.number))
         self.ends[work.index] = done
         return lambda: self.cancelled.append(work.index)
 
-    def deal(self, index, number, safe=True, epoch=5, beat=-1):
-        """Answer a beat with one item."""
-        work = m.ItemAssignment(
+    def answer(self, index, number, safe=True, epoch=5, heartbeat=-1):
+        """Answer a heartbeat with one item."""
+        work = messages.ItemAssignment(
             job_id="l", index=index, number=number, path="p", safe=safe, body="{}", due_ms=0
         )
-        receipt = m.EdgeHeartbeatResponse(
+        response = messages.EdgeHeartbeatResponse(
             epoch=epoch,
             leader_ms=0,
             work=[encode(work)],
@@ -74,30 +79,30 @@
             waiting=0,
             paths=["p"],
         )
-        self.beats[beat][1](receipt)
+        self.heartbeats[heartbeat][1](response)
 
     def reported(self):
         return [
             (row.index, row.number, row.outcome)
-            for row, _ in self.holder.asked
-            if isinstance(row, m.ReportResult)
+            for row, _ in self.leader.asked
+            if isinstance(row, messages.ReportResult)
         ]
 
 
 class AtTheEdge(TestCase):
-    def test_work_of_a_holder_that_was_succeeded_is_not_begun(self):
-        for epoch, begun in ((4, []), (5, [(0, 1)]), (6, [(0, 1)])):
+    def test_work_of_a_superseded_leader_is_not_started(self):
+        for epoch, started in ((4, []), (5, [(0, 1)]), (6, [(0, 1)])):
             runner = Runner()
-            runner.deal(0, 1, epoch=epoch)
-            self.assertThat(runner.begun, Equals(begun), epoch)
+            runner.answer(0, 1, epoch=epoch)
+            self.assertThat(runner.started, Equals(started), epoch)
 
-    def test_an_item_under_way_is_not_begun_again(self):
+    def test_an_item_in_progress_is_not_started_again(self):
         runner = Runner()
-        runner.deal(0, 1)
-        runner.deal(0, 2)
+        runner.answer(0, 1)
+        runner.answer(0, 2)
         runner.ends[0]("ran", "{}", "w")
-        runner.deal(0, 3)
-        self.assertThat((runner.begun, runner.reported()), Equals(([(0, 1)], [(0, 1, "ran")])))
+        runner.answer(0, 3)
+        self.assertThat((runner.started, runner.reported()), Equals(([(0, 1)], [(0, 1, "ran")])))
 
     def test_an_edge_that_stood_still_stops_what_it_ran_and_says_once_what_came_of_it(self):
         """What may be repeated is handed back under its claim; of the rest nobody can say."""
@@ -107,7 +112,7 @@
             (1501, False, [(0, 1, "may_have_run")]),
         ):
             runner = Runner()
-            runner.deal(0, 1, safe=safe)
+            runner.answer(0, 1, safe=safe)
             runner.now_ms += gap_ms
             runner.jobs.resumed(gap_ms)
             self.assertThat(
@@ -116,15 +121,15 @@
             runner.ends[0]("ran", "{}", "w")
             self.assertThat(len(runner.reported()), Equals(1))
 
-    def test_a_silent_holder_ends_the_claims(self):
+    def test_a_silent_leader_ends_the_claims(self):
         runner = Runner()
-        runner.deal(0, 1, safe=False)
-        runner.now_ms += PARAMS.claim_timeout_ms + 1
+        runner.answer(0, 1, safe=False)
+        runner.now_ms += SETTINGS.claim_timeout_ms + 1
         runner.jobs.tick()
         self.assertThat(runner.reported(), Equals([(0, 1, "may_have_run")]))
 
 
-class AtTheHolder(TestCase):
+class AtTheLeader(TestCase):
     """Rows: which ends come, each under the number of its claim and from its edge, and how the item stands."""
 
     def test_ends_of_a_former_claim_of_a_forwarded_item(self):
@@ -134,46 +139,49 @@
             ("finished", ("finished", None, None), ["finished"]),
             ("dead", ("finished", None, None), ["dead"]),
         ):
-            bench = Bench()
-            bench.hand_in("one")
-            former = bench.work(bench.beat("e1"))[0]
-            bench.end(former, "again", edge="e1")
-            present = bench.work(bench.beat("e2"))[0]
-            bench.end(former, outcome, text=b"former", edge="e1")
-            item = bench.holder.state.jobs["one"].items[0]
+            fixture = LeaderFixture()
+            fixture.submit("one")
+            former = fixture.assignments(fixture.heartbeat("e1"))[0]
+            fixture.report(former, "again", edge="e1")
+            present = fixture.assignments(fixture.heartbeat("e2"))[0]
+            fixture.report(former, outcome, text=b"former", edge="e1")
+            item = fixture.leader.state.jobs["one"].items[0]
             shown = (
                 (item.state, None, None)
                 if item.state == "finished"
                 else (item.state, item.number, item.edge)
             )
             self.assertThat(
-                (shown, [row[1] for row in bench.listed("one")]), Equals((state, listed))
+                (shown, [row[1] for row in fixture.listed_results("one")]),
+                Equals((state, listed)),
             )
-            bench.end(present, "finished", text=b"present", edge="e2")
+            fixture.report(present, "finished", text=b"present", edge="e2")
             self.assertThat(
-                [row[1] for row in bench.listed("one")], Equals(listed or ["finished"]), outcome
+                [row[1] for row in fixture.listed_results("one")],
+                Equals(listed or ["finished"]),
+                outcome,
             )
 
     def test_a_failure_of_a_former_claim_uses_up_no_attempt(self):
-        bench = Bench()
-        bench.hand_in("one", attempts=3)
+        fixture = LeaderFixture()
+        fixture.submit("one", attempts=3)
         claims = []
         for _ in range(2):
-            claims.append(bench.work(bench.beat("e1"))[0])
-            bench.end(claims[-1], "failed", edge="e1")
-        present = bench.work(bench.beat("e2"))[0]
+            claims.append(fixture.assignments(fixture.heartbeat("e1"))[0])
+            fixture.report(claims[-1], "failed", edge="e1")
+        present = fixture.assignments(fixture.heartbeat("e2"))[0]
         for former in claims:
-            bench.end(former, "failed", edge="e1")
-        self.assertThat(bench.listed("one"), Equals([]))
-        bench.end(present, "failed", edge="e2")
-        self.assertThat([row[1] for row in bench.listed("one")], Equals(["dead"]))
+            fixture.report(former, "failed", edge="e1")
+        self.assertThat(fixture.listed_results("one"), Equals([]))
+        fixture.report(present, "failed", edge="e2")
+        self.assertThat([row[1] for row in fixture.listed_results("one")], Equals(["dead"]))
 
     def test_a_claim_handed_back_late_leaves_the_present_one(self):
         """An item of our own interface: only under the number of the present claim is it dealt again."""
-        bench = Bench()
-        bench.holder.append(
+        fixture = LeaderFixture()
+        fixture.leader.append(
             [
-                e.JobAdmitted(
+                entries.JobAdmitted(
                     job_id="l",
                     digest="d",
                     path="route/a",
@@ -186,19 +194,19 @@
             True,
             lambda outcome: None,
         )
-        first = bench.work(bench.beat("e1"))[0]
-        self.finish(bench, first, "again", "e1")
-        second = bench.work(bench.beat("e2"))[0]
-        self.finish(bench, first, "again", "e1")
-        item = bench.holder.state.jobs["l"].items[0]
+        first = fixture.assignments(fixture.heartbeat("e1"))[0]
+        self.finish(fixture, first, "again", "e1")
+        second = fixture.assignments(fixture.heartbeat("e2"))[0]
+        self.finish(fixture, first, "again", "e1")
+        item = fixture.leader.state.jobs["l"].items[0]
         self.assertThat(
             (first.number, second.number, item.state, item.edge, item.number),
             Equals((1, 2, "claimed", "e2", 2)),
         )
 
-    def finish(self, bench, work, outcome, edge):
-        bench.ask(
-            m.ReportResult(
+    def finish(self, fixture, work, outcome, edge):
+        fixture.request(
+            messages.ReportResult(
                 job_id=work.job_id,
                 index=work.index,
                 number=work.number,
