--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -4,15 +4,11 @@
 
 import json
 
-from config_format import (
-    apply_patch,
-    change_digest,
-    encoded_name,
-    parse_object,
-    parse_settings,
-    service_name,
-    shown_settings,
-)
+from config_display import shown_settings
+from config_json import change_digest, parse_object
+from config_names import encoded_name, service_name
+from config_patch import apply_patch
+from config_translation import parse_settings
 from control_store import ProfileTree, check_tree
 from platform_calls import ROUTE, SERVICE, SETTINGS
 from testtools import TestCase
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -47,7 +47,7 @@
             return load_node_config(role, page.name)
 
     def test_what_is_said_in_our_words(self) -> None:
-        place = self._load(_FILE).ok
+        config = self._load(_FILE).ok
         for name, value in {
             "link": "10.1.0.12:7720",
             "http": "10.1.0.12:7721",
@@ -62,12 +62,12 @@
             "grace_ms": 8000,
             "control_count": 0,
         }.items():
-            self.assertThat(getattr(place.settings, name), Equals(value), name)
+            self.assertThat(getattr(config.settings, name), Equals(value), name)
         self.assertThat(
-            place.addresses,
+            config.addresses,
             Equals({"clients": "10.1.0.12:8161", "readiness": "10.1.0.12:8167", "control": ""}),
         )
-        self.assertThat(place.node_name, Equals("storage-a-1"))
+        self.assertThat(config.node_name, Equals("storage-a-1"))
 
     def test_every_problem_is_told(self) -> None:
         for text, told in (
