--- a/libs/modelcheck/src/modelcheck/__init__.py
+++ b/libs/modelcheck/src/modelcheck/__init__.py
@@ -1,20 +1,33 @@
 """Model checking of the real protocol cores, and checking of recorded histories.
 
-A small-scope explorer tries all schedules of messages, timers and faults up to given bounds. A
-separate checker decides whether a recorded history is linearizable.
+A small-scope explorer tries all schedules of messages, timers and faults up to given bounds; a
+separate checker decides whether a recorded history is linearizable. docs/model-checking.md has the
+invariants and what was searched.
+
+- `system_model` says what the explorer needs to know of a group of nodes. `control_model` and
+  `log_model` are the two groups, `control_initial_states`, `log_initial_states` and
+  `member_change_initial_states` the named initial states of the searches; `control_stubs` and
+  `log_stubs` replace the components that are not explored. An invariant is added in a model.
+- `explorer` searches the global states, `local_states` computes the effect of an event on a node,
+  `canonical_encoding` tells equal states, and `model_environment` is what a node runs on.
+- `linearizability` searches for a linearization; `specifications` has the sequential objects.
+
+It may import the libraries whose cores it explores, and no part of a program; only tests and
+`testbed` import it.
 """
 
 from runtime.lazy_exports import lazy_exports
 
 __all__ = [
+    "CONTROL_INITIAL_STATES",
+    "INITIAL_STATES",
     "Bounds",
-    "BreachError",
     "Call",
-    "CONTROL_STARTS",
-    "ControlKeys",
+    "ControlKeyModel",
     "Explorer",
+    "InitialState",
+    "InvariantViolationError",
     "Operation",
-    "Start",
     "linearize",
     "read_schedule",
     "write_schedule",
@@ -24,10 +37,11 @@
     __name__,
     {
         "actions": ("read_schedule", "write_schedule"),
-        "control_keys": ("ControlKeys",),
-        "control_starts": ("CONTROL_STARTS",),
+        "control_initial_states": ("CONTROL_INITIAL_STATES",),
+        "control_model": ("ControlKeyModel",),
         "explorer": ("Explorer",),
+        "initial_states": ("INITIAL_STATES",),
         "linearizability": ("Call", "linearize"),
-        "world": ("Bounds", "BreachError", "Operation", "Start"),
+        "system_model": ("Bounds", "InitialState", "InvariantViolationError", "Operation"),
     },
 )
--- a/libs/modelcheck/src/modelcheck/actions.py
+++ b/libs/modelcheck/src/modelcheck/actions.py
@@ -1,22 +1,24 @@
 """The actions of the explorer, and the text form of a schedule of them."""
 
+from collections.abc import Iterable
 from enum import StrEnum
+from typing import NamedTuple
 
-__all__ = ["Action", "Kind", "read_schedule", "write_schedule"]
+__all__ = ["Action", "ActionKind", "ScheduleStep", "read_schedule", "write_schedule"]
 
 
-class Kind(StrEnum):
-    """What an action does.
+class ActionKind(StrEnum):
+    """What an action does; the values are those of written schedules.
 
     - DELIVER: a message arrives; DUPLICATE: it arrives and stays in flight; LOSE: it is dropped.
     - FLUSH: a node's oldest disk operation ends.
     - TICK: a node's timers run after tick_ms; TIMEOUT: after a request's timeout; FREEZE: after a
       pause so long that the node notices it.
-    - KILL: a process restarts with all that it wrote; POWER: with only what was flushed; WIPE: with
-      an empty disk.
-    - REFUSED: a node is told that nothing listens at another's address, rightly or not.
-    - CUT: all messages in flight to and from a node are lost.
-    - SUBMIT: a node is given an operation of the scenario.
+    - KILL: a process restarts with all that it wrote; POWER_LOSS: with only what was flushed; WIPE:
+      with an empty disk.
+    - CONNECTION_REFUSED: a node learns that nothing listens at another's address, rightly or not.
+    - PARTITION: all messages in flight to and from a node are lost.
+    - SUBMIT: a node is given an operation of the model.
     """
 
     DELIVER = "deliver"
@@ -27,16 +29,13 @@
     TIMEOUT = "timeout"
     FREEZE = "freeze"
     KILL = "kill"
-    POWER = "power"
+    POWER_LOSS = "power"
     WIPE = "wipe"
-    REFUSED = "refused"
-    CUT = "cut"
+    CONNECTION_REFUSED = "refused"
+    PARTITION = "cut"
     SUBMIT = "submit"
 
 
-MESSAGE_KINDS = (Kind.DELIVER, Kind.DUPLICATE, Kind.LOSE)
-
-
 class Action:
     """One step of a schedule.
 
@@ -47,7 +46,7 @@
 
     __slots__ = ("kind", "node", "number")
 
-    def __init__(self, kind: Kind, node: int, number: int = 0) -> None:
+    def __init__(self, kind: ActionKind, node: int, number: int = 0) -> None:
         self.kind = kind
         self.node = node
         self.number = number
@@ -66,12 +65,20 @@
         return f"Action({self.kind}, {self.node}, {self.number})"
 
 
-def write_schedule(steps: list[tuple[Kind, int, str]]) -> str:
-    """Return a schedule as text, one step a line: kind, node, and message or operation."""
-    return "\n".join(f"{kind} {node} {what}".rstrip() for kind, node, what in steps)
+class ScheduleStep(NamedTuple):
+    """An action as it is written: its subject is a message's, an operation's or a node's name."""
+
+    kind: ActionKind
+    node: int
+    subject: str
+
+
+def write_schedule(steps: Iterable[ScheduleStep]) -> str:
+    """Return a schedule as text, one step a line: kind, node, and subject."""
+    return "\n".join(f"{step.kind} {step.node} {step.subject}".rstrip() for step in steps)
 
 
-def read_schedule(text: str) -> list[tuple[Kind, int, str]]:
+def read_schedule(text: str) -> list[ScheduleStep]:
     """Return the steps of a schedule written as text.
 
     Raises
@@ -80,6 +87,6 @@
     """
     steps = []
     for line in text.strip().splitlines():
-        kind, node, *what = line.split(maxsplit=2)
-        steps.append((Kind(kind), int(node), what[0] if what else ""))
+        kind, node, *subject = line.split(maxsplit=2)
+        steps.append(ScheduleStep(ActionKind(kind), int(node), subject[0] if subject else ""))
     return steps
--- a/libs/modelcheck/src/modelcheck/canonical.py
+++ b/libs/modelcheck/src/modelcheck/canonical_encoding.py
@@ -6,7 +6,6 @@
 and cyclic references become the number of the first visit.
 """
 
-from collections.abc import Callable
 from enum import Enum
 from functools import partial
 from types import CellType, FunctionType, MethodType
@@ -30,17 +29,20 @@
 class Encoder:
     """Encodes one object graph.
 
-    Types in `opaque` are written by name only: the environment, whose state is encoded separately.
-    `skip` names the slots left out, as (type name, slot).
+    Types in `opaque_types` are written by name only: the environment, whose state is encoded
+    separately.
+    `skipped_slots` names the slots left out, as (type name, slot).
     """
 
-    __slots__ = ("_opaque", "_seen", "_skip", "_slot_names")
+    __slots__ = ("_opaque_types", "_seen", "_skipped_slots", "_slot_names")
 
     _SLOTS: dict[type, list[str]] = {}
 
-    def __init__(self, opaque: tuple[type, ...], skip: frozenset[tuple[str, str]]) -> None:
-        self._opaque = opaque
-        self._skip = skip
+    def __init__(
+        self, opaque_types: tuple[type, ...], skipped_slots: frozenset[tuple[str, str]]
+    ) -> None:
+        self._opaque_types = opaque_types
+        self._skipped_slots = skipped_slots
         self._seen: dict[int, int] = {}
 
     def text(self, value: Any) -> str:
@@ -51,7 +53,7 @@
             return f"{type(value).__name__}{encode(value)!r}"
         if isinstance(value, tuple):
             return f"({','.join(map(self.text, value))})"
-        if isinstance(value, self._opaque):
+        if isinstance(value, self._opaque_types):
             return f"<{type(value).__name__}>"
         if isinstance(value, type):
             return value.__name__
@@ -81,11 +83,11 @@
     def _key(self, key: Any) -> str:
         return repr(key) if isinstance(key, _PLAIN) else self.text(key)
 
-    def _function(self, value: Callable) -> str:
+    def _function(self, value: FunctionType) -> str:
         cells = ",".join(self._cell(cell) for cell in value.__closure__ or ())
         defaults = ",".join(map(self.text, value.__defaults__ or ()))
-        place = f"{value.__code__.co_qualname}:{value.__code__.co_firstlineno}"
-        return f"{place}({cells};{defaults})"
+        location = f"{value.__code__.co_qualname}:{value.__code__.co_firstlineno}"
+        return f"{location}({cells};{defaults})"
 
     def _cell(self, cell: CellType) -> str:
         try:
@@ -101,12 +103,12 @@
         rows = [
             f"{name}={self.text(getattr(value, name))}"
             for name in names
-            if (kind.__name__, name) not in self._skip and hasattr(value, name)
+            if (kind.__name__, name) not in self._skipped_slots and hasattr(value, name)
         ]
         rows += [
             f"{name}={self.text(item)}"
             for name, item in sorted(getattr(value, "__dict__", {}).items())
-            if (kind.__name__, name) not in self._skip
+            if (kind.__name__, name) not in self._skipped_slots
         ]
         return f"{kind.__name__}({','.join(rows)})"
 
--- a/libs/modelcheck/src/modelcheck/stand_ins.py
+++ b/libs/modelcheck/src/modelcheck/control_stubs.py
@@ -1,11 +1,11 @@
-"""Stubs of the parts that are not explored."""
+"""Stubs of the components that are not explored."""
 
 from messaging import Component
 
-__all__ = ["NoFeed", "Trusted"]
+__all__ = ["FixedFailureDetector", "NullConfigFeed"]
 
 
-class Trusted(Component):
+class FixedFailureDetector(Component):
     """A stub failure detector that takes exactly one voter for live."""
 
     __slots__ = ("_name",)
@@ -26,11 +26,10 @@
         return True
 
 
-class NoFeed(Component):
+class NullConfigFeed(Component):
     """A stub of the config feed without followers."""
 
     __slots__ = ()
 
     def publish(self, key: str, number: int, body: str) -> None:
         """Discard the version."""
-        return None
--- a/libs/modelcheck/src/modelcheck/explorer.py
+++ b/libs/modelcheck/src/modelcheck/explorer.py
@@ -1,85 +1,132 @@
 """Breadth-first search over global states.
 
-A global state is the nodes' local states, the messages in flight (a multiset), what has been
-observed, and what remains of each bound. A state visited before is not expanded again, so the first
-schedule that breaks an invariant is one of the shortest.
+A global state is the nodes' local states, the messages in flight (a multiset), the ghost variable,
+and what remains of each bound. A state visited before is not expanded again, so the first schedule
+that violates an invariant, the counterexample, is one of the shortest.
 """
 
 import time
 from array import array
+from collections.abc import Iterable
 from typing import Any
 
-from modelcheck.actions import Action, Kind
-from modelcheck.local import LocalState, LocalStates
-from modelcheck.world import Bounds, BreachError, Step, World
-
-__all__ = ["Explorer", "Found", "GlobalState"]
-
-_COUNTED = (
-    Kind.DUPLICATE,
-    Kind.LOSE,
-    Kind.TICK,
-    Kind.TIMEOUT,
-    Kind.FREEZE,
-    Kind.KILL,
-    Kind.POWER,
-    Kind.WIPE,
-    Kind.REFUSED,
-    Kind.CUT,
+from modelcheck.actions import Action, ActionKind, ScheduleStep
+from modelcheck.local_states import Event, LocalState, LocalStates
+from modelcheck.system_model import (
+    Bounds,
+    InvariantViolationError,
+    Observation,
+    OperationSubmitted,
+    PreludeStep,
+    SystemModel,
+)
+
+__all__ = ["Explorer", "GlobalState", "SearchResult"]
+
+_BOUNDED_KINDS = (
+    ActionKind.DUPLICATE,
+    ActionKind.LOSE,
+    ActionKind.TICK,
+    ActionKind.TIMEOUT,
+    ActionKind.FREEZE,
+    ActionKind.KILL,
+    ActionKind.POWER_LOSS,
+    ActionKind.WIPE,
+    ActionKind.CONNECTION_REFUSED,
+    ActionKind.PARTITION,
 )  # in the order of Bounds.COUNTS
-_PLACE = {kind: place for place, kind in enumerate(_COUNTED)}
-_OF_NODES = (Kind.TICK, Kind.TIMEOUT, Kind.FREEZE, Kind.KILL, Kind.POWER, Kind.WIPE)
-_KINDS = list(Kind)
+_BOUND_INDEX = {kind: index for index, kind in enumerate(_BOUNDED_KINDS)}
+_NODE_KINDS = (
+    ActionKind.TICK,
+    ActionKind.TIMEOUT,
+    ActionKind.FREEZE,
+    ActionKind.KILL,
+    ActionKind.POWER_LOSS,
+    ActionKind.WIPE,
+)
+_MESSAGE_KINDS = (ActionKind.DELIVER, ActionKind.DUPLICATE, ActionKind.LOSE)
+_KINDS = list(ActionKind)
 _KIND_NUMBER = {kind: number for number, kind in enumerate(_KINDS)}
 _NODE_BITS, _KIND_BITS = 6, 5
+_NO_PARENT = -1
 
 
 class GlobalState:
     """One global state.
 
-    `flight` has the numbers of the messages in flight, sorted; `ghost` is the number of the ghost;
-    `left` has what remains of each bound; `asked` is a bit set of the operations submitted.
+    `in_flight` has the numbers of the messages in flight, sorted; `ghost` is the number of the
+    ghost; `remaining` has what remains of each bound; `submitted` is a bit set of the operations
+    submitted.
     """
 
-    __slots__ = ("asked", "flight", "ghost", "left", "nodes")
+    __slots__ = ("ghost", "in_flight", "nodes", "remaining", "submitted")
 
     def __init__(
         self,
         nodes: tuple[LocalState, ...],
-        flight: tuple[int, ...],
+        in_flight: tuple[int, ...],
         ghost: int,
-        left: tuple[int, ...],
-        asked: int,
+        remaining: tuple[int, ...],
+        submitted: int,
     ) -> None:
         self.nodes = nodes
-        self.flight = flight
+        self.in_flight = in_flight
         self.ghost = ghost
-        self.left = left
-        self.asked = asked
+        self.remaining = remaining
+        self.submitted = submitted
 
     def key(self) -> int:
         """Return a 64-bit hash by which states are told apart."""
         nodes = tuple(node.number for node in self.nodes)
-        return hash((nodes, self.flight, self.ghost, self.left, self.asked))
+        return hash((nodes, self.in_flight, self.ghost, self.remaining, self.submitted))
+
+    def with_in_flight(
+        self, in_flight: Iterable[int], remaining: tuple[int, ...] | None = None
+    ) -> "GlobalState":
+        """Return this state with other messages in flight, and perhaps other remaining bounds."""
+        return GlobalState(
+            self.nodes,
+            tuple(in_flight),
+            self.ghost,
+            self.remaining if remaining is None else remaining,
+            self.submitted,
+        )
+
 
+class SearchResult:
+    """The result of a search.
 
-class Found:
-    """The result of a search; `whole` is whether every state within the bounds was expanded."""
+    `states` and `local_states` count the distinct states, `depth` is the length of the longest
+    schedules, and `is_complete` is whether every state within the bounds was expanded. `violation`
+    is None if all invariants held; otherwise `counterexample` is a schedule that leads to it.
+    """
 
-    __slots__ = ("breach", "depth", "local_states", "schedule", "seconds", "states", "whole")
+    __slots__ = (
+        "counterexample",
+        "depth",
+        "is_complete",
+        "local_states",
+        "seconds",
+        "states",
+        "violation",
+    )
 
     def __init__(self) -> None:
         self.states = 0
         self.depth = 0
         self.seconds = 0.0
         self.local_states = 0
-        self.whole = False
-        self.breach: BreachError | None = None
-        self.schedule: list[Action] = []
+        self.is_complete = False
+        self.violation: InvariantViolationError | None = None
+        self.counterexample: list[Action] = []
 
 
 class Explorer:
-    """Searches the schedules of one world."""
+    """Searches the schedules of one model.
+
+    Visited states are numbered in the order of discovery; the search keeps of each its hash, the
+    number of its parent and the action that led to it.
+    """
 
     __slots__ = (
         "_actions",
@@ -89,223 +136,244 @@
         "_next_ghosts",
         "_parents",
         "_visited",
-        "local",
-        "world",
+        "local_states",
+        "model",
     )
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.local = LocalStates(world)
+    def __init__(self, model: SystemModel) -> None:
+        self.model = model
+        self.local_states = LocalStates(model)
         self._visited: set[int] = set()
         self._parents = array("q")
         self._actions = array("q")
         self._ghosts: list[Any] = []
         self._ghost_numbers: dict[Any, int] = {}
-        self._next_ghosts: dict[tuple[int, tuple], int] = {}
-        self._checked: set[tuple] = set()
-
-    # -- searching -----------------------------------------------------------------------------
-
-    def first(self) -> GlobalState:
-        """Return the world's starting state, after its prelude."""
-        state = self._start()
-        for step in self.world.prelude:
-            state = self._made(state, Action(step.kind, step.node, step.number))
-            if step.drained:
-                state = self._drained(state, step)
+        self._next_ghosts: dict[tuple[int, tuple[Observation, ...]], int] = {}
+        self._checked: set[tuple[int, tuple[int, ...]]] = set()
+
+    # -- initial state -------------------------------------------------------------------------
+
+    def initial_state(self) -> GlobalState:
+        """Return the model's initial state, after its prelude."""
+        state = self._before_prelude()
+        for step in self.model.prelude:
+            state = self._unbounded(state, Action(step.kind, step.node, step.number))
+            if step.runs_on:
+                state = self._run_on(state, step)
         return state
 
-    def _made(self, state: GlobalState, action: Action) -> GlobalState:
+    def _before_prelude(self) -> GlobalState:
+        count = len(self.model.addresses)
+        nodes = tuple(self.local_states.initial_state(index) for index in range(count))
+        ghost = self._ghost_number(self.model.initial_ghost())
+        return GlobalState(nodes, (), ghost, self.model.bounds.counts(), 0)
+
+    def _unbounded(self, state: GlobalState, action: Action) -> GlobalState:
         """Return the state after an action that counts against no bound."""
-        reached = self.after(state, action) or state
-        return GlobalState(reached.nodes, reached.flight, reached.ghost, state.left, reached.asked)
+        reached = self.next_state(state, action) or state
+        return GlobalState(
+            reached.nodes, reached.in_flight, reached.ghost, state.remaining, reached.submitted
+        )
 
-    def _drained(self, state: GlobalState, step: Step) -> GlobalState:
+    def _run_on(self, state: GlobalState, step: PreludeStep) -> GlobalState:
         """Return the state once no message is in flight and all flushes have ended."""
         while True:
-            if step.without >= 0:
-                state = self._cut(state, step.without, state.left)
+            if step.isolated is not None:
+                state = self._partitioned(state, step.isolated, state.remaining)
             if step.lost_links:
                 state = self._without_links(state, step.lost_links)
-            busy = [index for index, node in enumerate(state.nodes) if node.busy]
-            if busy:
-                state = self._made(state, Action(Kind.FLUSH, busy[0]))
-            elif state.flight:
-                number = state.flight[0]
-                target = self.local.targets[number]
-                state = self._made(state, Action(Kind.DELIVER, target, number))
+            flushing = [index for index, node in enumerate(state.nodes) if node.is_flushing]
+            if flushing:
+                state = self._unbounded(state, Action(ActionKind.FLUSH, flushing[0]))
+            elif state.in_flight:
+                number = state.in_flight[0]
+                target = self.local_states.targets[number]
+                state = self._unbounded(state, Action(ActionKind.DELIVER, target, number))
             else:
                 return state
 
-    def _start(self) -> GlobalState:
-        bounds = self.world.bounds
-        left = tuple(getattr(bounds, name) for name in bounds.COUNTS)
-        nodes = tuple(self.local.first(index) for index in range(len(self.world.addresses)))
-        return GlobalState(nodes, (), self._ghost_number(self.world.first_ghost()), left, 0)
-
-    def search(self) -> Found:
-        """Visit all states within the bounds, up to the first breach of an invariant."""
-        began, bounds, found = time.monotonic(), self.world.bounds, Found()
-        level = [(0, self.first())]
-        self._enter(level[0][1], -1, 0)
+    # -- searching -----------------------------------------------------------------------------
+
+    def search(self) -> SearchResult:
+        """Visit all states within the bounds, up to the first violation of an invariant."""
+        began, bounds, result = time.monotonic(), self.model.bounds, SearchResult()
+        level = [(0, self.initial_state())]
+        self._visit(level[0][1], _NO_PARENT, 0)
         try:
-            while level and found.depth < bounds.depth:
+            while level and result.depth < bounds.depth:
                 following: list[tuple[int, GlobalState]] = []
-                for place, state in level:
-                    self._go_on(place, state, following)
-                    if self._spent(bounds, began):
-                        level = following
-                        return self._ended(found, began)
+                for number, state in level:
+                    self._expand(number, state, following)
+                    if self._is_exhausted(bounds, began):
+                        return self._finished(result, began)
                 level = following
-                found.depth += 1 if level else 0
-            found.whole = not level
-        except _BrokenError as broken:
-            found.breach = broken.breach
-            found.schedule = [*self._schedule(broken.place), broken.action]
-        return self._ended(found, began)
-
-    def _spent(self, bounds: Bounds, began: float) -> bool:
+                result.depth += 1 if level else 0
+            result.is_complete = not level
+        except _ViolationFoundError as found:
+            result.violation = found.violation
+            result.counterexample = [*self._path_to(found.state_number), found.action]
+        return self._finished(result, began)
+
+    def _is_exhausted(self, bounds: Bounds, began: float) -> bool:
         count = len(self._parents)
         return count >= bounds.states or time.monotonic() - began >= bounds.seconds
 
-    def _ended(self, found: Found, began: float) -> Found:
-        found.states = len(self._parents)
-        found.seconds = time.monotonic() - began
-        found.local_states = len(self.local.states)
-        return found
+    def _finished(self, result: SearchResult, began: float) -> SearchResult:
+        result.states = len(self._parents)
+        result.seconds = time.monotonic() - began
+        result.local_states = len(self.local_states.states)
+        return result
 
-    def _go_on(
-        self, place: int, state: GlobalState, following: list[tuple[int, GlobalState]]
+    def _expand(
+        self, number: int, state: GlobalState, following: list[tuple[int, GlobalState]]
     ) -> None:
+        """Append the states one action further that were not visited before."""
         for action in self.actions(state):
             try:
-                reached = self.after(state, action)
-            except BreachError as breach:
-                raise _BrokenError(breach, place, action) from breach
-            if reached is not None and self._enter(reached, place, _code(action)):
+                reached = self.next_state(state, action)
+            except InvariantViolationError as violation:
+                raise _ViolationFoundError(violation, number, action) from violation
+            if reached is not None and self._visit(reached, number, _encoded(action)):
                 following.append((len(self._parents) - 1, reached))
 
-    def _enter(self, state: GlobalState, parent: int, code: int) -> bool:
+    def _visit(self, state: GlobalState, parent: int, encoded_action: int) -> bool:
+        """Note a state; returns whether it was not visited before."""
         key = state.key()
         if key in self._visited:
             return False
         self._visited.add(key)
         self._parents.append(parent)
-        self._actions.append(code)
+        self._actions.append(encoded_action)
         return True
 
-    def _schedule(self, place: int) -> list[Action]:
+    def _path_to(self, number: int) -> list[Action]:
         steps = []
-        while self._parents[place] >= 0:
-            steps.append(_action(self._actions[place]))
-            place = self._parents[place]
+        while self._parents[number] != _NO_PARENT:
+            steps.append(_decoded(self._actions[number]))
+            number = self._parents[number]
         return steps[::-1]
 
-    # -- one step ------------------------------------------------------------------------------
+    # -- possible actions ----------------------------------------------------------------------
 
     def actions(self, state: GlobalState) -> list[Action]:
         """Return the actions that are possible in a state."""
-        left, targets = state.left, self.local.targets
-        rows = []
-        for number in self._deliverable(state.flight):
-            rows.append(Action(Kind.DELIVER, targets[number], number))
-            for kind in (Kind.DUPLICATE, Kind.LOSE):
-                if left[_PLACE[kind]]:
-                    rows.append(Action(kind, targets[number], number))
-        for index, node in enumerate(state.nodes):
-            if node.busy:
-                rows.append(Action(Kind.FLUSH, index))
-            if index in self.world.sturdy:
-                continue
-            rows += [Action(kind, index) for kind in _OF_NODES if left[_PLACE[kind]]]
-            if left[_PLACE[Kind.REFUSED]]:
-                others = (other for other in range(len(state.nodes)) if other != index)
-                rows += [Action(Kind.REFUSED, index, other) for other in others]
-            if left[_PLACE[Kind.CUT]] and state.flight:
-                rows.append(Action(Kind.CUT, index))
-        answered = self.world.answered(self._ghosts[state.ghost])
-        for number, operation in enumerate(self.world.operations):
-            if not state.asked >> number & 1 and answered.issuperset(operation.after):
-                rows.append(Action(Kind.SUBMIT, operation.node, number))
-        return rows
-
-    def after(self, state: GlobalState, action: Action) -> GlobalState | None:
+        actions = self._message_actions(state)
+        for index in range(len(state.nodes)):
+            actions += self._node_actions(state, index)
+        answered = self.model.answered(self._ghosts[state.ghost])
+        for number, operation in enumerate(self.model.operations):
+            if not state.submitted >> number & 1 and answered.issuperset(operation.requires):
+                actions.append(Action(ActionKind.SUBMIT, operation.node, number))
+        return actions
+
+    def _message_actions(self, state: GlobalState) -> list[Action]:
+        targets = self.local_states.targets
+        actions = []
+        for number in self._deliverable(state.in_flight):
+            actions.append(Action(ActionKind.DELIVER, targets[number], number))
+            for kind in (ActionKind.DUPLICATE, ActionKind.LOSE):
+                if state.remaining[_BOUND_INDEX[kind]]:
+                    actions.append(Action(kind, targets[number], number))
+        return actions
+
+    def _node_actions(self, state: GlobalState, index: int) -> list[Action]:
+        remaining = state.remaining
+        actions = []
+        if state.nodes[index].is_flushing:
+            actions.append(Action(ActionKind.FLUSH, index))
+        if index in self.model.reliable_nodes:
+            return actions
+        actions += [Action(kind, index) for kind in _NODE_KINDS if remaining[_BOUND_INDEX[kind]]]
+        if remaining[_BOUND_INDEX[ActionKind.CONNECTION_REFUSED]]:
+            others = (other for other in range(len(state.nodes)) if other != index)
+            actions += [Action(ActionKind.CONNECTION_REFUSED, index, other) for other in others]
+        if remaining[_BOUND_INDEX[ActionKind.PARTITION]] and state.in_flight:
+            actions.append(Action(ActionKind.PARTITION, index))
+        return actions
+
+    def _deliverable(self, in_flight: tuple[int, ...]) -> list[int]:
+        """Return each message once; where links keep their order, the first on each link."""
+        if not self.model.fifo_links:
+            return list(dict.fromkeys(in_flight))
+        firsts: dict[tuple[str, str], int] = {}
+        for number in in_flight:
+            firsts.setdefault(self._link(number), number)
+        return list(firsts.values())
+
+    def _link(self, number: int) -> tuple[str, str]:
+        envelope = self.local_states.messages[number][0]
+        return (envelope.sender, envelope.to)
+
+    # -- one step ------------------------------------------------------------------------------
+
+    def next_state(self, state: GlobalState, action: Action) -> GlobalState | None:
         """Return the state after an action; None if it changes nothing.
 
         Raises
         ------
-        BreachError: an invariant does not hold in the state reached.
+        InvariantViolationError: an invariant does not hold in the state reached.
         """
         kind, number = action.kind, action.number
-        left = _spend(state.left, kind)
-        if kind is Kind.CUT:
-            return self._cut(state, action.node, left)
-        flight = list(state.flight)
-        if kind in (Kind.DELIVER, Kind.LOSE):
-            flight.remove(number)
-        if kind is Kind.LOSE:
-            return GlobalState(state.nodes, tuple(flight), state.ghost, left, state.asked)
-        event = Kind.DELIVER if kind is Kind.DUPLICATE else kind
-        moved = self.local.after(state.nodes[action.node], event, number)
-        if moved is None:
-            if kind is not Kind.DELIVER:
+        remaining = _spend(state.remaining, kind)
+        if kind is ActionKind.PARTITION:
+            return self._partitioned(state, action.node, remaining)
+        in_flight = list(state.in_flight)
+        if kind in (ActionKind.DELIVER, ActionKind.LOSE):
+            in_flight.remove(number)
+        if kind is ActionKind.LOSE:
+            return state.with_in_flight(in_flight, remaining)
+        event = Event(ActionKind.DELIVER if kind is ActionKind.DUPLICATE else kind, number)
+        transition = self.local_states.transition(state.nodes[action.node], event)
+        if transition is None:
+            if kind is not ActionKind.DELIVER:
                 return None
-            return GlobalState(state.nodes, tuple(flight), state.ghost, left, state.asked)
+            return state.with_in_flight(in_flight, remaining)
         nodes = list(state.nodes)
-        nodes[action.node] = moved.state
-        flight = self._awaited([*flight, *moved.sent], nodes)
-        told = moved.told
-        asked = state.asked
-        if kind is Kind.SUBMIT:
-            asked |= 1 << number
-            told = (("submitted", number), *told)
-        ghost = self._ghost_after(state.ghost, told) if told else state.ghost
-        reached = GlobalState(tuple(nodes), flight, ghost, left, asked)
+        nodes[action.node] = transition.state
+        observations, submitted = transition.observations, state.submitted
+        if kind is ActionKind.SUBMIT:
+            submitted |= 1 << number
+            observations = (OperationSubmitted(number), *observations)
+        reached = GlobalState(
+            tuple(nodes),
+            self._awaited([*in_flight, *transition.sent], nodes),
+            self._next_ghost(state.ghost, observations) if observations else state.ghost,
+            remaining,
+            submitted,
+        )
         self._check(reached)
         return reached
 
-    def _cut(self, state: GlobalState, index: int, left: tuple[int, ...]) -> GlobalState:
-        address = self.world.addresses[index]
-        rows = self.local.messages
-        flight = tuple(
-            number
-            for number in state.flight
-            if address not in (rows[number][0].sender, rows[number][0].to)
-        )
-        return GlobalState(state.nodes, flight, state.ghost, left, state.asked)
-
-    def _without_links(self, state: GlobalState, links: tuple) -> GlobalState:
-        addresses = self.world.addresses
+    def _partitioned(
+        self, state: GlobalState, index: int, remaining: tuple[int, ...]
+    ) -> GlobalState:
+        """Return the state without the messages in flight to and from a node."""
+        address = self.model.addresses[index]
+        in_flight = [number for number in state.in_flight if address not in self._link(number)]
+        return state.with_in_flight(in_flight, remaining)
+
+    def _without_links(self, state: GlobalState, links: tuple[tuple[int, int], ...]) -> GlobalState:
+        """Return the state without the messages from the first to the second node of each link."""
+        addresses = self.model.addresses
         lost = {(addresses[sender], addresses[to]) for sender, to in links}
-        flight = tuple(number for number in state.flight if self._link(number) not in lost)
-        return GlobalState(state.nodes, flight, state.ghost, state.left, state.asked)
+        in_flight = [number for number in state.in_flight if self._link(number) not in lost]
+        return state.with_in_flight(in_flight)
 
-    def _awaited(self, flight: list[int], nodes: list[LocalState]) -> tuple[int, ...]:
+    def _awaited(self, in_flight: list[int], nodes: list[LocalState]) -> tuple[int, ...]:
         """Return the messages in flight without replies that nobody waits for any more.
 
         Delivering those would have no effect.
         """
-        rows, targets = self.local.messages, self.local.targets
+        messages, targets = self.local_states.messages, self.local_states.targets
         awaited = [
             number
-            for number in flight
-            if not rows[number][0].in_reply_to
-            or rows[number][0].in_reply_to in nodes[targets[number]].pending
+            for number in in_flight
+            if not messages[number][0].in_reply_to
+            or messages[number][0].in_reply_to in nodes[targets[number]].pending
         ]
-        return tuple(sorted(awaited, key=self._link if self.world.in_order else None))
+        return tuple(sorted(awaited, key=self._link if self.model.fifo_links else None))
 
-    def _link(self, number: int) -> tuple[str, str]:
-        posted = self.local.messages[number][0]
-        return (posted.sender, posted.to)
-
-    def _deliverable(self, flight: tuple[int, ...]) -> list[int]:
-        """Return each message once; where links keep their order, the first on each link."""
-        if not self.world.in_order:
-            return list(dict.fromkeys(flight))
-        firsts: dict[tuple[str, str], int] = {}
-        for number in flight:
-            firsts.setdefault(self._link(number), number)
-        return list(firsts.values())
+    # -- ghosts and invariants -----------------------------------------------------------------
 
     def _ghost_number(self, ghost: Any) -> int:
         number = self._ghost_numbers.setdefault(ghost, len(self._ghosts))
@@ -313,83 +381,88 @@
             self._ghosts.append(ghost)
         return number
 
-    def _ghost_after(self, ghost: int, told: tuple) -> int:
-        key = (ghost, told)
+    def _next_ghost(self, ghost: int, observations: tuple[Observation, ...]) -> int:
+        key = (ghost, observations)
         if key not in self._next_ghosts:
-            following = self.world.next_ghost(self._ghosts[ghost], told)
+            following = self.model.next_ghost(self._ghosts[ghost], observations)
             self._next_ghosts[key] = self._ghost_number(following)
         return self._next_ghosts[key]
 
     def _check(self, state: GlobalState) -> None:
-        key = (state.ghost, tuple(node.seen for node in state.nodes))
+        key = (state.ghost, tuple(node.observed for node in state.nodes))
         if key not in self._checked:
-            observed = tuple(self.local.seen[node.seen] for node in state.nodes)
-            self.world.check(self._ghosts[state.ghost], observed)
+            observed = tuple(self.local_states.observed[node.observed] for node in state.nodes)
+            self.model.check(self._ghosts[state.ghost], observed)
             self._checked.add(key)
 
-    # -- schedules -----------------------------------------------------------------------------
+    # -- written schedules ---------------------------------------------------------------------
 
-    def describe(self, schedule: list[Action]) -> list[tuple[Kind, int, str]]:
+    def describe(self, schedule: Iterable[Action]) -> list[ScheduleStep]:
         """Return a schedule that holds in every run: messages are named by their content."""
-        return [(step.kind, step.node, self._what(step)) for step in schedule]
+        return [ScheduleStep(step.kind, step.node, self._subject(step)) for step in schedule]
 
-    def _what(self, step: Action) -> str:
-        if step.kind in (Kind.DELIVER, Kind.DUPLICATE, Kind.LOSE):
+    def _subject(self, step: Action) -> str:
+        if step.kind in _MESSAGE_KINDS:
             return self.label(step.number)
-        if step.kind is Kind.SUBMIT:
-            return self.world.operations[step.number].name
-        if step.kind is Kind.REFUSED:
+        if step.kind is ActionKind.SUBMIT:
+            return self.model.operations[step.number].name
+        if step.kind is ActionKind.CONNECTION_REFUSED:
             return f"at {step.number}"
         return ""
 
     def label(self, number: int) -> str:
         """Return a message's name: its type, its sender, and its references."""
-        posted, _ = self.local.messages[number]
-        sender = self.world.addresses.index(posted.sender)
-        kind = type(posted.message).__name__
-        return f"{kind} from {sender} ref {posted.request_id} re {posted.in_reply_to}"
+        envelope, _ = self.local_states.messages[number]
+        sender = self.model.addresses.index(envelope.sender)
+        kind = type(envelope.message).__name__
+        return f"{kind} from {sender} ref {envelope.request_id} re {envelope.in_reply_to}"
 
-    def replay(self, steps: list[tuple[Kind, int, str]]) -> GlobalState:
+    def replay(self, steps: Iterable[ScheduleStep]) -> GlobalState:
         """Return the state that a written schedule leads to.
 
         Raises
         ------
-        BreachError: an invariant does not hold on the way.
+        InvariantViolationError: an invariant does not hold on the way.
         LookupError: a step is not possible where the schedule has it.
         """
-        state = self.first()
-        for kind, node, what in steps:
-            options = [
+        state = self.initial_state()
+        for step in steps:
+            possible = [
                 action
                 for action in self.actions(state)
-                if (action.kind, action.node, self._what(action)) == (kind, node, what)
+                if (action.kind, action.node, self._subject(action)) == step
             ]
-            if not options:
-                raise LookupError(f"not possible: {kind} {node} {what}")
-            state = self.after(state, options[0]) or state
+            if not possible:
+                raise LookupError(f"not possible: {step.kind} {step.node} {step.subject}")
+            state = self.next_state(state, possible[0]) or state
         return state
 
 
-class _BrokenError(Exception):
-    def __init__(self, breach: BreachError, place: int, action: Action) -> None:
-        super().__init__(str(breach))
-        self.breach = breach
-        self.place = place
+class _ViolationFoundError(Exception):
+    """Ends a search: an action from a visited state violates an invariant."""
+
+    def __init__(
+        self, violation: InvariantViolationError, state_number: int, action: Action
+    ) -> None:
+        super().__init__(str(violation))
+        self.violation = violation
+        self.state_number = state_number
         self.action = action
 
 
-def _spend(left: tuple[int, ...], kind: Kind) -> tuple[int, ...]:
-    place = _PLACE.get(kind)
-    if place is None:
-        return left
-    return (*left[:place], left[place] - 1, *left[place + 1 :])
+def _spend(remaining: tuple[int, ...], kind: ActionKind) -> tuple[int, ...]:
+    index = _BOUND_INDEX.get(kind)
+    if index is None:
+        return remaining
+    return (*remaining[:index], remaining[index] - 1, *remaining[index + 1 :])
 
 
-def _code(action: Action) -> int:
+def _encoded(action: Action) -> int:
+    """Return an action as one integer, which takes less memory than the object."""
     return (action.number << _NODE_BITS | action.node) << _KIND_BITS | _KIND_NUMBER[action.kind]
 
 
-def _action(code: int) -> Action:
-    kind = _KINDS[code & ((1 << _KIND_BITS) - 1)]
-    code >>= _KIND_BITS
-    return Action(kind, code & ((1 << _NODE_BITS) - 1), code >> _NODE_BITS)
+def _decoded(encoded_action: int) -> Action:
+    kind = _KINDS[encoded_action & ((1 << _KIND_BITS) - 1)]
+    encoded_action >>= _KIND_BITS
+    return Action(kind, encoded_action & ((1 << _NODE_BITS) - 1), encoded_action >> _NODE_BITS)
--- a/libs/modelcheck/src/modelcheck/linearizability.py
+++ b/libs/modelcheck/src/modelcheck/linearizability.py
@@ -8,160 +8,179 @@
 from collections.abc import Hashable
 from typing import Any, Protocol
 
-__all__ = ["Call", "Model", "Verdict", "linearize"]
+__all__ = ["Call", "LinearizationResult", "SequentialSpecification", "linearize"]
 
 _NEVER = float("inf")
+_NO_CALL = -1
 
 
 class Call:
     """One operation as its caller saw it; times are ms on one clock.
 
-    `returned_ms` is infinite where the outcome is not known. `asked` and `answered` are only
-    interpreted by the model.
+    `returned_ms` is infinite where the outcome is not known. `request` and `response` are only
+    interpreted by the specification.
     """
 
-    __slots__ = ("answered", "asked", "began_ms", "returned_ms")
+    __slots__ = ("invoked_ms", "request", "response", "returned_ms")
 
     def __init__(
-        self, asked: Any, began_ms: float, answered: Any = None, returned_ms: float = _NEVER
+        self, request: Any, invoked_ms: float, response: Any = None, returned_ms: float = _NEVER
     ) -> None:
-        self.asked = asked
-        self.answered = answered
-        self.began_ms = began_ms
+        self.request = request
+        self.response = response
+        self.invoked_ms = invoked_ms
         self.returned_ms = returned_ms
 
     @property
-    def known(self) -> bool:
+    def has_returned(self) -> bool:
         """Whether the outcome of the call is known."""
         return self.returned_ms != _NEVER
 
     def __repr__(self) -> str:
-        return f"{self.asked} {self.began_ms}-{self.returned_ms}: {self.answered}"
+        return f"{self.request} {self.invoked_ms}-{self.returned_ms}: {self.response}"
 
 
-class Model(Protocol):
+class SequentialSpecification(Protocol):
     """A sequential specification of an object; states are compared by value."""
 
-    def first(self) -> Hashable:
+    def initial_state(self) -> Hashable:
         """Return the state before any call."""
 
-    def after(self, state: Any, call: Call) -> Hashable | None:
-        """Return the state after a call with exactly this answer, or None if it is impossible.
+    def next_state(self, state: Any, call: Call) -> Hashable | None:
+        """Return the state after a call with exactly this response; None if it is impossible.
 
         For a call whose outcome is not known: the state if it takes effect, or None if it cannot.
         """
 
 
-class Verdict:
+class LinearizationResult:
     """The result of a search.
 
-    `ok` is whether there is a linearization, and `decided` whether the search ended within its
-    limit. `reached` is the longest order found, and `stuck` the known calls that could not follow
-    it.
+    `is_linearizable` is whether there is a linearization, and `is_decided` whether the search ended
+    within its limit. `longest_order` is the longest order found, and `blocked` the known calls that
+    could not follow it. `configurations` is how many were visited.
     """
 
-    __slots__ = ("configurations", "decided", "ok", "reached", "stuck")
+    __slots__ = ("blocked", "configurations", "is_decided", "is_linearizable", "longest_order")
 
     def __init__(self) -> None:
-        self.ok = False
-        self.decided = True
+        self.is_linearizable = False
+        self.is_decided = True
         self.configurations = 0
-        self.reached: list[Call] = []
-        self.stuck: list[Call] = []
+        self.longest_order: list[Call] = []
+        self.blocked: list[Call] = []
 
 
-class _Node:
-    """A configuration: the calls taken so far as a bit set, and the object's state after them."""
+class _Configuration:
+    """The calls linearized so far as a bit set, and the object's state after them.
 
-    __slots__ = ("begin", "before", "place", "state", "taken")
+    `call` is the last of them, by its position in the history, and `first_open` the position of the
+    first call that is not linearized.
+    """
+
+    __slots__ = ("call", "first_open", "linearized", "previous", "state")
 
     def __init__(
-        self, taken: int, state: Any, begin: int, place: int = -1, before: "_Node | None" = None
+        self,
+        linearized: int,
+        state: Any,
+        first_open: int,
+        call: int = _NO_CALL,
+        previous: "_Configuration | None" = None,
     ) -> None:
-        self.taken = taken
+        self.linearized = linearized
         self.state = state
-        self.begin = begin
-        self.place = place
-        self.before = before
+        self.first_open = first_open
+        self.call = call
+        self.previous = previous
+
+    def order(self, history: list[Call]) -> list[Call]:
+        """Return the calls in the order in which they were linearized."""
+        calls = []
+        configuration: _Configuration | None = self
+        while configuration is not None and configuration.call != _NO_CALL:
+            calls.append(history[configuration.call])
+            configuration = configuration.previous
+        return calls[::-1]
 
 
-def linearize(calls: list[Call], model: Model, limit: int = 2_000_000) -> Verdict:
-    """Search for an order of the calls, consistent with real time, that the model allows.
+def linearize(
+    calls: list[Call], specification: SequentialSpecification, limit: int = 2_000_000
+) -> LinearizationResult:
+    """Search for an order of the calls, consistent with real time, that is allowed.
 
     `limit` bounds the number of configurations visited.
     """
-    rows = sorted(calls, key=lambda call: call.began_ms)
-    wanted = sum(1 << place for place, call in enumerate(rows) if call.known)
-    verdict, seen = Verdict(), set()
-    stack = [_Node(0, model.first(), 0)]
+    history = sorted(calls, key=lambda call: call.invoked_ms)
+    returned = sum(1 << position for position, call in enumerate(history) if call.has_returned)
+    result = LinearizationResult()
+    visited: set[tuple[int, Hashable]] = set()
+    stack = [_Configuration(0, specification.initial_state(), 0)]
     deepest = stack[0]
     while stack:
-        node = stack.pop()
-        if (node.taken, node.state) in seen:
+        configuration = stack.pop()
+        if (configuration.linearized, configuration.state) in visited:
             continue
-        seen.add((node.taken, node.state))
-        if _known_count(node, wanted) > _known_count(deepest, wanted):
-            deepest = node
-        if node.taken & wanted == wanted:
-            verdict.ok = True
+        visited.add((configuration.linearized, configuration.state))
+        if _returned_count(configuration, returned) > _returned_count(deepest, returned):
+            deepest = configuration
+        if configuration.linearized & returned == returned:
+            result.is_linearizable = True
             break
-        if len(seen) >= limit:
-            verdict.decided = False
+        if len(visited) >= limit:
+            result.is_decided = False
             break
-        stack += _following(node, rows, model)
-    verdict.configurations = len(seen)
-    verdict.reached = _order(deepest, rows)
-    if not verdict.ok:
-        verdict.stuck = [rows[place] for place in _candidates(deepest, rows) if rows[place].known]
-    return verdict
+        stack += _following(configuration, history, specification)
+    result.configurations = len(visited)
+    result.longest_order = deepest.order(history)
+    if not result.is_linearizable:
+        candidates = (history[position] for position in _candidates(deepest, history))
+        result.blocked = [call for call in candidates if call.has_returned]
+    return result
 
 
-def _known_count(node: _Node, wanted: int) -> int:
-    return (node.taken & wanted).bit_count()
+def _returned_count(configuration: _Configuration, returned: int) -> int:
+    return (configuration.linearized & returned).bit_count()
 
 
-def _candidates(node: _Node, rows: list[Call]) -> list[int]:
+def _candidates(configuration: _Configuration, history: list[Call]) -> list[int]:
     """Return the calls that may come next: begun before any remaining call has returned."""
-    places: list[int] = []
+    positions: list[int] = []
     first_return_ms = _NEVER
-    for place in range(node.begin, len(rows)):
-        if rows[place].began_ms > first_return_ms:
+    for position in range(configuration.first_open, len(history)):
+        call = history[position]
+        if call.invoked_ms > first_return_ms:
             break
-        if not node.taken >> place & 1:
-            places.append(place)
-            first_return_ms = min(first_return_ms, rows[place].returned_ms)
-    return [place for place in places if rows[place].began_ms <= first_return_ms]
+        if not configuration.linearized >> position & 1:
+            positions.append(position)
+            first_return_ms = min(first_return_ms, call.returned_ms)
+    return [position for position in positions if history[position].invoked_ms <= first_return_ms]
 
 
-def _following(node: _Node, rows: list[Call], model: Model) -> list[_Node]:
+def _following(
+    configuration: _Configuration, history: list[Call], specification: SequentialSpecification
+) -> list[_Configuration]:
     """Return the configurations one call further.
 
     A known call that changes nothing and can come next is taken at once: if any order exists from
     here, one exists with that call first.
     """
     found = []
-    for place in _candidates(node, rows):
-        state = model.after(node.state, rows[place])
+    for position in _candidates(configuration, history):
+        state = specification.next_state(configuration.state, history[position])
         if state is None:
             continue
-        taken = node.taken | 1 << place
-        following = _Node(taken, state, _begin(node.begin, taken), place, node)
-        if state != node.state:
+        linearized = configuration.linearized | 1 << position
+        first_open = _first_open(configuration.first_open, linearized)
+        following = _Configuration(linearized, state, first_open, position, configuration)
+        if state != configuration.state:
             found.append(following)
-        elif rows[place].known:
+        elif history[position].has_returned:
             return [following]
     return found[::-1]
 
 
-def _begin(begin: int, taken: int) -> int:
-    while taken >> begin & 1:
-        begin += 1
-    return begin
-
-
-def _order(node: _Node | None, rows: list[Call]) -> list[Call]:
-    order = []
-    while node is not None and node.place >= 0:
-        order.append(rows[node.place])
-        node = node.before
-    return order[::-1]
+def _first_open(position: int, linearized: int) -> int:
+    while linearized >> position & 1:
+        position += 1
+    return position
--- a/libs/modelcheck/src/modelcheck/log_operations.py
+++ b/libs/modelcheck/src/modelcheck/log_operations.py
@@ -4,7 +4,7 @@
 
 
 class AppendRecord:
-    """An append of a record at the holder, acknowledged once settled."""
+    """An append of a record at the leader, acknowledged once committed."""
 
     __slots__ = ("name",)
 
@@ -13,13 +13,13 @@
 
 
 class ReadLog:
-    """A read of the log at the holder, after it has confirmed that it is still the holder."""
+    """A read of the log at the leader, after it has confirmed that it is still the leader."""
 
     __slots__ = ()
 
 
 class LearnFleet:
-    """News of the fleet for one store, by the numbers of the stores that it is about.
+    """An update of one store's view of the fleet, by the numbers of the stores concerned.
 
     `wiped` stores live on at their addresses under another identity, `retired` ones are to leave.
     """
--- a/libs/modelcheck/src/modelcheck/log_stand_ins.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -1,12 +1,14 @@
-"""Stubs of the feed and of a store's view of the fleet."""
+"""Stubs of the config feed and of a store's view of the fleet."""
+
+from typing import cast
 
 from config_feed.messages import KeyUpdate, KeyUpdates
-from messaging import Component, Message, Origin, decode, encode
+from messaging import Component, Message, Origin, decode_as, encode
 
-__all__ = ["FeedOut", "FleetView"]
+__all__ = ["BroadcastFeed", "FleetView"]
 
 
-class FeedOut(Component):
+class BroadcastFeed(Component):
     """A stub of the feed at control: sends each new value to every store once."""
 
     __slots__ = ("_stores",)
@@ -24,33 +26,35 @@
 class FleetView(Component):
     """A stub of a store's view: the log's key as received, and all stores, taken for live."""
 
-    __slots__ = ("_number", "_retired", "_rows", "body")
+    __slots__ = ("_body", "_number", "_retired", "_rows")
     HANDLES = (KeyUpdates,)
 
     def __init__(self, rows: list[dict[str, str]], retired: list[str]) -> None:
         self._rows = rows
         self._retired = retired
         self._number = 0
-        self.body = ""
+        self._body = ""
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Take in the versions of the log's key that the feed brings."""
-        for item in map(decode, message.items):
-            self.learned(item.number, item.body)
+        updates = cast(KeyUpdates, message)
+        for item in updates.items:
+            update = decode_as(KeyUpdate, item)
+            self.learned(update.number, update.body)
 
     def learned(self, number: int, body: str) -> None:
         """Take in a version of the log's key, unless a newer one is known."""
         if number > self._number:
-            self._number, self.body = number, body
+            self._number, self._body = number, body
 
-    def learn(self, rows: list[dict[str, str]], retired: list[str]) -> None:
+    def update(self, rows: list[dict[str, str]], retired: list[str]) -> None:
         """Replace the live stores and the identities of those that are to leave."""
         self._rows = rows
         self._retired = retired
 
     def log_key(self) -> tuple[int, str]:
         """Return the newest known version of the log's key, number and body."""
-        return self._number, self.body
+        return self._number, self._body
 
     def store_rows(self) -> list[dict[str, str]]:
         """Return the rows of all live stores."""
@@ -61,5 +65,5 @@
         return self._retired
 
     def settled_in(self) -> bool:
-        """Return False: the log is founded by the world, never by a store."""
+        """Return False: the model bootstraps the log, never a store."""
         return False
--- a/libs/modelcheck/src/modelcheck/surroundings.py
+++ b/libs/modelcheck/src/modelcheck/model_environment.py
@@ -4,34 +4,34 @@
 number is fixed, so a node's state is a function of the events that it has been given.
 """
 
-from collections.abc import Callable
-from typing import Any
+import random
+from collections.abc import Callable, Iterable, Sequence
+from enum import StrEnum
+from typing import Any, NamedTuple, TypeVar, cast
 
 from messaging import Message
 from storage import Disk
 
-__all__ = ["BootImage", "ModelDisk", "ModelEnvironment", "Posted"]
+__all__ = ["BootImage", "Envelope", "ModelDisk", "ModelEnvironment"]
 
-_REFS_PER_LIFE = 1_000_000
+Item = TypeVar("Item")
+
+_REQUESTS_PER_INCARNATION = 1_000_000
 
 
 class BootImage:
     """What a process starts from: its files, its clock (ms) and the number of the start."""
 
-    __slots__ = ("clock_ms", "files", "life")
+    __slots__ = ("clock_ms", "files", "incarnation")
 
-    def __init__(self, files: dict[str, bytes], clock_ms: int, life: int) -> None:
+    def __init__(self, files: dict[str, bytes], clock_ms: int, incarnation: int) -> None:
         self.files = files
         self.clock_ms = clock_ms
-        self.life = life
-
-    def key(self) -> tuple:
-        """Return a key that is equal for images from which a process starts alike."""
-        return (tuple(sorted(self.files.items())), self.clock_ms, self.life)
+        self.incarnation = incarnation
 
 
-class Posted:
-    """A message in flight, with its own reference and the one that it replies to (0 for none)."""
+class Envelope:
+    """A message in flight, with its request's number and the one it replies to (0 for none)."""
 
     __slots__ = ("message", "in_reply_to", "request_id", "sender", "to")
 
@@ -48,59 +48,63 @@
 class _FixedNumbers:
     """A random number generator with fixed results; `random` never makes a core wait."""
 
-    __slots__ = ("_life",)
+    __slots__ = ("_incarnation",)
 
-    def __init__(self, life: int) -> None:
-        self._life = life
+    def __init__(self, incarnation: int) -> None:
+        self._incarnation = incarnation
 
     def getrandbits(self, bits: int) -> int:
-        """Return the first message reference of this process's life."""
-        return self._life * _REFS_PER_LIFE
+        """Return the first request number of this process's incarnation."""
+        return self._incarnation * _REQUESTS_PER_INCARNATION
 
     def random(self) -> float:
+        """Return 0."""
         return 0.0
 
     def randrange(self, *bounds: int) -> int:
+        """Return the lower bound."""
         return bounds[0] if len(bounds) > 1 else 0
 
-    def shuffle(self, rows: list) -> None:
-        return None
+    def shuffle(self, items: list[Item]) -> None:
+        """Leave the items in their order."""
 
-    def choice(self, rows: list) -> Any:
-        return rows[0]
+    def choice(self, items: Sequence[Item]) -> Item:
+        """Return the first item."""
+        return items[0]
 
-    def sample(self, rows: list, count: int) -> list:
-        return list(rows)[:count]
+    def sample(self, items: Iterable[Item], count: int) -> list[Item]:
+        """Return the first items."""
+        return list(items)[:count]
 
 
 class ModelEnvironment:
     """The environment that `messaging` gives a node.
 
-    `posted` collects the messages sent, and `on_post` is called with each of them. `requests` has
+    `sent` collects the messages sent, and `on_send` is called with each of them. `requests` has
     the requests received, by sender and reference.
     """
 
     __slots__ = (
         "_tokens",
         "address",
-        "life",
+        "incarnation",
         "name",
         "now_ms",
-        "on_post",
-        "posted",
+        "on_send",
+        "sent",
         "requests",
         "rng",
     )
 
-    def __init__(self, name: str, address: str, image: BootImage) -> None:
+    def __init__(self, name: str, address: str, boot_image: BootImage) -> None:
         self.name = name
         self.address = address
-        self.life = image.life
-        self.now_ms = image.clock_ms
-        self.rng = _FixedNumbers(image.life)
-        self.posted: list[Posted] = []
+        self.incarnation = boot_image.incarnation
+        self.now_ms = boot_image.clock_ms
+        self.rng = cast(random.Random, _FixedNumbers(boot_image.incarnation))
+        self.sent: list[Envelope] = []
         self.requests: dict[tuple[str, int], Message] = {}
-        self.on_post: Callable[[Posted], None] = lambda posted: None
+        self.on_send: Callable[[Envelope], None] = lambda envelope: None
         self._tokens = 0
 
     def now(self) -> int:
@@ -114,40 +118,68 @@
     def token(self) -> str:
         """Return a token that is unique among all processes of a run."""
         self._tokens += 1
-        return f"{self.name}-{self.life}-{self._tokens}"
+        return f"{self.name}-{self.incarnation}-{self._tokens}"
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         """Collect a message that the node sends."""
-        posted = Posted(self.address, to, request_id, in_reply_to, message)
-        self.posted.append(posted)
-        self.on_post(posted)
+        envelope = Envelope(self.address, to, request_id, in_reply_to, message)
+        self.sent.append(envelope)
+        self.on_send(envelope)
 
-    def received(self, posted: Posted) -> None:
+    def received(self, envelope: Envelope) -> None:
         """Note a request, so that the reply to it can be told from others."""
-        if posted.request_id:
-            self.requests[(posted.sender, posted.request_id)] = posted.message
+        if envelope.request_id:
+            self.requests[(envelope.sender, envelope.request_id)] = envelope.message
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Discard the event."""
         return None
 
 
-class _Waiting:
-    """A flush or replacement of a file that has not ended."""
+class _StepKind(StrEnum):
+    WRITE = "write"
+    TRUNCATE = "truncate"
+    REMOVE = "remove"
+
+
+class _DiskStep(NamedTuple):
+    """A change of one file; `offset` is the new size where the file is truncated."""
+
+    kind: _StepKind
+    offset: int = 0
+    data: bytes = b""
 
-    __slots__ = ("data", "done", "name", "rows")
+    def apply(self, files: dict[str, bytes], name: str) -> None:
+        """Change the file in `files`; a write beyond its end fills the gap with zeros."""
+        if self.kind is _StepKind.REMOVE:
+            files.pop(name, None)
+            return
+        old = files.get(name, b"")
+        content = old[: self.offset].ljust(self.offset, b"\0")
+        if self.kind is _StepKind.WRITE:
+            content += self.data + old[self.offset + len(self.data) :]
+        files[name] = content
+
+
+class _UnfinishedFlush:
+    """A flush, or the replacement of a file, that has not ended.
+
+    A flush has how many steps of each file it covers; a replacement has the file's new content.
+    """
+
+    __slots__ = ("data", "done", "name", "step_counts")
 
     def __init__(
         self,
         done: Callable[[bool], None],
         name: str = "",
         data: bytes | None = None,
-        rows: dict[str, int] | None = None,
+        step_counts: dict[str, int] | None = None,
     ) -> None:
         self.done = done
         self.name = name
         self.data = data
-        self.rows = rows or {}
+        self.step_counts = step_counts or {}
 
 
 class ModelDisk(Disk):
@@ -156,13 +188,13 @@
     `files` is what the process reads, and `durable` what a power failure leaves.
     """
 
-    __slots__ = ("durable", "files", "pending", "waiting")
+    __slots__ = ("durable", "files", "pending", "unfinished")
 
     def __init__(self, files: dict[str, bytes]) -> None:
         self.files = dict(files)
         self.durable = dict(files)
-        self.pending: dict[str, list[tuple[str, int, bytes]]] = {}
-        self.waiting: list[_Waiting] = []
+        self.pending: dict[str, list[_DiskStep]] = {}
+        self.unfinished: list[_UnfinishedFlush] = []
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -186,31 +218,31 @@
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
         """Write `data` at `offset`; not durable before a flush."""
-        self._step(name, "write", offset, bytes(data))
+        self._step(name, _DiskStep(_StepKind.WRITE, offset, bytes(data)))
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file to `size` bytes; not durable before a flush."""
         if name in self.files and size != len(self.files[name]):
-            self._step(name, "truncate", size, b"")
+            self._step(name, _DiskStep(_StepKind.TRUNCATE, size))
 
     def remove(self, name: str) -> None:
         """Remove a file; not durable before a flush."""
         if name in self.files:
-            self._step(name, "remove", 0, b"")
+            self._step(name, _DiskStep(_StepKind.REMOVE))
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
         """Begin a flush of these files and of all removals; `done` is called when it ends."""
         removed = [
             name
-            for name, rows in self.pending.items()
-            if any(kind == "remove" for kind, _, _ in rows)
+            for name, steps in self.pending.items()
+            if any(step.kind is _StepKind.REMOVE for step in steps)
         ]
-        rows = {name: len(self.pending.get(name, ())) for name in [*names, *removed]}
-        self.waiting.append(_Waiting(done, rows=rows))
+        step_counts = {name: len(self.pending.get(name, ())) for name in [*names, *removed]}
+        self.unfinished.append(_UnfinishedFlush(done, step_counts=step_counts))
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
         """Begin an atomic replacement of a file's content; `done` is called when it ends."""
-        self.waiting.append(_Waiting(done, name, bytes(data)))
+        self.unfinished.append(_UnfinishedFlush(done, name, bytes(data)))
 
     def set_aside(self) -> None:
         """Remove everything, durably."""
@@ -218,34 +250,23 @@
             files.clear()
 
     @property
-    def busy(self) -> bool:
+    def is_flushing(self) -> bool:
         """Whether a flush or replacement has not ended."""
-        return bool(self.waiting)
+        return bool(self.unfinished)
 
     def complete(self) -> None:
         """End the oldest flush or replacement, and call back whoever waits for it."""
-        row = self.waiting.pop(0)
-        if row.data is not None:
-            self.files[row.name] = self.durable[row.name] = row.data
-            self.pending.pop(row.name, None)
-        for name, count in row.rows.items():
+        flush = self.unfinished.pop(0)
+        if flush.data is not None:
+            self.files[flush.name] = self.durable[flush.name] = flush.data
+            self.pending.pop(flush.name, None)
+        for name, count in flush.step_counts.items():
             steps = self.pending.get(name, [])
-            for kind, at, data in steps[:count]:
-                _make(self.durable, name, kind, at, data)
+            for step in steps[:count]:
+                step.apply(self.durable, name)
             self.pending[name] = steps[count:]
-        row.done(True)
-
-    def _step(self, name: str, kind: str, at: int, data: bytes) -> None:
-        _make(self.files, name, kind, at, data)
-        self.pending.setdefault(name, []).append((kind, at, data))
-
-
-def _make(files: dict[str, bytes], name: str, kind: str, at: int, data: bytes) -> None:
-    if kind == "remove":
-        files.pop(name, None)
-        return
-    page = files.get(name, b"")
-    page = page[:at].ljust(at, b"\0")
-    if kind == "write":
-        page = page + data + files.get(name, b"")[at + len(data) :]
-    files[name] = page
+        flush.done(True)
+
+    def _step(self, name: str, step: _DiskStep) -> None:
+        step.apply(self.files, name)
+        self.pending.setdefault(name, []).append(step)
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -12,15 +12,15 @@
 
 from control_store import ReadKey
 from modelcheck import Call, linearize
-from modelcheck.linearizability import Model, Verdict
-from modelcheck.objects import (
+from modelcheck.linearizability import SequentialSpecification
+from modelcheck.specifications import (
     CancelJob,
     ChangeKey,
     GetJob,
-    Job,
+    JobSpecification,
     JobState,
     ReadValue,
-    Register,
+    RegisterSpecification,
     SubmitJob,
 )
 from simulator import History, run_seed
@@ -70,11 +70,11 @@
 class HistoryResult:
     """What the check of one run's history gave.
 
-    `breaches` names the object and the calls that fit nowhere; `undecided` the objects whose search
-    met its limit.
+    `violations` names the object and the calls that fit nowhere; `undecided` the objects whose
+    search met its limit.
     """
 
-    __slots__ = ("breaches", "calls", "configurations", "objects", "seconds", "seed", "undecided")
+    __slots__ = ("violations", "calls", "configurations", "objects", "seconds", "seed", "undecided")
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -82,7 +82,7 @@
         self.calls = 0
         self.configurations = 0
         self.seconds = 0.0
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.undecided: list[str] = []
 
 
@@ -95,12 +95,12 @@
     """All that operators asked of the profiles' key."""
     calls = []
     for row in history.rows_of("change"):
-        asked = ChangeKey(row["change_id"], row["base_version"])
+        request = ChangeKey(row["change_id"], row["base_version"])
         if row["outcome"] in ("ok", "lost"):
             answer = (row["outcome"], row["version"])
-            calls.append(Call(asked, row["at_ms"], answer, row["answered_ms"]))
+            calls.append(Call(request, row["at_ms"], answer, row["answered_ms"]))
         elif row["outcome"] != "refused":
-            calls.append(Call(asked, row["at_ms"]))
+            calls.append(Call(request, row["at_ms"]))
     for row in history.begun_calls:
         if row["kind"] == "read-key" and row["outcome"] == "ok":
             answer = (row["version"], row["change_id"])
@@ -111,11 +111,11 @@
 def _final_changes(history: History) -> list[Call]:
     """Changes asked for again at the end; they began at some time after the last probe."""
     base_versions = {row["change_id"]: row["base_version"] for row in history.rows_of("change")}
-    began_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
+    invoked_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
     return [
         Call(
             ChangeKey(row["change_id"], base_versions[row["change_id"]]),
-            began_ms,
+            invoked_ms,
             (row["outcome"], row["version"]),
             row["at_ms"],
         )
@@ -142,7 +142,7 @@
     for row in history.begun_calls:
         if row["kind"] == "end":
             known = row["outcome"] == "ok"
-            times = {"answered": "ended", "returned_ms": row["answered_ms"]} if known else {}
+            times = {"response": "ended", "returned_ms": row["answered_ms"]} if known else {}
             found.setdefault(row["lot"], []).append(Call(CancelJob(), row["began_ms"], **times))
     return found
 
@@ -150,24 +150,26 @@
 def check_history(history: History, seed: int = 0) -> HistoryResult:
     """Looks for a linearization of each object's calls."""
     result, began = HistoryResult(seed), time.monotonic()
-    _check(result, "profiles", key_calls(history), Register())
+    _check(result, "profiles", key_calls(history), RegisterSpecification())
     totals = {row["lot"]: row["count"] for row in history.rows_of("hand-in")}
     for job, calls in job_calls(history).items():
-        _check(result, job, calls, Job(totals.get(job, 0)))
+        _check(result, job, calls, JobSpecification(totals.get(job, 0)))
     result.seconds = time.monotonic() - began
     return result
 
 
-def _check(result: HistoryResult, name: str, calls: list[Call], model: Model) -> None:
-    verdict: Verdict = linearize(calls, model)
+def _check(
+    result: HistoryResult, name: str, calls: list[Call], specification: SequentialSpecification
+) -> None:
+    search = linearize(calls, specification)
     result.objects += 1
     result.calls += len(calls)
-    result.configurations += verdict.configurations
-    if not verdict.decided:
+    result.configurations += search.configurations
+    if not search.is_decided:
         result.undecided.append(name)
-    elif not verdict.ok:
-        stuck = "; ".join(map(repr, verdict.stuck))
-        result.breaches.append(f"{name}: after {verdict.reached[-3:]} none of: {stuck}")
+    elif not search.is_linearizable:
+        blocked = "; ".join(map(repr, search.blocked))
+        result.violations.append(f"{name}: after {search.longest_order[-3:]} none of: {blocked}")
 
 
 def check_seed(
--- a/libs/testbed/src/testbed/model_checking.py
+++ b/libs/testbed/src/testbed/model_checking.py
@@ -11,8 +11,8 @@
 from typing import Annotated, Literal
 
 from cyclopts import Parameter
-from modelcheck import BreachError, Explorer, read_schedule, write_schedule
-from modelcheck.starts import STARTS
+from modelcheck import Explorer, InvariantViolationError, read_schedule, write_schedule
+from modelcheck.initial_states import INITIAL_STATES
 
 from testbed.histories import HistoryResult, check_seed
 
@@ -20,21 +20,22 @@
 
 
 def _explored(job: tuple[str, dict]) -> tuple[str, str, bool]:
-    """One start: its line of figures, the schedule of a breach, and whether it held."""
+    """Return one search's figures, its violation with the counterexample, and whether all held."""
     name, bounds = job
-    world = STARTS[name].world(**bounds)
-    explorer = Explorer(world)
-    found = explorer.search()
-    rate = round(found.states / max(found.seconds, 0.001))
-    extent = "all within the bounds" if found.whole else "cut off"
+    model = INITIAL_STATES[name].model(**bounds)
+    explorer = Explorer(model)
+    result = explorer.search()
+    rate = round(result.states / max(result.seconds, 0.001))
+    extent = "all within the bounds" if result.is_complete else "cut off"
     line = (
-        f"{name}: {found.states} distinct states ({found.local_states} of nodes), "
-        f"depth {found.depth}, "
-        f"{found.seconds:.1f} s, {rate} states/s, {extent}; bounds: {world.bounds}"
+        f"{name}: {result.states} distinct states ({result.local_states} of nodes), "
+        f"depth {result.depth}, "
+        f"{result.seconds:.1f} s, {rate} states/s, {extent}; bounds: {model.bounds}"
     )
-    if found.breach is None:
+    if result.violation is None:
         return line, "", True
-    return line, f"{found.breach}\n{write_schedule(explorer.describe(found.schedule))}", False
+    schedule = write_schedule(explorer.describe(result.counterexample))
+    return line, f"{result.violation}\n{schedule}", False
 
 
 def explore(
@@ -81,29 +82,31 @@
     bounds = {name: given[name] for name in (*counts, "cuts", "slow_disk")}
     bounds = {name: count for name, count in bounds.items() if count is not None}
     bounds.update(states=states, depth=depth, seconds=seconds)
-    unknown = [name for name in start if name not in STARTS]
+    unknown = [name for name in start if name not in INITIAL_STATES]
     if unknown or (replay is not None and len(start) != 1):
-        sys.stderr.write(f"start: one of {', '.join(STARTS)}\n")
+        sys.stderr.write(f"start: one of {', '.join(INITIAL_STATES)}\n")
         raise SystemExit(2)
     if replay is not None:
         _replay(start[0], bounds, replay)
         return
-    held = True
+    all_hold = True
     with ProcessPoolExecutor(jobs) as pool:
-        for line, breach, ok in pool.map(_explored, [(name, bounds) for name in start or STARTS]):
-            sys.stdout.write(f"{line}\n{breach}")
+        for line, violation, ok in pool.map(
+            _explored, [(name, bounds) for name in start or INITIAL_STATES]
+        ):
+            sys.stdout.write(f"{line}\n{violation}")
             sys.stdout.flush()
-            held = held and ok
-    if not held:
+            all_hold = all_hold and ok
+    if not all_hold:
         raise SystemExit(1)
 
 
 def _replay(start: str, bounds: dict, path: Path) -> None:
     try:
-        Explorer(STARTS[start].world(**bounds)).replay(read_schedule(path.read_text()))
-    except BreachError as breach:
-        sys.stdout.write(f"{breach}\n")
-        raise SystemExit(1) from breach
+        Explorer(INITIAL_STATES[start].model(**bounds)).replay(read_schedule(path.read_text()))
+    except InvariantViolationError as violation:
+        sys.stdout.write(f"{violation}\n")
+        raise SystemExit(1) from violation
     except (LookupError, ValueError) as error:
         sys.stderr.write(f"{error}\n")
         raise SystemExit(2) from error
@@ -115,7 +118,7 @@
         return check_seed(*job)
     except Exception as error:
         result = HistoryResult(job[0])
-        result.breaches.append(f"raised {error!r}")
+        result.violations.append(f"raised {error!r}")
         return result
 
 
@@ -146,9 +149,9 @@
             objects += result.objects
             calls += result.calls
             undecided += len(result.undecided)
-            broken += bool(result.breaches)
-            for breach in result.breaches:
-                sys.stdout.write(f"seed {result.seed}: {breach}\n")
+            broken += bool(result.violations)
+            for violation in result.violations:
+                sys.stdout.write(f"seed {result.seed}: {violation}\n")
     sys.stdout.write(
         f"{count} runs, {objects} objects, {calls} operations, {time.monotonic() - began:.1f} s: "
         f"{broken} runs not linearizable, {undecided} objects undecided\n"
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -230,12 +230,12 @@
         "control_store/src/control_store/register_store.py",
         "self._disk.flush(names, flushed)",
         "flushed(True)",
-        _EXPLORE + "nothing_breaks",
+        _EXPLORE + "invariants_hold",
     ),
     "a voter takes any epoch": (
         "control_store/src/control_store/acceptor.py",
         "if proposal < register.promised or ( proposal == register.accepted",
         "if ( proposal == register.accepted",
-        _EXPLORE + "nothing_breaks",
+        _EXPLORE + "invariants_hold",
     ),
 }
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -197,6 +197,6 @@
         "replicated_log/src/replicated_log/metadata_file.py",
         "self._disk.flush([_NAME], kept)",
         "kept(True)",
-        _EXPLORE + "nothing_breaks",
+        _EXPLORE + "invariants_hold",
     ),
 }
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -1,13 +1,13 @@
-"""The explorer on the replicated log: nothing breaks within small bounds, and breaks of fences, copies,
-readings, claims and changes of members made on purpose are found.
+"""The explorer on the replicated log: all invariants hold within small bounds, and mutations of fences, replicas,
+reads, claims and changes of members are found.
 """
 
 from unittest import mock
 
 from modelcheck import Explorer
-from modelcheck.change_starts import CHANGE_STARTS
-from modelcheck.log_starts import LOG_STARTS
-from modelcheck.starts import STARTS
+from modelcheck.initial_states import INITIAL_STATES
+from modelcheck.log_initial_states import LOG_INITIAL_STATES
+from modelcheck.member_change_initial_states import MEMBER_CHANGE_INITIAL_STATES
 from replicated_log import Leader, LogReplica
 from replicated_log.follower import Follower
 from replicated_log.leader import Outcome
@@ -22,9 +22,9 @@
 FAULT_STATES = 1_000
 LIMIT = 150_000
 
-WHOLE_RECEIVE = Follower.receive
-WHOLE_KEEP = MetadataFile.keep
-WHOLE_CHANGE = LogReplica.change
+ORIGINAL_RECEIVE = Follower.receive
+ORIGINAL_KEEP = MetadataFile.keep
+ORIGINAL_CHANGE = LogReplica.change
 
 
 def settled_here(self, pending, replicated_seq):
@@ -47,15 +47,15 @@
 def take_lower_epochs(self, message, reply, source=""):
     """A peer takes what an earlier holder sends as if it came from the present one."""
     if not isinstance(message, AppendRequest):
-        WHOLE_RECEIVE(self, message, reply, source)
+        ORIGINAL_RECEIVE(self, message, reply, source)
         return
     message.epoch = max(message.epoch, self._log.meta.fence)
     log, self._log = self._log, Unsettled(self._log)
-    WHOLE_RECEIVE(self, message, reply, source)
+    ORIGINAL_RECEIVE(self, message, reply, source)
     self._log = log
 
 
-def read_unasked(self, done):
+def read_without_round(self, done):
     """A holder reads without asking its peers whether it is the holder still."""
     done(True)
 
@@ -63,7 +63,7 @@
 def keep_in_memory(self, done, fence, log_epoch):
     """Fences are told before they are on disk."""
     if self.fresh:
-        WHOLE_KEEP(self, done, fence, log_epoch)
+        ORIGINAL_KEEP(self, done, fence, log_epoch)
         return
     self.meta = ReplicaMetadata(
         identity=self.meta.identity,
@@ -82,7 +82,7 @@
             outcome = "ok"
         done(outcome)
 
-    WHOLE_CHANGE(self, body, changed)
+    ORIGINAL_CHANGE(self, body, changed)
 
 
 def kept_at_once(self, entries, durable, done, urgent=False):
@@ -101,7 +101,7 @@
 
 
 # What is broken, the start that shows it, and the invariants that may be the first to fail.
-BREAKS = {
+MUTATIONS = {
     "one disk is enough": ((Leader, "_is_ready", settled_here), "holder-lost", ("L2",)),
     "acknowledged unwritten": ((Leader, "append", kept_at_once), "holder-lost", ("L2",)),
     "lower epochs are taken": (
@@ -109,7 +109,7 @@
         "holder-lost",
         ("L1", "L2"),
     ),
-    "a reading without a round": ((Leader, "read", read_unasked), "old-holder", ("L4",)),
+    "a reading without a round": ((Leader, "read", read_without_round), "old-holder", ("L4",)),
     "fences in memory": ((MetadataFile, "keep", keep_in_memory), "holder-lost-and-power", ("L5",)),
     "a lost claim counts": ((LogReplica, "change", claim_lost), "two-claim", ("L3",)),
     "one list during a change": (
@@ -131,34 +131,36 @@
 
 
 def search(start, **bounds):
-    return Explorer(STARTS[start].world(**bounds)).search()
+    return Explorer(INITIAL_STATES[start].model(**bounds)).search()
 
 
-class ExploringLog(TestCase):
-    def test_nothing_breaks(self):
-        for start in LOG_STARTS:
-            found = search(start, states=STATES)
-            self.assertThat((start, found.breach), Equals((start, None)))
-            self.assertThat(found.whole or found.states >= STATES, Equals(True), start)
+class ExploringTheLog(TestCase):
+    def test_invariants_hold(self):
+        for name in LOG_INITIAL_STATES:
+            result = search(name, states=STATES)
+            self.assertThat((name, result.violation), Equals((name, None)))
+            self.assertThat(result.is_complete or result.states >= STATES, Equals(True), name)
 
-    def test_a_change_begins_under_way(self):
-        for start in CHANGE_STARTS:
-            explorer = Explorer(STARTS[start].world())
-            store = explorer.local.run(explorer.first().nodes[1]).node.components[0]
+    def test_a_member_change_is_under_way_initially(self):
+        for name in MEMBER_CHANGE_INITIAL_STATES:
+            explorer = Explorer(INITIAL_STATES[name].model())
+            store = explorer.local_states.run(explorer.initial_state().nodes[1]).node.components[0]
             following = store.leader._quorums.following
-            new = "store-n2-2-1" if start.startswith("returned") else "store-n4"
-            self.assertThat(following, Equals(["store-n1", "store-n3", new]), start)
+            new = "store-n2-2-1" if name.startswith("returned") else "store-n4"
+            self.assertThat(following, Equals(["store-n1", "store-n3", new]), name)
 
     def test_a_change_with_one_fault(self):
         for start in ("gone-unheard", "retired-unheard", "returned-unheard"):
             for fault in FAULTS:
-                found = search(start, states=FAULT_STATES, **{fault: 1})
-                self.assertThat((start, fault, found.breach), Equals((start, fault, None)))
+                result = search(start, states=FAULT_STATES, **{fault: 1})
+                self.assertThat((start, fault, result.violation), Equals((start, fault, None)))
 
-    def test_breaks_are_found(self):
-        for name, ((where, what, other), start, invariants) in BREAKS.items():
+    def test_mutations_are_found(self):
+        for name, ((where, what, other), start, invariants) in MUTATIONS.items():
             with mock.patch.object(where, what, other):
-                found = search(start, states=LIMIT)
-            self.assertThat(found.breach is not None, Equals(True), name)
-            self.assertThat(invariants, Contains(found.breach.invariant), name)
-            print(f"{name}: {found.breach} after {found.states} states, depth {found.depth + 1}")
+                result = search(start, states=LIMIT)
+            self.assertThat(result.violation is not None, Equals(True), name)
+            self.assertThat(invariants, Contains(result.violation.invariant), name)
+            print(
+                f"{name}: {result.violation} after {result.states} states, depth {result.depth + 1}"
+            )
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -8,14 +8,14 @@
 import control_store.key_owner
 from messaging import decode, encode
 from modelcheck import Call, linearize
-from modelcheck.objects import (
+from modelcheck.specifications import (
     CancelJob,
     ChangeKey,
     GetJob,
-    Job,
+    JobSpecification,
     JobState,
     ReadValue,
-    Register,
+    RegisterSpecification,
     SubmitJob,
 )
 from simulator import History
@@ -27,23 +27,23 @@
 FAULTS = 6
 
 
-def change(name, base, began_ms, returned_ms=None, outcome="ok", version=None):
+def change(name, base, invoked_ms, returned_ms=None, outcome="ok", version=None):
     if returned_ms is None:
-        return Call(ChangeKey(name, base), began_ms)
+        return Call(ChangeKey(name, base), invoked_ms)
     answer = (outcome, base + 1 if version is None else version)
-    return Call(ChangeKey(name, base), began_ms, answer, returned_ms)
+    return Call(ChangeKey(name, base), invoked_ms, answer, returned_ms)
 
 
-def read(version, name, began_ms, returned_ms):
-    return Call(ReadValue(), began_ms, (version, name), returned_ms)
+def read(version, name, invoked_ms, returned_ms):
+    return Call(ReadValue(), invoked_ms, (version, name), returned_ms)
 
 
-def shown(listed, results, ended=False, total=3):
-    return JobState(ended, listed, total, results)
+def shown(listed, results, cancelled=False, total=3):
+    return JobState(cancelled, listed, total, results)
 
 
-def get_job(answer, began_ms, returned_ms, start=0):
-    return Call(GetJob(start), began_ms, answer, returned_ms)
+def get_job(answer, invoked_ms, returned_ms, start=0):
+    return Call(GetJob(start), invoked_ms, answer, returned_ms)
 
 
 REGISTERS = [
@@ -69,10 +69,10 @@
         [change("a", 0, 0, 1), change("b", 1, 2, 3), change("a", 0, 4, 5)],
         True,
     ),
-    ("another body under one version", [change("a", 0, 0, 1), read(1, "b", 2, 3)], False),
+    ("another value under one version", [change("a", 0, 0, 1), read(1, "b", 2, 3)], False),
 ]
 
-LOTS = [
+JOBS = [
     ("never there", [get_job("missing", 0, 1)], True),
     ("there and gone", [Call(SubmitJob(), 0, "admitted", 1), get_job("missing", 2, 3)], False),
     ("in doubt and there", [Call(SubmitJob(), 0), get_job(shown(0, {}), 2, 3)], True),
@@ -103,7 +103,7 @@
         False,
     ),
     (
-        "read from a place on",
+        "read from a position on",
         [Call(SubmitJob(), 0), get_job(shown(2, {0: "x", 1: "y"}), 1, 2)]
         + [get_job(shown(3, {1: "y", 2: "z"}), 3, 4, start=1)],
         True,
@@ -136,23 +136,29 @@
     def test_registers(self):
         for name, calls, wanted in REGISTERS:
             for order in (calls, calls[::-1]):
-                self.assertThat(linearize(order, Register()).ok, Equals(wanted), name)
+                self.assertThat(
+                    linearize(order, RegisterSpecification()).is_linearizable, Equals(wanted), name
+                )
 
-    def test_lots(self):
-        for name, calls, wanted in LOTS:
+    def test_jobs(self):
+        for name, calls, wanted in JOBS:
             for order in (calls, calls[::-1]):
-                self.assertThat(linearize(order, Job(3)).ok, Equals(wanted), name)
+                self.assertThat(
+                    linearize(order, JobSpecification(3)).is_linearizable, Equals(wanted), name
+                )
 
     def test_a_search_that_meets_its_limit_says_so(self):
-        calls = [change(f"c{place}", place % 3, 0) for place in range(12)] + [read(9, "x", 1, 2)]
-        verdict = linearize(calls, Register(), limit=5)
-        self.assertThat((verdict.ok, verdict.decided), Equals((False, False)))
+        calls = [change(f"c{position}", position % 3, 0) for position in range(12)] + [
+            read(9, "x", 1, 2)
+        ]
+        result = linearize(calls, RegisterSpecification(), limit=5)
+        self.assertThat((result.is_linearizable, result.is_decided), Equals((False, False)))
 
     def test_many_calls_at_once_are_judged_soon(self):
-        calls = [change(f"c{place}", place, 0, 1000) for place in range(60)]
-        calls += [change(f"d{place}", place, 0) for place in range(0, 60, 4)]
-        verdict = linearize(calls, Register())
-        self.assertThat((verdict.ok, verdict.configurations < 500), Equals((True, True)))
+        calls = [change(f"c{position}", position, 0, 1000) for position in range(60)]
+        calls += [change(f"d{position}", position, 0) for position in range(0, 60, 4)]
+        result = linearize(calls, RegisterSpecification())
+        self.assertThat((result.is_linearizable, result.configurations < 500), Equals((True, True)))
 
 
 class Runs(TestCase):
@@ -160,49 +166,49 @@
         calls = 0
         for seed in SEEDS:
             result = check_seed(seed, FAULTS, "small")
-            self.assertThat((seed, result.breaches, result.undecided), Equals((seed, [], [])))
+            self.assertThat((seed, result.violations, result.undecided), Equals((seed, [], [])))
             calls += result.calls
         self.assertThat(calls > 100 * len(SEEDS), Equals(True))
 
     def test_a_register_that_takes_a_lost_change_is_found(self):
         """The base version is not looked at: of two changes on one base both are confirmed."""
-        broken = mock.patch.object(control_store.key_owner.KeyOwner, "_execute", apply_on_any_base)
-        with broken:
-            found = any(check_seed(seed, FAULTS, "small").breaches for seed in SEEDS)
+        mutated = mock.patch.object(control_store.key_owner.KeyOwner, "_execute", apply_on_any_base)
+        with mutated:
+            found = any(check_seed(seed, FAULTS, "small").violations for seed in SEEDS)
         self.assertThat(found, Equals(True))
 
-    def test_results_that_move_are_found(self):
-        """Once a lot is whole its first two results change places."""
+    def test_results_that_change_places_are_found(self):
+        """Once a job is complete its first two results change places."""
         with mock.patch.object(batch_state.jobs.Job, "row", row_moved):
-            found = any(check_seed(seed, FAULTS, "small").breaches for seed in SEEDS)
+            found = any(check_seed(seed, FAULTS, "small").violations for seed in SEEDS)
         self.assertThat(found, Equals(True))
 
-    def test_a_history_that_forgets_a_lot_is_found(self):
+    def test_a_history_that_forgets_a_job_is_found(self):
         history = History()
         history.add("hand-in", 0, lot="l", count=1, outcome="admitted", verdict="", answered_ms=1)
         history.add(
             "read", 3, began_ms=2, lot="l", start=0, results=[], outcome="missing", listed=0
         )
         result = check_history(history)
-        self.assertThat((result.objects, len(result.breaches)), Equals((2, 1)))
+        self.assertThat((result.objects, len(result.violations)), Equals((2, 1)))
 
 
-WHOLE_APPLY = control_store.key_owner.KeyOwner._execute
+ORIGINAL_APPLY = control_store.key_owner.KeyOwner._execute
 
 
 def apply_on_any_base(self, key, round_):
     message = key.operations[0].message if key.operations else None
     if hasattr(message, "change_id") and message.change_id not in key.value.change_ids:
         message.version = key.value.version
-    WHOLE_APPLY(self, key, round_)
+    ORIGINAL_APPLY(self, key, round_)
 
 
-WHOLE_ROW = batch_state.jobs.Job.row
+ORIGINAL_ROW = batch_state.jobs.Job.row
 
 
 def row_moved(self, position):
     moves = not self.forward and position < 2 <= self.total == self.listed
-    row = decode(WHOLE_ROW(self, 1 - position if moves else position))
+    row = decode(ORIGINAL_ROW(self, 1 - position if moves else position))
     if moves:
         row.index = position
     return encode(row)
--- a/tests/test_orders_history.py
+++ b/tests/test_orders_history.py
@@ -14,18 +14,18 @@
 class Configuration:
     """The configuration as its operators may see it; a state is its revision and its mark."""
 
-    def first(self):
+    def initial_state(self):
         return (0, "")
 
-    def after(self, state, call):
+    def next_state(self, state, call):
         """The state after the call, or None where it can't have been answered so in this one."""
-        asked = call.asked
-        if asked["what"] == "read":
-            return state if asked["seen"] == state else None
-        fits = asked["base"] == state[0]
-        if asked["outcome"] == "refused":
+        request = call.request
+        if request["what"] == "read":
+            return state if request["seen"] == state else None
+        fits = request["base"] == state[0]
+        if request["outcome"] == "refused":
             return None if fits else state
-        return (asked["revision"], asked["mark"]) if fits else None
+        return (request["revision"], request["mark"]) if fits else None
 
 
 def explained(calls):
@@ -36,8 +36,8 @@
         else Call(call, call["start"], call["outcome"], call["end"])
         for call in calls
     ]
-    verdict = linearize(rows, Configuration())
-    return verdict.decided and verdict.ok
+    result = linearize(rows, Configuration())
+    return result.is_decided and result.is_linearizable
 
 
 class DrawnOrders:
