--- a/libs/runtime/src/runtime/clock.py
+++ b/libs/runtime/src/runtime/clock.py
@@ -9,12 +9,14 @@
 
 __all__ = ["boot_ms", "wall_ms"]
 
+_NS_PER_MS = 1_000_000
+
 
 def boot_ms() -> int:
-    """Milliseconds since the machine booted, time in suspend included; never steps back."""
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
+    """Return the milliseconds since the machine booted, time in suspend included; never steps back."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
 def wall_ms() -> int:
-    """Milliseconds since the Unix epoch by the machine's wall clock, which may be stepped."""
-    return time.time_ns() // 1_000_000
+    """Return the milliseconds since the Unix epoch by the machine's wall clock, which may be stepped."""
+    return time.time_ns() // _NS_PER_MS
--- a/libs/runtime/src/runtime/lazy_exports.py
+++ b/libs/runtime/src/runtime/lazy_exports.py
@@ -16,11 +16,11 @@
     `modules` maps each submodule's name to the names that it exports. The returned function raises
     AttributeError for any other name.
     """
-    places = {name: module for module, names in modules.items() for name in names}
+    module_of = {name: module for module, names in modules.items() for name in names}
 
     def find(name: str) -> Any:
-        if name in places:
-            return getattr(import_module(f"{package}.{places[name]}"), name)
+        if name in module_of:
+            return getattr(import_module(f"{package}.{module_of[name]}"), name)
         if name in modules:
             return import_module(f"{package}.{name}")
         raise AttributeError(f"module {package!r} has no attribute {name!r}")
--- a/libs/runtime/src/runtime/logs.py
+++ b/libs/runtime/src/runtime/logs.py
@@ -1,7 +1,7 @@
 """Log lines in JSON, written with loguru to standard error.
 
 Each line is one object with the time, the level, the event's name and the identifiers by which a
-transaction, a batch or a change can be followed through the logs of a fleet.
+request, a batch job or a change can be followed through the logs of a fleet.
 """
 
 import json
@@ -12,21 +12,22 @@
 
 __all__ = ["log", "set_up_logs"]
 
-_NODE: dict[str, Any] = {}
+_NODE_FIELDS: dict[str, Any] = {}
 
 
-def _sink(message: Any) -> None:
+def _write_json(message: Any) -> None:
+    """Write a record of loguru as one line; later fields replace earlier ones of the same name."""
     record = message.record
-    row = {
+    line = {
         "at": record["time"].isoformat(),
         "level": record["level"].name,
         "event": record["message"],
     }
-    row.update(_NODE)
-    row.update(record["extra"])
+    line.update(_NODE_FIELDS)
+    line.update(record["extra"])
     if record["exception"] is not None:
-        row["exception"] = repr(record["exception"].value)
-    sys.stderr.write(json.dumps(row, default=str) + "\n")
+        line["exception"] = repr(record["exception"].value)
+    sys.stderr.write(json.dumps(line, default=str) + "\n")
 
 
 def set_up_logs(level: str = "INFO", **node: Any) -> None:
@@ -35,9 +36,9 @@
     `level` is the lowest level that is written; the fields of `node` go into every line.
     """
     logger.remove()
-    _NODE.clear()
-    _NODE.update(node)
-    logger.add(_sink, level=level, format="{message}")
+    _NODE_FIELDS.clear()
+    _NODE_FIELDS.update(node)
+    logger.add(_write_json, level=level, format="{message}")
 
 
 def log(event: str, level: str = "INFO", **fields: Any) -> None:
--- a/libs/runtime/src/runtime/settings.py
+++ b/libs/runtime/src/runtime/settings.py
@@ -1,7 +1,7 @@
 """Settings of one process, read from a TOML file and from flags, where flags win.
 
-All problems are found before anything starts. The timeouts that the code uses are properties here:
-fixed ratios to the few bounds that are set.
+All problems are found before anything starts. The time-outs that the code uses are properties here:
+fixed shares of the few bounds that operators set. The settings' names are the operators' interface.
 """
 
 import ipaddress
@@ -14,6 +14,9 @@
 
 __all__ = ["Settings", "load_settings", "changed_settings", "RELOADABLE"]
 
+_MAX_PORT = 65535
+
+# The settings that take effect when the file is read again, without a restart.
 RELOADABLE = frozenset(
     {
         "log_level",
@@ -29,8 +32,9 @@
 
 
 def _check_address(value: str) -> str:
+    """Return a valid address as it is. Raises ValueError."""
     host, colon, port = value.rpartition(":")
-    if not colon or not port.isdigit() or not 0 < int(port) < 65536:
+    if not colon or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
         raise ValueError("an address is IP:PORT")
     ipaddress.ip_address(host.strip("[]"))
     return value
@@ -137,7 +141,8 @@
         return [_check_address(seed) for seed in value]
 
     @model_validator(mode="after")
-    def _whole(self) -> "Settings":
+    def _check_together(self) -> "Settings":
+        """Check what settings have to fulfil together."""
         if self.role in ("store", "control") and not self.data_folder:
             raise ValueError(
                 f"data_folder: a {self.role} keeps its state on disk and needs a folder"
@@ -264,7 +269,8 @@
         return int(self.force_ms * 0.4)
 
 
-def _problems(error: ValidationError) -> list[str]:
+def _problem_lines(error: ValidationError) -> list[str]:
+    """Return one line for each problem, with the name of the setting."""
     return [
         f"{'.'.join(str(part) for part in row['loc']) or 'settings'}: {row['msg']}"
         for row in error.errors()
@@ -286,7 +292,7 @@
     try:
         return Ok(Settings(**values))
     except ValidationError as error:
-        return Error(_problems(error))
+        return Error(_problem_lines(error))
 
 
 def changed_settings(old: Settings, new: Settings) -> tuple[Settings, list[str], list[str]]:
--- a/libs/runtime/src/runtime/verdicts.py
+++ b/libs/runtime/src/runtime/verdicts.py
@@ -35,7 +35,7 @@
         status: int,
         retry_after_ms: int = 0,
         field: str = "",
-        problems: list | None = None,
+        problems: list[str] | None = None,
     ) -> None:
         self.verdict = verdict
         self.code = code
@@ -47,18 +47,18 @@
 
     def body(self) -> dict[str, Any]:
         """Return the JSON object of the error response; empty optional members are left out."""
-        inner: dict[str, Any] = {
+        error: dict[str, Any] = {
             "verdict": str(self.verdict),
             "code": self.code,
             "message": self.message,
         }
         if self.field:
-            inner["field"] = self.field
+            error["field"] = self.field
         if self.problems:
-            inner["problems"] = self.problems
+            error["problems"] = self.problems
         if self.retry_after_ms:
-            inner["retry_after_ms"] = self.retry_after_ms
-        return {"error": inner}
+            error["retry_after_ms"] = self.retry_after_ms
+        return {"error": error}
 
     def __repr__(self) -> str:
         return f"Refusal({self.verdict}, {self.code}, {self.status}, {self.message!r})"
@@ -70,7 +70,7 @@
     status: int = 400,
     retry_after_ms: int = 0,
     field: str = "",
-    problems: list | None = None,
+    problems: list[str] | None = None,
 ) -> Refusal:
     """Return a refusal of a request that did not run."""
     return Refusal(Verdict.NOT_RUN, code, message, status, retry_after_ms, field, problems)
