--- a/libs/runtime/src/runtime/clock.py
+++ b/libs/runtime/src/runtime/clock.py
@@ -13,10 +13,10 @@
 
 
 def boot_ms() -> int:
-    """Return the milliseconds since the machine booted, time in suspend included; never steps back."""
+    """Return the milliseconds since the machine booted, suspend included; never steps back."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
 def wall_ms() -> int:
-    """Return the milliseconds since the Unix epoch by the machine's wall clock, which may be stepped."""
+    """Return the milliseconds since the Unix epoch by the wall clock, which may be stepped."""
     return time.time_ns() // _NS_PER_MS
