--- a/libs/capacity_sharing/src/capacity_sharing/entitlement.py
+++ b/libs/capacity_sharing/src/capacity_sharing/entitlement.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from membership import duty_order
+from membership import rendezvous_order
 
 __all__ = ["Entitlements"]
 
@@ -33,6 +33,8 @@
         key = (worker, lendable)
         if key not in self._known:
             self._known[key] = sum(
-                1 for slot in range(lendable) if duty_order(f"{worker}#{slot}", edges)[0] == edge
+                1
+                for slot in range(lendable)
+                if rendezvous_order(f"{worker}#{slot}", edges)[0] == edge
             )
         return self._known[key]
--- a/libs/capacity_sharing/src/capacity_sharing/lending.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lending.py
@@ -226,12 +226,14 @@
         """
         settings = self.node.settings
         stores = {
-            card.address for card in self._neighbours.of_role("store", settings.removal_timeout_ms)
+            card.address
+            for card in self._neighbours.nodes_in_role("store", settings.removal_timeout_ms)
         }
         log = self._config_feed.value("log") or {}
         stores |= {row["address"] for row in (*log.get("members", ()), *log.get("prev", ()))}
         edges = {
-            card.address for card in self._neighbours.of_role("edge", settings.removal_timeout_ms)
+            card.address
+            for card in self._neighbours.nodes_in_role("edge", settings.removal_timeout_ms)
         }
         return edges | set(self._config_feed.roll()) - stores
 
--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from membership import Membership, score
+from membership import Membership, rendezvous_weight
 
 __all__ = ["DigestTargets", "candidates", "nearness"]
 
@@ -33,7 +33,8 @@
             (row["address"], row.get("zone", ""), row.get("region", "")) for row in listed["voters"]
         ]
     return [
-        (card.address, card.zone, card.region) for card in neighbours.of_role("control", within_ms)
+        (card.address, card.zone, card.region)
+        for card in neighbours.nodes_in_role("control", within_ms)
     ]
 
 
@@ -81,7 +82,7 @@
         self._rank = {
             address: (
                 nearness(zone, region, settings.zone, settings.region),
-                -score(address, node.address),
+                -rendezvous_weight(address, node.address),
             )
             for address, zone, region in among
             if address != node.address
--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -26,7 +26,9 @@
     else:
         members = list(node.acceptor.voters)
         leader, full_count = node.voter_list_manager.steward() or "", settings.control_count
-    live = [info.identity for info in node.membership.of_role(role, settings.failure_timeout_ms)]
+    live = [
+        info.identity for info in node.membership.nodes_in_role(role, settings.failure_timeout_ms)
+    ]
     spares = [name for name in live if name not in members and name not in retired]
     return describe_member(role, identity, members, leader, retired, spares, full_count)
 
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -58,7 +58,7 @@
             self._heard_row(role, info)
             for role in _ROLES
             for info in sorted(
-                node.membership.of_role(role, node.settings.removal_timeout_ms),
+                node.membership.nodes_in_role(role, node.settings.removal_timeout_ms),
                 key=lambda info: info.address,
             )
         ]
@@ -80,7 +80,7 @@
             "link": info.address,
             "http": info.http,
             "zone": info.zone,
-            "standing": _LIVE if self._node.membership.live(info.identity) else _SILENT,
+            "standing": _LIVE if self._node.membership.is_live(info.identity) else _SILENT,
             "ready": info.ready,
             "feed": confirmed[2] if confirmed else None,
         }
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -72,11 +72,11 @@
             lambda: self.acceptor.voters.values(),
             sure=self.has_quorum,
         )
-        self.membership.wanted = lambda: (
+        self.membership.extra_addresses = lambda: (
             self.acceptor.voters.values() or (() if settings.control_count else settings.seeds)
         )
-        self.membership.ready = lambda: not self.why_unready()
-        self.membership.deaf = lambda: (
+        self.membership.is_ready = lambda: not self.why_unready()
+        self.membership.is_isolated = lambda: (
             self._is_voter() and not self._hears(settings.contact_timeout_ms)
         )
         self.config_feed.votes = self._is_voter
@@ -157,7 +157,7 @@
     def _hears(self, within_ms: int) -> bool:
         """Whether a majority of the voters sent this node heartbeats within the time."""
         voters = self.acceptor.voters
-        heard = sum(1 for name in voters if self.membership.heard_itself(name, within_ms))
+        heard = sum(1 for name in voters if self.membership.is_heard_directly(name, within_ms))
         return 2 * heard > len(voters)
 
     def hears_majority(self) -> bool:
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -163,7 +163,7 @@
         """
         members = {row["identity"] for row in (*log.get("members", ()), *log.get("prev", ()))}
         is_replaced = members.isdisjoint({identity, self._identities.get(name, identity)})
-        serves = log.get("phase") == _LOG_SERVING and self._membership.live(log["holder"])
+        serves = log.get("phase") == _LOG_SERVING and self._membership.is_live(log["holder"])
         return RetirementStatus.FINISHED if is_replaced and serves else RetirementStatus.ROLLING_OUT
 
     # -- retiring ------------------------------------------------------------------------------
@@ -198,7 +198,7 @@
             return RetirementStatus.OK
         remaining = [
             info
-            for info in self._membership.of_role("store", settings.failure_timeout_ms)
+            for info in self._membership.nodes_in_role("store", settings.failure_timeout_ms)
             if info.identity != identity and info.identity not in retired.identities
         ]
         if name not in retired.names and len(remaining) < settings.store_count:
@@ -264,7 +264,9 @@
             self._since_ms = now_ms
         if now_ms >= self._next_ms:
             self._next_ms = now_ms + self.node.settings.heartbeat_ms
-            for info in self._membership.of_role("store", self.node.settings.failure_timeout_ms):
+            for info in self._membership.nodes_in_role(
+                "store", self.node.settings.failure_timeout_ms
+            ):
                 self._identities[info.name] = info.identity
             self._retire_returned()
         self._calls.expire_due(now_ms)
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -87,7 +87,9 @@
         infos = [
             info
             for role in ("control", "store")
-            for info in self._node.membership.of_role(role, self._node.settings.removal_timeout_ms)
+            for info in self._node.membership.nodes_in_role(
+                role, self._node.settings.removal_timeout_ms
+            )
         ]
         return next((info.identity for info in infos if info.name == name), name)
 
@@ -95,7 +97,7 @@
         """Whether this is a machine with a disk, as far as this node knows, or retired already."""
         node = self._node
         log = node.config_feed.value(LOG_KEY) or {"members": []}
-        info = node.membership.known(identity)
+        info = node.membership.node_info(identity)
         return (
             identity in retired.identities
             or identity in node.acceptor.voters
@@ -106,7 +108,7 @@
 
     def _role_of(self, identity: str) -> str:
         """Return the role of a machine; that of one never heard of shows in its identity."""
-        info = self._node.membership.known(identity)
+        info = self._node.membership.node_info(identity)
         if info is not None:
             return info.role
         return "store" if identity.startswith("store") else "control"
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -118,7 +118,10 @@
         if not self._may_bootstrap():
             return ""
         settings, membership = self._node.settings, self._membership
-        nodes = [*membership.of_role("control", settings.failure_timeout_ms), membership.card()]
+        nodes = [
+            *membership.nodes_in_role("control", settings.failure_timeout_ms),
+            membership.own_info(),
+        ]
         if not settings.control_count:
             self._run_again_in(settings.heartbeat_ms)
         voters = first_voters(nodes, settings.control_count, set(settings.seeds))
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from membership import Membership, duty_order, first_live
+from membership import Membership, first_live, rendezvous_order
 
 from control_store.acceptor import Acceptor
 from control_store.messages import ChangeResult, Outcome
@@ -121,12 +121,16 @@
         unreachable from here.
         """
         membership = self._membership
-        order = [name for name in duty_order(key, self._acceptor.voters) if membership.live(name)]
+        order = [
+            name
+            for name in rendezvous_order(key, self._acceptor.voters)
+            if membership.is_live(name)
+        ]
         failure_timeout_ms = self._node.settings.failure_timeout_ms
-        direct = [name for name in order if membership.heard_itself(name, failure_timeout_ms)]
+        direct = [name for name in order if membership.is_heard_directly(name, failure_timeout_ms)]
         return (
-            first_live(direct, membership.hears)
-            or first_live(order, membership.hears)
+            first_live(direct, membership.hears_majority)
+            or first_live(order, membership.hears_majority)
             or next(iter(order), None)
         )
 
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -44,27 +44,27 @@
 
     def is_silent(self, identity: str) -> bool:
         """Whether a voter has sent no heartbeat for removal_timeout_ms."""
-        return self.is_long_awake() and not self._membership.live(
+        return self.is_long_awake() and not self._membership.is_live(
             identity, self._settings.removal_timeout_ms
         )
 
     def is_settled(self, node: NodeLocation) -> bool:
         """Whether a node has been known for longer than a request may be under way."""
-        known_ms = self._now_ms - self._membership.first_ms(node.identity)
+        known_ms = self._now_ms - self._membership.known_since_ms(node.identity)
         return bool(known_ms > self._settings.request_timeout_ms)
 
     def all_voters_heard_since(self, node: NodeLocation) -> bool:
         """Whether every voter has sent a heartbeat, one period after a node was first known."""
-        known_ms = max(self._membership.first_ms(node.identity), self._awake_ms)
+        known_ms = max(self._membership.known_since_ms(node.identity), self._awake_ms)
         since_ms = known_ms + self._settings.heartbeat_ms
         return all(
-            identity == self._identity or self._membership.heard_ms(identity) >= since_ms
+            identity == self._identity or self._membership.last_heard_ms(identity) >= since_ms
             for identity in self._voters
         )
 
     def has_returned(self, identity: str) -> bool | None:
         """Whether a voter sends heartbeats itself; None before this node could have heard one."""
-        if self._membership.heard_itself(identity, self._settings.failure_timeout_ms):
+        if self._membership.is_heard_directly(identity, self._settings.failure_timeout_ms):
             return True
         return False if self._now_ms - self._awake_ms > self._settings.failure_timeout_ms else None
 
@@ -155,7 +155,7 @@
         current = VoterList.from_body(self._acceptor.metadata.list_body)
         standbys = [
             node
-            for node in self._membership.of_role("control", settings.failure_timeout_ms)
+            for node in self._membership.nodes_in_role("control", settings.failure_timeout_ms)
             if node.identity not in self._acceptor.voters and node.identity not in retired
         ]
         if not settings.control_count:
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -38,7 +38,7 @@
             lambda: [card.address for card in self.membership.view()],
             self._control_addresses,
         )
-        self.membership.wanted = self._control_addresses
+        self.membership.extra_addresses = self._control_addresses
         self.config_feed.candidates = lambda: candidates(
             self.config_feed.value(CONTROL_KEY), self.membership, self.settings.removal_timeout_ms
         )
@@ -53,7 +53,7 @@
             return [row["address"] for row in value["voters"]]
         return [
             card.address
-            for card in self.membership.of_role("control", self.settings.removal_timeout_ms)
+            for card in self.membership.nodes_in_role("control", self.settings.removal_timeout_ms)
         ]
 
     def profile_tree(self) -> ProfileTree:
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -61,7 +61,7 @@
         self._make_shared_components(env, settings, identity)
         self._readiness = EdgeReadiness(self)
         self.stopping = False
-        self.membership.ready = self.config_feed.sure = lambda: not self.why_unready()
+        self.membership.is_ready = self.config_feed.sure = lambda: not self.why_unready()
         self._make_routing(identity, sender)
         self._make_batch_work(identity)
         self._make_capacity_sharing(identity)
@@ -95,7 +95,7 @@
             lambda: self.config_feed.body(LOG_KEY),
             lambda: [
                 card.address
-                for card in self.membership.of_role("store", self.settings.removal_timeout_ms)
+                for card in self.membership.nodes_in_role("store", self.settings.removal_timeout_ms)
             ],
         )
         self.roster = WorkerRegistry(
@@ -170,7 +170,7 @@
         """Return the identity and the address of each other live edge."""
         return [
             (card.identity, card.address)
-            for card in self.membership.of_role("edge", self.settings.failure_timeout_ms)
+            for card in self.membership.nodes_in_role("edge", self.settings.failure_timeout_ms)
         ]
 
     def _prefill_peers(self) -> list[str]:
@@ -179,7 +179,7 @@
         Those are all of a small fleet, else those of this zone, which chooses workers near it
         first.
         """
-        cards = self.membership.of_role("edge", self.settings.removal_timeout_ms)
+        cards = self.membership.nodes_in_role("edge", self.settings.removal_timeout_ms)
         if len(cards) > _SMALL_FLEET_EDGES:
             return [card.address for card in cards if card.zone == self.settings.zone]
         return [card.address for card in cards]
@@ -187,7 +187,7 @@
     def _edge_count(self) -> int:
         """Return the number of edges: by the serving set, else those that are heard, and itself."""
         return self.config_feed.edge_count() or 1 + len(
-            self.membership.of_role("edge", self.settings.failure_timeout_ms)
+            self.membership.nodes_in_role("edge", self.settings.failure_timeout_ms)
         )
 
     def why_unready(self) -> str:
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -57,7 +57,7 @@
 
     def _hears_some_control(self) -> bool:
         """Whether any control node speaks to this one, even if without a majority."""
-        heard = self._node.membership.heard_directly(self._node.settings.failure_timeout_ms)
+        heard = self._node.membership.nodes_heard_directly(self._node.settings.failure_timeout_ms)
         return any(card.role == "control" for card in heard)
 
     def _hears_control(self, now_ms: int) -> bool:
@@ -97,7 +97,7 @@
         return {node.address} | {
             card.address
             for role in ("edge", "store")
-            for card in node.membership.of_role(role, 2 * node.settings.failure_timeout_ms)
+            for card in node.membership.nodes_in_role(role, 2 * node.settings.failure_timeout_ms)
         }
 
     def _has_newest_profiles(self, floor_ms: int) -> bool:
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -9,7 +9,7 @@
 from batch_state import BatchService
 from capacity_sharing import JobOutlook
 from control_store import ControlClient
-from membership import duty_order
+from membership import rendezvous_order
 from messaging import Environment
 from replicated_log import ArchiveRepair, LocalLog, LogReplica
 from storage import Disk
@@ -64,7 +64,9 @@
         """Return the voters known to live, in the order in which they would own the key."""
         value = self.config_feed.value(CONTROL_KEY) or {"voters": []}
         voters = {row["identity"]: row["address"] for row in value["voters"]}
-        return [voters[name] for name in duty_order(key, voters) if self.membership.live(name)]
+        return [
+            voters[name] for name in rendezvous_order(key, voters) if self.membership.is_live(name)
+        ]
 
     # -- what the log asks about the fleet -----------------------------------------------------
 
@@ -89,14 +91,14 @@
         """Return the addresses of the other live stores by identity."""
         return {
             card.identity: card.address
-            for card in self.membership.of_role("store", self.settings.failure_timeout_ms)
+            for card in self.membership.nodes_in_role("store", self.settings.failure_timeout_ms)
         }
 
     def store_rows(self) -> list[dict[str, str]]:
         """Return the live stores, this one among them, ordered by identity."""
         cards = [
-            self.membership.card(),
-            *self.membership.of_role("store", self.settings.failure_timeout_ms),
+            self.membership.own_info(),
+            *self.membership.nodes_in_role("store", self.settings.failure_timeout_ms),
         ]
         return sorted(
             (
@@ -108,7 +110,7 @@
 
     def live_store(self, identity: str) -> bool:
         """Whether this store is known to live."""
-        return self.membership.live(identity)
+        return self.membership.is_live(identity)
 
     def retired_stores(self) -> list[str]:
         """Return the identities of the stores that control has retired."""
--- a/libs/membership/src/membership/messages.py
+++ b/libs/membership/src/membership/messages.py
@@ -1,7 +1,8 @@
 """Node descriptions and the messages that carry them.
 
-A card says who a node is and where. Its heartbeat counter is raised by that node alone and shows
-how fresh a forwarded card is. Cards travel in exchanges of partial views and in direct heartbeats.
+A node description says who a node is and where. Its heartbeat counter is raised by that node alone
+and shows how recent a forwarded description is. Descriptions travel in exchanges of partial views
+and in direct heartbeats, encoded, so that a forwarded one need not be decoded first.
 """
 
 from messaging import Message
@@ -10,10 +11,10 @@
 
 
 class NodeInfo(Message, wire_name="Card"):
-    """Description of a node: its identity, addresses, role and place.
+    """Description of a node: its identity, addresses, role and failure domain.
 
-    `beat` is the heartbeat counter. `deaf` is set by a voter that does not hear a majority of the
-    voters; `ready` says whether the node takes requests; `name` is for operators.
+    `heartbeat` is the heartbeat counter. `isolated` is set by a voter that does not hear a majority
+    of the voters; `ready` says whether the node takes requests; `name` is for operators.
     """
 
     identity: str
@@ -22,27 +23,27 @@
     role: str
     zone: str
     region: str
-    beat: int
+    heartbeat: int
     ready: bool
-    deaf: bool
+    isolated: bool
     name: str
 
 
 class ShuffleRequest(Message, wire_name="Shuffle"):
-    """Opens an exchange of views: the sender's card and a sample of the cards that it knows."""
+    """Opens an exchange of views: the sender's `NodeInfo` and a sample of those that it knows."""
 
-    card: bytes
-    cards: list[bytes]
+    sender: bytes
+    sample: list[bytes]
 
 
 class ShuffleResponse(Message, wire_name="Shuffled"):
-    """Answers a Shuffle with the same content from the other side."""
+    """Answers a ShuffleRequest with the same content from the other side."""
 
-    card: bytes
-    cards: list[bytes]
+    sender: bytes
+    sample: list[bytes]
 
 
 class Heartbeat(Message, wire_name="Beat"):
-    """A direct heartbeat with the sender's card."""
+    """A direct heartbeat with the sender's `NodeInfo`."""
 
-    card: bytes
+    sender: bytes
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -1,72 +1,67 @@
 """Partial views of the fleet and failure detection.
 
-Each heartbeat a node exchanges part of its view with its oldest neighbour and sends heartbeats to
-its kin: the nodes of its own role and those with disks. A node counts as live if it was itself
-heard lately, or if its heartbeat counter rose in a forwarded card. Where `fan_out` is set, views
-are exchanged less often, and kin is the node's own role, a limited number at a time.
+At each heartbeat a node exchanges part of its view with its oldest peer and sends heartbeats to the
+nodes of its own role and those with disks. A node counts as live if it was itself heard lately, or
+if its heartbeat counter rose in a forwarded description. Where the setting `fan_out` is on, views
+are exchanged less often, and heartbeats go to the own role only, a limited number at a time.
+
+The exchange of views is a shuffle as in CYCLON (Voulgaris, Gavidia and van Steen, 2005).
 """
 
 from collections.abc import Callable, Iterable
 from functools import singledispatchmethod
 
-from messaging import Component, Message, Origin, decode, encode
+from messaging import Component, Message, Origin, decode_as, encode
 
+from membership.known_nodes import NEVER_MS, KnownNodes
 from membership.messages import Heartbeat, NodeInfo, ShuffleRequest, ShuffleResponse
 
 __all__ = ["Membership"]
 
-_SHARE = 6
-_REMEMBERED = 4096
-_SHUFFLE_BEATS = 5
-_CONTROL_BEATS = 2
-_KIN_AT_ONCE = 16
-_FEW = 3
+_SAMPLE_SIZE = 6
+_SMALL_VIEW = 3
+_SEED_PROBABILITY = 0.1
+# With fan_out: heartbeats between view exchanges, between heartbeats to extra addresses, and how
+# many heartbeats are sent at once.
+_SHUFFLE_EVERY = 5
+_EXTRA_EVERY = 2
+_MAX_HEARTBEATS_AT_ONCE = 16
 
 
 class Membership(Component):
-    """The part of a node that knows other nodes and judges whether they are live.
+    """The component of a node that knows other nodes and judges whether they are live.
 
-    `identity` is this node's own. `ready` and `deaf` give what its card says of it; `wanted` gives
-    further addresses to send heartbeats to, such as members that a control key names. Times are
-    milliseconds of the node's boot clock.
+    `identity` is this node's own. `is_ready` and `is_isolated` give what its description says of
+    it; `extra_addresses` gives further addresses to send heartbeats to, such as members that a
+    control key names. Times are milliseconds of the node's boot clock.
     """
 
     __slots__ = (
-        "_beat_count",
-        "_beat_ms",
-        "_beats",
-        "_cards",
-        "_first_ms",
-        "_fresh_ms",
-        "_heard_ms",
-        "_refused",
+        "_heartbeat",
+        "_known",
+        "_rounds",
         "_sent_ms",
         "_view",
-        "deaf",
+        "extra_addresses",
         "identity",
-        "ready",
-        "wanted",
+        "is_isolated",
+        "is_ready",
     )
     HANDLES = (ShuffleRequest, ShuffleResponse, Heartbeat)
 
     def __init__(self, identity: str) -> None:
         self.identity = identity
-        self.ready: Callable[[], bool] = lambda: True
-        self.deaf: Callable[[], bool] = lambda: False
-        self.wanted: Callable[[], Iterable[str]] = lambda: ()
-        self._cards: dict[str, NodeInfo] = {}
-        self._beats: dict[str, int] = {}
-        self._fresh_ms: dict[str, int] = {}
-        self._first_ms: dict[str, int] = {}
-        self._refused: set[str] = set()
-        self._heard_ms: dict[str, int] = {}
+        self.is_ready: Callable[[], bool] = lambda: True
+        self.is_isolated: Callable[[], bool] = lambda: False
+        self.extra_addresses: Callable[[], Iterable[str]] = lambda: ()
+        self._known = KnownNodes()
         self._view: list[str] = []
-        self._sent_ms = -1 << 40
-        self._beat_ms = 0
-        self._beat_count = 0
+        self._sent_ms = NEVER_MS
+        self._heartbeat = 0
+        self._rounds = 0
 
-    def card(self) -> NodeInfo:
-        """Return this node's own card, with the current heartbeat counter."""
+    def own_info(self) -> NodeInfo:
+        """Return this node's own description, with the current heartbeat counter."""
         node = self.node
         return NodeInfo(
             identity=self.identity,
@@ -75,32 +70,42 @@
             role=node.settings.role,
             zone=node.settings.zone,
             region=node.settings.region,
-            beat=self._beat_ms,
-            ready=self.ready(),
-            deaf=self.deaf(),
+            heartbeat=self._heartbeat,
+            ready=self.is_ready(),
+            isolated=self.is_isolated(),
             name=node.settings.node_name or node.address,
         )
 
-    # -- what is known -------------------------------------------------------------------------
+    # -- what is known -----------------------------------------------------------------------------
 
     def view(self) -> list[NodeInfo]:
-        """Return the cards in the partial view, oldest neighbour first."""
-        return [self._cards[identity] for identity in self._view if identity in self._cards]
+        """Return the nodes in the partial view, oldest peer first."""
+        return [self._known.info(identity) for identity in self._view if identity in self._known]
+
+    def nodes_in_role(self, role: str, within_ms: int) -> list[NodeInfo]:
+        """Return the nodes of a role whose descriptions came within the time, in any way."""
+        since_ms = self.node.env.now() - within_ms
+        return [
+            record.info
+            for record in self._known
+            if record.info.role == role and record.updated_ms >= since_ms
+        ]
 
-    def of_role(self, role: str, within_ms: int) -> list[NodeInfo]:
-        """Return the cards of a role that were fresh within the time, direct or forwarded."""
-        floor_ms = self.node.env.now() - within_ms
+    def nodes_heard_directly(self, within_ms: int) -> list[NodeInfo]:
+        """Return the nodes that were themselves heard within the time."""
+        since_ms = self.node.env.now() - within_ms
         return [
-            card
-            for identity, card in self._cards.items()
-            if card.role == role and self._fresh_ms[identity] >= floor_ms
+            record.info
+            for record in self._known
+            if self._known.heard_ms(record.info.identity) >= since_ms
         ]
 
-    def known(self, identity: str) -> NodeInfo | None:
-        """Return the newest card of a node, or None."""
-        return self._cards.get(identity)
+    def node_info(self, identity: str) -> NodeInfo | None:
+        """Return the newest description of a node, or None."""
+        record = self._known.get(identity)
+        return None if record is None else record.info
 
-    def live(self, identity: str, within_ms: int | None = None) -> bool:
+    def is_live(self, identity: str, within_ms: int | None = None) -> bool:
         """Return whether a node was heard of within the time, by default `failure_timeout_ms`.
 
         Without a given time, a node whose address refused a connection is not live until it is
@@ -108,54 +113,47 @@
         """
         if identity == self.identity:
             return True
-        if within_ms is None and identity in self._refused:
+        record = self._known.get(identity)
+        if within_ms is None and record is not None and record.has_refused:
             return False
-        return self.node.env.now() - self.heard_ms(identity) <= (
-            within_ms or self.node.settings.failure_timeout_ms
-        )
+        silent_ms = self.node.env.now() - self.last_heard_ms(identity)
+        return silent_ms <= (within_ms or self.node.settings.failure_timeout_ms)
 
-    def heard_itself(self, identity: str, within_ms: int) -> bool:
+    def is_heard_directly(self, identity: str, within_ms: int) -> bool:
         """Return whether a node was heard directly within the time.
 
-        Forwarded cards don't count, since they may have come around a network partition.
+        Forwarded descriptions don't count, since they may have come around a network partition.
         """
-        return (
-            identity == self.identity
-            or self.node.env.now() - self._heard_ms.get(identity, -1 << 40) <= within_ms
-        )
+        if identity == self.identity:
+            return True
+        return self.node.env.now() - self._known.heard_ms(identity) <= within_ms
 
-    def hears(self, identity: str) -> bool:
-        """Return whether a node hears a majority of voters, by its newest card; True if unknown."""
-        card = self._cards.get(identity)
-        return not self.deaf() if identity == self.identity else card is None or not card.deaf
+    def hears_majority(self, identity: str) -> bool:
+        """Return whether a node says that it hears a majority of the voters; True if unknown."""
+        if identity == self.identity:
+            return not self.is_isolated()
+        info = self.node_info(identity)
+        return info is None or not info.isolated
 
     def connection_refused(self, address: str) -> None:
         """Note that nothing listens at an address.
 
         Its nodes are not live until they are heard again.
         """
-        self._refused.update(
-            identity for identity, card in self._cards.items() if card.address == address
-        )
-
-    def heard_ms(self, identity: str) -> int:
-        """When the last sign of life came, direct or forwarded."""
-        return max(self._fresh_ms.get(identity, -1 << 40), self._heard_ms.get(identity, -1 << 40))
+        for record in self._known:
+            if record.info.address == address:
+                record.has_refused = True
 
-    def first_ms(self, identity: str) -> int:
-        """Since when a node has been known without interruption; now if it isn't known."""
-        return self._first_ms.get(identity, self.node.env.now())
+    def last_heard_ms(self, identity: str) -> int:
+        """Return when the last sign of life came, direct or forwarded."""
+        return max(self._known.updated_ms(identity), self._known.heard_ms(identity))
 
-    def heard_directly(self, within_ms: int) -> list[NodeInfo]:
-        """Return the cards of the nodes that were themselves heard within the time."""
-        floor_ms = self.node.env.now() - within_ms
-        return [
-            card
-            for identity, card in self._cards.items()
-            if self._heard_ms.get(identity, -1 << 40) >= floor_ms
-        ]
+    def known_since_ms(self, identity: str) -> int:
+        """Return since when a node has been known without interruption; now if it isn't known."""
+        record = self._known.get(identity)
+        return self.node.env.now() if record is None else record.known_since_ms
 
-    # -- beats and shuffles --------------------------------------------------------------------
+    # -- heartbeats and view exchanges -------------------------------------------------------------
 
     def tick(self) -> None:
         """Send heartbeats and exchange views, once each `heartbeat_ms`."""
@@ -163,65 +161,69 @@
         if now_ms - self._sent_ms < self.node.settings.heartbeat_ms:
             return
         self._sent_ms = now_ms
-        self._beat_ms = max(self._beat_ms + 1, self.node.env.wall())
-        self._forget(now_ms)
-        mine = encode(self.card())
-        for address in self._kin():
-            self.node.send(address, Heartbeat(card=mine))
-        self._beat_count += 1
-        if (
-            self.node.settings.fan_out
-            and self._beat_count % _SHUFFLE_BEATS
-            and len(self._view) >= _FEW
-        ):
-            return
-        for address in self._partners():
-            self.node.send(address, ShuffleRequest(card=mine, cards=self._some()))
+        self._heartbeat = max(self._heartbeat + 1, self.node.env.wall())
+        self._forget_silent(now_ms)
+        own_info = encode(self.own_info())
+        for address in self._heartbeat_addresses():
+            self.node.send(address, Heartbeat(sender=own_info))
+        self._rounds += 1
+        if self._shuffles_now():
+            for address in self._shuffle_partners():
+                self.node.send(address, ShuffleRequest(sender=own_info, sample=self._sample()))
+
+    def _shuffles_now(self) -> bool:
+        return (
+            not self.node.settings.fan_out
+            or self._rounds % _SHUFFLE_EVERY == 0
+            or len(self._view) < _SMALL_VIEW
+        )
+
+    def _addresses_in_role(self, role: str) -> set[str]:
+        nodes = self.nodes_in_role(role, self.node.settings.removal_timeout_ms)
+        return {info.address for info in nodes}
 
-    def _kin(self) -> list[str]:
+    def _heartbeat_addresses(self) -> list[str]:
         role = self.node.settings.role
         if self.node.settings.fan_out:
-            return self._own_kin(role)
-        kin = (
-            {card.address for card in self.of_role(role, self.node.settings.removal_timeout_ms)}
-            if role != "edge"
-            else set()
-        )
+            return self._heartbeat_addresses_with_fan_out(role)
+        addresses = set(self.extra_addresses())
         if role != "edge":
-            kin |= {
-                card.address
-                for card in self.of_role("control", self.node.settings.removal_timeout_ms)
-            }
-        return sorted((kin | set(self.wanted())) - {self.node.address})
+            addresses |= self._addresses_in_role(role) | self._addresses_in_role("control")
+        return sorted(addresses - {self.node.address})
 
-    def _own_kin(self, role: str) -> list[str]:
+    def _heartbeat_addresses_with_fan_out(self, role: str) -> list[str]:
+        """Return the next of the addresses in turn, where there are many."""
         if role == "edge":
             return []
-        kin = {card.address for card in self.of_role(role, self.node.settings.removal_timeout_ms)}
-        if role == "control" or self._beat_count % _CONTROL_BEATS == 0:
-            kin |= set(self.wanted())
-        kin = sorted(kin - {self.node.address})
-        if len(kin) <= _KIN_AT_ONCE:
-            return kin
-        start = self._beat_count * _KIN_AT_ONCE % len(kin)
-        return [*kin[start:], *kin[:start]][:_KIN_AT_ONCE]
-
-    def _partners(self) -> list[str]:
+        addresses = self._addresses_in_role(role)
+        if role == "control" or self._rounds % _EXTRA_EVERY == 0:
+            addresses |= set(self.extra_addresses())
+        ordered = sorted(addresses - {self.node.address})
+        if len(ordered) <= _MAX_HEARTBEATS_AT_ONCE:
+            return ordered
+        start = self._rounds * _MAX_HEARTBEATS_AT_ONCE % len(ordered)
+        return [*ordered[start:], *ordered[:start]][:_MAX_HEARTBEATS_AT_ONCE]
+
+    def _shuffle_partners(self) -> list[str]:
+        """Return the oldest peer's address, and sometimes or in a small view also a seed's."""
         rng = self.node.env.rng
         partners = set()
         if self._view:
-            partners.add(self._cards[self._view[0]].address)
+            partners.add(self._known.info(self._view[0]).address)
             self._view.append(self._view.pop(0))
-        if len(self._view) < _FEW or rng.random() < 0.1:
+        if len(self._view) < _SMALL_VIEW or rng.random() < _SEED_PROBABILITY:
             partners.add(rng.choice(self.node.settings.seeds))
         return sorted(partners - {self.node.address})
 
-    def _some(self) -> list[bytes]:
-        names = [
-            name for name in self._cards if name in self._view or self._cards[name].role != "edge"
+    def _sample(self) -> list[bytes]:
+        """Return random descriptions of peers in the view and of nodes with disks."""
+        candidates = [
+            record.info
+            for record in self._known
+            if record.info.identity in self._view or record.info.role != "edge"
         ]
-        chosen = self.node.env.rng.sample(names, min(_SHARE, len(names)))
-        return [encode(self._cards[name]) for name in chosen]
+        chosen = self.node.env.rng.sample(candidates, min(_SAMPLE_SIZE, len(candidates)))
+        return [encode(info) for info in chosen]
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
@@ -230,80 +232,83 @@
 
     @receive.register
     def _(self, message: ShuffleRequest, origin: Origin) -> None:
-        self.node.send(origin.sender, ShuffleResponse(card=encode(self.card()), cards=self._some()))
-        self._take(message.card, message.cards)
+        response = ShuffleResponse(sender=encode(self.own_info()), sample=self._sample())
+        self.node.send(origin.sender, response)
+        self._merge(message.sender, message.sample)
 
     @receive.register
     def _(self, message: ShuffleResponse, origin: Origin) -> None:
-        self._take(message.card, message.cards)
+        self._merge(message.sender, message.sample)
 
     @receive.register
     def _(self, message: Heartbeat, origin: Origin) -> None:
-        self._take(message.card, [])
+        self._merge(message.sender, [])
 
-    def _take(self, card: bytes, cards: list[bytes]) -> None:
-        """Take the sender's own card, then the cards that it forwards.
+    def _merge(self, sender: bytes, sample: list[bytes]) -> None:
+        """Take the sender's own description, then those that it forwards.
 
         After a restart with its clock moved back, a sender's counter may be lower than the one
-        remembered; its own card is accepted all the same once the node had fallen silent.
+        remembered; its own description is accepted all the same once the node had fallen silent.
         """
-        first = decode(card)
-        fresh = (
-            self.node.env.now() - self._fresh_ms.get(first.identity, -1 << 40)
-            <= self.node.settings.failure_timeout_ms
-        )
-        if self._beats.get(first.identity, -1) >= first.beat and not fresh:
-            self._beats[first.identity] = first.beat - 1
-        self._note(first)
-        self._refused.discard(first.identity)
-        if first.identity != self.identity:
-            self._heard_ms[first.identity] = self.node.env.now()
-        for data in cards:
-            self._note(decode(data))
-
-    def _note(self, card: NodeInfo) -> None:
-        """Accept a card if its counter rose; of two nodes at an address keep the latest heard."""
-        if card.identity == self.identity:
+        now_ms = self.node.env.now()
+        info = decode_as(NodeInfo, sender)
+        identity = info.identity
+        silent_ms = now_ms - self._known.updated_ms(identity)
+        was_silent = silent_ms > self.node.settings.failure_timeout_ms
+        if was_silent and self._known.counter(identity) >= info.heartbeat:
+            self._known.reset_counter(identity, info.heartbeat)
+        self._merge_one(info)
+        record = self._known.get(identity)
+        if record is not None:
+            record.has_refused = False
+        if identity != self.identity:
+            self._known.note_heard(identity, now_ms)
+        for data in sample:
+            self._merge_one(decode_as(NodeInfo, data))
+
+    def _merge_one(self, info: NodeInfo) -> None:
+        """Accept a description if its counter rose, and if it is the latest of its address."""
+        if info.identity == self.identity:
             return
-        if self._beats.get(card.identity, -1) >= card.beat:
+        if self._known.counter(info.identity) >= info.heartbeat:
             return
+        if not self._replace_others_at(info):
+            return
+        self._known.put(info, self.node.env.now())
+        if info.identity not in self._view:
+            self._add_to_view(info.identity)
+
+    def _replace_others_at(self, info: NodeInfo) -> bool:
+        """Drop other nodes at the same address; return False if one of them is live and newer."""
         now_ms = self.node.env.now()
-        for identity in [
-            identity
-            for identity, other in self._cards.items()
-            if other.address == card.address and identity != card.identity
-        ]:
-            if (
-                self._cards[identity].beat > card.beat
-                and self._fresh_ms[identity] > now_ms - self.node.settings.failure_timeout_ms
-            ):
-                return
+        for identity in self._known.identities_at(info.address):
+            if identity == info.identity:
+                continue
+            is_recent = (
+                self._known.updated_ms(identity) > now_ms - self.node.settings.failure_timeout_ms
+            )
+            if is_recent and self._known.info(identity).heartbeat > info.heartbeat:
+                return False
             self._drop(identity)
-        self._cards[card.identity] = card
-        self._beats[card.identity] = card.beat
-        self._fresh_ms[card.identity] = now_ms
-        self._first_ms.setdefault(card.identity, now_ms)
-        if card.identity not in self._view:
-            self._view.append(card.identity)
-            if len(self._view) > self.node.settings.view_size:
-                self._view.pop(self.node.env.rng.randrange(len(self._view) - 1))
-
-    def _forget(self, now_ms: int) -> None:
-        for identity in [
-            identity
-            for identity in self._cards
-            if now_ms - self._fresh_ms[identity] > self.node.settings.removal_timeout_ms
-        ]:
+        return True
+
+    def _add_to_view(self, identity: str) -> None:
+        """Add a peer to the view; where it is full, a random other one leaves."""
+        self._view.append(identity)
+        if len(self._view) > self.node.settings.view_size:
+            self._view.pop(self.node.env.rng.randrange(len(self._view) - 1))
+
+    def _forget_silent(self, now_ms: int) -> None:
+        silent = [
+            record.info.identity
+            for record in self._known
+            if now_ms - record.updated_ms > self.node.settings.removal_timeout_ms
+        ]
+        for identity in silent:
             self._drop(identity)
-        for identity in list(self._beats)[: max(0, len(self._beats) - _REMEMBERED)]:
-            if identity not in self._cards:
-                del self._beats[identity]
+        self._known.prune_counters()
 
     def _drop(self, identity: str) -> None:
-        self._cards.pop(identity, None)
-        self._fresh_ms.pop(identity, None)
-        self._first_ms.pop(identity, None)
-        self._refused.discard(identity)
-        self._heard_ms.pop(identity, None)
+        self._known.drop(identity)
         if identity in self._view:
             self._view.remove(identity)
--- a/libs/modelcheck/src/modelcheck/control_stubs.py
+++ b/libs/modelcheck/src/modelcheck/control_stubs.py
@@ -13,15 +13,15 @@
     def __init__(self, name: str) -> None:
         self._name = name
 
-    def live(self, name: str) -> bool:
+    def is_live(self, name: str) -> bool:
         """Whether `name` is the one voter that is taken for live."""
         return name == self._name
 
-    def hears(self, name: str) -> bool:
+    def hears_majority(self, name: str) -> bool:
         """Whether a node is in contact with a majority: always."""
         return True
 
-    def heard_itself(self, name: str, within_ms: int) -> bool:
+    def is_heard_directly(self, name: str, within_ms: int) -> bool:
         """Return that the voter's own heartbeats arrive, whatever the time asked for."""
         return True
 
--- a/libs/request_routing/src/request_routing/placement.py
+++ b/libs/request_routing/src/request_routing/placement.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from membership.role_assignment import score
+from membership.role_assignment import rendezvous_weight
 
 from request_routing.worker_registry import Worker
 
@@ -73,7 +73,7 @@
     def rank(worker: Worker) -> tuple:
         far = near and worker.zone != zone
         return (
-            (far, -score(worker.identity, prefix))
+            (far, -rendezvous_weight(worker.identity, prefix))
             if by_prefix
             else (far, worker.weight, worker.identity)
         )
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -36,7 +36,7 @@
     ),
     "a duty is left with a voter that is only heard of": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, membership.hears) or",
+        "first_live(direct, membership.hears_majority) or",
         "",
         _CUT_OFF + "vouches",
     ),
@@ -126,7 +126,7 @@
     ),
     "a voter that hears nobody keeps its duties": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, membership.hears) or first_live(order, membership.hears) or",
+        "first_live(direct, membership.hears_majority) or first_live(order, membership.hears_majority) or",
         "",
         _FOUNDING + "hears_nobody",
     ),
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -38,8 +38,8 @@
         self.assertRaises(TypeError, Everything, **message.as_dict(), colour=1)
 
     def test_another_type_than_expected_is_a_bad_message(self):
-        data = encode(Heartbeat(card=b"x"))
-        self.assertThat(decode_as(Heartbeat, data), Equals(Heartbeat(card=b"x")))
+        data = encode(Heartbeat(sender=b"x"))
+        self.assertThat(decode_as(Heartbeat, data), Equals(Heartbeat(sender=b"x")))
         self.assertRaises(BadMessageError, decode_as, ShuffleRequest, data)
         self.assertRaises(BadMessageError, decode_as, Heartbeat, data[:-1])
 
@@ -62,15 +62,15 @@
             taken = []
 
             def deliver(sender, request_id, in_reply_to, message):
-                taken.append(decode(message.card))
+                taken.append(decode(message.sender))
 
             transport = LinkTransport("127.0.0.1:23990", 500, deliver)
             await transport.start()
-            good = pack_frame("127.0.0.1:1", 0, 0, Heartbeat(card=encode(Heartbeat(card=b""))))
+            good = pack_frame("127.0.0.1:1", 0, 0, Heartbeat(sender=encode(Heartbeat(sender=b""))))
             for data in (
                 b"\0\0\0\x05xxxxx",
                 b"\xff\xff\xff\xff",
-                pack_frame("x:1", 0, 0, ShuffleRequest(card=b"\x02a", cards=[])),
+                pack_frame("x:1", 0, 0, ShuffleRequest(sender=b"\x02a", sample=[])),
                 good,
             ):
                 reader, writer = await asyncio.open_connection("127.0.0.1", 23990)
@@ -92,7 +92,7 @@
 class Links(TestCase):
     def test_frames_are_taken_off_whole_however_they_arrive(self):
         frames = [
-            pack_frame("x:1", request_id, 0, Heartbeat(card=b"c" * size))
+            pack_frame("x:1", request_id, 0, Heartbeat(sender=b"c" * size))
             for request_id, size in enumerate((0, 5, 3000, 1))
         ]
         data = b"".join(frames)
@@ -132,17 +132,17 @@
             for _ in range(2):
                 refused.clear()
                 while not refused:
-                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(card=b"lost"))
+                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(sender=b"lost"))
                     await asyncio.sleep(0)
                 there = LinkTransport("127.0.0.1:23992", 500, deliver)
                 await there.start()
                 arrived.clear()
                 while not arrived.is_set():
-                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(card=b"there"))
+                    here.send("127.0.0.1:23992", 0, 0, Heartbeat(sender=b"there"))
                     await asyncio.sleep(0)
                 await there.stop()
             await here.stop()
-            return refused, {row[3].card for row in taken}
+            return refused, {row[3].sender for row in taken}
 
         refused, cards = asyncio.run(asyncio.wait_for(run(), 10))
         self.assertThat(set(refused), Equals({"127.0.0.1:23992"}))
--- a/tests/test_orders_own.py
+++ b/tests/test_orders_own.py
@@ -129,8 +129,8 @@
 
             async def status():
                 membership = host.node.membership
-                heard = [row for row in membership.of_role("store", 9000) if row.name == name]
-                with mock.patch.object(Membership, "of_role", lambda *args: heard):
+                heard = [row for row in membership.nodes_in_role("store", 9000) if row.name == name]
+                with mock.patch.object(Membership, "nodes_in_role", lambda *args: heard):
                     platform.run(250)
                     return (
                         await platform.ask(
