--- a/libs/runtime/src/runtime/verdicts.py
+++ b/libs/runtime/src/runtime/verdicts.py
@@ -35,7 +35,7 @@
         status: int,
         retry_after_ms: int = 0,
         field: str = "",
-        problems: list[str] | None = None,
+        problems: list[Any] | None = None,
     ) -> None:
         self.verdict = verdict
         self.code = code
@@ -70,7 +70,7 @@
     status: int = 400,
     retry_after_ms: int = 0,
     field: str = "",
-    problems: list[str] | None = None,
+    problems: list[Any] | None = None,
 ) -> Refusal:
     """Return a refusal of a request that did not run."""
     return Refusal(Verdict.NOT_RUN, code, message, status, retry_after_ms, field, problems)
