--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -48,7 +48,7 @@
         self._call_count = 0
         self.jobs: dict[str, ClientJob] = {}
 
-    def _choose_edge(self, avoid: str = "") -> Any:
+    def choose_edge(self, avoid: str = "") -> Any:
         """Return a random running edge other than the one named `avoid`, or None."""
         edges = [host for host in self._fleet.with_role("edge") if host.up and host.name != avoid]
         return self._rng.choice(edges) if edges else None
@@ -80,7 +80,7 @@
         With a `key`, a call in doubt is sent again up to `tries` times. `question` is what the
         prompt asks, by default the key. `hangs_up_ms` as for LiveCall.
         """
-        host = self._choose_edge(avoid)
+        host = self.choose_edge(avoid)
         if host is None:
             return
         self._call_count += 1
@@ -129,7 +129,7 @@
         if not job_id:
             job_id = f"lot{len(self.jobs) + 1}"
             self.jobs[job_id] = ClientJob()
-        host = self._choose_edge(avoid)
+        host = self.choose_edge(avoid)
         if host is None:
             return job_id
         row = self._history.add(
@@ -199,7 +199,7 @@
         self, job_id: str, done: Callable[[Row], None] | None = None, start: int | None = None
     ) -> None:
         """Read results from an index on, by default one drawn; `done` gets what was seen."""
-        host = self._choose_edge()
+        host = self.choose_edge()
         if host is None:
             return
         job = self.jobs[job_id]
@@ -239,7 +239,7 @@
 
     def cancel(self, job_id: str) -> None:
         """Cancel a job before it is done."""
-        host = self._choose_edge()
+        host = self.choose_edge()
         if host is None:
             return
         incarnation = host.incarnation
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -51,7 +51,7 @@
     """
 
     __slots__ = (
-        "_live_clients",
+        "live_clients",
         "_rng",
         "faulty",
         "fleet",
@@ -71,7 +71,7 @@
         }
         self._rng = random.Random(f"evening {seed}")
         self.trainers = Trainers(self.fleet, random.Random(f"trainers {seed}"))
-        self._live_clients = Clients(self.fleet, random.Random(f"edges {seed}"))
+        self.live_clients = Clients(self.fleet, random.Random(f"edges {seed}"))
         self.start_ms = 0.0
         for number in range(1, _WORKERS + 1):
             self._add_worker(f"worker{number}")
@@ -107,7 +107,7 @@
             dice = rng.random()
             if dice < 0.8:
                 path = rng.choice(("rulings", "rulings", "narrations"))
-                after(at_ms, partial(self._live_clients.live, path))
+                after(at_ms, partial(self.live_clients.live, path))
             else:
                 self._schedule_move(at_ms, f"move{int(at_ms * 10)}", dice < 0.85)
         for at_ms, count in _JOBS:
@@ -118,9 +118,7 @@
     def _schedule_move(self, at_ms: float, key: str, resent: bool) -> None:
         """Schedule a call that isn't safe to repeat; some clients send theirs twice."""
         for wait_ms in (0.0, 150.0) if resent else (0.0,):
-            self.fleet.time.after(
-                at_ms + wait_ms, partial(self._live_clients.live, "moves", key, 3)
-            )
+            self.fleet.time.after(at_ms + wait_ms, partial(self.live_clients.live, "moves", key, 3))
 
     def schedule_rollouts(self) -> None:
         """Schedule rollouts and the loans of whole workers."""
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -103,9 +103,9 @@
             evening.trainers.submit(30, 2)
             self.wait(fleet, lambda fleet=fleet: self.samples(fleet) >= 12)
             edge = max(fleet.with_role("edge"), key=lambda host: host.node.borrowing.running())
-            with mock.patch.object(Clients, "_edge", lambda self, avoid="", edge=edge: edge):
+            with mock.patch.object(Clients, "choose_edge", lambda self, avoid="", edge=edge: edge):
                 for _ in range(23):
-                    evening._live.live("rulings")
+                    evening.live_clients.live("rulings")
             fleet.run_until_true(
                 lambda fleet=fleet: all(
                     "first_ms" in call for call in fleet.history.rows_of("call")
@@ -195,7 +195,7 @@
         for one in fleet.workers.values():
             one.event_ms = 250.0
         for _ in range(14):
-            evening._live.live("narrations")
+            evening.live_clients.live("narrations")
         self.wait(fleet, lambda: worker.busy > 0, 500)
         began = {
             run["transaction"]
@@ -218,7 +218,7 @@
         )
         worker.borrower = "t"
         for _ in range(30):
-            evening._live.live("rulings")
+            evening.live_clients.live("rulings")
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
         for give, outcome in (
             (lambda loans, done: loans.hand_back("worker1", loan, "w1", done), "refused"),
@@ -258,7 +258,7 @@
         for worker in fleet.workers.values():
             worker.event_ms = 200.0
         for _ in range(16):
-            evening._live.live("narrations")
+            evening.live_clients.live("narrations")
         self.wait(fleet, lambda: self.state(fleet) == "recalled", 800)
         told = [
             fields["reason"]
