--- a/libs/testbed/src/testbed/fault_injection/__init__.py
+++ b/libs/testbed/src/testbed/fault_injection/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from testbed.fault_injection.disks import PowerDisk
+from testbed.fault_injection.injected_faults import InjectedFaults, write_faults
 from testbed.fault_injection.nodes import run_node
-from testbed.fault_injection.weather import Weather, write_weather
 
-__all__ = ["PowerDisk", "Weather", "run_node", "write_weather"]
+__all__ = ["PowerDisk", "InjectedFaults", "run_node", "write_faults"]
--- a/libs/testbed/src/testbed/fault_injection/weather.py
+++ b/libs/testbed/src/testbed/fault_injection/injected_faults.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import Any
 
-__all__ = ["Weather", "write_weather"]
+__all__ = ["InjectedFaults", "write_faults"]
 
 _POLL_S = 0.02
 
 
-def write_weather(
+def write_faults(
     path: Path,
     machines: dict[str, str],
     cuts: list[tuple[str, str]],
@@ -44,7 +44,7 @@
     os.replace(fresh, path)
 
 
-class Weather:
+class InjectedFaults:
     """The faults in force as the machine called `name` sees them.
 
     `loss` is the part of messages to lose, `step_ms` how far the wall clock is off.
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -20,7 +20,7 @@
 from runtime import Settings
 
 from testbed.fault_injection.disks import PowerDisk
-from testbed.fault_injection.weather import Weather
+from testbed.fault_injection.injected_faults import InjectedFaults
 
 __all__ = ["run_node"]
 
@@ -28,12 +28,12 @@
 
 
 class _Env(ProcessEnvironment):
-    def __init__(self, address: str, weather: Weather) -> None:
+    def __init__(self, address: str, faults: InjectedFaults) -> None:
         super().__init__(address)
-        self._weather = weather
+        self._faults = faults
 
     def wall(self) -> int:
-        return super().wall() + self._weather.step_ms
+        return super().wall() + self._faults.step_ms
 
 
 class _Links(LinkTransport):
@@ -44,33 +44,33 @@
         address: str,
         wait_ms: int,
         deliver: Callable[[str, int, int, Message], None],
-        weather: Weather,
+        faults: InjectedFaults,
     ) -> None:
         super().__init__(
             address,
             wait_ms,
-            lambda sender, *rest: deliver(sender, *rest) if weather.lets_in(sender) else None,
+            lambda sender, *rest: deliver(sender, *rest) if faults.lets_in(sender) else None,
         )
-        self._weather = weather
+        self._faults = faults
         self._rng = random.Random()
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        weather = self._weather
-        if not weather.lets_out(to) or (to != self._address and self._rng.random() < weather.loss):
+        faults = self._faults
+        if not faults.lets_out(to) or (to != self._address and self._rng.random() < faults.loss):
             return
-        if to == self._address or not weather.wait_ms(to):
+        if to == self._address or not faults.wait_ms(to):
             super().send(to, request_id, in_reply_to, message)
         else:
             asyncio.get_running_loop().call_later(
-                weather.wait_ms(to) / 1000, super().send, to, request_id, in_reply_to, message
+                faults.wait_ms(to) / 1000, super().send, to, request_id, in_reply_to, message
             )
 
 
 class _Held:
     """Holds a worker's answer back during a cut, as sockets do, until the cut is over."""
 
-    def __init__(self, send: Attempt, address: str, weather: Weather) -> None:
-        self._send, self._address, self._weather = send, address, weather
+    def __init__(self, send: Attempt, address: str, faults: InjectedFaults) -> None:
+        self._send, self._address, self._faults = send, address, faults
         self._rows: list[tuple[str, tuple[Any, ...]]] = []
 
     def _tell(self, name: str, *values: Any) -> None:
@@ -81,8 +81,8 @@
     def _pass_on(self) -> None:
         while (
             self._rows
-            and self._weather.lets_in(self._address)
-            and self._weather.lets_out(self._address)
+            and self._faults.lets_in(self._address)
+            and self._faults.lets_out(self._address)
         ):
             name, values = self._rows.pop(0)
             getattr(self._send, name)(*values)
@@ -107,34 +107,34 @@
 
 
 class _Sender(HttpSender):
-    __slots__ = ("_connect_ms", "_weather")
+    __slots__ = ("_connect_ms", "_faults")
 
-    def __init__(self, connect_ms: int, weather: Weather) -> None:
+    def __init__(self, connect_ms: int, faults: InjectedFaults) -> None:
         super().__init__(connect_ms)
-        self._connect_ms, self._weather = connect_ms, weather
+        self._connect_ms, self._faults = connect_ms, faults
 
     def __call__(
         self, send: Attempt, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
     ) -> Callable[[], None]:
-        if not (self._weather.lets_out(address) and self._weather.lets_in(address)):
+        if not (self._faults.lets_out(address) and self._faults.lets_in(address)):
             return (
                 asyncio.get_running_loop()
                 .call_later(self._connect_ms / 1000, send.broke, "no connection", False)
                 .cancel
             )
-        return super().__call__(_Held(send, address, self._weather), address, kind, headers, body)
+        return super().__call__(_Held(send, address, self._faults), address, kind, headers, body)
 
 
-def _surrounded(base: type, weather: Weather, seed: int) -> type:
+def _surrounded(base: type, faults: InjectedFaults, seed: int) -> type:
     class Surrounded(base):
         def make_environment(self) -> _Env:
-            return _Env(self.settings.link, weather)
+            return _Env(self.settings.link, faults)
 
         def make_transport(self, deliver: Any) -> _Links:
-            return _Links(self.settings.link, self.settings.request_timeout_ms, deliver, weather)
+            return _Links(self.settings.link, self.settings.request_timeout_ms, deliver, faults)
 
         def make_sender(self) -> _Sender:
-            return _Sender(self.settings.request_timeout_ms, weather)
+            return _Sender(self.settings.request_timeout_ms, faults)
 
         def open_disk(self) -> PowerDisk:
             self.disk = PowerDisk(super().open_disk(), seed)
@@ -142,13 +142,13 @@
 
         async def on_start(self) -> None:
             await super().on_start()
-            self.add_future(weather.follow())
+            self.add_future(faults.follow())
 
     return Surrounded
 
 
 def run_node(
-    settings: Settings, path: str, flags: dict[str, Any], weather: Weather, seed: int
+    settings: Settings, path: str, flags: dict[str, Any], faults: InjectedFaults, seed: int
 ) -> None:
     """Run the program of the role in `settings` until it ends.
 
@@ -156,4 +156,4 @@
     survive.
     """
     base = {"edge": EdgeProcess, "store": StoreProcess, "control": ControlProcess}[settings.role]
-    run_process(_surrounded(base, weather, seed), settings, path, flags)
+    run_process(_surrounded(base, faults, seed), settings, path, flags)
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -15,9 +15,9 @@
 
 import aiohttp
 
-from testbed.fault_injection.weather import write_weather
+from testbed.fault_injection.injected_faults import write_faults
 
-__all__ = ["Fleet", "Member", "SHAPES", "until"]
+__all__ = ["Fleet", "NodeProcess", "SHAPES", "until"]
 
 SHAPES = {
     "jade": {"edges": 6, "stores": 3, "control": 5, "workers": 7},
@@ -27,7 +27,7 @@
 ZONES = ("north", "south", "west")
 
 
-class Member:
+class NodeProcess:
     """One process of the fleet; `away` has the times (Unix seconds) for which it was frozen."""
 
     __slots__ = ("away", "command", "http", "link", "log_file", "name", "process", "role")
@@ -42,9 +42,9 @@
 
     def start(self) -> None:
         """Start the process; its output is appended to the log file."""
-        with open(self.log_file, "ab") as page:
+        with open(self.log_file, "ab") as output:
             self.process = subprocess.Popen(
-                self.command, stdout=page, stderr=page, stdin=subprocess.DEVNULL
+                self.command, stdout=output, stderr=output, stdin=subprocess.DEVNULL
             )
 
     def signal(self, number: int) -> None:
@@ -90,8 +90,8 @@
 class Fleet:
     """A fleet of a shape; as a context manager it starts all processes and kills them at the end.
 
-    `shape` is a row of SHAPES; `settings` go into every node's file. With `faulty`, processes run
-    with fault injection, which `weather` controls.
+    `shape` is a row of SHAPES; `settings` go into every node's file. With `injection`, processes run
+    with fault injection, which `inject` sets.
     """
 
     def __init__(
@@ -101,17 +101,17 @@
         base_port: int = 21000,
         host: str = "127.0.0.1",
         settings: dict[str, Any] | None = None,
-        faulty: bool = False,
+        injection: bool = False,
     ) -> None:
-        self.faulty = faulty
+        self.injection = injection
         self._steps: dict[str, int] = {}
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.shape, self.host = shape, host
         self._port = base_port
         self._settings = settings or {}
-        self.members: dict[str, Member] = {}
-        self.workers: dict[str, Member] = {}
+        self.members: dict[str, NodeProcess] = {}
+        self.workers: dict[str, NodeProcess] = {}
         self.session: aiohttp.ClientSession | None = None
         self.seeds = [f"{host}:{base_port + 2 * index}" for index in range(3)]
         for index in range(shape["control"]):
@@ -132,7 +132,7 @@
         running = [member.link for member in self.members.values() if member.runs]
         return running[:3] if len(running) >= 3 else self.seeds
 
-    def add(self, role: str, name: str) -> Member:
+    def add(self, role: str, name: str) -> NodeProcess:
         """Add a node with its settings file, without starting it."""
         link, http = self._address(), self._address()
         zone = ZONES[len(self.members) % len(ZONES)]
@@ -151,7 +151,7 @@
         path.write_text("".join(f"{key} = {json.dumps(value)}\n" for key, value in values.items()))
         program = "control_plane" if role == "control" else "data_plane"
         command = [sys.executable, "-m", f"{program}.cli", "serve", "--settings", str(path)]
-        if self.faulty:
+        if self.injection:
             command = [
                 sys.executable,
                 "-m",
@@ -162,17 +162,17 @@
                 "--name",
                 name,
                 "--weather",
-                str(self.weather_file),
+                str(self.faults_file),
                 "--seed",
                 str(len(self.members)),
             ]
-        if role != "control" or self.faulty:
+        if role != "control" or self.injection:
             command += ["--role", role]
-        member = Member(name, role, link, http, command, self.folder / f"{name}.log")
+        member = NodeProcess(name, role, link, http, command, self.folder / f"{name}.log")
         self.members[name] = member
         return member
 
-    def add_worker(self, name: str, *extra: str) -> Member:
+    def add_worker(self, name: str, *extra: str) -> NodeProcess:
         """Add a stand-in worker, without starting it; `extra` are further arguments."""
         http = self._address()
         edges = [member.http for member in self.members.values() if member.role == "edge"]
@@ -193,30 +193,30 @@
             str(self.folder / f"{name}.runs"),
             *extra,
         ]
-        if self.faulty:
-            command += ["--weather", str(self.weather_file)]
+        if self.injection:
+            command += ["--weather", str(self.faults_file)]
         for edge in edges:
             command += ["--edge", edge]
-        member = Member(name, "worker", "", http, command, self.folder / f"{name}.log")
+        member = NodeProcess(name, "worker", "", http, command, self.folder / f"{name}.log")
         self.workers[name] = member
         return member
 
-    def with_role(self, role: str) -> list[Member]:
+    def with_role(self, role: str) -> list[NodeProcess]:
         """Return the running nodes of a role."""
         return [member for member in self.members.values() if member.role == role and member.runs]
 
-    def everyone(self) -> list[Member]:
+    def all_processes(self) -> list[NodeProcess]:
         """Return all nodes and workers, running or not."""
         return [*self.members.values(), *self.workers.values()]
 
-    # -- weather -------------------------------------------------------------------------------
+    # -- injected faults -------------------------------------------------------------------------
 
     @property
-    def weather_file(self) -> Path:
+    def faults_file(self) -> Path:
         """The file that says which faults are injected."""
         return self.folder / "weather.json"
 
-    def weather(
+    def inject(
         self,
         cuts: list[tuple[str, str]] | None = None,
         steps: dict[str, int] | None = None,
@@ -231,19 +231,19 @@
         self._steps.update(steps or {})
         machines = {
             address: member.name
-            for member in self.everyone()
+            for member in self.all_processes()
             for address in (member.link, member.http)
             if address
         }
-        write_weather(self.weather_file, machines, cuts or [], slow or {}, loss, self._steps)
+        write_faults(self.faults_file, machines, cuts or [], slow or {}, loss, self._steps)
 
-    def apart(self, one: list[Member], other: list[Member]) -> list[tuple[str, str]]:
+    def apart(self, one: list[NodeProcess], other: list[NodeProcess]) -> list[tuple[str, str]]:
         """Return the cuts that separate two groups in both directions."""
         return [pair for a in one for b in other for pair in ((a.name, b.name), (b.name, a.name))]
 
     # -- asking --------------------------------------------------------------------------------
 
-    async def get(self, member: Member, address: str) -> tuple[int, Any]:
+    async def get(self, member: NodeProcess, address: str) -> tuple[int, Any]:
         """Send a GET request to a member; return status and body."""
         return await self.ask("GET", member.http, address)
 
@@ -286,22 +286,22 @@
 
     async def __aenter__(self) -> "Fleet":
         self.session = aiohttp.ClientSession()
-        if self.faulty:
-            self.weather()
-        for member in self.everyone():
+        if self.injection:
+            self.inject()
+        for member in self.all_processes():
             member.start()
         return self
 
     async def __aexit__(self, *failure: Any) -> None:
         await self.session.close()
-        for member in self.everyone():
+        for member in self.all_processes():
             member.signal(signal.SIGCONT)
             member.signal(signal.SIGKILL)
-        for member in self.everyone():
+        for member in self.all_processes():
             if member.process is not None:
                 member.process.wait()
 
-    async def found(self, tree: dict[str, Any], deadline_ms: int = 30000) -> int:
+    async def bootstrap(self, tree: dict[str, Any], deadline_ms: int = 30000) -> int:
         """Wait for control, send the first tree, and wait until every edge and store is ready.
 
         Return the tree's version; AssertionError if that fails.
--- a/libs/testbed/src/testbed/fleet_commands.py
+++ b/libs/testbed/src/testbed/fleet_commands.py
@@ -10,9 +10,10 @@
 from platform_testbed.command import ALL_SHAPES, PLATFORM_DAYS, play_day
 from runtime import load_settings
 
-from testbed.fault_injection import Weather, run_node
+from testbed.fault_injection import InjectedFaults, run_node
 from testbed.report import day_report
-from testbed.scenarios import DAYS, run_day
+from testbed.scenario_run import run_day
+from testbed.scenarios import DAYS
 from testbed.worker import StandInWorker
 
 __all__ = ["fleet", "node", "platform", "worker"]
@@ -73,7 +74,7 @@
                 prefill_ms,
                 cache_prefixes,
                 runs_file=runs_file,
-                weather=Weather(weather, identity) if weather else None,
+                faults=InjectedFaults(weather, identity) if weather else None,
             )
         )
     )
@@ -102,7 +103,7 @@
         settings_or_exit(load_settings(settings, flags)),
         settings,
         flags,
-        Weather(weather, name),
+        InjectedFaults(weather, name),
         seed,
     )
 
--- /dev/null
+++ b/libs/testbed/src/testbed/fleet_operations.py
@@ -0,0 +1,58 @@
+"""What several faults do to the processes of a fleet."""
+
+import asyncio
+import signal
+import time
+
+from testbed.fleet import Fleet, NodeProcess
+
+__all__ = ["find_leader", "find_owner", "freeze_for", "restart_after", "shrink_disks"]
+
+_SMALL_DISK = "disk_bytes = 65536\n"
+_SHRUNK_S = 4
+
+
+async def restart_after(member: NodeProcess, after_ms: int) -> None:
+    """Start a process that has ended, after a time."""
+    await asyncio.sleep(after_ms / 1000)
+    member.start()
+
+
+async def freeze_for(member: NodeProcess | None, for_ms: int) -> None:
+    """Stop a process for a time; nothing if there is none."""
+    if member is not None:
+        began_at = time.time()
+        member.signal(signal.SIGSTOP)
+        await asyncio.sleep(for_ms / 1000)
+        member.signal(signal.SIGCONT)
+        member.away.append((began_at, time.time()))
+
+
+async def find_leader(fleet: Fleet) -> NodeProcess | None:
+    """Return the store that leads the log, or None if none reports that it does."""
+    for member in fleet.with_role("store"):
+        status, body = await fleet.get(member, "/status")
+        if status == 200 and body["log_role"] == "serving":
+            return member
+    return None
+
+
+async def find_owner(fleet: Fleet) -> NodeProcess | None:
+    """Return the control node that owns the profiles' key, or None if it doesn't run."""
+    _, body = await fleet.get(fleet.with_role("control")[0], "/members")
+    owner = body["keys"].get("profiles", {}).get("owner")
+    link = next((row["link"] for row in body["members"] if row["identity"] == owner), "")
+    return next((member for member in fleet.with_role("control") if member.link == link), None)
+
+
+async def shrink_disks(fleet: Fleet, members: list[NodeProcess]) -> None:
+    """Shrink the disks of nodes below what is used, by SIGHUP, and restore them after 4 s."""
+    for setting in (_SMALL_DISK, ""):
+        for member in members:
+            path = fleet.folder / f"{member.name}.toml"
+            rows = [
+                row for row in path.read_text().splitlines(True) if not row.startswith("disk_bytes")
+            ]
+            path.write_text("".join(rows) + setting)
+            member.signal(signal.SIGHUP)
+        await asyncio.sleep(_SHRUNK_S if setting else 0)
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -21,8 +21,8 @@
 from storage import FolderDisk
 
 from testbed.fleet import SHAPES, Fleet, until
+from testbed.fleet_operations import find_leader
 from testbed.report import spread
-from testbed.scenarios import find_holder
 from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_fleet", "measure_log"]
@@ -184,7 +184,7 @@
     while time.time() < end_at:
         if jobs and time.time() >= next_job_at:
             next_job_at = time.time() + 1.0
-            pending.add(asyncio.ensure_future(traffic.hand_in()))
+            pending.add(asyncio.ensure_future(traffic.submit()))
         pending.add(asyncio.ensure_future(traffic.live("rulings", True)))
         pending.add(asyncio.ensure_future(traffic.live("reasons", False)))
         await asyncio.sleep(0.04)
@@ -193,12 +193,12 @@
 
 
 async def _recovery(fleet: Fleet, traffic: Traffic) -> float:
-    holder = await find_holder(fleet)
+    holder = await find_leader(fleet)
     holder.kill()
     began = time.time()
 
     async def accepted() -> bool:
-        row = await traffic.hand_in(1)
+        row = await traffic.submit(1)
         return row["outcome"] in ("admitted", "known", "waiting-room-full")
 
     await until(accepted, 15_000, "lots are accepted again", 20)
@@ -227,7 +227,7 @@
 async def _measure_fleet(seconds: float, repeats: int, folder: str) -> list[str]:
     lines = []
     async with Fleet(folder, SHAPES["thin"], 28000) as fleet:
-        await fleet.found(TREE)
+        await fleet.bootstrap(TREE)
         await fleet.workers_known(2)
         traffic = Traffic(fleet, 1, 1.0)
         for repeat in range(repeats):
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -71,7 +71,7 @@
 
 async def _routes(count: int, folder: str) -> list[str]:
     async with Fleet(folder, SHAPES["thin"], 28300) as fleet:
-        await fleet.found(TREE)
+        await fleet.bootstrap(TREE)
         edge, control = fleet.with_role("edge")[0], fleet.with_role("control")[0].http
         lines = [f"{count} profiles; an edge's memory before {_memory_mb(edge.process.pid)} MB"]
         taken: list[float] = []
@@ -177,7 +177,7 @@
 async def _crowd(folder: str, rates: tuple[int, ...], seconds: float) -> list[str]:
     lines = []
     async with Fleet(folder, SHAPES["thin"], 28600) as fleet:
-        await fleet.found(TREE)
+        await fleet.bootstrap(TREE)
         await fleet.workers_known(2)
         for rate in rates:
             traffic = Traffic(fleet, 1, 1.0)
@@ -186,7 +186,7 @@
             began = time.time()
             count = 0
             for _ in range(4):
-                pending.add(asyncio.ensure_future(traffic.hand_in(1)))
+                pending.add(asyncio.ensure_future(traffic.submit(1)))
             next_read_s = 0.0
             while time.time() - began < seconds:
                 if time.time() - began > next_read_s:
--- a/libs/testbed/src/testbed/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -96,7 +96,7 @@
     async with Fleet(folder, {**_SHAPE, "workers": 0}, port, settings=_SETTINGS) as fleet:
         for place in range(_SHAPE["workers"]):
             fleet.add_worker(f"worker{place + 1}", *_WORKER).start()
-        await fleet.found(_tree(lends))
+        await fleet.bootstrap(_tree(lends))
         await fleet.workers_known(_SHAPE["workers"])
         edge = fleet.with_role("edge")[0].http
         if lends:
--- /dev/null
+++ b/libs/testbed/src/testbed/process_faults.py
@@ -0,0 +1,179 @@
+"""Faults that need no more than signals and further processes.
+
+Each takes the fleet, a generator that draws what is struck, and the traffic of the run.
+"""
+
+import asyncio
+import random
+import signal
+
+from testbed.fleet import Fleet, NodeProcess, until
+from testbed.fleet_operations import (
+    find_leader,
+    find_owner,
+    freeze_for,
+    restart_after,
+    shrink_disks,
+)
+from testbed.traffic import Traffic
+
+__all__ = [
+    "add_slow_worker",
+    "drain_edge",
+    "fill_store_disks",
+    "freeze_edge",
+    "freeze_leader",
+    "freeze_owner",
+    "freeze_worker",
+    "kill_all_stores",
+    "kill_edge",
+    "kill_everything",
+    "kill_leader",
+    "kill_owner",
+    "kill_worker",
+    "replace_all_control_nodes",
+    "replace_all_workers",
+    "replace_control_node",
+    "replace_store",
+    "retire_store",
+]
+
+
+async def kill_leader(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill the log's leader and start it again after 2.5 s."""
+    if (member := await find_leader(fleet)) is not None:
+        member.kill()
+        await restart_after(member, 2500)
+
+
+async def kill_owner(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill the owner of the profiles' key and start it again after 2.5 s."""
+    if (member := await find_owner(fleet)) is not None:
+        member.kill()
+        await restart_after(member, 2500)
+
+
+async def kill_edge(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill an edge and start it again after 0.8 s."""
+    member = rng.choice(fleet.with_role("edge"))
+    member.kill()
+    await restart_after(member, 800)
+
+
+async def drain_edge(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """End an edge by SIGTERM and start it once it has ended."""
+    member = rng.choice(fleet.with_role("edge"))
+    member.signal(signal.SIGTERM)
+    while member.runs:
+        await asyncio.sleep(0.1)
+    member.start()
+
+
+async def freeze_leader(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Freeze the log's leader for 4 s."""
+    await freeze_for(await find_leader(fleet), 4000)
+
+
+async def freeze_owner(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Freeze the owner of the profiles' key for 3 s."""
+    await freeze_for(await find_owner(fleet), 3000)
+
+
+async def freeze_edge(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Freeze an edge for 3.5 s."""
+    await freeze_for(rng.choice(fleet.with_role("edge")), 3500)
+
+
+async def replace_store(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Lose a store and its disk; an empty one starts at a new address."""
+    rng.choice(fleet.with_role("store")).kill()
+    fleet.add("store", f"store{len(fleet.members) + 1}").start()
+
+
+async def replace_control_node(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Lose a control node; an empty one starts at a new address."""
+    rng.choice(fleet.with_role("control")[3:]).kill()
+    fleet.add("control", f"control{len(fleet.members) + 1}").start()
+
+
+async def replace_all_control_nodes(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Replace all control nodes, one after another.
+
+    A new one starts, an old one ends, and the next waits until the voters are complete again
+    without the old one.
+    """
+    for old in fleet.with_role("control"):
+        replacement = fleet.add("control", f"control{len(fleet.members) + 1}")
+        replacement.start()
+        _, shown = await fleet.get(old, "/status")
+        old.kill()
+
+        async def settled(
+            replacement: NodeProcess = replacement, gone: str = shown["identity"]
+        ) -> bool:
+            status, body = await fleet.get(replacement, "/status")
+            return (
+                status == 200
+                and body["ready"]
+                and len(body["voters"]) == 5
+                and gone not in body["voters"]
+            )
+
+        await until(settled, 30_000, f"{replacement.name} votes in index of {old.name}")
+
+
+async def add_slow_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Add a worker that is healthy but takes fifty times as long for each token."""
+    fleet.add_worker(f"worker{len(fleet.workers) + 1}", "--token-ms", "100").start()
+
+
+async def fill_store_disks(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Shrink the disks of all stores for 4 s."""
+    await shrink_disks(fleet, fleet.with_role("store"))
+
+
+async def retire_store(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Add an empty store, then retire one that is in use."""
+    fleet.add("store", f"store{len(fleet.members) + 1}").start()
+    _, body = await fleet.get(rng.choice(fleet.with_role("store")[:3]), "/status")
+    await fleet.ask(
+        "POST", fleet.with_role("control")[0].http, "/retired", {"identity": body["identity"]}
+    )
+
+
+async def kill_all_stores(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill all stores at once and start them again after 1 s."""
+    stores = fleet.with_role("store")
+    for member in stores:
+        member.kill()
+    await asyncio.gather(*[restart_after(member, 1000) for member in stores])
+
+
+async def kill_everything(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill all nodes at once and start them again one after another."""
+    members = [member for member in fleet.members.values() if member.runs]
+    for member in members:
+        member.kill()
+    rng.shuffle(members)
+    await asyncio.gather(
+        *[restart_after(member, 800 + 50 * index) for index, member in enumerate(members)]
+    )
+
+
+async def kill_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Kill a worker; another starts at a new address."""
+    rng.choice([member for member in fleet.workers.values() if member.runs]).kill()
+    fleet.add_worker(f"worker{len(fleet.workers) + 1}").start()
+
+
+async def freeze_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Let a worker fall silent: its connections stay open and nothing is sent."""
+    await freeze_for(rng.choice([member for member in fleet.workers.values() if member.runs]), 5000)
+
+
+async def replace_all_workers(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
+    """Replace every worker, one after another."""
+    for member in [member for member in fleet.workers.values() if member.runs]:
+        member.signal(signal.SIGTERM)
+        fleet.add_worker(f"worker{len(fleet.workers) + 1}").start()
+        await asyncio.sleep(0.7)
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -83,7 +83,7 @@
                     lambda path=path, stream=stream: self.live(path, stream),
                 )
             )
-        self._spawn(self._every(1.2, lambda: self.hand_in()))
+        self._spawn(self._every(1.2, lambda: self.submit()))
         self._spawn(self._every(0.3, lambda: self.read()))
         self._spawn(self._every(2.5, lambda: self.change()))
         self._spawn(self._every(4.0, lambda: self.end()))
@@ -169,7 +169,7 @@
 
     # -- lots ----------------------------------------------------------------------------------
 
-    async def hand_in(self, tries: int = 3, job_id: str = "", avoid: str = "") -> dict[str, Any]:
+    async def submit(self, tries: int = 3, job_id: str = "", avoid: str = "") -> dict[str, Any]:
         """Submit a batch of 80 items and return its row; one in doubt is sent again."""
         if not job_id:
             job_id = f"{self.job_name}{len(self.jobs) + 1}"
@@ -217,7 +217,7 @@
         self.outcomes[("lot " + job["path"], row["verdict"], row["outcome"])] += 1
         if row["verdict"] == "may_have_run" and tries > 1:
             await asyncio.sleep(0.2)
-            await self.hand_in(tries - 1, job_id, edge)
+            await self.submit(tries - 1, job_id, edge)
         return row
 
     async def read(self, job_id: str = "", start: int | None = None, final: bool = False) -> bool:
@@ -378,7 +378,7 @@
                     used=used,
                 )
 
-    async def ask_again(self, count: int) -> None:
+    async def resend_acknowledged(self, count: int) -> None:
         """Send the last `count` acknowledged changes once more under their ids."""
         acked = [
             row["change_id"] for row in self.history.rows_of("change") if row["outcome"] == "ok"
--- a/libs/testbed/src/testbed/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -24,7 +24,7 @@
 class StandInWorker(Service):
     """One worker, whose runs are also written to `runs_file` as JSON lines.
 
-    `hits` and `misses` count prompts whose prefix was in the cache or not. `weather` gives the
+    `hits` and `misses` count prompts whose prefix was in the cache or not. `faults` gives the
     faults that keep heartbeats from edges.
     """
 
@@ -42,7 +42,7 @@
         cache_prefixes: int = 32,
         beat_ms: int = 300,
         runs_file: str = "",
-        weather: Any = None,
+        faults: Any = None,
     ) -> None:
         super().__init__()
         self.identity, self.address, self.edges = identity, address, edges
@@ -55,7 +55,7 @@
         self._cache: OrderedDict[str, None] = OrderedDict()
         self._cache_length = cache_prefixes
         self._beat_ms = beat_ms
-        self._weather = weather
+        self._faults = faults
         self._beat = 0
         self._running = 0
         self._gate = asyncio.Semaphore(slots)
@@ -126,12 +126,12 @@
             await asyncio.sleep(self._beat_ms / 1000)
 
     async def _tell(self, address: str, body: dict[str, Any]) -> None:
-        if self._weather is not None:
-            self._weather.read()
+        if self._faults is not None:
+            self._faults.read()
         for attempt in range(len(self.edges)):
             edge = self.edges[(self._beat + attempt) % len(self.edges)]
-            if self._weather is not None and not (
-                self._weather.lets_out(edge) and self._weather.lets_in(edge)
+            if self._faults is not None and not (
+                self._faults.lets_out(edge) and self._faults.lets_in(edge)
             ):
                 continue
             try:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 
 from storage import FolderDisk
 from testbed.fault_injection import PowerDisk
-from testbed.scenarios import run_day
+from testbed.scenario_run import run_day
 from testtools import TestCase
 from testtools.matchers import Equals
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -167,7 +167,7 @@
                 async with Fleet(
                     folder, {"control": 3, "stores": 3, "edges": 1, "workers": 1}, 23000
                 ) as fleet:
-                    await fleet.found(TREE)
+                    await fleet.bootstrap(TREE)
                     await fleet.workers_known(1)
                     await self.bad_input(fleet)
                     await self.jobs(fleet)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -73,7 +73,7 @@
                 async with Fleet(
                     folder, shape, 23800, settings={"record_folder": str(recordings)}
                 ) as fleet:
-                    await fleet.found(TREE)
+                    await fleet.bootstrap(TREE)
                     await fleet.workers_known(1)
                     edge = fleet.with_role("edge")[0]
                     await self.day(fleet, edge.http)
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -16,7 +16,7 @@
         async def run():
             with tempfile.TemporaryDirectory() as folder:
                 async with Fleet(folder, SHAPES["thin"], base_port) as fleet:
-                    await fleet.found(TREE)
+                    await fleet.bootstrap(TREE)
                     await fleet.workers_known(2)
                     await body(fleet)
 
