--- a/libs/testbed/src/testbed/environment_faults.py
+++ b/libs/testbed/src/testbed/environment_faults.py
@@ -146,7 +146,7 @@
 
 
 async def lose_disk(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Take the power from a store just after an acknowledgement, and start it with an empty disk."""
+    """Take the power from a store after an acknowledgement, and start it with an empty disk."""
     await asyncio.gather(traffic.submit(), traffic.live("moves", False))
     member = rng.choice(fleet.with_role("store"))
     member.kill()
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -90,8 +90,8 @@
 class Fleet:
     """A fleet of a shape; as a context manager it starts all processes and kills them at the end.
 
-    `shape` is a row of SHAPES; `settings` go into every node's file. With `injection`, processes run
-    with fault injection, which `inject` sets.
+    `shape` is a row of SHAPES; `settings` go into every node's file. With `injection`, processes
+    run with fault injection, which `inject` sets.
     """
 
     def __init__(
