--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -1,8 +1,8 @@
 """The entries of the log.
 
-Each is a fact that the holder has decided; folding the same entries in the same order gives the
-same ledger on every replica. A snapshot is a short sequence of the same entries. Fields that end in
-`_ms` are milliseconds of the log's own time; `epoch` is that of a lot's listing lease.
+Each is a fact that the leader has decided; applying the same entries in the same order gives the
+same state on every replica. A snapshot is a short sequence of the same entries. Fields that end in
+`_ms` are milliseconds of the log's own time; `epoch` is that of a job's listing lease.
 """
 
 from messaging import Message
@@ -30,7 +30,7 @@
 
 
 class JobAdmitted(Message, wire_name="LotAdmitted"):
-    """A lot was admitted; an item that isn't `safe` must not be run twice."""
+    """A job was admitted; an item that isn't `safe` must not be run twice."""
 
     job_id: str
     digest: str
@@ -42,10 +42,10 @@
 
 
 class ForwardJobAdmitted(Message, wire_name="ForwardLotAdmitted"):
-    """A lot of forwarded calls was admitted.
+    """A job of forwarded calls was admitted.
 
-    `calls` are kept as the bytes in which they came. From `expires_ms` on an item may be given up;
-    `version` is the number of the profiles at the holder that admitted the lot.
+    `calls` are encoded ForwardItems. From `expires_ms` on an item that has not ended is given up;
+    `version` is the version of the profiles at the leader that admitted the job.
     """
 
     job_id: str
@@ -62,7 +62,7 @@
 
 
 class RolloutAdmitted(Message):
-    """A rollout, a lot of the lowest class, was admitted.
+    """A rollout, a job of the lowest class, was admitted.
 
     Each prompt is sampled `samples` times by the policy of these weights. If `expires_ms` isn't 0,
     the rollout ends then.
@@ -79,7 +79,7 @@
 
 
 class ItemsClaimed(Message):
-    """Items of one forwarded lot were claimed for one edge."""
+    """Items of one forwarded job were claimed for one edge."""
 
     job_id: str
     edge: str
@@ -90,7 +90,7 @@
 class AttemptFailed(Message):
     """An attempt at a forwarded item failed; `failures` counts this one.
 
-    `worker` is avoided when the item is dealt again.
+    `worker` is avoided when the item is dispatched again.
     """
 
     job_id: str
@@ -144,7 +144,7 @@
 
 
 class ListingLeaseGranted(Message, wire_name="BatonPassed"):
-    """The right to list a lot's results passed to an edge, under a higher epoch."""
+    """The right to list a job's results passed to an edge, under a higher epoch."""
 
     job_id: str
     edge: str
@@ -160,20 +160,20 @@
 
 
 class JobCancelled(Message, wire_name="LotEnded"):
-    """A lot was ended before all of its results were listed."""
+    """A job was cancelled before all of its results were listed."""
 
     job_id: str
     at_ms: int
 
 
 class JobExpired(Message, wire_name="LotForgotten"):
-    """A lot that is over left the ledger, because its retention time has passed."""
+    """A job that is over left the state, because its retention time has passed."""
 
     job_id: str
 
 
 class KeyOpened(Message):
-    """A transaction that isn't safe to repeat was opened under a key."""
+    """A request that isn't safe to repeat was opened under a key."""
 
     key: str
     digest: str
@@ -183,7 +183,7 @@
 
 
 class KeyClosed(Message):
-    """A transaction ended, or its outcome is in doubt, as `state` says."""
+    """A request ended, or its outcome is in doubt, as `state` says."""
 
     key: str
     transaction: str
@@ -194,9 +194,9 @@
 
 
 class JobArchived(Message, wire_name="LotShelved"):
-    """Only in snapshots: a lot that is over, whose results are in an archive file.
+    """Only in snapshots: a job that is over, whose results are in an archive file.
 
-    `places` and `sizes` are the offsets and lengths in bytes of the file's leaves, `firsts` the
+    `places` and `sizes` are the offsets and lengths in bytes of the file's blocks, `firsts` the
     index of the first result in each.
     """
 
@@ -220,7 +220,7 @@
 class KeyArchived(Message, wire_name="KeyShelved"):
     """Only in snapshots: a key whose final answer is in an archive file.
 
-    `place` and `size` are the offset and length in bytes of its leaf.
+    `place` and `size` are the offset and length in bytes of its block.
     """
 
     key: str
@@ -235,6 +235,6 @@
 
 
 class KeyExpired(Message, wire_name="KeyForgotten"):
-    """A key left the ledger, because its retention time has passed."""
+    """A key left the state, because its retention time has passed."""
 
     key: str
