--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -84,7 +84,7 @@
     job_id: str
     edge: str
     indexes: list[int]
-    numbers: list[int]
+    claim_numbers: list[int]
 
 
 class AttemptFailed(Message):
@@ -95,7 +95,7 @@
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
     failures: int
     worker: str
 
@@ -122,7 +122,7 @@
     job_id: str
     index: int
     edge: str
-    number: int
+    claim_number: int
 
 
 class ItemFinished(Message):
@@ -140,7 +140,7 @@
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
 
 
 class ListingLeaseGranted(Message, wire_name="BatonPassed"):
@@ -178,7 +178,7 @@
     key: str
     digest: str
     edge: str
-    transaction: str
+    request_id: str
     at_ms: int
 
 
@@ -186,7 +186,7 @@
     """A request ended, or its outcome is in doubt, as `state` says."""
 
     key: str
-    transaction: str
+    request_id: str
     state: str
     status: int
     body: str
@@ -196,8 +196,8 @@
 class JobArchived(Message, wire_name="LotShelved"):
     """Only in snapshots: a job that is over, whose results are in an archive file.
 
-    `places` and `sizes` are the offsets and lengths in bytes of the file's blocks, `firsts` the
-    index of the first result in each.
+    `block_offsets` and `block_sizes` are the offsets and lengths in bytes of the file's blocks,
+    `first_positions` the index of the first result in each.
     """
 
     job_id: str
@@ -212,26 +212,26 @@
     cancelled: bool
     cancelled_at_ms: int
     file: str
-    places: list[int]
-    sizes: list[int]
-    firsts: list[int]
+    block_offsets: list[int]
+    block_sizes: list[int]
+    first_positions: list[int]
 
 
 class KeyArchived(Message, wire_name="KeyShelved"):
     """Only in snapshots: a key whose final answer is in an archive file.
 
-    `place` and `size` are the offset and length in bytes of its block.
+    `block_offset` and `block_size` are the offset and length in bytes of its block.
     """
 
     key: str
     digest: str
     edge: str
-    transaction: str
+    request_id: str
     status: int
     at_ms: int
     file: str
-    place: int
-    size: int
+    block_offset: int
+    block_size: int
 
 
 class KeyExpired(Message, wire_name="KeyForgotten"):
--- a/libs/batch_state/src/batch_state/forward_completion.py
+++ b/libs/batch_state/src/batch_state/forward_completion.py
@@ -89,17 +89,21 @@
             return []
         if report.outcome in (ItemResult.FINISHED, ItemResult.DEAD):
             return [self._listed_as(report.outcome, job, report, edge)]
-        if not item.claimed_under(report.number):
+        if not item.claimed_under(report.claim_number):
             return []
         if report.outcome != ItemResult.FAILED:
-            return [ItemReturned(job_id=job.job_id, index=report.index, number=report.number)]
+            return [
+                ItemReturned(
+                    job_id=job.job_id, index=report.index, claim_number=report.claim_number
+                )
+            ]
         if item.failures + 1 >= self._attempts(job):
             return [self._listed_as(ItemResult.DEAD, job, report, edge)]
         return [
             AttemptFailed(
                 job_id=job.job_id,
                 index=report.index,
-                number=report.number,
+                claim_number=report.claim_number,
                 failures=item.failures + 1,
                 worker=report.worker,
             )
--- a/libs/batch_state/src/batch_state/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/idempotency_keys.py
@@ -26,14 +26,14 @@
         "archived",
         "state",
         "status",
-        "transaction",
+        "request_id",
     )
 
     def __init__(self, entry: KeyOpened) -> None:
         self.key = entry.key
         self.digest = entry.digest
         self.edge = entry.edge
-        self.transaction = entry.transaction
+        self.request_id = entry.request_id
         self.state: str = KeyState.OPEN
         self.status = 0
         self.body = ""
@@ -49,7 +49,7 @@
                 key=entry.key,
                 digest=entry.digest,
                 edge=entry.edge,
-                transaction=entry.transaction,
+                request_id=entry.request_id,
                 at_ms=entry.at_ms,
             )
         )
@@ -81,7 +81,7 @@
                 key=self.key,
                 digest=self.digest,
                 edge=self.edge,
-                transaction=self.transaction,
+                request_id=self.request_id,
                 at_ms=self.at_ms,
             )
         ]
@@ -89,7 +89,7 @@
             rows.append(
                 KeyClosed(
                     key=self.key,
-                    transaction=self.transaction,
+                    request_id=self.request_id,
                     state=self.state,
                     status=self.status,
                     body=self.body,
--- a/libs/batch_state/src/batch_state/idempotency_service.py
+++ b/libs/batch_state/src/batch_state/idempotency_service.py
@@ -54,7 +54,7 @@
                         key=message.key,
                         digest=message.digest,
                         edge=message.edge,
-                        transaction=message.transaction,
+                        request_id=message.request_id,
                         at_ms=self._log_ms(),
                     )
                 ],
@@ -80,14 +80,14 @@
     def close(self, message: CloseKey, origin: Origin) -> None:
         """Record how a request ended, unless that is recorded or another has the key."""
         key = self._leader.state.keys.get(message.key)
-        if key is None or key.transaction != message.transaction or key.state == message.state:
+        if key is None or key.request_id != message.request_id or key.state == message.state:
             self._replies.when_committed(
                 origin, lambda ok: _response(KeyOutcome.KNOWN if ok else KeyOutcome.UNKNOWN)
             )
             return
         entry = KeyClosed(
             key=message.key,
-            transaction=message.transaction,
+            request_id=message.request_id,
             state=message.state,
             status=message.status,
             body=message.body,
@@ -106,7 +106,7 @@
     if key.digest != message.digest:
         return KeyOutcome.CONFLICT
     if key.state == KeyState.OPEN:
-        same = key.transaction == message.transaction
+        same = key.request_id == message.request_id
         return KeyOutcome.OPENED if same else KeyOutcome.OPEN
     if key.state == KeyState.IN_DOUBT:
         return KeyOutcome.IN_DOUBT
--- a/libs/batch_state/src/batch_state/item_claims.py
+++ b/libs/batch_state/src/batch_state/item_claims.py
@@ -29,14 +29,16 @@
         if isinstance(row, ForwardAssignment):
             if row.job_id not in forward:
                 forward[row.job_id] = ItemsClaimed(
-                    job_id=row.job_id, edge=edge, indexes=[], numbers=[]
+                    job_id=row.job_id, edge=edge, indexes=[], claim_numbers=[]
                 )
                 entries.append(forward[row.job_id])
             forward[row.job_id].indexes.append(row.index)
-            forward[row.job_id].numbers.append(row.number)
+            forward[row.job_id].claim_numbers.append(row.claim_number)
         else:
             entries.append(
-                ItemClaimed(job_id=row.job_id, index=row.index, edge=edge, number=row.number)
+                ItemClaimed(
+                    job_id=row.job_id, index=row.index, edge=edge, claim_number=row.claim_number
+                )
             )
     return entries
 
@@ -96,7 +98,7 @@
 
 
 def _returned(job: Job, index: int) -> ItemReturned:
-    return ItemReturned(job_id=job.job_id, index=index, number=job.items[index].number)
+    return ItemReturned(job_id=job.job_id, index=index, claim_number=job.items[index].claim_number)
 
 
 def _edge_lost(job: Job, index: int) -> ItemFinished:
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -114,14 +114,21 @@
 
     def _answer(self, message: Heartbeat, reply: Reply, due: bool = False) -> bool:
         """Answer a heartbeat; return False if it may wait for something to be said."""
-        stops = self._jobs_over(message)
+        closed_jobs = self._jobs_over(message)
         leases = self._leases.of_edge(message.edge)
         self._leases.take_over_lost(message.edge)
         work = self._selector.select(message)
         waiting, paths = self._waiting()
         samples_out, recalled = self._rollouts()
         lends = isinstance(message, RolloutHeartbeat)
-        news = work or leases or stops or set(paths) - set(message.paths) or lends and samples_out
+        news = (
+            work
+            or leases
+            or closed_jobs
+            or set(paths) - set(message.paths)
+            or lends
+            and samples_out
+        )
         if not (due or not message.capacity or news):
             return False
 
@@ -132,7 +139,7 @@
                 leader_ms=self._node.env.now(),
                 work=[encode(row) for row in assigned],
                 listing_leases=leases,
-                stops=stops,
+                closed_jobs=closed_jobs,
                 waiting=waiting,
                 paths=paths,
             )
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -110,7 +110,7 @@
         return ForwardAssignment(
             job_id=job.job_id,
             index=index,
-            number=item.number + 1,
+            claim_number=item.claim_number + 1,
             path=job.path,
             call=item.body,
             avoid=list(item.failed_at),
@@ -128,7 +128,7 @@
     return ItemAssignment(
         job_id=job.job_id,
         index=index,
-        number=item.number + 1,
+        claim_number=item.claim_number + 1,
         path=job.path,
         safe=job.safe,
         body=item.body,
@@ -142,7 +142,7 @@
     return RolloutAssignment(
         job_id=job.job_id,
         index=index,
-        number=item.number + 1,
+        claim_number=item.claim_number + 1,
         path=job.path,
         body=item.body,
         prompt=prompt,
--- a/libs/batch_state/src/batch_state/job_entries.py
+++ b/libs/batch_state/src/batch_state/job_entries.py
@@ -96,12 +96,14 @@
 
 def _own_item(job: "Job", index: int, item: "Item") -> list[Message]:
     entries: list[Message] = []
-    if item.number:
+    if item.claim_number:
         entries.append(
-            ItemClaimed(job_id=job.job_id, index=index, edge=item.edge, number=item.number)
+            ItemClaimed(
+                job_id=job.job_id, index=index, edge=item.edge, claim_number=item.claim_number
+            )
         )
-    if item.number and item.state == ItemState.WAITING:
-        entries.append(ItemReturned(job_id=job.job_id, index=index, number=item.number))
+    if item.claim_number and item.state == ItemState.WAITING:
+        entries.append(ItemReturned(job_id=job.job_id, index=index, claim_number=item.claim_number))
     if item.state == ItemState.FINISHED:
         entries.append(
             ItemFinished(
@@ -145,11 +147,17 @@
 
 def _failed_attempts(job: "Job", index: int) -> list[Message]:
     entries: list[Message] = []
-    for number, worker in enumerate(job.items[index].failed_at, 1):
-        entries.append(ItemsClaimed(job_id=job.job_id, edge="", indexes=[index], numbers=[number]))
+    for claim_number, worker in enumerate(job.items[index].failed_at, 1):
+        entries.append(
+            ItemsClaimed(job_id=job.job_id, edge="", indexes=[index], claim_numbers=[claim_number])
+        )
         entries.append(
             AttemptFailed(
-                job_id=job.job_id, index=index, number=number, failures=number, worker=worker
+                job_id=job.job_id,
+                index=index,
+                claim_number=claim_number,
+                failures=claim_number,
+                worker=worker,
             )
         )
     return entries
@@ -157,13 +165,15 @@
 
 def _latest_claim(job: "Job", index: int) -> list[Message]:
     item = job.items[index]
-    if item.number <= item.failures and item.state != ItemState.CLAIMED:
+    if item.claim_number <= item.failures and item.state != ItemState.CLAIMED:
         return []
     entries: list[Message] = [
-        ItemsClaimed(job_id=job.job_id, edge=item.edge, indexes=[index], numbers=[item.number])
+        ItemsClaimed(
+            job_id=job.job_id, edge=item.edge, indexes=[index], claim_numbers=[item.claim_number]
+        )
     ]
     if item.state == ItemState.WAITING:
-        entries.append(ItemReturned(job_id=job.job_id, index=index, number=item.number))
+        entries.append(ItemReturned(job_id=job.job_id, index=index, claim_number=item.claim_number))
     return entries
 
 
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -27,8 +27,8 @@
 class Item:
     """One item of a job: waiting, claimed or finished.
 
-    `body` is what is asked: text, or the bytes of a forwarded call; so is `result`. `number` is
-    that of its latest claim; `failed_at` has the workers that failed on it.
+    `body` is what is asked: text, or the bytes of a forwarded call; so is `result`.
+    `claim_number` is that of its latest claim; `failed_at` has the workers that failed on it.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
         "failed_at",
         "failures",
         "item_id",
-        "number",
+        "claim_number",
         "outcome",
         "result",
         "state",
@@ -51,16 +51,16 @@
         self.tokens = tokens
         self.state = ItemState.WAITING
         self.edge = ""
-        self.number = 0
+        self.claim_number = 0
         self.failures = 0
         self.failed_at: tuple[str, ...] = ()
         self.outcome = ""
         self.result: Any = ""
         self.worker = ""
 
-    def claimed_under(self, number: int) -> bool:
+    def claimed_under(self, claim_number: int) -> bool:
         """Whether the claim of this number is the present one."""
-        return self.state == ItemState.CLAIMED and self.number == number
+        return self.state == ItemState.CLAIMED and self.claim_number == claim_number
 
 
 def _items(entry: AdmissionEntry) -> list[Item]:
@@ -203,12 +203,12 @@
 
     # -- changes of an item's state --------------------------------------------------------------
 
-    def claim(self, index: int, edge: str, number: int) -> None:
+    def claim(self, index: int, edge: str, claim_number: int) -> None:
         """Record that an edge has claimed an item."""
         item = self.items[index]
         self.pending.pop(index, None)
         self.claims[index] = item
-        item.state, item.edge, item.number = ItemState.CLAIMED, edge, number
+        item.state, item.edge, item.claim_number = ItemState.CLAIMED, edge, claim_number
 
     def give_back(self, index: int) -> None:
         """Return an item's claim; it is dispatched again after those that wait already."""
--- a/libs/batch_state/src/batch_state/messages/forward_jobs.py
+++ b/libs/batch_state/src/batch_state/messages/forward_jobs.py
@@ -65,7 +65,7 @@
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
     path: str
     call: bytes
     avoid: list[str]
@@ -80,7 +80,7 @@
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
     outcome: str
     text: bytes
     worker: str
--- a/libs/batch_state/src/batch_state/messages/heartbeats.py
+++ b/libs/batch_state/src/batch_state/messages/heartbeats.py
@@ -27,15 +27,16 @@
 class EdgeHeartbeatResponse(Message, wire_name="HolderBeat"):
     """The response to EdgeHeartbeat.
 
-    `work` and `listing_leases` are encoded assignments and ListingLeases, `stops` the jobs that are
-    over. `waiting` counts the items that nobody has claimed, `paths` are those with such items.
+    `work` and `listing_leases` are encoded assignments and ListingLeases, `closed_jobs` the jobs
+    that are over. `waiting` counts the items that nobody has claimed, `paths` are those with such
+    items.
     """
 
     epoch: int
     leader_ms: int
     work: list[bytes]
     listing_leases: list[bytes]
-    stops: list[str]
+    closed_jobs: list[str]
     waiting: int
     paths: list[str]
 
--- a/libs/batch_state/src/batch_state/messages/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/messages/idempotency_keys.py
@@ -14,7 +14,7 @@
     key: str
     digest: str
     edge: str
-    transaction: str
+    request_id: str
     epoch: int
     leader_ms: int
 
@@ -23,7 +23,7 @@
     """Record how a request ended: its state, HTTP status and body."""
 
     key: str
-    transaction: str
+    request_id: str
     state: str
     status: int
     body: str
--- a/libs/batch_state/src/batch_state/messages/jobs.py
+++ b/libs/batch_state/src/batch_state/messages/jobs.py
@@ -89,11 +89,11 @@
 
 
 class ItemAssignment(Message, wire_name="Work"):
-    """An item for an edge to run under claim `number`."""
+    """An item for an edge to run under claim `claim_number`."""
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
     path: str
     safe: bool
     body: str
@@ -105,7 +105,7 @@
 
     job_id: str
     index: int
-    number: int
+    claim_number: int
     outcome: str
     body: str
     worker: str
--- a/libs/batch_state/src/batch_state/messages/rollouts.py
+++ b/libs/batch_state/src/batch_state/messages/rollouts.py
@@ -29,7 +29,7 @@
     safe = True
     job_id: str
     index: int
-    number: int
+    claim_number: int
     path: str
     body: str
     prompt: int
@@ -56,7 +56,7 @@
     leader_ms: int
     work: list[bytes]
     listing_leases: list[bytes]
-    stops: list[str]
+    closed_jobs: list[str]
     waiting: int
     paths: list[str]
     samples_out: int
--- a/libs/batch_state/src/batch_state/result_reports.py
+++ b/libs/batch_state/src/batch_state/result_reports.py
@@ -76,9 +76,13 @@
     def _entries(self, job: Job, message: ReportResult) -> list[Message]:
         item = job.items[message.index]
         if message.outcome == ItemResult.RETURNED:
-            if not item.claimed_under(message.number):
+            if not item.claimed_under(message.claim_number):
                 return []
-            return [ItemReturned(job_id=message.job_id, index=message.index, number=message.number)]
+            return [
+                ItemReturned(
+                    job_id=message.job_id, index=message.index, claim_number=message.claim_number
+                )
+            ]
         if item.state == ItemState.FINISHED:
             return []
         return [
--- a/libs/batch_state/src/batch_state/state.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -111,28 +111,32 @@
 
     @apply.register
     def _(self, entry: ItemClaimed) -> None:
-        self._claim(entry.job_id, entry.index, entry.edge, entry.number)
+        self._claim(entry.job_id, entry.index, entry.edge, entry.claim_number)
 
     @apply.register
     def _(self, entry: ItemsClaimed) -> None:
-        for index, number in zip(entry.indexes, entry.numbers, strict=True):
-            self._claim(entry.job_id, index, entry.edge, number)
+        for index, claim_number in zip(entry.indexes, entry.claim_numbers, strict=True):
+            self._claim(entry.job_id, index, entry.edge, claim_number)
 
-    def _claim(self, job_id: str, index: int, edge: str, number: int) -> None:
+    def _claim(self, job_id: str, index: int, edge: str, claim_number: int) -> None:
         item = self._item_to_change(job_id, index)
-        if item is not None and item.state != ItemState.FINISHED and number > item.number:
-            self.jobs[job_id].claim(index, edge, number)
+        if (
+            item is not None
+            and item.state != ItemState.FINISHED
+            and claim_number > item.claim_number
+        ):
+            self.jobs[job_id].claim(index, edge, claim_number)
 
     @apply.register
     def _(self, entry: ItemReturned) -> None:
         item = self._item_to_change(entry.job_id, entry.index)
-        if item is not None and item.claimed_under(entry.number):
+        if item is not None and item.claimed_under(entry.claim_number):
             self.jobs[entry.job_id].give_back(entry.index)
 
     @apply.register
     def _(self, entry: AttemptFailed) -> None:
         item = self._item_to_change(entry.job_id, entry.index)
-        if item is not None and item.claimed_under(entry.number):
+        if item is not None and item.claimed_under(entry.claim_number):
             item.failures = entry.failures
             item.failed_at = (*item.failed_at, entry.worker)
             self.jobs[entry.job_id].give_back(entry.index)
@@ -208,7 +212,7 @@
     @apply.register
     def _(self, entry: KeyClosed) -> None:
         key = self.keys.get(entry.key)
-        if key is not None and key.transaction == entry.transaction and key.may_change:
+        if key is not None and key.request_id == entry.request_id and key.may_change:
             key.close(entry)
             if key.state == KeyState.DONE:
                 self.unarchived[(RecordKind.KEY, entry.key)] = None
@@ -237,7 +241,7 @@
         key = self.keys.get(entry.key)
         if key is None:
             key = self.keys[entry.key] = IdempotencyKey.from_archive(entry)
-        if key.state == KeyState.DONE and key.transaction == entry.transaction:
+        if key.state == KeyState.DONE and key.request_id == entry.request_id:
             key.archive(entry)
             self.unarchived.pop((RecordKind.KEY, entry.key), None)
 
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -215,7 +215,7 @@
             "sample-given-up",
             job=sample.work.job_id,
             index=sample.work.index,
-            number=sample.work.number,
+            claim_number=sample.work.claim_number,
             worker=worker,
             reason=reason,
         )
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -175,9 +175,9 @@
             cancelled=job.cancelled,
             cancelled_at_ms=job.cancelled_at_ms,
             file=name,
-            places=places,
-            sizes=sizes,
-            firsts=firsts,
+            block_offsets=places,
+            block_sizes=sizes,
+            first_positions=firsts,
         )
 
     def _put_key(self, key: str, held: IdempotencyKey, name: str, page: bytearray) -> e.KeyArchived:
@@ -187,12 +187,12 @@
             key=key,
             digest=held.digest,
             edge=held.edge,
-            transaction=held.transaction,
+            request_id=held.request_id,
             status=held.status,
             at_ms=held.at_ms,
             file=name,
-            place=len(page) - len(data),
-            size=len(data),
+            block_offset=len(page) - len(data),
+            block_size=len(data),
         )
 
     # -- reading -------------------------------------------------------------------------------
@@ -211,17 +211,18 @@
         """
         shelf = job.archived
         at = max(
-            (number for number, first in enumerate(shelf.firsts) if first <= from_index), default=-1
+            (number for number, first in enumerate(shelf.first_positions) if first <= from_index),
+            default=-1,
         )
         if at < 0 or from_index >= job.listed:
             return []
-        rows = self._leaf(job.job_id, shelf.file, shelf.places[at], shelf.sizes[at])
-        return None if rows is None else rows[from_index - shelf.firsts[at] :][:limit]
+        rows = self._leaf(job.job_id, shelf.file, shelf.block_offsets[at], shelf.block_sizes[at])
+        return None if rows is None else rows[from_index - shelf.first_positions[at] :][:limit]
 
     def read_answer(self, key: IdempotencyKey) -> str | None:
         """Return the archived final answer of a key, or None if it is damaged or isn't here."""
         rows = self._leaf(
-            key.archived.key, key.archived.file, key.archived.place, key.archived.size
+            key.archived.key, key.archived.file, key.archived.block_offset, key.archived.block_size
         )
         return None if rows is None else rows[0].decode()
 
@@ -244,7 +245,9 @@
             and job.archived.file == file
             and any(
                 self._leaf(job.job_id, file, place, size) is None
-                for place, size in zip(job.archived.places, job.archived.sizes, strict=True)
+                for place, size in zip(
+                    job.archived.block_offsets, job.archived.block_sizes, strict=True
+                )
             )
         ]
         return jobs + [
@@ -274,7 +277,12 @@
         else:
             page += _packed(ArchiveBlock(name=name, rows=rows))
             entry = e.KeyArchived(
-                **{**held.archived.as_dict(), "file": file, "place": 0, "size": len(page)}
+                **{
+                    **held.archived.as_dict(),
+                    "file": file,
+                    "block_offset": 0,
+                    "block_size": len(page),
+                }
             )
 
         def flushed(ok: bool) -> None:
--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -31,7 +31,7 @@
             key=tx.key,
             digest=carriage.call.digest,
             edge=carrier.edge,
-            transaction=tx.transaction_id,
+            request_id=tx.transaction_id,
             epoch=0,
             leader_ms=0,
         ),
@@ -60,7 +60,7 @@
     holder.ask(
         m.CloseKey(
             key=tx.key,
-            transaction=tx.transaction_id,
+            request_id=tx.transaction_id,
             state=step.close_as,
             status=status,
             body=body,
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -145,7 +145,7 @@
         if receipt.epoch < self._holder.epoch:
             return
         self._holder.heard(receipt, asked_ms)
-        for job_id in receipt.stops:
+        for job_id in receipt.closed_jobs:
             self.stop(job_id, "lot over")
         if isinstance(receipt, m.RolloutHeartbeatResponse) and self.samples is not None:
             self.samples.told(receipt)
@@ -199,7 +199,7 @@
                     m.ItemOutcome(
                         job_id=work.job_id,
                         index=work.index,
-                        number=work.number,
+                        claim_number=work.claim_number,
                         outcome=outcome,
                         text=text,
                         worker=worker,
@@ -259,7 +259,7 @@
             m.ReportResult(
                 job_id=run.work.job_id,
                 index=run.work.index,
-                number=run.work.number,
+                claim_number=run.work.claim_number,
                 outcome=outcome,
                 body=body,
                 worker=worker,
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -116,7 +116,7 @@
         while not holder.adopted():
             await asyncio.sleep(0.01)
         entry = entries.KeyClosed(
-            key="k", transaction="t", state="done", status=200, body="x" * body_bytes, at_ms=0
+            key="k", request_id="t", state="done", status=200, body="x" * body_bytes, at_ms=0
         )
         handle = os.open(os.path.join(folder, "plain"), os.O_RDWR | os.O_CREAT)
 
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -73,7 +73,7 @@
     ]
     if over:
         for place in range(_ITEMS):
-            rows.append(e.ItemClaimed(job_id=name, index=place, edge="edge-1", number=1))
+            rows.append(e.ItemClaimed(job_id=name, index=place, edge="edge-1", claim_number=1))
             rows.append(
                 e.ItemFinished(
                     job_id=name,
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -48,7 +48,7 @@
     costs = MeteredCosts(fleet, store_groups(fleet))
     host, done = fleet.leader(), []
     entry = e.KeyClosed(
-        key="k", transaction="t", state="done", status=200, body="x" * body_bytes, at_ms=0
+        key="k", request_id="t", state="done", status=200, body="x" * body_bytes, at_ms=0
     )
 
     def work() -> None:
@@ -122,7 +122,7 @@
                             m.ItemOutcome(
                                 job_id=row.job_id,
                                 index=row.index,
-                                number=row.number,
+                                claim_number=row.claim_number,
                                 outcome="finished",
                                 text=text,
                                 worker="w",
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -260,16 +260,16 @@
     ),
     "a claim is handed back under an old number": (
         "batch_state/src/batch_state/result_reports.py",
-        "if not item.claimed_under(message.number):\n"
+        "if not item.claimed_under(message.claim_number):\n"
         "return []\n"
-        "return [ItemReturned(job_id=message.job_id, index=message.index, number=message.number)]",
+        "return [ItemReturned(job_id=message.job_id, index=message.index, claim_number=message.claim_number)]",
         "if item.state != ItemState.CLAIMED:\n                return []\n            "
-        "return [ItemReturned(job_id=message.job_id, index=message.index, number=item.number)]",
+        "return [ItemReturned(job_id=message.job_id, index=message.index, claim_number=item.claim_number)]",
         _CLAIMS + "handed_back_late",
     ),
     "an item's failure counts under an old number": (
         "batch_state/src/batch_state/forward_completion.py",
-        "if not item.claimed_under(report.number):",
+        "if not item.claimed_under(report.claim_number):",
         "if item.state != ItemState.CLAIMED:",
         _CLAIMS + "uses_up",
     ),
--- a/tests/leader_fixture.py
+++ b/tests/leader_fixture.py
@@ -162,7 +162,7 @@
                         messages.ItemOutcome(
                             job_id=row.job_id,
                             index=row.index,
-                            number=row.number,
+                            claim_number=row.claim_number,
                             outcome=outcome,
                             text=text,
                             worker=worker,
--- a/tests/log_table.py
+++ b/tests/log_table.py
@@ -132,4 +132,4 @@
 
 
 def entry(key):
-    return entries.KeyOpened(key=key, digest="d", edge="e", transaction="t", at_ms=0)
+    return entries.KeyOpened(key=key, digest="d", edge="e", request_id="t", at_ms=0)
--- a/tests/test_batch_state.py
+++ b/tests/test_batch_state.py
@@ -26,23 +26,23 @@
         )
     for _ in range(120):
         job, index, number = f"l{rng.randrange(5)}", rng.randrange(4), rng.randrange(1, 5)
-        key, transaction = f"k{rng.randrange(4)}", f"t{rng.randrange(3)}"
+        key, request_id = f"k{rng.randrange(4)}", f"t{rng.randrange(3)}"
         rows.append(
             rng.choice(
                 [
-                    entries.ItemClaimed(job_id=job, index=index, edge="e", number=number),
-                    entries.ItemReturned(job_id=job, index=index, number=number),
+                    entries.ItemClaimed(job_id=job, index=index, edge="e", claim_number=number),
+                    entries.ItemReturned(job_id=job, index=index, claim_number=number),
                     entries.ItemFinished(
                         job_id=job, index=index, outcome="ran", body=f"r{rng.random()}", worker="w"
                     ),
                     entries.ListingLeaseGranted(job_id=job, edge="e", epoch=number),
                     entries.ListingAdvanced(job_id=job, up_to=index, epoch=number),
                     entries.KeyOpened(
-                        key=key, digest="d", edge="e", transaction=transaction, at_ms=number
+                        key=key, digest="d", edge="e", request_id=request_id, at_ms=number
                     ),
                     entries.KeyClosed(
                         key=key,
-                        transaction=transaction,
+                        request_id=request_id,
                         state=rng.choice(("done", "void", "doubt")),
                         status=200,
                         body="b",
@@ -64,7 +64,10 @@
             job.listing_epoch,
             job.listing_edge,
             job.open,
-            [(item.state, item.edge, item.number, item.outcome, item.result) for item in job.items],
+            [
+                (item.state, item.edge, item.claim_number, item.outcome, item.result)
+                for item in job.items
+            ],
             job.waiting == sum(item.state == "waiting" for item in job.items),
             sorted(job.claims)
             == [index for index, item in enumerate(job.items) if item.state == "claimed"],
@@ -72,7 +75,7 @@
         for name, job in state.jobs.items()
     }
     keys = {
-        name: (key.state, key.transaction, key.body, key.status) for name, key in state.keys.items()
+        name: (key.state, key.request_id, key.body, key.status) for name, key in state.keys.items()
     }
     return jobs, keys, sorted(state.open_jobs)
 
@@ -100,13 +103,13 @@
         state = BatchState()
         for row in random_entries(1)[:4]:
             state.apply(row)
-        state.apply(entries.KeyOpened(key="k", digest="d", edge="e", transaction="t", at_ms=1))
+        state.apply(entries.KeyOpened(key="k", digest="d", edge="e", request_id="t", at_ms=1))
         before = snapshot_of(state)
         twin = state.copy()
         for row in (
-            entries.ItemClaimed(job_id="l0", index=0, edge="e", number=1),
+            entries.ItemClaimed(job_id="l0", index=0, edge="e", claim_number=1),
             entries.JobCancelled(job_id="l2", at_ms=1),
-            entries.KeyClosed(key="k", transaction="t", state="void", status=0, body="", at_ms=1),
+            entries.KeyClosed(key="k", request_id="t", state="void", status=0, body="", at_ms=1),
         ):
             twin.apply(row)
         self.assertThat(snapshot_of(state), Equals(before))
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -267,16 +267,16 @@
                 expires_ms=9,
                 at_ms=1,
             ),
-            e.ItemClaimed(job_id="rollout:r", index=4, edge="e1", number=1),
-            e.ItemReturned(job_id="rollout:r", index=4, number=1),
-            e.ItemClaimed(job_id="rollout:r", index=0, edge="e1", number=2),
+            e.ItemClaimed(job_id="rollout:r", index=4, edge="e1", claim_number=1),
+            e.ItemReturned(job_id="rollout:r", index=4, claim_number=1),
+            e.ItemClaimed(job_id="rollout:r", index=0, edge="e1", claim_number=2),
             e.ItemFinished(job_id="rollout:r", index=0, outcome="ran", body="x", worker="w"),
         ]
         for row in rows:
             state.apply(row)
         job = state.jobs["rollout:r"]
         self.assertThat(
-            (job.total, [item.body for item in job.items], job.items[4].number, job.waiting),
+            (job.total, [item.body for item in job.items], job.items[4].claim_number, job.waiting),
             Equals((6, ["a", "a", "a", "b", "b", "b"], 1, 5)),
         )
         self.assertThat((state.backlog("p"), state.rollout_backlog("p")), Equals((0, 1)))
--- a/tests/test_forward_dispatch.py
+++ b/tests/test_forward_dispatch.py
@@ -47,10 +47,11 @@
         fixture.heartbeat("e9", capacity=0, address="10.0.0.1:1")
         fixture.advance(25)
         fresh = fixture.assignments(fixture.heartbeat("e2"))
-        self.assertThat([row.number for row in fresh], Equals([2]))
+        self.assertThat([row.claim_number for row in fresh], Equals([2]))
         fixture.advance(SETTINGS.failure_timeout_ms + 1)
         self.assertThat(
-            [row.number for row in fixture.assignments(fixture.heartbeat("e3"))], Equals([2, 3])
+            [row.claim_number for row in fixture.assignments(fixture.heartbeat("e3"))],
+            Equals([2, 3]),
         )
 
     def test_edges_that_run_a_job_hear_that_it_was_cancelled(self):
@@ -59,7 +60,7 @@
         fixture.heartbeat("e1")
         held = fixture.heartbeat("e1", running=["one#0", "one#1"])
         fixture.request(messages.CancelJob(job_id="one"))
-        self.assertThat(fixture.response(held).stops, Equals(["one"]))
+        self.assertThat(fixture.response(held).closed_jobs, Equals(["one"]))
 
 
 class ItemCompletion(TestCase):
--- a/tests/test_forward_jobs.py
+++ b/tests/test_forward_jobs.py
@@ -42,12 +42,18 @@
                         job_id=job,
                         edge=edge,
                         indexes=[index, (index + 1) % 3],
-                        numbers=[number, number],
+                        claim_numbers=[number, number],
                     ),
-                    entries.ItemsClaimed(job_id=job, edge=edge, indexes=[index], numbers=[number]),
-                    entries.ItemReturned(job_id=job, index=index, number=number),
+                    entries.ItemsClaimed(
+                        job_id=job, edge=edge, indexes=[index], claim_numbers=[number]
+                    ),
+                    entries.ItemReturned(job_id=job, index=index, claim_number=number),
                     entries.AttemptFailed(
-                        job_id=job, index=index, number=number, failures=0, worker=f"w{number}"
+                        job_id=job,
+                        index=index,
+                        claim_number=number,
+                        failures=0,
+                        worker=f"w{number}",
                     ),
                     entries.ResultListed(
                         job_id=job,
@@ -98,7 +104,14 @@
             [
                 (item.state, item.outcome, item.result)
                 if item.state == "finished"
-                else (item.state, item.edge, item.number, item.failures, item.failed_at, item.body)
+                else (
+                    item.state,
+                    item.edge,
+                    item.claim_number,
+                    item.failures,
+                    item.failed_at,
+                    item.body,
+                )
                 for item in job.items
             ],
         )
--- a/tests/test_forward_jobs_sim.py
+++ b/tests/test_forward_jobs_sim.py
@@ -137,7 +137,7 @@
                 return
             state["over"] = True
             if answer is not None and answer.status == 200:
-                page = [(row.item_id, row.outcome, row.text) for row in answer.value[0]]
+                page = [(row.item_id, row.outcome, row.text) for row in answer.value.results]
                 for index, row in enumerate(page, position):
                     if index < len(rows) and rows[index] != row:
                         raise AssertionError(f"{job_id} {index}: {rows[index]} and then {row}")
--- a/tests/test_holders.py
+++ b/tests/test_holders.py
@@ -34,7 +34,7 @@
     def settle(self, fleet, host, key):
         outcomes = []
         host.node.log.leader.append(
-            [entries.KeyOpened(key=key, digest="d", edge="e", transaction="t", at_ms=0)],
+            [entries.KeyOpened(key=key, digest="d", edge="e", request_id="t", at_ms=0)],
             True,
             outcomes.append,
         )
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -141,7 +141,7 @@
                 m.ForwardAssignment(
                     job_id="lot",
                     index=index,
-                    number=1,
+                    claim_number=1,
                     path="route",
                     call=call,
                     avoid=list(avoid),
@@ -157,7 +157,7 @@
                 leader_ms=1,
                 work=work,
                 listing_leases=[],
-                stops=[],
+                closed_jobs=[],
                 waiting=0,
                 paths=["route"],
             ),
@@ -310,7 +310,13 @@
         stage.answer(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
-                epoch=4, leader_ms=1, work=[], listing_leases=[], stops=["lot"], waiting=0, paths=[]
+                epoch=4,
+                leader_ms=1,
+                work=[],
+                listing_leases=[],
+                closed_jobs=["lot"],
+                waiting=0,
+                paths=[],
             ),
         )
         self.assertThat(
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -61,21 +61,21 @@
         self.jobs.tick()
 
     def _start(self, work, done):
-        self.started.append((work.index, work.number))
+        self.started.append((work.index, work.claim_number))
         self.ends[work.index] = done
         return lambda: self.cancelled.append(work.index)
 
     def answer(self, index, number, safe=True, epoch=5, heartbeat=-1):
         """Answer a heartbeat with one item."""
         work = messages.ItemAssignment(
-            job_id="l", index=index, number=number, path="p", safe=safe, body="{}", due_ms=0
+            job_id="l", index=index, claim_number=number, path="p", safe=safe, body="{}", due_ms=0
         )
         response = messages.EdgeHeartbeatResponse(
             epoch=epoch,
             leader_ms=0,
             work=[encode(work)],
             listing_leases=[],
-            stops=[],
+            closed_jobs=[],
             waiting=0,
             paths=["p"],
         )
@@ -83,7 +83,7 @@
 
     def reported(self):
         return [
-            (row.index, row.number, row.outcome)
+            (row.index, row.claim_number, row.outcome)
             for row, _ in self.leader.asked
             if isinstance(row, messages.ReportResult)
         ]
@@ -149,7 +149,7 @@
             shown = (
                 (item.state, None, None)
                 if item.state == "finished"
-                else (item.state, item.number, item.edge)
+                else (item.state, item.claim_number, item.edge)
             )
             self.assertThat(
                 (shown, [row[1] for row in fixture.listed_results("one")]),
@@ -200,7 +200,7 @@
         self.finish(fixture, first, "again", "e1")
         item = fixture.leader.state.jobs["l"].items[0]
         self.assertThat(
-            (first.number, second.number, item.state, item.edge, item.number),
+            (first.claim_number, second.claim_number, item.state, item.edge, item.claim_number),
             Equals((1, 2, "claimed", "e2", 2)),
         )
 
@@ -209,7 +209,7 @@
             messages.ReportResult(
                 job_id=work.job_id,
                 index=work.index,
-                number=work.number,
+                claim_number=work.claim_number,
                 outcome=outcome,
                 body="",
                 worker="",
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -266,12 +266,12 @@
         kept = log.committed_seq
         log.maintain_snapshot(force=True)
         close = entries.KeyClosed(
-            key="k25", transaction="t", state="done", status=200, body="late", at_ms=0
+            key="k25", request_id="t", state="done", status=200, body="late", at_ms=0
         )
         for entry in (
             close,
             entries.KeyExpired(key="k28"),
-            entries.KeyOpened(key="new", digest="d", edge="e", transaction="t", at_ms=0),
+            entries.KeyOpened(key="new", digest="d", edge="e", request_id="t", at_ms=0),
         ):
             table.holder.append([entry], True, lambda outcome: None)
         table.run(8)
--- a/tests/test_shelves.py
+++ b/tests/test_shelves.py
@@ -94,7 +94,7 @@
         run, fleet = self.founded()
         holder = fleet.leader()
         job = holder.node.log.log.state.jobs["lot2"]
-        holder.disk.damage(job.archived.file, job.archived.places[0] + 40)
+        holder.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
         self.assertThat(holder.node.log.log.archive.read_results(job, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot2"), Equals(30))
         self.assertThat(len(holder.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
@@ -104,10 +104,10 @@
         run, fleet = self.founded()
         log = fleet.leader().node.log.log
         one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
-        one.archived.file, one.archived.places, one.archived.sizes = (
+        one.archived.file, one.archived.block_offsets, one.archived.block_sizes = (
             other.archived.file,
-            other.archived.places,
-            other.archived.sizes,
+            other.archived.block_offsets,
+            other.archived.block_sizes,
         )
         self.assertThat(log.archive.read_results(one, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot1"), Equals(30))
@@ -118,7 +118,7 @@
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
         job, key = log.state.jobs["lot1"], log.state.keys["kept"]
-        host.disk.damage(job.archived.file, job.archived.places[0] + 40)
+        host.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
 
         def whole():
             results = log.archive.read_results(job, 0, 9) or []
