--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -234,11 +234,11 @@
         "if not self._matches and self._dialect.request_id.lower() in self._seen: return (otherwise",
         _KEPT + "before_anything",
     ),
-    "the door closes on a request just read": (
+    "draining drops a request just read": (
         "data_plane/src/data_plane/forward_connections.py",
         "or (self._request_count and not waiting)",
         "",
-        _WIRE + "closing_of_the_door",
+        _WIRE + "end_of_accepting",
     ),
     "an older client gets an interim answer": (
         "data_plane/src/data_plane/forward_server.py",
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -43,15 +43,15 @@
         self.rng = random.Random(5)
         self.settings, self.taken = {}, {}
         self.workers, self.jobs, self.runners = {}, {}, []
-        names = [("edge", place) for place in range(3)] + [("core", place) for place in range(2)]
+        names = [("edge", index) for index in range(3)] + [("core", index) for index in range(2)]
         self.machines = [
             FakeMachine(
-                f"{of}-{place}",
+                f"{of}-{index}",
                 of,
-                sheet.zones[place % len(sheet.zones)],
+                sheet.zones[index % len(sheet.zones)],
                 f"{self.net}.{number + 1}",
             )
-            for number, (of, place) in enumerate(names)
+            for number, (of, index) in enumerate(names)
         ]
 
     def everyone(self, machine_class=""):
@@ -130,8 +130,8 @@
         if not self._valid(made):
             return web.Response(status=400)
         self.settings = self.taken[key] = made
-        for place, edge in enumerate(self.with_role("edge")):
-            if not (self.broken == "old-version" and place == 0 and edge.settings):
+        for index, edge in enumerate(self.with_role("edge")):
+            if not (self.broken == "old-version" and index == 0 and edge.settings):
                 edge.settings = made
         return web.Response(status=200)
 
--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -31,7 +31,7 @@
 
 
 class Reading(TestCase):
-    def test_what_becomes_of_a_route(self):
+    def test_a_route_as_a_profile(self):
         rows = [
             (
                 route(),
@@ -138,7 +138,7 @@
             found = ProfileTree(tree["profiles"]).route("nony24.example", f"/{index}/")
             self.assertThat(found.labels, Equals({service_name(name)}))
 
-    def test_given_back_as_it_was_sent(self):
+    def test_shown_as_it_was_sent(self):
         odd = {
             **SETTINGS,
             "extra": {"deep": [1, None, 1.5, "ä", {"x": None}]},
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -28,7 +28,7 @@
             for host in platform.fleet.with_role("edge")
         )
 
-    def test_every_call_and_its_answer(self):
+    def test_every_call_and_its_response(self):
         """(method, base, what, its status); each on the state that the rows before it left."""
         patch = {"revision": 12, "upsert": {"routes": [{**ROUTE, "tries": 9}]}}
         rows = [
@@ -65,13 +65,13 @@
         async def body(platform):
             for index, (method, base, sent, status) in enumerate(rows):
                 headers = None if base is None else {"If-Match": base}
-                told = await platform.ask(
+                response = await platform.ask(
                     f"control{index % 5 + 1}", method, "/vaneledge/settings", sent, headers
                 )
                 self.assertThat(
-                    (told[0], told[2] <= 700),
+                    (response[0], response[2] <= 700),
                     Equals((status, True)),
-                    str((method, base, str(sent)[:80], told)),
+                    str((method, base, str(sent)[:80], response)),
                 )
             wanted = revised(15, routes=[{**ROUTE, "tries": 9}, SETTINGS["routes"][1]])
             for host in platform.fleet.with_role("control"):
@@ -85,8 +85,10 @@
     def test_acknowledged_once_the_edges_have_it(self):
         async def body(platform):
             for base, revision in ((0, 3), (3, 8), (8, 9)):
-                told = await platform.put("control2", base, revised(revision))
-                self.assertThat((told[0], self.edges_have(platform, revision)), Equals((200, True)))
+                response = await platform.put("control2", base, revised(revision))
+                self.assertThat(
+                    (response[0], self.edges_have(platform, revision)), Equals((200, True))
+                )
 
         self.run_test(body)
 
@@ -101,17 +103,19 @@
                     platform.start(name, "PUT", "/vaneledge/settings", one, {"If-Match": str(base)})
                     for name, one in zip(names, sent, strict=True)
                 ]
-                told = await platform.finish(*tasks)
-                self.assertThat(sorted(row[0] for row in told), Equals([200, 412]), str(told))
-                won = [row[0] for row in told].index(200)
+                responses = await platform.finish(*tasks)
+                self.assertThat(
+                    sorted(row[0] for row in responses), Equals([200, 412]), str(responses)
+                )
+                won = [row[0] for row in responses].index(200)
                 again = [await platform.put(rng.choice(names), base, one) for one in sent]
-                self.assertThat([row[0] for row in again], Equals([row[0] for row in told]))
+                self.assertThat([row[0] for row in again], Equals([row[0] for row in responses]))
                 self.assertThat((await platform.shown(names[0]))[1], Equals(sent[won]))
                 base = sent[won]["revision"]
 
         self.run_test(body)
 
-    def test_races_under_trouble_never_acknowledge_both(self):
+    def test_races_under_faults_never_acknowledge_both(self):
         """Owners are killed, cut off and frozen while two send at once; each repeats until it has a clear answer."""
 
         async def one(seed):
@@ -144,11 +148,11 @@
                             "freeze": struck.freeze,
                             "cut": partial(platform.fleet.network.isolate, struck.address),
                         }[blow]()
-                    for index, told in zip(
+                    for index, response in zip(
                         open_calls, await platform.finish(*tasks, wait_ms=1000), strict=True
                     ):
-                        if told is not None and told[0] != 503:
-                            clear[index] = told[0]
+                        if response is not None and response[0] != 503:
+                            clear[index] = response[0]
                     if attempt == 5:
                         platform.fleet.network.heal()
                         struck.wake() if struck.frozen else None if struck.up else struck.start()
@@ -167,7 +171,7 @@
         for seed in range(1, 5):
             asyncio.run(one(seed))
 
-    def test_a_minority_answers_at_once_and_takes_nothing(self):
+    def test_a_minority_answers_at_once_and_changes_nothing(self):
         async def body(platform):
             self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
             cut = [platform.fleet.hosts[name].address for name in ("control1", "control2")]
@@ -181,12 +185,12 @@
                     ],
                 ]
             )
-            told = await platform.put("control1", 3, revised(5), wait_ms=1000)
-            self.assertThat((told[0], told[2] <= 750), Equals((503, True)), str(told))
+            response = await platform.put("control1", 3, revised(5), wait_ms=1000)
+            self.assertThat((response[0], response[2] <= 750), Equals((503, True)), str(response))
             platform.run(1500)
             for call in (platform.put("control2", 3, revised(6)), platform.shown("control1")):
-                told = await call
-                self.assertThat((told[0], told[2]), Equals((503, 0.0)))
+                response = await call
+                self.assertThat((response[0], response[2]), Equals((503, 0.0)))
             self.assertThat((await platform.put("control3", 3, revised(7)))[0], Equals(200))
             platform.fleet.network.heal()
             platform.run(2500)
@@ -196,19 +200,19 @@
 
         self.run_test(body)
 
-    def test_an_edge_that_is_gone_does_not_hold_it_up_for_long(self):
+    def test_a_lost_edge_does_not_delay_a_change_for_long(self):
         async def body(platform):
             platform.fleet.hosts["edge2"].kill()
-            told = [
+            responses = [
                 await platform.put("control1", 0, revised(3)),
                 await platform.put("control2", 0, revised(3)),
             ]
-            self.assertThat(told[1][0], Equals(200))
-            self.assertThat(sum(row[2] for row in told) <= 1000, Equals(True), str(told))
+            self.assertThat(responses[1][0], Equals(200))
+            self.assertThat(sum(row[2] for row in responses) <= 1000, Equals(True), str(responses))
 
         self.run_test(body)
 
-    def test_it_is_there_after_power_is_lost_everywhere(self):
+    def test_settings_survive_power_loss_everywhere(self):
         async def body(platform):
             self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
             hosts = list(platform.fleet.hosts.values())
@@ -255,7 +259,7 @@
         log = platform.fleet.hosts["control1"].node.config_feed.value("log")
         return bool(log) and len(log["members"]) == 3 and platform.fleet.leader() is not None
 
-    def test_a_store_is_emptied_and_told_so_once_it_is_out_of_the_log(self):
+    def test_a_store_is_retired_once_it_is_out_of_the_log(self):
         async def run():
             platform = Platform(edges=1)
             self.assertThat(
@@ -283,8 +287,8 @@
                 self.assertThat((await self.call(platform, "POST", host, name))[0], Equals(200))
             states = []
             for _ in range(200):
-                told = await self.call(platform, "GET", "control4", name)
-                states.append(told[1].get("state"))
+                response = await self.call(platform, "GET", "control4", name)
+                states.append(response[1].get("state"))
                 if states[-1] == "finished":
                     break
                 platform.run(100)
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -1,5 +1,5 @@
-"""Forwarded requests through an edge's own desk, on real sockets: what reaches the worker and what comes back,
-connections used again or not, clients that hang up, read slowly or come while the edge stops.
+"""Forwarded requests through an edge's forward server, on real sockets: what reaches the worker and what comes back,
+connections used again or not, clients that disconnect, read slowly or come while the edge drains.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
                 status, fields, answer = await edge.one(
                     target, method=method, body=body, extra=extra, framing=framing
                 )
-                line, seen, came, _ = worker.requests[-1]
+                line, seen, received, _ = worker.requests[-1]
                 wanted = b"abc" if framing and "chunked" in framing else body
                 self.assertThat(
                     (
                         status,
                         answer,
                         line,
-                        came,
+                        received,
                         seen["Request-Id"],
                         seen["Host"],
                         fields["server-seal"],
@@ -82,7 +82,7 @@
             self.assertThat(800 < left_ms <= 900, Equals(True))
 
     @run
-    async def test_what_an_edge_says_itself(self):
+    async def test_responses_of_the_edge_itself(self):
         async with Edge([Worker("w0", good)]) as edge:
             rows = [
                 ("/x/1", {}, 404),
@@ -99,15 +99,15 @@
             self.assertThat((status, 0 < float(fields["retry-after"]) <= 1), Equals((503, True)))
 
     @run
-    async def test_a_worker_that_cannot_be_reached_is_passed_over_and_rests(self):
+    async def test_an_unreachable_worker_is_skipped_for_a_while(self):
         worker = Worker("w1", good)
         async with Edge([None, worker]) as edge:
-            told = [(await edge.one("/p/1"))[0] for _ in range(4)]
-            self.assertThat(told, Equals([200] * 4))
+            statuses = [(await edge.one("/p/1"))[0] for _ in range(4)]
+            self.assertThat(statuses, Equals([200] * 4))
             self.assertThat(edge.node.carrier.counts.get("sends_failed", 0), LessThan(3))
 
     @run
-    async def test_no_worker_at_all_is_told_at_once(self):
+    async def test_without_any_worker_the_refusal_is_immediate(self):
         async with Edge([None, None]) as edge:
             began = asyncio.get_running_loop().time()
             status, fields, _ = await edge.one("/p/1")
@@ -117,7 +117,7 @@
 
 class Streams(TestCase):
     @run
-    async def test_a_stream_taken_up_elsewhere_keeps_its_first_head(self):
+    async def test_a_resumed_stream_keeps_its_first_head(self):
         async def breaks(worker, fields, writer):
             if "Last-Event-Id" in fields:
                 return await three_events(worker, fields, writer)
@@ -137,7 +137,7 @@
             self.assertThat(second.requests[0][1]["Last-Event-Id"], Equals("1"))
 
     @run
-    async def test_a_stream_that_breaks_never_looks_whole(self):
+    async def test_a_stream_that_breaks_never_looks_complete(self):
         async def breaks(worker, fields, writer):
             worker.say(writer, head(fields) + chunk(event(1)) + chunk(event(2)[:5]))
             return False
@@ -149,7 +149,7 @@
             self.assertThat((rest.endswith(b"0\r\n\r\n"), b"id: 2" in rest), Equals((False, False)))
 
     @run
-    async def test_events_go_on_as_they_come(self):
+    async def test_events_are_forwarded_as_they_come(self):
         gate = asyncio.Event()
 
         async def slow(worker, fields, writer):
@@ -168,7 +168,7 @@
             )
 
     @run
-    async def test_who_hangs_up_frees_the_worker(self):
+    async def test_a_disconnected_client_frees_the_worker(self):
         async def slow(worker, fields, writer):
             worker.say(writer, head(fields) + chunk(event(1)))
 
@@ -183,7 +183,7 @@
                 self.assertThat(sum(one.sending for one in edge.node.roster.all()), Equals(0))
 
     @run
-    async def test_who_reads_slowly_holds_the_worker_back(self):
+    async def test_a_slow_client_holds_the_worker_back(self):
         written = []
 
         async def endless(worker, fields, writer):
@@ -211,13 +211,13 @@
             client.writer.transport.resume_reading()
             rest = b""
             while not rest.endswith(b"\r\n0\r\n\r\n"):
-                came = await asyncio.wait_for(client.reader.read(1 << 20), 5)
-                self.assertThat(came, NotEquals(b""))
-                rest = (rest + came)[-100_000:]
+                received = await asyncio.wait_for(client.reader.read(1 << 20), 5)
+                self.assertThat(received, NotEquals(b""))
+                rest = (rest + received)[-100_000:]
             self.assertThat(len(written), Equals(2999))
 
     @run
-    async def test_a_worker_gone_dark_is_left_for_another_if_that_is_safe(self):
+    async def test_a_silent_worker_is_replaced_if_a_retry_is_safe(self):
         async def dark(worker, fields, writer):
             await asyncio.sleep(3600)
 
@@ -254,21 +254,21 @@
     ]
 
     @run
-    async def test_which_are_used_again(self):
+    async def test_which_connections_are_reused(self):
         for name, extra, after, wanted in self.ROWS:
             worker = Worker("w0", made("yes", extra, after))
             async with Edge([worker]) as edge:
-                told = [
-                    (await edge.one("/p/1", request_id=f"r-{place}"))[::2] for place in range(3)
+                responses = [
+                    (await edge.one("/p/1", request_id=f"r-{index}"))[::2] for index in range(3)
                 ]
                 self.assertThat(
-                    (told, worker.connections, edge.sender.pool.opened),
+                    (responses, worker.connections, edge.sender.pool.opened),
                     Equals(([(200, b"yes")] * 3, wanted, wanted)),
                     name,
                 )
 
     @run
-    async def test_how_long_they_are_good_for_what(self):
+    async def test_how_long_idle_connections_are_reused(self):
         """Rows: seconds idle of the five that the worker keeps them, and whether used again: unsafe, safe."""
         clock = {"now": 1000.0}
         real, connection_pool.monotonic = connection_pool.monotonic, lambda: clock["now"]
@@ -284,8 +284,8 @@
                     async with Edge([worker]) as edge:
                         await edge.one(target)
                         for rows in edge.sender.pool._conns.values():
-                            for place, (protocol, _) in enumerate(list(rows)):
-                                rows[place] = (protocol, clock["now"] - idle_s)
+                            for index, (protocol, _) in enumerate(list(rows)):
+                                rows[index] = (protocol, clock["now"] - idle_s)
                         await edge.one(target, request_id="r-2")
                         self.assertThat(
                             worker.connections, Equals(1 if again else 2), f"{target} {idle_s}"
@@ -294,7 +294,7 @@
             connection_pool.monotonic = real
 
     @run
-    async def test_a_late_answer_is_never_taken_for_another_request(self):
+    async def test_a_late_response_is_never_taken_for_another_request(self):
         async def late(worker, fields, writer):
             if len(worker.requests) == 1:
                 worker.say(writer, head(fields, "Keep-Alive: timeout=5\r\n", "one"))
@@ -316,7 +316,7 @@
 
 class Stopping(TestCase):
     @run
-    async def test_what_was_read_is_answered_and_clients_are_sent_elsewhere(self):
+    async def test_draining_answers_what_was_read_and_sends_clients_elsewhere(self):
         gate = asyncio.Event()
 
         async def slow(worker, fields, writer):
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -49,24 +49,24 @@
         self.calls = []
         self._answer = answer
 
-    def submit(self, job_id, path, items, tokens, wait_ms, told):
+    def submit(self, job_id, path, items, tokens, wait_ms, on_response):
         self.calls.append((job_id, path, [item.item_id for item in items], tokens, wait_ms))
-        told(self._answer)
+        on_response(self._answer)
 
-    def results(self, job_id, from_position, wait_ms, told):
+    def results(self, job_id, from_position, wait_ms, on_response):
         self.calls.append((job_id, from_position, wait_ms))
-        told(self._answer)
+        on_response(self._answer)
 
-    def item(self, job_id, item_id, told):
+    def item(self, job_id, item_id, on_response):
         self.calls.append((job_id, item_id))
-        told(self._answer)
+        on_response(self._answer)
 
-    def cancel(self, job_id, told):
+    def cancel(self, job_id, on_response):
         self.calls.append(job_id)
-        told(self._answer)
+        on_response(self._answer)
 
 
-def receipt(outcome):
+def job_message(outcome):
     return m.JobResponse(**{**KNOWN.as_dict(), "outcome": outcome})
 
 
@@ -99,34 +99,36 @@
             profile,
         )
 
-    def test_a_lot_has_one_id(self):
+    def test_a_job_has_one_id(self):
         """With two ids nobody could say which lot was taken."""
-        ok = forward_submission_response("7c", receipt("admitted"), True)
+        ok = forward_submission_response("7c", job_message("admitted"), True)
         for ids in ([], ["7c", "7d"], ["7c", "7c"]):
             headers = CIMultiDict([("Request-Id", name) for name in ids])
-            response, asked = self.call(
+            response, calls = self.call(
                 ok, "POST", "/p/7c", headers, json.dumps({"requests": [ITEM]}).encode()
             )
-            self.assertThat((response.status, asked), Equals((400, [])), ids)
+            self.assertThat((response.status, calls), Equals((400, [])), ids)
 
     def test_submission_is_answered_as_the_leader_decided(self):
         rows = [
-            (receipt("admitted"), True, 202, False),
-            (receipt("known"), True, 202, False),
-            (receipt("no_room"), True, 429, True),
-            (receipt("full"), True, 503, True),
-            (receipt("conflict"), True, 409, False),
-            (receipt("no_path"), True, 404, False),
+            (job_message("admitted"), True, 202, False),
+            (job_message("known"), True, 202, False),
+            (job_message("no_room"), True, 429, True),
+            (job_message("full"), True, 503, True),
+            (job_message("conflict"), True, 409, False),
+            (job_message("no_path"), True, 404, False),
             (None, True, 504, False),
             (None, False, 503, True),
-            (receipt("unknown"), True, 504, False),
+            (job_message("unknown"), True, 504, False),
         ]
-        for told, sent, status, back in rows:
-            response, asked = self.submit(forward_submission_response("7c", told, sent))
+        for message, sent, status, back in rows:
+            response, calls = self.submit(forward_submission_response("7c", message, sent))
             self.assertThat(
-                (response.status, "Retry-After" in response.headers), Equals((status, back)), told
+                (response.status, "Retry-After" in response.headers),
+                Equals((status, back)),
+                message,
             )
-            self.assertThat(asked, Equals([("7c", "route/x", ["e5"], [940], 4000)]))
+            self.assertThat(calls, Equals([("7c", "route/x", ["e5"], [940], 4000)]))
 
     def test_how_long_a_submission_is_worked_on(self):
         for deadline, wait_ms in (
@@ -136,13 +138,14 @@
             ("", 4000),
             ("-1", 0),
         ):
-            _, asked = self.submit(
-                forward_submission_response("7c", receipt("known"), True), {"Deadline-Ms": deadline}
+            _, calls = self.submit(
+                forward_submission_response("7c", job_message("known"), True),
+                {"Deadline-Ms": deadline},
             )
-            self.assertThat(asked[0][-1], Equals(wait_ms), deadline)
+            self.assertThat(calls[0][-1], Equals(wait_ms), deadline)
 
-    def test_what_is_no_lot_never_gets_to_the_holder(self):
-        ok = forward_submission_response("7c", receipt("admitted"), True)
+    def test_what_is_no_job_never_reaches_the_leader(self):
+        ok = forward_submission_response("7c", job_message("admitted"), True)
         twice, bare = [ITEM, ITEM], [{"path": "/x"}]
         for body in (
             b"",
@@ -152,8 +155,8 @@
             b'{"requests": []}',
             b'{"requests": [null]}',
         ):
-            response, asked = self.submit(ok, body=body)
-            self.assertThat((response.status, asked), Equals((400, [])), body)
+            response, calls = self.submit(ok, body=body)
+            self.assertThat((response.status, calls), Equals((400, [])), body)
         for rows in (
             twice,
             bare,
@@ -161,14 +164,14 @@
             [{**ITEM, "serverId": str(n)} for n in range(201)],
             [{**ITEM, "tokens": "x"}],
         ):
-            response, asked = self.submit(ok, rows=rows)
-            self.assertThat((response.status, asked), Equals((400, [])), rows[:1])
-        response, asked = self.submit(ok, {"Request-Id": ""})
-        self.assertThat((response.status, asked), Equals((400, [])))
-        response, asked = self.submit(ok, profile=refused("no-route", "none", 404))
-        self.assertThat((response.status, asked), Equals((404, [])))
+            response, calls = self.submit(ok, rows=rows)
+            self.assertThat((response.status, calls), Equals((400, [])), rows[:1])
+        response, calls = self.submit(ok, {"Request-Id": ""})
+        self.assertThat((response.status, calls), Equals((400, [])))
+        response, calls = self.submit(ok, profile=refused("no-route", "none", 404))
+        self.assertThat((response.status, calls), Equals((404, [])))
 
-    def test_items_as_they_will_run(self):
+    def test_items_of_a_submission(self):
         submission = read_submission(json.dumps({"requests": [ITEM]}).encode(), "h.example")
         self.assertThat(
             submission.items,
@@ -203,7 +206,7 @@
         for headers, wanted in rows:
             self.assertThat(prompt_of(headers), Equals(wanted))
 
-    def test_reads(self):
+    def test_pages_of_results(self):
         page = m.ListForwardResultsResponse(
             outcome="known",
             total=40,
@@ -213,14 +216,14 @@
                 encode(m.ForwardResult(item_id="b", outcome="dead", text=b"why")),
             ],
         )
-        response, asked = self.call(
+        response, calls = self.call(
             forward_results_response("l", 12, page),
             "GET",
             "/vaneledge/lots/l?pageAfter=12",
             {"Wait-Ms": "1000"},
         )
         self.assertThat(
-            (response.status, json.loads(response.body), asked),
+            (response.status, json.loads(response.body), calls),
             Equals(
                 (
                     200,
@@ -236,42 +239,42 @@
                 )
             ),
         )
-        for told, status in (
+        for message, status in (
             (None, 503),
             (m.ListForwardResultsResponse(outcome="unknown", total=0, over=False, rows=[]), 503),
             (m.ListForwardResultsResponse(outcome="missing", total=0, over=False, rows=[]), 404),
         ):
-            response, asked = self.call(
-                forward_results_response("l", 0, told), "GET", "/vaneledge/lots/l"
+            response, calls = self.call(
+                forward_results_response("l", 0, message), "GET", "/vaneledge/lots/l"
             )
-            self.assertThat((response.status, asked), Equals((status, [("l", 0, 0)])))
+            self.assertThat((response.status, calls), Equals((status, [("l", 0, 0)])))
 
-    def test_bodies(self):
+    def test_bodies_of_items(self):
         call = encode(read_submission(json.dumps({"requests": [ITEM]}).encode(), "h").items[0])
-        for told, status, body in (
+        for message, status, body in (
             (m.GetItemResponse(outcome="known", call=call), 200, b"\xab\x00"),
             (m.GetItemResponse(outcome="missing", call=b""), 404, None),
             (None, 503, None),
         ):
-            response, asked = self.call(
-                forward_item_response("l", told), "GET", "/vaneledge/items/l?serverId=e5"
+            response, calls = self.call(
+                forward_item_response("l", message), "GET", "/vaneledge/items/l?serverId=e5"
             )
-            self.assertThat((response.status, asked), Equals((status, [("l", "e5")])))
+            self.assertThat((response.status, calls), Equals((status, [("l", "e5")])))
             if body is not None:
                 self.assertThat(response.body, Equals(body))
 
-    def test_ends(self):
-        for told, status in (
+    def test_cancellations(self):
+        for message, status in (
             (KNOWN, 200),
-            (receipt("missing"), 404),
-            (receipt("unknown"), 503),
-            (receipt("full"), 503),
+            (job_message("missing"), 404),
+            (job_message("unknown"), 503),
+            (job_message("full"), 503),
             (None, 503),
         ):
-            response, asked = self.call(
-                forward_cancellation_response("l", told), "DELETE", "/vaneledge/lots/l"
+            response, calls = self.call(
+                forward_cancellation_response("l", message), "DELETE", "/vaneledge/lots/l"
             )
-            self.assertThat((response.status, asked), Equals((status, ["l"])))
+            self.assertThat((response.status, calls), Equals((status, ["l"])))
         for method, path in (
             ("POST", "/vaneledge/lots/l"),
             ("DELETE", "/vaneledge/items/l"),
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -25,11 +25,11 @@
             ("vaneledge_control_epoch_profiles", "gauge", HELP["control_epoch"], 7),
             ("vaneledge_unheard_of", "gauge", "unheard of", 0),
         ]
-        for name, kind, told, value in rows:
+        for name, kind, help_text, value in rows:
             family = found[name]
             self.assertThat(
                 (family.type, family.documentation, family.samples[0].value),
-                Equals((kind, told, value)),
+                Equals((kind, help_text, value)),
             )
         samples = {
             (row.name, row.labels.get("le", "")): row.value
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -169,7 +169,7 @@
         with ProcessPoolExecutor(3) as pool:
             rows = [
                 row
-                for part in pool.map(played, [names[place::8] for place in range(8)])
+                for part in pool.map(played, [names[start::8] for start in range(8)])
                 for row in part
             ]
         again = [name for name, (_, broken, _) in rows if BREAKS[name] not in broken]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -192,7 +192,7 @@
 
     async def jobs(self, fleet):
         edge = fleet.with_role("edge")[0].http
-        job = {"path": "summaries", "items": [{"prompt": f"p{place}"} for place in range(3)]}
+        job = {"path": "summaries", "items": [{"prompt": f"p{index}"} for index in range(3)]}
         answers = [
             await fleet.ask("PUT", edge, "/lots/one", body)
             for body in (job, job, {**job, "due_ms": 500})
@@ -211,17 +211,17 @@
                 fleet.ask(
                     "PUT",
                     edge,
-                    f"/lots/crowd{place}",
+                    f"/lots/crowd{index}",
                     {"path": "summaries", "items": [{"prompt": "x", "max_tokens": 500}] * 40},
                 )
-                for place in range(12)
+                for index in range(12)
             ]
         )
         self.assertThat(sorted(status for status, _ in crowd), Equals([201] * 4 + [429] * 8))
         full = next(body["error"] for status, body in crowd if status == 429)
         self.assertThat((full["verdict"], full["retry_after_ms"] > 0), Equals(("not_run", True)))
-        for place in range(12):
-            await fleet.ask("DELETE", edge, f"/lots/crowd{place}")
+        for index in range(12):
+            await fleet.ask("DELETE", edge, f"/lots/crowd{index}")
 
         async def still():
             _, body = await fleet.ask("GET", edge, "/status")
@@ -249,15 +249,15 @@
             *[
                 fleet.ask(
                     "PATCH",
-                    control[place],
+                    control[index],
                     "/profiles",
-                    {"version": 1, "change_id": f"c{place}", "patch": patch},
+                    {"version": 1, "change_id": f"c{index}", "patch": patch},
                 )
-                for place in range(2)
+                for index in range(2)
             ]
         )
         self.assertThat(sorted(status for status, _ in both), Equals([200, 409]))
-        winner = next(place for place in range(2) if both[place][0] == 200)
+        winner = next(index for index in range(2) if both[index][0] == 200)
         again = await fleet.ask(
             "PATCH",
             control[2],
@@ -265,9 +265,9 @@
             {"version": 1, "change_id": f"c{winner}", "patch": patch},
         )
         self.assertThat(again, Equals(both[winner]))
-        _, told = await fleet.ask("GET", control[0], "/profiles/rulings/explained")
+        _, explained = await fleet.ask("GET", control[0], "/profiles/rulings/explained")
         self.assertThat(
-            (told["values"]["deadline_ms"], told["values"]["workers.labels"]["from"]),
+            (explained["values"]["deadline_ms"], explained["values"]["workers.labels"]["from"]),
             Equals(({"value": 1500, "from": "rulings"}, "base")),
         )
         _, edge = await fleet.get(fleet.with_role("edge")[0], "/status")
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -46,7 +46,7 @@
             page.flush()
             return load_node_config(role, page.name)
 
-    def test_what_is_said_in_our_words(self) -> None:
+    def test_the_settings_of_the_product(self) -> None:
         config = self._load(_FILE).ok
         for name, value in {
             "link": "10.1.0.12:7720",
@@ -69,7 +69,7 @@
         )
         self.assertThat(config.node_name, Equals("storage-a-1"))
 
-    def test_every_problem_is_told(self) -> None:
+    def test_every_problem_is_reported(self) -> None:
         for text, told in (
             ("nodeName = 3 [", "line"),
             (_FILE.replace("seedNodes", "other"), "seedNodes is missing"),
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -34,8 +34,8 @@
         )
         self.assertThat({row["verdict"] for row in body["results"]}, Equals({"ran"}))
 
-    async def begun_then_left(self, edge, call, key=""):
-        """A visitor on a socket of his own who hangs up after the fourth event."""
+    async def begin_and_disconnect(self, edge, call, key=""):
+        """A client with a socket of its own that disconnects after the fourth event."""
         host, _, port = edge.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         data = json.dumps(call).encode()
@@ -49,24 +49,24 @@
         await reader.readuntil(b"id: 3")
         writer.close()
 
-    def test_a_visitor_who_hangs_up(self):
+    def test_a_client_that_disconnects(self):
         """A safe run is stopped, and nobody takes it for the worker's failure; an unsafe one runs to its end."""
 
         async def body(fleet):
             edge = fleet.with_role("edge")[0].http
             call = {"model": "rulings", "prompt": "long", "stream": True, "max_tokens": 512}
-            await self.begun_then_left(edge, call)
+            await self.begin_and_disconnect(edge, call)
             move = {**call, "model": "moves", "prompt": "long move"}
-            await self.begun_then_left(edge, move, "left")
+            await self.begin_and_disconnect(edge, move, "left")
 
-            async def gone():
+            async def disconnect_counted():
                 _, text = await fleet.ask("GET", edge, "/metrics")
                 return (
                     "vaneledge_edge_steps_gone_total 1.0" in text
                     and "vaneledge_edge_steps_finish_total 1.0" in text
                 )
 
-            await until(gone, 8000, "the safe run is stopped, the unsafe one ends")
+            await until(disconnect_counted, 8000, "the safe run is stopped, the unsafe one ends")
             _, text = await fleet.ask("GET", edge, "/metrics")
             self.assertThat("sends_failed" in text or "steps_cut" in text, Equals(False))
             status, again = await fleet.ask(
@@ -85,7 +85,7 @@
 
         self.run_fleet(body, 22600)
 
-    def test_live_lots_and_killed_holder(self):
+    def test_completions_jobs_and_a_killed_leader(self):
         async def body(fleet):
             first, second = [member.http for member in fleet.with_role("edge")]
             status, text = await fleet.ask(
@@ -106,16 +106,16 @@
             self.assertThat(answers[0], Equals(answers[1]))
             job = {
                 "path": "summaries",
-                "items": [{"prompt": f"item {place}"} for place in range(80)],
+                "items": [{"prompt": f"item {index}"} for index in range(80)],
             }
             status, _ = await fleet.ask("PUT", first, "/lots/one", job)
             self.assertThat(status, Equals(201))
-            holder = None
+            leader = None
             for member in fleet.with_role("store"):
                 _, shown = await fleet.get(member, "/status")
                 if shown["log_role"] == "serving":
-                    holder = member
-            holder.kill()
+                    leader = member
+            leader.kill()
             await self.job_done(fleet, second, "one")
 
             async def accepted():
@@ -124,7 +124,7 @@
                 )
                 return status in (200, 201)
 
-            await until(accepted, 12000, "lots are accepted again")
+            await until(accepted, 12000, "jobs are accepted again")
             await self.job_done(fleet, first, "two")
             runs = []
             for worker in fleet.workers.values():
@@ -134,7 +134,7 @@
             for member in fleet.members.values():
                 member.signal(signal.SIGTERM)
             for member in fleet.members.values():
-                if member is not holder:
+                if member is not leader:
                     self.assertThat(member.process.wait(10), Equals(0))
 
         self.run_fleet(body, 22000)
--- a/tests/test_wire_faults.py
+++ b/tests/test_wire_faults.py
@@ -1,5 +1,5 @@
 """The right answer to the right client, on raw sockets: what a client may write to an edge, clients that leave, and
-answers that break off. Each row says what is told, in order, and which requests the worker ran.
+answers that break off. Each row says what is answered, in order, and which requests the worker ran.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class FromClients(TestCase):
-    """Rows: what is written at once, what is told in order, and the ids that the worker ran."""
+    """Rows: what is written at once, what is answered in order, and the ids that the worker ran."""
 
     ROWS = [
         ("one", HEAD + ID + "Content-Length: 4\r\n\r\nbody", [(200, "r-1")], ["r-1"]),
@@ -131,18 +131,18 @@
 
     @run
     async def test_what_a_client_writes_is_answered_in_order_or_not_at_all(self):
-        for name, written, told, ran in self.ROWS:
+        for name, written, expected, ran in self.ROWS:
             worker = Worker("w0", good)
             async with Edge([worker]) as edge:
                 client = await Client(edge.port).open()
                 client.writer.write(written.encode("latin-1"))
                 data = await heard(client)
-                self.assertThat((statuses(data), ids(worker)), Equals((told, ran)), name)
+                self.assertThat((statuses(data), ids(worker)), Equals((expected, ran)), name)
 
 
 class Expecting(TestCase):
     @run
-    async def test_only_who_knows_interim_answers_gets_one(self):
+    async def test_only_clients_that_know_interim_responses_get_one(self):
         """An older client would take the word to go on for its answer."""
         for version, first in (("1.1", b"HTTP/1.1 100 "), ("1.0", b"HTTP/1.0 200 ")):
             async with Edge([Worker("w0", good)]) as edge:
@@ -181,10 +181,10 @@
 
 
 class Clients(TestCase):
-    """Clients that leave, and what the next one on the same port or connection is told."""
+    """Clients that leave, and what the next one on the same port or connection is answered."""
 
     @run
-    async def test_one_that_leaves_takes_its_pipelined_requests_with_it(self):
+    async def test_a_disconnect_cancels_pipelined_requests(self):
         gate = asyncio.Event()
 
         async def slow(worker, fields, writer):
@@ -199,14 +199,14 @@
             await until(lambda: worker.requests)
             reset(client.writer)
             gate.set()
-            told = await edge.one("/p/3", request_id="r-3")
+            response = await edge.one("/p/3", request_id="r-3")
             self.assertThat(
-                (told[0], told[1]["request-id"], ids(worker), edge.server.live_now),
+                (response[0], response[1]["request-id"], ids(worker), edge.server.live_now),
                 Equals((200, "r-3", ["r-1", "r-3"], 0)),
             )
 
     @run
-    async def test_after_half_an_answer_there_is_no_second_status(self):
+    async def test_after_half_a_response_there_is_no_second_status(self):
         async def cut(worker, fields, writer):
             worker.say(writer, head(fields) + chunk(event(1)))
             await writer.drain()
@@ -260,7 +260,7 @@
                 )
 
     @run
-    async def test_a_request_that_was_just_read_outlives_the_closing_of_the_door(self):
+    async def test_a_request_that_was_just_read_outlives_the_end_of_accepting(self):
         """The door is closed in each turn of the loop between the last byte read and the first of its handling."""
         loop = asyncio.get_running_loop()
         real = ClientConnection.data_received
--- a/tests/wire_helpers.py
+++ b/tests/wire_helpers.py
@@ -8,12 +8,12 @@
 
 def statuses(data):
     """The final statuses in what a client was written, in order, with the id that each bears."""
-    told = []
+    found = []
     for text in re.split(r"HTTP/1\.[01] ", data.decode())[1:]:
         ids = [line[12:] for line in text.split("\r\n") if line.lower().startswith("request-id: ")]
         if not text.startswith("100"):
-            told.append((int(text[:3]), "".join(ids)))
-    return told
+            found.append((int(text[:3]), "".join(ids)))
+    return found
 
 
 def ids(worker):
@@ -42,7 +42,7 @@
 
 
 def reset(writer):
-    """End the connection with a reset in the place of an end."""
+    """End the connection with a reset instead of an end."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
