--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -19,7 +19,8 @@
     VoterListManager,
     WorkerList,
 )
-from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY, open_or_set_aside
+from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY
+from data_plane.data_folder import open_or_set_aside
 from membership import Membership
 from messaging import Component, Environment, Node
 from storage import Disk
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -19,8 +19,8 @@
     LOG_KEY,
     PROFILES_KEY,
     RETIRED_KEY,
-    open_or_set_aside,
 )
+from data_plane.data_folder import open_or_set_aside
 from data_plane.data_node import DataNode
 
 __all__ = ["StoreNode"]
