--- a/libs/control_store/src/control_store/acceptor.py
+++ b/libs/control_store/src/control_store/acceptor.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Callable
 from functools import singledispatchmethod
-from typing import Any, cast
+from typing import cast
 
-from messaging import Component, Message, Origin
+from messaging import Component, Message, Node, Origin
 from storage import Disk
 
 from control_store.messages import (
@@ -47,7 +47,7 @@
         self._store = RegisterStore(disk)
         self._store.recover()
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Attach the node, and flush the records that were recovered."""
         super().attach(node)
         self._store.attach(node)
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -7,10 +7,10 @@
 
 import json
 from collections.abc import Callable
-from typing import Any, cast
+from typing import cast
 
 from membership import Membership
-from messaging import Message, Origin
+from messaging import Message, Node, Origin
 
 from control_store.acceptor import Acceptor
 from control_store.messages import BootstrapRequest, BootstrapVote, VoterListDecided
@@ -29,6 +29,7 @@
     """
 
     __slots__ = ("_acceptor", "_membership", "_node", "_proposed", "_run_again_in", "_votes")
+    _node: Node
 
     def __init__(
         self, acceptor: Acceptor, membership: Membership, run_again_in: Callable[[int], None]
@@ -36,11 +37,10 @@
         self._acceptor = acceptor
         self._membership = membership
         self._run_again_in = run_again_in
-        self._node: Any = None
         self._proposed = ""
         self._votes: set[str] = set()
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the clock, the settings and the messages."""
         self._node = node
 
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -1,9 +1,10 @@
 """Forwarding of operations to the owners of their keys, with retries after silence."""
 
 from collections.abc import Callable
-from typing import Any, cast
+from typing import cast
 
 from membership import Membership, first_live, rendezvous_order
+from messaging import Node
 
 from control_store.acceptor import Acceptor
 from control_store.messages import ChangeResult, Outcome
@@ -32,6 +33,7 @@
     """
 
     __slots__ = ("_acceptor", "_enqueue", "_membership", "_node", "_retries")
+    _node: Node
 
     def __init__(
         self,
@@ -42,10 +44,9 @@
         self._acceptor = acceptor
         self._membership = membership
         self._enqueue = enqueue
-        self._node: Any = None
         self._retries: list[_Retry] = []
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the clock, the settings and the messages."""
         self._node = node
 
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -12,7 +12,7 @@
 
 from config_feed import ConfigFeed
 from membership import Membership
-from messaging import Component, Message, Origin
+from messaging import Component, Message, Node, Origin
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.change_memory import add_change, decided_version, surely_undecided
@@ -66,7 +66,7 @@
         self._forwarder = OperationForwarder(acceptor, membership, self._enqueue)
         self._acknowledgements = PendingAcknowledgements(acceptor, config_feed)
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Attach the node to this component and its parts."""
         super().attach(node)
         self._forwarder.attach(node)
--- a/libs/control_store/src/control_store/key_state.py
+++ b/libs/control_store/src/control_store/key_state.py
@@ -2,9 +2,8 @@
 
 from collections.abc import Iterable
 from enum import StrEnum
-from typing import cast
 
-from messaging import decode
+from messaging import decode_as
 
 from control_store.messages import Value, Vote
 from control_store.operations import PendingOperation
@@ -62,7 +61,7 @@
 
     One epoch accepts one version after another, so within a proposal the highest version counts.
     """
-    accepted = [(vote.accepted, cast(Value, decode(vote.value))) for vote in votes if vote.value]
+    accepted = [(vote.accepted, decode_as(Value, vote.value)) for vote in votes if vote.value]
     if not accepted:
         return blank_value()
     return max(accepted, key=lambda row: (row[0], row[1].version))[1]
--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -6,10 +6,10 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 from config_feed import ConfigFeed
 from config_feed.version_tracker import CONFIRMERS, ROLL_KEY
+from messaging import Node
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.key_owner import KeyOwner
@@ -28,16 +28,16 @@
     """Repairs and reads the keys that this node owns, and all keys before a change of voters."""
 
     __slots__ = ("_acceptor", "_config_feed", "_node", "_owner", "_read_ms", "_swept_ms")
+    _node: Node
 
     def __init__(self, acceptor: Acceptor, owner: KeyOwner, config_feed: ConfigFeed) -> None:
         self._acceptor = acceptor
         self._owner = owner
         self._config_feed = config_feed
-        self._node: Any = None
         self._swept_ms = LONG_AGO_MS
         self._read_ms: dict[str, int] = {}
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the clock, the settings and the messages."""
         self._node = node
 
--- a/libs/control_store/src/control_store/metadata_file.py
+++ b/libs/control_store/src/control_store/metadata_file.py
@@ -5,9 +5,8 @@
 """
 
 from collections.abc import Callable
-from typing import cast
 
-from messaging import decode, encode
+from messaging import decode_as, encode
 from storage import DamageError, Disk, frame, scan
 
 from control_store.messages import AcceptorMetadata
@@ -46,7 +45,7 @@
         frames, _, _ = scan(self._disk.read(METADATA_FILE))
         if not frames:
             raise DamageError(METADATA_FILE, 0)
-        return cast(AcceptorMetadata, decode(frames[0][1]))
+        return decode_as(AcceptorMetadata, frames[0][1])
 
     @property
     def voters(self) -> dict[str, str]:
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -4,10 +4,9 @@
 under an older version.
 """
 
-from typing import Any
-
 from config_feed import ConfigFeed
 from config_feed.version_tracker import CONFIRMERS
+from messaging import Node
 
 from control_store.acceptor import Acceptor
 from control_store.messages import ChangeResult, Outcome
@@ -46,14 +45,14 @@
     """Delays the results of changes until their versions are in force."""
 
     __slots__ = ("_acceptor", "_changes", "_config_feed", "_node")
+    _node: Node
 
     def __init__(self, acceptor: Acceptor, config_feed: ConfigFeed) -> None:
         self._acceptor = acceptor
         self._config_feed = config_feed
-        self._node: Any = None
         self._changes: list[_DecidedChange] = []
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the clock and the settings."""
         self._node = node
 
--- a/libs/control_store/src/control_store/proposer.py
+++ b/libs/control_store/src/control_store/proposer.py
@@ -5,9 +5,8 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
-from messaging import encode
+from messaging import Node, encode
 
 from control_store.acceptor import Acceptor
 from control_store.key_state import KeyState, OwnershipState
@@ -39,13 +38,13 @@
     """
 
     __slots__ = ("_acceptor", "_node", "identity")
+    _node: Node
 
     def __init__(self, acceptor: Acceptor) -> None:
         self._acceptor = acceptor
-        self._node: Any = None
         self.identity = ""
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node; each process proposes under an identity of its own."""
         self._node = node
         self.identity = f"{self._acceptor.identity}/{node.env.token()}"
--- a/libs/control_store/src/control_store/quorum_round.py
+++ b/libs/control_store/src/control_store/quorum_round.py
@@ -5,9 +5,9 @@
 """
 
 from collections.abc import Callable
-from typing import Any, Generic, Protocol, TypeVar, cast
+from typing import Generic, Protocol, TypeVar, cast
 
-from messaging import Message
+from messaging import Message, Node
 
 __all__ = ["QuorumReply", "QuorumRound"]
 
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        node: Any,
+        node: Node,
         voters: dict[str, str],
         message: Message,
         timeout_ms: int,
@@ -47,12 +47,10 @@
         self.agreed: dict[str, Reply] = {}
         self.replies: dict[str, Reply] = {}
         for identity, address in voters.items():
-            node.request(
-                address,
-                message,
-                timeout_ms,
-                lambda reply, identity=identity: self._take(identity, reply),
-            )
+            node.request(address, message, timeout_ms, self._reply_handler(identity))
+
+    def _reply_handler(self, identity: str) -> Callable[[Message | None], None]:
+        return lambda reply: self._take(identity, reply)
 
     def _take(self, identity: str, message: Message | None) -> None:
         """Count the reply of the voter that `identity` was expected of; None if it timed out."""
--- a/libs/control_store/src/control_store/register.py
+++ b/libs/control_store/src/control_store/register.py
@@ -1,8 +1,8 @@
 """The register of one key at an acceptor, and the form in which it is stored."""
 
-from typing import NamedTuple, cast
+from typing import NamedTuple
 
-from messaging import decode, encode
+from messaging import decode_as, encode
 
 from control_store.messages import RegisterRecord, Value
 from control_store.proposal_number import NO_PROPOSAL, ProposalNumber
@@ -80,7 +80,7 @@
 
 def encoded_version(value: bytes) -> int:
     """Return the version of an encoded `Value`; 0 if there is none."""
-    return cast(Value, decode(value)).version if value else 0
+    return decode_as(Value, value).version if value else 0
 
 
 def version_without_body(version: int) -> bytes:
--- a/libs/control_store/src/control_store/register_store.py
+++ b/libs/control_store/src/control_store/register_store.py
@@ -10,9 +10,8 @@
 """
 
 from collections.abc import Callable
-from typing import Any, cast
 
-from messaging import decode, encode
+from messaging import Node, decode_as, encode
 from storage import DamageError, Disk, DiskFullError, frame, scan
 
 from control_store.messages import RegisterRecord
@@ -45,10 +44,10 @@
         "_waiting",
         "registers",
     )
+    _node: Node
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
-        self._node: Any = None
         self._waiting: list[WriteCallback] = []
         self._unflushed: list[tuple[str, Register]] = []
         self._older_logs: list[str] = []
@@ -89,13 +88,13 @@
 
     def _apply_records(self, frames: list[tuple[int, bytes]]) -> None:
         for _, payload in frames:
-            record = cast(RegisterRecord, decode(payload))
+            record = decode_as(RegisterRecord, payload)
             register = Register.from_record(record)
             current = self.registers.get(record.key, Register())
             if register.sort_key() >= current.sort_key():
                 self.registers[record.key] = register
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the settings, and flush the records that were recovered.
 
         A process that was killed may not have flushed them.
@@ -195,6 +194,6 @@
     offsets = [0]
     while data:
         frames, _, next_frame = scan(data)
-        offsets += [cast(RegisterRecord, decode(payload)).flushed_bytes for _, payload in frames]
+        offsets += [decode_as(RegisterRecord, payload).flushed_bytes for _, payload in frames]
         data = data[next_frame:] if next_frame is not None else b""
     return max(offsets)
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -10,6 +10,7 @@
 
 from config_feed import ConfigFeed
 from membership import Membership
+from messaging import Node
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.key_owner import KeyOwner
@@ -29,7 +30,7 @@
     __slots__ = ("_awake_ms", "_identity", "_membership", "_now_ms", "_settings", "_voters")
 
     def __init__(
-        self, acceptor: Acceptor, membership: Membership, node: Any, awake_ms: int
+        self, acceptor: Acceptor, membership: Membership, node: Node, awake_ms: int
     ) -> None:
         self._identity = acceptor.identity
         self._voters = acceptor.voters
@@ -87,6 +88,7 @@
         "_run_again_in",
         "busy",
     )
+    _node: Node
 
     def __init__(
         self,
@@ -102,11 +104,10 @@
         self._config_feed = config_feed
         self._run_again_in = run_again_in
         self._key_sweep = KeySweep(acceptor, owner, config_feed)
-        self._node: Any = None
         self._awake_ms = -1
         self.busy = False
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Set the node, which gives the clock, the settings and the messages."""
         self._node = node
         self._key_sweep.attach(node)
--- a/libs/control_store/src/control_store/voter_list_manager.py
+++ b/libs/control_store/src/control_store/voter_list_manager.py
@@ -3,11 +3,11 @@
 One timer runs either the bootstrap, as long as the node has no list of voters, or the steward.
 """
 
-from typing import Any, cast
+from typing import cast
 
 from config_feed import ConfigFeed
 from membership import Membership
-from messaging import Component, Message, Origin
+from messaging import Component, Message, Node, Origin
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.bootstrap import Bootstrap
@@ -37,7 +37,7 @@
         self._next_run_ms = 0
         config_feed.watch(self._published)
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Attach the node to this component and its parts."""
         super().attach(node)
         self._bootstrap.attach(node)
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -7,9 +7,10 @@
 
 import json
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from config_feed import ConfigFeed
+from messaging import Node
 
 from control_store.key_owner import KeyOwner
 from control_store.messages import Change, ChangeResult, Outcome, ReadKey
@@ -70,11 +71,11 @@
         "number",
         "records",
     )
+    node: Node
 
     def __init__(self, owner: KeyOwner, config_feed: ConfigFeed) -> None:
         self._owner = owner
         self._config_feed = config_feed
-        self.node: Any = None
         self.records = WorkerRecords()
         self.number = 0
         self._owned_since_ms = NOT_OWNED_MS
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -9,7 +9,7 @@
 from typing import Any, cast
 
 from config_feed import ConfigFeed
-from messaging import Component, Message, Origin, decode_as, encode
+from messaging import Component, Message, Node, Origin, decode_as, encode
 
 from control_store.acceptor import Acceptor
 from control_store.key_owner import KeyOwner
@@ -70,7 +70,7 @@
         self._sent_ms = self._acknowledged_ms = LONG_AGO_MS
         config_feed.watch(self._changes.published)
 
-    def attach(self, node: Any) -> None:
+    def attach(self, node: Node) -> None:
         """Attach the node to this component and to the owner's side."""
         super().attach(node)
         self._changes.node = node
