--- a/libs/capacity_sharing/src/capacity_sharing/__init__.py
+++ b/libs/capacity_sharing/src/capacity_sharing/__init__.py
@@ -1,22 +1,32 @@
-"""Training rollouts in the capacity that live calls and batches of items (lots) leave over.
+"""Training rollouts in the capacity that live calls and batch jobs leave over.
 
 Samples of a rollout run in single slots and give way to anything else. Whole workers are lent under
 epochs, once every edge has nothing left there, and return when the worker itself reports that it is
 free.
+
+- Slots: `borrowing` runs the samples of an edge, `slots` says which slots it may fill,
+  `entitlement` divides them among the edges, and `sampling` is the call to a worker.
+- Whole workers: `loan_table` has the states of loans and their changes, `loan_manager` decides them
+  at control, and `lent_workers` follows them at an edge.
+- `load` says what live calls need, and `outlook` whether batch jobs will meet their deadlines.
+
+It may import control_store, config_feed, membership, batch_state and request_routing; the programs
+import it. A new reason to refuse or recall a loan goes into `load`.
 """
 
 from capacity_sharing.borrowing import Borrowing
-from capacity_sharing.lending import LoanOutcome, NodeLoans
-from capacity_sharing.lent import LentWorkers
+from capacity_sharing.lent_workers import LentWorkers
+from capacity_sharing.loan_manager import LoanManager, LoanOutcome, LoanStatus
+from capacity_sharing.loan_table import LOANS_KEY, LoanState
 from capacity_sharing.outlook import JobOutlook
-from capacity_sharing.rows import LOANS_KEY, LoanState
 
 __all__ = [
     "LOANS_KEY",
     "Borrowing",
     "LentWorkers",
+    "JobOutlook",
+    "LoanManager",
     "LoanOutcome",
     "LoanState",
-    "JobOutlook",
-    "NodeLoans",
+    "LoanStatus",
 ]
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -9,11 +9,12 @@
 import json
 import math
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, cast
 
-from batch_state import messages as m
+from batch_state.messages import RolloutAssignment
 from messaging import Component, Message, Origin
 from request_routing import (
+    Attempt,
     InFlightRequest,
     RequestLifecycle,
     RequestRouter,
@@ -26,30 +27,44 @@
 from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
 from capacity_sharing.slots import LendableSlots
 
-__all__ = ["Borrowing", "PlaceWanted"]
+__all__ = ["Borrowing", "SlotsWanted"]
 
 Done = Callable[[str, Any, str], None]
-_ASKED = 8
+_LONG_AGO_MS = -1 << 40
+_MOST_WORKERS_WANTED = 8
 
 
-class PlaceWanted(Message):
-    """Asks other edges for slots at a worker, where calls found no free place."""
+class SlotsWanted(Message, wire_name="PlaceWanted"):
+    """Asks other edges for slots at a worker, where calls found no free slot."""
 
     worker: str
-    places: int
+    slots: int
 
 
 class _Sample:
-    __slots__ = ("carriage", "done", "over", "work")
+    """A sample that runs at this edge, or has ended."""
 
-    def __init__(self, work: m.RolloutAssignment, done: Done) -> None:
-        self.work, self.done = work, done
+    __slots__ = ("carriage", "done", "has_ended", "work")
+
+    def __init__(self, work: RolloutAssignment, done: Done) -> None:
+        self.work = work
+        self.done = done
         self.carriage: InFlightRequest | None = None
-        self.over = False
+        self.has_ended = False
+
+    @property
+    def attempt(self) -> Attempt | None:
+        """The present attempt at a worker; None while there is none."""
+        return None if self.carriage is None else self.carriage.send
+
+    @property
+    def worker(self) -> Worker | None:
+        """The worker that it runs at; None while there is none."""
+        return None if self.attempt is None else self.attempt.worker
 
 
 class Borrowing(Component):
-    """The part of an edge that runs samples and gives slots back.
+    """The component of an edge that runs samples and gives slots back.
 
     `edges` gives identity and address of the other live edges; `why_unready` gives why this edge
     takes no requests, empty if it does; `live_peak` gives how many live calls a worker lately had
@@ -57,25 +72,25 @@
     """
 
     __slots__ = (
-        "_acted",
-        "_asked_ms",
+        "_handled_reports",
+        "_requested_ms",
         "_carrier",
         "_edges",
-        "_later",
+        "_deferred",
         "_recalled",
         "_roster",
         "_samples",
         "_samples_out",
         "_slots",
         "_tree",
-        "_wanted",
+        "_slots_wanted",
         "_why_unready",
         "given_up",
         "finished",
         "live_peak",
         "recalls",
     )
-    HANDLES = (PlaceWanted,)
+    HANDLES = (SlotsWanted,)
 
     def __init__(
         self,
@@ -92,10 +107,10 @@
             edge, carrier, roster, tree, edges, lambda worker: self.live_peak(worker)
         )
         self._samples: list[_Sample] = []
-        self._later: list[tuple[int, Callable[[], None]]] = []
-        self._acted: dict[str, tuple[int, int]] = {}
-        self._wanted: dict[str, int] = {}
-        self._asked_ms = -1 << 40
+        self._deferred: list[tuple[int, Callable[[], None]]] = []
+        self._handled_reports: dict[str, tuple[int, int]] = {}
+        self._slots_wanted: dict[str, int] = {}
+        self._requested_ms = _LONG_AGO_MS
         self._recalled = False
         self._samples_out = 0
         self.given_up = self.finished = self.recalls = 0
@@ -110,7 +125,7 @@
 
     @property
     def recalled(self) -> bool:
-        """Whether the log's holder has recalled all samples, since a lot may miss its deadline."""
+        """Whether the log's leader has recalled all samples, as a batch job may come late."""
         return self._recalled
 
     def running(self) -> int:
@@ -132,7 +147,7 @@
 
     # -- running -------------------------------------------------------------------------------
 
-    def start(self, work: m.RolloutAssignment, done: Done) -> Callable[[], None]:
+    def start(self, work: RolloutAssignment, done: Done) -> Callable[[], None]:
         """Run a sample and return a function that stops it.
 
         `done` gets the outcome (`ran`, `refused` or `again`), the result or the reason, and the
@@ -141,8 +156,8 @@
         sample = _Sample(work, done)
         profile, env = self._tree().usable(work.path), self.node.env
         if profile is None or self._recalled or self._why_unready():
-            self._after_a_beat(sample)
-            return lambda: self._drop(sample)
+            self._retry_later(sample)
+            return lambda: self._stop(sample)
         due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
         tx = RequestLifecycle(
             f"{env.token()}-{work.job_id}-{work.index}",
@@ -160,12 +175,12 @@
         carriage = self._carrier.carry(
             tx, call, None, lambda step: self._ended(sample, tx, call, step)
         )
-        if not sample.over:
+        if not sample.has_ended:
             sample.carriage = carriage
-        return lambda: self._drop(sample)
+        return lambda: self._stop(sample)
 
     def _ended(self, sample: _Sample, tx: RequestLifecycle, call: SampleCall, step: Step) -> None:
-        if sample.over:
+        if sample.has_ended:
             return
         self._close(sample)
         worker = tx.sends[-1][0] if tx.sends else ""
@@ -173,7 +188,7 @@
             if reason == OTHER_WEIGHTS:
                 self._slots.has_other_weights(stamp, sample.work.weights)
         if step.name != "finish":
-            self._after_a_beat(sample)
+            self._retry_later(sample)
         elif step.value[0] == 200:
             self.finished += 1
             sample.done(
@@ -184,33 +199,29 @@
         else:
             sample.done("refused", step.value[1], worker)
 
-    def _after_a_beat(self, sample: _Sample) -> None:
-        def again() -> None:
+    def _retry_later(self, sample: _Sample) -> None:
+        def report() -> None:
             sample.done("again", "", "")
 
-        self._later.append((self.node.env.now() + self.node.settings.heartbeat_ms, again))
+        self._deferred.append((self.node.env.now() + self.node.settings.heartbeat_ms, report))
 
     def _close(self, sample: _Sample) -> None:
-        sample.over = True
+        sample.has_ended = True
         if sample in self._samples:
             self._samples.remove(sample)
 
-    def _drop(self, sample: _Sample) -> None:
+    def _stop(self, sample: _Sample) -> None:
         """Stop a sample because its rollout is over or this edge may no longer run it.
 
         Whoever stops it reports that to the log.
         """
-        if not sample.over:
+        if not sample.has_ended:
             self._close(sample)
             if sample.carriage is not None:
                 sample.carriage.stop()
 
-    def _give_up(self, sample: _Sample, reason: str) -> None:
-        worker = (
-            sample.carriage.send.worker.identity
-            if sample.carriage is not None and sample.carriage.send is not None
-            else ""
-        )
+    def _preempt(self, sample: _Sample, reason: str) -> None:
+        worker = "" if sample.worker is None else sample.worker.identity
         self.node.env.log(
             "sample-given-up",
             job=sample.work.job_id,
@@ -220,25 +231,19 @@
             reason=reason,
         )
         self.given_up += 1
-        self._drop(sample)
+        self._stop(sample)
         sample.done("again", "", "")
 
     # -- giving back ---------------------------------------------------------------------------
 
-    def _at(self, worker: Worker) -> list[_Sample]:
+    def _samples_at(self, worker: Worker) -> list[_Sample]:
         """Return the samples that run at a worker, newest first."""
-        return [
-            sample
-            for sample in reversed(self._samples)
-            if sample.carriage is not None
-            and sample.carriage.send is not None
-            and sample.carriage.send.worker is worker
-        ]
-
-    def _give_back(self, worker: Worker, places: int, reason: str) -> int:
-        samples = self._at(worker)[: max(0, places)]
+        return [sample for sample in reversed(self._samples) if sample.worker is worker]
+
+    def _preempt_at(self, worker: Worker, slots: int, reason: str) -> int:
+        samples = self._samples_at(worker)[: max(0, slots)]
         for sample in samples:
-            self._give_up(sample, reason)
+            self._preempt(sample, reason)
         return len(samples)
 
     def first_claim(self, worker: Worker, call: Any) -> None:
@@ -249,11 +254,11 @@
         """
         if worker.borrowed:
             now_ms = self.node.env.now()
-            for sample in self._at(worker):
-                if not call.job and unstarted(
-                    sample.carriage.send, now_ms, self.node.settings.heartbeat_ms
-                ):
-                    self._give_up(sample, "a live call comes first")
+            reading_ms = self.node.settings.heartbeat_ms
+            for sample in self._samples_at(worker):
+                attempt = sample.attempt
+                if not call.job and attempt is not None and unstarted(attempt, now_ms, reading_ms):
+                    self._preempt(sample, "a live call comes first")
             over = math.ceil(
                 self._slots.used(worker)
                 - worker.borrowed_elsewhere
@@ -261,86 +266,85 @@
                 - self._slots.usable(worker)
             )
             if over > 0:
-                self._give_back(
+                self._preempt_at(
                     worker,
                     over,
                     "an item needs the slot" if call.job else "a live call needs the slot",
                 )
         if not call.job and self._slots.used(worker) + 1 > self._slots.usable(worker):
-            self._want(worker)
+            self._note_demand(worker)
 
     def starved(self, workers: Iterable[Worker]) -> None:
-        """Give back all slots at these workers, since a live call found no place at any of them."""
+        """Give back all slots at these workers, since a live call found no free slot at any."""
         workers = list(workers)
         for worker in workers:
-            self._give_back(worker, worker.borrowed, "a live call waits")
-        for worker in workers[:_ASKED]:
-            self._want(worker)
+            self._preempt_at(worker, worker.borrowed, "a live call waits")
+        for worker in workers[:_MOST_WORKERS_WANTED]:
+            self._note_demand(worker)
 
-    def _want(self, worker: Worker) -> None:
+    def _note_demand(self, worker: Worker) -> None:
         """Ask other edges to keep the worker's live share free, if they have samples running."""
         if self._samples_out > len(self._samples):
-            self._wanted[worker.identity] = self._wanted.get(worker.identity, 0) + 1
-            if self.node.env.now() - self._asked_ms >= self.node.settings.delta_ms:
-                self._ask_others()
+            self._slots_wanted[worker.identity] = self._slots_wanted.get(worker.identity, 0) + 1
+            if self.node.env.now() - self._requested_ms >= self.node.settings.delta_ms:
+                self._request_slots()
 
-    def _ask_others(self) -> None:
-        self._asked_ms = self.node.env.now()
-        wanted, self._wanted = self._wanted, {}
+    def _request_slots(self) -> None:
+        self._requested_ms = self.node.env.now()
+        wanted, self._slots_wanted = self._slots_wanted, {}
         for _, address in self._edges():
-            for identity, places in wanted.items():
-                self.node.send(address, PlaceWanted(worker=identity, places=places))
+            for identity, slots in wanted.items():
+                self.node.send(address, SlotsWanted(worker=identity, slots=slots))
 
-    def receive(self, message: PlaceWanted, origin: Origin) -> None:
+    def receive(self, message: Message, origin: Origin) -> None:
         """Give slots back because a live call at another edge needs them."""
+        wanted = cast(SlotsWanted, message)
         for worker in self._roster.all():
-            if worker.identity == message.worker:
-                self._give_back(worker, message.places, "a live call elsewhere needs the slot")
+            if worker.identity == wanted.worker:
+                self._preempt_at(worker, wanted.slots, "a live call elsewhere needs the slot")
 
-    def told(self, receipt: Any) -> None:
-        """Take from the holder's answer how many samples the fleet runs, and whether to stop."""
-        self._samples_out = receipt.samples_out
-        if receipt.recalled and not self._recalled:
+    def told(self, response: Any) -> None:
+        """Take from the leader's response how many samples the fleet runs, and whether to stop."""
+        self._samples_out = response.samples_out
+        if response.recalled and not self._recalled:
             self.recalls += 1
-        self._recalled = receipt.recalled
-        if receipt.recalled:
-            self._give_all_up("a lot may come late")
+        self._recalled = response.recalled
+        if response.recalled:
+            self._preempt_all("a lot may come late")
 
-    def _give_all_up(self, reason: str) -> None:
+    def _preempt_all(self, reason: str) -> None:
         for sample in list(reversed(self._samples)):
-            self._give_up(sample, reason)
+            self._preempt(sample, reason)
 
     def tick(self) -> None:
-        """Report what is due to the log, ask other edges for places and review workers in use."""
+        """Report what is due to the log, ask other edges for slots and review workers in use."""
         now_ms = self.node.env.now()
-        due = [what for at_ms, what in self._later if at_ms <= now_ms]
-        self._later = [row for row in self._later if row[0] > now_ms]
-        for what in due:
-            what()
-        if self._wanted and now_ms - self._asked_ms >= self.node.settings.delta_ms:
-            self._ask_others()
+        due = [report for at_ms, report in self._deferred if at_ms <= now_ms]
+        self._deferred = [row for row in self._deferred if row[0] > now_ms]
+        for report in due:
+            report()
+        if self._slots_wanted and now_ms - self._requested_ms >= self.node.settings.delta_ms:
+            self._request_slots()
         if not self._samples:
             return
         if reason := self._why_unready() or ("" if self.lends() else "nothing is lent any more"):
-            self._give_all_up(reason)
+            self._preempt_all(reason)
             return
-        for worker in {
-            id(sample.carriage.send.worker): sample.carriage.send.worker
-            for sample in self._samples
-            if sample.carriage is not None and sample.carriage.send is not None
-        }.values():
+        workers = [sample.worker for sample in self._samples if sample.worker is not None]
+        for worker in {id(worker): worker for worker in workers}.values():
             self._review(worker)
 
     def _review(self, worker: Worker) -> None:
         """Give back what a worker needs; each report that somebody waits is acted on once."""
+        report = (worker.beat, worker.told_ms)
         if not self._roster.usable(worker):
-            self._give_back(worker, worker.borrowed, "the worker is not to be used")
-        elif worker.waiting and self._acted.get(worker.stamp) != (worker.beat, worker.told_ms):
-            self._acted[worker.stamp] = (worker.beat, worker.told_ms)
-            self._give_back(worker, worker.waiting, "somebody waits at the worker")
+            self._preempt_at(worker, worker.borrowed, "the worker is not to be used")
+        elif worker.waiting and self._handled_reports.get(worker.stamp) != report:
+            self._handled_reports[worker.stamp] = report
+            self._preempt_at(worker, worker.waiting, "somebody waits at the worker")
         else:
             share = max((profile.loan_share for profile in self._slots.profiles()), default=0.0)
-            self._give_back(
+            self._preempt_at(
                 worker,
                 worker.borrowed - self._slots.entitlement(worker, share),
                 "live calls need more of the worker",
@@ -348,4 +352,4 @@
 
     def resumed(self, gap_ms: int) -> None:
         """Forget which workers' reports were acted on; called after the process was frozen."""
-        self._acted.clear()
+        self._handled_reports.clear()
--- a/libs/capacity_sharing/src/capacity_sharing/lent.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
@@ -7,25 +7,26 @@
 sample.
 """
 
-import json
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import Any, cast
 
 from config_feed import ConfigFeed
-from messaging import Component, Origin
+from messaging import Component, Message, Origin
 from request_routing import RequestRouter, WorkerRegistry
 
 from capacity_sharing.load import EdgeLoad, LiveLoad, load_report
-from capacity_sharing.rows import LOANS_KEY, withheld
+from capacity_sharing.loan_table import LOANS_KEY, LoanTable
 
 __all__ = ["LentWorkers"]
 
+_LONG_AGO_MS = -1 << 40
+
 
 class LentWorkers(Component):
-    """The part of an edge that withholds lent workers and reports its load.
+    """The component of an edge that withholds lent workers and reports its load.
 
-    `lends` says whether any profile lends, `at_risk` whether a lot may miss its deadline; `told`
-    gives the addresses that are sent the reports.
+    `lends` returns whether any profile lends, `at_risk` whether a batch job may miss its deadline;
+    `recipients` gives the addresses that are sent the reports.
     """
 
     __slots__ = (
@@ -37,10 +38,12 @@
         "_load",
         "_roster",
         "_sent_ms",
-        "_told",
+        "_recipients",
     )
     HANDLES = (EdgeLoad,)
 
+    _load: LiveLoad
+
     def __init__(
         self,
         edge: str,
@@ -49,7 +52,7 @@
         carrier: RequestRouter,
         lends: Callable[[], bool],
         at_risk: Callable[[], bool],
-        told: Callable[[], Iterable[str]],
+        recipients: Callable[[], Iterable[str]],
     ) -> None:
         self._edge, self._config_feed, self._roster, self._carrier = (
             edge,
@@ -57,9 +60,8 @@
             roster,
             carrier,
         )
-        self._lends, self._at_risk, self._told = lends, at_risk, told
-        self._sent_ms = -1 << 40
-        self._load: LiveLoad | None = None
+        self._lends, self._at_risk, self._recipients = lends, at_risk, recipients
+        self._sent_ms = _LONG_AGO_MS
         config_feed.watch(self._published)
 
     def attach(self, node: Any) -> None:
@@ -67,12 +69,12 @@
         super().attach(node)
         self._load = LiveLoad(node.settings.failure_timeout_ms, lambda: self.node.settings.force_ms)
 
-    def receive(self, message: EdgeLoad, origin: Origin) -> None:
+    def receive(self, message: Message, origin: Origin) -> None:
         """Take another edge's report of its load."""
-        self._load.take(origin.sender, message, self.node.env.now())
-        self._note_samples()
+        self._load.take(origin.sender, cast(EdgeLoad, message), self.node.env.now())
+        self._update_samples()
 
-    def _note_samples(self) -> None:
+    def _update_samples(self) -> None:
         samples = self._load.samples(self.node.address)
         for worker in self._roster.all():
             worker.borrowed_elsewhere = samples.get(worker.identity, 0)
@@ -84,11 +86,11 @@
     def resumed(self, gap_ms: int) -> None:
         """Forget all reports; called after the process was frozen."""
         self._load.forget()
-        self._note_samples()
+        self._update_samples()
 
     def _published(self, key: str, number: int, body: str) -> None:
         if key == LOANS_KEY and body:
-            lent = withheld(json.loads(body))
+            lent = LoanTable.from_body(body).withheld()
             for identity in sorted(lent ^ self._roster.lent):
                 self.node.env.log(
                     "worker-withheld" if identity in lent else "worker-serves-again",
@@ -114,6 +116,6 @@
         )
         self._load.take(self.node.address, report, now_ms)
         self._load.note(now_ms)
-        self._note_samples()
-        for address in self._told():
+        self._update_samples()
+        for address in self._recipients():
             self.node.send(address, report)
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -6,22 +6,23 @@
 
 import json
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from messaging import Message
 
-__all__ = ["EdgeLoad", "LiveLoad", "load_report"]
+__all__ = ["EdgeLoad", "LiveLoad", "WorkerLoad", "load_report"]
 
-_MARGIN = 1.25
-_RECALL_ABOVE = 0.8
+_PEAK_MARGIN = 1.25
+_RECALL_UTILIZATION = 0.8
+_UNKNOWN_MS = -1
 
 
 class EdgeLoad(Message):
     """An edge's report of what it has running.
 
-    `number` is the version of the loans in force at the edge. `workers` is a JSON object with, for
-    each worker's identity: zone, labels, slots, live calls running, everything running, whether it
-    may be used, and samples running. `waiting` is the number of live calls that wait at the edge.
+    `number` is the version of the loans in force at the edge. `workers` is a JSON object with the
+    row of a `WorkerLoad` for each worker's identity. `waiting` is the number of live calls that
+    wait at the edge.
     """
 
     edge: str
@@ -31,14 +32,56 @@
     jobs_at_risk: bool
 
 
+class WorkerLoad(NamedTuple):
+    """What an edge reports of a worker; on the wire, a JSON array in the order of the fields.
+
+    `live` are the live calls that the edge runs there, `running` everything that it runs there, and
+    `samples` the samples of rollouts among that.
+    """
+
+    zone: str
+    labels: list[str]
+    slots: int
+    live: int
+    running: int
+    is_usable: bool
+    samples: int
+
+
+class _Report(NamedTuple):
+    received_ms: int
+    message: EdgeLoad
+    workers: dict[str, WorkerLoad]
+
+
+class _Sample(NamedTuple):
+    """The load at one time: live calls by worker, and live calls that wait at edges."""
+
+    at_ms: int
+    live: dict[str, int]
+    waiting: int
+
+    def calls(self, workers: list[str]) -> int:
+        """Return the live calls that run at these workers, and those that wait."""
+        return sum(self.live.get(worker, 0) for worker in workers) + self.waiting
+
+
+class _ServedProfile(NamedTuple):
+    """A profile that a worker serves: all its workers, and those that stay if this one is lent."""
+
+    name: str
+    workers: list[str]
+    staying: list[str]
+
+
 def load_report(edge: str, number: int, roster: Any, carrier: Any, jobs_at_risk: bool) -> EdgeLoad:
-    """Return an edge's report, from its roster and from what its carrier is sending."""
+    """Return an edge's report, from its worker registry and what its router is sending."""
     live: dict[int, int] = {}
     for send in carrier.sends():
         if not send.carriage.call.job:
             live[id(send.worker)] = live.get(id(send.worker), 0) + 1
-    rows = {
-        worker.identity: [
+    loads = {
+        worker.identity: WorkerLoad(
             worker.zone,
             sorted(worker.labels),
             worker.slots,
@@ -46,14 +89,14 @@
             worker.sending,
             roster.usable(worker) or worker.identity in roster.lent and not worker.leaving,
             worker.borrowed,
-        ]
+        )
         for worker in roster.all()
         if not roster.silent(worker)
     }
     return EdgeLoad(
         edge=edge,
         number=number,
-        workers=json.dumps(rows),
+        workers=json.dumps(loads),
         waiting=carrier.waiting(),
         jobs_at_risk=jobs_at_risk,
     )
@@ -65,107 +108,119 @@
     Reports older than `failure_timeout_ms` are dropped; `window_ms` gives the window's length.
     """
 
-    __slots__ = ("_dead_ms", "_reports", "_rows", "_seen", "_since_ms", "_window_ms")
+    __slots__ = (
+        "_failure_timeout_ms",
+        "_known_workers",
+        "_reports",
+        "_since_ms",
+        "_window",
+        "_window_ms",
+    )
 
     def __init__(self, failure_timeout_ms: int, window_ms: Callable[[], int]) -> None:
-        self._dead_ms, self._window_ms = failure_timeout_ms, window_ms
-        self._reports: dict[str, tuple[int, EdgeLoad, dict[str, list]]] = {}
-        self._rows: list[tuple[int, dict[str, int], int]] = []
-        self._since_ms = -1
-        self._seen: dict[str, list] = {}
+        self._failure_timeout_ms = failure_timeout_ms
+        self._window_ms = window_ms
+        self._reports: dict[str, _Report] = {}
+        self._window: list[_Sample] = []
+        self._since_ms = _UNKNOWN_MS
+        self._known_workers: dict[str, WorkerLoad] = {}
 
     def take(self, link: str, message: EdgeLoad, now_ms: int) -> None:
         """Take the report of the edge with this link address."""
-        workers = json.loads(message.workers)
-        self._reports[link] = (now_ms, message, workers)
-        self._seen.update(workers)
+        rows = json.loads(message.workers)
+        workers = {name: WorkerLoad(*row[: len(WorkerLoad._fields)]) for name, row in rows.items()}
+        self._reports[link] = _Report(now_ms, message, workers)
+        self._known_workers.update(workers)
 
     def forget(self) -> None:
         """Drop all reports and the window seen so far."""
         self._reports.clear()
-        self._rows.clear()
-        self._since_ms = -1
+        self._window.clear()
+        self._since_ms = _UNKNOWN_MS
 
     def note(self, now_ms: int) -> None:
         """Add the present load to the window; called each heartbeat."""
         self._reports = {
-            link: row for link, row in self._reports.items() if now_ms - row[0] <= self._dead_ms
+            link: report
+            for link, report in self._reports.items()
+            if now_ms - report.received_ms <= self._failure_timeout_ms
         }
         if not self._reports:
-            self._since_ms, self._rows = -1, []
+            self._since_ms, self._window = _UNKNOWN_MS, []
             return
         self._since_ms = now_ms if self._since_ms < 0 else self._since_ms
         live: dict[str, int] = {}
-        for _, _, workers in self._reports.values():
-            for name, row in workers.items():
-                live[name] = live.get(name, 0) + row[3]
-        self._rows.append(
-            (now_ms, live, sum(message.waiting for _, message, _ in self._reports.values()))
-        )
-        while self._rows[0][0] < now_ms - self._window_ms():
-            self._rows.pop(0)
-
-    # -- what it says --------------------------------------------------------------------------
-
-    def reported(self) -> dict[str, tuple[int, dict[str, list]]]:
-        """Return by edge link address the version of the loans that it has, and its workers."""
-        return {
-            link: (message.number, workers) for link, (_, message, workers) in self._reports.items()
-        }
-
-    def workers(self) -> dict[str, list]:
+        for report in self._reports.values():
+            for name, load in report.workers.items():
+                live[name] = live.get(name, 0) + load.live
+        waiting = sum(report.message.waiting for report in self._reports.values())
+        self._window.append(_Sample(now_ms, live, waiting))
+        while self._window[0].at_ms < now_ms - self._window_ms():
+            self._window.pop(0)
+
+    # -- what the reports say ------------------------------------------------------------------
+
+    def is_drained(self, worker: str, link: str, number: int) -> bool:
+        """Whether an edge reported, under this version of the loans, that nothing runs there."""
+        report = self._reports.get(link)
+        if report is None or report.message.number < number:
+            return False
+        load = report.workers.get(worker)
+        return load is None or not load.running
+
+    def workers(self) -> dict[str, WorkerLoad]:
         """Return the workers that an edge may use and of which no edge says that it must not."""
-        found: dict[str, list] = {}
-        for _, _, workers in self._reports.values():
-            for name, row in workers.items():
+        found: dict[str, WorkerLoad] = {}
+        for report in self._reports.values():
+            for name, load in report.workers.items():
+                known = found.get(name)
                 found[name] = (
-                    row if name not in found else [*row[:5], row[5] and found[name][5], *row[6:]]
+                    load
+                    if known is None
+                    else load._replace(is_usable=load.is_usable and known.is_usable)
                 )
-        return {name: row for name, row in found.items() if row[5]}
+        return {name: load for name, load in found.items() if load.is_usable}
 
     def samples(self, besides: str) -> dict[str, int]:
         """Return by worker how many samples all edges run there, except the edge `besides`."""
         found: dict[str, int] = {}
-        for link, (_, _, workers) in self._reports.items():
-            for name, row in workers.items() if link != besides else ():
-                found[name] = found.get(name, 0) + row[6]
+        for link, report in self._reports.items():
+            for name, load in report.workers.items() if link != besides else ():
+                found[name] = found.get(name, 0) + load.samples
         return found
 
     def peak(self, worker: str) -> int | None:
         """Return the most live calls running at once at a worker; None while unknown."""
-        return max((live.get(worker, 0) for _, live, _ in self._rows), default=None)
+        return max((sample.live.get(worker, 0) for sample in self._window), default=None)
 
     def jobs_at_risk(self) -> bool:
-        """Return whether an edge reports that a lot may miss its deadline."""
-        return any(message.jobs_at_risk for _, message, _ in self._reports.values())
-
-    def _peers(
-        self, worker: str, tree: Any, out: frozenset[str]
-    ) -> list[tuple[str, list[str], list[str]]]:
-        """List the profiles that a worker serves: name, all workers, and those that stay."""
-        known, seen = self.workers(), self._seen.get(worker)
+        """Return whether an edge reports that a batch job may miss its deadline."""
+        return any(report.message.jobs_at_risk for report in self._reports.values())
+
+    # -- what may be lent ----------------------------------------------------------------------
+
+    def _served_by(
+        self, worker: str, profiles: Any, withheld: frozenset[str]
+    ) -> list[_ServedProfile]:
+        """Return the profiles that a worker serves, with the workers of each."""
+        known, seen = self.workers(), self._known_workers.get(worker)
         if seen is None:
             return []
-        rows = []
-        for name in tree.rows:
-            profile = tree.usable(name)
-            if profile is not None and profile.allows(worker, frozenset(seen[1])):
+        served = []
+        for name in profiles.rows:
+            profile = profiles.usable(name)
+            if profile is not None and profile.allows(worker, frozenset(seen.labels)):
                 allowed = [
                     other
-                    for other, row in known.items()
-                    if profile.allows(other, frozenset(row[1]))
+                    for other, load in known.items()
+                    if profile.allows(other, frozenset(load.labels))
                 ]
-                rows.append(
-                    (
-                        name,
-                        allowed,
-                        [other for other in allowed if other not in out and other != worker],
-                    )
-                )
-        return rows
+                staying = [other for other in allowed if other not in withheld and other != worker]
+                served.append(_ServedProfile(name, allowed, staying))
+        return served
 
-    def why_not(self, worker: str, tree: Any, out: frozenset[str], now_ms: int) -> str:
-        """Return why a worker may not be lent beside those that are `out`; empty if it may."""
+    def why_not(self, worker: str, profiles: Any, withheld: frozenset[str], now_ms: int) -> str:
+        """Return why a worker may not be lent beside those `withheld`; empty if it may."""
         known = self.workers()
         if worker not in known:
             return "no edge knows it, or one may not use it"
@@ -173,29 +228,28 @@
             return "the live load has not been watched for long enough"
         if self.jobs_at_risk():
             return "a lot may come late"
-        for name, allowed, stay in self._peers(worker, tree, out):
-            if not any(known[other][0] == known[worker][0] for other in stay):
-                return f"it is the last of {name} in its zone"
-            peak = max(
-                sum(live.get(other, 0) for other in allowed) + waiting
-                for _, live, waiting in self._rows
-            )
-            slots = sum(known[other][2] for other in stay)
-            if peak * _MARGIN > slots:
-                return f"live calls of {name} needed {peak} places lately, and {slots} would stay"
+        for profile in self._served_by(worker, profiles, withheld):
+            if not any(known[other].zone == known[worker].zone for other in profile.staying):
+                return f"it is the last of {profile.name} in its zone"
+            peak = max(sample.calls(profile.workers) for sample in self._window)
+            slots = sum(known[other].slots for other in profile.staying)
+            if peak * _PEAK_MARGIN > slots:
+                return (
+                    f"live calls of {profile.name} needed {peak} places lately, "
+                    f"and {slots} would stay"
+                )
         return ""
 
-    def why_recall(self, worker: str, tree: Any, out: frozenset[str]) -> str:
+    def why_recall(self, worker: str, profiles: Any, withheld: frozenset[str]) -> str:
         """Return why a worker is needed back now; empty if it isn't."""
         if self.jobs_at_risk():
             return "a lot may come late"
         known = self.workers()
-        if not self._rows:
+        if not self._window:
             return ""
-        _, live, waiting = self._rows[-1]
-        for name, allowed, stay in self._peers(worker, tree, out):
-            slots = sum(known[other][2] for other in stay)
-            now = sum(live.get(other, 0) for other in allowed) + waiting
-            if now > _RECALL_ABOVE * slots:
-                return f"live calls of {name} need {now} of the {slots} places that stay"
+        for profile in self._served_by(worker, profiles, withheld):
+            slots = sum(known[other].slots for other in profile.staying)
+            calls = self._window[-1].calls(profile.workers)
+            if calls > _RECALL_UTILIZATION * slots:
+                return f"live calls of {profile.name} need {calls} of the {slots} places that stay"
         return ""
--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -89,7 +89,7 @@
 
 
 @worker_request.register
-def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> tuple:
+def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> tuple[str, dict[str, str], Any]:
     target, headers, body = worker_request.dispatch(Call)(call, carrier, tx, worker)
     return target, {**headers, URGENCY_HEADER: _LOWEST, WEIGHTS_HEADER: call.weights}, body
 
@@ -98,7 +98,8 @@
 def _(
     call: SampleCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
-    return carrier.loans.choose(tx, call.weights, workers)
+    chosen: Worker | None = carrier.loans.choose(tx, call.weights, workers)
+    return chosen
 
 
 def unstarted(send: Attempt, now_ms: int, reading_ms: int) -> bool:
@@ -109,7 +110,7 @@
     """
     if send.carriage.call.stream:
         return send.heard_ms <= send.began_ms and not send.carriage.tx.delivered
-    return now_ms - send.began_ms < reading_ms
+    return bool(now_ms - send.began_ms < reading_ms)
 
 
 def sample_result(work: Any, worker: str, weights: str, events: str) -> str:
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -85,15 +85,15 @@
 
     def used(self, worker: Worker) -> float:
         """Return the slots in use at a worker, samples included."""
-        return (
-            worker.borrowed
-            + worker.borrowed_elsewhere
-            + (worker.load(self._carrier.node.env.now()) if worker.listed else worker.weight)
-        )
+        requests = worker.load(self._carrier.node.env.now()) if worker.listed else worker.weight
+        used: float = worker.borrowed + worker.borrowed_elsewhere + requests
+        return used
 
     def usable(self, worker: Worker) -> int:
         """Return how many slots of a worker may be used before the share kept for live calls."""
-        return worker.slots - math.ceil(worker.slots * self._carrier.node.settings.live_share)
+        kept = math.ceil(worker.slots * self._carrier.node.settings.live_share)
+        usable: int = worker.slots - kept
+        return usable
 
     def _takes(self, worker: Worker, profile: Any, reading: set[str]) -> bool:
         return (
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -7,7 +7,7 @@
 from typing import Annotated
 
 from aiohttp import web
-from capacity_sharing import LoanOutcome
+from capacity_sharing import LoanOutcome, LoanStatus
 from data_plane.http_service import HttpService, json_response, read_json_body, refusal_response
 from messaging.node_runner import awaited
 from pydantic import BaseModel, ConfigDict, Field
@@ -95,14 +95,14 @@
         return _response(
             worker,
             await awaited(
-                lambda done: self._node.loans.hand_back(worker, body.loan, body.weights, done)
+                lambda done: self._node.loans.take_back(worker, body.loan, body.weights, done)
             ),
         )
 
 
 def _response(worker: str, outcome: LoanOutcome) -> web.Response:
     """Return the response to an operation on a loan."""
-    if outcome.name == "refused":
+    if outcome.status is LoanStatus.REFUSED:
         return refusal_response(
             refused(
                 "loan-refused",
@@ -111,7 +111,7 @@
                 field="worker",
             )
         )
-    if outcome.name != "ok":
+    if outcome.loan is None:
         reason = f"{outcome.reason}; look at the loans, and say it again"
         return refusal_response(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
-    return json_response({"worker": worker, **(outcome.row or {})})
+    return json_response({"worker": worker, **outcome.loan.row()})
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -8,7 +8,7 @@
 import json
 from typing import Any
 
-from capacity_sharing import LOANS_KEY, NodeLoans
+from capacity_sharing import LOANS_KEY, LoanManager
 from config_feed import ConfigFeed, candidates
 from control_store import (
     Acceptor,
@@ -112,13 +112,13 @@
         self.retirement = Retirement(
             self.owner, self.membership, self.config_feed, in_contact=self.hears_majority
         )
-        self.loans = NodeLoans(
+        self.loans = LoanManager(
             self.owner,
             self.membership,
             self.config_feed,
             self.profiles,
-            sure=self.hears_majority,
-            mine=self._owns_loans,
+            in_contact=self.hears_majority,
+            is_owner=self._owns_loans,
         )
 
     def _components(self) -> list[Component]:
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -154,7 +154,7 @@
                 RowKind.LOAN_REQUESTED,
                 self._time.now_ms,
                 worker=identity,
-                outcome=outcome.name,
+                outcome=str(outcome.status),
                 reason=outcome.reason,
             )
 
@@ -218,7 +218,7 @@
                 self._report_return(worker, loan)
 
         if hosts:
-            self._rng.choice(hosts).node.loans.hand_back(
+            self._rng.choice(hosts).node.loans.take_back(
                 worker.identity, loan, worker.weights, outcomes.append
             )
         self._time.after(_REPORT_MS, report_again)
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -151,26 +151,26 @@
         _DAYS + "faults",
     ),
     "a change of a loan under an old epoch": (
-        "capacity_sharing/src/capacity_sharing/rows.py",
-        'if epoch is not None and row["epoch"] != epoch:',
+        "capacity_sharing/src/capacity_sharing/loan_table.py",
+        "if epoch is not None and loan.epoch != epoch:",
         "if False:",
         "tests/test_capacity_sharing.py -k States",
     ),
     "an old word frees a lent worker": (
-        "capacity_sharing/src/capacity_sharing/rows.py",
-        'if row["loan"] != loan:',
+        "capacity_sharing/src/capacity_sharing/loan_table.py",
+        "if loan.number != number:",
         "if False:",
         "tests/test_capacity_sharing.py -k States",
     ),
     "a worker is lent with calls under way": (
-        "capacity_sharing/src/capacity_sharing/lending.py",
+        "capacity_sharing/src/capacity_sharing/loan_manager.py",
         "if self._is_drained(worker):",
         "if True:",
         "tests/test_capacity_sharing_evening.py -k calls_are_done",
     ),
     "lent below what live calls need": (
         "capacity_sharing/src/capacity_sharing/load.py",
-        "if peak * _MARGIN > slots:",
+        "if peak * _PEAK_MARGIN > slots:",
         "if False:",
         "tests/test_capacity_sharing.py -k why_not",
     ),
@@ -200,8 +200,8 @@
     ),
     "a sample given up is forgotten": (
         "capacity_sharing/src/capacity_sharing/borrowing.py",
-        '        self._drop(sample)\n        sample.done("again", "", "")',
-        "        self._drop(sample)",
+        '        self._stop(sample)\n        sample.done("again", "", "")',
+        "        self._stop(sample)",
         "tests/test_capacity_sharing_evening.py -k nothing_is_late",
     ),
     "a repeated id meets its own earlier answer": (
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -9,24 +9,27 @@
 from batch_state.state import BatchState
 from capacity_sharing.entitlement import Entitlements
 from capacity_sharing.load import EdgeLoad, LiveLoad
-from capacity_sharing.outlook import JobOutlook
-from capacity_sharing.rows import (
+from capacity_sharing.loan_table import (
+    LoanTable,
     drained,
-    empty_loans,
     granted,
     recalled,
     returned,
     withdrawn,
-    withheld,
 )
+from capacity_sharing.outlook import JobOutlook
 from capacity_sharing.sampling import SampleCall, SampleExchange
 from control_store import ProfileTree
 from testtools import TestCase
 from testtools.matchers import Equals
 
 
-def grant(value):
-    return granted(value, "w", "trainer", "v2", 1000, 100)
+def loan_number(table):
+    return table.loans["w"].number if "w" in table.loans else 0
+
+
+def grant(table):
+    return granted(table, "w", "trainer", "v2", 1000, 100)
 
 
 class States(TestCase):
@@ -34,16 +37,14 @@
 
     STEPS = {
         "grant": grant,
-        "drained": lambda v: drained(v, "w", v["epoch"]),
-        "drained-late": lambda v: drained(v, "w", v["epoch"] - 1),
-        "withdrawn": lambda v: withdrawn(v, "w", v["epoch"], "x"),
-        "recalled": lambda v: recalled(v, "w", "x"),
-        "recalled-late": lambda v: recalled(v, "w", "x", v["epoch"] - 1),
-        "returned": lambda v: returned(v, "w", v["loans"].get("w", {}).get("loan", 0), "v2"),
-        "returned-old": lambda v: returned(
-            v, "w", v["loans"].get("w", {}).get("loan", 0) - 1, "v2"
-        ),
-        "returned-other": lambda v: returned(v, "w", v["loans"].get("w", {}).get("loan", 0), "v1"),
+        "drained": lambda table: drained(table, "w", table.epoch),
+        "drained-late": lambda table: drained(table, "w", table.epoch - 1),
+        "withdrawn": lambda table: withdrawn(table, "w", table.epoch, "x"),
+        "recalled": lambda table: recalled(table, "w", "x"),
+        "recalled-late": lambda table: recalled(table, "w", "x", table.epoch - 1),
+        "returned": lambda table: returned(table, "w", loan_number(table), "v2"),
+        "returned-old": lambda table: returned(table, "w", loan_number(table) - 1, "v2"),
+        "returned-other": lambda table: returned(table, "w", loan_number(table), "v1"),
     }
     ROWS = [
         ("serving", [], {"grant": "lending"}),
@@ -55,17 +56,20 @@
 
     def test_rows(self):
         for name, way, allowed in self.ROWS:
-            value = empty_loans()
+            table = LoanTable.from_body("")
             for step in way:
-                value = self.STEPS[step](value).ok
+                table = self.STEPS[step](table).ok
             for step, change in self.STEPS.items():
-                made = change(value)
-                state = made.ok["loans"]["w"]["state"] if made.is_ok() else None
+                made = change(table)
+                state = made.ok.loans["w"].state if made.is_ok() else None
                 self.assertThat(state, Equals(allowed.get(step)), f"{name}: {step}")
                 if made.is_ok():
-                    self.assertThat(made.ok["epoch"], Equals(value["epoch"] + 1))
+                    self.assertThat(made.ok.epoch, Equals(table.epoch + 1))
+                    self.assertThat(
+                        LoanTable.from_body(made.ok.body()).loans, Equals(made.ok.loans)
+                    )
                     self.assertThat(
-                        withheld(made.ok), Equals(frozenset() if state == "serving" else {"w"})
+                        made.ok.withheld(), Equals(frozenset() if state == "serving" else {"w"})
                     )
 
 
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -7,7 +7,7 @@
 from contextlib import ExitStack
 from unittest import mock
 
-from capacity_sharing import Borrowing, LentWorkers, NodeLoans
+from capacity_sharing import Borrowing, LentWorkers, LoanManager
 from capacity_sharing.slots import LendableSlots
 from data_plane.rollout_service import RolloutBody
 from simulator import judge
@@ -26,10 +26,10 @@
         (Borrowing, "_review", lambda self, worker: None),
     ],
     "a sample given up is not told": [
-        (Borrowing, "_give_up", lambda self, sample, reason: self._drop(sample))
+        (Borrowing, "_preempt", lambda self, sample, reason: self._stop(sample))
     ],
     "a lent worker is used": [
-        (NodeLoans, "_is_drained", lambda self, worker: True),
+        (LoanManager, "_is_drained", lambda self, worker: True),
         (LentWorkers, "_published", lambda self, key, number, body: None),
     ],
 }
@@ -205,7 +205,7 @@
         asked = self.ordered(
             fleet, lambda loans, done: loans.grant("worker1", "t", "w2", 60_000, 500, done)
         )
-        self.assertThat((asked.name, asked.row["state"]), Equals(("ok", "lending")), asked.reason)
+        self.assertThat((asked.status, asked.loan.state), Equals(("ok", "lending")), asked.reason)
         seen = []
         self.wait(
             fleet,
@@ -221,12 +221,12 @@
             evening.live_clients.live("rulings")
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
         for give, outcome in (
-            (lambda loans, done: loans.hand_back("worker1", loan, "w1", done), "refused"),
-            (lambda loans, done: loans.hand_back("worker1", loan - 1, "w2", done), "refused"),
+            (lambda loans, done: loans.take_back("worker1", loan, "w1", done), "refused"),
+            (lambda loans, done: loans.take_back("worker1", loan - 1, "w2", done), "refused"),
             (lambda loans, done: loans.recall("worker1", "wanted", done), "ok"),
             (lambda loans, done: loans.recall("worker1", "wanted", done), "refused"),
         ):
-            self.assertThat(self.ordered(fleet, give).name, Equals(outcome))
+            self.assertThat(self.ordered(fleet, give).status, Equals(outcome))
         fleet.run_until_true(lambda: False, 2500)
         self.assertThat(self.state(fleet), Equals("recalled"))
         self.assertThat(
@@ -242,8 +242,8 @@
         )
         self.assertThat(
             self.ordered(
-                fleet, lambda loans, done: loans.hand_back("worker1", loan, "w2", done)
-            ).row["state"],
+                fleet, lambda loans, done: loans.take_back("worker1", loan, "w2", done)
+            ).loan.state,
             Equals("serving"),
         )
         self.wait(
@@ -275,7 +275,7 @@
         asked = self.ordered(
             fleet, lambda loans, done: loans.grant("worker1", "t", "", 2000, 500, done)
         )
-        self.assertThat(asked.name, Equals("ok"), asked.reason)
+        self.assertThat(asked.status, Equals("ok"), asked.reason)
         fleet.run_until_true(lambda: False, 1200)
         self.assertThat(
             (self.state(fleet), edge.node.roster.lent), Equals(("lending", frozenset()))
@@ -285,7 +285,7 @@
         fleet.network.isolate(edge.address)
         self.wait(fleet, lambda: self.state(fleet) == "recalled", 4000)
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
-        self.ordered(fleet, lambda loans, done: loans.hand_back("worker1", loan, "", done))
+        self.ordered(fleet, lambda loans, done: loans.take_back("worker1", loan, "", done))
         self.wait(
             fleet,
             lambda: all(not host.node.roster.lent for host in fleet.with_role("edge")[1:]),
