--- a/libs/batch_state/src/batch_state/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -3,7 +3,7 @@
 `state` applies the entries of the log (`entries`); every replica that applies the same entries has
 the same state. `batch_service` handles the requests of edges (`messages`) on the store that leads
 the log: it decides, appends entries, and answers once they are committed. It admits jobs
-(`admission`), dispatches their items to edges (`item_dispatch`, `item_selection`, `item_claims`),
+(`admission`), dispatches items to edges (`item_dispatch`, `item_selection`, `item_claims`),
 takes results (`result_reports`, `forward_completion`), grants the right to list them
 (`listing_leases`) and answers reads (`job_responses`, `forward_reads`).
 
--- a/libs/batch_state/src/batch_state/batch_service.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -45,9 +45,11 @@
     """Archive files that can't be read, until the store sets its own."""
 
     def read_results(self, job: Any, from_index: int, limit: int, /) -> list[bytes] | None:
+        """Return None, as there are no files."""
         return None
 
     def read_answer(self, key: Any, /) -> str | None:
+        """Return None, as there are no files."""
         return None
 
 
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -8,32 +8,26 @@
 
 from collections.abc import Callable
 
-from messaging import Message, Node, encode
+from messaging import Message, Node
 
 from batch_state.edge_liveness import EdgeLiveness
 from batch_state.entries import JobCancelled
 from batch_state.forward_completion import ForwardCompletion
+from batch_state.heartbeat_offer import Heartbeat, HeartbeatOffer
 from batch_state.interfaces import DeadlineForecast, LogLeader, ProfileSource, Reply
 from batch_state.item_claims import ItemClaims, claim_entries
-from batch_state.item_selection import Assignment, ItemSelector
+from batch_state.item_selection import ItemSelector
 from batch_state.listing_leases import ListingLeases
 from batch_state.messages import (
     AdvanceListing,
-    EdgeHeartbeat,
-    EdgeHeartbeatResponse,
-    ItemAssignment,
     ReportItemOutcomes,
     ReportResult,
-    RolloutHeartbeat,
-    RolloutHeartbeatResponse,
 )
 from batch_state.outcomes import AppendOutcome
 from batch_state.result_reports import ResultReports
 
 __all__ = ["ItemDispatcher"]
 
-Heartbeat = EdgeHeartbeat | RolloutHeartbeat
-
 
 class _ParkedHeartbeat:
     """An edge's heartbeat that waits for work until `due_ms` of the node's clock."""
@@ -114,55 +108,38 @@
 
     def _answer(self, message: Heartbeat, reply: Reply, due: bool = False) -> bool:
         """Answer a heartbeat; return False if it may wait for something to be said."""
-        closed_jobs = self._jobs_over(message)
-        leases = self._leases.of_edge(message.edge)
-        self._leases.take_over_lost(message.edge)
-        work = self._selector.select(message)
-        waiting, paths = self._waiting()
-        samples_out, recalled = self._rollouts()
-        lends = isinstance(message, RolloutHeartbeat)
-        news = (
-            work
-            or leases
-            or closed_jobs
-            or set(paths) - set(message.paths)
-            or lends
-            and samples_out
-        )
-        if not (due or not message.capacity or news):
+        offer = self._offer(message)
+        if not due and not offer.is_urgent(message):
             return False
 
         def appended(outcome: str) -> None:
-            assigned = work if outcome == AppendOutcome.COMMITTED else []
-            response = EdgeHeartbeatResponse(
-                epoch=self._leader.epoch,
-                leader_ms=self._node.env.now(),
-                work=[encode(row) for row in assigned],
-                listing_leases=leases,
-                closed_jobs=closed_jobs,
-                waiting=waiting,
-                paths=paths,
-            )
-            if not lends:
-                reply(response)
-                return
             reply(
-                RolloutHeartbeatResponse(
-                    **response.as_dict(), samples_out=samples_out, recalled=recalled
+                offer.response(
+                    message,
+                    self._leader.epoch,
+                    self._node.env.now(),
+                    claimed=outcome == AppendOutcome.COMMITTED,
                 )
             )
 
-        if work:
-            self._claim(work, message.edge, appended)
+        if offer.work:
+            self._claims.made(offer.work)
+            entries = claim_entries(offer.work, message.edge)
+            self._leader.append(entries, offer.has_unsafe_work(), appended)
         else:
             appended(AppendOutcome.COMMITTED)
         return True
 
-    def _claim(self, work: list[Assignment], edge: str, appended: Callable[[str], None]) -> None:
-        """Log an edge's claims, committed if an item isn't safe to repeat."""
-        self._claims.made(work)
-        unsafe = any(isinstance(row, ItemAssignment) and not row.safe for row in work)
-        self._leader.append(claim_entries(work, edge), unsafe, appended)
+    def _offer(self, message: Heartbeat) -> HeartbeatOffer:
+        closed_jobs = self._jobs_over(message)
+        listing_leases = self._leases.of_edge(message.edge)
+        self._leases.take_over_lost(message.edge)
+        work = self._selector.select(message)
+        waiting, paths = self._waiting()
+        samples_out, recalled = self._rollouts()
+        return HeartbeatOffer(
+            work, listing_leases, closed_jobs, waiting, paths, samples_out, recalled
+        )
 
     def _jobs_over(self, message: Heartbeat) -> list[str]:
         """Return the jobs of which an edge runs items although they are over."""
