--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -41,7 +41,7 @@
         )
         return fleet
 
-    def ask(self, fleet, host, message, wait_ms=4000):
+    def submit_and_wait(self, fleet, host, message, wait_ms=4000):
         seen = []
         fleet.hosts[host].node.owner.submit(message, seen.append)
         fleet.run_until_true(lambda: seen, wait_ms)
@@ -90,15 +90,19 @@
             )
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
         self.assertThat(sorted(result.outcome for result in seen), Equals(["lost", "ok"]))
-        read = self.ask(fleet, "control2", ReadKey(key="profiles", hops=0))
+        read = self.submit_and_wait(fleet, "control2", ReadKey(key="profiles", hops=0))
         winner = next(result for result in seen if result.outcome == "ok")
         self.assertThat((read.version, read.body), Equals((1, winner.body)))
 
     def test_resend_with_its_change_id_learns_what_happened(self):
         fleet = self.bootstrapped()
-        self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
-        self.assertThat(self.ask(fleet, "control2", self.change(1, "b")).outcome, Equals("ok"))
-        again = self.ask(fleet, "control3", self.change(0, "a"))
+        self.assertThat(
+            self.submit_and_wait(fleet, "control1", self.change(0, "a")).outcome, Equals("ok")
+        )
+        self.assertThat(
+            self.submit_and_wait(fleet, "control2", self.change(1, "b")).outcome, Equals("ok")
+        )
+        again = self.submit_and_wait(fleet, "control3", self.change(0, "a"))
         self.assertThat((again.outcome, again.version), Equals(("ok", 1)))
 
     def test_a_callback_may_submit_again_at_once(self):
@@ -124,25 +128,25 @@
 
     def test_a_minority_answers_neither_old_nor_new(self):
         fleet = self.bootstrapped()
-        self.ask(fleet, "control1", self.change(0, "a"))
+        self.submit_and_wait(fleet, "control1", self.change(0, "a"))
         names = sorted(fleet.hosts[name].address for name in ("control1", "control2"))
         fleet.network.split(
             [names, [host.address for host in fleet.hosts.values() if host.address not in names]]
         )
         for message in (ReadKey(key="profiles", hops=0), self.change(1, "b")):
-            result = self.ask(fleet, "control1", message, 6000)
+            result = self.submit_and_wait(fleet, "control1", message, 6000)
             self.assertThat(result.outcome, Equals("doubt"))
 
     def test_owner_killed_its_key_goes_on_under_a_higher_epoch(self):
         fleet = self.bootstrapped()
-        self.ask(fleet, "control1", self.change(0, "a"))
+        self.submit_and_wait(fleet, "control1", self.change(0, "a"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         before = owner.node.owner.ownership()["profiles"]["epoch"]
         owner.kill()
         other = next(host for host in fleet.with_role("control") if host.up)
         fleet.run_until_true(lambda: False, 1500)
-        result = self.ask(fleet, other.name, self.change(1, "b"), 8000)
+        result = self.submit_and_wait(fleet, other.name, self.change(1, "b"), 8000)
         self.assertThat((result.outcome, result.version), Equals(("ok", 2)))
         epochs = [
             host.node.owner.ownership().get("profiles", {"epoch": 0})["epoch"]
@@ -154,7 +158,8 @@
     def test_all_control_machines_replaced_one_after_another(self):
         fleet = self.bootstrapped()
         self.assertThat(
-            self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
+            self.submit_and_wait(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome,
+            Equals("ok"),
         )
         first = {host.node.acceptor.identity for host in fleet.with_role("control")}
         for number in range(5):
@@ -166,7 +171,7 @@
 
             self.assertThat(fleet.run_until_true(joined, 25000), Equals(True), f"fresh{number + 1}")
         self.assertThat(first & set(fleet.hosts["fresh1"].node.acceptor.voters), HasLength(0))
-        read = self.ask(fleet, "fresh2", ReadKey(key="profiles", hops=0))
+        read = self.submit_and_wait(fleet, "fresh2", ReadKey(key="profiles", hops=0))
         self.assertThat((read.version, read.body), Equals((1, '{"kept": 1}')))
 
     def test_keys_are_swept_before_the_voters_change(self):
@@ -177,7 +182,9 @@
         fleet = self.bootstrapped(edges=1)
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         new_host = fleet.add("control", "fresh")
-        self.assertThat(self.ask(fleet, "control1", self.change(0, "a")).outcome, Equals("ok"))
+        self.assertThat(
+            self.submit_and_wait(fleet, "control1", self.change(0, "a")).outcome, Equals("ok")
+        )
         fleet.run_until_true(lambda: False, new_host.settings.removal_timeout_ms + 1500)
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")]
         others = [
@@ -207,13 +214,14 @@
         self.assertThat(changed, Equals(True))
         for host in (owner, stays, leaves):
             host.kill()
-        read = self.ask(fleet, missing[0].name, ReadKey(key="profiles", hops=9), 8000)
+        read = self.submit_and_wait(fleet, missing[0].name, ReadKey(key="profiles", hops=9), 8000)
         self.assertThat((read.outcome, read.version, read.body), Equals(("ok", 2, '{"b": 1}')))
 
     def test_a_sweep_sends_a_value_only_where_a_replica_is_outdated(self):
         fleet = self.bootstrapped()
         self.assertThat(
-            self.ask(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome, Equals("ok")
+            self.submit_and_wait(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome,
+            Equals("ok"),
         )
         fleet.run_until_true(lambda: False, 500)
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -47,14 +47,14 @@
     def wait(self, fleet, wait_ms):
         fleet.time.run_until(fleet.time.now_ms + wait_ms)
 
-    def ask(self, fleet, host, message):
+    def submit_and_wait(self, fleet, host, message):
         seen = []
         fleet.hosts[host].node.owner.submit(message, seen.append)
         fleet.run_until_true(lambda: seen, 6000)
         return seen[0].outcome if seen else "none"
 
     def change(self, fleet, host, version, wanted="ok"):
-        outcome = self.ask(
+        outcome = self.submit_and_wait(
             fleet,
             host,
             Change(
@@ -219,7 +219,8 @@
                     )
                     self.wait(fleet, CUT_MS // 10)
                 self.assertThat(
-                    self.ask(fleet, away, ReadKey(key="profiles", hops=0)), Equals("doubt")
+                    self.submit_and_wait(fleet, away, ReadKey(key="profiles", hops=0)),
+                    Equals("doubt"),
                 )
 
     def test_a_retirement_is_not_refused_by_a_node_that_was_just_cut_off(self):
