--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -132,16 +132,8 @@
 
     def _leader(self) -> tuple[int, str]:
         """Return the leader's epoch and its address, empty if it isn't known."""
-        value = self.log.value
-        address = next(
-            (
-                row["address"]
-                for row in value.get("members", [])
-                if row["identity"] == value.get("holder")
-            ),
-            "",
-        )
-        return value.get("epoch", 0), address
+        configuration = self.log.configuration
+        return configuration.epoch, configuration.leader_address
 
     def why_unready(self) -> str:
         """Return why it is not ready, or an empty string."""
--- a/libs/data_plane/src/data_plane/store_process.py
+++ b/libs/data_plane/src/data_plane/store_process.py
@@ -44,9 +44,7 @@
     def apply(self, settings: Settings) -> None:
         """Apply changed settings, to the log too."""
         super().apply(settings)
-        self.node.log.log.settings = settings
-        if self.node.log.leader is not None:
-            self.node.log.leader.settings = settings
+        self.node.log.apply_settings(settings)
 
     def status(self) -> dict[str, Any]:
         """Return the store's state for operators, as `/status` shows it."""
@@ -59,8 +57,8 @@
             "ready": not self.why_unready(),
             "reason": self.why_unready(),
             "log_role": str(log.role),
-            "fence": local.meta.fence,
-            "log_epoch": local.meta.log_epoch,
+            "fence": local.metadata.fence,
+            "log_epoch": local.metadata.log_epoch,
             "last_seq": local.last_seq,
             "flushed_seq": local.flushed_seq,
             "settled_seq": local.committed_seq,
@@ -70,7 +68,7 @@
             "lots": len(local.state.jobs),
             "open_lots": len(local.state.open_jobs),
             "keys": len(local.state.keys),
-            "log": log.value,
+            "log": log.configuration.as_dict(),
             "waiting_rooms": self.node.batch_service.backlogs(),
         }
 
@@ -83,7 +81,7 @@
         }
         leader = self.node.log.leader
         if leader is not None:
-            caught_up = leader.count_caught_up()
+            caught_up = leader.health.count_caught_up()
             rows["store_members_level"] = caught_up
             rows["store_copies_at_risk"] = len(leader.members) - caught_up
         return {
@@ -91,7 +89,7 @@
             "store_last_seq": local.last_seq,
             "store_settled_seq": local.committed_seq,
             "store_flushed_seq": local.flushed_seq,
-            "store_epoch": local.meta.fence,
+            "store_epoch": local.metadata.fence,
             "store_holds": int(self.node.log.leader is not None),
             "store_open_lots": len(local.state.open_jobs),
             "store_shelves": len(local.archive.names()),
--- a/libs/modelcheck/src/modelcheck/log_model.py
+++ b/libs/modelcheck/src/modelcheck/log_model.py
@@ -20,13 +20,13 @@
 from control_store.messages import AcceptorMetadata
 from messaging import Node, encode
 from replicated_log import Leader, LocalLog, LogReplica, Outcome
-from replicated_log.local_log import decode_entry
 from replicated_log.messages import (
     AppendResponse,
     LeaderHeartbeat,
     Record,
     StartRecoveryResponse,
 )
+from replicated_log.records import decode_entry
 from replicated_log.role import Role
 from runtime import Settings
 from storage import frame
@@ -401,7 +401,7 @@
         """Return a store's identity, fence and log epoch."""
         if index == _CONTROL:
             return StoreState("", 0, 0)
-        metadata = _replica(running).log.meta
+        metadata = _replica(running).log.metadata
         return StoreState(metadata.identity, metadata.fence, metadata.log_epoch)
 
     def facts(self, index: int, running: RunningNode) -> frozenset[Observation]:
--- /dev/null
+++ b/libs/replicated_log/src/replicated_log/archive_blocks.py
@@ -0,0 +1,125 @@
+"""The contents of archive files: blocks of rows, each a compressed frame with a checksum."""
+
+import zlib
+from enum import StrEnum
+from typing import NamedTuple
+
+from batch_state.entries import JobArchived, KeyArchived
+from batch_state.jobs import Job
+from batch_state.state import IdempotencyKey
+from messaging import Message, decode_as, encode
+from storage import frame, walk
+
+__all__ = ["ArchiveBlock", "ArchiveFile", "ArchivedItem", "ArchivedKind", "decode_block"]
+
+_BLOCK_BYTES = 1 << 17
+_COMPRESSION_LEVEL = 1
+
+
+class ArchivedKind(StrEnum):
+    """What a block's rows belong to; the text is that of messages and of the batch state."""
+
+    JOB = "lot"
+    KEY = "key"
+
+
+class ArchivedItem(NamedTuple):
+    """The job or key that archived rows belong to."""
+
+    kind: ArchivedKind
+    name: str
+
+
+class ArchiveBlock(Message, wire_name="Leaf"):
+    """A group of archived rows of one job or key.
+
+    `name` is the job or key, so that a block found in another's place is recognised.
+    """
+
+    name: str
+    rows: list[bytes]
+
+
+def decode_block(data: bytes, name: str) -> list[bytes] | None:
+    """Return the rows of a block, or None if it is damaged or belongs to another name."""
+    frames, end = walk(data)
+    if len(frames) != 1 or end != len(data):
+        return None
+    block = decode_as(ArchiveBlock, zlib.decompress(frames[0][1]))
+    return block.rows if block.name == name else None
+
+
+class ArchiveFile:
+    """An archive file that is being filled; `content` is what it has so far."""
+
+    __slots__ = ("content", "name")
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+        self.content = bytearray()
+
+    def _add_block(self, name: str, rows: list[bytes]) -> int:
+        """Add a block and return its size in bytes."""
+        data = frame(zlib.compress(encode(ArchiveBlock(name=name, rows=rows)), _COMPRESSION_LEVEL))
+        self.content += data
+        return len(data)
+
+    def add_job(self, job: Job, rows: list[bytes]) -> JobArchived:
+        """Add the rows of a job's results and return the entry that refers to them."""
+        offsets, sizes, first_indexes = [], [], []
+        first = 0
+        while first < len(rows):
+            end = _end_of_block(rows, first)
+            offsets.append(len(self.content))
+            sizes.append(self._add_block(job.job_id, rows[first:end]))
+            first_indexes.append(first)
+            first = end
+        return JobArchived(
+            job_id=job.job_id,
+            digest=job.digest,
+            path=job.path,
+            safe=job.safe,
+            due_ms=job.due_ms,
+            at_ms=job.at_ms,
+            total=job.total,
+            finished=job.total - job.unfinished,
+            listed=job.listed,
+            cancelled=job.cancelled,
+            cancelled_at_ms=job.cancelled_at_ms,
+            file=self.name,
+            block_offsets=offsets,
+            block_sizes=sizes,
+            first_positions=first_indexes,
+        )
+
+    def add_key(self, name: str, key: IdempotencyKey) -> KeyArchived:
+        """Add the final answer of a key and return the entry that refers to it."""
+        offset = len(self.content)
+        size_bytes = self._add_block(name, [key.body.encode()])
+        return KeyArchived(
+            key=name,
+            digest=key.digest,
+            edge=key.edge,
+            request_id=key.request_id,
+            status=key.status,
+            at_ms=key.at_ms,
+            file=self.name,
+            block_offset=offset,
+            block_size=size_bytes,
+        )
+
+    def add_key_again(self, archived: KeyArchived, rows: list[bytes]) -> KeyArchived:
+        """Add the rows of a key that is archived in another file and return the new entry."""
+        offset = len(self.content)
+        size_bytes = self._add_block(archived.key, rows)
+        moved = {"file": self.name, "block_offset": offset, "block_size": size_bytes}
+        return KeyArchived(**{**archived.as_dict(), **moved})
+
+
+def _end_of_block(rows: list[bytes], first: int) -> int:
+    """Return the index after the last row that fits into the block that begins with `first`."""
+    end, size_bytes = first, 0
+    while end < len(rows) and (end == first or size_bytes + len(rows[end]) <= _BLOCK_BYTES):
+        size_bytes += len(rows[end])
+        end += 1
+    return end
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -1,24 +1,26 @@
-"""Repair of archive files, called shelves, that a replica lacks or that are damaged.
+"""Repair of archive files that a replica lacks or that are damaged.
 
 The archive files that a snapshot refers to are fetched from the sender of the snapshot before it is
-taken over. A damaged leaf, found by a read or by the periodic sweep, is fetched from another member
-and written anew.
+taken over. A damaged block, found by a read or by the periodic check, is fetched from another
+member and written anew.
 """
 
 from collections.abc import Callable
 from functools import singledispatchmethod
 from typing import Any
 
-from batch_state import messages as m
+from batch_state.messages import ResultRow
 from messaging import Component, Message, Origin, encode
 
 from replicated_log.archive import ARCHIVE_PREFIX
+from replicated_log.archive_blocks import ArchivedItem, ArchivedKind
 from replicated_log.local_log import LocalLog
 
-__all__ = ["FetchArchive", "ReadArchived", "ArchivedRows", "ArchiveRepair", "ArchiveChunk"]
+__all__ = ["ArchiveChunk", "ArchiveRepair", "ArchivedRows", "FetchArchive", "ReadArchived"]
 
 _CHUNK_BYTES = 1 << 18
-_PAGE = 200
+_ROWS_PER_MESSAGE = 200
+_NO_FILE = ("", b"")
 
 
 class FetchArchive(Message, wire_name="FetchShelf"):
@@ -29,7 +31,7 @@
 
 
 class ArchiveChunk(Message, wire_name="ShelfPart"):
-    """The answer to FetchArchive: a part of the file and its whole size in bytes."""
+    """The answer to FetchArchive: a chunk of the file and its whole size in bytes."""
 
     ok: bool
     data: bytes
@@ -37,7 +39,7 @@
 
 
 class ReadArchived(Message, wire_name="GetKept"):
-    """Ask for the archived rows of a lot or a key (`kind`), from an index on."""
+    """Ask for the archived rows of a job or a key (`kind`: ArchivedKind), from an index on."""
 
     kind: str
     name: str
@@ -61,15 +63,16 @@
     `others` returns the addresses of the other members of the log.
     """
 
-    __slots__ = ("_log", "_mending", "_next_ms", "_others", "_page")
+    __slots__ = ("_log", "_next_check_ms", "_open_file", "_others", "_repairing")
     HANDLES = (FetchArchive, ReadArchived)
 
     def __init__(self, log: LocalLog, others: Callable[[], list[str]]) -> None:
         self._log = log
         self._others = others
-        self._mending: set[tuple[str, str]] = set()
-        self._next_ms = 0
-        self._page = ("", b"")
+        self._repairing: set[ArchivedItem] = set()
+        self._next_check_ms = 0
+        # The name and contents of the file that was last asked for, as chunks follow each other.
+        self._open_file = _NO_FILE
         log.fetch_archives = self.fetch
 
     @singledispatchmethod
@@ -83,122 +86,120 @@
     def _(self, message: FetchArchive, origin: Origin) -> None:
         disk = self._log.disk
         ok = message.file.startswith(ARCHIVE_PREFIX) and message.file in disk.names()
-        if ok and self._page[0] != message.file:
-            self._page = (message.file, disk.read(message.file))
-        data = self._page[1] if ok else b""
-        self.node.reply(
-            origin,
-            ArchiveChunk(
-                ok=ok, data=data[message.offset : message.offset + _CHUNK_BYTES], total=len(data)
-            ),
-        )
+        if ok and self._open_file[0] != message.file:
+            self._open_file = (message.file, disk.read(message.file))
+        data = self._open_file[1] if ok else b""
+        chunk = data[message.offset : message.offset + _CHUNK_BYTES]
+        self.node.reply(origin, ArchiveChunk(ok=ok, data=chunk, total=len(data)))
 
     def fetch(self, files: list[str], source: str, done: Callable[[bool], None]) -> None:
-        """Fetch archive files from `source` one after another, flushing each.
+        """Fetch archive files from the address `source` one after another, flushing each.
 
         `done` gets False at the first failure; the caller then begins again.
         """
         if not files:
             done(True)
             return
-        self._fetch_part(files, source, b"", done)
+        self._fetch_chunk(files, source, b"", done)
 
-    def _fetch_part(
-        self, files: list[str], source: str, got: bytes, done: Callable[[bool], None]
+    def _fetch_chunk(
+        self, files: list[str], source: str, received: bytes, done: Callable[[bool], None]
     ) -> None:
-        def told(part: Any) -> None:
-            if part is None or not part.ok:
+        def stored(ok: bool) -> None:
+            if ok:
+                self.fetch(files[1:], source, done)
+            else:
+                done(False)
+
+        def chunk_received(chunk: Any) -> None:
+            if not isinstance(chunk, ArchiveChunk) or not chunk.ok:
                 done(False)
-            elif len(got) + len(part.data) < part.total:
-                self._fetch_part(files, source, got + part.data, done)
+            elif len(received) + len(chunk.data) < chunk.total:
+                self._fetch_chunk(files, source, received + chunk.data, done)
             else:
-                self._keep(
-                    files[0],
-                    got + part.data,
-                    lambda ok: self.fetch(files[1:], source, done) if ok else done(False),
-                )
+                self._log.disk.replace(files[0], received + chunk.data, stored)
 
         self.node.request(
             source,
-            FetchArchive(file=files[0], offset=len(got)),
+            FetchArchive(file=files[0], offset=len(received)),
             2 * self.node.settings.request_timeout_ms,
-            told,
+            chunk_received,
         )
 
-    def _keep(self, file: str, data: bytes, done: Callable[[bool], None]) -> None:
-        self._log.disk.replace(file, data, done)
-
-    # -- leaves that are damaged ---------------------------------------------------------------
+    # -- damaged blocks ------------------------------------------------------------------------
 
     @receive.register
     def _(self, message: ReadArchived, origin: Origin) -> None:
-        self.node.reply(origin, self._kept(message))
-
-    def _kept(self, message: ReadArchived) -> ArchivedRows:
-        state, archive = self._log.state, self._log.archive
-        if message.kind == "key":
-            key = state.keys.get(message.name)
-            body = (
-                None
-                if key is None or key.state != "done"
-                else key.body
-                if key.archived is None
-                else archive.read_answer(key)
-            )
-            return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], listed=1)
-        job = state.jobs.get(message.name)
+        if message.kind == ArchivedKind.KEY:
+            response = self._read_key(message)
+        else:
+            response = self._read_job(message)
+        self.node.reply(origin, response)
+
+    def _read_key(self, message: ReadArchived) -> ArchivedRows:
+        key = self._log.state.keys.get(message.name)
+        body: str | None = None
+        if key is not None and key.state == "done":
+            body = key.body if key.archived is None else self._log.archive.read_answer(key)
+        return ArchivedRows(ok=body is not None, rows=[(body or "").encode()], listed=1)
+
+    def _read_job(self, message: ReadArchived) -> ArchivedRows:
+        job = self._log.state.jobs.get(message.name)
         if job is None:
             return ArchivedRows(ok=False, rows=[], listed=0)
+        rows: list[bytes] | None
         if job.archived is None:
-            rows: list[bytes] | None = [
-                encode(m.ResultRow(index=index, outcome=item.outcome, body=item.result))
-                for index, item in list(enumerate(job.items[: job.listed]))[
-                    message.from_index : message.from_index + _PAGE
-                ]
+            end = message.from_index + _ROWS_PER_MESSAGE
+            listed = list(enumerate(job.items[: job.listed]))
+            rows = [
+                encode(ResultRow(index=index, outcome=item.outcome, body=item.result))
+                for index, item in listed[message.from_index : end]
             ]
         else:
-            rows = archive.read_results(job, message.from_index, _PAGE)
+            rows = self._log.archive.read_results(job, message.from_index, _ROWS_PER_MESSAGE)
         return ArchivedRows(ok=rows is not None, rows=rows or [], listed=job.listed)
 
     def repair(self, kind: str, name: str) -> None:
-        """Start to repair the rows of a lot or a key, unless this is under way already."""
-        if (kind, name) not in self._mending:
-            self._mending.add((kind, name))
+        """Start to repair the rows of a job or a key, unless this is under way already."""
+        item = ArchivedItem(ArchivedKind(kind), name)
+        if item not in self._repairing:
+            self._repairing.add(item)
             self.node.env.log("shelf-damaged", "ERROR", kind=kind, what=name)
-            self._ask(kind, name, list(self._others()), [])
+            self._request_rows(item, list(self._others()), [])
 
-    def _ask(self, kind: str, name: str, others: list[str], got: list[bytes]) -> None:
+    def _request_rows(self, item: ArchivedItem, others: list[str], received: list[bytes]) -> None:
+        """Ask the first of `others` for the rows after those received; on failure ask the next."""
         if not others:
-            self._mending.discard((kind, name))
+            self._repairing.discard(item)
             return
 
-        def told(kept: Any) -> None:
-            if kept is None or not kept.ok:
-                self._ask(kind, name, others[1:], [])
+        def rows_received(answer: Any) -> None:
+            if not isinstance(answer, ArchivedRows) or not answer.ok:
+                self._request_rows(item, others[1:], [])
                 return
-            rows = got + kept.rows
-            if len(rows) < kept.listed and kept.rows:
-                self._ask(kind, name, others, rows)
+            rows = received + answer.rows
+            if len(rows) < answer.listed and answer.rows:
+                self._request_rows(item, others, rows)
             else:
-                self._log.archive.rewrite(kind, name, rows, lambda ok: self._mended(kind, name, ok))
+                self._log.archive.rewrite(item, rows, lambda ok: self._repaired(item, ok))
 
         self.node.request(
             others[0],
-            ReadArchived(kind=kind, name=name, from_index=len(got)),
+            ReadArchived(kind=item.kind, name=item.name, from_index=len(received)),
             self.node.settings.request_timeout_ms,
-            told,
+            rows_received,
         )
 
-    def _mended(self, kind: str, name: str, ok: bool) -> None:
-        self._mending.discard((kind, name))
+    def _repaired(self, item: ArchivedItem, ok: bool) -> None:
+        self._repairing.discard(item)
         if ok:
-            self.node.env.log("shelf-mended", kind=kind, what=name)
+            self.node.env.log("shelf-mended", kind=str(item.kind), what=item.name)
 
     def tick(self) -> None:
-        """Sweep the next archive file for damage, once in `removal_timeout_ms`."""
+        """Check the next archive file for damage, once in `removal_timeout_ms`."""
         now_ms = self.node.env.now()
-        if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.settings.removal_timeout_ms
-            self._page = ("", b"")
-            for kind, name in self._log.archive.sweep():
-                self.repair(kind, name)
+        if now_ms >= self._next_check_ms:
+            self._next_check_ms = now_ms + self.node.settings.removal_timeout_ms
+            self._open_file = _NO_FILE
+            for item in self._log.archive.check_next_file():
+                self.repair(item.kind, item.name)
--- /dev/null
+++ b/libs/replicated_log/src/replicated_log/configuration.py
@@ -0,0 +1,120 @@
+"""The configuration of the log: its epoch, its leader and its members.
+
+It is the JSON value of the control key `log`, which only compare-and-set changes.
+"""
+
+import json
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+__all__ = ["LOG_KEY", "LogConfiguration", "MemberRow", "Phase", "ReplicaAddress", "addresses_of"]
+
+LOG_KEY = "log"
+
+MemberRow = dict[str, str]
+"""A store in the configuration: `identity`, `address` and, in newer values, `zone`."""
+
+
+class ReplicaAddress(NamedTuple):
+    """A member of the log and where it is reached, IP:PORT."""
+
+    identity: str
+    address: str
+
+
+def addresses_of(members: list[MemberRow]) -> list[ReplicaAddress]:
+    """Return the identities and addresses of members."""
+    return [ReplicaAddress(row["identity"], row["address"]) for row in members]
+
+
+class Phase(StrEnum):
+    """Whether the leader of the epoch still recovers the log or serves."""
+
+    RECOVERING = "recovering"
+    SERVING = "serving"
+
+
+class LogConfiguration:
+    """One value of the control key.
+
+    A leader that is `recovering` recovers from `previous_members` and serves with `members`. Epoch
+    0 stands for a log that hasn't been bootstrapped.
+    """
+
+    __slots__ = ("epoch", "leader", "members", "phase", "previous_members")
+
+    def __init__(
+        self,
+        epoch: int,
+        leader: str,
+        phase: Phase,
+        members: list[MemberRow],
+        previous_members: list[MemberRow],
+    ) -> None:
+        self.epoch = epoch
+        self.leader = leader
+        self.phase = phase
+        self.members = members
+        self.previous_members = previous_members
+
+    @classmethod
+    def absent(cls) -> "LogConfiguration":
+        """Return the configuration of a log that hasn't been bootstrapped."""
+        return cls(0, "", Phase.RECOVERING, [], [])
+
+    @classmethod
+    def from_json(cls, text: str) -> "LogConfiguration":
+        """Read the value of the control key."""
+        value = json.loads(text)
+        return cls(
+            value["epoch"],
+            value["holder"],
+            Phase(value["phase"]),
+            value["members"],
+            value["prev"],
+        )
+
+    def as_dict(self) -> dict[str, Any]:
+        """Return the value of the control key, which is empty for an absent configuration."""
+        if not self.exists:
+            return {}
+        return {
+            "epoch": self.epoch,
+            "holder": self.leader,
+            "phase": str(self.phase),
+            "members": self.members,
+            "prev": self.previous_members,
+        }
+
+    def to_json(self) -> str:
+        """Return the value of the control key as it is stored."""
+        return json.dumps(self.as_dict())
+
+    @property
+    def exists(self) -> bool:
+        """Whether the log has been bootstrapped."""
+        return self.epoch > 0
+
+    @property
+    def names(self) -> list[str]:
+        """The identities of the members in order."""
+        return [row["identity"] for row in self.members]
+
+    @property
+    def leader_address(self) -> str:
+        """The address of the leader, or an empty string if it isn't known."""
+        return next((row["address"] for row in self.members if row["identity"] == self.leader), "")
+
+    def recovery_members(self) -> list[MemberRow]:
+        """Return the members that a recovery has to ask."""
+        return self.previous_members if self.phase is Phase.RECOVERING else self.members
+
+    def serving(self) -> "LogConfiguration":
+        """Return the configuration in which the leader of this one serves."""
+        return self.with_members(self.members, Phase.SERVING)
+
+    def with_members(
+        self, members: list[MemberRow], phase: Phase | None = None
+    ) -> "LogConfiguration":
+        """Return the configuration with other members, from which it would be recovered too."""
+        return LogConfiguration(self.epoch, self.leader, phase or self.phase, members, members)
--- a/libs/replicated_log/src/replicated_log/flush_watermark.py
+++ b/libs/replicated_log/src/replicated_log/flush_watermark.py
@@ -1,4 +1,4 @@
-"""The flush mark: how far the log on a disk has been reported flushed.
+"""The flush watermark: how far the log on a disk has been reported flushed.
 
 On opening, it tells an unflushed tail that was torn off from damage to flushed records.
 """
@@ -9,7 +9,8 @@
 
 __all__ = ["FlushWatermark"]
 
-_NAME = "mark"
+_FILE = "mark"
+_SPACE_BYTES = 64
 
 
 class FlushWatermark:
@@ -22,18 +23,19 @@
         self._metadata_file = metadata_file
 
     def read(self) -> int:
-        """Return the mark, or 0 if it was written under an earlier fence.
+        """Return the watermark, or 0 if it was written under an earlier fence.
 
-        What an earlier mark speaks of may have been cut off since.
+        The records that an earlier watermark counts may have been truncated since.
         """
         names = self._disk.names()
-        frames = scan(self._disk.read(_NAME))[0] if _NAME in names else []
+        frames = scan(self._disk.read(_FILE))[0] if _FILE in names else []
         fence, seq = (int(part) for part in frames[0][1].split()) if frames else (-1, 0)
-        meta = self._metadata_file.meta
-        return seq if fence == meta.fence == meta.log_epoch else 0
+        metadata = self._metadata_file.metadata
+        return seq if fence == metadata.fence == metadata.log_epoch else 0
 
     def write(self, seq: int) -> None:
-        """Write the mark lazily if there is room and the log is of the present fence's epoch."""
-        meta = self._metadata_file.meta
-        if meta.fence == meta.log_epoch and self._disk.roomy(64, True):
-            self._disk.write(_NAME, 0, frame(f"{meta.fence:020d} {seq:020d}".encode()), True)
+        """Write it lazily if there is space and the log is of the present fence's epoch."""
+        metadata = self._metadata_file.metadata
+        if metadata.fence == metadata.log_epoch and self._disk.roomy(_SPACE_BYTES, True):
+            data = frame(f"{metadata.fence:020d} {seq:020d}".encode())
+            self._disk.write(_FILE, 0, data, True)
--- a/libs/replicated_log/src/replicated_log/follower.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -1,14 +1,14 @@
 """The follower's side of the log.
 
 A message of a lower epoch is refused; a higher epoch is first written to disk as the fence. Records
-are taken only in sequence, so holding a record means holding all before it. A log that missed a
+are taken only in sequence, so having a record means having all before it. A log that missed a
 recovery is adopted into the new epoch once it matches the recovered log to its end, on disk.
 """
 
 from collections.abc import Callable
 from functools import singledispatchmethod
 
-from messaging import Message, decode, encode
+from messaging import Message, decode_as, encode
 from storage import DamageError, DiskFullError
 
 from replicated_log.local_log import LocalLog
@@ -19,198 +19,259 @@
     FetchResponse,
     FetchTail,
     InstallSnapshot,
+    Record,
+    ResponseReason,
     StartRecovery,
 )
-from replicated_log.recovery import started
+from replicated_log.recovery import recovery_response
 
-__all__ = ["Follower"]
+__all__ = ["Follower", "FollowerMessage"]
 
 _CHUNK_BYTES = 1 << 18
-Reply = Callable[[Message], None]
+
+FollowerMessage = AppendRequest | InstallSnapshot | StartRecovery | FetchRecords | FetchTail
+ReplyCallback = Callable[[Message], None]
+
+
+class _SnapshotCopy:
+    """A snapshot that is being fetched, so that all its parts are of one piece.
+
+    `committed_seq` is how far the log was committed when it was taken, -1 if there is none.
+    """
+
+    __slots__ = ("committed_seq", "data")
+
+    def __init__(self) -> None:
+        self.committed_seq = -1
+        self.data = b""
+
+    def refresh(self, log: LocalLog) -> None:
+        """Take the log's snapshot, if more has been committed since."""
+        if self.committed_seq != log.committed_seq:
+            self.committed_seq, self.data = log.committed_seq, log.stored_snapshot()
 
 
 class Follower:
-    """Handles the messages of a holder or of a recovering store for one replica."""
+    """Handles the messages of a leader or of a recovering store for one replica."""
 
-    __slots__ = ("_busy", "_log", "_parts", "_snapshot", "_source")
+    __slots__ = ("_busy", "_log", "_received_snapshot", "_sent_snapshot", "_source")
 
     def __init__(self, log: LocalLog) -> None:
         self._log = log
         self._busy = False
-        self._parts = b""
+        self._received_snapshot = b""
+        self._sent_snapshot = _SnapshotCopy()
         self._source = ""
-        self._snapshot: tuple[int, bytes] = (-1, b"")
 
-    def receive(self, message: Message, reply: Reply, source: str = "") -> None:
+    def receive(self, message: FollowerMessage, reply: ReplyCallback, source: str = "") -> None:
         """Handle a message after raising the fence to its epoch where needed.
 
-        `reply` is called with each answer, perhaps later, and never if the fence could not be
+        `reply` is called with each response, perhaps later, and never if the fence could not be
         written. `source` is the sender's address.
         """
         self._source = source
-        if message.epoch > self._log.meta.fence:
-            self._log.save_metadata(
-                lambda ok: self._on(message, reply) if ok else None, fence=message.epoch
-            )
-        else:
-            self._on(message, reply)
+        if message.epoch <= self._log.metadata.fence:
+            self._handle(message, reply)
+            return
+
+        def fence_raised(ok: bool) -> None:
+            if ok:
+                self._handle(message, reply)
+
+        self._log.save_metadata(fence_raised, fence=message.epoch)
 
     @singledispatchmethod
-    def _on(self, message: Message, reply: Reply) -> None:
+    def _handle(self, message: Message, reply: ReplyCallback) -> None:
         raise TypeError(type(message).__name__)
 
-    @_on.register
-    def _(self, message: StartRecovery, reply: Reply) -> None:
-        reply(started(self._log, message.epoch == self._log.meta.fence))
+    # -- recovery by another store -------------------------------------------------------------
 
-    @_on.register
-    def _(self, message: FetchRecords, reply: Reply) -> None:
+    @_handle.register
+    def _(self, message: StartRecovery, reply: ReplyCallback) -> None:
+        reply(recovery_response(self._log, message.epoch == self._log.metadata.fence))
+
+    @_handle.register
+    def _(self, message: FetchRecords, reply: ReplyCallback) -> None:
         log = self._log
-        ok = message.epoch == log.meta.fence
-        snapshot, total, records = b"", 0, []
+        ok = message.epoch == log.metadata.fence
+        part, total, records = b"", 0, []
         if ok and message.from_seq < log.first_seq and message.from_seq <= log.snapshot_seq:
-            if self._snapshot[0] != log.committed_seq:
-                self._snapshot = (log.committed_seq, log.stored_snapshot())
-            total = len(self._snapshot[1])
-            snapshot = self._snapshot[1][message.offset : message.offset + _CHUNK_BYTES]
+            self._sent_snapshot.refresh(log)
+            snapshot = self._sent_snapshot.data
+            part, total = snapshot[message.offset : message.offset + _CHUNK_BYTES], len(snapshot)
         elif ok:
-            records = [
-                encode(record) for record in log.records_from(message.from_seq, _CHUNK_BYTES)
-            ]
+            records = log.records_from(message.from_seq, _CHUNK_BYTES)
         reply(
             FetchResponse(
                 identity=log.identity,
                 ok=ok,
-                snapshot=snapshot,
+                snapshot=part,
                 total=total,
-                records=records,
+                records=[encode(record) for record in records],
                 last_seq=log.last_seq,
             )
         )
 
-    @_on.register
-    def _(self, message: FetchTail, reply: Reply) -> None:
+    @_handle.register
+    def _(self, message: FetchTail, reply: ReplyCallback) -> None:
         rows = zip(message.seqs, message.stamp_epochs, message.stamps_ms, strict=True)
-        shared = max(
+        shared_seq = max(
             (seq for seq, epoch, stamp_ms in rows if self._log.stamp_at(seq) == (epoch, stamp_ms)),
             default=0,
         )
-        self._on(FetchRecords(epoch=message.epoch, from_seq=shared + 1, offset=0), reply)
+        self._handle(FetchRecords(epoch=message.epoch, from_seq=shared_seq + 1, offset=0), reply)
+
+    # -- records from a leader -----------------------------------------------------------------
 
-    @_on.register
-    def _(self, message: AppendRequest, reply: Reply) -> None:
+    @_handle.register
+    def _(self, message: AppendRequest, reply: ReplyCallback) -> None:
         log = self._log
-        if message.epoch < log.meta.fence:
-            reply(self._send_response(message.probe, False, "fenced"))
+        if message.epoch < log.metadata.fence:
+            self._refuse(message, reply, ResponseReason.FENCED)
         elif self._busy:
-            reply(self._send_response(message.probe, False, "busy"))
+            self._refuse(message, reply, ResponseReason.BUSY)
         elif log.stamp_at(message.prev_seq) != (message.prev_epoch, message.prev_ms):
-            reply(self._send_response(message.probe, False, "gap", message.prev_seq))
+            self._refuse(message, reply, ResponseReason.GAP, message.prev_seq)
         else:
-            self._take(message, reply)
+            self._append_records(message, reply)
 
-    def _take(self, message: AppendRequest, reply: Reply) -> None:
+    def _append_records(self, message: AppendRequest, reply: ReplyCallback) -> None:
         """Take records that follow what is here.
 
-        Records that the message doesn't have are cut off only once others take their place, or once
+        Records that the message doesn't have are removed only once others take their place, or once
         this log matches the recovered log to its end. A short or late message thus removes no copy
         of what follows it.
         """
         log = self._log
-        records = [decode(data) for data in message.records]
-        same = message.prev_seq
-        for record in records:
-            if log.stamp_at(record.seq) != record.stamp:
-                break
-            same = record.seq
-        fresh = records[same - message.prev_seq :]
-        behind = log.meta.log_epoch < message.epoch
-        if fresh and same < log.committed_seq:
-            reply(self._send_response(message.probe, False, "settled", same))
+        records = [decode_as(Record, data) for data in message.records]
+        shared_seq = self._shared_seq(message.prev_seq, records)
+        new_records = records[shared_seq - message.prev_seq :]
+        is_behind = log.metadata.log_epoch < message.epoch
+        if new_records and shared_seq < log.committed_seq:
+            self._refuse(message, reply, ResponseReason.CONTRADICTS_COMMITTED, shared_seq)
             return
-        if behind and not fresh and same < message.base_seq:
-            reply(self._send_response(message.probe, True, "", last_seq=same))
+        if is_behind and not new_records and shared_seq < message.base_seq:
+            reply(self._response(message.probe, True, last_seq=shared_seq))
             return
-        if fresh or behind:
-            log.truncate_after(same)
+        if new_records or is_behind:
+            log.truncate_after(shared_seq)
         try:
-            for record in fresh:
-                log.write(record)
+            for record in new_records:
+                log.append(record)
         except DiskFullError:
-            reply(self._send_response(message.probe, False, "full"))
+            self._refuse(message, reply, ResponseReason.DISK_FULL)
             return
-        if log.meta.log_epoch < message.epoch and log.last_seq >= message.base_seq:
+        if is_behind and log.last_seq >= message.base_seq:
             self._adopt(message, reply)
-            return
-        if log.meta.log_epoch == message.epoch:
+        else:
+            self._acknowledge(message, reply)
+
+    def _shared_seq(self, prev_seq: int, records: list[Record]) -> int:
+        """Return the last of the records after `prev_seq` that this log has too."""
+        shared_seq = prev_seq
+        for record in records:
+            if self._log.stamp_at(record.seq) != record.stamp:
+                break
+            shared_seq = record.seq
+        return shared_seq
+
+    def _acknowledge(self, message: AppendRequest, reply: ReplyCallback) -> None:
+        log = self._log
+        if log.metadata.log_epoch == message.epoch:
             log.commit(message.committed_seq)
         if message.flush and log.flushed_seq < log.last_seq:
-            log.flush(lambda ok: reply(self._send_response(message.probe, True, "")))
-        reply(self._send_response(message.probe, True, ""))
+            log.flush(lambda ok: reply(self._response(message.probe, True)))
+        reply(self._response(message.probe, True))
 
-    def _adopt(self, message: AppendRequest, reply: Reply) -> None:
+    def _adopt(self, message: AppendRequest, reply: ReplyCallback) -> None:
         """Flush the log, then raise its log epoch: from then on this replica's answers count."""
         self._busy = True
 
         def flushed(ok: bool) -> None:
-            if ok and message.epoch == self._log.meta.fence:
+            if ok and message.epoch == self._log.metadata.fence:
                 self._log.save_metadata(adopted, log_epoch=message.epoch)
             else:
                 self._busy = False
 
         def adopted(ok: bool) -> None:
             self._busy = False
-            reply(self._send_response(message.probe, ok, ""))
+            reply(self._response(message.probe, ok))
 
         self._log.ensure_flushed(flushed)
 
-    @_on.register
-    def _(self, message: InstallSnapshot, reply: Reply) -> None:
-        log = self._log
-        if message.epoch < log.meta.fence or self._busy:
-            reply(self._send_response(message.probe, False, "fenced" if not self._busy else "busy"))
+    # -- a snapshot from a leader --------------------------------------------------------------
+
+    @_handle.register
+    def _(self, message: InstallSnapshot, reply: ReplyCallback) -> None:
+        if self._busy:
+            self._refuse(message, reply, ResponseReason.BUSY)
             return
-        self._parts = (
-            self._parts[: message.offset] + message.snapshot
-            if message.offset <= len(self._parts)
-            else b""
-        )
-        if len(self._parts) != message.total:
-            reply(self._send_response(message.probe, False, "part", len(self._parts)))
+        if message.epoch < self._log.metadata.fence:
+            self._refuse(message, reply, ResponseReason.FENCED)
             return
-        data, self._parts = self._parts, b""
+        data = self._received_snapshot
+        data = data[: message.offset] + message.snapshot if message.offset <= len(data) else b""
+        self._received_snapshot = data
+        if len(data) != message.total:
+            self._refuse(message, reply, ResponseReason.PARTIAL_SNAPSHOT, len(data))
+            return
+        self._received_snapshot = b""
+        self._install(message, data, reply)
+
+    def _install(self, message: InstallSnapshot, data: bytes, reply: ReplyCallback) -> None:
+        log = self._log
         self._busy = True
 
         def installed(ok: bool) -> None:
             self._busy = False
-            reply(self._send_response(message.probe, False, "installed" if ok else "full"))
+            reason = ResponseReason.SNAPSHOT_INSTALLED if ok else ResponseReason.DISK_FULL
+            self._refuse(message, reply, reason)
 
         try:
-            log.install(data, installed, self._source, lambda: message.epoch >= log.meta.fence)
+            log.install_snapshot(
+                data, installed, self._source, lambda: message.epoch >= log.metadata.fence
+            )
         except (DamageError, IndexError):
             self._busy = False
-            reply(self._send_response(message.probe, False, "damaged"))
+            self._refuse(message, reply, ResponseReason.SNAPSHOT_DAMAGED)
+
+    # -- responses -----------------------------------------------------------------------------
+
+    def _refuse(
+        self,
+        message: AppendRequest | InstallSnapshot,
+        reply: ReplyCallback,
+        reason: ResponseReason,
+        position: int = -1,
+    ) -> None:
+        reply(self._response(message.probe, False, reason, position))
 
-    def _send_response(
-        self, probe: int, ok: bool, reason: str, position: int = -1, last_seq: int | None = None
+    def _response(
+        self,
+        probe: int,
+        ok: bool,
+        reason: ResponseReason = ResponseReason.NONE,
+        position: int = -1,
+        last_seq: int | None = None,
     ) -> AppendResponse:
-        """Build the answer to the holder.
+        """Build the response to the leader.
 
-        `last_seq` is how far this log is known to match the holder's, where that isn't its end.
+        `last_seq` is how far this log is known to match the leader's, where that isn't its end.
         """
         log = self._log
-        epoch, stamp_ms = log.last_stamp
+        stamp = log.last_stamp
+        received_ms = log.buffer.received_ms
         return AppendResponse(
             identity=log.identity,
             ok=ok,
             reason=reason,
-            fence=log.meta.fence,
-            log_epoch=log.meta.log_epoch,
+            fence=log.metadata.fence,
+            log_epoch=log.metadata.log_epoch,
             last_seq=log.last_seq if last_seq is None else last_seq,
             flushed_seq=log.flushed_seq,
-            stamp_epoch=epoch,
-            stamp_ms=stamp_ms,
-            reception_ms=log.received_ms[-1] if log.received_ms else 0,
+            stamp_epoch=stamp.epoch,
+            stamp_ms=stamp.time_ms,
+            reception_ms=received_ms[-1] if received_ms else 0,
             probe=probe,
             position=position,
             snapshot_seq=log.snapshot_seq,
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -1,11 +1,14 @@
-"""Maintenance of the list of members by the serving holder.
+"""Maintenance of the list of members by the serving leader.
 
-It replaces members that are lost or retired by spares that have the log, spreads the members over
-the zones, and hands over to another member when it leaves or its disk is full.
+It replaces members that are lost or retired by standby replicas that have the log, spreads the
+members over the zones, and hands over to another member when it leaves or its disk is full.
 """
 
-from typing import Any
+from typing import TYPE_CHECKING
 
+from replicated_log.configuration import MemberRow, Phase, addresses_of
+from replicated_log.interfaces import FleetView
+from replicated_log.leader import Leader
 from replicated_log.member_selection import (
     choose_replacement,
     choose_standbys,
@@ -14,140 +17,187 @@
 )
 from replicated_log.membership_change import MembershipChange
 
-__all__ = ["MembershipManager"]
+if TYPE_CHECKING:
+    from replicated_log.log_replica import LogReplica
 
+__all__ = ["MembershipManager"]
 
-class MembershipManager:
-    """Looks after the members; `store` is the serving StoreLog, `fleet` the view of the fleet."""
+_LONG_AGO_MS = -1 << 40
+_NOT_WANTED = -1
 
-    __slots__ = ("_change", "_fleet", "_housed_ms", "_roomy_ms", "_store", "_wanted_ms")
 
-    def __init__(self, store: Any, fleet: Any) -> None:
-        self._store = store
+class MembershipManager:
+    """Looks after the members of the log that one replica leads.
+
+    Times are milliseconds of the replica's clock.
+    """
+
+    __slots__ = (
+        "_change",
+        "_checked_ms",
+        "_fleet",
+        "_had_space_ms",
+        "_replica",
+        "_wanted_since_ms",
+    )
+
+    def __init__(self, replica: "LogReplica", fleet: FleetView) -> None:
+        self._replica = replica
         self._fleet = fleet
-        self._housed_ms = -1 << 40
-        self._roomy_ms = -1 << 40
-        self._wanted_ms = -1
+        self._checked_ms = _LONG_AGO_MS
+        self._had_space_ms = _LONG_AGO_MS
+        self._wanted_since_ms = _NOT_WANTED
         self._change: MembershipChange | None = None
 
-    def serves(self) -> None:
-        """Start anew, because the store has begun to serve."""
+    def start(self) -> None:
+        """Start anew, because the replica has begun to serve."""
         self._change = None
-        self._wanted_ms = -1
+        self._wanted_since_ms = _NOT_WANTED
 
     def tick(self) -> None:
         """Look at the members, at most once in `leader_heartbeat_ms`."""
-        store = self._store
-        now_ms = store.node.env.now()
-        if store.leader.epoch != store.value["epoch"]:
+        replica, leader = self._replica, self._replica.leader
+        if leader is None or leader.epoch != replica.configuration.epoch:
             return
         if self._change is not None:
             self.follow_change()
             return
-        if store.changing:
-            return
-        if store.leaving:
-            self._hand_to_another()
-        elif now_ms - self._housed_ms < store.node.settings.leader_heartbeat_ms:
+        if replica.key.changing:
             return
-        self._housed_ms = now_ms
-        if store.leaving:
+        now_ms = replica.node.env.now()
+        if replica.leaving:
+            self._checked_ms = now_ms
+            self._hand_over(leader)
+        elif now_ms - self._checked_ms >= replica.node.settings.leader_heartbeat_ms:
+            self._checked_ms = now_ms
+            self._check_members(leader)
+
+    def _check_members(self, leader: Leader) -> None:
+        configuration = self._replica.configuration
+        if configuration.phase is Phase.RECOVERING:
+            self._replica.key.change(configuration.serving(), lambda outcome: None)
             return
-        if store.value["phase"] == "recovering":
-            store.change(
-                {**store.value, "phase": "serving", "prev": store.value["members"]},
-                lambda outcome: None,
-            )
-        else:
-            self._consider_replacement()
-            self._consider_room()
-
-    def _retired(self, identity: str) -> bool:
-        return identity in self._fleet.retired_stores()
-
-    def _consider_replacement(self) -> None:
-        store = self._store
-        leader, members, now_ms = store.leader, store.value["members"], store.node.env.now()
-        settings, retired, names = store.node.settings, self._fleet.retired_stores(), leader.members
+        self._consider_replacement(leader)
+        self._consider_disk_space()
+
+    def follow_change(self) -> None:
+        """Take the next step of the change of members under way, if there is one."""
+        if self._change is not None and self._change.tick():
+            self._change = None
+
+    # -- replacing members ---------------------------------------------------------------------
+
+    def _consider_replacement(self, leader: Leader) -> None:
+        replica = self._replica
+        members = replica.configuration.members
         live = self._fleet.store_rows()
-        spares = [
-            row for row in live if row["identity"] not in names and row["identity"] not in retired
-        ]
+        to_replace = self._members_to_replace(leader, live)
+        standbys = self._choose_standbys(leader, live, to_replace)
+        leader.set_standbys(addresses_of(standbys))
+        ready = [row for row in standbys if leader.health.is_caught_up(row["identity"])]
+        new = choose_replacement(members, ready, to_replace)
+        old = None if new is None else self._member_to_give_way(to_replace, new)
+        if new is None or old is None:
+            self._wanted_since_ms = _NOT_WANTED
+        elif self._may_replace_now(leader):
+            self._replace(leader, old, new)
+
+    def _members_to_replace(self, leader: Leader, live: list[MemberRow]) -> list[str]:
+        now_ms = self._replica.node.env.now()
         silent_ms = {
             name: now_ms - leader.followers[name].last_heard_ms
-            for name in names
+            for name in leader.members
             if name in leader.followers
         }
-        lost = members_to_replace(members, live, silent_ms, retired, settings.removal_timeout_ms)
-        warm = {name for name in leader.followers if name not in names}
-        wanted = choose_standbys(members, spares, lost, warm, settings.store_faults)
-        leader.set_standbys([(row["identity"], row["address"]) for row in wanted])
-        ready = [row for row in wanted if leader.is_caught_up(row["identity"])]
-        new = choose_replacement(members, ready, lost)
-        calm = now_ms - store.changed_ms > settings.resume_ms
-        old = (
-            lost[0]
-            if lost
-            else member_in_shared_zone(members, new)
-            if new is not None and calm
-            else None
+        return members_to_replace(
+            self._replica.configuration.members,
+            live,
+            silent_ms,
+            self._fleet.retired_stores(),
+            self._replica.node.settings.removal_timeout_ms,
         )
-        if new is None or old is None:
-            self._wanted_ms = -1
-            return
-        self._wanted_ms = now_ms if self._wanted_ms < 0 else self._wanted_ms
-        if leader.pending_appends and now_ms - self._wanted_ms < settings.request_timeout_ms:
-            return
-        if old == store.log.identity:
-            self._hand_to_another()
+
+    def _choose_standbys(
+        self, leader: Leader, live: list[MemberRow], to_replace: list[str]
+    ) -> list[MemberRow]:
+        names = leader.members
+        excluded = {*names, *self._fleet.retired_stores()}
+        return choose_standbys(
+            self._replica.configuration.members,
+            [row for row in live if row["identity"] not in excluded],
+            to_replace,
+            {name for name in leader.followers if name not in names},
+            self._replica.node.settings.store_faults,
+        )
+
+    def _member_to_give_way(self, to_replace: list[str], new: MemberRow) -> str | None:
+        """Return the member whose place a standby takes: for its loss, or for the zones' sake."""
+        if to_replace:
+            return to_replace[0]
+        replica = self._replica
+        served_ms = replica.node.env.now() - replica.changed_ms
+        if served_ms <= replica.node.settings.resume_ms:
+            return None
+        return member_in_shared_zone(replica.configuration.members, new)
+
+    def _may_replace_now(self, leader: Leader) -> bool:
+        """Whether no caller waits for an append, or the replacement has been held up for long."""
+        now_ms = self._replica.node.env.now()
+        if self._wanted_since_ms == _NOT_WANTED:
+            self._wanted_since_ms = now_ms
+        waited_ms = now_ms - self._wanted_since_ms
+        return (
+            not leader.has_pending_appends()
+            or waited_ms >= self._replica.node.settings.request_timeout_ms
+        )
+
+    def _replace(self, leader: Leader, old: str, new: MemberRow) -> None:
+        replica = self._replica
+        if old == replica.log.identity:
+            self._hand_over(leader)
             return
-        following = [row for row in members if row["identity"] != old] + [new]
-        store.node.env.log(
+        following = [row for row in replica.configuration.members if row["identity"] != old]
+        following.append(new)
+        replica.node.env.log(
             "store-replaced", "WARNING", old=old, new=new["identity"], epoch=leader.epoch
         )
-        self._change = MembershipChange(store, following)
+        self._change = MembershipChange(replica, leader, following)
         self.follow_change()
 
-    def follow_change(self) -> None:
-        """Take the next step of the change of members under way, if there is one."""
-        if self._change is not None and self._change.tick():
-            self._change = None
+    # -- handing over --------------------------------------------------------------------------
 
-    def _follower(self) -> str | None:
-        """Return the successor: the member in touch, not retired, with the most of the log."""
-        store = self._store
-        names = [name for name in store.leader.members if name != store.log.identity]
-        able = [
-            name for name in names if store.leader.is_responsive(name) and not self._retired(name)
-        ]
+    def _consider_disk_space(self) -> None:
+        """Hand over to a member with space once this disk was full for `failure_timeout_ms`."""
+        replica, leader = self._replica, self._replica.leader
+        now_ms = replica.node.env.now()
+        if replica.log.disk.roomy(0):
+            self._had_space_ms = now_ms
+        if replica.key.changing or leader is None:
+            return
+        successor = leader.health.member_with_disk_space()
+        full_since_ms = max(self._had_space_ms, replica.changed_ms)
+        if (
+            successor is not None
+            and now_ms - full_since_ms > replica.node.settings.failure_timeout_ms
+        ):
+            replica.node.env.log("holder-full", "WARNING", following=successor)
+            replica.changed_ms = now_ms
+            members = replica.configuration.members
+            replica.claim(members, members, successor)
+
+    def _hand_over(self, leader: Leader) -> None:
+        successor = self._successor(leader)
+        if successor is not None:
+            configuration = self._replica.configuration
+            self._replica.claim(configuration.members, configuration.recovery_members(), successor)
+
+    def _successor(self, leader: Leader) -> str | None:
+        """Return the member in touch, not retired, with the most of the log."""
+        retired = self._fleet.retired_stores()
+        names = [name for name in leader.members if name != self._replica.log.identity]
+        able = [name for name in names if leader.health.is_responsive(name) and name not in retired]
         return max(
             able,
-            key=lambda name: (store.leader.followers[name].last_seq, -names.index(name)),
+            key=lambda name: (leader.followers[name].last_seq, -names.index(name)),
             default=None,
         )
-
-    def _consider_room(self) -> None:
-        """Hand over to a member with room once this disk was full for `failure_timeout_ms`."""
-        store = self._store
-        now_ms = store.node.env.now()
-        if store.log.disk.roomy(0):
-            self._roomy_ms = now_ms
-        following = (
-            None
-            if store.changing or store.leader is None
-            else store.leader.member_with_disk_space()
-        )
-        if (
-            following is not None
-            and now_ms - max(self._roomy_ms, store.changed_ms)
-            > store.node.settings.failure_timeout_ms
-        ):
-            store.node.env.log("holder-full", "WARNING", following=following)
-            store.changed_ms = now_ms
-            store.claim(store.value["members"], store.value["members"], following)
-
-    def _hand_to_another(self) -> None:
-        store = self._store
-        following = self._follower()
-        if following is not None:
-            store.claim(store.value["members"], store.recovery_members(), following)
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -1,12 +1,15 @@
 """Messages between the replicas of the log, and the records that they keep on disk.
 
 A record has the fields of the published scheme that the log follows (docs/design.md): stamp, file
-and flags, nbytes, bytes and absolute offset. Added to it are the epoch, as the upper half of the
+and flags, size, frame and absolute offset. Added to it are the epoch, as the upper half of the
 stamp, and the sequence number, by which a follower sees that nothing is missing before a record.
 Fields that end in `_ms` are milliseconds, `seq` is a sequence number, `epoch` and `fence` are
-epochs of the leader, here called the holder.
+epochs of the leader.
 """
 
+from enum import StrEnum
+from typing import NamedTuple
+
 from messaging import Message
 
 __all__ = [
@@ -20,8 +23,11 @@
     "LeaderPoll",
     "LeaderPollResponse",
     "LeaderHeartbeat",
+    "NO_STAMP",
     "Record",
+    "ResponseReason",
     "SnapshotHeader",
+    "Stamp",
     "StartRecovery",
     "StartRecoveryResponse",
     "StoredEntry",
@@ -30,10 +36,36 @@
 ]
 
 TRUNCATE = 1
+"""Flag of the first record of a queue file: the receiver empties the file first."""
+
+
+class Stamp(NamedTuple):
+    """The unique, ordered stamp of a record: its epoch, then its time in milliseconds."""
+
+    epoch: int
+    time_ms: int
+
+
+NO_STAMP = Stamp(0, 0)
+"""What stands for the stamp of a record before the first one."""
+
+
+class ResponseReason(StrEnum):
+    """Why a follower hasn't taken what a leader sent, or how far it is with a snapshot."""
+
+    NONE = ""
+    FENCED = "fenced"
+    BUSY = "busy"
+    GAP = "gap"
+    CONTRADICTS_COMMITTED = "settled"
+    DISK_FULL = "full"
+    PARTIAL_SNAPSHOT = "part"
+    SNAPSHOT_INSTALLED = "installed"
+    SNAPSHOT_DAMAGED = "damaged"
 
 
 class StoredEntry(Message):
-    """The payload of a frame in a queue file: one encoded ledger entry and its place in the log."""
+    """The payload of a frame in a queue file: one encoded entry and its position in the log."""
 
     epoch: int
     stamp_ms: int
@@ -58,9 +90,9 @@
     offset: int
 
     @property
-    def stamp(self) -> tuple[int, int]:
-        """The unique, ordered stamp of the record: its epoch, then its time in milliseconds."""
-        return (self.epoch, self.stamp_ms)
+    def stamp(self) -> Stamp:
+        """The unique, ordered stamp of the record."""
+        return Stamp(self.epoch, self.stamp_ms)
 
 
 class SnapshotHeader(Message, wire_name="SnapshotHead"):
@@ -85,11 +117,11 @@
 
 
 class AppendRequest(Message, wire_name="Append"):
-    """From the holder to a follower: the records after `prev_seq`, or none as a heartbeat.
+    """From the leader to a follower: the records after `prev_seq`, or none as a heartbeat.
 
     The follower accepts them only if its record at `prev_seq` has the stamp (`prev_epoch`,
     `prev_ms`). `base_seq` is the end of the recovered log of this epoch, `committed_seq` the last
-    record durable on f+1 disks. `flush` asks for a flush and a second answer after it; `probe` is
+    record durable on f+1 disks. `flush` asks for a flush and a second response after it; `probe` is
     returned as it came.
     """
 
@@ -105,12 +137,13 @@
 
 
 class AppendResponse(Message, wire_name="Appended"):
-    """A follower's answer to Append and Install.
+    """A follower's response to AppendRequest and InstallSnapshot.
 
-    `ok` says that the records were taken; if not, `reason` is one of fenced, busy, gap, settled,
-    full, part, installed and damaged. `last_seq` is how far the follower's log matches the
-    holder's, `flushed_seq` how far it is on its disk, `position` the place, in bytes for a part of
-    a snapshot, that the answer is about. `roomy` says that its disk has room.
+    `ok` says that the records were taken; if not, `reason` (ResponseReason) says why. `last_seq` is
+    how far the follower's log matches the leader's, `flushed_seq` how far it is on its disk.
+    `position` is what the response is about: the record that the request followed or, with
+    PARTIAL_SNAPSHOT, how many bytes of the snapshot are here; -1 if neither. `roomy` says that its
+    disk has space.
     """
 
     identity: str
@@ -130,7 +163,7 @@
 
 
 class InstallSnapshot(Message, wire_name="Install"):
-    """From the holder to a follower: a part of a snapshot that replaces the follower's log.
+    """From the leader to a follower: a part of a snapshot that replaces the follower's log.
 
     `offset` and `total` are bytes of the whole snapshot.
     """
@@ -149,7 +182,7 @@
 
 
 class StartRecoveryResponse(Message, wire_name="Started"):
-    """The answer to Start: the replica's fence, log epoch and extent of its log.
+    """The answer to StartRecovery: the replica's fence, log epoch and extent of its log.
 
     `ok` says that its fence is exactly the epoch asked for.
     """
@@ -176,7 +209,7 @@
 
 
 class LeaderHeartbeat(Message, wire_name="Pulse"):
-    """The holder's heartbeat to the other members.
+    """The leader's heartbeat to the other members.
 
     `has_quorum` says that at least f members have answered the leader lately; `caught_up` is how
     many members, the leader included, have on disk what was committed one heartbeat ago.
@@ -188,7 +221,7 @@
 
 
 class LeaderPoll(Message, wire_name="Poll"):
-    """A member's question to the others whether the holder is still at work.
+    """A member's question to the others whether the leader is still at work.
 
     `identity` is the asking replica and `epoch` the epoch that it knows.
     """
@@ -198,7 +231,7 @@
 
 
 class LeaderPollResponse(Message, wire_name="Polled"):
-    """The answer to Poll.
+    """The answer to LeaderPoll.
 
     `epoch` is the highest epoch known to the answering replica. `is_leader` says that it is at work
     as the leader itself, `hears_leader` that it receives the leader's heartbeats, `leaving` that it
@@ -213,7 +246,7 @@
 
 
 class TransferLeadership(Message, wire_name="Succeed"):
-    """From a holder that hands over to its successor: the control key in its new version.
+    """From a leader that hands over to its successor: the control key in its new version.
 
     `number` is the version and `body` the JSON value of the key.
     """
@@ -231,7 +264,7 @@
 
 
 class FetchResponse(Message, wire_name="Fetched"):
-    """The answer to Fetch and FetchTail: encoded records, or a part of the snapshot.
+    """The answer to FetchRecords and FetchTail: encoded records, or a part of the snapshot.
 
     A part of the snapshot is sent if the asked replica has already trimmed `from_seq`; `total` is
     then the whole snapshot's size in bytes. `last_seq` is the end of the answering replica's log.
--- a/libs/replicated_log/src/replicated_log/quorums.py
+++ b/libs/replicated_log/src/replicated_log/quorums.py
@@ -1,6 +1,6 @@
 """Quorums of the log: how far enough replicas have come.
 
-Together with the holder, `faults` (f) other members of a list are a majority of it. While the list
+Together with the leader, `faults` (f) other members of a list are a majority of it. While the list
 of members is being changed, a quorum of the present and of the following list is needed.
 """
 
@@ -8,7 +8,7 @@
 
 from replicated_log.follower_progress import FollowerProgress
 
-__all__ = ["Quorums", "confirmed_probe", "flushed_seq", "held"]
+__all__ = ["Quorums", "confirmed_probe", "flushed_seq", "replicated_seq"]
 
 
 class Quorums:
@@ -19,17 +19,21 @@
     arrived. `members` and `following` are lists of identities.
     """
 
-    __slots__ = ("_change_seq", "_peers", "following", "members")
+    __slots__ = ("_change_seq", "_followers", "following", "members")
 
     def __init__(self, members: list[str], followers: dict[str, FollowerProgress]) -> None:
         self.members = members
         self.following: list[str] | None = None
-        self._peers = followers
+        self._followers = followers
         self._change_seq = 0
 
     def followers_of(self, names: list[str]) -> list[FollowerProgress]:
-        """Return the followers in a list of identities; the holder itself is left out."""
-        return [self._peers[name] for name in names if name in self._peers]
+        """Return the followers in a list of identities; the leader itself is left out."""
+        return [self._followers[name] for name in names if name in self._followers]
+
+    def voting_followers(self) -> list[FollowerProgress]:
+        """Return the followers that are members."""
+        return self.followers_of(self.members)
 
     def reached(self, faults: int, measure: Callable[[FollowerProgress], int]) -> int:
         """Return the highest value reached by `faults` followers in every list that counts."""
@@ -38,26 +42,13 @@
     def committed_seq(self, faults: int, own_flushed_seq: int) -> int:
         """Return the last record that is durable on f+1 disks in every list that counts."""
         return min(
-            _settled([own_flushed_seq, *map(flushed_seq, self.followers_of(names))], faults)
+            _committed([own_flushed_seq, *map(flushed_seq, self.followers_of(names))], faults)
             for names in self._lists()
         )
 
     def _lists(self) -> list[list[str]]:
         return [self.members] if self.following is None else [self.members, self.following]
 
-    def member_with_disk_space(self, heard_since_ms: int) -> str | None:
-        """Return a member under this epoch with room on its disk, heard since then, or None."""
-        return next(
-            (
-                follower.identity
-                for follower in self.followers_of(self.members)
-                if follower.adopted
-                and not follower.disk_full
-                and follower.last_heard_ms >= heard_since_ms
-            ),
-            None,
-        )
-
     # -- changing the members ------------------------------------------------------------------
 
     def begin_change(self, following: list[str], last_seq: int) -> None:
@@ -66,7 +57,7 @@
         self._change_seq = last_seq
 
     def is_change_ready(self, faults: int, own_flushed_seq: int) -> bool:
-        """Whether f+1 of the following members, the holder included, have these records on disk."""
+        """Whether f+1 of the following members, the leader included, have these records on disk."""
         followers = self.followers_of(self.following or [])
         return min(own_flushed_seq, _reached(followers, faults, flushed_seq)) >= self._change_seq
 
@@ -77,9 +68,10 @@
         self.following = None
 
 
-def _settled(copies: list[int], f: int) -> int:
-    copies.sort(reverse=True)
-    return copies[f] if len(copies) > f else 0
+def _committed(flushed_seqs: list[int], faults: int) -> int:
+    """Return the highest record that `faults` + 1 of the replicas have on disk."""
+    flushed_seqs.sort(reverse=True)
+    return flushed_seqs[faults] if len(flushed_seqs) > faults else 0
 
 
 def _reached(
@@ -94,11 +86,11 @@
     return follower.flushed_seq if follower.adopted else 0
 
 
-def held(follower: FollowerProgress) -> int:
+def replicated_seq(follower: FollowerProgress) -> int:
     """Return the last record of this epoch's log that a follower has in memory."""
     return follower.last_seq if follower.adopted else 0
 
 
 def confirmed_probe(follower: FollowerProgress) -> int:
-    """Return the latest probe of the holder's epoch that a follower has answered."""
+    """Return the latest probe of the leader's epoch that a follower has returned."""
     return follower.probe
--- /dev/null
+++ b/libs/replicated_log/src/replicated_log/record_buffer.py
@@ -0,0 +1,90 @@
+"""The latest records of a log in memory, in sequence behind the last snapshot."""
+
+from replicated_log.messages import NO_STAMP, Record, Stamp
+from replicated_log.records import limit_records
+
+__all__ = ["RecordBuffer"]
+
+
+class RecordBuffer:
+    """The records that a replica has in memory, without gaps.
+
+    Sequence numbers start at 1. `received_ms` has the time at which each of the `records` arrived,
+    in milliseconds of the replica's clock. `snapshot_seq` and `snapshot_stamp` are those of the
+    last record that the snapshot on disk covers; some records before it may still be in memory.
+    """
+
+    __slots__ = ("received_ms", "records", "snapshot_seq", "snapshot_stamp")
+
+    def __init__(self) -> None:
+        self.records: list[Record] = []
+        self.received_ms: list[int] = []
+        self.snapshot_seq = 0
+        self.snapshot_stamp = NO_STAMP
+
+    @property
+    def first_seq(self) -> int:
+        """The sequence number of the first record in memory, or of the next one to come."""
+        return self.records[0].seq if self.records else self.snapshot_seq + 1
+
+    @property
+    def last_seq(self) -> int:
+        """The sequence number of the last record."""
+        return self.records[-1].seq if self.records else self.snapshot_seq
+
+    @property
+    def last_stamp(self) -> Stamp:
+        """The stamp of the last record."""
+        return self.records[-1].stamp if self.records else self.snapshot_stamp
+
+    def record_at(self, seq: int) -> Record:
+        """Return a record that is in memory."""
+        return self.records[seq - self.first_seq]
+
+    def stamp_at(self, seq: int) -> Stamp | None:
+        """Return the stamp of a record, or None if it isn't known here."""
+        if seq == self.snapshot_seq:
+            return self.snapshot_stamp
+        index = seq - self.first_seq
+        return self.records[index].stamp if 0 <= index < len(self.records) else None
+
+    def records_from(self, seq: int, limit_bytes: int) -> list[Record]:
+        """Return records from `seq` on, about `limit_bytes` of them but at least one."""
+        return limit_records(self.records[max(0, seq - self.first_seq) :], limit_bytes)
+
+    def append(self, record: Record, received_ms: int) -> None:
+        """Add the next record."""
+        self.records.append(record)
+        self.received_ms.append(received_ms)
+
+    def records_after(self, seq: int) -> list[Record]:
+        """Return the records after `seq`."""
+        return self.records[self._index_after(seq) :]
+
+    def truncate_after(self, seq: int) -> None:
+        """Forget the records after `seq`."""
+        index = self._index_after(seq)
+        del self.records[index:]
+        del self.received_ms[index:]
+
+    def _index_after(self, seq: int) -> int:
+        return max(0, seq - self.first_seq + 1)
+
+    def clear(self) -> None:
+        """Forget all records."""
+        self.records, self.received_ms = [], []
+
+    def trim(self, keep_ms: float) -> None:
+        """Forget records that are in the snapshot and `keep_ms` older than the last one.
+
+        The last record stays, whatever its age.
+        """
+        if not self.received_ms:
+            return
+        count = self._count_trimmable(self.received_ms[-1] - keep_ms)
+        del self.records[:count]
+        del self.received_ms[:count]
+
+    def _count_trimmable(self, floor_ms: float) -> int:
+        limit = min(len(self.records) - 1, self.snapshot_seq + 1 - self.first_seq)
+        return next((n for n in range(limit) if self.received_ms[n] >= floor_ms), max(0, limit))
--- /dev/null
+++ b/libs/replicated_log/src/replicated_log/snapshot_sender.py
@@ -0,0 +1,74 @@
+"""The transfer of snapshots from the leader to its followers."""
+
+from collections.abc import Callable
+from typing import Any
+
+from messaging import Message
+
+from replicated_log.follower_progress import FollowerProgress
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import AppendResponse, InstallSnapshot, ResponseReason
+
+__all__ = ["SnapshotSender"]
+
+_PART_BYTES = 1 << 18
+
+
+class SnapshotSender:
+    """Sends snapshots part by part, each after the part before was taken.
+
+    So a slow link isn't overloaded. A transfer that makes no progress within `force_ms` is started
+    again.
+    """
+
+    __slots__ = ("_epoch", "_log", "_now", "_send", "_settings")
+
+    def __init__(
+        self,
+        log: LocalLog,
+        epoch: int,
+        settings: Any,
+        now: Callable[[], int],
+        send: Callable[[str, Message], None],
+    ) -> None:
+        self._log, self._epoch, self._settings = log, epoch, settings
+        self._now, self._send = now, send
+
+    def send(self, follower: FollowerProgress, probe: int) -> None:
+        """Begin a snapshot, begin it again, or repeat its last part when that is due."""
+        waited_ms = self._now() - follower.snapshot_sent_ms
+        if not follower.snapshot or waited_ms >= self._settings.force_ms:
+            follower.snapshot = self._log.stored_snapshot()
+            follower.snapshot_taken_bytes = 0
+            self._send_part(follower, probe)
+        elif waited_ms >= self._settings.request_timeout_ms and _is_incomplete(follower):
+            self._send_part(follower, probe)
+
+    def _send_part(self, follower: FollowerProgress, probe: int) -> None:
+        follower.snapshot_sent_ms = self._now()
+        offset = follower.snapshot_taken_bytes
+        self._send(
+            follower.address,
+            InstallSnapshot(
+                epoch=self._epoch,
+                snapshot=follower.snapshot[offset : offset + _PART_BYTES],
+                offset=offset,
+                total=len(follower.snapshot),
+                probe=probe,
+            ),
+        )
+
+    def handle_response(
+        self, follower: FollowerProgress, message: AppendResponse, probe: int
+    ) -> None:
+        """Take in that a follower is installing the snapshot, or how much of it has arrived."""
+        if message.reason == ResponseReason.BUSY:
+            follower.snapshot_sent_ms = self._now()
+            follower.snapshot_taken_bytes = len(follower.snapshot)
+        elif message.position > follower.snapshot_taken_bytes:
+            follower.snapshot_taken_bytes = message.position
+            self._send_part(follower, probe)
+
+
+def _is_incomplete(follower: FollowerProgress) -> bool:
+    return follower.snapshot_taken_bytes < len(follower.snapshot)
--- /dev/null
+++ b/libs/replicated_log/src/replicated_log/tail_fetch.py
@@ -0,0 +1,171 @@
+"""Fetching what one replica has of the log beyond what this one shares with it."""
+
+from collections.abc import Callable
+from typing import Any
+
+from messaging import Message, decode_as
+from storage import DamageError
+
+from replicated_log.configuration import ReplicaAddress
+from replicated_log.local_log import LocalLog
+from replicated_log.messages import NO_STAMP, FetchRecords, FetchResponse, FetchTail, Record
+
+__all__ = ["RequestCallback", "TailFetch"]
+
+# Sends a request to an address; the last argument gets the answer, or None after a time in ms.
+RequestCallback = Callable[[str, Message, int, Callable[[Any], None]], None]
+
+
+class TailFetch:
+    """Fetches the log of one source, record by record or by its snapshot.
+
+    `is_wanted` is asked before each step; once it says no, nothing more happens. A request without
+    an answer is repeated until `force_ms` after `started_ms`. `done` gets the source's records
+    after the snapshot of this store, or None if they couldn't be had.
+    """
+
+    __slots__ = (
+        "_done",
+        "_epoch",
+        "_is_wanted",
+        "_log",
+        "_now",
+        "_records",
+        "_request",
+        "_settings",
+        "_source",
+        "_started_ms",
+    )
+
+    def __init__(
+        self,
+        log: LocalLog,
+        epoch: int,
+        source: ReplicaAddress,
+        settings: Any,
+        request: RequestCallback,
+        now: Callable[[], int],
+        started_ms: int,
+        is_wanted: Callable[[], bool],
+        done: Callable[[list[Record] | None], None],
+    ) -> None:
+        self._log = log
+        self._epoch = epoch
+        self._source = source
+        self._settings = settings
+        self._request = request
+        self._now = now
+        self._started_ms = started_ms
+        self._is_wanted = is_wanted
+        self._done = done
+        self._records: list[Record] = []
+
+    def start(self) -> None:
+        """Fetch what follows the last record that both replicas have."""
+        seqs = _compared_seqs(self._log)
+        stamps = [self._log.stamp_at(seq) or NO_STAMP for seq in seqs]
+        self._request(
+            self._source.address,
+            FetchTail(
+                epoch=self._epoch,
+                seqs=seqs,
+                stamp_epochs=[stamp.epoch for stamp in stamps],
+                stamps_ms=[stamp.time_ms for stamp in stamps],
+            ),
+            2 * self._settings.request_timeout_ms,
+            self._tail_fetched,
+        )
+
+    def _tail_fetched(self, message: Message | None) -> None:
+        response = self._accept(message, self.start)
+        if response is None:
+            return
+        if not response.snapshot:
+            shared_seq = _first_seq(response) - 1
+            self._records = [record for record in self._log.records if record.seq <= shared_seq]
+        self._take(response, 1, b"")
+
+    def _accept(self, message: Message | None, retry: Callable[[], None]) -> FetchResponse | None:
+        """Return a response that can be used; otherwise try again, or give up."""
+        if not self._is_wanted():
+            return None
+        if not isinstance(message, FetchResponse) or not message.ok:
+            if self._now() - self._started_ms > self._settings.force_ms:
+                self._done(None)
+            else:
+                retry()
+            return None
+        if message.identity != self._source.identity:
+            # Another disk than the one whose answer was counted.
+            self._done(None)
+            return None
+        return message
+
+    def _fetch_from(self, from_seq: int, snapshot: bytes = b"") -> None:
+        """Fetch records, or the snapshot behind the part of it that is here."""
+
+        def fetched(message: Message | None) -> None:
+            response = self._accept(message, lambda: self._fetch_from(from_seq, snapshot))
+            if response is not None:
+                self._take(response, from_seq, snapshot)
+
+        self._request(
+            self._source.address,
+            FetchRecords(epoch=self._epoch, from_seq=from_seq, offset=len(snapshot)),
+            2 * self._settings.request_timeout_ms,
+            fetched,
+        )
+
+    def _take(self, response: FetchResponse, from_seq: int, snapshot: bytes) -> None:
+        if response.snapshot:
+            data = snapshot + response.snapshot
+            if len(data) < response.total:
+                self._fetch_from(from_seq, data)
+            else:
+                self._install(data)
+            return
+        records = [decode_as(Record, data) for data in response.records]
+        self._records.extend(records)
+        if records and records[-1].seq < response.last_seq:
+            self._fetch_from(records[-1].seq + 1)
+        else:
+            self._done(self._records)
+
+    def _install(self, snapshot: bytes) -> None:
+        """Install the source's snapshot, because the source has trimmed what this store lacks.
+
+        A snapshot covers committed records only, so it may replace what is here.
+        """
+
+        def installed(ok: bool) -> None:
+            if not ok:
+                self._done(None)
+                return
+            snapshot_seq = self._log.snapshot_seq
+            self._records = [record for record in self._records if record.seq > snapshot_seq]
+            self._fetch_from(snapshot_seq + 1)
+
+        try:
+            self._log.install_snapshot(snapshot, installed, self._source.address, self._is_wanted)
+        except (DamageError, IndexError):
+            self._done(None)
+
+
+def _first_seq(response: FetchResponse) -> int:
+    """Return the sequence number of the first record of a response, or the one after its log."""
+    if response.records:
+        return decode_as(Record, response.records[0]).seq
+    return response.last_seq + 1
+
+
+def _compared_seqs(log: LocalLog) -> list[int]:
+    """Return the records by which two replicas find the last one that both have.
+
+    They lie close together near the end of the log and ever further apart before.
+    """
+    seqs = []
+    step = 0
+    while log.last_seq - step > log.committed_seq:
+        seqs.append(log.last_seq - step)
+        step = max(1, 2 * step)
+    return [*seqs, log.committed_seq]
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -1,4 +1,4 @@
-"""The takeover of the log by a new holder, from its claim to serving.
+"""The takeover of the log by a new leader, from its claim to serving.
 
 The log is recovered from the old members, adopted by the new ones, announced in the control key if
 the members have changed, and then served. A takeover that fails logs which members were missing,
@@ -6,33 +6,43 @@
 doesn't raise the epoch without end.
 """
 
-from typing import Any
+from typing import TYPE_CHECKING
 
+from replicated_log.configuration import addresses_of
 from replicated_log.failure_detector import LeaderFailureDetector
+from replicated_log.interfaces import CHANGE_DONE
 from replicated_log.leader import Leader
 from replicated_log.recovery import Recovery
 from replicated_log.role import Role
 
+if TYPE_CHECKING:
+    from replicated_log.log_replica import LogReplica
+
 __all__ = ["LeaderTakeover"]
 
-_LONGEST_WAIT = 4
+# The longest backoff, in units of `force_ms`, and the most doublings that are counted.
+_LONGEST_BACKOFF = 4
+_MOST_DOUBLINGS = 10
+_LONG_AGO_MS = -1 << 40
 
 
 class LeaderTakeover:
-    """The takeover by one store; `store` is its StoreLog."""
+    """The takeovers by one replica."""
 
-    __slots__ = ("_failures", "_not_before_ms", "_recovery", "_store", "_warned_ms")
+    __slots__ = ("_failures", "_not_before_ms", "_recovery", "_replica", "_warned_ms")
 
-    def __init__(self, store: Any) -> None:
-        self._store = store
+    def __init__(self, replica: "LogReplica") -> None:
+        self._replica = replica
         self._recovery: Recovery | None = None
         self._failures = 0
-        self._not_before_ms = -1 << 40
-        self._warned_ms = -1 << 40
+        self._not_before_ms = _LONG_AGO_MS
+        self._warned_ms = _LONG_AGO_MS
+
+    # -- attempts ------------------------------------------------------------------------------
 
     def may_claim(self) -> bool:
         """Whether the backoff after the last takeover that lacked answers has passed."""
-        return self._store.node.env.now() >= self._not_before_ms
+        return self._replica.node.env.now() >= self._not_before_ms
 
     def stop(self) -> None:
         """Abandon a recovery under way, because the store steps down."""
@@ -40,101 +50,106 @@
             self._recovery.stop()
             self._recovery = None
 
-    def stuck(self) -> None:
+    def give_up(self) -> None:
         """Give up a takeover that has made no progress for too long."""
-        store, lacks = self._store, []
+        replica, missing = self._replica, []
         if self._recovery is not None:
-            lacks = self._recovery.unanswered()
-        elif store.leader is not None:
-            lacks = [name for name in store.leader.members if not store.leader.is_responsive(name)]
-        self._failed("takeover-stuck", lacks, store.value["epoch"])
-        store.step_down("stuck", 0)
-
-    def _failed(self, event: str, lacks: list[str], epoch: int) -> None:
+            missing = self._recovery.unanswered()
+        elif replica.leader is not None:
+            leader = replica.leader
+            missing = [name for name in leader.members if not leader.health.is_responsive(name)]
+        self._failed("takeover-stuck", missing, replica.configuration.epoch)
+        replica.step_down("stuck", 0)
+
+    def _failed(self, event: str, missing: list[str], epoch: int) -> None:
         """Log a failed takeover and delay the next one if members were missing."""
-        store = self._store
-        store.node.env.log(event, "WARNING", lacks=lacks, epoch=epoch)
-        if lacks:
-            settings = store.node.settings
-            wait_ms = min(
-                settings.request_timeout_ms << self._failures, _LONGEST_WAIT * settings.force_ms
+        node = self._replica.node
+        node.env.log(event, "WARNING", lacks=missing, epoch=epoch)
+        if missing:
+            settings = node.settings
+            backoff_ms = min(
+                settings.request_timeout_ms << self._failures, _LONGEST_BACKOFF * settings.force_ms
             )
-            self._not_before_ms = store.node.env.now() + wait_ms
-            self._failures = min(self._failures + 1, 10)
-
-    def warn_if_unserved(self, names: list[str], watch: LeaderFailureDetector) -> None:
-        """Log a warning while no holder is heard and too few members answer to elect one."""
-        store, settings, now_ms = self._store, self._store.node.settings, self._store.node.env.now()
-        lacks = watch.unanswered(names)
+            self._not_before_ms = node.env.now() + backoff_ms
+            self._failures = min(self._failures + 1, _MOST_DOUBLINGS)
+
+    def warn_if_unserved(self, names: list[str], detector: LeaderFailureDetector) -> None:
+        """Log a warning while no leader is heard and too few members answer to elect one."""
+        node, settings = self._replica.node, self._replica.node.settings
+        now_ms = node.env.now()
+        missing = detector.unanswered(names)
         if (
-            watch.silent_ms >= settings.force_ms
-            and len(lacks) > settings.store_faults
+            detector.silent_ms >= settings.force_ms
+            and len(missing) > settings.store_faults
             and now_ms - self._warned_ms >= settings.resume_ms
         ):
             self._warned_ms = now_ms
-            store.node.env.log("log-unserved", "WARNING", lacks=lacks, epoch=store.value["epoch"])
+            epoch = self._replica.configuration.epoch
+            node.env.log("log-unserved", "WARNING", lacks=missing, epoch=epoch)
+
+    # -- steps ---------------------------------------------------------------------------------
 
     def start(self, epoch: int) -> None:
         """Recover the log under an epoch that the control key assigns to this store."""
-        store = self._store
-        store.become(Role.RECOVERING, epoch)
-        store.send_heartbeat()
-        prev = [(row["identity"], row["address"]) for row in store.value["prev"]]
-
-        def recovered(ok: bool) -> None:
-            if store.role is not Role.RECOVERING:
-                return
-            recovery, self._recovery = self._recovery, None
-            if not ok:
-                self._failed("recovery-failed", recovery.unanswered(), epoch)
-                store.become(Role.PEER, epoch)
-                return
-            members = [(row["identity"], row["address"]) for row in store.value["members"]]
-            store.leader = Leader(
-                store.log,
-                epoch,
-                members,
-                store.node.settings,
-                store.node.env.now,
-                store.node.env.wall,
-                store.node.send,
-                lambda fence: store.step_down("deposed", fence),
-                self._adopted,
-            )
-            store.become(Role.ADOPTING, epoch)
-            store.leader.tick()
+        replica = self._replica
+        replica.become(Role.RECOVERING, epoch)
+        replica.send_heartbeat()
+        recovery = Recovery(
+            replica.log,
+            epoch,
+            addresses_of(replica.configuration.previous_members),
+            replica.node.settings,
+            replica.node.request,
+            replica.node.env.now,
+            lambda ok: self._recovered(recovery, ok),
+        )
+        self._recovery = recovery
+        recovery.start()
 
-        self._recovery = Recovery(
-            store.log,
+    def _recovered(self, recovery: Recovery, ok: bool) -> None:
+        replica, epoch = self._replica, recovery.epoch
+        if replica.role is not Role.RECOVERING:
+            return
+        self._recovery = None
+        if not ok:
+            self._failed("recovery-failed", recovery.unanswered(), epoch)
+            replica.become(Role.FOLLOWER, epoch)
+            return
+        replica.leader = Leader(
+            replica.log,
             epoch,
-            prev,
-            store.node.settings,
-            store.node.request,
-            store.node.env.now,
-            recovered,
+            addresses_of(replica.configuration.members),
+            replica.node.settings,
+            replica.node.env.now,
+            replica.node.env.wall,
+            replica.node.send,
+            lambda fence: replica.step_down("deposed", fence),
+            self._adopted,
         )
-        self._recovery.start()
+        replica.become(Role.ADOPTING, epoch)
+        replica.leader.tick()
 
     def _adopted(self) -> None:
-        store = self._store
-        if store.role is not Role.ADOPTING:
+        replica = self._replica
+        if replica.role is not Role.ADOPTING or replica.leader is None:
             return
-        epoch = store.leader.epoch
-        if store.value["members"] == store.value["prev"]:
+        epoch = replica.leader.epoch
+        configuration = replica.configuration
+        if configuration.members == configuration.previous_members:
             self._serve(epoch)
             return
-        store.become(Role.ANNOUNCING, epoch)
+        replica.become(Role.ANNOUNCING, epoch)
 
         def announced(outcome: str) -> None:
-            if store.role is not Role.ANNOUNCING:
+            if replica.role is not Role.ANNOUNCING:
                 return
-            if outcome == "ok" and store.value.get("epoch") == epoch:
+            if outcome == CHANGE_DONE and replica.configuration.epoch == epoch:
                 self._serve(epoch)
             else:
-                store.step_down("announcement-" + outcome, epoch)
+                replica.step_down(f"announcement-{outcome}", epoch)
 
-        store.change({**store.value, "phase": "serving", "prev": store.value["members"]}, announced)
+        replica.key.change(configuration.serving(), announced)
 
     def _serve(self, epoch: int) -> None:
         self._failures = 0
-        self._store.serve(epoch)
+        self._replica.serve(epoch)
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from batch_state import entries
-from replicated_log import Leader, LocalLog
+from replicated_log import Leader, LocalLog, ReplicaAddress
 from replicated_log.follower import Follower
 from runtime import Settings, boot_ms, wall_ms
 from storage import FolderDisk
@@ -98,7 +98,7 @@
         holder = Leader(
             own,
             1,
-            [(store.log.identity, name) for name, store in stores.items()],
+            [ReplicaAddress(store.log.identity, name) for name, store in stores.items()],
             stores["a"].settings,
             boot_ms,
             wall_ms,
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -15,7 +15,7 @@
 from batch_state import messages as m
 from batch_state.item_dispatch import ItemDispatcher
 from messaging import encode
-from replicated_log import LocalLog
+from replicated_log import LocalLog, Stamp
 from runtime import Settings
 from storage import FolderDisk
 
@@ -118,19 +118,20 @@
         worst_ms = 0.0
         for number in range(jobs):
             for row in _job(rng, number, body_bytes, True):
-                log.write(log.make((1, log.last_stamp[1] + 1), encode(row)))
-            log.flushed_seq = log.last_seq
+                log.append(log.next_record(Stamp(1, log.last_stamp.time_ms + 1), encode(row)))
+            log.flusher.flushed_seq = log.last_seq
             log.commit(log.last_seq)
             if number % 100 == 99:
                 began_at = time.perf_counter()
                 log.maintain_snapshot()
                 worst_ms = max(worst_ms, (time.perf_counter() - began_at) * 1000)
-                _wait(disk, lambda: not log.busy())
-                log.received_ms = [-1 << 40] * (len(log.records) - 1) + log.received_ms[-1:]
+                _wait(disk, lambda: not log.snapshot_in_progress())
+                received_ms = log.buffer.received_ms
+                received_ms[:-1] = [-1 << 40] * (len(received_ms) - 1)
                 log.trim()
         log.maintain_snapshot(True)
-        _wait(disk, lambda: not log.busy())
-        del log.records[:-1], log.received_ms[:-1]
+        _wait(disk, lambda: not log.snapshot_in_progress())
+        del log.records[:-1], log.buffer.received_ms[:-1]
         gc.collect()
         lines.append(
             f"{jobs} lots of {_ITEMS} that are over, bodies and results of {body_bytes} bytes: "
--- a/tests/log_table.py
+++ b/tests/log_harness.py
@@ -1,16 +1,16 @@
-"""Three stores at one table, without a fleet: messages are passed with a millisecond's delay, stores
-can be cut off, disks can lose power, and time is set by the test.
+"""Three replicas of the log without a fleet: messages take a millisecond, replicas can be cut off,
+disks can lose power, and time is set by the test.
 """
 
 from batch_state import entries
-from messaging import decode
-from replicated_log import Leader, LocalLog, Recovery
+from replicated_log import Leader, LocalLog, Recovery, ReplicaAddress
 from replicated_log.follower import Follower
+from replicated_log.records import decode_entry
 from runtime import Settings
 from simulator.disks import SimDisk
 from simulator.virtual import VirtualTime
 
-PARAMS = Settings(
+SETTINGS = Settings(
     role="store",
     link="10.0.0.1:1",
     http="10.0.0.1:2",
@@ -22,6 +22,8 @@
     segment_bytes=4096,
 )
 
+MEMBERS = [ReplicaAddress(f"store-{name}", name) for name in ("a", "b", "c")]
+
 
 class Machine:
     """What a simulated disk wants to know of its host."""
@@ -34,8 +36,11 @@
             what()
 
 
-class Table:
-    """Three stores at one table: messages are passed by hand or by deliver(), time is set."""
+class LogHarness:
+    """Three replicas, one of which may lead; `send` may be replaced by the test.
+
+    `cut` names the replicas that are cut off.
+    """
 
     def __init__(self, seed=1):
         self.time = VirtualTime(seed)
@@ -45,7 +50,7 @@
         self.logs = {}
         self.followers = {}
         self.cut = set()
-        self.holder = None
+        self.leader = None
         self.deposed_by = []
         for name in ("a", "b", "c"):
             self.disks[name] = SimDisk(self.time, 1 << 20, 1.0)
@@ -55,45 +60,47 @@
         """Start the store's process; on a blank disk, `token` makes another identity than its name."""
         self.machines[name] = Machine()
         self.disks[name].bind(self.machines[name])
-        self.logs[name] = LocalLog(self.disks[name], PARAMS, self.now, lambda: token or name)
+        self.logs[name] = LocalLog(self.disks[name], SETTINGS, self.now, lambda: token or name)
         self.followers[name] = Follower(self.logs[name])
 
     def now(self):
         return int(self.time.now_ms)
 
     def members(self):
-        return [(self.logs[name].identity, name) for name in ("a", "b", "c")]
+        return [ReplicaAddress(self.logs[name].identity, name) for name in ("a", "b", "c")]
 
-    def hold(self, name, epoch, members=None):
+    def lead(self, name, epoch, members=None):
         self.logs[name].save_metadata(lambda ok: None, fence=epoch, log_epoch=epoch)
         self.run(10)
-        self.holder = Leader(
+        self.leader = Leader(
             self.logs[name],
             epoch,
             members or self.members(),
-            PARAMS,
+            SETTINGS,
             self.now,
             lambda: self.wall_ms,
-            self.post,
+            lambda to, message: self.send(to, message),
             self.deposed_by.append,
         )
-        self.holder_name = name
-        return self.holder
+        self.leader_name = name
+        return self.leader
 
-    def post(self, to, message):
+    def send(self, to, message):
         if to not in self.cut:
             self.time.after(
                 1,
-                lambda: self.followers[to].receive(message, lambda receipt: self.back(to, receipt)),
+                lambda: self.followers[to].receive(
+                    message, lambda response: self.send_back(to, response)
+                ),
             )
 
-    def back(self, sender, receipt):
+    def send_back(self, sender, response):
         if sender not in self.cut:
             self.time.after(
-                1, lambda: self.holder.handle_response(receipt, sender) if self.holder else None
+                1, lambda: self.leader.handle_response(response, sender) if self.leader else None
             )
 
-    def ask(self, to, message, wait_ms, done):
+    def request(self, to, message, wait_ms, done):
         if to in self.cut:
             self.time.after(wait_ms, lambda: done(None))
         else:
@@ -103,12 +110,12 @@
         end_ms = self.time.now_ms + for_ms
         while self.time.now_ms < end_ms:
             self.time.run_until(min(end_ms, self.time.now_ms + 10))
-            if self.holder is not None:
-                self.holder.tick()
+            if self.leader is not None:
+                self.leader.tick()
 
     def append(self, key, durable=False):
         outcomes = []
-        self.holder.append([entry(key)], durable, outcomes.append)
+        self.leader.append([entry(key)], durable, outcomes.append)
         return outcomes
 
     def recover(self, name, epoch, members=None):
@@ -117,18 +124,18 @@
             self.logs[name],
             epoch,
             members or self.members(),
-            PARAMS,
-            self.ask,
+            SETTINGS,
+            lambda *call: self.request(*call),
             self.now,
             outcome.append,
         )
-        self.holder = None
+        self.leader = None
         recovery.start()
         self.run(3000)
         return outcome
 
     def keys(self, name):
-        return [decode(decode(record.frame[8:]).body).key for record in self.logs[name].records]
+        return [decode_entry(record).key for record in self.logs[name].records]
 
 
 def entry(key):
--- a/tests/test_shelves.py
+++ b/tests/test_archive.py
@@ -72,7 +72,7 @@
         self.assertThat(again[-1]["outcome"], Equals("replay"))
         self.kept(run)
 
-    def test_a_spare_has_the_files_before_it_counts(self):
+    def test_a_standby_has_the_files_before_it_counts(self):
         run, fleet = self.founded()
         for number in range(3):
             fleet.hosts.pop(f"store{number + 1}").lose_disk()
@@ -86,18 +86,18 @@
 
             self.assertThat(fleet.run_until_true(joined, 15_000), Equals(True))
             self.assertThat(
-                fresh.node.log.log.archive.used() <= set(self.leaves(fresh)), Equals(True)
+                fresh.node.log.log.archive.referenced() <= set(self.leaves(fresh)), Equals(True)
             )
         self.kept(run)
 
     def test_a_damaged_leaf_is_never_listed_and_a_read_mends_it(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        job = holder.node.log.log.state.jobs["lot2"]
-        holder.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
-        self.assertThat(holder.node.log.log.archive.read_results(job, 0, 10), Equals(None))
+        leader = fleet.leader()
+        job = leader.node.log.log.state.jobs["lot2"]
+        leader.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
+        self.assertThat(leader.node.log.log.archive.read_results(job, 0, 10), Equals(None))
         self.assertThat(self.results(run, "lot2"), Equals(30))
-        self.assertThat(len(holder.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
+        self.assertThat(len(leader.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
         self.kept(run)
 
     def test_a_leaf_in_anothers_place_is_not_taken_for_it(self):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -97,7 +97,7 @@
                     "first_seq": log.first_seq,
                     "last_seq": log.last_seq,
                     "snapshot_seq": log.snapshot_seq,
-                    "metadata": encode(log.meta).hex(),
+                    "metadata": encode(log.metadata).hex(),
                     "jobs": {
                         name: [job.total, job.archived is not None]
                         for name, job in log.state.jobs.items()
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -8,7 +8,8 @@
 from modelcheck.initial_states import INITIAL_STATES
 from modelcheck.log_initial_states import LOG_INITIAL_STATES
 from modelcheck.member_change_initial_states import MEMBER_CHANGE_INITIAL_STATES
-from replicated_log import Leader, LogReplica
+from replicated_log import Leader
+from replicated_log.configuration_key import ConfigurationKey
 from replicated_log.follower import Follower
 from replicated_log.leader import Outcome
 from replicated_log.messages import AppendRequest, ReplicaMetadata
@@ -23,17 +24,17 @@
 LIMIT = 150_000
 
 ORIGINAL_RECEIVE = Follower.receive
-ORIGINAL_KEEP = MetadataFile.keep
-ORIGINAL_CHANGE = LogReplica.change
+ORIGINAL_SAVE = MetadataFile.save
+ORIGINAL_CHANGE = ConfigurationKey.change
 
 
-def settled_here(self, pending, replicated_seq):
-    """The holder's own disk is enough."""
+def committed_here(self, pending, replicated):
+    """The leader's own disk is enough."""
     return pending.seq <= self._log.flushed_seq
 
 
-class Unsettled:
-    """A log that doesn't know what is settled, so that nothing is refused for contradicting it."""
+class NothingCommitted:
+    """A log that doesn't know what is committed, so that nothing is refused for contradicting it."""
 
     committed_seq = 0
 
@@ -45,47 +46,47 @@
 
 
 def take_lower_epochs(self, message, reply, source=""):
-    """A peer takes what an earlier holder sends as if it came from the present one."""
+    """A follower takes what an earlier leader sends as if it came from the present one."""
     if not isinstance(message, AppendRequest):
         ORIGINAL_RECEIVE(self, message, reply, source)
         return
-    message.epoch = max(message.epoch, self._log.meta.fence)
-    log, self._log = self._log, Unsettled(self._log)
+    message.epoch = max(message.epoch, self._log.metadata.fence)
+    log, self._log = self._log, NothingCommitted(self._log)
     ORIGINAL_RECEIVE(self, message, reply, source)
     self._log = log
 
 
 def read_without_round(self, done):
-    """A holder reads without asking its peers whether it is the holder still."""
+    """A leader reads without asking its followers whether it is the leader still."""
     done(True)
 
 
 def keep_in_memory(self, done, fence, log_epoch):
     """Fences are told before they are on disk."""
-    if self.fresh:
-        ORIGINAL_KEEP(self, done, fence, log_epoch)
+    if self.is_new:
+        ORIGINAL_SAVE(self, done, fence, log_epoch)
         return
-    self.meta = ReplicaMetadata(
-        identity=self.meta.identity,
-        fence=max(self.meta.fence, fence),
-        log_epoch=max(self.meta.log_epoch, log_epoch),
+    self.metadata = ReplicaMetadata(
+        identity=self.metadata.identity,
+        fence=max(self.metadata.fence, fence),
+        log_epoch=max(self.metadata.log_epoch, log_epoch),
     )
     done(True)
 
 
-def claim_lost(self, body, done):
+def claim_lost(self, configuration, done):
     """A claim that another won counts as won."""
 
     def changed(outcome):
         if outcome == "lost":
-            self.value = body
+            self.configuration = configuration
             outcome = "ok"
         done(outcome)
 
-    ORIGINAL_CHANGE(self, body, changed)
+    ORIGINAL_CHANGE(self, configuration, changed)
 
 
-def kept_at_once(self, entries, durable, done, urgent=False):
+def acknowledged_at_once(self, entries, durable, done, urgent=False):
     done(Outcome.ACKNOWLEDGED)
     return True
 
@@ -102,16 +103,16 @@
 
 # What is broken, the start that shows it, and the invariants that may be the first to fail.
 MUTATIONS = {
-    "one disk is enough": ((Leader, "_is_ready", settled_here), "holder-lost", ("L2",)),
-    "acknowledged unwritten": ((Leader, "append", kept_at_once), "holder-lost", ("L2",)),
+    "one disk is enough": ((Leader, "_is_ready", committed_here), "holder-lost", ("L2",)),
+    "acknowledged unwritten": ((Leader, "append", acknowledged_at_once), "holder-lost", ("L2",)),
     "lower epochs are taken": (
         (Follower, "receive", take_lower_epochs),
         "holder-lost",
         ("L1", "L2"),
     ),
     "a reading without a round": ((Leader, "read", read_without_round), "old-holder", ("L4",)),
-    "fences in memory": ((MetadataFile, "keep", keep_in_memory), "holder-lost-and-power", ("L5",)),
-    "a lost claim counts": ((LogReplica, "change", claim_lost), "two-claim", ("L3",)),
+    "fences in memory": ((MetadataFile, "save", keep_in_memory), "holder-lost-and-power", ("L5",)),
+    "a lost claim counts": ((ConfigurationKey, "change", claim_lost), "two-claim", ("L3",)),
     "one list during a change": (
         (Quorums, "_lists", present_list_alone),
         "retired-unheard",
--- a/tests/test_holders.py
+++ b/tests/test_failover.py
@@ -116,58 +116,58 @@
 
     def test_who_is_cut_off_from_the_holder_alone_leaves_it_alone(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
-        other = next(host for host in fleet.with_role("store") if host is not holder)
-        fleet.network.partition(holder.address, other.address)
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
+        other = next(host for host in fleet.with_role("store") if host is not leader)
+        fleet.network.partition(leader.address, other.address)
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
-        self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
+        self.assertThat(self.settle(fleet, leader, "meanwhile"), Equals("kept"))
 
     def test_a_member_cut_off_from_the_other_stores_claims_nothing(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
-        other = next(host for host in fleet.with_role("store") if host is not holder)
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
+        other = next(host for host in fleet.with_role("store") if host is not leader)
         self.cut_from(fleet, other, "store")
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_the_log_goes_on_without_control(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
         for host in fleet.with_role("control"):
             host.kill()
         for number in range(6):
             fleet.run_until_true(lambda: False, 1000)
-            self.assertThat(self.settle(fleet, holder, f"k{number}"), Equals("kept"))
+            self.assertThat(self.settle(fleet, leader, f"k{number}"), Equals("kept"))
         for host in fleet.with_role("control"):
             host.start()
         fleet.run_until_true(lambda: False, 4000)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_a_holder_cut_off_from_control_alone_goes_on(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
-        self.cut_from(fleet, holder, "control")
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
+        self.cut_from(fleet, leader, "control")
         fleet.run_until_true(lambda: False, 4000)
-        self.assertThat(self.settle(fleet, holder, "meanwhile"), Equals("kept"))
+        self.assertThat(self.settle(fleet, leader, "meanwhile"), Equals("kept"))
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_short_stops_and_slow_links_change_no_holder(self):
         run, fleet = self.founded()
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
         for host in fleet.with_role("store"):
             fleet.network.slow_ms[host.address] = 60.0
         for number in range(30):
@@ -176,7 +176,7 @@
             fleet.time.after(220, host.wake)
             fleet.run_until_true(lambda: False, 400)
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
     def test_a_whole_restart_serves_in_time(self):
--- a/tests/test_stores.py
+++ b/tests/test_log_bootstrap.py
@@ -1,6 +1,6 @@
 """Which stores make up the log: founding by stores that aren't told how many there are, and the spread over zones."""
 
-from log_table import Machine
+from log_harness import Machine
 from replicated_log import LocalLog, LogReplica, spread
 from runtime import Settings
 from simulator.disks import SimDisk
@@ -56,7 +56,7 @@
         disk = disk or SimDisk(self.time, 1 << 20)
         disk.bind(Machine())
         store = LogReplica(
-            LocalLog(disk, self.settings, self.now, lambda: name), self, self, lambda holder: None
+            LocalLog(disk, self.settings, self.now, lambda: name), self, self, lambda leader: None
         )
         store.attach(self)
         return store
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -2,8 +2,9 @@
 given back; and a takeover that cannot get its answers.
 """
 
-from log_table import PARAMS, Table
-from replicated_log import LogReplica, Outcome
+from log_harness import SETTINGS, LogHarness
+from replicated_log import Outcome, StartRecovery
+from replicated_log.configuration_key import ConfigurationKey
 from simulator.runs import Run
 from testtools import TestCase
 from testtools.matchers import Equals, LessThan
@@ -12,58 +13,58 @@
 class Lists(TestCase):
     """A holder with two peers and a spare that is sent the log."""
 
-    def holding(self):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
-        table.holder.add_learner("store-x", "x")
-        table.followers["x"] = table.followers["b"]
-        return table
+    def leading(self):
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
+        harness.leader.add_learner("store-x", "x")
+        harness.followers["x"] = harness.followers["b"]
+        return harness
 
-    def following(self, table):
-        return [table.logs["a"].identity, table.logs["b"].identity, "store-x"]
+    def following(self, harness):
+        return [harness.logs["a"].identity, harness.logs["b"].identity, "store-x"]
 
     def test_during_a_change_both_lists_have_what_is_acknowledged(self):
-        table = self.holding()
-        table.cut.update(("b", "x"))
-        table.holder.begin_change(self.following(table))
-        outcomes = table.append("k1", durable=True)
-        table.run(200)
+        harness = self.leading()
+        harness.cut.update(("b", "x"))
+        harness.leader.begin_change(self.following(harness))
+        outcomes = harness.append("k1", durable=True)
+        harness.run(200)
         self.assertThat(outcomes, Equals([]))
-        table.cut.clear()
-        table.run(300)
+        harness.cut.clear()
+        harness.run(300)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
     def test_the_new_members_are_level_before_the_change_is_asked_for(self):
-        table = self.holding()
-        table.cut.update(("b", "x"))
-        table.append("k1")
-        table.run(20)
-        table.holder.begin_change(self.following(table))
-        table.run(200)
-        self.assertThat(table.holder.is_change_ready(), Equals(False))
-        table.cut.remove("b")
-        table.run(300)
-        self.assertThat(table.holder.is_change_ready(), Equals(True))
+        harness = self.leading()
+        harness.cut.update(("b", "x"))
+        harness.append("k1")
+        harness.run(20)
+        harness.leader.begin_change(self.following(harness))
+        harness.run(200)
+        self.assertThat(harness.leader.is_change_ready(), Equals(False))
+        harness.cut.remove("b")
+        harness.run(300)
+        self.assertThat(harness.leader.is_change_ready(), Equals(True))
 
     def test_a_change_that_is_given_back_leaves_the_old_list(self):
-        table = self.holding()
-        before = list(table.holder.members)
-        table.holder.begin_change(self.following(table))
-        table.holder.end_change(False)
-        self.assertThat(table.holder.members, Equals(before))
-        table.holder.begin_change(self.following(table))
-        table.holder.end_change(True)
-        self.assertThat(table.holder.members, Equals(self.following(table)))
+        harness = self.leading()
+        before = list(harness.leader.members)
+        harness.leader.begin_change(self.following(harness))
+        harness.leader.end_change(False)
+        self.assertThat(harness.leader.members, Equals(before))
+        harness.leader.begin_change(self.following(harness))
+        harness.leader.end_change(True)
+        self.assertThat(harness.leader.members, Equals(self.following(harness)))
 
     def test_level_members_are_counted(self):
-        table = self.holding()
-        table.append("k1", durable=True)
-        table.run(1500)
-        self.assertThat(table.holder.count_caught_up(), Equals(3))
-        table.cut.add("c")
-        table.run(PARAMS.failure_timeout_ms + 200)
-        self.assertThat(table.holder.count_caught_up(), Equals(2))
+        harness = self.leading()
+        harness.append("k1", durable=True)
+        harness.run(1500)
+        self.assertThat(harness.leader.health.count_caught_up(), Equals(3))
+        harness.cut.add("c")
+        harness.run(SETTINGS.failure_timeout_ms + 200)
+        self.assertThat(harness.leader.health.count_caught_up(), Equals(2))
 
 
 class Asking(TestCase):
@@ -83,14 +84,14 @@
             fleet.time.after(
                 10 * number, lambda number=number: run.clients.live("moves", f"m{number}")
             )
-        asked, plain = [], LogReplica.change
+        asked, plain = [], ConfigurationKey.change
 
-        def change(this, body, done):
-            asked.append(this.leader.is_change_ready())
-            plain(this, body, done)
+        def change(key, configuration, done):
+            asked.append(key is log.key and log.leader.is_change_ready())
+            plain(key, configuration, done)
 
-        LogReplica.change = change
-        self.addCleanup(setattr, LogReplica, "change", plain)
+        ConfigurationKey.change = change
+        self.addCleanup(setattr, ConfigurationKey, "change", plain)
         fleet.run_until_true(lambda: spare.node.log.log.identity in log.leader.members, 4900)
         self.assertThat(asked[:1], Equals([True]))
 
@@ -121,12 +122,12 @@
         run = Run(34)
         run.start()
         fleet = run.fleet
-        holder = fleet.leader()
+        leader = fleet.leader()
         for host in fleet.with_role("store"):
-            peer = host.node.log._follower_role
+            peer = host.node.log._follower
             plain = peer.receive
-            host.node.log._follower_role = _Deaf(plain)
-        holder.lose_power()
+            host.node.log._follower = _Deaf(plain)
+        leader.lose_power()
         fleet.run_until_true(lambda: False, 25_000)
         before = self.epoch(fleet)
         fleet.run_until_true(lambda: False, 30_000)
@@ -142,5 +143,5 @@
         self._receive = receive
 
     def receive(self, message, reply, source=""):
-        if type(message).__name__ != "StartRecovery":
+        if not isinstance(message, StartRecovery):
             self._receive(message, reply, source)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,8 +1,8 @@
 """Rows about recovery beyond the design page's: what is fetched, what is cut, and the small files beside the log."""
 
 from batch_state import BatchState, entries
-from log_table import PARAMS, Table
-from log_table import entry as key_opened
+from log_harness import SETTINGS, LogHarness
+from log_harness import entry as key_opened
 from messaging import encode
 from replicated_log import AppendRequest, InstallSnapshot, Outcome
 from replicated_log.messages import (
@@ -10,6 +10,8 @@
     FetchResponse,
     FetchTail,
     ReplicaMetadata,
+    Stamp,
+    StartRecovery,
     StartRecoveryResponse,
 )
 from replicated_log.snapshots import read_snapshot
@@ -21,198 +23,205 @@
 
 class Fetching(TestCase):
     def grown(self, count=50):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
         for number in range(count):
-            table.append(f"k{number}", durable=True)
-            table.run(10)
-        table.run(50)
-        return table
+            harness.append(f"k{number}", durable=True)
+            harness.run(10)
+        harness.run(50)
+        return harness
 
-    def watched(self, table):
+    def watched(self, harness):
         """How many records come over the wire."""
-        fetched, plain = [], table.ask
+        fetched, plain = [], harness.request
 
-        def ask(to, message, wait_ms, done):
+        def request(to, message, wait_ms, done):
             plain(to, message, wait_ms, lambda answer: (fetched.append(answer), done(answer)))
 
-        table.ask = ask
+        harness.request = request
         return lambda: sum(
             len(answer.records) for answer in fetched if isinstance(answer, FetchResponse)
         )
 
     def test_stores_that_are_level_fetch_nothing(self):
-        table = self.grown()
-        table.cut.add("a")
-        fetched = self.watched(table)
-        self.assertThat((table.recover("b", 2), fetched()), Equals(([True], 0)))
+        harness = self.grown()
+        harness.cut.add("a")
+        fetched = self.watched(harness)
+        self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 0)))
 
     def test_only_what_is_lacking_is_fetched(self):
-        table = self.grown()
-        table.cut.add("b")
+        harness = self.grown()
+        harness.cut.add("b")
         for number in range(3):
-            table.append(f"more{number}", durable=True)
-            table.run(10)
-        table.cut = {"a"}
-        fetched = self.watched(table)
-        self.assertThat((table.recover("b", 2), fetched()), Equals(([True], 3)))
-        self.assertThat(table.keys("b"), Equals(table.keys("c")))
+            harness.append(f"more{number}", durable=True)
+            harness.run(10)
+        harness.cut = {"a"}
+        fetched = self.watched(harness)
+        self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 3)))
+        self.assertThat(harness.keys("b"), Equals(harness.keys("c")))
 
     def test_after_a_restart_too(self):
         """What is settled isn't known any more, but the last place that both hold is found."""
-        table = self.grown()
-        table.cut.add("b")
-        table.append("more", durable=True)
-        table.run(50)
-        table.open("b")
-        table.cut = {"a"}
-        fetched = self.watched(table)
-        self.assertThat((table.recover("b", 2), fetched()), Equals(([True], 1)))
+        harness = self.grown()
+        harness.cut.add("b")
+        harness.append("more", durable=True)
+        harness.run(50)
+        harness.open("b")
+        harness.cut = {"a"}
+        fetched = self.watched(harness)
+        self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 1)))
 
     def test_an_old_tail_gives_way(self):
-        table = self.grown(5)
-        table.cut.update(("b", "c"))
-        table.append("ghost")
-        table.append("ghost too")
-        table.run(20)
-        table.cut = {"a"}
-        self.assertThat(table.recover("b", 2), Equals([True]))
-        table.hold("b", 2)
-        table.run(300)
-        table.append("real", durable=True)
-        table.run(100)
-        table.holder = None
-        table.cut = {"b"}
-        self.assertThat(table.recover("a", 3), Equals([True]))
-        self.assertThat(table.keys("a"), Equals([f"k{number}" for number in range(5)] + ["real"]))
+        harness = self.grown(5)
+        harness.cut.update(("b", "c"))
+        harness.append("ghost")
+        harness.append("ghost too")
+        harness.run(20)
+        harness.cut = {"a"}
+        self.assertThat(harness.recover("b", 2), Equals([True]))
+        harness.lead("b", 2)
+        harness.run(300)
+        harness.append("real", durable=True)
+        harness.run(100)
+        harness.leader = None
+        harness.cut = {"b"}
+        self.assertThat(harness.recover("a", 3), Equals([True]))
+        self.assertThat(harness.keys("a"), Equals([f"k{number}" for number in range(5)] + ["real"]))
 
     def test_a_store_that_missed_a_recovery_keeps_what_is_settled_though_nothing_is_fetched(self):
         """Its own copy doesn't count as an answer, and whoever does count has no more than is settled here."""
-        table = self.grown(5)
-        table.run(1000)
-        table.cut.add("b")
-        self.assertThat(table.recover("c", 2), Equals([True]))
-        table.cut = {"a"}
-        self.assertThat(table.recover("b", 3), Equals([True]))
+        harness = self.grown(5)
+        harness.run(1000)
+        harness.cut.add("b")
+        self.assertThat(harness.recover("c", 2), Equals([True]))
+        harness.cut = {"a"}
+        self.assertThat(harness.recover("b", 3), Equals([True]))
         wanted = [f"k{number}" for number in range(5)]
-        self.assertThat((table.keys("b"), table.keys("c")), Equals((wanted, wanted)))
-        log = table.logs["b"]
+        self.assertThat((harness.keys("b"), harness.keys("c")), Equals((wanted, wanted)))
+        log = harness.logs["b"]
         self.assertThat((log.last_seq, log.committed_seq), Equals((5, 5)))
 
     def test_a_blank_disk_at_the_address_of_the_store_that_was_counted_on_ends_the_recovery(self):
         """It would stand for an empty log, and what is settled on the lost disk and one more be cut off."""
         for wiped_before in (FetchTail, FetchRecords):
-            table = self.grown(2)
-            table.cut.add("b")
+            harness = self.grown(2)
+            harness.cut.add("b")
             for number in range(40):
-                table.append(f"settled{number}" + "x" * 8000, durable=True)
-                table.run(10)
-            table.run(200)
-            table.cut = {"a"}
-            members, plain = table.members(), table.ask
-
-            def ask(to, message, wait_ms, done, table=table, plain=plain, before=wiped_before):
-                if isinstance(message, before) and table.disks["c"].names():
-                    table.disks["c"] = SimDisk(table.time, 1 << 20, 1.0)
-                    table.open("c", token="another")
+                harness.append(f"settled{number}" + "x" * 8000, durable=True)
+                harness.run(10)
+            harness.run(200)
+            harness.cut = {"a"}
+            members, plain = harness.members(), harness.request
+
+            def request(
+                to, message, wait_ms, done, harness=harness, plain=plain, before=wiped_before
+            ):
+                if isinstance(message, before) and harness.disks["c"].names():
+                    harness.disks["c"] = SimDisk(harness.time, 1 << 20, 1.0)
+                    harness.open("c", token="another")
                 plain(to, message, wait_ms, done)
 
-            table.ask = ask
-            self.assertThat(table.recover("b", 2, members), Equals([False]), wiped_before)
+            harness.request = request
+            self.assertThat(harness.recover("b", 2, members), Equals([False]), wiped_before)
 
     def test_nothing_goes_out_under_an_epoch_before_its_own_fence(self):
-        table = self.grown(2)
-        table.disks["b"].flush_ms = 100.0
-        sent, plain = [], table.ask
+        harness = self.grown(2)
+        harness.disks["b"].flush_ms = 100.0
+        sent, plain = [], harness.request
 
-        def ask(to, message, wait_ms, done):
-            sent.append((type(message).__name__, table.logs["b"].meta.fence))
+        def request(to, message, wait_ms, done):
+            sent.append((type(message), harness.logs["b"].metadata.fence))
             plain(to, message, wait_ms, done)
 
-        table.ask = ask
-        table.cut.add("a")
-        self.assertThat(table.recover("b", 2), Equals([True]))
-        self.assertThat(sent[0], Equals(("StartRecovery", 1)))
+        harness.request = request
+        harness.cut.add("a")
+        self.assertThat(harness.recover("b", 2), Equals([True]))
+        self.assertThat(sent[0], Equals((StartRecovery, 1)))
         self.assertThat(
-            [fence for name, fence in sent if name != "StartRecovery" and fence < 2], Equals([])
+            [fence for kind, fence in sent if kind is not StartRecovery and fence < 2], Equals([])
         )
 
     def test_a_snapshot_comes_in_parts_each_asked_for_by_the_one_before(self):
-        import replicated_log.follower_progress as module
+        import replicated_log.snapshot_sender as module
 
-        table = self.grown(40)
+        harness = self.grown(40)
         for name in ("a", "b"):
-            table.logs[name].received_ms = [-(10**6)] * len(table.logs[name].records)
-            table.logs[name].maintain_snapshot(force=True)
-        table.run(50)
-        table.logs["a"].trim()
+            harness.logs[name].buffer.received_ms = [-(10**6)] * len(harness.logs[name].records)
+            harness.logs[name].maintain_snapshot(force=True)
+        harness.run(50)
+        harness.logs["a"].trim()
         whole, module._PART_BYTES = module._PART_BYTES, 500
         self.addCleanup(setattr, module, "_PART_BYTES", whole)
-        parts, plain = [], table.holder._post
+        parts, plain = [], harness.send
 
-        def post(to, message):
+        def send(to, message):
             if isinstance(message, InstallSnapshot):
                 parts.append((message.offset, message.total))
             plain(to, message)
 
-        table.holder._post = post
-        table.disks["c"].wipe()
-        table.open("c")
-        table.run(2000)
+        harness.send = send
+        harness.disks["c"].wipe()
+        harness.open("c")
+        harness.run(2000)
         total = parts[0][1]
         self.assertThat(parts, Equals([(offset, total) for offset in range(0, total, 500)]))
-        self.assertThat((table.logs["c"].last_seq, table.logs["c"].meta.log_epoch), Equals((40, 1)))
+        self.assertThat(
+            (harness.logs["c"].last_seq, harness.logs["c"].metadata.log_epoch), Equals((40, 1))
+        )
 
 
 class SmallFiles(TestCase):
     def one(self):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
         for number in range(3):
-            table.append(f"k{number}", durable=True)
-            table.run(50)
-        return table
+            harness.append(f"k{number}", durable=True)
+            harness.run(50)
+        return harness
 
     def test_a_mark_says_nothing_after_a_cut_that_lost_its_own_new_mark(self):
-        table = self.one()
-        log, disk = table.logs["a"], table.disks["a"]
+        harness = self.one()
+        log, disk = harness.logs["a"], harness.disks["a"]
         mark = disk.read("mark")
         log.save_metadata(lambda ok: None, fence=5)
-        table.run(50)
+        harness.run(50)
         log.truncate_after(1)
         log.flush(lambda ok: None)
-        table.run(50)
+        harness.run(50)
         disk.write("mark", 0, mark, True)
-        table.open("a")
-        self.assertThat((table.logs["a"].last_seq, table.logs["a"].meta.fence), Equals((1, 5)))
+        harness.open("a")
+        self.assertThat(
+            (harness.logs["a"].last_seq, harness.logs["a"].metadata.fence), Equals((1, 5))
+        )
 
     def test_a_mark_of_the_present_fence_tells_of_damage(self):
-        table = self.one()
-        name = table.logs["a"].records[0].file
-        table.disks["a"].truncate(name, table.logs["a"].records[2].offset)
-        self.assertRaises(DamageError, table.open, "a")
+        harness = self.one()
+        name = harness.logs["a"].records[0].file
+        harness.disks["a"].truncate(name, harness.logs["a"].records[2].offset)
+        self.assertRaises(DamageError, harness.open, "a")
 
     def test_fences_stand_behind_each_other_and_the_highest_counts(self):
-        table = self.one()
-        disk, log, sizes = table.disks["a"], table.logs["a"], []
+        harness = self.one()
+        disk, log, sizes = harness.disks["a"], harness.logs["a"], []
         for fence in range(2, 122):
             log.save_metadata(lambda ok: None, fence=fence)
-            table.run(10)
+            harness.run(10)
             sizes.append(len(disk.read("meta")))
         begun_anew = sum(size < before for before, size in zip(sizes, sizes[1:], strict=False))
         self.assertThat((max(sizes) <= 4300, 0 < begun_anew < 3), Equals((True, True)))
-        table.open("a")
+        harness.open("a")
         self.assertThat(
-            (table.logs["a"].meta.fence, table.logs["a"].meta.log_epoch), Equals((121, 1))
+            (harness.logs["a"].metadata.fence, harness.logs["a"].metadata.log_epoch),
+            Equals((121, 1)),
         )
 
     def test_a_torn_or_damaged_fence_takes_none_with_it(self):
-        table = self.one()
-        disk = table.disks["a"]
-        table.logs["a"].save_metadata(lambda ok: None, fence=7)
-        table.run(50)
+        harness = self.one()
+        disk = harness.disks["a"]
+        harness.logs["a"].save_metadata(lambda ok: None, fence=7)
+        harness.run(50)
         whole = disk.read("meta")
         one = len(frame(encode(ReplicaMetadata(identity="store-a", fence=7, log_epoch=1))))
         for keep, wanted in (
@@ -221,32 +230,32 @@
             (len(whole) - 2 * one, 1),
         ):
             disk.replace("meta", whole[:keep], lambda ok: None)
-            table.run(50)
-            table.open("a")
-            self.assertThat(table.logs["a"].meta.fence, Equals(wanted))
-            table.logs["a"].save_metadata(lambda ok: None, fence=9)
-            table.run(50)
-            table.open("a")
-            self.assertThat(table.logs["a"].meta.fence, Equals(9))
+            harness.run(50)
+            harness.open("a")
+            self.assertThat(harness.logs["a"].metadata.fence, Equals(wanted))
+            harness.logs["a"].save_metadata(lambda ok: None, fence=9)
+            harness.run(50)
+            harness.open("a")
+            self.assertThat(harness.logs["a"].metadata.fence, Equals(9))
         for at in (12, len(whole) - one - 4, len(whole) - 4):
             disk.replace("meta", whole, lambda ok: None)
-            table.run(50)
+            harness.run(50)
             disk.damage("meta", at)
-            table.open("a")
-            self.assertThat(table.logs["a"].meta.fence, Equals(7))
+            harness.open("a")
+            self.assertThat(harness.logs["a"].metadata.fence, Equals(7))
 
     def test_what_was_flushed_is_not_flushed_again_to_adopt_it(self):
-        table = self.one()
-        table.cut.add("a")
-        table.run(2 * PARAMS.flush_ms)
-        before = [table.disks[name].flushes for name in ("b", "c")]
-        self.assertThat(table.recover("b", 2), Equals([True]))
-        table.hold("b", 2)
-        table.run(300)
-        after = [table.disks[name].flushes for name in ("b", "c")]
-        self.assertThat(table.logs["c"].meta.log_epoch, Equals(2))
+        harness = self.one()
+        harness.cut.add("a")
+        harness.run(2 * SETTINGS.flush_ms)
+        before = [harness.disks[name].flushes for name in ("b", "c")]
+        self.assertThat(harness.recover("b", 2), Equals([True]))
+        harness.lead("b", 2)
+        harness.run(300)
+        after = [harness.disks[name].flushes for name in ("b", "c")]
+        self.assertThat(harness.logs["c"].metadata.log_epoch, Equals(2))
         self.assertThat(after[1] - before[1] <= 2, Equals(True))
-        self.assertThat(table.append("next", durable=True) is not None, Equals(True))
+        self.assertThat(harness.append("next", durable=True) is not None, Equals(True))
 
 
 class Snapshots(TestCase):
@@ -255,14 +264,14 @@
 
         whole, module._STEP_BYTES = module._STEP_BYTES, 60
         self.addCleanup(setattr, module, "_STEP_BYTES", whole)
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
         for number in range(30):
-            table.append(f"k{number}", durable=True)
-            table.run(10)
-        table.run(50)
-        log = table.logs["a"]
+            harness.append(f"k{number}", durable=True)
+            harness.run(10)
+        harness.run(50)
+        log = harness.logs["a"]
         kept = log.committed_seq
         log.maintain_snapshot(force=True)
         close = entries.KeyClosed(
@@ -273,13 +282,14 @@
             entries.KeyExpired(key="k28"),
             entries.KeyOpened(key="new", digest="d", edge="e", request_id="t", at_ms=0),
         ):
-            table.holder.append([entry], True, lambda outcome: None)
-        table.run(8)
+            harness.leader.append([entry], True, lambda outcome: None)
+        harness.run(8)
         self.assertThat(
-            (log.committed_seq, log.busy(), log.snapshot_seq), Equals((kept + 3, True, 0))
+            (log.committed_seq, log.snapshot_in_progress(), log.snapshot_seq),
+            Equals((kept + 3, True, 0)),
         )
-        table.run(1500)
-        head, rows = read_snapshot(table.disks["a"].read("snapshot"))
+        harness.run(1500)
+        head, rows = read_snapshot(harness.disks["a"].read("snapshot"))
         state = BatchState()
         for row in rows:
             state.apply(row)
@@ -289,38 +299,38 @@
         self.assertThat(
             (state.keys["k25"].state, log.state.keys["k25"].state), Equals(("open", "done"))
         )
-        table.open("a")
+        harness.open("a")
         self.assertThat(
-            (table.logs["a"].snapshot_seq, table.logs["a"].last_seq), Equals((kept, kept + 3))
+            (harness.logs["a"].snapshot_seq, harness.logs["a"].last_seq), Equals((kept, kept + 3))
         )
 
     def test_one_that_finds_no_room_is_tried_again(self):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
-        disk, log = table.disks["a"], table.logs["a"]
-        log.settings = PARAMS.model_copy(update={"segment_bytes": 1 << 20})
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
+        disk, log = harness.disks["a"], harness.logs["a"]
+        log.settings = SETTINGS.model_copy(update={"segment_bytes": 1 << 20})
         for number in range(200):
-            table.append(f"k{number}", durable=True)
-            table.run(10)
+            harness.append(f"k{number}", durable=True)
+            harness.run(10)
         self.assertThat(log.snapshot_seq, Equals(0))
         room, disk.room_bytes = (
             disk.room_bytes,
             sum(len(disk.read(name)) for name in disk.names()) + 200,
         )
         log.maintain_snapshot(force=True)
-        table.run(600)
+        harness.run(600)
         self.assertThat(log.snapshot_seq, Equals(0))
         disk.room_bytes = room
-        table.run(1000)
+        harness.run(1000)
         self.assertThat(log.snapshot_seq, Equals(200))
 
 
 class TakingRecords(TestCase):
     """What a peer that has not adopted the epoch does with an append."""
 
-    def appended(self, table, epoch, base_seq, prev_seq, records):
-        log, answers = table.logs["b"], []
+    def appended(self, harness, epoch, base_seq, prev_seq, records):
+        log, answers = harness.logs["b"], []
         prev_epoch, prev_ms = log.stamp_at(prev_seq)
         message = AppendRequest(
             epoch=epoch,
@@ -333,49 +343,49 @@
             flush=False,
             probe=1,
         )
-        table.followers["b"].receive(message, answers.append)
-        table.run(20)
+        harness.followers["b"].receive(message, answers.append)
+        harness.run(20)
         return answers[0]
 
     def filled(self, count=8):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
         for number in range(count):
-            table.append(f"k{number}", durable=True)
-            table.run(10)
-        table.run(1000)
-        table.holder = None
-        return table
+            harness.append(f"k{number}", durable=True)
+            harness.run(10)
+        harness.run(1000)
+        harness.leader = None
+        return harness
 
     def test_a_short_append_of_a_new_epoch_takes_away_no_copy_of_what_follows(self):
-        table = self.filled()
-        log = table.logs["b"]
-        answer = self.appended(table, 2, 8, 0, log.records[:3])
+        harness = self.filled()
+        log = harness.logs["b"]
+        answer = self.appended(harness, 2, 8, 0, log.records[:3])
         self.assertThat((answer.ok, answer.last_seq, answer.log_epoch), Equals((True, 3, 1)))
-        table.open("b")
-        self.assertThat(table.logs["b"].last_seq, Equals(8))
-        answer = self.appended(table, 2, 8, 3, table.logs["b"].records[3:])
+        harness.open("b")
+        self.assertThat(harness.logs["b"].last_seq, Equals(8))
+        answer = self.appended(harness, 2, 8, 3, harness.logs["b"].records[3:])
         self.assertThat((answer.ok, answer.last_seq, answer.log_epoch), Equals((True, 8, 2)))
 
     def test_an_append_that_contradicts_what_is_settled_is_refused(self):
-        table = self.filled()
-        log = table.logs["b"]
-        other = log.make((2, 5), encode(key_opened("other")))
+        harness = self.filled()
+        log = harness.logs["b"]
+        other = log.next_record(Stamp(2, 5), encode(key_opened("other")))
         other.seq = 4
-        answer = self.appended(table, 2, 8, 3, [other])
+        answer = self.appended(harness, 2, 8, 3, [other])
         self.assertThat((answer.ok, answer.reason, log.last_seq), Equals((False, "settled", 8)))
 
 
 class Waking(TestCase):
     def test_an_append_under_an_old_epoch_is_refused_after_the_fence_alone(self):
-        table = Table()
-        table.hold("a", 1)
-        table.run(300)
+        harness = LogHarness()
+        harness.lead("a", 1)
+        harness.run(300)
         answers = []
-        table.logs["b"].save_metadata(lambda ok: None, fence=4)
-        table.run(10)
-        table.followers["b"].receive(
+        harness.logs["b"].save_metadata(lambda ok: None, fence=4)
+        harness.run(10)
+        harness.followers["b"].receive(
             AppendRequest(
                 epoch=1,
                 base_seq=0,
@@ -389,8 +399,8 @@
             ),
             answers.append,
         )
-        outcomes = table.append("late")
-        table.run(PARAMS.request_timeout_ms + 100)
+        outcomes = harness.append("late")
+        harness.run(SETTINGS.request_timeout_ms + 100)
         self.assertThat(
             (answers[0].ok, isinstance(answers[0], StartRecoveryResponse), outcomes),
             Equals((False, False, [Outcome.UNKNOWN])),
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -5,7 +5,7 @@
 
 import json
 
-from replicated_log import follower_progress
+from replicated_log import snapshot_sender
 from simulator import judge
 from simulator.runs import Run
 from testtools import TestCase
@@ -17,8 +17,8 @@
 
 
 def change_of(fleet):
-    holder = fleet.leader()
-    return None if holder is None else holder.node.log._membership._change
+    leader = fleet.leader()
+    return None if leader is None else leader.node.log._membership._change
 
 
 def listed(fleet, host):
@@ -42,7 +42,7 @@
     ),
     "the change has begun": lambda fleet, spare: change_of(fleet) is not None,
     "the change is asked for": lambda fleet, spare: (
-        change_of(fleet) is not None and change_of(fleet)._version >= 0
+        change_of(fleet) is not None and change_of(fleet)._requested_version >= 0
     ),
     "the change is decided": decided,
     "the holder knows": lambda fleet, spare: (
@@ -116,10 +116,10 @@
         run, fleet = self.founded(seed)
         self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 200)
-        other, holder = self.followers(fleet)[0], fleet.leader()
+        other, leader = self.followers(fleet)[0], fleet.leader()
         spare = fleet.add("store", "spare")
         self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, spare)), Equals(True))
-        struck = {"holder": holder, "other": other, "spare": spare}[of]
+        struck = {"holder": leader, "other": other, "spare": spare}[of]
         how(struck)
         fleet.time.after(DOWN_MS, struck.start)
         whole = fleet.run_until_true(lambda: self.all_members(fleet), DOWN_MS + 2 * CATCH_UP_MS)
@@ -139,8 +139,8 @@
     def test_a_holder_left_alone_with_the_log_takes_in_whoever_comes(self):
         """Of the old members only the holder is left, so nothing can be recovered from a majority of them."""
         run, fleet = self.founded(7)
-        holder = fleet.leader()
-        epoch = holder.node.log.leader.epoch
+        leader = fleet.leader()
+        epoch = leader.node.log.leader.epoch
         for _ in range(2):
             self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 1000)
@@ -150,18 +150,18 @@
             fleet.run_until_true(lambda: self.all_members(fleet), 2 * CATCH_UP_MS), Equals(True)
         )
         self.assertThat(
-            (fleet.leader() is holder, holder.node.log.leader.epoch), Equals((True, epoch))
+            (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
         self.jobs(run, 1)
         self.kept(run)
 
     def test_a_leaving_member_stays_until_the_others_have_all_it_has(self):
         """One member's disk is lost and not replaced yet: the leaving one's copy is needed until a spare is level."""
-        for seed, of_holder in ((70, False), (71, True)):
+        for seed, of_leader in ((70, False), (71, True)):
             run, fleet = self.founded(seed)
             self.lose_one_for_good(fleet)
             fleet.run_until_true(lambda: False, 300)
-            leaving = fleet.leader() if of_holder else self.followers(fleet)[0]
+            leaving = fleet.leader() if of_leader else self.followers(fleet)[0]
             log = leaving.node.log
             log.start_leaving()
             fleet.run_until_true(lambda: False, 500)
@@ -183,8 +183,8 @@
         """The snapshot that the empty machine is sent has several parts, and calls go on; it answers the appends that
         are still sent to the identity that lived at its address before.
         """
-        whole, follower_progress._PART_BYTES = follower_progress._PART_BYTES, 4096
-        self.addCleanup(setattr, follower_progress, "_PART_BYTES", whole)
+        whole, snapshot_sender._PART_BYTES = snapshot_sender._PART_BYTES, 4096
+        self.addCleanup(setattr, snapshot_sender, "_PART_BYTES", whole)
         for seed, burst in ((60, 0), (61, 30)):
             run, fleet = self.founded(seed)
             self.burst(run, burst)
