--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -1,5 +1,5 @@
-"""What the tests of the edge's forwarding over real sockets share: a worker that answers as it is told, a client
-that writes and reads bytes, and an edge with its desk on free ports.
+"""What the tests of the edge's forwarding over real sockets share: a worker that gives set responses, a client
+that writes and reads bytes, and an edge with its forward server on free ports.
 """
 
 import asyncio
