--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -146,7 +146,7 @@
         self.assertThat(self.change(run)["outcome"], Equals("doubt"))
         node = fleet.with_role("control")[0].node
         seen = []
-        node.serving_set.forget([host.address for host in lost], seen.append)
+        node.serving_set.remove_lost([host.address for host in lost], seen.append)
         self.assertThat(fleet.run_until_true(lambda: seen, 3000), Equals(True))
         self.assertThat(
             fleet.run_until_true(lambda: self.change(run)["outcome"] == "ok", 4000), Equals(True)
