--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -16,6 +16,7 @@
 from request_routing import (
     Attempt,
     InFlightRequest,
+    ItemKey,
     RequestLifecycle,
     RequestRouter,
     RetryBudget,
@@ -55,7 +56,7 @@
     @property
     def attempt(self) -> Attempt | None:
         """The present attempt at a worker; None while there is none."""
-        return None if self.carriage is None else self.carriage.send
+        return None if self.carriage is None else self.carriage.attempt
 
     @property
     def worker(self) -> Worker | None:
@@ -115,7 +116,7 @@
         self._samples_out = 0
         self.given_up = self.finished = self.recalls = 0
         self.live_peak: Callable[[str], int | None] = lambda worker: None
-        carrier.loans = self
+        carrier.slot_lender = self
 
     # -- what may be lent ----------------------------------------------------------------------
 
@@ -168,11 +169,11 @@
             due_ms,
             claimed=True,
         )
-        tx.safe = True
-        tx.job = (work.job_id, work.index)
+        tx.idempotent = True
+        tx.job = ItemKey(work.job_id, work.index)
         self._samples.append(sample)
         call = SampleCall(json.loads(work.body), work.weights)
-        carriage = self._carrier.carry(
+        carriage = self._carrier.start(
             tx, call, None, lambda step: self._ended(sample, tx, call, step)
         )
         if not sample.has_ended:
@@ -183,21 +184,21 @@
         if sample.has_ended:
             return
         self._close(sample)
-        worker = tx.sends[-1][0] if tx.sends else ""
-        for stamp, reason in tx.sends:
+        worker = tx.attempts[-1][0] if tx.attempts else ""
+        for stamp, reason in tx.attempts:
             if reason == OTHER_WEIGHTS:
                 self._slots.has_other_weights(stamp, sample.work.weights)
-        if step.name != "finish":
+        if step.kind != "finish" or step.response is None:
             self._retry_later(sample)
-        elif step.value[0] == 200:
+        elif step.response.status == 200:
             self.finished += 1
             sample.done(
                 "ran",
-                sample_result(sample.work, worker, call.told or call.weights, step.value[1]),
+                sample_result(sample.work, worker, call.told or call.weights, step.response.body),
                 worker,
             )
         else:
-            sample.done("refused", step.value[1], worker)
+            sample.done("refused", step.response.body, worker)
 
     def _retry_later(self, sample: _Sample) -> None:
         def report() -> None:
@@ -218,7 +219,7 @@
         if not sample.has_ended:
             self._close(sample)
             if sample.carriage is not None:
-                sample.carriage.stop()
+                sample.carriage.cancel()
 
     def _preempt(self, sample: _Sample, reason: str) -> None:
         worker = "" if sample.worker is None else sample.worker.identity
@@ -336,11 +337,11 @@
 
     def _review(self, worker: Worker) -> None:
         """Give back what a worker needs; each report that somebody waits is acted on once."""
-        report = (worker.beat, worker.told_ms)
-        if not self._roster.usable(worker):
+        report = (worker.beat, worker.load_reported_ms)
+        if not self._roster.is_usable(worker):
             self._preempt_at(worker, worker.borrowed, "the worker is not to be used")
-        elif worker.waiting and self._handled_reports.get(worker.stamp) != report:
-            self._handled_reports[worker.stamp] = report
+        elif worker.waiting and self._handled_reports.get(worker.instance_id) != report:
+            self._handled_reports[worker.instance_id] = report
             self._preempt_at(worker, worker.waiting, "somebody waits at the worker")
         else:
             share = max((profile.loan_share for profile in self._slots.profiles()), default=0.0)
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -77,8 +77,8 @@
 def load_report(edge: str, number: int, roster: Any, carrier: Any, jobs_at_risk: bool) -> EdgeLoad:
     """Return an edge's report, from its worker registry and what its router is sending."""
     live: dict[int, int] = {}
-    for send in carrier.sends():
-        if not send.carriage.call.job:
+    for send in carrier.attempts():
+        if not send.request.call.job:
             live[id(send.worker)] = live.get(id(send.worker), 0) + 1
     loads = {
         worker.identity: WorkerLoad(
@@ -86,12 +86,12 @@
             sorted(worker.labels),
             worker.slots,
             live.get(id(worker), 0),
-            worker.sending,
-            roster.usable(worker) or worker.identity in roster.lent and not worker.leaving,
+            worker.in_flight,
+            roster.is_usable(worker) or worker.identity in roster.lent and not worker.leaving,
             worker.borrowed,
         )
         for worker in roster.all()
-        if not roster.silent(worker)
+        if not roster.is_silent(worker)
     }
     return EdgeLoad(
         edge=edge,
--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -9,12 +9,15 @@
 from collections.abc import Iterable
 from typing import Any
 
-from request_routing.attempt_requests import choose_worker, new_exchange, worker_request
+from request_routing.attempt import Attempt
+from request_routing.attempt_outcome import AttemptOutcome, failed
+from request_routing.attempt_requests import WorkerRequest, new_exchange, worker_request
 from request_routing.calls import Call
-from request_routing.in_flight import Attempt
-from request_routing.placement import prefix_of
-from request_routing.worker_exchange import AttemptOutcome, WorkerExchange
-from request_routing.worker_registry import Worker, WorkerRegistry
+from request_routing.prefix_placement import prefix_of
+from request_routing.worker import Worker
+from request_routing.worker_exchange import WorkerExchange
+from request_routing.worker_registry import WorkerRegistry
+from request_routing.worker_selection import choose_worker
 
 __all__ = [
     "OTHER_WEIGHTS",
@@ -69,36 +72,32 @@
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Take a chunk of the answer; fails if it comes from other weights."""
         if self.other_weights:
-            return [], AttemptOutcome("failed", may_have_run=True, reason=OTHER_WEIGHTS)
+            return [], failed(True, OTHER_WEIGHTS)
         return super().data(chunk)
 
     def end(self) -> AttemptOutcome:
         """Return the exchange's fate at the end of the answer."""
-        return (
-            AttemptOutcome("failed", may_have_run=True, reason=OTHER_WEIGHTS)
-            if self.other_weights
-            else super().end()
-        )
+        return failed(True, OTHER_WEIGHTS) if self.other_weights else super().end()
 
 
 @new_exchange.register
 def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> SampleExchange:
-    return SampleExchange(
-        worker.stamp, tx.transaction_id, carrier.node.settings.max_response_bytes, call
-    )
+    limit_bytes = carrier.node.settings.max_response_bytes
+    return SampleExchange(worker.instance_id, tx.edge_request_id, limit_bytes, call)
 
 
 @worker_request.register
-def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> tuple[str, dict[str, str], Any]:
-    target, headers, body = worker_request.dispatch(Call)(call, carrier, tx, worker)
-    return target, {**headers, URGENCY_HEADER: _LOWEST, WEIGHTS_HEADER: call.weights}, body
+def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> WorkerRequest:
+    request = worker_request.dispatch(Call)(call, carrier, tx, worker)
+    headers = {**request.headers, URGENCY_HEADER: _LOWEST, WEIGHTS_HEADER: call.weights}
+    return WorkerRequest(request.target, headers, request.body)
 
 
 @choose_worker.register
 def _(
     call: SampleCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
 ) -> Worker | None:
-    chosen: Worker | None = carrier.loans.choose(tx, call.weights, workers)
+    chosen: Worker | None = carrier.slot_lender.choose(tx, call.weights, workers)
     return chosen
 
 
@@ -108,9 +107,9 @@
     A stream is read until its first data. A plain call shows nothing before its end, so it counts
     for `reading_ms` after its start.
     """
-    if send.carriage.call.stream:
-        return send.heard_ms <= send.began_ms and not send.carriage.tx.delivered
-    return bool(now_ms - send.began_ms < reading_ms)
+    if send.request.call.stream:
+        return send.last_event_ms <= send.started_ms and not send.request.lifecycle.delivered
+    return bool(now_ms - send.started_ms < reading_ms)
 
 
 def sample_result(work: Any, worker: str, weights: str, events: str) -> str:
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -78,8 +78,8 @@
         node = self._carrier.node
         now_ms, reading_ms = node.env.now(), node.settings.heartbeat_ms
         return {
-            send.worker.stamp
-            for send in self._carrier.sends()
+            send.worker.instance_id
+            for send in self._carrier.attempts()
             if unstarted(send, now_ms, reading_ms)
         }
 
@@ -99,7 +99,7 @@
         return (
             not worker.waiting
             and worker.full_until_ms <= self._carrier.node.env.now()
-            and worker.stamp not in reading
+            and worker.instance_id not in reading
             and self.used(worker) < self.usable(worker)
             and worker.borrowed < self.entitlement(worker, profile.loan_share)
         )
@@ -127,9 +127,9 @@
         fit = [
             worker
             for worker in workers
-            if worker.stamp not in tx.avoid
+            if worker.instance_id not in tx.avoid
             and self._takes(worker, tx.profile, reading)
-            and self._other_weights.get((worker.stamp, weights), -1) < now_ms
+            and self._other_weights.get((worker.instance_id, weights), -1) < now_ms
         ]
         return min(
             fit,
--- a/libs/data_plane/src/data_plane/completion_api.py
+++ b/libs/data_plane/src/data_plane/completion_api.py
@@ -89,9 +89,11 @@
             return http_response(carriage)
         self.live_now += 1
         try:
-            return await self._write(request, queue, carriage.tx.transaction_id, body.stream)
+            return await self._write(
+                request, queue, carriage.lifecycle.edge_request_id, body.stream
+            )
         except (ConnectionError, asyncio.CancelledError):
-            carriage.gone()
+            carriage.disconnect()
             raise
         finally:
             self.live_now -= 1
@@ -137,7 +139,7 @@
     """Write a stream's end mark, only now that the response is known to be complete."""
     if started is None:
         started = await _start_stream(request, request_id)
-    if end.step.name == "replay":
+    if end.step.kind == "replay":
         await started.write(end.response.body.encode())
     await started.write(_END_OF_STREAM)
     await started.write_eof()
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -106,7 +106,7 @@
         self.carrier = RequestRouter(
             identity, self.holder, self.roster, self.profile_tree, sender, self._edge_count
         )
-        self.readings = self.carrier.readings = PrefillTracker(self._prefill_peers)
+        self.readings = self.carrier.prefill = PrefillTracker(self._prefill_peers)
 
     def _make_batch_work(self, identity: str) -> None:
         """Make what runs items of batch jobs and samples of rollouts."""
@@ -122,7 +122,7 @@
             self._live_edges,
         )
         self.job_runner = JobRunner(
-            identity, self.holder, self.item_executor.room, self._start_assignment
+            identity, self.holder, self.item_executor.capacity, self._start_assignment
         )
         self.job_runner.samples = self.borrowing
 
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -70,7 +70,7 @@
         """Whether live requests or batch items are in flight."""
         return (
             any(server.busy() for server in self.forward_servers)
-            or self.node.carrier.carrying(False) > 0
+            or self.node.carrier.count_in_flight(False) > 0
             or self._completions.live_now > 0
             or self.node.job_runner.running() > 0
         )
@@ -112,7 +112,7 @@
             "identity": worker.identity,
             "incarnation": worker.incarnation,
             "address": worker.address,
-            "usable": node.roster.usable(worker),
+            "usable": node.roster.is_usable(worker),
             "leaving": worker.leaving,
             "weight": worker.weight,
             "slots": worker.slots,
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -108,10 +108,10 @@
         call = Call(body, _digest([path, stream, body]), prefix_of(body), False, stream)
 
         def on_last_step(step: Step) -> None:
-            if step.name != "gone":
+            if step.kind != "gone":
                 on_end(step, completion_response(step))
 
-        return self._carrier.carry(lifecycle, call, on_event if stream else None, on_last_step)
+        return self._carrier.start(lifecycle, call, on_event if stream else None, on_last_step)
 
     # -- batch jobs ----------------------------------------------------------------------------
 
@@ -141,7 +141,7 @@
             )
             on_response(response)
 
-        self._holder.ask(
+        self._holder.request(
             SubmitJob(
                 job_id=job_id,
                 digest=_digest([path, due_ms, bodies]),
@@ -158,7 +158,7 @@
 
     def progress(self, job_id: str, on_response: OnResponse) -> None:
         """Give a job's progress."""
-        self._holder.ask(
+        self._holder.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
             lambda message: on_response(job_response(job_id, message)),
@@ -167,7 +167,7 @@
     def results(self, job_id: str, from_index: int, limit: int, on_response: OnResponse) -> None:
         """Give a page of at most `limit` results, from index `from_index` on."""
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
-        self._holder.ask(
+        self._holder.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
             lambda message: on_response(results_response(job_id, from_index, message)),
@@ -183,4 +183,6 @@
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(job_response(job_id, message))
 
-        self._holder.ask(CancelJob(job_id=job_id), self.node.settings.force_ms, on_leader_response)
+        self._holder.request(
+            CancelJob(job_id=job_id), self.node.settings.force_ms, on_leader_response
+        )
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -89,7 +89,7 @@
         """
 
         def on_leader_response(message: JobResponse | None) -> None:
-            response = forward_submission_response(job_id, message, request.sends > 0)
+            response = forward_submission_response(job_id, message, request.attempts > 0)
             self.node.env.log(
                 "job-submitted",
                 "INFO" if response.refusal is None else "WARNING",
@@ -100,7 +100,7 @@
             )
             on_response(response)
 
-        request = self._holder.ask(
+        request = self._holder.request(
             self._submission(job_id, path, items, tokens),
             int(client_ms * _CLIENT_TIME_SHARE),
             on_leader_response,
@@ -145,7 +145,7 @@
             return max(0, end_ms - self.node.env.now())
 
         def request_page() -> None:
-            self._holder.ask(
+            self._holder.request(
                 ListForwardResults(
                     job_id=job_id,
                     from_position=from_position,
@@ -175,7 +175,7 @@
         def on_item(message: GetItemResponse | None) -> None:
             on_response(forward_item_response(job_id, message))
 
-        self._holder.ask(GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item)
+        self._holder.request(GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item)
 
     def cancel(
         self, job_id: str, on_response: Callable[[ServiceResponse[JobResponse]], None]
@@ -189,7 +189,7 @@
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(forward_cancellation_response(job_id, message))
 
-        self._holder.ask(CancelJob(job_id=job_id), self._patience_ms(), on_leader_response)
+        self._holder.request(CancelJob(job_id=job_id), self._patience_ms(), on_leader_response)
 
 
 def _more_may_come(message: ListForwardResultsResponse | None) -> bool:
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -200,7 +200,7 @@
         try:
             return await self._write(request, queue, carriage)
         except (ConnectionError, asyncio.CancelledError):
-            carriage.gone()
+            carriage.disconnect()
             raise
 
     async def _write(
@@ -216,7 +216,7 @@
                     response = await self._start_response(request, carriage)
                 data = b"".join(chunks)
                 await response.write(data)
-                carriage.taken(len(data))
+                carriage.acknowledge(len(data))
         if last.name == "finish":
             return await self._finish(request, response, carriage, last)
         if response is None:
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -72,10 +72,10 @@
         )
 
         def on_last_step(step: Step) -> None:
-            if step.name != "gone":
+            if step.kind != "gone":
                 on_end(step)
 
-        return self._carrier.carry(lifecycle, call, on_data, on_last_step)
+        return self._carrier.start(lifecycle, call, on_data, on_last_step)
 
 
 def _no_route() -> Refusal:
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -79,6 +79,8 @@
 
 def completion_response(step: Step) -> ServiceResponse[None]:
     """Return the response of a live completion, from the last step of its life cycle."""
-    if step.name in ("finish", "replay"):
-        return ServiceResponse(step.value[0], step.value[1], replayed=step.name == "replay")
+    if step.kind in ("finish", "replay"):
+        return ServiceResponse(
+            step.response.status, step.response.body, replayed=step.kind == "replay"
+        )
     return ServiceResponse.refuse(step.refusal)
--- a/libs/data_plane/src/data_plane/rollout_service.py
+++ b/libs/data_plane/src/data_plane/rollout_service.py
@@ -99,7 +99,7 @@
             )
             on_response(_as_rollout(submission_response(message.job_id, response)))
 
-        self._holder.ask(message, self.node.settings.force_ms, on_leader_response)
+        self._holder.request(message, self.node.settings.force_ms, on_leader_response)
 
     def _submission_refusal(self, body: RolloutBody) -> ServiceResponse[None] | None:
         """Return why a rollout can't be submitted here, or None."""
@@ -115,7 +115,7 @@
     def progress(self, rollout_id: str, on_response: OnResponse) -> None:
         """Give a rollout's progress."""
         job_id = job_id_of(rollout_id)
-        self._holder.ask(
+        self._holder.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
             lambda message: on_response(_as_rollout(job_response(job_id, message))),
@@ -127,7 +127,7 @@
         """Give a page of at most `limit` samples, from index `from_index` on."""
         job_id = job_id_of(rollout_id)
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
-        self._holder.ask(
+        self._holder.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
             lambda message: on_response(_as_rollout(results_response(job_id, from_index, message))),
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -118,9 +118,9 @@
         method: str,
     ) -> None:
         attempt.connecting = True
-        request_id = attempt.carriage.call.request_id
+        request_id = attempt.request.call.request_id
         CURRENT_REQUEST.set(
-            OutgoingRequest(target, request_id, attempt.repeatable, attempt.connected)
+            OutgoingRequest(target, request_id, attempt.idempotent, attempt.connected)
         )
         try:
             async with self._pooled().request(
@@ -136,8 +136,8 @@
                     cast(WorkerResponse, response).close_connection_after()
                 async for chunk in response.content.iter_any():
                     attempt.data(chunk)
-                    if attempt.full:
-                        await awaited(attempt.when_room)
+                    if attempt.is_backpressured:
+                        await awaited(attempt.when_drained)
                 attempt.end()
         except Exception as error:
             _report_failure(attempt, error)
@@ -146,8 +146,8 @@
 def _report_failure(attempt: Attempt, error: Exception) -> None:
     """Report that an attempt broke, and whether the worker may have seen it."""
     if isinstance(error, _NO_CONNECTION_ERRORS):
-        attempt.broke("no connection", False)
+        attempt.connection_failed("no connection", False)
         return
     if not isinstance(error, _BROKEN_CONNECTION_ERRORS):
         log("attempt-raised", "ERROR", reason=repr(error))
-    attempt.broke(type(error).__name__, True)
+    attempt.connection_failed(type(error).__name__, True)
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -26,7 +26,7 @@
         body = await read_json_body(request, self._node.settings.max_body_bytes, HeartbeatBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
-        accepted = self._node.roster.hear(WorkerUpdate(**body.model_dump(), leaving=False))
+        accepted = self._node.roster.apply_update(WorkerUpdate(**body.model_dump(), leaving=False))
         if not accepted:
             return refusal_response(
                 refused(
@@ -48,7 +48,7 @@
         body = await read_json_body(request, self._node.settings.max_body_bytes, LeaveBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
-        self._node.roster.hear(self._leave_update(body))
+        self._node.roster.apply_update(self._leave_update(body))
         return json_response({"left": True})
 
     def _leave_update(self, body: LeaveBody) -> WorkerUpdate:
--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -1,37 +1,56 @@
-"""Request routing: how an edge carries one request to a worker and judges the answer.
+"""Request routing: how an edge sends one request to a worker and judges the answer.
 
-It has the state machine of a transaction, the placement of requests on workers, the registry of
-workers, the checks of streams, the running of batch items, and the client of the log's leader. None
-of it has a socket.
+None of it has a socket. The parts, and where a change goes:
+
+- `lifecycle`, `forward_lifecycle`, `steps`: the state machine of a request; `request_refusals`.
+- `request_router`: drives the requests in flight; `in_flight`, `attempt`.
+- Decisions: `worker_selection` (with `prefix_placement` and `cost_placement`), `admission_control`
+  and `admission_queue`, `item_queue`, `retry_budget`, `stall_detection`, `attempt_results`.
+- What goes to a worker and comes back: `attempt_requests`, `worker_exchange`, `forward_exchange`
+  with their checks of bodies and events, `attempt_outcome`, `header_names`.
+- What an edge knows of workers: `worker`, `worker_registry`, `prefix_affinity`, `prefill_tracker`,
+  `latency_estimator`.
+- Batch items at an edge: `job_runner`, `item_reports`, `item_executor`, `item_run`; the client of
+  the log's leader, `leader_client`; `idempotency`.
+
+It imports `messaging`, `runtime`, `membership` and the messages of `batch_state`. Invariants: a
+request that may have run is retried only if it is idempotent and nothing of it was delivered, or
+its stream can be continued; no refusal says "not run" of what may have run; a stream is ended
+cleanly only if it is complete and of one run.
 """
 
 from runtime.lazy_exports import lazy_exports
 
 __all__ = [
-    "RetryBudget",
+    "Attempt",
+    "AttemptOutcome",
+    "AttemptTransport",
     "Call",
-    "InFlightRequest",
-    "RequestRouter",
-    "WorkerHeaderNames",
     "EventCheck",
-    "WorkerExchange",
-    "AttemptOutcome",
     "ForwardCall",
     "ForwardExchange",
     "ForwardLifecycle",
-    "LeaderClient",
+    "InFlightRequest",
     "ItemExecutor",
+    "ItemKey",
     "JobRunner",
+    "LeaderClient",
+    "OutcomeKind",
     "PrefillTracker",
-    "WorkerRegistry",
-    "Attempt",
+    "RequestLifecycle",
+    "RequestRouter",
+    "RetryBudget",
     "State",
     "Step",
+    "StepKind",
     "StreamCheck",
-    "RequestLifecycle",
     "Worker",
+    "WorkerExchange",
+    "WorkerHeaderNames",
+    "WorkerLoad",
+    "WorkerRegistry",
     "WorkerUpdate",
-    "check_whole",
+    "check_body",
     "choose",
     "end_to_end",
     "prefix_of",
@@ -40,19 +59,27 @@
 __getattr__ = lazy_exports(
     __name__,
     {
-        "calls": ("Call", "WorkerHeaderNames", "ForwardCall", "end_to_end"),
-        "in_flight": ("InFlightRequest", "Attempt"),
-        "request_router": ("RequestRouter",),
-        "lifecycle": ("State", "Step", "RequestLifecycle"),
-        "worker_exchange": ("WorkerExchange", "AttemptOutcome"),
-        "forward_exchange": ("EventCheck", "ForwardExchange"),
+        "attempt": ("Attempt", "AttemptTransport"),
+        "attempt_outcome": ("AttemptOutcome", "OutcomeKind"),
+        "calls": ("Call", "ForwardCall"),
+        "event_check": ("EventCheck",),
+        "forward_exchange": ("ForwardExchange",),
         "forward_lifecycle": ("ForwardLifecycle",),
-        "leader_client": ("LeaderClient",),
+        "header_names": ("WorkerHeaderNames", "end_to_end"),
+        "in_flight": ("InFlightRequest",),
         "item_executor": ("ItemExecutor",),
         "job_runner": ("JobRunner",),
-        "placement": ("RetryBudget", "choose", "prefix_of"),
+        "leader_client": ("LeaderClient",),
+        "lifecycle": ("ItemKey", "RequestLifecycle", "State"),
         "prefill_tracker": ("PrefillTracker",),
-        "worker_registry": ("WorkerRegistry", "Worker", "WorkerUpdate"),
-        "stream_checks": ("StreamCheck", "check_whole"),
+        "prefix_placement": ("choose", "prefix_of"),
+        "request_router": ("RequestRouter",),
+        "response_head": ("WorkerLoad",),
+        "retry_budget": ("RetryBudget",),
+        "steps": ("Step", "StepKind"),
+        "stream_checks": ("StreamCheck", "check_body"),
+        "worker": ("Worker", "WorkerUpdate"),
+        "worker_exchange": ("WorkerExchange",),
+        "worker_registry": ("WorkerRegistry",),
     },
 )
--- a/libs/request_routing/src/request_routing/admission_queue.py
+++ b/libs/request_routing/src/request_routing/admission_queue.py
@@ -7,89 +7,101 @@
 
 import math
 from bisect import bisect_right, insort_right
-from typing import Any
+
+from request_routing.in_flight import InFlightRequest
+from request_routing.lifecycle import RequestLifecycle
+from request_routing.worker import NEVER_MS
 
 __all__ = ["AdmissionQueue"]
 
-_GUESS = 0.05
-_KNOWN = 0.2
-_SHARE = 0.5
+_DEFAULT_SERVICE_SHARE = 0.05
+_NEWEST_WEIGHT = 0.2
+_WAIT_SHARE = 0.5
+
+
+def _due_ms(request: InFlightRequest) -> int:
+    return request.lifecycle.due_ms
 
 
 class AdmissionQueue:
     """One queue for each route, ordered by deadline, with the route's service time."""
 
-    __slots__ = ("_last_ms", "_rows", "_service_ms")
+    __slots__ = ("_queues", "_service_ms", "_worker_seen_ms")
 
     def __init__(self) -> None:
-        self._rows: dict[str, list[Any]] = {}
+        self._queues: dict[str, list[InFlightRequest]] = {}
         self._service_ms: dict[str, float] = {}
-        self._last_ms: dict[str, int] = {}
+        self._worker_seen_ms: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return sum(map(len, self._rows.values()))
+        return sum(map(len, self._queues.values()))
 
-    def served(self, path: str, took_ms: int) -> None:
-        """Record a service time, in milliseconds, into the route's running mean."""
-        self._service_ms[path] = (
-            self._service_ms.get(path, took_ms) * (1 - _KNOWN) + took_ms * _KNOWN
-        )
+    # -- the queues ----------------------------------------------------------------------------
 
-    def seen_worker(self, path: str, now_ms: int) -> None:
-        """Record that the route has a worker now."""
-        self._last_ms[path] = now_ms
+    def add(self, request: InFlightRequest) -> None:
+        """Put a request into its route's queue."""
+        queue = self._queues.setdefault(_route(request.lifecycle), [])
+        insort_right(queue, request, key=_due_ms)
+
+    def remove(self, request: InFlightRequest) -> None:
+        """Take a request out of its route's queue, if it is there."""
+        route = _route(request.lifecycle)
+        queue = self._queues.get(route, [])
+        if request in queue:
+            queue.remove(request)
+            if not queue:
+                del self._queues[route]
+
+    def position(self, request: InFlightRequest) -> int:
+        """Return how many requests of its route are due earlier."""
+        queue = self._queues.get(_route(request.lifecycle), [])
+        return bisect_right(queue, _due_ms(request), key=_due_ms)
+
+    def routes(self) -> list[str]:
+        """Return the names of the routes with a queue."""
+        return list(self._queues)
+
+    def requests(self, route: str) -> list[InFlightRequest]:
+        """Return a route's queue, earliest deadline first."""
+        return list(self._queues.get(route, []))
 
-    def service_ms(self, tx: Any) -> float:
+    # -- the estimate --------------------------------------------------------------------------
+
+    def add_service_time(self, route: str, took_ms: int) -> None:
+        """Record a service time, in milliseconds, into the route's running mean."""
+        mean_ms = self._service_ms.get(route, took_ms)
+        self._service_ms[route] = mean_ms * (1 - _NEWEST_WEIGHT) + took_ms * _NEWEST_WEIGHT
+
+    def service_ms(self, lifecycle: RequestLifecycle) -> float:
         """Return the expected service time in milliseconds."""
-        return self._service_ms.get(tx.profile.name, tx.profile.deadline_ms * _GUESS)
+        default_ms: float = lifecycle.profile.deadline_ms * _DEFAULT_SERVICE_SHARE
+        return self._service_ms.get(_route(lifecycle), default_ms)
 
-    def estimate_ms(self, tx: Any, before: int, slots: int, edges: int) -> float:
-        """Return in how many milliseconds a request with `before` others before it has a slot.
+    def estimate_ms(
+        self, lifecycle: RequestLifecycle, position: int, slots: int, edge_count: int
+    ) -> float:
+        """Return in how many milliseconds a request with `position` others before it has a slot.
 
         The other edges are taken to have as many waiting.
         """
-        return math.ceil((before + 1) * edges / max(1, slots)) * self.service_ms(tx)
+        rounds = math.ceil((position + 1) * edge_count / max(1, slots))
+        return rounds * self.service_ms(lifecycle)
 
-    def before(self, carriage: Any) -> int:
-        """Return how many requests of its route are due earlier."""
-        return bisect_right(
-            self._rows.get(carriage.tx.profile.name, []),
-            carriage.tx.due_ms,
-            key=lambda row: row.tx.due_ms,
-        )
-
-    def makes_it(self, tx: Any, wait_ms: float, now_ms: int) -> bool:
+    def meets_deadline(self, lifecycle: RequestLifecycle, wait_ms: float, now_ms: int) -> bool:
         """Whether a request that waits `wait_ms` is answered within its share of the time left."""
-        return wait_ms + self.service_ms(tx) <= _SHARE * (tx.due_ms - now_ms)
+        left_ms = lifecycle.due_ms - now_ms
+        return wait_ms + self.service_ms(lifecycle) <= _WAIT_SHARE * left_ms
 
-    def missed_lately(self, path: str, now_ms: int, within_ms: int) -> bool:
-        """Whether there was a worker within the last `within_ms`: another may well be starting."""
-        return now_ms - self._last_ms.get(path, -1 << 40) <= within_ms
+    # -- whether the route has workers ---------------------------------------------------------
 
-    def add(self, carriage: Any) -> None:
-        """Put a request into its route's queue."""
-        insort_right(
-            self._rows.setdefault(carriage.tx.profile.name, []),
-            carriage,
-            key=lambda row: row.tx.due_ms,
-        )
-
-    def drop(self, carriage: Any) -> None:
-        """Take a request out of its route's queue, if it is there."""
-        rows = self._rows.get(carriage.tx.profile.name, [])
-        if carriage in rows:
-            rows.remove(carriage)
-            if not rows:
-                del self._rows[carriage.tx.profile.name]
+    def worker_seen(self, route: str, now_ms: int) -> None:
+        """Record that the route has a worker now."""
+        self._worker_seen_ms[route] = now_ms
 
-    def paths(self) -> list[str]:
-        """Return the names of the routes with a queue."""
-        return list(self._rows)
+    def had_worker_within(self, route: str, now_ms: int, within_ms: int) -> bool:
+        """Whether there was a worker within the last `within_ms`: another may well be starting."""
+        return now_ms - self._worker_seen_ms.get(route, NEVER_MS) <= within_ms
 
-    def first(self, path: str) -> Any:
-        """Return the request that is due first, or None."""
-        return self._rows.get(path, [None])[0]
 
-    def rows(self, path: str) -> list[Any]:
-        """Return a route's queue, earliest deadline first."""
-        return list(self._rows.get(path, []))
+def _route(lifecycle: RequestLifecycle) -> str:
+    return str(lifecycle.profile.name)
--- a/libs/request_routing/src/request_routing/attempt_requests.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -1,217 +1,110 @@
-"""What differs by the kind of call when it is sent to a worker.
+"""What is written to a worker for an attempt, and how its answer is judged, by the kind of call.
 
-One function each, dispatched by the call's type, gives how the answer is judged, what is written,
-which worker is chosen, and which ones are allowed.
+One function each, dispatched by the call's type. `capacity_sharing.sampling` adds samples.
 """
 
-import math
 from functools import singledispatch
-from typing import Any
+from typing import Any, NamedTuple
 
 from request_routing.calls import Call, ForwardCall
 from request_routing.forward_exchange import ForwardExchange
-from request_routing.placement import choose, choose_forward
+from request_routing.header_names import WorkerHeaderNames
+from request_routing.routing_context import RoutingContext
+from request_routing.worker import Worker
 from request_routing.worker_exchange import WorkerExchange
-from request_routing.worker_registry import Worker, WorkerRegistry
 
-_READING_SHARE = 0.3
+__all__ = ["WorkerRequest", "new_exchange", "worker_request"]
 
-__all__ = ["allowed_workers", "choose_worker", "new_exchange", "worker_request"]
+_CHAT_PATH = "/v1/chat/completions"
+_COMPLETION_PATH = "/v1/completions"
+_WORKER_HEADER = "X-Vaneledge-Worker"
+_REQUEST_HEADER = "X-Vaneledge-Transaction"
+
+
+class WorkerRequest(NamedTuple):
+    """The transport's arguments after the address.
+
+    `headers` is a dict with a JSON object as `body`, or the list of a forwarded request's headers
+    with its bytes.
+    """
+
+    target: str
+    headers: Any
+    body: Any
+    method: str = "POST"
 
 
 @singledispatch
-def new_exchange(call: Any, carrier: Any, tx: Any, worker: Worker) -> Any:
+def new_exchange(call: Any, router: RoutingContext, lifecycle: Any, worker: Worker) -> Any:
     """Return what judges the answer to this attempt; raises NotImplementedError for other calls."""
     raise NotImplementedError(type(call).__name__)
 
 
 @new_exchange.register
-def _(call: Call, carrier: Any, tx: Any, worker: Worker) -> WorkerExchange:
+def _(call: Call, router: RoutingContext, lifecycle: Any, worker: Worker) -> WorkerExchange:
     return WorkerExchange(
-        worker.stamp, tx.transaction_id, call.stream, carrier.node.settings.max_response_bytes
+        worker.instance_id,
+        lifecycle.edge_request_id,
+        call.stream,
+        router.node.settings.max_response_bytes,
     )
 
 
 @new_exchange.register
-def _(call: ForwardCall, carrier: Any, tx: Any, worker: Worker) -> ForwardExchange:
+def _(call: ForwardCall, router: RoutingContext, lifecycle: Any, worker: Worker) -> ForwardExchange:
     return ForwardExchange(
-        carrier.dialect,
+        _header_names(router),
         worker.identity,
         call.request_id,
         call.method,
         call.stream,
-        carrier.node.settings.max_response_bytes,
-        _resume_after(call, tx),
+        router.node.settings.max_response_bytes,
+        _resume_after(call, lifecycle),
     )
 
 
-def _resume_after(call: ForwardCall, tx: Any) -> int | None:
-    return tx.last_event_id if tx.last_event_id is not None else call.last_event_id
-
-
 @singledispatch
-def worker_request(call: Any, carrier: Any, tx: Any, worker: Worker) -> tuple:
-    """Return the transport's arguments after the address.
-
-    Raises NotImplementedError for other calls.
-    """
+def worker_request(call: Any, router: RoutingContext, lifecycle: Any, worker: Worker) -> Any:
+    """Return the `WorkerRequest` of an attempt; raises NotImplementedError for other calls."""
     raise NotImplementedError(type(call).__name__)
 
 
 @worker_request.register
-def _(call: Call, carrier: Any, tx: Any, worker: Worker) -> tuple:
+def _(call: Call, router: RoutingContext, lifecycle: Any, worker: Worker) -> WorkerRequest:
     """Build the completion's path, headers and body."""
-    kind = "/v1/chat/completions" if call.body.get("messages") is not None else "/v1/completions"
-    headers = {"X-Vaneledge-Worker": worker.stamp, "X-Vaneledge-Transaction": tx.transaction_id}
-    return kind, headers, {**call.body, "model": tx.profile.path, "stream": call.stream}
+    target = _CHAT_PATH if call.body.get("messages") is not None else _COMPLETION_PATH
+    headers = {_WORKER_HEADER: worker.instance_id, _REQUEST_HEADER: lifecycle.edge_request_id}
+    body = {**call.body, "model": lifecycle.profile.path, "stream": call.stream}
+    return WorkerRequest(target, headers, body)
 
 
 @worker_request.register
-def _(call: ForwardCall, carrier: Any, tx: Any, worker: Worker) -> tuple:
+def _(call: ForwardCall, router: RoutingContext, lifecycle: Any, worker: Worker) -> WorkerRequest:
     """Keep the request's own headers, with ours in the place of any of the same name."""
-    dialect, after = carrier.dialect, _resume_after(call, tx)
-    left_ms = max(1, tx.due_ms - carrier.node.env.now())
+    names = _header_names(router)
+    left_ms = max(1, lifecycle.due_ms - router.node.env.now())
     ours = [
-        (dialect.worker, worker.identity),
-        (dialect.urgency, str(call.urgency)),
-        (dialect.deadline_ms, str(left_ms)),
+        (names.worker, worker.identity),
+        (names.urgency, str(call.urgency)),
+        (names.deadline_ms, str(left_ms)),
     ]
-    if after is not None:
-        ours.append((dialect.last_event_id, str(after)))
+    resume_after = _resume_after(call, lifecycle)
+    if resume_after is not None:
+        ours.append((names.last_event_id, str(resume_after)))
     ours = [(name, value) for name, value in ours if name]
-    out = {name.lower() for name, _ in ours} | {dialect.request_id.lower(), "host"}
-    kept = [(name, value) for name, value in call.headers if name.lower() not in out]
-    headers = [("Host", call.host), (dialect.request_id, call.request_id), *kept, *ours]
-    return call.target, headers, call.body, call.method
-
-
-@singledispatch
-def allowed_workers(call: Any, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
-    """Return the workers that may serve this call; raises NotImplementedError for other calls."""
-    raise NotImplementedError(type(call).__name__)
+    replaced = {name.lower() for name, _ in ours} | {names.request_id.lower(), "host"}
+    kept = [(name, value) for name, value in call.headers if name.lower() not in replaced]
+    headers = [("Host", call.host), (names.request_id, call.request_id), *kept, *ours]
+    return WorkerRequest(call.target, headers, call.body, call.method)
 
 
-@allowed_workers.register
-def _(call: Call, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
-    return [
-        worker for worker in roster.workers() if tx.profile.allows(worker.identity, worker.labels)
-    ]
-
-
-@allowed_workers.register
-def _(call: ForwardCall, carrier: Any, tx: Any, roster: WorkerRegistry) -> list[Worker]:
-    """Return the workers of the service drawn by the traffic shares, else all that may serve it."""
-    return roster.listed(tx.profile.choose_labels(carrier.node.env.rng.random())) or roster.listed(
-        tx.profile.labels
-    )
-
-
-@singledispatch
-def choose_worker(
-    call: Any, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
-) -> Worker | None:
-    """Return the worker for the next attempt, or None.
+def _resume_after(call: ForwardCall, lifecycle: Any) -> int | None:
+    """Return the id of the event after which the stream is to be continued, or None."""
+    last_event_id: int | None = lifecycle.last_event_id
+    return last_event_id if last_event_id is not None else call.last_event_id
 
-    Raises NotImplementedError for other calls.
-    """
-    raise NotImplementedError(type(call).__name__)
 
-
-@choose_worker.register
-def _(
-    call: Call, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
-) -> Worker | None:
-    settings, job, prefix = carrier.node.settings, call.job, call.prefix
-    share = settings.live_share if job else 1 - tx.profile.live_share
-    worker = choose(
-        workers,
-        prefix,
-        job,
-        settings.zone,
-        tx.profile.zone == "near",
-        share,
-        tx.profile.lot_share,
-        frozenset(tx.avoid),
-        carrier.by_prefix,
-    )
-    if worker is None and tx.avoid:
-        worker = choose(
-            workers,
-            prefix,
-            job,
-            settings.zone,
-            False,
-            share,
-            tx.profile.lot_share,
-            frozenset(),
-            carrier.by_prefix,
-        )
-    if worker is None and job and carrier.carrying(True) <= 1:
-        worker = choose(
-            workers, prefix, False, settings.zone, False, 0.0, avoid=frozenset(tx.avoid)
-        )
-    return worker
-
-
-@choose_worker.register
-def _(
-    call: ForwardCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
-) -> Worker | None:
-    """Leave out workers that failed lately; what may be repeated retries them first.
-
-    If all are left out, the one that failed longest ago is tried. None is tried again that could
-    not be reached for this very request.
-    """
-    settings, now_ms = carrier.node.settings, carrier.node.env.now()
-    workers = [
-        worker
-        for worker in workers
-        if tx.may_try(worker.identity) and worker.stamp not in tx.unreached
-    ]
-    path = tx.profile.name
-    fit = [
-        worker
-        for worker in workers
-        if not roster.resting(worker) and (tx.safe or not worker.failures)
-    ]
-    fit = [worker for worker in fit if not carrier.seems_dark(worker, path)] or fit
-    if call.job:
-        if carrier.reading_items >= math.ceil(len(workers) / carrier.edges()):
-            return None
-        fit = [
-            worker
-            for worker in fit
-            if not worker.reading_items
-            and (
-                carrier.readings is None
-                or carrier.readings.left_ms(worker.identity) <= settings.delta_ms * _READING_SHARE
-            )
-        ]
-    bound = max(1, tx.profile.connections // carrier.edges()) if tx.profile.connections else 0
-
-    def choose_of(among: list[Worker], avoid: frozenset[str]) -> Worker | None:
-        return choose_forward(
-            among,
-            call,
-            carrier.parts,
-            now_ms,
-            settings.zone,
-            carrier.node.env.rng,
-            settings.heartbeat_ms,
-            settings.live_share,
-            avoid,
-            bound,
-            carrier.readings,
-        )
-
-    worker = choose_of(fit, frozenset(tx.avoid))
-    if worker is None and tx.avoid:
-        worker = choose_of([one for one in fit if one.stamp in tx.avoid], frozenset())
-    if worker is None and not fit and not call.job:
-        rested = [
-            one
-            for one in workers
-            if now_ms - one.down_ms >= settings.delta_ms or one.stamp not in tx.avoid
-        ]
-        worker = min(rested, key=lambda one: one.down_ms, default=None)
-    return worker
+def _header_names(router: RoutingContext) -> WorkerHeaderNames:
+    if router.header_names is None:
+        raise ValueError("this edge has no header names for the workers of forwarded requests")
+    return router.header_names
--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -1,70 +1,92 @@
-"""Idempotency keys of transactions that may not be repeated.
+"""Idempotency keys of requests that may not be repeated.
 
 A key is opened at the leader of the log before the first attempt and closed there with the outcome.
 """
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Protocol
 
-from batch_state import messages as m
+from batch_state import messages
+from messaging import Message
 
+from request_routing.calls import ForwardCall
 from request_routing.in_flight import InFlightRequest
-from request_routing.lifecycle import Step
-
-__all__ = ["ask_close", "ask_open"]
-
-
-def ask_open(carrier: Any, holder: Any, carriage: InFlightRequest) -> None:
-    """Open the key at the leader of the log; without a receipt the transaction is in doubt."""
-    tx, node = carriage.tx, carrier.node
-
-    def told(receipt: Any) -> None:
-        if tx.transaction_id not in carrier.open:
-            return
-        if receipt is None:
-            carrier.take(carriage, tx.open_receipt("unknown"))
-        else:
-            carrier.take(carriage, tx.open_receipt(receipt.outcome, receipt.status, receipt.body))
-
-    left_ms = max(node.settings.request_timeout_ms, (tx.due_ms - node.env.now()) // 2)
-    holder.ask(
-        m.OpenKey(
-            key=tx.key,
-            digest=carriage.call.digest,
-            edge=carrier.edge,
-            request_id=tx.transaction_id,
-            epoch=0,
-            leader_ms=0,
-        ),
-        left_ms,
-        told,
+from request_routing.request_refusals import KeyState
+from request_routing.steps import FinalResponse, Step
+
+__all__ = ["LeaderRequests", "close_key", "key_response_step", "open_key"]
+
+_NO_RESPONSE = FinalResponse(0, "")
+
+
+class LeaderRequests(Protocol):
+    """The client of the log's leader."""
+
+    def request(self, message: Message, wait_ms: int, done: Callable[[Any], None]) -> object:
+        """Ask the leader for at most `wait_ms`; `done` gets the response, or None."""
+        ...
+
+
+def open_key(
+    node: Any,
+    edge: str,
+    leader: LeaderRequests,
+    request: InFlightRequest,
+    done: Callable[[Any], None],
+) -> None:
+    """Open the request's key; `done` gets the leader's response, or None without one.
+
+    Half of the time that the request has left may pass until then. `edge` is this edge's identity.
+    """
+    lifecycle, call = request.lifecycle, request.call
+    if isinstance(call, ForwardCall):
+        raise TypeError("a forwarded request has no idempotency key")
+    left_ms = max(node.settings.request_timeout_ms, (lifecycle.due_ms - node.env.now()) // 2)
+    message = messages.OpenKey(
+        key=lifecycle.key,
+        digest=call.digest,
+        edge=edge,
+        request_id=lifecycle.edge_request_id,
+        epoch=0,
+        leader_ms=0,
     )
+    leader.request(message, left_ms, done)
+
 
+def key_response_step(request: InFlightRequest, response: Any) -> Step:
+    """Return the request's next step after the leader's response; None leaves it in doubt."""
+    if response is None:
+        return request.lifecycle.key_answered(KeyState.UNKNOWN)
+    return request.lifecycle.key_answered(response.outcome, response.status, response.body)
 
-def ask_close(carrier: Any, holder: Any, carriage: InFlightRequest, step: Step) -> None:
-    """Close the key as the step says; a close without a receipt leaves it open, which is logged."""
-    tx = carriage.tx
-    status, body = step.value if step.value is not None else (0, "")
 
-    def told(receipt: Any) -> None:
-        if receipt is None:
-            carrier.node.env.log(
+def close_key(
+    node: Any,
+    leader: LeaderRequests,
+    request: InFlightRequest,
+    step: Step,
+    done: Callable[[], None],
+) -> None:
+    """Close the key as the step says; a close without a response leaves it open, and is logged."""
+    lifecycle = request.lifecycle
+    recorded = step.response or _NO_RESPONSE
+
+    def on_response(response: Any) -> None:
+        if response is None:
+            node.env.log(
                 "key-left-open",
                 "WARNING",
-                transaction=tx.transaction_id,
-                key=tx.key,
-                state=step.close_as,
+                request=lifecycle.edge_request_id,
+                key=lifecycle.key,
+                state=str(step.key_outcome),
             )
-        if tx.transaction_id in carrier.open:
-            carrier.take(carriage, tx.closed())
-
-    holder.ask(
-        m.CloseKey(
-            key=tx.key,
-            request_id=tx.transaction_id,
-            state=step.close_as,
-            status=status,
-            body=body,
-        ),
-        carrier.node.settings.request_timeout_ms * 2,
-        told,
+        done()
+
+    message = messages.CloseKey(
+        key=lifecycle.key,
+        request_id=lifecycle.edge_request_id,
+        state=str(step.key_outcome),
+        status=recorded.status,
+        body=str(recorded.body),
     )
+    leader.request(message, node.settings.request_timeout_ms * 2, on_response)
--- a/libs/request_routing/src/request_routing/item_executor.py
+++ b/libs/request_routing/src/request_routing/item_executor.py
@@ -1,7 +1,7 @@
-"""Runs the batch items that this edge was assigned, each as a transaction of its own.
+"""Runs the batch items that this edge was assigned, each as a request of its own.
 
-The claim in the log stands for the transaction's opening, so nothing more is asked of the stores.
-It also computes how many items this edge has room for. `item_run` runs forwarded items.
+The claim in the log stands for the opening of an idempotency key, so nothing more is asked of the
+stores. It also computes how many items this edge has capacity for. `item_run` runs forwarded items.
 """
 
 import json
@@ -9,189 +9,202 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import messages as m
+from batch_state import messages
 from messaging import Component
 from runtime import Verdict
 
 from request_routing.calls import Call
-from request_routing.in_flight import InFlightRequest
+from request_routing.item_outcome import ItemDone, ItemOutcome
 from request_routing.item_run import ItemRun
-from request_routing.lifecycle import RequestLifecycle, Step
-from request_routing.placement import RetryBudget, prefix_of
+from request_routing.lifecycle import ItemKey, RequestLifecycle
+from request_routing.prefix_placement import prefix_of
 from request_routing.request_router import RequestRouter
-from request_routing.worker_registry import Worker, WorkerRegistry
+from request_routing.retry_budget import RetryBudget
+from request_routing.steps import Step, StepKind
+from request_routing.worker import Worker
+from request_routing.worker_registry import WorkerRegistry
 
 __all__ = ["ItemExecutor"]
 
-Done = Callable[[str, Any, str], None]
+_BUSY_SHARE = 0.5
+_OK = 200
 
 
 class ItemExecutor(Component):
     """Starts batch items in the slots that live traffic leaves.
 
-    `why_unready` gives why the edge is not ready, or an empty string; `edges` how many edges share
-    the workers, itself included.
+    `profiles` gives the profiles in force; `why_unready` why the edge is not ready, or an empty
+    string; `edge_count` how many edges share the workers, itself included.
     """
 
     __slots__ = (
         "_budgets",
-        "_carrier",
-        "_edges",
-        "_later",
-        "_roster",
+        "_edge_count",
+        "_min_start_ms",
+        "_profiles",
+        "_registry",
+        "_router",
         "_running",
-        "_tree",
-        "_trickled_ms",
+        "_scheduled",
         "_why_unready",
     )
 
     def __init__(
         self,
-        carrier: RequestRouter,
-        roster: WorkerRegistry,
-        tree: Callable[[], Any],
+        router: RequestRouter,
+        registry: WorkerRegistry,
+        profiles: Callable[[], Any],
         why_unready: Callable[[], str],
-        edges: Callable[[], int],
+        edge_count: Callable[[], int],
     ) -> None:
-        self._carrier, self._roster, self._tree = carrier, roster, tree
-        self._why_unready, self._edges = why_unready, edges
+        self._router, self._registry, self._profiles = router, registry, profiles
+        self._why_unready, self._edge_count = why_unready, edge_count
         self._budgets: dict[str, RetryBudget] = {}
-        self._later: list[tuple[int, Callable[[], None]]] = []
+        self._scheduled: list[tuple[int, Callable[[], None]]] = []
         self._running = 0
-        self._trickled_ms = 0
+        self._min_start_ms = 0
 
-    # -- room ----------------------------------------------------------------------------------
+    # -- capacity ------------------------------------------------------------------------------
 
-    def room(self) -> tuple[int, frozenset[str]]:
-        """Return how many items may start now, and the paths that this edge's workers serve.
+    def capacity(self) -> tuple[int, frozenset[str]]:
+        """Return how many items may start now, and the routes that this edge's workers serve.
 
-        The free slots that batches may use are shared evenly among the known edges.
+        The free slots that batch jobs may use are shared evenly among the known edges.
         """
         if self._why_unready():
             return 0, frozenset()
-        workers = self._roster.workers()
-        paths = self._tree().served_by(
+        workers = self._registry.workers()
+        routes = self._profiles().served_by(
             frozenset((worker.identity, worker.labels) for worker in workers)
         )
-        free = sum(self._free(worker) for worker in workers)
-        room = (
-            max(0, math.ceil(free / self._edges()) - self._carrier.items_waiting())
-            if free >= 1
-            else 0
-        )
-        return room or self._trickle(workers), paths
-
-    def _free(self, worker: Worker) -> float:
-        """Return how many slots of a worker batches may take; none where live requests wait."""
-        share = self.node.settings.live_share
-        if worker.listed:
-            load = worker.load(self.node.env.now())
-            return (
-                0.0
-                if worker.waiting and 2 * load >= worker.slots
-                else max(0.0, math.floor(worker.slots * (1 - share)) - load)
-            )
-        return (
-            0.0
-            if worker.waiting
-            else max(0, worker.slots - math.ceil(worker.slots * share) - worker.weight)
-        )
-
-    def _trickle(self, workers: list[Any]) -> int:
+        free_slots = sum(self._free_slots(worker) for worker in workers)
+        capacity = 0
+        if free_slots >= 1:
+            own_share = math.ceil(free_slots / self._edge_count())
+            capacity = max(0, own_share - self._router.items_waiting())
+        return capacity or self._minimum(workers), routes
+
+    def _free_slots(self, worker: Worker) -> float:
+        """Return how many slots of a worker items may take; none where live requests wait."""
+        live_share: float = self.node.settings.live_share
+        if not worker.listed:
+            if worker.waiting:
+                return 0.0
+            return max(0, worker.slots - math.ceil(worker.slots * live_share) - worker.weight)
+        load = worker.load(self.node.env.now())
+        if worker.waiting and load >= worker.slots * _BUSY_SHARE:
+            return 0.0
+        return max(0.0, math.floor(worker.slots * (1 - live_share)) - load)
+
+    def _minimum(self, workers: list[Worker]) -> int:
         """Allow one item now and then even where live traffic takes every slot."""
-        now_ms = self.node.env.now()
-        if (
-            not workers
-            or self._running
-            or now_ms - self._trickled_ms < self.node.settings.heartbeat_ms
-        ):
+        now_ms, period_ms = self.node.env.now(), self.node.settings.heartbeat_ms
+        if not workers or self._running or now_ms - self._min_start_ms < period_ms:
             return 0
-        self._trickled_ms = now_ms
+        self._min_start_ms = now_ms
         return 1
 
     # -- running -------------------------------------------------------------------------------
 
-    def start(self, work: m.ItemAssignment | m.ForwardAssignment, done: Done) -> Callable[[], None]:
+    def start(
+        self, assignment: messages.ItemAssignment | messages.ForwardAssignment, done: ItemDone
+    ) -> Callable[[], None]:
         """Run an item; `done` gets outcome, text and worker. Return what cancels it."""
-        return (
-            self._start_forward(work, done)
-            if isinstance(work, m.ForwardAssignment)
-            else self._start_own(work, done)
-        )
-
-    def _start_forward(self, work: m.ForwardAssignment, done: Done) -> Callable[[], None]:
-        def ended(outcome: str, text: bytes, worker: str) -> None:
+        if isinstance(assignment, messages.ForwardAssignment):
+            return self._start_forward(assignment, done)
+        return self._start_own(assignment, done)
+
+    def _start_forward(
+        self, assignment: messages.ForwardAssignment, done: ItemDone
+    ) -> Callable[[], None]:
+        def on_done(outcome: str, text: bytes, worker: str) -> None:
             self._running -= 1
             done(outcome, text, worker)
 
         def cancel() -> None:
-            if run.stop():
+            if run.cancel():
                 self._running -= 1
 
         self._running += 1
-        run = ItemRun(work, self._carrier, self._tree, self._after, ended)
+        run = ItemRun(assignment, self._router, self._profiles, self._call_later, on_done)
         run.begin()
         return cancel
 
-    def _after(self, wait_ms: int, what: Callable[[], None]) -> None:
-        self._later.append((self.node.env.now() + wait_ms, what))
-
-    def _start_own(self, work: m.ItemAssignment, done: Done) -> Callable[[], None]:
-        profile = self._tree().usable(work.path)
+    def _start_own(self, assignment: messages.ItemAssignment, done: ItemDone) -> Callable[[], None]:
+        profile = self._profiles().usable(assignment.path)
         if profile is None:
-            done("again", "", "")
+            done(ItemOutcome.AGAIN, "", "")
             return lambda: None
-        env, body = self.node.env, json.loads(work.body)
-        due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
-        tx = RequestLifecycle(
-            f"{env.token()}-{work.job_id}-{work.index}",
-            profile,
-            "",
-            env.now(),
-            self._budgets.setdefault(work.path, RetryBudget()),
-            due_ms,
-            claimed=True,
-        )
-        tx.safe = work.safe
-        tx.job = (work.job_id, work.index)
+        lifecycle = self._lifecycle(assignment, profile)
+        body = json.loads(assignment.body)
+        call = Call(body, "", prefix_of(body), job=True, stream=False)
         self._running += 1
-        state = {"over": False}
+        over = False
 
-        def over() -> bool:
-            if state["over"]:
-                return False
-            state["over"] = True
-            self._running -= 1
-            return True
+        def end_once() -> bool:
+            nonlocal over
+            was_over, over = over, True
+            if not was_over:
+                self._running -= 1
+            return not was_over
 
-        def ended(step: Step) -> None:
-            if over():
-                self._tell(work, tx, step, done)
+        def on_finished(step: Step) -> None:
+            if end_once():
+                self._report(assignment, lifecycle, step, done)
 
-        carriage: InFlightRequest = self._carrier.carry(
-            tx, Call(body, "", prefix_of(body), True, False), None, ended
-        )
+        request = self._router.start(lifecycle, call, None, on_finished)
 
         def cancel() -> None:
-            if over():
-                carriage.stop()
+            if end_once():
+                request.cancel()
 
         return cancel
 
-    def _tell(self, work: Any, tx: RequestLifecycle, step: Step, done: Done) -> None:
-        worker = tx.sends[-1][0] if tx.sends else ""
-        if step.name == "finish":
-            status, text = step.value
-            done("ran" if status == 200 else "refused", text, worker)
-        elif step.refusal.verdict is Verdict.NOT_RUN or work.safe:
-            self._after(self.node.settings.heartbeat_ms, lambda: done("again", "", worker))
+    def _lifecycle(self, assignment: messages.ItemAssignment, profile: Any) -> RequestLifecycle:
+        env, settings = self.node.env, self.node.settings
+        due_ms = env.now() + max(profile.deadline_ms, 2 * settings.force_ms)
+        lifecycle = RequestLifecycle(
+            f"{env.token()}-{assignment.job_id}-{assignment.index}",
+            profile,
+            "",
+            env.now(),
+            self._budgets.setdefault(assignment.path, RetryBudget()),
+            due_ms,
+            claimed=True,
+        )
+        lifecycle.idempotent = assignment.safe
+        lifecycle.job = ItemKey(assignment.job_id, assignment.index)
+        return lifecycle
+
+    def _report(
+        self,
+        assignment: messages.ItemAssignment,
+        lifecycle: RequestLifecycle,
+        step: Step,
+        done: ItemDone,
+    ) -> None:
+        worker = lifecycle.attempts[-1].worker if lifecycle.attempts else ""
+        if step.kind is StepKind.FINISH and step.response is not None:
+            status, text = step.response
+            done(ItemOutcome.RAN if status == _OK else ItemOutcome.REFUSED, text, worker)
+            return
+        refusal = step.refusal
+        if refusal is None or refusal.verdict is Verdict.NOT_RUN or assignment.safe:
+            self._call_later(
+                self.node.settings.heartbeat_ms, lambda: done(ItemOutcome.AGAIN, "", worker)
+            )
         else:
-            done("may_have_run", json.dumps(step.refusal.body()), worker)
+            done(ItemOutcome.MAY_HAVE_RUN, json.dumps(refusal.body()), worker)
+
+    # -- time ----------------------------------------------------------------------------------
+
+    def _call_later(self, wait_ms: int, callback: Callable[[], None]) -> None:
+        self._scheduled.append((self.node.env.now() + wait_ms, callback))
 
     def tick(self) -> None:
-        """Call what was put off and is due now."""
+        """Call what is due now."""
         now_ms = self.node.env.now()
-        due = [what for at_ms, what in self._later if at_ms <= now_ms]
-        self._later = [row for row in self._later if row[0] > now_ms]
-        for what in due:
-            what()
+        due = [callback for at_ms, callback in self._scheduled if at_ms <= now_ms]
+        self._scheduled = [row for row in self._scheduled if row[0] > now_ms]
+        for callback in due:
+            callback()
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -1,62 +1,74 @@
-"""Runs batches (lots) in the room that live traffic leaves.
+"""Runs items of batch jobs in the capacity that live traffic leaves.
 
 Each heartbeat tells the leader of the log how many items the edge could start and what it runs. The
-edge runs what it is assigned, reports each end until that is acknowledged, and publishes results in
-order while it has a batch's listing lease. The ends of forwarded items are reported
-together, as many as there are while the report before is in flight. An answer from the leader is a
-lease on all this: without one for too long, or after the process was frozen, everything that runs
-is stopped.
+edge runs what it is assigned, reports each end until that is acknowledged, and lists results in
+order while it has a job's listing lease. A response from the leader is a lease on all this: without
+one for too long, or after the process was frozen, everything that runs is stopped.
 """
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol, cast
 
-from batch_state import messages as m
-from messaging import Component, Message, decode, encode
+from batch_state import messages
+from messaging import Component, Message, decode
 
+from request_routing.item_outcome import ItemDone, ItemOutcome
+from request_routing.item_reports import Assignment, ItemClaim, ItemReports, RunningItem
 from request_routing.leader_client import LeaderClient
 
-__all__ = ["JobRunner"]
+__all__ = ["JobRunner", "RolloutSamples"]
 
 STOPPED_BODY = (
     '{"error":{"verdict":"may_have_run","code":"stopped","message":"stopped while it ran"}}'
 )
-Start = Callable[
-    [m.ItemAssignment | m.ForwardAssignment, Callable[[str, Any, str], None]], Callable[[], None]
-]
-_REPORT_BYTES = 1 << 20
+_NEVER_MS = -1 << 40
+_ENDED_WELL = (ItemOutcome.RAN, ItemOutcome.FINISHED)
+_BUSY_HEARTBEATS = 4
 
+Capacity = tuple[int, Iterable[str]]
+"""How many items may start now, and the routes on which they may."""
 
-class _Run:
-    __slots__ = ("cancel", "reported", "work")
+Start = Callable[[Any, ItemDone], Callable[[], None]]
+HeartbeatResponse = messages.EdgeHeartbeatResponse | messages.RolloutHeartbeatResponse
 
-    def __init__(self, work: m.ItemAssignment | m.ForwardAssignment) -> None:
-        self.work = work
-        self.cancel: Callable[[], None] = lambda: None
-        self.reported = False
+
+class RolloutSamples(Protocol):
+    """Whoever runs samples of rollouts at this edge."""
+
+    def lends(self) -> bool:
+        """Whether any profile lends slots to rollouts."""
+        ...
+
+    def room(self) -> Capacity:
+        """Return how many samples may start now, and on which routes."""
+        ...
+
+    def told(self, response: Any) -> None:
+        """Take the leader's response to a heartbeat."""
+        ...
 
 
 class JobRunner(Component):
     """Sends the edge's heartbeats to the leader and runs the items that it is assigned.
 
-    `room` gives how many items may start now, and on which paths; `start` runs one item, calls back
-    with outcome, body and worker, and returns what stops it. `samples`, if set, runs rollouts.
+    `capacity` gives how many items may start now, and on which routes; `start` runs one item, calls
+    back with outcome, body and worker, and returns what cancels it. `samples`, if set, runs
+    rollouts; `paused` has nothing new assigned. `finished` counts the items that ended well.
     """
 
     __slots__ = (
-        "_asked_epoch",
-        "_asked_ms",
-        "_asking",
-        "_beats",
-        "_ends",
-        "_holder",
+        "_awaited_heartbeat",
+        "_capacity",
+        "_heartbeat_count",
+        "_heartbeat_epoch",
+        "_heartbeat_ms",
+        "_items",
         "_job_paths",
-        "_placing",
-        "_reporting",
-        "_room",
-        "_runs",
+        "_leader",
+        "_listing_jobs",
+        "_reports",
         "_start",
-        "_wish",
+        "_wants_work",
         "edge",
         "finished",
         "paused",
@@ -66,248 +78,201 @@
     def __init__(
         self,
         edge: str,
-        holder: LeaderClient,
-        room: Callable[[], tuple[int, frozenset[str]]],
+        leader: LeaderClient,
+        capacity: Callable[[], Capacity],
         start: Start,
     ) -> None:
         self.edge = edge
-        self._holder = holder
-        self._room = room
+        self._leader = leader
+        self._capacity = capacity
         self._start = start
-        self._runs: dict[tuple[str, int], _Run] = {}
-        self._placing: set[str] = set()
-        self._asking = self._beats = 0
-        self._asked_epoch = 0
-        self._asked_ms = -1 << 40
-        self._wish = False
+        self._items: dict[ItemClaim, RunningItem] = {}
+        self._reports = ItemReports(edge, leader, self)
+        self._listing_jobs: set[str] = set()
         self._job_paths: set[str] = set()
-        self._ends: list[tuple[_Run, bytes]] = []
-        self._reporting = False
+        self._heartbeat_count = 0
+        self._awaited_heartbeat = 0
+        self._heartbeat_epoch = 0
+        self._heartbeat_ms = _NEVER_MS
+        self._wants_work = False
         self.paused = False
-        self.samples: Any = None
+        self.samples: RolloutSamples | None = None
         self.finished = 0
 
     def running(self) -> int:
         """Return how many items run that have not ended."""
-        return sum(1 for run in self._runs.values() if not run.reported)
+        return sum(1 for item in self._items.values() if not item.reported)
 
     def tick(self) -> None:
         """Send a heartbeat and reports that are due; stop everything once the lease has run out."""
-        now_ms = self.node.env.now()
-        settings = self.node.settings
-        if self.running() and now_ms - self._holder.heard_ms > settings.claim_timeout_ms:
+        now_ms, settings = self.node.env.now(), self.node.settings
+        silent_ms = now_ms - self._leader.heartbeat_answered_ms
+        if self.running() and silent_ms > settings.claim_timeout_ms:
             self.stop_all("holder silent")
-        due_ms = settings.heartbeat_ms // 4 if self._wish else settings.heartbeat_ms
-        moved = self._asking and self._holder.epoch > self._asked_epoch
-        if moved or (not self._asking and now_ms - self._asked_ms >= due_ms):
-            self._beat()
-        self._report_ends()
-
-    def _beat(self) -> None:
-        address = self._holder.address()
+        period_ms = settings.heartbeat_ms
+        if self._wants_work:
+            period_ms //= _BUSY_HEARTBEATS
+        leader_changed = self._awaited_heartbeat and self._leader.epoch > self._heartbeat_epoch
+        due = now_ms - self._heartbeat_ms >= period_ms
+        if leader_changed or (not self._awaited_heartbeat and due):
+            self._send_heartbeat()
+        self._reports.send(settings.force_ms)
+
+    # -- heartbeats ----------------------------------------------------------------------------
+
+    def _send_heartbeat(self) -> None:
+        address = self._leader.address()
         if not address:
             return
-        room, served = (0, frozenset()) if self.paused else self._room()
-        asked_ms = self._asked_ms = self.node.env.now()
-        self._asked_epoch = self._holder.epoch
-        self._beats += 1
-        self._asking = number = self._beats
-        self._wish = False
-        running = [f"{job_id}#{index}" for job_id, index in self._runs]
-        told = {
-            "edge": self.edge,
-            "address": self.node.address,
-            "capacity": room,
-            "paths": sorted(served & self._job_paths),
-            "running": running,
-        }
-        beat: Message = m.EdgeHeartbeat(**told)
-        if self.samples is not None and self.samples.lends():
-            sample_room, sample_paths = (0, ()) if self.paused else self.samples.room()
-            beat = m.RolloutHeartbeat(
-                **told, sample_capacity=sample_room, sample_paths=sorted(sample_paths)
-            )
+        message = self._heartbeat()
+        sent_ms = self._heartbeat_ms = self.node.env.now()
+        self._heartbeat_epoch = self._leader.epoch
+        self._heartbeat_count += 1
+        self._awaited_heartbeat = number = self._heartbeat_count
+        self._wants_work = False
         self.node.request(
             address,
-            beat,
+            message,
             self.node.settings.request_timeout_ms,
-            lambda receipt: self._answered(receipt, number, asked_ms),
+            lambda response: self._answered(response, number, sent_ms),
         )
 
-    def _answered(self, receipt: Message | None, number: int, asked_ms: int) -> None:
-        last = number == self._asking
-        if last:
-            self._asking = 0
-        if not isinstance(receipt, m.EdgeHeartbeatResponse | m.RolloutHeartbeatResponse):
-            if isinstance(receipt, m.NotLeader) and self._holder.redirected(receipt) and last:
-                self._beat()
+    def _heartbeat(self) -> Message:
+        capacity, served = self._capacity_now(self._capacity)
+        paths = sorted(self._job_paths.intersection(served))
+        running = [f"{job_id}#{index}" for job_id, index in self._items]
+        if self.samples is None or not self.samples.lends():
+            return messages.EdgeHeartbeat(
+                edge=self.edge,
+                address=self.node.address,
+                capacity=capacity,
+                paths=paths,
+                running=running,
+            )
+        sample_capacity, sample_paths = self._capacity_now(self.samples.room)
+        return messages.RolloutHeartbeat(
+            edge=self.edge,
+            address=self.node.address,
+            capacity=capacity,
+            paths=paths,
+            running=running,
+            sample_capacity=sample_capacity,
+            sample_paths=sorted(sample_paths),
+        )
+
+    def _capacity_now(self, capacity: Callable[[], Capacity]) -> Capacity:
+        return (0, ()) if self.paused else capacity()
+
+    def _answered(self, response: Message | None, number: int, sent_ms: int) -> None:
+        newest = number == self._awaited_heartbeat
+        if newest:
+            self._awaited_heartbeat = 0
+        if not isinstance(response, HeartbeatResponse):
+            if isinstance(response, messages.NotLeader):
+                redirected = self._leader.redirected(response)
+                if redirected and newest:
+                    self._send_heartbeat()
             return
-        if receipt.epoch < self._holder.epoch:
+        if response.epoch < self._leader.epoch:
             return
-        self._holder.heard(receipt, asked_ms)
-        for job_id in receipt.closed_jobs:
+        self._leader.heartbeat_answered(response, sent_ms)
+        self._follow(response)
+
+    def _follow(self, response: HeartbeatResponse) -> None:
+        """Do what the leader's response says: stop jobs, run items, list results."""
+        for job_id in response.closed_jobs:
             self.stop(job_id, "lot over")
-        if isinstance(receipt, m.RolloutHeartbeatResponse) and self.samples is not None:
-            self.samples.told(receipt)
-        work = [decode(data) for data in receipt.work]
-        for row in work:
-            self._take(row)
-        for data in receipt.listing_leases:
-            listing_lease = decode(data)
-            self._place(listing_lease.job_id, listing_lease.epoch, listing_lease.up_to)
-        fresh = set(receipt.paths) - self._job_paths
-        self._job_paths |= fresh
-        self._wish = receipt.waiting > 0 or any(
-            not isinstance(run.work, m.RolloutAssignment) for run in self._runs.values()
+        if isinstance(response, messages.RolloutHeartbeatResponse) and self.samples is not None:
+            self.samples.told(response)
+        assignments = [cast(Assignment, decode(data)) for data in response.work]
+        for assignment in assignments:
+            self._run(assignment)
+        for data in response.listing_leases:
+            lease = cast(messages.ListingLease, decode(data))
+            self.listing_granted(lease.job_id, lease.epoch, lease.up_to)
+        new_paths = set(response.paths) - self._job_paths
+        self._job_paths |= new_paths
+        self._wants_work = response.waiting > 0 or any(
+            not _is_rollout(item) for item in self._items.values()
         )
-        if (fresh or any(isinstance(row, m.ForwardAssignment) for row in work)) and not self.paused:
-            self._beat_now()
+        got_forwarded = any(isinstance(row, messages.ForwardAssignment) for row in assignments)
+        if (new_paths or got_forwarded) and not self.paused:
+            self.reports_sent()
 
-    def _beat_now(self) -> None:
-        """Send a heartbeat at once, as there may be room again."""
-        if not self._asking:
-            self._beat()
+    def reports_sent(self) -> None:
+        """Send a heartbeat at once, as there may be capacity again, unless one is in flight."""
+        if not self._awaited_heartbeat:
+            self._send_heartbeat()
 
     # -- items ---------------------------------------------------------------------------------
 
-    def _take(self, work: m.ItemAssignment) -> None:
-        key = (work.job_id, work.index)
-        if key in self._runs:
-            return
-        run = self._runs[key] = _Run(work)
-        run.cancel = self._start(
-            work, lambda outcome, body, worker: self._ended(run, outcome, body, worker)
-        )
-
-    def _ended(self, run: _Run, outcome: str, body: str, worker: str) -> None:
-        key = (run.work.job_id, run.work.index)
-        if self._runs.get(key) is not run or run.reported:
+    def _run(self, assignment: Assignment) -> None:
+        item = RunningItem(assignment)
+        if item.claim in self._items:
             return
-        run.reported = True
-        self.finished += outcome in ("ran", "finished")
-        if isinstance(run.work, m.ForwardAssignment):
-            self._report_end(run, outcome, body, worker)
-        else:
-            self._report(run, outcome, body, worker)
-
-    def _report_end(self, run: _Run, outcome: str, text: bytes, worker: str) -> None:
-        work = run.work
-        self._ends.append(
-            (
-                run,
-                encode(
-                    m.ItemOutcome(
-                        job_id=work.job_id,
-                        index=work.index,
-                        claim_number=work.claim_number,
-                        outcome=outcome,
-                        text=text,
-                        worker=worker,
-                    )
-                ),
-            )
+        self._items[item.claim] = item
+        item.cancel = self._start(
+            assignment, lambda outcome, body, worker: self._ended(item, outcome, body, worker)
         )
-        self._report_ends()
 
-    def _report_ends(self) -> None:
-        if self._reporting:
+    def _ended(self, item: RunningItem, outcome: str, body: Any, worker: str) -> None:
+        if not self.is_current(item) or item.reported:
             return
-        rows: list[tuple[_Run, bytes]] = []
-        size_bytes = 0
-        while self._ends and size_bytes < _REPORT_BYTES:
-            run, data = self._ends.pop(0)
-            if self._runs.get((run.work.job_id, run.work.index)) is run:
-                rows.append((run, data))
-                size_bytes += len(data)
-        if not rows:
+        item.reported = True
+        self.finished += outcome in _ENDED_WELL
+        self._reports.add(item, outcome, body, worker, self.node.settings.force_ms)
+
+    def is_current(self, item: RunningItem) -> bool:
+        """Whether the item was neither stopped nor acknowledged meanwhile."""
+        return self._items.get(item.claim) is item
+
+    def acknowledged(self, items: list[RunningItem]) -> None:
+        """Forget items whose ends the leader has."""
+        for item in items:
+            if self.is_current(item):
+                del self._items[item.claim]
+            if not _is_rollout(item):
+                self._wants_work = True
+
+    def listing_granted(self, job_id: str, epoch: int, up_to: int) -> None:
+        """List a job's results up to an index, by a listing lease of this epoch."""
+        if job_id in self._listing_jobs:
             return
-        self._reporting = True
-
-        def told(receipt: Any) -> None:
-            self._reporting = False
-            if receipt is None or not receipt.ok:
-                self._ends[:0] = rows
-                return
-            for run, _ in rows:
-                if self._runs.get((run.work.job_id, run.work.index)) is run:
-                    del self._runs[(run.work.job_id, run.work.index)]
-            self._wish = True
-            self._report_ends()
-
-        self._holder.ask(
-            m.ReportItemOutcomes(edge=self.edge, rows=[data for _, data in rows]),
-            self.node.settings.force_ms,
-            told,
-        )
-        self._beat_now()
-
-    def _report(self, run: _Run, outcome: str, body: str, worker: str) -> None:
-        key = (run.work.job_id, run.work.index)
-
-        def told(receipt: Any) -> None:
-            if self._runs.get(key) is not run:
-                return
-            if receipt is None or not receipt.ok:
-                self._report(run, outcome, body, worker)
-                return
-            del self._runs[key]
-            self._wish = self._wish or not isinstance(run.work, m.RolloutAssignment)
-            if receipt.listing_epoch:
-                self._place(run.work.job_id, receipt.listing_epoch, receipt.up_to)
-
-        self._holder.ask(
-            m.ReportResult(
-                job_id=run.work.job_id,
-                index=run.work.index,
-                claim_number=run.work.claim_number,
-                outcome=outcome,
-                body=body,
-                worker=worker,
-                edge=self.edge,
-            ),
-            self.node.settings.force_ms,
-            told,
-        )
-
-    def _place(self, job_id: str, epoch: int, up_to: int) -> None:
-        if job_id in self._placing:
-            return
-        self._placing.add(job_id)
-        self._holder.ask(
-            m.AdvanceListing(job_id=job_id, edge=self.edge, epoch=epoch, up_to=up_to),
+        self._listing_jobs.add(job_id)
+        self._leader.request(
+            messages.AdvanceListing(job_id=job_id, edge=self.edge, epoch=epoch, up_to=up_to),
             self.node.settings.request_timeout_ms,
-            lambda receipt: self._placing.discard(job_id),
+            lambda response: self._listing_jobs.discard(job_id),
         )
 
     # -- stopping ------------------------------------------------------------------------------
 
     def stop(self, job_id: str, reason: str) -> None:
-        """Stop all items of one batch, without reporting them."""
-        self._stop([key for key in self._runs if key[0] == job_id], reason)
+        """Stop all items of one batch job, without reporting them."""
+        claims = [claim for claim in self._items if claim[0] == job_id]
+        for claim in claims:
+            self._items.pop(claim).cancel()
+        self._log_stopped(claims, reason)
 
     def stop_all(self, reason: str) -> None:
-        """Stop everything and report what each item came to; the batches may continue elsewhere."""
-        runs = [run for run in self._runs.values() if not run.reported]
-        for run in runs:
-            run.cancel()
-            if isinstance(run.work, m.ForwardAssignment):
-                self._ended(run, "again", b"", "")
+        """Stop everything and report what each item came to; the jobs may continue elsewhere."""
+        items = [item for item in self._items.values() if not item.reported]
+        for item in items:
+            item.cancel()
+            if isinstance(item.assignment, messages.ForwardAssignment):
+                self._ended(item, ItemOutcome.AGAIN, b"", "")
+            elif item.assignment.safe:
+                self._ended(item, ItemOutcome.AGAIN, STOPPED_BODY, "")
             else:
-                self._ended(run, "again" if run.work.safe else "may_have_run", STOPPED_BODY, "")
-        self._note([(run.work.job_id, run.work.index) for run in runs], reason)
-
-    def _stop(self, keys: list[tuple[str, int]], reason: str) -> None:
-        for key in keys:
-            run = self._runs.pop(key)
-            run.cancel()
-        self._note(keys, reason)
+                self._ended(item, ItemOutcome.MAY_HAVE_RUN, STOPPED_BODY, "")
+        self._log_stopped([item.claim for item in items], reason)
 
-    def _note(self, keys: list[tuple[str, int]], reason: str) -> None:
-        if keys:
+    def _log_stopped(self, claims: list[ItemClaim], reason: str) -> None:
+        if claims:
             self.node.env.log(
                 "items-stopped",
-                jobs=sorted({job_id for job_id, _ in keys}),
-                count=len(keys),
+                jobs=sorted({job_id for job_id, _ in claims}),
+                count=len(claims),
                 reason=reason,
             )
 
@@ -315,3 +280,7 @@
         """Stop everything if the process was frozen for longer than `claim_timeout_ms`."""
         if gap_ms > self.node.settings.claim_timeout_ms:
             self.stop_all("frozen")
+
+
+def _is_rollout(item: RunningItem) -> bool:
+    return isinstance(item.assignment, messages.RolloutAssignment)
--- a/libs/request_routing/src/request_routing/leader_client.py
+++ b/libs/request_routing/src/request_routing/leader_client.py
@@ -1,57 +1,83 @@
-"""The client of the log's leader (the holder): finds it, asks, and retries until an answer comes.
+"""The client of the log's leader: finds it, asks it, and retries until a response comes.
 
 The configuration feed tells where the leader is, and a store that is not the leader may know newer.
 A request that may run something later is stamped with the leader's own time as last heard. For our
 own interface the last stretch of the time is only waited for, so that a doubtful answer is given
-when nothing of the request can be in flight any more. News of another leader has all requests in
-flight sent again at once.
+when nothing of the request can be in flight any more. An update that another store leads has all
+requests in flight sent again at once.
 """
 
 import json
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import messages as m
+from batch_state import messages
 from messaging import Component, Message
 
-__all__ = ["LeaderClient"]
+__all__ = ["LeaderClient", "LeaderRequest"]
 
-_STAMPED = (m.SubmitJob, m.OpenKey, m.SubmitForwardJob, m.SubmitRollout)
-_WAITED_FOR = (m.SubmitJob, m.OpenKey, m.SubmitRollout)
+_NEVER_MS = -1 << 40
+_STAMPED = (
+    messages.SubmitJob,
+    messages.OpenKey,
+    messages.SubmitForwardJob,
+    messages.SubmitRollout,
+)
+_WAITED_FOR = (messages.SubmitJob, messages.OpenKey, messages.SubmitRollout)
 _RETRIED = ("stale", "unknown")
 _REFUSED = ("full", "no_path", "no_room")
 
 
-class _Ask:
-    __slots__ = ("done", "due_ms", "epoch", "last_ms", "message", "next_ms", "sends")
+class LeaderRequest:
+    """A request to the leader until its response comes; `attempts` counts how often it was sent.
+
+    `due_ms` is when it is given up, `last_send_ms` after when it is not sent again, and
+    `next_send_ms` when it is sent next, by the node's clock. `epoch` is the leader epoch at which
+    it was sent last.
+    """
+
+    __slots__ = (
+        "attempts",
+        "done",
+        "due_ms",
+        "epoch",
+        "last_send_ms",
+        "message",
+        "next_send_ms",
+    )
 
     def __init__(
-        self, message: Message, now_ms: int, wait_ms: int, hold_ms: int, done: Callable
+        self,
+        message: Message,
+        now_ms: int,
+        wait_ms: int,
+        quiet_ms: int,
+        done: Callable[[Any], None],
     ) -> None:
         self.message = message
-        self.due_ms = now_ms + wait_ms
-        self.last_ms = now_ms + wait_ms - hold_ms
-        self.next_ms = now_ms
-        self.done: Callable | None = done
-        self.sends = 0
+        self.due_ms = now_ms + wait_ms + quiet_ms
+        self.last_send_ms = now_ms + wait_ms
+        self.next_send_ms = now_ms
+        self.done: Callable[[Any], None] | None = done
+        self.attempts = 0
         self.epoch = 0
 
 
 class LeaderClient(Component):
     """Asks the leader of the log; `log_key` gives the feed's body, `stores` addresses to try first.
 
-    `heard_ms` is when the last answered heartbeat was asked for, by this node's clock; `leader_ms`
-    the leader's own time as last heard; both in milliseconds.
+    `heartbeat_answered_ms` is when the last answered heartbeat was sent, by this node's clock;
+    `leader_ms` the leader's own time as last heard; both in milliseconds.
     """
 
     __slots__ = (
         "_address",
-        "_asks",
         "_epoch",
         "_log_key",
-        "_read",
+        "_log_value",
+        "_requests",
         "_stores",
-        "heard_ms",
+        "heartbeat_answered_ms",
         "leader_ms",
     )
 
@@ -60,11 +86,13 @@
         self._stores = stores
         self._address = ""
         self._epoch = 0
-        self._read = ""
-        self._asks: list[_Ask] = []
-        self.heard_ms = -1 << 40
+        self._log_value = ""
+        self._requests: list[LeaderRequest] = []
+        self.heartbeat_answered_ms = _NEVER_MS
         self.leader_ms = 0
 
+    # -- where the leader is -------------------------------------------------------------------
+
     @property
     def epoch(self) -> int:
         """The highest leader epoch heard of."""
@@ -73,120 +101,131 @@
     def address(self) -> str:
         """Return the leader's address, else that of any store, else an empty string."""
         self._read_key()
-        if not self._address:
-            stores = self._stores()
-            return self.node.env.rng.choice(stores) if stores else ""
-        return self._address
+        if self._address:
+            return self._address
+        stores = self._stores()
+        return str(self.node.env.rng.choice(stores)) if stores else ""
 
     def _read_key(self) -> None:
         body = self._log_key()
-        if body == self._read:
+        if body == self._log_value:
             return
-        self._read = body
+        self._log_value = body
         value = json.loads(body) if body else {}
-        if value and self._is_news(value["epoch"]):
+        if value and self._is_newer(value["epoch"]):
             self._epoch = value["epoch"]
             self._address = next(
                 (row["address"] for row in value["members"] if row["identity"] == value["holder"]),
                 "",
             )
 
-    def _is_news(self, epoch: int) -> bool:
+    def _is_newer(self, epoch: int) -> bool:
         return epoch > self._epoch or (epoch == self._epoch and not self._address)
 
-    def heard(self, message: m.EdgeHeartbeatResponse, asked_ms: int) -> None:
-        """Take the leader's heartbeat; the lease runs from `asked_ms`, when it was asked for."""
-        if message.epoch >= self._epoch:
-            self._epoch = message.epoch
-            self.heard_ms = asked_ms
-            self.leader_ms = message.leader_ms
-
-    def redirected(self, receipt: m.NotLeader) -> bool:
-        """Take a store's word that another one leads; true if that is news."""
-        news = bool(receipt.address) and self._is_news(receipt.epoch)
-        if news:
-            self._epoch, self._address = receipt.epoch, receipt.address
-        return news
-
-    def ask(self, message: Message, wait_ms: int, done: Callable[[Any], None]) -> _Ask:
+    def heartbeat_answered(
+        self,
+        response: messages.EdgeHeartbeatResponse | messages.RolloutHeartbeatResponse,
+        sent_ms: int,
+    ) -> None:
+        """Take the leader's response to a heartbeat; the lease runs from `sent_ms`."""
+        if response.epoch >= self._epoch:
+            self._epoch = response.epoch
+            self.heartbeat_answered_ms = sent_ms
+            self.leader_ms = response.leader_ms
+
+    def redirected(self, response: messages.NotLeader) -> bool:
+        """Take a store's response that another one leads; true if that is newer than known."""
+        newer = bool(response.address) and self._is_newer(response.epoch)
+        if newer:
+            self._epoch, self._address = response.epoch, response.address
+        return newer
+
+    # -- requests ------------------------------------------------------------------------------
+
+    def request(self, message: Message, wait_ms: int, done: Callable[[Any], None]) -> LeaderRequest:
         """Ask the leader, with retries, for at most `wait_ms` milliseconds.
 
-        `done` gets the receipt, or None if there was none in time; while the returned ask's `sends`
-        is 0 nothing of it was sent. A stamped request of our own interface is waited for longer, by
-        as long as its stamp may live, and is not sent again in that time.
+        `done` gets the response, or None if there was none in time; while the returned request's
+        `attempts` is 0 nothing of it was sent. A stamped request of our own interface is waited for
+        longer, by as long as its stamp may live, and is not sent again in that time.
         """
-        hold_ms = (
+        quiet_ms = (
             self.node.settings.max_submission_age_ms if isinstance(message, _WAITED_FOR) else 0
         )
-        ask = _Ask(message, self.node.env.now(), wait_ms + hold_ms, hold_ms, done)
-        self._asks.append(ask)
-        self._send(ask)
-        return ask
-
-    def _send(self, ask: _Ask) -> None:
-        now_ms = self.node.env.now()
-        held_ms = getattr(ask.message, "wait_ms", 0)
-        ask.next_ms = now_ms + held_ms + self.node.settings.request_timeout_ms
+        request = LeaderRequest(message, self.node.env.now(), wait_ms, quiet_ms, done)
+        self._requests.append(request)
+        self._send(request)
+        return request
+
+    def _send(self, request: LeaderRequest) -> None:
+        now_ms, settings = self.node.env.now(), self.node.settings
+        held_ms = getattr(request.message, "wait_ms", 0)
+        request.next_send_ms = now_ms + held_ms + settings.request_timeout_ms
         address = self.address()
         if not address:
-            ask.next_ms = now_ms + self.node.settings.heartbeat_ms // 2
+            request.next_send_ms = now_ms + settings.heartbeat_ms // 2
             return
-        if isinstance(ask.message, _STAMPED):
-            ask.message = type(ask.message)(
-                **{**ask.message.as_dict(), "epoch": self._epoch, "leader_ms": self.leader_ms}
-            )
-        ask.sends += 1
-        ask.epoch = self._epoch
-        number = ask.sends
+        if isinstance(request.message, _STAMPED):
+            request.message = self._stamped(request.message)
+        request.attempts += 1
+        request.epoch = self._epoch
+        number = request.attempts
         self.node.request(
             address,
-            ask.message,
-            held_ms + self.node.settings.request_timeout_ms * 2,
-            lambda receipt: self._answered(ask, number, receipt),
+            request.message,
+            held_ms + settings.request_timeout_ms * 2,
+            lambda response: self._answered(request, number, response),
         )
 
-    def _answered(self, ask: _Ask, number: int, receipt: Message | None) -> None:
-        """Take an answer to one send of a request.
+    def _stamped(self, message: Message) -> Message:
+        """Return the message with the leader's epoch and its own time as last heard."""
+        stamp = {"epoch": self._epoch, "leader_ms": self.leader_ms}
+        return type(message)(**{**message.as_dict(), **stamp})
+
+    def _answered(self, request: LeaderRequest, number: int, response: Message | None) -> None:
+        """Take a response to one attempt of a request.
 
-        A refusal counts only of the last send, as a later one may have been taken meanwhile.
+        A refusal counts only of the last attempt, as a later one may have been taken meanwhile.
         """
-        if ask.done is None or receipt is None:
+        if request.done is None or response is None:
             return
         now_ms = self.node.env.now()
-        if isinstance(receipt, m.NotLeader):
-            wait_ms = 0 if self.redirected(receipt) else self.node.settings.heartbeat_ms // 2
-            self._again(ask, now_ms + wait_ms)
-        elif isinstance(receipt, m.StaleRequest):
-            if receipt.epoch >= self._epoch:
-                self._epoch, self.leader_ms = receipt.epoch, receipt.leader_ms
-                self._again(ask, now_ms)
-        elif getattr(receipt, "outcome", "") in _RETRIED:
-            self._again(ask, now_ms + self.node.settings.heartbeat_ms // 2)
-        elif getattr(receipt, "outcome", "") not in _REFUSED or number == ask.sends:
-            self._finish(ask, receipt)
-
-    def _again(self, ask: _Ask, at_ms: int) -> None:
-        ask.next_ms = min(ask.next_ms, at_ms)
+        pause_ms = self.node.settings.heartbeat_ms // 2
+        outcome = getattr(response, "outcome", "")
+        if isinstance(response, messages.NotLeader):
+            self._retry(request, now_ms + (0 if self.redirected(response) else pause_ms))
+        elif isinstance(response, messages.StaleRequest):
+            if response.epoch >= self._epoch:
+                self._epoch, self.leader_ms = response.epoch, response.leader_ms
+                self._retry(request, now_ms)
+        elif outcome in _RETRIED:
+            self._retry(request, now_ms + pause_ms)
+        elif outcome not in _REFUSED or number == request.attempts:
+            self._finish(request, response)
+
+    def _retry(self, request: LeaderRequest, at_ms: int) -> None:
+        """Send again at `at_ms`, or at once if that has come."""
+        request.next_send_ms = min(request.next_send_ms, at_ms)
         now_ms = self.node.env.now()
-        if ask.next_ms <= now_ms < ask.last_ms:
-            self._send(ask)
+        if request.next_send_ms <= now_ms < request.last_send_ms:
+            self._send(request)
 
-    def _finish(self, ask: _Ask, receipt: Message | None) -> None:
-        done, ask.done = ask.done, None
-        if ask in self._asks:
-            self._asks.remove(ask)
+    def _finish(self, request: LeaderRequest, response: Message | None) -> None:
+        done, request.done = request.done, None
+        if request in self._requests:
+            self._requests.remove(request)
         if done is not None:
-            done(receipt)
+            done(response)
 
     def tick(self) -> None:
         """Send again what is due, and end what is out of time."""
         now_ms = self.node.env.now()
-        if self._asks:
+        if self._requests:
             self._read_key()
-        for ask in list(self._asks):
-            if 0 < ask.sends and ask.epoch < self._epoch:
-                ask.next_ms = now_ms
-            if now_ms >= ask.due_ms:
-                self._finish(ask, None)
-            elif now_ms >= ask.next_ms and now_ms < ask.last_ms:
-                self._send(ask)
+        for request in list(self._requests):
+            if 0 < request.attempts and request.epoch < self._epoch:
+                request.next_send_ms = now_ms
+            if now_ms >= request.due_ms:
+                self._finish(request, None)
+            elif request.next_send_ms <= now_ms < request.last_send_ms:
+                self._send(request)
--- a/libs/request_routing/src/request_routing/lifecycle.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -1,87 +1,99 @@
-"""The state machine of one transaction.
+"""The state machine of one request.
 
-Each change of state has one method, which returns the step that the driver has to take next.
-Another attempt is made only for what certainly has not run, or for what is safe to repeat as long
-as nothing was delivered. Where neither is known, the refusal says that it may have run.
+Each event has one method, which returns the step that the driver has to take next. Another attempt
+is made only for what certainly has not run, or for an idempotent request as long as nothing was
+delivered. Where neither is known, the refusal says that the request may have run.
 """
 
 from enum import StrEnum
-from typing import Any
+from typing import Any, NamedTuple
 
-from runtime import Refusal, Verdict, doubtful, refused
+from runtime import Refusal, Verdict
 
-from request_routing.placement import RetryBudget
+from request_routing import request_refusals
+from request_routing.request_refusals import KeyState
+from request_routing.retry_budget import RetryBudget
+from request_routing.steps import FinalResponse, KeyOutcome, Step, StepKind
+from request_routing.worker import Worker
 
-__all__ = ["State", "Step", "RequestLifecycle"]
+__all__ = ["BUSY", "AttemptRecord", "ItemKey", "RequestLifecycle", "State"]
+
+BUSY = "busy"
+"""The reason of an attempt that the worker rejected unrun for want of a free slot."""
+
+_ATTEMPT_DONE = "done"
 
 
 class State(StrEnum):
-    """The states of a transaction; the last four are final."""
+    """The states of a request; the last four are final."""
 
     RECEIVED = "received"
-    OPENING = "opening"
-    PLACING = "placing"
-    WAITING = "waiting"
+    OPENING_KEY = "opening"
+    SELECTING_WORKER = "placing"
+    QUEUED = "waiting"
     SENDING = "sending"
     STREAMING = "streaming"
-    CLOSING = "closing"
+    CLOSING_KEY = "closing"
     DONE = "done"
     REFUSED = "refused"
     CUT = "cut"
-    GONE = "gone"
+    CLIENT_DISCONNECTED = "gone"
 
 
-class Step:
-    """What the driver has to do next.
+class AttemptRecord(NamedTuple):
+    """An attempt that is over: the worker's instance, and why it failed or `done`."""
 
-    `name` is one of open, place, wait, send, stream, close, replay, finish, refuse, cut and gone.
-    `value` is the worker of a send, or the status and body of an answer; `close_as` the final state
-    of the idempotency key.
-    """
+    worker: str
+    reason: str
 
-    __slots__ = ("close_as", "name", "refusal", "value")
 
-    def __init__(
-        self, name: str, refusal: Refusal | None = None, close_as: str = "", value: Any = None
-    ) -> None:
-        self.name = name
-        self.refusal = refusal
-        self.close_as = close_as
-        self.value = value
+class ItemKey(NamedTuple):
+    """The item of a batch job that a request runs."""
+
+    job_id: str
+    item_index: int
+
+
+_FINAL_STATES = {
+    StepKind.FINISH: State.DONE,
+    StepKind.REFUSE: State.REFUSED,
+    StepKind.CUT: State.CUT,
+}
 
 
 class RequestLifecycle:
     """The state machine of a request, from its arrival to its last step.
 
-    `due_ms` is the deadline by the node's clock in milliseconds, taken from the profile if it is
-    not given. `claimed` means that the log has the request already, so that no key is opened.
-    `sends` lists each attempt's worker and outcome; `avoid` the workers that failed it.
+    `edge_request_id` is the id that the edge gives the request. `due_ms` is the deadline by the
+    node's clock in milliseconds, taken from the profile if it is not given. `claimed` means that
+    the log has the request already, so that no key is opened. `attempts` lists those that are over;
+    `avoid` the workers that failed.
     """
 
     __slots__ = (
-        "_after",
         "_budget",
-        "_runs",
+        "_may_have_run",
+        "_step_after_close",
+        "attempts",
         "avoid",
         "claimed",
+        "current_worker",
         "delivered",
         "due_ms",
+        "edge_request_id",
+        "idempotent",
+        "job",
         "key",
+        "key_is_open",
         "last_event_id",
-        "job",
-        "opened",
         "profile",
-        "safe",
-        "sending",
-        "sends",
         "started_ms",
         "state",
-        "transaction_id",
     )
 
     def __init__(
         self,
-        transaction_id: str,
+        edge_request_id: str,
         profile: Any,
         key: str,
         now_ms: int,
@@ -89,195 +101,164 @@
         due_ms: int | None = None,
         claimed: bool = False,
     ) -> None:
-        self.transaction_id = transaction_id
+        self.edge_request_id = edge_request_id
         self.profile = profile
         self.key = key
-        self.safe = profile.repeatable
+        self.idempotent = bool(profile.repeatable)
         self.started_ms = now_ms
-        self.due_ms = due_ms if due_ms is not None else now_ms + profile.deadline_ms
+        self.due_ms: int = due_ms if due_ms is not None else now_ms + profile.deadline_ms
         self.claimed = claimed
-        self.job: tuple[str, int] | None = None
+        self.job: ItemKey | None = None
         self.state = State.RECEIVED
-        self.opened = False
+        self.key_is_open = False
         self.delivered = False
         self.last_event_id: int | None = None
-        self.sending = ""
-        self.sends: list[tuple[str, str]] = []
+        self.current_worker = ""
+        self.attempts: list[AttemptRecord] = []
         self.avoid: set[str] = set()
         self._budget = budget
-        self._runs = False
-        self._after: Step | None = None
+        self._may_have_run = False
+        self._step_after_close: Step | None = None
 
-    def _to(self, state: State, step: Step) -> Step:
-        self.state = state
-        return step
+    @property
+    def can_retry_elsewhere(self) -> bool:
+        """Whether another worker could continue if the current attempt were given up now."""
+        return False
 
-    def widen_budget(self, top: float) -> None:
-        """Raise the retry budget's bound to `top` tokens."""
-        self._budget.widen(top)
+    def widen_budget(self, max_tokens: float) -> None:
+        """Raise the retry budget's bound to `max_tokens` tokens."""
+        self._budget.widen(max_tokens)
+
+    # -- before an attempt ---------------------------------------------------------------------
 
     def begin(self) -> Step:
-        """Begin: open the idempotency key where the route needs one, else place."""
+        """Begin: open the idempotency key where the route needs one, else select a worker."""
         self._budget.earn(self.profile.retry_budget)
-        if self.safe or self.claimed:
-            return self._to(State.PLACING, Step("place"))
+        if self.idempotent or self.claimed:
+            return self._select_worker()
         if not self.key:
-            return self._to(
-                State.REFUSED,
-                Step(
-                    "refuse",
-                    refused(
-                        "key-missing",
-                        "this path is not safe to repeat and needs an Idempotency-Key header",
-                        field="Idempotency-Key",
-                    ),
-                ),
-            )
-        return self._to(State.OPENING, Step("open"))
-
-    def open_receipt(self, outcome: str, status: int = 0, body: str = "") -> Step:
-        """Take the leader's receipt for the idempotency key.
-
-        `outcome` is opened, recorded, open, doubt, conflict or full; anything else, as when no
-        receipt came, leaves it in doubt whether an earlier request with this key has run.
+            return self._refuse_now(request_refusals.key_missing())
+        return self._enter(State.OPENING_KEY, Step(StepKind.OPEN_KEY))
+
+    def key_answered(self, key_state: str, status: int = 0, body: str = "") -> Step:
+        """Take the leader's response to the opening of the idempotency key.
+
+        `key_state` is one of `KeyState`; anything else, as when no response came, leaves it in
+        doubt whether an earlier request with this key has run.
         """
-        if outcome == "opened":
-            self.opened = True
-            return self._to(State.PLACING, Step("place"))
-        if outcome == "recorded":
-            return self._to(State.DONE, Step("replay", value=(status, body)))
-        if outcome in ("open", "doubt"):
-            return self._to(
-                State.REFUSED,
-                Step(
-                    "refuse",
-                    doubtful(
-                        "key-open" if outcome == "open" else "key-doubt",
-                        "an earlier request with this key may have run; nothing further was sent",
-                        1000,
-                        409,
-                    ),
-                ),
-            )
-        if outcome == "conflict":
-            return self._to(
-                State.REFUSED,
-                Step(
-                    "refuse",
-                    refused(
-                        "key-reused",
-                        "this key came before with another body; this body has not run",
-                        422,
-                        field="Idempotency-Key",
-                    ),
-                ),
-            )
-        if outcome == "full":
-            return self._to(
-                State.REFUSED,
-                Step(
-                    "refuse",
-                    refused("stores-full", "there is no room to keep this transaction", 503, 5000),
-                ),
-            )
-        return self._to(
-            State.REFUSED,
-            Step(
-                "refuse",
-                doubtful(
-                    "stores-silent",
-                    "the stores did not answer; this request was not sent on, but whether one "
-                    "before it with this key has run is not known",
-                    1000,
-                ),
-            ),
-        )
-
-    def placed(
-        self, worker: Any, any_worker: bool, waits: bool = False, back_ms: int = 1000
-    ) -> Step:
-        """Take the result of placement: a worker, a place in the queue, or neither.
-
-        `waits` says that by an estimate a slot will be free soon enough; `back_ms` is after how
-        many milliseconds a refused client should try again.
+        if key_state == KeyState.OPENED:
+            self.key_is_open = True
+            return self._select_worker()
+        if key_state == KeyState.RECORDED:
+            replay = Step(StepKind.REPLAY, response=FinalResponse(status, body))
+            return self._enter(State.DONE, replay)
+        return self._refuse_now(request_refusals.key_refused(key_state))
+
+    def worker_selected(self, worker: Worker) -> Step:
+        """Take the worker that the next attempt is made at."""
+        self.current_worker = worker.instance_id
+        return self._enter(State.SENDING, Step(StepKind.SEND, worker=worker))
+
+    def admitted_to_queue(self) -> Step:
+        """Wait in the admission queue: by an estimate a slot will be free soon enough."""
+        return self._enter(State.QUEUED, Step(StepKind.ENQUEUE))
+
+    def no_worker_free(self, any_worker: bool, retry_after_ms: int = 1000) -> Step:
+        """Give up, as no worker takes the request in time.
+
+        `any_worker` says that there are workers, but all busy; `retry_after_ms` is after how many
+        milliseconds the client should try again.
         """
-        if worker is not None:
-            self.sending = worker.stamp
-            return self._to(State.SENDING, Step("send", value=worker))
-        if waits:
-            return self._to(State.WAITING, Step("wait"))
         if any_worker:
-            return self._give_up(refused("busy", "all workers of this path are busy", 429, back_ms))
-        return self._give_up(refused("no-worker", "no worker of this path is live", 503, back_ms))
+            return self._give_up(request_refusals.all_busy(retry_after_ms))
+        return self._give_up(request_refusals.no_worker(retry_after_ms))
 
-    def failed(self, worker: str, may_have_run: bool, reason: str, now_ms: int) -> Step:
+    # -- during an attempt ---------------------------------------------------------------------
+
+    def stream_started(self) -> Step:
+        """Take a complete head with matching ids; from here on events may be delivered."""
+        return self._enter(State.STREAMING, Step(StepKind.STREAM))
+
+    def event_delivered(self) -> None:
+        """Record that the client was given an event of the answer."""
+        self.delivered = True
+        self._may_have_run = True
+
+    def attempt_failed(self, worker: str, may_have_run: bool, reason: str, now_ms: int) -> Step:
         """Take the failure of an attempt and retry or give up.
 
         What to do depends on whether the request may have run and whether any of it was delivered.
         An attempt that certainly did not run cost its worker nothing, so a retry at another worker
         is not charged to the retry budget: each worker once, or again if it was only full.
         """
-        known = worker in self.avoid
-        self.sends.append((worker, reason))
+        failed_before = worker in self.avoid
+        self.attempts.append(AttemptRecord(worker, reason))
         self.avoid.add(worker)
-        self._runs = self._runs or may_have_run
+        self._may_have_run = self._may_have_run or may_have_run
         if self.delivered:
             return self._cut(reason)
         late = now_ms >= self.due_ms
-        free = not may_have_run and (not known or reason == "busy")
-        again = (not may_have_run or self.safe) and not late and (free or self._budget.spend())
-        if again:
-            return self._to(State.PLACING, Step("place"))
+        free = not may_have_run and (not failed_before or reason == BUSY)
+        safe = not may_have_run or self.idempotent
+        if safe and not late and (free or self._budget.spend()):
+            return self._select_worker()
         if late:
-            return self._give_up(refused("late", "the deadline passed", 504, 1000))
-        if not may_have_run and reason == "busy":
-            return self._give_up(refused("busy", "the workers of this path are busy", 429, 1000))
-        return self._give_up(refused("send-failed", f"could not be completed: {reason}", 502, 1000))
+            return self._give_up(request_refusals.deadline_passed())
+        if not may_have_run and reason == BUSY:
+            return self._give_up(request_refusals.workers_busy())
+        return self._give_up(request_refusals.not_completed(reason))
 
-    def begun(self) -> Step:
-        """Take a complete head with matching ids; from here on pieces may be delivered."""
-        return self._to(State.STREAMING, Step("stream"))
+    def completed(self, status: int, body: str | bytes) -> Step:
+        """Take a complete answer, and close the idempotency key if there is one.
 
-    def piece_delivered(self) -> None:
-        """Record that the client was given a piece of the answer."""
-        self.delivered = True
-        self._runs = True
-
-    def ended(self, status: int, body: str) -> Step:
-        """Take a complete answer, and close the idempotency key if there is one."""
-        self._runs = True
-        if self.sending:
-            self.sends.append((self.sending, "done"))
-        if not self.opened:
-            return self._to(State.DONE, Step("finish", value=(status, body)))
-        self._after = Step("finish", value=(status, body))
-        return self._to(State.CLOSING, Step("close", close_as="done", value=(status, body)))
-
-    def rejected(self, status: int, body: str) -> Step:
-        """Take the worker's word that the request itself is wrong; no other worker is asked."""
-        return self.ended(status, body)
-
-    def closed(self) -> Step:
+        A worker's answer that the request itself is wrong is complete, too: no other worker is
+        asked.
+        """
+        self._may_have_run = True
+        if self.current_worker:
+            self.attempts.append(AttemptRecord(self.current_worker, _ATTEMPT_DONE))
+        response = FinalResponse(status, body)
+        return self._end_with(Step(StepKind.FINISH, response=response), KeyOutcome.DONE)
+
+    def worker_failed(self, worker: str, status: int, body: str | bytes, now_ms: int) -> Step:
+        """Take the worker's answer that it failed at the request; only forwarded ones have it."""
+        raise NotImplementedError(type(self).__name__)
+
+    # -- the end -------------------------------------------------------------------------------
+
+    def key_closed(self) -> Step:
         """Take the end of the key's closing, whatever came of it."""
-        after = self._after or Step("finish")
-        states = {"finish": State.DONE, "refuse": State.REFUSED, "cut": State.CUT}
-        return self._to(states[after.name], after)
+        step = self._step_after_close or Step(StepKind.FINISH)
+        return self._enter(_FINAL_STATES[step.kind], step)
+
+    def client_disconnected(self) -> Step:
+        """End, since the client of an idempotent request has disconnected."""
+        return self._enter(State.CLIENT_DISCONNECTED, Step(StepKind.CLIENT_DISCONNECTED))
+
+    def _enter(self, state: State, step: Step) -> Step:
+        self.state = state
+        return step
+
+    def _select_worker(self) -> Step:
+        return self._enter(State.SELECTING_WORKER, Step(StepKind.SELECT_WORKER))
 
-    def gone(self) -> Step:
-        """End since the client hung up on a request that is safe to repeat."""
-        return self._to(State.GONE, Step("gone"))
+    def _refuse_now(self, refusal: Refusal) -> Step:
+        return self._enter(State.REFUSED, Step(StepKind.REFUSE, refusal))
 
     def _give_up(self, refusal: Refusal) -> Step:
-        if self._runs:
+        if self._may_have_run:
             refusal.verdict = Verdict.MAY_HAVE_RUN
-        if not self.opened:
-            return self._to(State.REFUSED, Step("refuse", refusal))
-        self._after = Step("refuse", refusal)
-        return self._to(State.CLOSING, Step("close", close_as="doubt" if self._runs else "void"))
+        key_outcome = KeyOutcome.DOUBT if self._may_have_run else KeyOutcome.VOID
+        return self._end_with(Step(StepKind.REFUSE, refusal), key_outcome)
 
     def _cut(self, reason: str) -> Step:
-        refusal = doubtful("cut", f"the stream was cut: {reason}", status=502)
-        if not self.opened:
-            return self._to(State.CUT, Step("cut", refusal))
-        self._after = Step("cut", refusal)
-        return self._to(State.CLOSING, Step("close", close_as="doubt"))
+        step = Step(StepKind.CUT, request_refusals.stream_cut(reason))
+        return self._end_with(step, KeyOutcome.DOUBT)
+
+    def _end_with(self, step: Step, key_outcome: KeyOutcome) -> Step:
+        """End with this step, after the idempotency key is closed if one is open."""
+        if not self.key_is_open:
+            return self._enter(_FINAL_STATES[step.kind], step)
+        self._step_after_close = step
+        close = Step(StepKind.CLOSE_KEY, key_outcome=key_outcome, response=step.response)
+        return self._enter(State.CLOSING_KEY, close)
--- /dev/null
+++ b/libs/request_routing/src/request_routing/request_refusals.py
@@ -0,0 +1,104 @@
+"""The refusals of requests to our own interface, and the states of idempotency keys.
+
+A refusal says whether the request has certainly not run (`refused`) or may have run (`doubtful`).
+Codes and texts are part of the interface (docs/interfaces.md); times are in milliseconds.
+"""
+
+from enum import StrEnum
+
+from runtime import Refusal, doubtful, refused
+
+__all__ = [
+    "KeyState",
+    "all_busy",
+    "deadline_passed",
+    "key_missing",
+    "key_refused",
+    "no_worker",
+    "not_completed",
+    "stream_cut",
+    "workers_busy",
+]
+
+_KEY_HEADER = "Idempotency-Key"
+_RETRY_MS = 1000
+_RETRY_WHEN_FULL_MS = 5000
+
+
+class KeyState(StrEnum):
+    """What the leader of the log says of an idempotency key that is to be opened."""
+
+    OPENED = "opened"
+    RECORDED = "recorded"
+    OPEN = "open"
+    DOUBT = "doubt"
+    CONFLICT = "conflict"
+    FULL = "full"
+    UNKNOWN = "unknown"
+
+
+def key_missing() -> Refusal:
+    """Return the refusal of a request without the key that its route needs."""
+    return refused(
+        "key-missing",
+        "this path is not safe to repeat and needs an Idempotency-Key header",
+        field=_KEY_HEADER,
+    )
+
+
+def key_refused(key_state: str) -> Refusal:
+    """Return the refusal of a request whose key could not be opened."""
+    if key_state in (KeyState.OPEN, KeyState.DOUBT):
+        return doubtful(
+            "key-open" if key_state == KeyState.OPEN else "key-doubt",
+            "an earlier request with this key may have run; nothing further was sent",
+            _RETRY_MS,
+            409,
+        )
+    if key_state == KeyState.CONFLICT:
+        return refused(
+            "key-reused",
+            "this key came before with another body; this body has not run",
+            422,
+            field=_KEY_HEADER,
+        )
+    if key_state == KeyState.FULL:
+        return refused(
+            "stores-full", "there is no room to keep this transaction", 503, _RETRY_WHEN_FULL_MS
+        )
+    return doubtful(
+        "stores-silent",
+        "the stores did not answer; this request was not sent on, but whether one "
+        "before it with this key has run is not known",
+        _RETRY_MS,
+    )
+
+
+def all_busy(retry_after_ms: int) -> Refusal:
+    """Return the refusal of a request for which no slot is free in time."""
+    return refused("busy", "all workers of this path are busy", 429, retry_after_ms)
+
+
+def no_worker(retry_after_ms: int) -> Refusal:
+    """Return the refusal of a request whose route has no worker."""
+    return refused("no-worker", "no worker of this path is live", 503, retry_after_ms)
+
+
+def deadline_passed() -> Refusal:
+    """Return the refusal of a request whose deadline passed."""
+    return refused("late", "the deadline passed", 504, _RETRY_MS)
+
+
+def workers_busy() -> Refusal:
+    """Return the refusal of a request that a worker rejected as busy, with no retry left."""
+    return refused("busy", "the workers of this path are busy", 429, _RETRY_MS)
+
+
+def not_completed(reason: str) -> Refusal:
+    """Return the refusal of a request whose attempts failed."""
+    return refused("send-failed", f"could not be completed: {reason}", 502, _RETRY_MS)
+
+
+def stream_cut(reason: str) -> Refusal:
+    """Return the refusal that ends a stream of which events were delivered."""
+    return doubtful("cut", f"the stream was cut: {reason}", status=502)
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -1,89 +1,97 @@
-"""Drives transactions: takes the steps that their state machines ask for, without a socket.
+"""Drives requests: takes the steps that their state machines ask for, without a socket.
 
-Attempts are handed to a transport, which reports back; deadlines are checked on each tick.
+Attempts are handed to a transport, which reports back; deadlines are checked on each tick. Which
+worker is chosen, who may wait and when an attempt is given up is decided in modules of their own.
 """
 
-from collections import deque
 from collections.abc import Callable
 from typing import Any
 
 from messaging import Component
 
-from request_routing.admission_queue import AdmissionQueue
-from request_routing.attempt_outcomes import log_end, note_failure, outcome_after
-from request_routing.attempt_requests import (
-    allowed_workers,
-    choose_worker,
-    new_exchange,
-    worker_request,
-)
-from request_routing.calls import Call, ForwardCall, WorkerHeaderNames
-from request_routing.idempotency import ask_close, ask_open
-from request_routing.in_flight import Attempt, AttemptTransport, InFlightRequest
-from request_routing.latency_estimator import LatencyEstimator
-from request_routing.lifecycle import RequestLifecycle, Step
+from request_routing.admission_control import AdmissionControl
+from request_routing.attempt import Attempt, AttemptTransport
+from request_routing.attempt_outcome import AttemptOutcome, OutcomeKind
+from request_routing.attempt_requests import new_exchange, worker_request
+from request_routing.attempt_results import checked_outcome, log_end, record_failure
+from request_routing.calls import Call, ForwardCall
+from request_routing.header_names import WorkerHeaderNames
+from request_routing.idempotency import LeaderRequests, close_key, key_response_step, open_key
+from request_routing.in_flight import InFlightRequest
+from request_routing.item_queue import ItemQueue
+from request_routing.lifecycle import RequestLifecycle
+from request_routing.prefill_tracker import PrefillTracker
 from request_routing.prefix_affinity import PrefixAffinity
-from request_routing.stall_detection import silence_fate
-from request_routing.worker_exchange import AttemptOutcome
-from request_routing.worker_registry import Worker, WorkerRegistry
+from request_routing.routing_context import SlotLender
+from request_routing.stall_detection import StallDetector
+from request_routing.steps import Step, StepKind
+from request_routing.worker import Worker
+from request_routing.worker_registry import WorkerRegistry
+from request_routing.worker_selection import allowed_workers, choose_worker
 
 __all__ = ["RequestRouter"]
 
-_OUTAGE_SHARE = 0.25
+_BUDGET_PER_SLOT = 2.0
 
 
 class RequestRouter(Component):
-    """Drives the transactions that are in flight at this edge."""
+    """Drives the requests that are in flight at this edge.
+
+    `edge` is the edge's identity; `profiles` gives the profiles in force; `edge_count` how many
+    edges share the workers, this one included. `counts` are counters of the metrics. Set by the
+    node where they are used: `header_names`, those of the workers of forwarded calls;
+    `slot_lender`, which takes back slots lent to rollouts; `prefill`, the prompts that workers have
+    still to read, as edges tell each other.
+    """
 
     __slots__ = (
-        "_holder",
+        "_admission",
+        "_edge",
         "_items",
-        "_items_tree",
-        "_line",
+        "_leader",
         "_list_number",
-        "open",
-        "_pace",
-        "_roster",
-        "_sender",
-        "_tree",
+        "_registry",
+        "_stalls",
         "by_prefix",
         "counts",
-        "dialect",
-        "edge",
-        "edges",
-        "loans",
-        "parts",
-        "reading_items",
-        "readings",
+        "edge_count",
+        "header_names",
+        "in_flight",
+        "prefill",
+        "prefilling_items",
+        "prefix_affinity",
+        "slot_lender",
+        "transport",
     )
 
     def __init__(
         self,
         edge: str,
-        holder: Any,
-        roster: WorkerRegistry,
-        tree: Callable[[], Any],
-        sender: AttemptTransport,
-        edges: Callable[[], int] = lambda: 1,
+        leader: LeaderRequests,
+        registry: WorkerRegistry,
+        profiles: Callable[[], Any],
+        transport: AttemptTransport,
+        edge_count: Callable[[], int] = lambda: 1,
     ) -> None:
-        self.edge = edge
-        self.edges = edges
-        self.dialect: WorkerHeaderNames | None = (
-            None  # header names of the workers of forwarded calls
-        )
-        self.loans: Any = None  # takes back slots lent to rollouts, where any are lent
-        self.readings: Any = None  # prompts that workers have still to read, where edges share it
-        self.parts = PrefixAffinity()
-        self._pace = LatencyEstimator()
-        self._items: deque[InFlightRequest] = deque()
-        self._items_tree: Any = None
-        self.reading_items = 0
-        self._list_number = 0
-        self._line = AdmissionQueue()
-        self._holder, self._roster, self._tree, self._sender = holder, roster, tree, sender
-        self.open: dict[str, InFlightRequest] = {}
+        self._edge = edge
+        self._leader = leader
+        self._registry = registry
+        self.transport = transport
+        self.edge_count = edge_count
+        self.header_names: WorkerHeaderNames | None = None
+        self.slot_lender: SlotLender | None = None
+        self.prefill: PrefillTracker | None = None
+        self.prefilling_items = 0
+        self.prefix_affinity = PrefixAffinity()
         self.by_prefix = True
+        self.in_flight: dict[str, InFlightRequest] = {}
         self.counts: dict[str, int] = {}
+        self._admission = AdmissionControl(registry, edge_count)
+        self._items = ItemQueue(profiles)
+        self._stalls = StallDetector(registry)
+        self._list_number = 0
+
+    # -- what is in flight ---------------------------------------------------------------------
 
     def count(self, name: str) -> None:
         """Add one to a counter of the metrics."""
@@ -91,325 +99,328 @@
 
     def waiting(self) -> int:
         """Return how many live requests are queued for a slot."""
-        return len(self._line)
+        return len(self._admission.queue)
 
     def items_waiting(self) -> int:
         """Return how many batch items this edge was assigned that no worker has yet."""
         return len(self._items)
 
-    def carrying(self, job: bool) -> int:
+    def count_in_flight(self, job: bool) -> int:
         """Return how many batch items or live requests are in flight, rollouts not counted."""
         return sum(
             1
-            for carriage in self.open.values()
-            if carriage.call.job == job and not carriage.call.rollout
+            for request in self.in_flight.values()
+            if request.call.job == job and not request.call.rollout
         )
 
-    def sends(self) -> list[Attempt]:
+    def attempts(self) -> list[Attempt]:
         """Return the attempts in flight."""
-        return [carriage.send for carriage in self.open.values() if carriage.send is not None]
+        return [
+            request.attempt for request in self.in_flight.values() if request.attempt is not None
+        ]
+
+    def seems_stalled(self, worker: Worker, route: str) -> bool:
+        """Whether a worker is silent for unusually long; other workers are then preferred."""
+        return self._stalls.is_suspect(worker, route, self.node.settings, self.node.env.now())
+
+    # -- the steps of a request ----------------------------------------------------------------
 
-    def carry(
+    def start(
         self,
-        tx: RequestLifecycle,
+        lifecycle: RequestLifecycle,
         call: Call | ForwardCall,
-        sink: Callable[[bytes], None] | None,
-        done: Callable[[Step], None],
+        on_event: Callable[[bytes], None] | None,
+        on_finished: Callable[[Step], None],
     ) -> InFlightRequest:
-        """Begin a transaction; `sink` is given its events, `done` its last step."""
-        carriage = InFlightRequest(self, tx, call, sink, done)
-        self.open[tx.transaction_id] = carriage
-        self.take(carriage, tx.begin())
-        return carriage
-
-    def take(self, carriage: InFlightRequest, step: Step) -> None:
-        """Do the step that a transaction's state machine asks for."""
-        if step.name == "open":
-            ask_open(self, self._holder, carriage)
-        elif step.name == "place":
-            self._place(carriage)
-        elif step.name == "wait":
-            self._line.add(carriage)
-        elif step.name == "send":
-            self._begin(carriage, step.value)
-        elif step.name == "close":
-            ask_close(self, self._holder, carriage, step)
+        """Begin a request; `on_event` is given its events, `on_finished` its last step."""
+        request = InFlightRequest(self, lifecycle, call, on_event, on_finished)
+        self.in_flight[lifecycle.edge_request_id] = request
+        self._perform(request, lifecycle.begin())
+        return request
+
+    def _perform(self, request: InFlightRequest, step: Step) -> None:
+        """Do the step that a request's state machine asks for."""
+        if step.kind is StepKind.OPEN_KEY:
+            self._open_key(request)
+        elif step.kind is StepKind.SELECT_WORKER:
+            self._select_worker(request)
+        elif step.kind is StepKind.ENQUEUE:
+            self._admission.queue.add(request)
+        elif step.worker is not None:
+            self._start_attempt(request, step.worker)
+        elif step.kind is StepKind.CLOSE_KEY:
+            self._close_key(request, step)
         else:
-            self._finish(carriage, step)
-
-    def _place(self, carriage: InFlightRequest) -> None:
-        tx, now_ms = carriage.tx, self.node.env.now()
-        workers = self._allowed(carriage)
-        worker = self._choose(carriage, workers)
-        if (
-            worker is None
-            and carriage.call.job
-            and not carriage.call.kept_when_gone
-            and workers
-            and not self._all_rest(workers)
-        ):
-            self._items_tree = self._items_tree if self._items else self._tree()
-            self._items.append(carriage)
-        elif worker is None and not carriage.call.job:
-            if self.loans is not None:
-                self.loans.starved(workers)
-            waits, back_ms = self._may_wait(carriage, workers, now_ms)
-            self.take(carriage, tx.placed(None, bool(workers), waits, back_ms))
+            self._finish(request, step)
+
+    def _is_in_flight(self, request: InFlightRequest) -> bool:
+        return request.lifecycle.edge_request_id in self.in_flight
+
+    def _open_key(self, request: InFlightRequest) -> None:
+        def on_response(response: Any) -> None:
+            if self._is_in_flight(request):
+                self._perform(request, key_response_step(request, response))
+
+        open_key(self.node, self._edge, self._leader, request, on_response)
+
+    def _close_key(self, request: InFlightRequest, step: Step) -> None:
+        def on_closed() -> None:
+            if self._is_in_flight(request):
+                self._perform(request, request.lifecycle.key_closed())
+
+        close_key(self.node, self._leader, request, step, on_closed)
+
+    def _finish(self, request: InFlightRequest, step: Step) -> None:
+        self.in_flight.pop(request.lifecycle.edge_request_id, None)
+        self.count(f"steps_{step.kind}")
+        log_end(self.node.env, request, step)
+        request.on_finished(step)
+
+    # -- workers and queues --------------------------------------------------------------------
+
+    def _allowed(self, request: InFlightRequest) -> list[Worker]:
+        return allowed_workers(request.call, self, request.lifecycle, self._registry)
+
+    def _choose(self, request: InFlightRequest, workers: list[Worker]) -> Worker | None:
+        return choose_worker(request.call, self, request.lifecycle, workers, self._registry)
+
+    def _select_worker(self, request: InFlightRequest) -> None:
+        """Send the request to a worker, or have it wait for one, or refuse it."""
+        lifecycle, call = request.lifecycle, request.call
+        workers = self._allowed(request)
+        worker = self._choose(request, workers)
+        if worker is not None:
+            self._perform(request, lifecycle.worker_selected(worker))
+        elif not call.job:
+            if self.slot_lender is not None:
+                self.slot_lender.starved(workers)
+            self._admit(request, workers)
+        elif call.survives_disconnect or not workers or self._admission.all_backing_off(workers):
+            self._perform(request, lifecycle.no_worker_free(bool(workers)))
         else:
-            self.take(carriage, tx.placed(worker, bool(workers)))
+            self._items.add(request)
 
-    def _may_wait(
-        self,
-        carriage: InFlightRequest,
-        workers: list[Worker],
-        now_ms: int,
-        before: int | None = None,
-    ) -> tuple[bool, int]:
-        line, tx, settings = self._line, carriage.tx, self.node.settings
-        if workers and not carriage.call.kept_when_gone and self._all_rest(workers):
-            return (
-                now_ms - tx.started_ms < tx.profile.target_ms * _OUTAGE_SHARE,
-                settings.request_timeout_ms,
-            )
-        if not workers:
-            held = line.missed_lately(
-                tx.profile.name, now_ms, settings.worker_timeout_ms
-            ) or self._roster.heard_lately(tx.profile)
-            return held and line.makes_it(
-                tx, settings.worker_timeout_ms / 2, now_ms
-            ), settings.failure_timeout_ms
-        line.seen_worker(tx.profile.name, now_ms)
-        before = line.before(carriage) if before is None else before
-        wait_ms = line.estimate_ms(
-            tx, before, sum(worker.slots for worker in workers), self.edges()
-        )
-        return line.makes_it(tx, wait_ms, now_ms), max(settings.heartbeat_ms, int(wait_ms))
-
-    def _all_rest(self, workers: list[Worker]) -> bool:
-        return all(map(self._roster.resting, workers))
+    def _admit(
+        self, request: InFlightRequest, workers: list[Worker], position: int | None = None
+    ) -> None:
+        """Queue a live request or leave it queued, if it may wait; else refuse it."""
+        settings, now_ms = self.node.settings, self.node.env.now()
+        admission = self._admission.decide(request, workers, settings, now_ms, position)
+        queued = position is not None
+        if not admission.may_wait:
+            if queued:
+                self._admission.queue.remove(request)
+            step = request.lifecycle.no_worker_free(bool(workers), admission.retry_after_ms)
+            self._perform(request, step)
+        elif not queued:
+            self._perform(request, request.lifecycle.admitted_to_queue())
+
+    def _serve_queues(self) -> None:
+        """Send queued live requests to free workers, then batch items."""
+        for route in self._admission.queue.routes():
+            self._serve_queue(route)
+        self._serve_items()
+
+    def _serve_queue(self, route: str) -> bool:
+        """Send the queued request that is due first; false once none can go.
+
+        If that one is tried for the first time, all after it find no worker either.
+        """
+        for request in self._admission.queue.requests(route):
+            worker = self._choose(request, self._allowed(request))
+            if worker is not None:
+                self._admission.queue.remove(request)
+                self._perform(request, request.lifecycle.worker_selected(worker))
+                return True
+            if not request.lifecycle.attempts:
+                return False
+        return False
 
-    def seems_dark(self, worker: Worker, path: str) -> bool:
-        """Whether a worker is silent for unusually long; other workers are then preferred."""
-        now_ms = self.node.env.now()
-        return (
-            worker.silent_ms(now_ms)
-            > self._pace.dark_ms(path, False, self.node.settings.request_timeout_ms / 2) / 2
-        )
+    def _review_queue(self, route: str) -> None:
+        """Refuse at once the queued requests that can no longer meet their deadline."""
+        while self._serve_queue(route):
+            pass
+        requests = self._admission.queue.requests(route)
+        workers = self._allowed(requests[0]) if requests else []
+        for position, request in enumerate(requests):
+            self._admit(request, workers, position)
 
     def _serve_items(self) -> None:
         """Send queued batch items to free workers; give back those late or no longer in force."""
-        now_ms, tree = self.node.env.now(), self._tree()
-        old = [
-            carriage
-            for carriage in self._items
-            if tree is not self._items_tree or carriage.tx.due_ms <= now_ms
-        ]
-        self._items_tree = tree
-        for carriage in old:
-            self._items.remove(carriage)
-            self.take(carriage, carriage.tx.placed(None, False))
-        while self._items:
-            carriage = self._items[0]
-            worker = self._choose(carriage, self._allowed(carriage))
+        if not self._items:
+            return
+        for request in self._items.expired(self.node.env.now()):
+            self._items.remove(request)
+            self._perform(request, request.lifecycle.no_worker_free(False))
+        while (first := self._items.first()) is not None:
+            worker = self._choose(first, self._allowed(first))
             if worker is None:
                 return
-            self._items.popleft()
-            self.take(carriage, carriage.tx.placed(worker, True))
+            self._items.remove(first)
+            self._perform(first, first.lifecycle.worker_selected(worker))
 
-    def _serve_line(self, path: str) -> bool:
-        """Send the queued request that is due first; false once none can go."""
-        for carriage in self._line.rows(path):
-            worker = self._choose(carriage, self._allowed(carriage))
-            if worker is not None:
-                self._line.drop(carriage)
-                self.take(carriage, carriage.tx.placed(worker, True))
-                return True
-            if not carriage.tx.sends:
-                return False
-        return False
+    # -- attempts ------------------------------------------------------------------------------
 
-    def _review_line(self, path: str, now_ms: int) -> None:
-        """Refuse at once the queued requests that can no longer meet their deadline."""
-        while self._serve_line(path):
-            pass
-        rows = self._line.rows(path)
-        workers = self._allowed(rows[0]) if rows else []
-        for before, carriage in enumerate(rows):
-            waits, back_ms = self._may_wait(carriage, workers, now_ms, before)
-            if not waits:
-                self._line.drop(carriage)
-                self.take(carriage, carriage.tx.placed(None, bool(workers), False, back_ms))
-
-    def _allowed(self, carriage: InFlightRequest) -> list[Worker]:
-        return allowed_workers(carriage.call, self, carriage.tx, self._roster)
-
-    def _choose(self, carriage: InFlightRequest, workers: list[Worker]) -> Worker | None:
-        return choose_worker(carriage.call, self, carriage.tx, workers, self._roster)
-
-    def _begin(self, carriage: InFlightRequest, worker: Worker) -> None:
-        tx, call = carriage.tx, carriage.call
-        tx.widen_budget(2.0 * worker.slots)
+    def _start_attempt(self, request: InFlightRequest, worker: Worker) -> None:
+        lifecycle, call = request.lifecycle, request.call
+        now_ms = self.node.env.now()
+        lifecycle.widen_budget(_BUDGET_PER_SLOT * worker.slots)
         if not call.job:
-            self._line.seen_worker(tx.profile.name, self.node.env.now())
-        self.count("sends_rollout" if call.rollout else "sends_lot" if call.job else "sends_live")
-        if call.rollout:
-            worker.borrowed += 1
-        elif self.loans is not None:
-            self.loans.first_claim(worker, call)
-        worker.sending += 1
-        worker.asked(self.node.env.now())
-        if not call.kept_when_gone:
-            self._reading(worker, call, 1)
-        unread_tokens = 0
-        if self.readings is not None and not call.kept_when_gone:
-            unread_tokens = int(
-                call.tokens_in * (1 - self.parts.share(worker.identity, call.parts))
-            )
-            self.readings.sent(worker.identity, unread_tokens)
-        if call.parts:
-            self.parts.sent(worker.identity, call.parts, tx.profile.cache_tokens)
+            self._admission.queue.worker_seen(lifecycle.profile.name, now_ms)
+        self._count_attempt(call)
+        self._occupy_slot(worker, call)
+        unread_tokens = self._prompt_sent(worker, request)
         self.node.env.log(
-            "send",
+            "attempt-started",
             "DEBUG",
-            transaction=tx.transaction_id,
-            worker=worker.stamp,
-            path=tx.profile.name,
+            request=lifecycle.edge_request_id,
+            worker=worker.instance_id,
+            path=lifecycle.profile.name,
         )
-        send = carriage.send = Attempt(self, carriage, worker, new_exchange(call, self, tx, worker))
-        send.reads = not call.kept_when_gone
-        send.unread_tokens = unread_tokens
-        send.abort = self._sender(send, worker.address, *worker_request(call, self, tx, worker))
-
-    def _reading(self, worker: Worker, call: Any, change: int) -> None:
-        """Change the number of prompts, ours and those of batch items, that a worker is reading."""
-        worker.reading += change
+        exchange = new_exchange(call, self, lifecycle, worker)
+        attempt = request.attempt = Attempt(self, request, worker, exchange)
+        attempt.prefilling = not call.survives_disconnect
+        attempt.unread_tokens = unread_tokens
+        attempt.abort = self.transport(
+            attempt, worker.address, *worker_request(call, self, lifecycle, worker)
+        )
+
+    def _count_attempt(self, call: Call | ForwardCall) -> None:
+        kind = "rollout" if call.rollout else "lot" if call.job else "live"
+        self.count(f"sends_{kind}")
+
+    def _occupy_slot(self, worker: Worker, call: Call | ForwardCall) -> None:
+        if call.rollout:
+            worker.borrowed += 1
+        elif self.slot_lender is not None:
+            self.slot_lender.first_claim(worker, call)
+        worker.in_flight += 1
+        worker.request_sent(self.node.env.now())
+
+    def _prompt_sent(self, worker: Worker, request: InFlightRequest) -> int:
+        """Record that a worker starts to read a prompt; return the tokens not cached there."""
+        call, unread_tokens = request.call, 0
+        if isinstance(call, ForwardCall):
+            self._count_prefill(worker, call, 1)
+            if self.prefill is not None:
+                unread_share = 1 - self.prefix_affinity.share(worker.identity, call.parts)
+                unread_tokens = int(call.tokens_in * unread_share)
+                self.prefill.sent(worker.identity, unread_tokens)
+        if call.parts:
+            cache_tokens = request.lifecycle.profile.cache_tokens
+            self.prefix_affinity.sent(worker.identity, call.parts, cache_tokens)
+        return unread_tokens
+
+    def _count_prefill(self, worker: Worker, call: Call | ForwardCall, change: int) -> None:
+        """Change the number of prompts, all and those of batch items, that a worker is reading."""
+        worker.prefilling += change
         if call.job:
-            worker.reading_items += change
-            self.reading_items += change
-
-    def _has_read(self, send: Attempt) -> None:
-        if send.reads:
-            send.reads = False
-            self._reading(send.worker, send.carriage.call, -1)
-            if self._items:
-                self._serve_items()
-
-    def _over(self, send: Attempt) -> None:
-        send.over = True
-        self._has_read(send)
-        send.worker.sending -= 1
-        send.worker.borrowed -= send.carriage.call.rollout
-        send.carriage.send = None
-        send.abort()
-
-    def heard(self, send: Attempt) -> None:
+            worker.prefilling_items += change
+            self.prefilling_items += change
+
+    def _prefill_ended(self, attempt: Attempt) -> None:
+        if attempt.prefilling:
+            attempt.prefilling = False
+            self._count_prefill(attempt.worker, attempt.request.call, -1)
+            self._serve_items()
+
+    def _close_attempt(self, attempt: Attempt) -> None:
+        """Free the worker's slot, and abort the attempt if its connection is still there."""
+        attempt.over = True
+        self._prefill_ended(attempt)
+        attempt.worker.in_flight -= 1
+        attempt.worker.borrowed -= attempt.request.call.rollout
+        attempt.request.attempt = None
+        attempt.abort()
+
+    def response_received(self, attempt: Attempt) -> None:
         """Record that the worker of an attempt has answered something."""
-        send.worker.answered_ms = self.node.env.now()
-
-    def eventful(self, send: Attempt) -> None:
-        """Record an event of a stream; the usual pace of its route is learnt from it."""
-        now_ms, path = self.node.env.now(), send.carriage.tx.profile.name
-        if send.reads and self.readings is not None:
-            self.readings.has_read(send.unread_tokens, now_ms - send.began_ms)
-        if send.carriage.call.stream:
-            (self._pace.gap if send.heard_ms > send.began_ms else self._pace.first)(
-                path, now_ms - send.heard_ms
-            )
-        send.heard_ms = now_ms
-        self._has_read(send)
-
-    def ended(self, send: Attempt, fate: AttemptOutcome) -> None:
-        """Take the outcome of an attempt, and the next step of its transaction."""
-        tx, worker = send.carriage.tx, send.worker
-        fate = outcome_after(send, fate)
-        self._over(send)
-        if fate.name != "failed":
-            self._roster.answered(worker)
-        if fate.name == "whole":
-            if not send.carriage.call.job:
-                self._line.served(tx.profile.name, self.node.env.now() - send.began_ms)
-            tx.begun()
-            send.carriage.head = send.carriage.head or send.exchange.told_head()
-            self.take(send.carriage, tx.ended(fate.status, fate.body))
-        elif fate.name == "ran":
-            step = tx.answered(worker.stamp, fate.status, fate.body, self.node.env.now())
-            if step.name == "finish":
-                send.carriage.head = send.exchange.told_head()
-            self.take(send.carriage, step)
-        elif fate.name == "rejected":
-            send.carriage.head = send.carriage.head or send.exchange.told_head()
-            self.take(send.carriage, tx.rejected(fate.status, fate.body))
+        attempt.worker.answered_ms = self.node.env.now()
+
+    def event_received(self, attempt: Attempt) -> None:
+        """Record an event of a stream; the usual latency of its route is learnt from it."""
+        now_ms = self.node.env.now()
+        if attempt.prefilling and self.prefill is not None:
+            self.prefill.prefill_finished(attempt.unread_tokens, now_ms - attempt.started_ms)
+        if attempt.request.call.stream:
+            self._stalls.add_event(attempt, now_ms)
+        attempt.last_event_ms = now_ms
+        self._prefill_ended(attempt)
+
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Take the outcome of an attempt, and the next step of its request."""
+        outcome = checked_outcome(attempt, outcome)
+        self._close_attempt(attempt)
+        if outcome.kind is OutcomeKind.FAILED:
+            self._attempt_failed(attempt, outcome)
         else:
-            self.count("sends_failed")
-            note_failure(self.node.env, self._roster, send, fate)
-            self.take(
-                send.carriage,
-                tx.failed(worker.stamp, fate.may_have_run, fate.reason, self.node.env.now()),
-            )
-        for path in self._line.paths():
-            self._serve_line(path)
-        if self._items:
-            self._serve_items()
+            self._registry.record_answer(attempt.worker)
+            self._attempt_answered(attempt, outcome)
+        self._serve_queues()
+
+    def _attempt_failed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        self.count("sends_failed")
+        record_failure(self.node.env, self._registry, attempt, outcome)
+        step = attempt.request.lifecycle.attempt_failed(
+            attempt.worker.instance_id,
+            outcome.may_have_run,
+            outcome.reason,
+            self.node.env.now(),
+        )
+        self._perform(attempt.request, step)
+
+    def _attempt_answered(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Take an answer of the worker: a success, a rejection, or its own failure."""
+        request, now_ms = attempt.request, self.node.env.now()
+        lifecycle = request.lifecycle
+        if outcome.kind is OutcomeKind.WORKER_ERROR:
+            worker = attempt.worker.instance_id
+            step = lifecycle.worker_failed(worker, outcome.status, outcome.body, now_ms)
+            if step.kind is StepKind.FINISH:
+                request.head = attempt.exchange.response_head()
+            self._perform(request, step)
+            return
+        if outcome.kind is OutcomeKind.COMPLETE:
+            if not request.call.job:
+                took_ms = now_ms - attempt.started_ms
+                self._admission.queue.add_service_time(lifecycle.profile.name, took_ms)
+            lifecycle.stream_started()
+        request.head = request.head or attempt.exchange.response_head()
+        self._perform(request, lifecycle.completed(outcome.status, outcome.body))
+
+    # -- time, and clients that leave ----------------------------------------------------------
 
     def tick(self) -> None:
         """Find passed deadlines and silent workers, and serve the queues."""
-        now_ms = self.node.env.now()
-        for carriage in list(self.open.values()):
-            send, tx = carriage.send, carriage.tx
-            if send is None:
-                continue
-            if now_ms >= tx.due_ms:
-                dark = (
-                    not carriage.call.kept_when_gone
-                    and send.worker.silent_ms(now_ms) > self.node.settings.request_timeout_ms
-                )
-                self.ended(
-                    send,
-                    AttemptOutcome(
-                        "failed",
-                        may_have_run=not send.connecting,
-                        reason="deadline",
-                        mark="down" if dark else "",
-                    ),
-                )
-            elif not carriage.call.kept_when_gone:
-                self._review_silence(send, now_ms)
-            elif tx.safe and not tx.delivered and self._roster.silent(send.worker):
-                self.ended(send, AttemptOutcome("failed", reason="worker silent"))
-        for path in self._line.paths():
-            self._review_line(path, now_ms)
-        if self._items:
-            self._serve_items()
-        if self._list_number != self._roster.list_number:
-            self._list_number = self._roster.list_number
-            self.parts.keep_only(worker.identity for worker in self._roster.all())
-
-    def _review_silence(self, send: Attempt, now_ms: int) -> None:
-        fate = silence_fate(self._pace, self.node.settings, send, now_ms)
-        if fate is not None:
-            self.ended(send, fate)
-
-    def visitor_gone(self, carriage: InFlightRequest) -> None:
-        """Stop a transaction whose client hung up, if it may be stopped."""
-        tx = carriage.tx
-        if (not tx.safe and carriage.call.kept_when_gone) or tx.transaction_id not in self.open:
+        now_ms, settings = self.node.env.now(), self.node.settings
+        for request in list(self.in_flight.values()):
+            attempt = request.attempt
+            if attempt is not None:
+                outcome = self._stalls.outcome(attempt, settings, now_ms)
+                if outcome is not None:
+                    self.attempt_ended(attempt, outcome)
+        for route in self._admission.queue.routes():
+            self._review_queue(route)
+        self._serve_items()
+        if self._list_number != self._registry.list_number:
+            self._list_number = self._registry.list_number
+            self.prefix_affinity.keep_only(worker.identity for worker in self._registry.all())
+
+    def client_disconnected(self, request: InFlightRequest) -> None:
+        """Stop a request whose client has disconnected, if it may be stopped."""
+        lifecycle = request.lifecycle
+        runs_to_its_end = not lifecycle.idempotent and request.call.survives_disconnect
+        if runs_to_its_end or not self._is_in_flight(request):
             return
-        if carriage.send is not None:
-            self._over(carriage.send)
-        self._line.drop(carriage)
-        self._finish(carriage, tx.gone())
-
-    def drop(self, carriage: InFlightRequest) -> None:
-        """Stop a transaction without reporting anything of it."""
-        if carriage.send is not None:
-            self._over(carriage.send)
-        elif carriage in self._items:
-            self._items.remove(carriage)
-        self.open.pop(carriage.tx.transaction_id, None)
-
-    def _finish(self, carriage: InFlightRequest, step: Step) -> None:
-        tx = carriage.tx
-        self.open.pop(tx.transaction_id, None)
-        self.count(f"steps_{step.name}")
-        log_end(self.node.env, carriage, step)
-        carriage.done(step)
+        if request.attempt is not None:
+            self._close_attempt(request.attempt)
+        self._admission.queue.remove(request)
+        self._finish(request, lifecycle.client_disconnected())
+
+    def cancel(self, request: InFlightRequest) -> None:
+        """Stop a request without reporting anything of it."""
+        if request.attempt is not None:
+            self._close_attempt(request.attempt)
+        else:
+            self._items.remove(request)
+        self.in_flight.pop(request.lifecycle.edge_request_id, None)
--- a/libs/request_routing/src/request_routing/stream_checks.py
+++ b/libs/request_routing/src/request_routing/stream_checks.py
@@ -8,12 +8,12 @@
 import json
 from typing import Any
 
-__all__ = ["StreamCheck", "check_whole"]
+__all__ = ["StreamCheck", "check_body"]
 
 END = "[DONE]"
 
 
-def check_whole(data: bytes, announced_bytes: int | None) -> str:
+def check_body(data: bytes, announced_bytes: int | None) -> str:
     """Return what is wrong with a body, or an empty string; `announced_bytes` is its length."""
     if announced_bytes is None or announced_bytes != len(data):
         return "length"
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -12,30 +12,36 @@
 
 from messaging import Component, Origin
 
-from request_routing.worker import Worker, WorkerUpdate
+from request_routing.worker import NEVER_MS, Worker, WorkerUpdate
 
-__all__ = ["WorkerRegistry", "Worker", "WorkerUpdate"]
+__all__ = ["Worker", "WorkerRegistry", "WorkerUpdate"]
 
+_BACKOFF_SHARE = 0.5
+_MAX_BACKOFF_STEPS = 5
+_LISTED_INCARNATION = 0
+_FORGET_AFTER_RESUMES = 10
+_FORGET_DEPARTED_TIMES = 10
+_SERVING = "serving"
 
-_PAUSE_SHARE = 0.5
-_MOST_PAUSES = 5
+Instance = tuple[str, int]
+"""A worker's identity and its incarnation."""
 
 
 class WorkerRegistry(Component):
     """The workers by identity, and which of them may be used.
 
-    `fellows` gives the other edges' addresses; `allowed` says whether any profile in force allows a
-    worker; `listed` gives the number and the body of the list that control keeps, if it keeps one.
-    `lent` are the identities of workers that are lent whole to rollouts.
+    `peers` gives the other edges' addresses; `allowed` says whether any profile in force allows a
+    worker; `worker_list` gives the number and the body of the list that control keeps, if it keeps
+    one. `lent` are the identities of workers that are lent whole to rollouts.
     """
 
     __slots__ = (
         "_allowed",
-        "_fellows",
         "_by_label",
-        "_gone",
-        "_listed",
-        "_quiet_until_ms",
+        "_departed",
+        "_ignore_heartbeats_until_ms",
+        "_peers",
+        "_worker_list",
         "_workers",
         "lent",
         "list_number",
@@ -44,81 +50,90 @@
 
     def __init__(
         self,
-        fellows: Callable[[], Iterable[str]],
-        allowed: Callable[[str, frozenset], bool],
-        listed: Callable[[], tuple[int, str]] = lambda: (0, ""),
+        peers: Callable[[], Iterable[str]],
+        allowed: Callable[[str, frozenset[str]], bool],
+        worker_list: Callable[[], tuple[int, str]] = lambda: (0, ""),
     ) -> None:
-        self._fellows = fellows
+        self._peers = peers
         self._allowed = allowed
-        self._listed, self.list_number = listed, 0
+        self._worker_list = worker_list
+        self.list_number = 0
         self.lent: frozenset[str] = frozenset()
         self._by_label: dict[str, list[Worker]] = {}
         self._workers: dict[str, Worker] = {}
-        self._gone: dict[tuple[str, int], int] = {}
-        self._quiet_until_ms = -1 << 40
+        self._departed: dict[Instance, int] = {}
+        self._ignore_heartbeats_until_ms = NEVER_MS
+
+    # -- heartbeats and leaves -----------------------------------------------------------------
 
     def receive(self, message: Any, origin: Origin) -> None:
-        """Take a worker's news from another edge."""
-        self.hear(message, origin.sender)
+        """Take a worker's update from another edge."""
+        self.apply_update(message, origin.sender)
 
-    def hear(self, news: WorkerUpdate, sender: str = "") -> bool:
+    def apply_update(self, update: WorkerUpdate, sender: str = "") -> bool:
         """Take a heartbeat or a leave and pass it on if new; false for an outdated incarnation."""
-        held = self._workers.get(news.identity)
-        if (news.identity, news.incarnation) in self._gone and not news.leaving:
+        known = self._workers.get(update.identity)
+        instance = (update.identity, update.incarnation)
+        if instance in self._departed and not update.leaving:
             return False
-        if held is not None and held.incarnation > news.incarnation:
+        if known is not None and known.incarnation > update.incarnation:
             return False
-        if (
-            held is not None
-            and held.incarnation == news.incarnation
-            and held.beat >= news.beat
-            and (held.leaving or not news.leaving)
-        ):
+        if known is not None and _is_old(update, known):
             return True
         now_ms = self.node.env.now()
-        if not news.leaving and not self._displaces(news, now_ms):
+        if not update.leaving and not self._owns_its_address(update, now_ms):
             return False
-        if news.leaving:
-            if (news.identity, news.incarnation) in self._gone:
+        if update.leaving:
+            if instance in self._departed:
                 return True
-            self._gone[(news.identity, news.incarnation)] = now_ms
-            self.node.env.log("worker-leaving", worker=news.identity, incarnation=news.incarnation)
-        if held is None or held.incarnation < news.incarnation:
-            held = Worker(news)
-            self.node.env.log(
-                "worker-enrolled",
-                worker=news.identity,
-                incarnation=news.incarnation,
-                address=news.address,
-            )
-        self._workers[news.identity] = held
-        held.take(news, now_ms if now_ms >= self._quiet_until_ms else -1 << 40)
-        for address in self._fellows() if now_ms >= self._quiet_until_ms else ():
-            if address != sender:
-                self.node.send(address, news)
+            self._departed[instance] = now_ms
+            self._log("worker-leaving", update)
+        self._store(update, known, now_ms)
+        if now_ms >= self._ignore_heartbeats_until_ms:
+            self._flood(update, sender)
         return True
 
-    def _displaces(self, news: WorkerUpdate, now_ms: int) -> bool:
-        """Settle which of two workers at one address is there: the one that started later.
+    def _store(self, update: WorkerUpdate, known: Worker | None, now_ms: int) -> None:
+        heard_ms = now_ms if now_ms >= self._ignore_heartbeats_until_ms else NEVER_MS
+        if known is None or known.incarnation < update.incarnation:
+            self._workers[update.identity] = Worker(update, heard_ms)
+            self._log("worker-registered", update, address=update.address)
+        else:
+            known.apply_update(update, heard_ms)
+
+    def _flood(self, update: WorkerUpdate, sender: str) -> None:
+        for address in self._peers():
+            if address != sender:
+                self.node.send(address, update)
 
-        The other never comes back, though old news of it may still be in flight.
+    def _owns_its_address(self, update: WorkerUpdate, now_ms: int) -> bool:
+        """Decide which of two workers at one address is there: the one that started later.
+
+        The other never comes back, though old updates of it may still be in flight.
         """
         for other in [
             other
             for other in self._workers.values()
-            if other.address == news.address and other.identity != news.identity
+            if other.address == update.address and other.identity != update.identity
         ]:
-            if self.usable(other) and other.incarnation > news.incarnation:
-                self._gone[(news.identity, news.incarnation)] = now_ms
+            if self.is_usable(other) and other.incarnation > update.incarnation:
+                self._departed[(update.identity, update.incarnation)] = now_ms
                 return False
             del self._workers[other.identity]
-            self._gone[(other.identity, other.incarnation)] = now_ms
-            self.node.env.log("worker-replaced", worker=other.identity, by=news.identity)
+            self._departed[(other.identity, other.incarnation)] = now_ms
+            self.node.env.log("worker-replaced", worker=other.identity, by=update.identity)
         return True
 
+    def _log(
+        self, event: str, worker: Worker | WorkerUpdate, level: str = "INFO", **fields: Any
+    ) -> None:
+        self.node.env.log(
+            event, level, worker=worker.identity, incarnation=worker.incarnation, **fields
+        )
+
     # -- the list ------------------------------------------------------------------------------
 
-    def take_list(self, rows: dict[str, dict[str, Any]]) -> None:
+    def replace_list(self, rows: dict[str, dict[str, Any]]) -> None:
         """Take the workers as control lists them.
 
         A worker that is not listed, or is draining, gets nothing new. Heartbeats and silence count
@@ -132,106 +147,101 @@
         ]:
             self._workers.pop(identity).leaving = True
         for identity, row in rows.items():
-            news = WorkerUpdate(
-                identity=identity,
-                incarnation=0,
-                address=row["address"],
-                zone=row.get("zone", ""),
-                labels=[row["label"]],
-                beat=row.get("seq", 0),
-                running=0,
-                waiting=0,
-                slots=max(1, row.get("slots", 1)),
-                cache_use=0.0,
-                leaving=False,
-            )
-            held = self._workers.get(identity)
-            if (identity, 0) in self._gone:
-                continue
-            if held is None or not held.listed or held.address != news.address:
-                if held is not None:
-                    held.leaving = True
-                held = self._workers[identity] = Worker(news)
-                held.listed = True
-                held.take(news, now_ms)
-            held.zone, held.labels, held.heard_ms = news.zone, frozenset(news.labels), now_ms
-            held.leaving = row.get("state", "serving") != "serving"
+            if (identity, _LISTED_INCARNATION) not in self._departed:
+                self._take_row(_listed_update(identity, row), row, now_ms)
         self._index()
 
-    def answered(self, worker: Worker) -> None:
+    def _take_row(self, update: WorkerUpdate, row: dict[str, Any], now_ms: int) -> None:
+        worker = self._workers.get(update.identity)
+        if worker is None or not worker.listed or worker.address != update.address:
+            if worker is not None:
+                worker.leaving = True
+            worker = self._workers[update.identity] = Worker(update, now_ms)
+            worker.listed = True
+        worker.zone, worker.labels = update.zone, frozenset(update.labels)
+        worker.heard_ms = now_ms
+        worker.leaving = row.get("state", _SERVING) != _SERVING
+
+    def _read_list(self) -> None:
+        number, body = self._worker_list()
+        if number != self.list_number:
+            self.list_number = number
+            self.replace_list(json.loads(body)["workers"])
+
+    def _index(self) -> None:
+        self._by_label = {}
+        for worker in self._workers.values():
+            if worker.listed and not worker.leaving:
+                for label in worker.labels:
+                    self._by_label.setdefault(label, []).append(worker)
+
+    # -- what attempts tell of a worker --------------------------------------------------------
+
+    def record_answer(self, worker: Worker) -> None:
         """Record that a worker has answered, which ends its failures in a row."""
         worker.failures = 0
         worker.answered_ms = self.node.env.now()
 
-    def resting(self, worker: Worker) -> bool:
-        """Whether a worker is left out for a while, which grows with each failure in a row."""
-        pauses = min(worker.failures, _MOST_PAUSES)
-        return (
-            pauses > 0
-            and self.node.env.now() - worker.down_ms
-            < self.node.settings.request_timeout_ms * _PAUSE_SHARE * 2 ** (pauses - 1)
-        )
-
-    def connection_failed(self, worker: Worker) -> None:
+    def record_connection_failure(self, worker: Worker) -> None:
         """Take a worker out of use after a failed connection.
 
         It is back once a heartbeat sent after the failure shows it alive, or after twice
-        `force_ms`. A listed one rests for a pause that grows with its failures in a row.
+        `force_ms`. A listed one is left out for a backoff that grows with its failures in a row.
         """
         worker.down_beat = worker.beat
         worker.down_ms = self.node.env.now()
         worker.failures += 1
-        self.node.env.log(
-            "worker-down", "WARNING", worker=worker.identity, incarnation=worker.incarnation
-        )
+        self._log("worker-down", worker, "WARNING")
 
-    def full(self, worker: Worker) -> None:
-        """Record that a worker refused for want of room: full until its next report."""
+    def record_overload(self, worker: Worker) -> None:
+        """Record that a worker refused for want of a slot: full until its next report."""
+        now_ms = self.node.env.now()
         worker.running = worker.waiting = worker.slots
-        worker.sending_then = worker.sending
-        worker.others, worker.told_ms = (
-            float(max(0, 2 * worker.slots - worker.sending)),
-            self.node.env.now(),
-        )
-        worker.full_until_ms = self.node.env.now() + self.node.settings.delta_ms
+        worker.in_flight_at_report = worker.in_flight
+        worker.other_load = float(max(0, 2 * worker.slots - worker.in_flight))
+        worker.load_reported_ms = now_ms
+        worker.full_until_ms = now_ms + self.node.settings.delta_ms
 
-    def mismatched(self, worker: Worker) -> None:
+    def record_mismatch(self, worker: Worker) -> None:
         """Remove a worker at whose address another one answers."""
         if self._workers.get(worker.identity) is worker:
             del self._workers[worker.identity]
-            self._gone[(worker.identity, worker.incarnation)] = self.node.env.now()
+            self._departed[(worker.identity, worker.incarnation)] = self.node.env.now()
             self._index()
-            self.node.env.log(
-                "worker-mismatch", "WARNING", worker=worker.identity, incarnation=worker.incarnation
-            )
+            self._log("worker-mismatch", worker, "WARNING")
+
+    # -- which workers may be used -------------------------------------------------------------
 
-    def silent(self, worker: Worker) -> bool:
+    def is_backing_off(self, worker: Worker) -> bool:
+        """Whether a worker is left out for a while, which grows with each failure in a row."""
+        steps = min(worker.failures, _MAX_BACKOFF_STEPS)
+        if steps == 0:
+            return False
+        backoff_ms = self.node.settings.request_timeout_ms * _BACKOFF_SHARE * 2 ** (steps - 1)
+        return bool(self.node.env.now() - worker.down_ms < backoff_ms)
+
+    def is_silent(self, worker: Worker) -> bool:
         """Whether an unlisted worker sent no heartbeat for longer than `worker_timeout_ms`."""
-        return (
-            not worker.listed
-            and self.node.env.now() - worker.heard_ms > self.node.settings.worker_timeout_ms
-        )
+        silent_ms = self.node.env.now() - worker.heard_ms
+        return not worker.listed and bool(silent_ms > self.node.settings.worker_timeout_ms)
 
-    def heard_lately(self, profile: Any) -> bool:
+    def has_heard_from(self, profile: Any) -> bool:
         """Whether a worker that this profile allows was heard lately, used or not."""
         return any(
-            profile.allows(worker.identity, worker.labels) and not self.silent(worker)
+            profile.allows(worker.identity, worker.labels) and not self.is_silent(worker)
             for worker in self._workers.values()
         )
 
-    def usable(self, worker: Worker) -> bool:
+    def is_usable(self, worker: Worker) -> bool:
         """Whether new requests may be sent to this worker."""
-        now_ms = self.node.env.now()
-        settings = self.node.settings
-        if worker.leaving or self.silent(worker):
+        if worker.leaving or self.is_silent(worker):
             return False
-        if worker.identity in self.lent:
+        if worker.identity in self.lent or self._workers.get(worker.identity) is not worker:
             return False
-        if self._workers.get(worker.identity) is not worker:
-            return False
-        if worker.listed:
+        if worker.listed or worker.beat > worker.down_beat + 1:
             return True
-        return worker.beat > worker.down_beat + 1 or now_ms - worker.down_ms > 2 * settings.force_ms
+        down_for_ms = self.node.env.now() - worker.down_ms
+        return bool(down_for_ms > 2 * self.node.settings.force_ms)
 
     def workers(self) -> list[Worker]:
         """Return the usable workers that a profile in force allows."""
@@ -239,7 +249,7 @@
         return [
             worker
             for worker in self._workers.values()
-            if self.usable(worker) and self._allowed(worker.identity, worker.labels)
+            if self.is_usable(worker) and self._allowed(worker.identity, worker.labels)
         ]
 
     def listed(self, labels: frozenset[str]) -> list[Worker]:
@@ -254,43 +264,63 @@
             if worker.identity not in self.lent
         ]
 
-    def _read_list(self) -> None:
-        number, body = self._listed()
-        if number != self.list_number:
-            self.list_number = number
-            self.take_list(json.loads(body)["workers"])
-
-    def _index(self) -> None:
-        self._by_label = {}
-        for worker in self._workers.values():
-            if worker.listed and not worker.leaving:
-                for label in worker.labels:
-                    self._by_label.setdefault(label, []).append(worker)
-
     def all(self) -> list[Worker]:
         """Return every known worker."""
         return list(self._workers.values())
 
+    # -- time ----------------------------------------------------------------------------------
+
     def resumed(self, gap_ms: int) -> None:
         """Discard what was heard before a freeze of `gap_ms`: it proves no worker alive."""
-        self._quiet_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
+        now_ms = self.node.env.now()
+        self._ignore_heartbeats_until_ms = now_ms + self.node.settings.heartbeat_ms
         for worker in self._workers.values():
-            worker.heard_ms = -1 << 40
-            worker.down_ms, worker.others = min(worker.down_ms, self.node.env.now() - gap_ms), 0.0
+            worker.heard_ms = NEVER_MS
+            worker.down_ms = min(worker.down_ms, now_ms - gap_ms)
+            worker.other_load = 0.0
 
     def tick(self) -> None:
         """Forget workers and leaves that are old enough."""
         now_ms = self.node.env.now()
-        keep_ms = 10 * self.node.settings.resume_ms
+        keep_ms = _FORGET_AFTER_RESUMES * self.node.settings.resume_ms
         for identity in [
             worker.identity
             for worker in self._workers.values()
             if not worker.listed
             and now_ms - worker.heard_ms > keep_ms
-            and now_ms > self._quiet_until_ms + keep_ms
+            and now_ms > self._ignore_heartbeats_until_ms + keep_ms
         ]:
             del self._workers[identity]
-        for stamp in [
-            stamp for stamp, at_ms in self._gone.items() if now_ms - at_ms > 10 * keep_ms
+        keep_departed_ms = _FORGET_DEPARTED_TIMES * keep_ms
+        for instance in [
+            instance
+            for instance, departed_ms in self._departed.items()
+            if now_ms - departed_ms > keep_departed_ms
         ]:
-            del self._gone[stamp]
+            del self._departed[instance]
+
+
+def _is_old(update: WorkerUpdate, known: Worker) -> bool:
+    """Whether this update says nothing new of a known worker."""
+    return (
+        known.incarnation == update.incarnation
+        and known.beat >= update.beat
+        and (known.leaving or not update.leaving)
+    )
+
+
+def _listed_update(identity: str, row: dict[str, Any]) -> WorkerUpdate:
+    """Return a row of the list in the form of a worker's own update."""
+    return WorkerUpdate(
+        identity=identity,
+        incarnation=_LISTED_INCARNATION,
+        address=row["address"],
+        zone=row.get("zone", ""),
+        labels=[row["label"]],
+        beat=row.get("seq", 0),
+        running=0,
+        waiting=0,
+        slots=max(1, row.get("slots", 1)),
+        cache_use=0.0,
+        leaving=False,
+    )
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -48,7 +48,7 @@
         if isinstance(begun, ServiceResponse):
             self._conclude("error", begun.verdict, begun.code)
             return
-        row["transaction"] = begun.tx.transaction_id
+        row["transaction"] = begun.lifecycle.edge_request_id
         if self._hangs_up_ms:
             self._time.after(self._hangs_up_ms, lambda: self._hang_up(begun, host.incarnation))
 
@@ -60,7 +60,7 @@
         host = self._host
         if self._row["outcome"] == "none" and host.up and host.incarnation == incarnation:
             self._conclude("hung-up", "may_have_run")
-            host.when_awake(request.gone, incarnation)
+            host.when_awake(request.disconnect, incarnation)
 
     def _receive_event(self, event: bytes) -> None:
         self._row.setdefault("first_ms", self._time.now_ms)
@@ -75,9 +75,9 @@
             self._conclude("error", "ran", str(answer.status))
         else:
             body = flat_events(answer.body) if self._stream else flat_body(answer.body)
-            if not self._stream and step.name == "finish":
+            if not self._stream and step.kind == "finish":
                 row["events"] = body.split("|")
-            self._conclude(step.name, "ran", "", body)
+            self._conclude(step.kind, "ran", "", body)
 
     def _conclude(self, outcome: str, verdict: str, code: str = "", body: str = "") -> None:
         """Record the outcome, once; send the call again if it may have run and is to be resent."""
--- a/libs/simulator/src/simulator/worker_transport.py
+++ b/libs/simulator/src/simulator/worker_transport.py
@@ -33,6 +33,7 @@
         kind: str,
         headers: dict[str, str],
         body: dict[str, Any],
+        method: str = "POST",
     ) -> Callable[[], None]:
         """Send a request to the worker at `address`; the returned function aborts it."""
         connection = _Connection(self._fleet, self._host, attempt, address)
@@ -116,7 +117,7 @@
         elif part is ReplyPart.END:
             self._attempt.end()
         else:
-            self._attempt.broke(part.value, part is not ReplyPart.NO_CONNECTION)
+            self._attempt.connection_failed(part.value, part is not ReplyPart.NO_CONNECTION)
 
     def _deliver(self, data: bytes) -> None:
         """Deliver data in two parts, split at any byte."""
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -101,9 +101,9 @@
         """Pass the end on once the link is open."""
         self._tell("end")
 
-    def broke(self, *values: Any) -> None:
+    def connection_failed(self, *values: Any) -> None:
         """Pass the failure on once the link is open."""
-        self._tell("broke", *values)
+        self._tell("connection_failed", *values)
 
 
 class _Sender(HttpSender):
@@ -114,15 +114,23 @@
         self._connect_ms, self._faults = connect_ms, faults
 
     def __call__(
-        self, send: Attempt, address: str, kind: str, headers: dict[str, str], body: dict[str, Any]
+        self,
+        send: Attempt,
+        address: str,
+        kind: str,
+        headers: dict[str, str],
+        body: dict[str, Any],
+        method: str = "POST",
     ) -> Callable[[], None]:
         if not (self._faults.lets_out(address) and self._faults.lets_in(address)):
             return (
                 asyncio.get_running_loop()
-                .call_later(self._connect_ms / 1000, send.broke, "no connection", False)
+                .call_later(self._connect_ms / 1000, send.connection_failed, "no connection", False)
                 .cancel
             )
-        return super().__call__(_Held(send, address, self._faults), address, kind, headers, body)
+        return super().__call__(
+            _Held(send, address, self._faults), address, kind, headers, body, method
+        )
 
 
 def _surrounded(base: type, faults: InjectedFaults, seed: int) -> type:
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -145,17 +145,15 @@
                 cache_use=0.0,
                 leaving=False,
             )
-            worker = Worker(news)
-            worker.take(news, 0)
-            pool.append(worker)
+            pool.append(Worker(news, 0))
         caches: dict[str, list[str]] = {worker.identity: [] for worker in pool}
         hits, placed, under_way = 0, Counter(), []
         for _ in range(calls):
             prefix = f"p{min(rng.randrange(prefixes), rng.randrange(prefixes))}"
             if len(under_way) >= 20:
-                under_way.pop(0).sending -= 1
+                under_way.pop(0).in_flight -= 1
             worker = choose(pool, prefix, False, "a", True, 0.0, by_prefix=by_prefix)
-            worker.sending += 1
+            worker.in_flight += 1
             under_way.append(worker)
             placed[worker.identity] += 1
             cache = caches[worker.identity]
--- a/libs/testbed/src/testbed/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -14,7 +14,7 @@
 import aiohttp
 from aiohttp import web
 from mode import Service
-from request_routing.placement import prefix_of
+from request_routing.prefix_placement import prefix_of
 
 __all__ = ["StandInWorker"]
 
--- a/tests/test_waiting.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals
 
 
-class Waiting(TestCase):
+class Admission(TestCase):
     def founded(self, seed=4, **sizes):
         run = Run(seed, **sizes)
         run.start()
@@ -99,7 +99,7 @@
         )
         self.assertThat(
             {
-                (worker.sending, node.roster.usable(worker))
+                (worker.in_flight, node.roster.is_usable(worker))
                 for node in nodes
                 for worker in node.roster.all()
             },
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -232,11 +232,11 @@
     def test_only_an_answer_of_the_weights_wanted_counts(self):
         event = b'id: 0\ndata: {"id": "t", "choices": [{"index": 0, "text": "w"}]}\n\n'
         rows = [
-            ("v1", ["v1"], "whole", "v1"),
+            ("v1", ["v1"], "complete", "v1"),
             ("v1", ["v2"], "failed", "v2"),
             ("v1", [], "failed", ""),
-            ("", ["v2"], "whole", "v2"),
-            ("", [], "whole", ""),
+            ("", ["v2"], "complete", "v2"),
+            ("", [], "complete", ""),
             ("v1", ["v1", "v2"], "failed", ""),
         ]
         for wanted, told, fate, seen in rows:
@@ -253,7 +253,7 @@
             )
             _, early = exchange.data(event + b"data: [DONE]\n\n")
             self.assertThat(
-                ((early or exchange.end()).name, call.told),
+                ((early or exchange.end()).kind, call.told),
                 Equals((fate, seen)),
                 f"{wanted} {told}",
             )
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -254,7 +254,7 @@
         await shell.start()
         node.config_feed.publish("profiles", 1, TREE)
         for place in (2, 3):
-            node.roster.hear(
+            node.roster.apply_update(
                 WorkerUpdate(
                     identity=f"w{place}",
                     incarnation=1,
@@ -269,7 +269,7 @@
                     leaving=False,
                 )
             )
-        tx = RequestLifecycle(
+        lifecycle = RequestLifecycle(
             f"tx{safe:d}{'s' if streamed else 'p'}00{name}",
             node.profile_tree().usable("p"),
             "",
@@ -278,12 +278,15 @@
             boot_ms() + (250 if short else 4000),
             claimed=True,
         )
-        tx.safe = safe
+        lifecycle.idempotent = safe
         pieces, done = [], asyncio.get_running_loop().create_future()
-        node.carrier.carry(
-            tx, Call({"prompt": "x"}, "", "x", False, streamed), pieces.append, done.set_result
+        node.carrier.start(
+            lifecycle,
+            Call({"prompt": "x"}, "", "x", False, streamed),
+            pieces.append,
+            done.set_result,
         )
         step = await done
-        self.assertThat(sum(worker.sending for worker in node.roster.all()), Equals(0))
+        self.assertThat(sum(worker.in_flight for worker in node.roster.all()), Equals(0))
         await shell.stop()
-        return f"{step.name} {step.refusal.verdict if step.refusal else 'ran'} {len(tx.sends)} {len(pieces)}"
+        return f"{step.kind} {step.refusal.verdict if step.refusal else 'ran'} {len(lifecycle.attempts)} {len(pieces)}"
--- a/tests/test_forward_jobs_sim.py
+++ b/tests/test_forward_jobs_sim.py
@@ -13,7 +13,7 @@
 HEADER_NAMES = WorkerHeaderNames(
     request_id="Id",
     worker="Worker",
-    stamp="Stamp",
+    signature="Stamp",
     not_run="Refused",
     load="Load",
     deadline_ms="Left",
@@ -50,9 +50,9 @@
             }
         )
         for host in self.fleet.with_role("edge"):
-            host.node.roster._listed = lambda: (1, listed)
-            host.node.carrier.dialect = HEADER_NAMES
-            host.node.carrier._sender = self._sender_of(host)
+            host.node.roster._worker_list = lambda: (1, listed)
+            host.node.carrier.header_names = HEADER_NAMES
+            host.node.carrier.transport = self._sender_of(host)
         self.fleet.run_until_true(lambda: False, 800)
 
     def _sender_of(self, host):
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -180,7 +180,7 @@
                 await asyncio.wait_for(client.reader.readuntil(b"data: x\n\n"), 2)
                 client.writer.close()
                 await asyncio.wait_for(worker.lost.wait(), 2)
-                self.assertThat(sum(one.sending for one in edge.node.roster.all()), Equals(0))
+                self.assertThat(sum(one.in_flight for one in edge.node.roster.all()), Equals(0))
 
     @run
     async def test_a_slow_client_holds_the_worker_back(self):
@@ -205,7 +205,7 @@
                 await asyncio.sleep(0.2)
             self.assertThat(seen, LessThan(2500))
             self.assertThat(
-                max(one.untaken_bytes for one in edge.node.carrier.open.values()),
+                max(one.unread_bytes for one in edge.node.carrier.in_flight.values()),
                 LessThan(1 << 18),
             )
             client.writer.transport.resume_reading()
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -1,7 +1,6 @@
 """Forwarded requests, attacked by a table: a stand-in worker that misbehaves once on real sockets, against the
-edge's own carrier and sender. For each way: what the client is told and how often it was sent, for
-what may be repeated and for what may not. A second send, to another worker, is always well
-answered.
+edge's own carrier and sender. For each way: what the client is told and how often it was sent, for what may
+be repeated and for what may not. A second send, to another worker, is always well answered.
 """
 
 import asyncio
@@ -330,16 +329,16 @@
     async def one(self, settings, sender, name, streamed, safe, wait_ms):
         env = ProcessEnvironment(settings.link)
         node = EdgeNode(env, settings, sender)
-        node.carrier.dialect = DIALECT
+        node.carrier.header_names = DIALECT
         shell = NodeRunner(node, env)
         await shell.start()
         node.config_feed.publish("profiles", 1, TREE)
         node.config_feed.publish("workers", 1, LIST)
         profile = node.profile_tree().route("h", "/p/1")
-        tx = ForwardLifecycle(
+        lifecycle = ForwardLifecycle(
             name, profile, boot_ms(), boot_ms() + wait_ms, resumable=safe and streamed
         )
-        tx.safe = safe
+        lifecycle.idempotent = safe
         pieces, done = [], asyncio.get_running_loop().create_future()
         call = ForwardCall(
             "POST",
@@ -350,17 +349,17 @@
             f"id-{name}",
             stream=streamed,
         )
-        carriage = node.carrier.carry(tx, call, pieces.append, done.set_result)
+        request = node.carrier.start(lifecycle, call, pieces.append, done.set_result)
         step = await done
-        self.assertThat(sum(worker.sending for worker in node.roster.all()), Equals(0))
+        self.assertThat(sum(worker.in_flight for worker in node.roster.all()), Equals(0))
         await shell.stop()
         numbers = ",".join(
             line.removeprefix("id: ")
             for line in b"".join(pieces).decode().splitlines()
             if line.startswith("id: ")
         )
-        if step.name == "finish":
-            told = f"{carriage.head[0] if pieces else step.value[0]} {numbers if streamed and pieces else step.value[1].decode()}"
+        if step.kind == "finish":
+            told = f"{request.head.status if pieces else step.response.status} {numbers if streamed and pieces else step.response.body.decode()}"
         else:
-            told = f"cut {numbers}" if step.name == "cut" else str(step.refusal.status)
-        return f"{told} {len(tx.sends)}"
+            told = f"cut {numbers}" if step.kind == "cut" else str(step.refusal.status)
+        return f"{told} {len(lifecycle.attempts)}"
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -25,7 +25,7 @@
 DIALECT = WorkerHeaderNames(
     request_id="Id",
     worker="Worker",
-    stamp="Stamp",
+    signature="Stamp",
     not_run="Refused",
     load="Load",
     deadline_ms="Left",
@@ -93,9 +93,9 @@
             list, lambda identity, labels: True, lambda: (1, json.dumps({"workers": rows}))
         )
         self.carrier = RequestRouter("edge", self.holder, roster, lambda: self.tree, self._send)
-        self.carrier.dialect = DIALECT
+        self.carrier.header_names = DIALECT
         self.items = ItemExecutor(self.carrier, roster, lambda: self.tree, lambda: "", lambda: 1)
-        self.runner = JobRunner("edge", self.holder, self.items.room, self.items.start)
+        self.runner = JobRunner("edge", self.holder, self.items.capacity, self.items.start)
         self.node = Node(
             env, settings, [self.holder, roster, self.carrier, self.items, self.runner]
         )
@@ -228,7 +228,7 @@
                 row.headers.get("Last-Event-Id"), Equals(str(2 * number - 1) if number else None)
             )
             stage.events(row, 2 * number, 2 * number + 1)
-            row.send.end() if ends == "end" else row.send.broke("connection lost", True)
+            row.send.end() if ends == "end" else row.send.connection_failed("connection lost", True)
         self.assertThat(
             stage.told(),
             Equals([("finished", b"\n".join(b"word%d" % number for number in range(6)))]),
@@ -240,7 +240,7 @@
             stage = Stage()
             stage.deal()
             stage.events(stage.sends[0], 0, 1)
-            stage.sends[0].send.broke("connection lost", True)
+            stage.sends[0].send.connection_failed("connection lost", True)
             stage.events(stage.sends[1], first)
             stage.events(stage.sends[2], 2)
             stage.sends[2].send.end()
@@ -254,7 +254,7 @@
             stage = Stage()
             stage.deal()
             stage.events(stage.sends[0], 0, 1)
-            stage.sends[0].send.broke("connection lost", True)
+            stage.sends[0].send.connection_failed("connection lost", True)
             stage.sends[1].send.head(200, plain, len(body))
             stage.sends[1].send.data(body)
             stage.sends[1].send.end()
@@ -267,7 +267,7 @@
         stage = Stage(workers=1)
         stage.deal()
         stage.events(stage.sends[0], 0, 1)
-        stage.sends[0].send.broke("no connection", False)
+        stage.sends[0].send.connection_failed("no connection", False)
         for _ in range(60):
             stage.after(100)
             if len(stage.sends) > 1 and not stage.sends[-1].send.over:
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -20,18 +20,19 @@
     """What an edge knows of the leader; keeps the requests to it."""
 
     def __init__(self):
-        self.epoch, self.heard_ms, self.asked = 5, 0, []
+        self.epoch, self.heartbeat_answered_ms, self.asked = 5, 0, []
 
     def address(self):
         return "h:1"
 
-    def heard(self, receipt, asked_ms):
-        self.epoch, self.heard_ms = max(self.epoch, receipt.epoch), asked_ms
+    def heartbeat_answered(self, response, sent_ms):
+        self.epoch = max(self.epoch, response.epoch)
+        self.heartbeat_answered_ms = sent_ms
 
     def redirected(self, receipt):
         return False
 
-    def ask(self, message, wait_ms, done):
+    def request(self, message, wait_ms, done):
         self.asked.append((message, done))
 
 
