--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,5 +1,5 @@
-"""Where forwarded requests go: the list of workers, their load, what they keep, who is left out, and the chart
-of a request that is bound to a number of workers.
+"""Where forwarded requests go: the list of workers, their load, what they cache, who is left out, and the state
+machine of a request that is bound to a number of workers.
 """
 
 import json
@@ -7,16 +7,23 @@
 
 from control_store import ProfileTree
 from messaging import Node
-from request_routing import ForwardCall, ForwardLifecycle, WorkerRegistry, WorkerUpdate, end_to_end
-from request_routing.forward_exchange import NO_CONNECTION
+from request_routing import (
+    ForwardCall,
+    ForwardLifecycle,
+    WorkerLoad,
+    WorkerRegistry,
+    WorkerUpdate,
+    end_to_end,
+)
+from request_routing.attempt_outcome import NO_CONNECTION
+from request_routing.cost_placement import choose_forward
 from request_routing.latency_estimator import LatencyEstimator
-from request_routing.placement import choose_forward
 from request_routing.prefix_affinity import PrefixAffinity
 from runtime import Settings
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
 
-PARAMS = Settings(link="10.0.0.1:1", http="10.0.0.1:2", zone="z", seeds=["10.0.0.1:1"])
+SETTINGS = Settings(link="10.0.0.1:1", http="10.0.0.1:2", zone="z", seeds=["10.0.0.1:1"])
 TREE = ProfileTree(
     {
         "service": {"abstract": True, "workers": {"labels": ["s"]}},
@@ -56,16 +63,16 @@
     def setUp(self):
         super().setUp()
         self.env, self.number, self.rows = Env(), 0, {}
-        self.roster = WorkerRegistry(
+        self.registry = WorkerRegistry(
             lambda: [],
             TREE.allows_worker,
             lambda: (self.number, json.dumps({"workers": self.rows})),
         )
-        Node(self.env, PARAMS, [self.roster])
+        Node(self.env, SETTINGS, [self.registry])
 
     def publish(self, **rows):
         self.rows, self.number = rows, self.number + 1
-        return {worker.identity: worker for worker in self.roster.listed(frozenset(["s"]))}
+        return {worker.identity: worker for worker in self.registry.listed(frozenset(["s"]))}
 
     def choose(self, workers, call=CALL, parts=None, **how):
         return choose_forward(
@@ -93,46 +100,46 @@
             self.assertThat("".join(sorted(self.publish(**rows))), Equals(wanted))
             self.env.ms += 3_600_000
             self.assertThat(
-                "".join(sorted(worker.identity for worker in self.roster.workers())),
+                "".join(sorted(worker.identity for worker in self.registry.workers())),
                 Equals(wanted),
                 "silence counts for nothing",
             )
 
     def test_what_is_under_way_is_kept_over_a_new_list(self):
         first = self.publish(a=row(1))["a"]
-        first.sending = 3
+        first.in_flight = 3
         self.assertThat(
-            self.publish(a=row(1, "draining"), b=row(2)), Equals({"b": self.roster._workers["b"]})
+            self.publish(a=row(1, "draining"), b=row(2)), Equals({"b": self.registry._workers["b"]})
         )
-        self.assertThat((self.publish(a=row(1))["a"] is first, first.sending), Equals((True, 3)))
+        self.assertThat((self.publish(a=row(1))["a"] is first, first.in_flight), Equals((True, 3)))
         self.assertThat(self.publish(a=row(1, address="10.0.1.9:80"))["a"] is first, Equals(False))
 
     def test_one_whose_address_is_another_s_never_comes_back(self):
-        self.roster.mismatched(self.publish(a=row(1), b=row(2))["a"])
+        self.registry.record_mismatch(self.publish(a=row(1), b=row(2))["a"])
         self.assertThat(sorted(self.publish(a=row(1), b=row(2), c=row(3))), Equals(["b", "c"]))
 
-    def test_failures_make_it_rest_for_longer_and_longer(self):
+    def test_the_backoff_grows_with_each_failure(self):
         worker, spans = self.publish(a=row(1))["a"], []
         for _ in range(7):
-            self.roster.connection_failed(worker)
+            self.registry.record_connection_failure(worker)
             began = self.env.ms
-            while self.roster.resting(worker):
+            while self.registry.is_backing_off(worker):
                 self.env.ms += 10
             spans.append(self.env.ms - began)
         self.assertThat(spans, Equals([250, 500, 1000, 2000, 4000, 4000, 4000]))
-        self.roster.connection_failed(worker)
-        self.roster.answered(worker)
-        self.assertThat(self.roster.resting(worker), Equals(False))
+        self.registry.record_connection_failure(worker)
+        self.registry.record_answer(worker)
+        self.assertThat(self.registry.is_backing_off(worker), Equals(False))
 
     def test_silence_is_measured_at_the_worker(self):
         worker = self.publish(a=row(1))["a"]
         self.assertThat(worker.silent_ms(self.env.ms), Equals(0))
-        worker.sending = 1
-        worker.asked(self.env.ms)
+        worker.in_flight = 1
+        worker.request_sent(self.env.ms)
         self.env.ms += 300
         self.assertThat(worker.silent_ms(self.env.ms), Equals(300))
-        worker.sending = 2
-        worker.asked(self.env.ms)
+        worker.in_flight = 2
+        worker.request_sent(self.env.ms)
         self.assertThat(
             worker.silent_ms(self.env.ms), Equals(300), "a second question makes it no less silent"
         )
@@ -147,8 +154,8 @@
         order = []
         for _ in range(9):
             worker = self.choose(workers.values())
-            worker.sending += 1
-            worker.asked(self.env.ms)
+            worker.in_flight += 1
+            worker.request_sent(self.env.ms)
             self.env.ms += 20
             order.append(worker.identity)
         self.assertThat(
@@ -157,10 +164,10 @@
 
     def test_what_others_have_there_counts_little_but_fills_places(self):
         workers = self.publish(a=row(1), b=row(2))
-        workers["a"].told_load(4, 0, 8, self.env.ms)
-        workers["b"].sending = 2
+        workers["a"].report_load(WorkerLoad(4, 0, 8), self.env.ms)
+        workers["b"].in_flight = 2
         self.assertThat(self.choose(workers.values()).identity, Equals("a"))
-        workers["a"].told_load(8, 2, 8, self.env.ms)
+        workers["a"].report_load(WorkerLoad(8, 2, 8), self.env.ms)
         self.assertThat(self.choose(workers.values()).identity, Equals("b"))
         self.env.ms += 10_000
         self.assertThat(
@@ -171,7 +178,7 @@
         workers, parts = self.publish(a=row(1), b=row(2)), PrefixAffinity()
         parts.sent("b", CALL.parts, 10_000)
         self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("b"))
-        workers["b"].sending = 1
+        workers["b"].in_flight = 1
         self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("a"))
 
     def test_places(self):
@@ -186,23 +193,23 @@
             (9, True, False),
             (10, False, False),
         ]:
-            worker.sending = sending
+            worker.in_flight = sending
             seen = (
                 self.choose([worker]) is not None,
                 self.choose([worker], item, job_free=0.25) is not None,
             )
             self.assertThat(seen, Equals((live, job)), f"{sending}")
-        worker.sending = 3
+        worker.in_flight = 3
         self.assertThat(self.choose([worker], connections=3), Equals(None))
 
     def test_one_that_said_it_is_full_is_passed_over_for_a_moment(self):
         worker = self.publish(a=row(1))["a"]
-        self.roster.full(worker)
+        self.registry.record_overload(worker)
         self.assertThat(self.choose([worker]), Equals(None))
         self.env.ms += 1_000
         self.assertThat(self.choose([worker]), Equals(worker))
 
-    def test_of_very_many_some_are_looked_at_and_those_that_keep_it(self):
+    def test_of_very_many_a_sample_is_looked_at_and_those_that_cached_it(self):
         workers, parts = (
             self.publish(**{f"w{place}": row(place) for place in range(200)}),
             PrefixAffinity(),
@@ -214,7 +221,7 @@
         )
 
 
-class Parts(TestCase):
+class Affinities(TestCase):
     def test_shares_and_what_gives_way(self):
         parts = PrefixAffinity()
         parts.sent("w", [("a", 100), ("b", 300)], 500)
@@ -231,10 +238,11 @@
             [parts.share("w", [("a", 100), (part, 300)]) for part in "bc"], Equals([0.25, 1.0])
         )
         self.assertThat(
-            (parts.holders([("a", 1), ("z", 1)]), parts.holders([("b", 1)])), Equals(({"w"}, set()))
+            (parts.workers_with([("a", 1), ("z", 1)]), parts.workers_with([("b", 1)])),
+            Equals(({"w"}, set())),
         )
         parts.keep_only(["v"])
-        self.assertThat((len(parts), parts.holders([("a", 1)])), Equals((0, set())))
+        self.assertThat((len(parts), parts.workers_with([("a", 1)])), Equals((0, set())))
 
     def test_it_stays_bounded(self):
         parts = PrefixAffinity()
@@ -243,17 +251,19 @@
         self.assertThat(len(parts), LessThan(30))
 
 
-class Paces(TestCase):
-    def test_how_long_until_a_worker_is_dark(self):
-        pace = LatencyEstimator()
-        self.assertThat(pace.dark_ms("p", False, 250), Equals(500))
+class Latencies(TestCase):
+    def test_how_long_until_a_worker_is_stalled(self):
+        latency = LatencyEstimator()
+        self.assertThat(latency.stall_after_ms("p", False, 250), Equals(500))
         for _ in range(50):
-            pace.first("p", 50)
-        self.assertThat(pace.dark_ms("p", False, 250), Equals(250))
+            latency.add_first_event("p", 50)
+        self.assertThat(latency.stall_after_ms("p", False, 250), Equals(250))
         for took_ms in (400, 900) * 25:
-            pace.first("p", took_ms)
-        self.assertThat(pace.dark_ms("p", False, 250), GreaterThan(1500))
-        self.assertThat(pace.dark_ms("p", True, 250), Equals(500), "gaps are learnt for themselves")
+            latency.add_first_event("p", took_ms)
+        self.assertThat(latency.stall_after_ms("p", False, 250), GreaterThan(1500))
+        self.assertThat(
+            latency.stall_after_ms("p", True, 250), Equals(500), "gaps are learnt for themselves"
+        )
 
     def test_patience_ends_well_before_the_client_s(self):
         for target_ms, gap_ms in [(300, 150), (1000, 0), (0, 1000)]:
@@ -263,7 +273,7 @@
             )
 
 
-class Charts(TestCase):
+class Lifecycles(TestCase):
     """Rows: route, taken up again or not, what happens, the last step and its status, and how many workers."""
 
     ROWS = [
@@ -279,44 +289,46 @@
         ("unsafe", False, ["not run", "none"], "refuse", 503),
         ("safe", False, ["run", "none"], "refuse", 502),
         ("safe", False, ["late, not run"], "refuse", 503),
-        ("unsafe", False, ["piece", "run"], "cut", 502),
-        ("unsafe", True, ["piece", "run"], "place", 0),
-        ("unsafe", True, ["piece", "run", "none"], "cut", 502),
+        ("unsafe", False, ["event", "run"], "cut", 502),
+        ("unsafe", True, ["event", "run"], "place", 0),
+        ("unsafe", True, ["event", "run", "none"], "cut", 502),
         ("unsafe", True, ["unnumbered", "run"], "cut", 502),
         ("unsafe", True, ["run", "run"], "place", 0),
-        ("safe", False, ["piece", "run"], "cut", 502),
+        ("safe", False, ["event", "run"], "cut", 502),
         ("safe", False, ["500"], "place", 0),
         ("safe", False, ["500"] * 3, "finish", 500),
         ("unsafe", False, ["500"], "finish", 500),
-        ("unsafe", True, ["piece", "500"], "place", 0),
+        ("unsafe", True, ["event", "500"], "place", 0),
     ]
 
     def test_rows(self):
         for route, resumable, events, last, status in self.ROWS:
-            tx = ForwardLifecycle("t", TREE.get(route), 0, 1000, resumable=resumable)
-            step = tx.begin()
+            lifecycle = ForwardLifecycle("t", TREE.get(route), 0, 1000, resumable=resumable)
+            step = lifecycle.begin()
             for place, event in enumerate(events):
                 worker = f"w{place}"
-                if event in ("piece", "unnumbered"):
-                    tx.piece_delivered()
-                    tx.last_event_id = 4 if event == "piece" else None
+                if event in ("event", "unnumbered"):
+                    lifecycle.event_delivered()
+                    lifecycle.last_event_id = 4 if event == "event" else None
                 elif event == "none":
-                    step = tx.placed(None, True)
+                    step = lifecycle.no_worker_free(True)
                 elif event == "500":
-                    step = tx.answered(worker, 500, b"no", 10)
+                    step = lifecycle.worker_failed(worker, 500, b"no", 10)
                 else:
                     ran = event in ("run", "late")
                     reason = {"busy": "busy", "unmade": NO_CONNECTION}.get(event, "broke")
-                    step = tx.failed(worker, ran, reason, 2000 if event.startswith("late") else 10)
+                    step = lifecycle.attempt_failed(
+                        worker, ran, reason, 2000 if event.startswith("late") else 10
+                    )
             told = (
                 step.refusal.status
                 if step.refusal
-                else step.value[0]
-                if step.name == "finish"
+                else step.response.status
+                if step.kind == "finish"
                 else 0
             )
             self.assertThat(
-                (step.name, told), Equals((last, status)), f"{route} {resumable} {events}"
+                (step.kind, told), Equals((last, status)), f"{route} {resumable} {events}"
             )
 
 
@@ -340,9 +352,9 @@
         self.assertThat(end_to_end(rows), Equals([("A", "1"), ("A", "10")]))
 
 
-class Beats(Fixture):
-    def test_a_beat_known_worker_is_not_a_listed_one(self):
-        self.roster.hear(
+class Heartbeats(Fixture):
+    def test_a_worker_known_by_heartbeats_is_not_a_listed_one(self):
+        self.registry.apply_update(
             WorkerUpdate(
                 identity="own",
                 incarnation=1,
@@ -358,5 +370,5 @@
             )
         )
         self.assertThat(
-            (sorted(self.publish(a=row(1))), len(self.roster.workers())), Equals((["a"], 2))
+            (sorted(self.publish(a=row(1))), len(self.registry.workers())), Equals((["a"], 2))
         )
--- a/tests/test_readings.py
+++ b/tests/test_prefill_tracker.py
@@ -6,7 +6,7 @@
 
 from messaging import Origin
 from request_routing import PrefillTracker
-from request_routing.placement import cost
+from request_routing.cost_placement import cost
 from request_routing.prefill_tracker import PrefillStarted
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -23,7 +23,7 @@
 def part(fellows=()):
     made, posted = PrefillTracker(lambda: list(fellows)), []
     made.node = SimpleNamespace(env=Env(), send=lambda to, message: posted.append((to, message)))
-    made.per_ms = 100.0
+    made.tokens_per_ms = 100.0
     return made, posted
 
 
@@ -39,7 +39,7 @@
             made.node.env.ms += later_ms
             self.assertThat(made.left_ms("w"), Equals(left_ms), later_ms)
         made.tick()
-        self.assertThat(len(made._due), Equals(0))
+        self.assertThat(len(made._unread), Equals(0))
 
     def test_what_others_send_counts_alike(self):
         made, posted = part()
@@ -55,29 +55,29 @@
 
     def test_the_pace_is_the_quickest_seen_and_forgotten_slowly(self):
         made, _ = part()
-        made.has_read(3000, 20)
-        self.assertThat(made.per_ms, Equals(150.0))
-        made.has_read(1000, 500)
-        self.assertThat(made.per_ms, LessThan(150.0))
-        self.assertThat(made.per_ms, GreaterThan(149.0))
-        made.has_read(100_000, 1)
-        self.assertThat(made.per_ms, LessThan(301.0))
+        made.prefill_finished(3000, 20)
+        self.assertThat(made.tokens_per_ms, Equals(150.0))
+        made.prefill_finished(1000, 500)
+        self.assertThat(made.tokens_per_ms, LessThan(150.0))
+        self.assertThat(made.tokens_per_ms, GreaterThan(149.0))
+        made.prefill_finished(100_000, 1)
+        self.assertThat(made.tokens_per_ms, LessThan(301.0))
 
 
 class Placed(TestCase):
     def test_a_busy_reader_costs_more_than_one_more_under_way(self):
-        def worker(sending):
+        def worker(in_flight):
             return SimpleNamespace(
-                sending=sending,
+                in_flight=in_flight,
                 borrowed=0,
-                reading=0,
+                prefilling=0,
                 sent_ms=-1000,
                 slots=8,
-                others_now=lambda now_ms: 0.0,
+                other_load_now=lambda now_ms: 0.0,
             )
 
         idle, busy = (
             cost(worker(1), 1000, 0.0, False, 200),
-            cost(worker(0), 1000, 0.0, False, 200, left_ms=40.0),
+            cost(worker(0), 1000, 0.0, False, 200, prefill_ms=40.0),
         )
         self.assertThat(busy, GreaterThan(idle))
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -1,4 +1,4 @@
-"""An edge's pure parts: the chart of a transaction, streams, placement, the roster."""
+"""An edge's pure parts: the state machine of a request, streams, worker choice, the registry."""
 
 import json
 
@@ -11,7 +11,7 @@
     Worker,
     WorkerRegistry,
     WorkerUpdate,
-    check_whole,
+    check_body,
     choose,
     prefix_of,
 )
@@ -20,19 +20,19 @@
 from testtools.matchers import Equals
 
 TREE = ProfileTree({"safe": {}, "unsafe": {"repeatable": False}})
-PARAMS = Settings(link="10.0.0.1:1", http="10.0.0.1:2", zone="z", seeds=["10.0.0.1:1"])
+SETTINGS = Settings(link="10.0.0.1:1", http="10.0.0.1:2", zone="z", seeds=["10.0.0.1:1"])
 
 
-class Stamped:
-    def __init__(self, stamp):
-        self.stamp = stamp
+class SomeWorker:
+    def __init__(self, instance_id):
+        self.instance_id = instance_id
 
 
-def transaction(path, key="", budget=10.0):
+def new_lifecycle(path, key="", budget=10.0):
     return RequestLifecycle("t", TREE.get(path), key, 0, RetryBudget(budget))
 
 
-class Chart(TestCase):
+class Lifecycles(TestCase):
     """Rows: path, what happens after begin, the last step, its verdict or None, how the key is closed."""
 
     ROWS = [
@@ -45,10 +45,10 @@
         ("unsafe", ["opened", "wait", "none", "closed"], "refuse", "not_run", "void"),
         ("safe", ["place", ("fail", True), "wait", "none"], "refuse", "may_have_run", ""),
         ("safe", ["wait", "gone"], "gone", None, ""),
-        ("safe", ["place", "begun", "piece", "gone"], "gone", None, ""),
+        ("safe", ["place", "begun", "event", "gone"], "gone", None, ""),
         ("safe", ["place", ("late", True)], "refuse", "may_have_run", ""),
         ("safe", ["place", ("late", False)], "refuse", "not_run", ""),
-        ("safe", ["place", "begun", "piece", ("fail", True)], "cut", "may_have_run", ""),
+        ("safe", ["place", "begun", "event", ("fail", True)], "cut", "may_have_run", ""),
         ("unsafe", ["opened", "place", "begun", "end", "closed"], "finish", None, "done"),
         ("unsafe", ["opened", "none", "closed"], "refuse", "not_run", "void"),
         (
@@ -67,7 +67,7 @@
         ),
         (
             "unsafe",
-            ["opened", "place", "begun", "piece", ("fail", True), "closed"],
+            ["opened", "place", "begun", "event", ("fail", True), "closed"],
             "cut",
             "may_have_run",
             "doubt",
@@ -82,65 +82,68 @@
 
     def test_rows(self):
         for path, events, last, verdict, close_as in self.ROWS:
-            tx = transaction(path, "k")
-            step, closed = tx.begin(), ""
+            lifecycle = new_lifecycle(path, "k")
+            step, closed = lifecycle.begin(), ""
             for event in events:
-                closed = step.close_as or closed
+                closed = step.key_outcome or closed
                 if event == "place":
-                    step = tx.placed(Stamped(f"w{len(tx.sends)}"), True)
+                    step = lifecycle.worker_selected(SomeWorker(f"w{len(lifecycle.attempts)}"))
                 elif event == "wait":
-                    step = tx.placed(None, True, True)
+                    step = lifecycle.admitted_to_queue()
                 elif event == "gone":
-                    step = tx.gone()
+                    step = lifecycle.client_disconnected()
                 elif event == "none":
-                    step = tx.placed(None, True)
+                    step = lifecycle.no_worker_free(True)
                 elif event == "begun":
-                    step = tx.begun()
-                elif event == "piece":
-                    tx.piece_delivered()
+                    step = lifecycle.stream_started()
+                elif event == "event":
+                    lifecycle.event_delivered()
                 elif event == "end":
-                    step = tx.ended(200, "body")
+                    step = lifecycle.completed(200, "body")
                 elif event == "closed":
-                    closed = step.close_as
-                    step = tx.closed()
+                    closed = step.key_outcome
+                    step = lifecycle.key_closed()
                 elif isinstance(event, tuple):
-                    step = tx.failed(
-                        f"w{len(tx.sends)}", event[1], "x", 10**6 if event[0] == "late" else 1
+                    step = lifecycle.attempt_failed(
+                        f"w{len(lifecycle.attempts)}",
+                        event[1],
+                        "x",
+                        10**6 if event[0] == "late" else 1,
                     )
                 else:
-                    step = tx.open_receipt(event, 200, "kept")
+                    step = lifecycle.key_answered(event, 200, "kept")
             told = str(step.refusal.verdict) if step.refusal else None
             self.assertThat(
-                (step.name, told, closed), Equals((last, verdict, close_as)), f"{path} {events}"
+                (step.kind, told, closed), Equals((last, verdict, close_as)), f"{path} {events}"
             )
 
     def test_unsafe_without_a_key_is_refused(self):
-        step = transaction("unsafe").begin()
+        step = new_lifecycle("unsafe").begin()
         self.assertThat(
-            (step.name, step.refusal.verdict, step.refusal.field),
+            (step.kind, step.refusal.verdict, step.refusal.field),
             Equals(("refuse", Verdict.NOT_RUN, "Idempotency-Key")),
         )
 
-    def test_budget_ends_resends(self):
-        tx = transaction("safe", budget=2.0)
-        step = tx.begin()
-        sends = 0
-        while step.name == "place":
-            tx.placed(Stamped(f"w{sends}"), True)
-            sends += 1
-            step = tx.failed(f"w{sends}", True, "x", 1)
-        self.assertThat((sends, step.name), Equals((3, "refuse")))
+    def test_budget_ends_retries(self):
+        lifecycle = new_lifecycle("safe", budget=2.0)
+        step = lifecycle.begin()
+        attempts = 0
+        while step.kind == "place":
+            lifecycle.worker_selected(SomeWorker(f"w{attempts}"))
+            attempts += 1
+            step = lifecycle.attempt_failed(f"w{attempts}", True, "x", 1)
+        self.assertThat((attempts, step.kind), Equals((3, "refuse")))
 
     def test_what_certainly_has_not_run_is_free_once_at_each_worker(self):
-        tx = transaction("unsafe", "k", budget=2.0)
-        tx.begin()
-        step, sends = tx.open_receipt("opened"), 0
-        while step.name == "place":
-            worker = f"w{sends % 5}"
-            tx.placed(Stamped(worker), True)
-            sends += 1
-            step = tx.failed(worker, False, "x", 1)
-        self.assertThat((sends, step.close_as), Equals((5 + 2 + 1, "void")))
+        lifecycle = new_lifecycle("unsafe", "k", budget=2.0)
+        lifecycle.begin()
+        step, attempts = lifecycle.key_answered("opened"), 0
+        while step.kind == "place":
+            worker = f"w{attempts % 5}"
+            lifecycle.worker_selected(SomeWorker(worker))
+            attempts += 1
+            step = lifecycle.attempt_failed(worker, False, "x", 1)
+        self.assertThat((attempts, step.key_outcome), Equals((5 + 2 + 1, "void")))
 
 
 def event(place, run="r", data=None):
@@ -186,10 +189,10 @@
             (b"{x", 2, "json"),
         ]
         for data, length, fault in rows:
-            self.assertThat(check_whole(data, length), Equals(fault))
+            self.assertThat(check_body(data, length), Equals(fault))
 
 
-def news(
+def update(
     identity,
     beat=1,
     incarnation=1,
@@ -233,59 +236,63 @@
         pass
 
 
-class Rosters(TestCase):
+class Registries(TestCase):
     def setUp(self):
         super().setUp()
         self.env = Clocked()
-        self.roster = WorkerRegistry(
+        self.registry = WorkerRegistry(
             lambda: ["e2", "e3"], lambda identity, labels: identity != "stranger"
         )
-        Node(self.env, PARAMS, [self.roster])
+        Node(self.env, SETTINGS, [self.registry])
 
     def names(self):
-        return sorted(worker.stamp for worker in self.roster.workers())
+        return sorted(worker.instance_id for worker in self.registry.workers())
 
-    def test_beats_are_flooded_once_and_strangers_get_nothing(self):
-        self.roster.hear(news("w"), "e2")
-        self.roster.hear(news("w"), "e3")
-        self.roster.hear(news("stranger"))
+    def test_heartbeats_are_flooded_once_and_strangers_get_nothing(self):
+        self.registry.apply_update(update("w"), "e2")
+        self.registry.apply_update(update("w"), "e3")
+        self.registry.apply_update(update("stranger"))
         self.assertThat(
             [to for to, message in self.env.sent if message.identity == "w"], Equals(["e3"])
         )
         self.assertThat(self.names(), Equals(["w/1"]))
 
     def test_leave_is_final_for_its_incarnation(self):
-        self.roster.hear(news("w"))
-        self.roster.hear(news("w", leaving=True))
-        self.assertThat((self.names(), self.roster.hear(news("w", beat=9))), Equals(([], False)))
-        self.roster.hear(news("w", incarnation=2))
+        self.registry.apply_update(update("w"))
+        self.registry.apply_update(update("w", leaving=True))
+        self.assertThat(
+            (self.names(), self.registry.apply_update(update("w", beat=9))), Equals(([], False))
+        )
+        self.registry.apply_update(update("w", incarnation=2))
         self.assertThat(self.names(), Equals(["w/2"]))
-        self.assertThat(self.roster.hear(news("w", beat=99, incarnation=1)), Equals(False))
+        self.assertThat(
+            self.registry.apply_update(update("w", beat=99, incarnation=1)), Equals(False)
+        )
 
     def test_silence_failed_connection_and_replacement_take_a_worker_out(self):
-        self.roster.hear(news("w"))
-        self.env.now_ms += PARAMS.worker_timeout_ms + 1
+        self.registry.apply_update(update("w"))
+        self.env.now_ms += SETTINGS.worker_timeout_ms + 1
         self.assertThat(self.names(), Equals([]))
-        self.roster.hear(news("w", beat=2))
-        self.roster.connection_failed(self.roster.workers()[0])
+        self.registry.apply_update(update("w", beat=2))
+        self.registry.record_connection_failure(self.registry.workers()[0])
         self.assertThat(self.names(), Equals([]))
-        self.roster.hear(news("w", beat=3))
+        self.registry.apply_update(update("w", beat=3))
         self.assertThat(self.names(), Equals([]))
-        self.roster.hear(news("w", beat=4))
+        self.registry.apply_update(update("w", beat=4))
         self.assertThat(self.names(), Equals(["w/1"]))
-        self.roster.hear(news("v", address="w:1", incarnation=2))
+        self.registry.apply_update(update("v", address="w:1", incarnation=2))
         self.assertThat(self.names(), Equals(["v/2"]))
-        for late in (news("w", beat=5), news("u", address="w:1")):
-            self.assertThat(self.roster.hear(late), Equals(False))
+        for late in (update("w", beat=5), update("u", address="w:1")):
+            self.assertThat(self.registry.apply_update(late), Equals(False))
         self.assertThat(self.names(), Equals(["v/2"]))
 
-    def test_buffered_beats_prove_nothing_after_a_freeze(self):
-        self.roster.hear(news("w"))
-        self.roster.resumed(5000)
-        self.roster.hear(news("w", beat=2))
+    def test_buffered_heartbeats_prove_nothing_after_a_freeze(self):
+        self.registry.apply_update(update("w"))
+        self.registry.resumed(5000)
+        self.registry.apply_update(update("w", beat=2))
         self.assertThat(self.names(), Equals([]))
-        self.env.now_ms += PARAMS.heartbeat_ms + 1
-        self.roster.hear(news("w", beat=3))
+        self.env.now_ms += SETTINGS.heartbeat_ms + 1
+        self.registry.apply_update(update("w", beat=3))
         self.assertThat(self.names(), Equals(["w/1"]))
 
 
@@ -293,9 +300,8 @@
     def workers(self, **loads):
         made = []
         for name, (running, waiting, zone) in loads.items():
-            worker = Worker(news(name))
-            worker.take(news(name, running=running, waiting=waiting, zone=zone), 0)
-            made.append(worker)
+            row = update(name, running=running, waiting=waiting, zone=zone)
+            made.append(Worker(row, 0))
         return made
 
     def test_same_prefix_same_worker_until_its_bound(self):
