--- a/libs/request_routing/src/request_routing/attempt_results.py
+++ b/libs/request_routing/src/request_routing/attempt_results.py
@@ -61,12 +61,12 @@
 def log_end(env: Any, request: InFlightRequest, step: Step) -> None:
     """Log how a request ended: its state, its attempts and the verdict of a refusal."""
     lifecycle, refusal = request.lifecycle, step.refusal
-    item = {"lot": lifecycle.job.job_id, "index": lifecycle.job.item_index} if lifecycle.job else {}
+    item = {"job": lifecycle.job.job_id, "index": lifecycle.job.item_index} if lifecycle.job else {}
     env.log(
         "request-ended",
         _end_level(request, step),
         request=lifecycle.edge_request_id,
-        path=lifecycle.profile.name,
+        route=lifecycle.profile.name,
         key=lifecycle.key,
         state=str(lifecycle.state),
         attempts=lifecycle.attempts,
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -275,7 +275,7 @@
             "DEBUG",
             request=lifecycle.edge_request_id,
             worker=worker.instance_id,
-            path=lifecycle.profile.name,
+            route=lifecycle.profile.name,
         )
         exchange = new_exchange(call, self, lifecycle, worker)
         attempt = request.attempt = Attempt(self, request, worker, exchange)
--- a/libs/testbed/src/testbed/trace.py
+++ b/libs/testbed/src/testbed/trace.py
@@ -10,11 +10,12 @@
 
 __all__ = ["KINDS", "trace"]
 
-# Processes of earlier versions log `lot` and `lots`.
-_OF_JOBS = ("job", "jobs", "lot", "lots", "transaction")
+# Processes of earlier versions log `lot`, `lots` and `transaction`.
+_OF_REQUESTS = ("request", "transaction")
+_OF_JOBS = ("job", "jobs", "lot", "lots", *_OF_REQUESTS)
 
 KINDS = {
-    "transaction": ("transaction",),
+    "transaction": _OF_REQUESTS,
     "key": ("key",),
     "job": _OF_JOBS,
     "lot": _OF_JOBS,
@@ -42,7 +43,7 @@
             return True
         elif kind == "worker" and str(value).startswith(f"{name}/"):
             return True
-        elif kind in ("job", "lot") and field == "transaction" and f"-{name}-" in str(value):
+        elif kind in ("job", "lot") and field in _OF_REQUESTS and f"-{name}-" in str(value):
             return True
     return False
 
