--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -30,7 +30,7 @@
         "replicated_log/src/replicated_log/leader.py",
         "return pending.seq <= replicated",
         "return True",
-        _LOG + "f_peers",
+        _LOG + "f_followers",
     ),
     "one disk is enough": (
         "replicated_log/src/replicated_log/quorums.py",
@@ -42,7 +42,7 @@
         "replicated_log/src/replicated_log/follower.py",
         "if message.epoch < log.metadata.fence:\n            self._refuse(message, reply, ResponseReason.FENCED)\n        elif",
         "if False:\n            self._refuse(message, reply, ResponseReason.FENCED)\n        elif",
-        _LOG + "stale_holder",
+        _LOG + "stale_leader",
     ),
     "answers of an old log count": (
         "replicated_log/src/replicated_log/recovery.py",
@@ -60,7 +60,7 @@
         "storage/src/storage/frames.py",
         "return payload if zlib.crc32(payload) == checksum else None",
         "return payload",
-        "tests/test_archive.py -k mends_it",
+        "tests/test_archive.py -k repairs_it",
     ),
     "records behind a hole are lost": (
         "replicated_log/src/replicated_log/queue_files.py",
@@ -89,7 +89,7 @@
         "replicated_log/src/replicated_log/local_log.py",
         "        if not missing:\n",
         "        if True:\n",
-        "tests/test_archive.py -k spare",
+        "tests/test_archive.py -k standby",
     ),
     "a lost listing lease stays lost": (
         "batch_state/src/batch_state/listing_leases.py",
@@ -125,7 +125,7 @@
         "replicated_log/src/replicated_log/flush_watermark.py",
         "return seq if fence == metadata.fence == metadata.log_epoch else 0",
         "return seq",
-        "tests/test_recovery.py -k mark",
+        "tests/test_recovery.py -k watermark",
     ),
     "a snapshot takes in what came after it": (
         "replicated_log/src/replicated_log/snapshot_writer.py",
@@ -161,7 +161,7 @@
         "replicated_log/src/replicated_log/membership_change.py",
         "if self._leader.is_change_ready():",
         "if True:",
-        "tests/test_member_change.py -k level_before",
+        "tests/test_member_change.py -k caught_up_before",
     ),
     "what one list alone has is acknowledged during a change": (
         "replicated_log/src/replicated_log/quorums.py",
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -7,7 +7,7 @@
 from testtools.matchers import Equals
 
 
-class Shelved(TestCase):
+class ArchiveFiles(TestCase):
     def founded(self, seed=8):
         run = Run(seed, settings={"segment_bytes": 4096})
         run.start()
@@ -55,7 +55,7 @@
         )
         self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
 
-    def test_read_back_after_power_and_by_a_new_holder(self):
+    def test_read_back_after_power_and_by_a_new_leader(self):
         run, fleet = self.founded()
         for host in fleet.with_role("store"):
             host.lose_power()
@@ -90,7 +90,7 @@
             )
         self.kept(run)
 
-    def test_a_damaged_leaf_is_never_listed_and_a_read_mends_it(self):
+    def test_a_damaged_block_is_never_listed_and_a_read_repairs_it(self):
         run, fleet = self.founded()
         leader = fleet.leader()
         job = leader.node.log.log.state.jobs["lot2"]
@@ -100,7 +100,7 @@
         self.assertThat(len(leader.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
         self.kept(run)
 
-    def test_a_leaf_in_anothers_place_is_not_taken_for_it(self):
+    def test_a_block_in_anothers_place_is_not_taken_for_it(self):
         run, fleet = self.founded()
         log = fleet.leader().node.log.log
         one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
@@ -113,7 +113,7 @@
         self.assertThat(self.results(run, "lot1"), Equals(30))
         self.kept(run)
 
-    def test_a_sweep_mends_what_nobody_reads(self):
+    def test_a_sweep_repairs_what_nobody_reads(self):
         run, fleet = self.founded()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""The log's holder lost, cut off, slow or leaving, on simulated fleets: how long no append is settled, and who holds."""
+"""The log's leader lost, cut off, slow or leaving: how long no append is committed, and who leads."""
 
 from batch_state import entries
 from simulator.runs import Run
@@ -8,7 +8,7 @@
 LIMIT_MS = 600
 
 
-class Holders(TestCase):
+class Failover(TestCase):
     def founded(self, seed=1, **sizes):
         run = Run(seed, **sizes)
         run.start()
@@ -80,7 +80,7 @@
         ]
         self.assertThat(slow, Equals([]))
 
-    def test_a_holder_that_hears_nobody_is_replaced(self):
+    def test_a_leader_that_hears_nobody_is_replaced(self):
         took_ms = self.interruption(
             lambda fleet, host: self.cut_from(fleet, host, "disks", both=False, outward=False), 1
         )
@@ -96,7 +96,7 @@
             Equals(True),
         )
 
-    def test_a_leaving_holder_hands_over(self):
+    def test_a_leaving_leader_hands_over(self):
         took_ms = self.interruption(lambda fleet, host: host.node.log.start_leaving(), 1)
         self.assertThat(took_ms < 100, Equals(True))
 
@@ -114,7 +114,7 @@
             fleet.run_until_true(lambda: False, 700)
         self.assertThat(self.settle(fleet, self.serving(fleet), "after"), Equals("kept"))
 
-    def test_who_is_cut_off_from_the_holder_alone_leaves_it_alone(self):
+    def test_who_is_cut_off_from_the_leader_alone_leaves_it_alone(self):
         run, fleet = self.founded()
         leader = fleet.leader()
         epoch = leader.node.log.leader.epoch
@@ -153,7 +153,7 @@
             (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
-    def test_a_holder_cut_off_from_control_alone_goes_on(self):
+    def test_a_leader_cut_off_from_control_alone_goes_on(self):
         run, fleet = self.founded()
         leader = fleet.leader()
         epoch = leader.node.log.leader.epoch
@@ -164,7 +164,7 @@
             (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
 
-    def test_short_stops_and_slow_links_change_no_holder(self):
+    def test_short_stops_and_slow_links_change_no_leader(self):
         run, fleet = self.founded()
         leader = fleet.leader()
         epoch = leader.node.log.leader.epoch
--- a/tests/test_log_bootstrap.py
+++ b/tests/test_log_bootstrap.py
@@ -1,4 +1,4 @@
-"""Which stores make up the log: founding by stores that aren't told how many there are, and the spread over zones."""
+"""Which stores become the first members of the log, and how members are spread over the zones."""
 
 from log_harness import Machine
 from replicated_log import LocalLog, LogReplica, spread
@@ -25,7 +25,7 @@
     ]
 
 
-class Surroundings:
+class StubNode:
     """What a store asks of the fleet, of control and of its node, set by the test."""
 
     def __init__(self, zones, **settings):
@@ -79,69 +79,69 @@
             self.assertThat([row["identity"] for row in spread(rows(zones), count)], Equals(wanted))
 
 
-class FoundingTheLog(TestCase):
+class Bootstrap(TestCase):
     THREE = {"store-a": "x", "store-b": "y", "store-c": "z"}
 
     def test_waits_for_enough_stores(self):
-        here = Surroundings({"store-a": "x", "store-b": "y"}, first_start=True)
-        store = here.store("a")
-        here.run(store, 5000)
-        self.assertThat(here.asked, Equals([]))
-        here.rows = rows(self.THREE)
-        here.run(store, 1000)
-        self.assertThat(len(here.asked), Equals(1))
+        node = StubNode({"store-a": "x", "store-b": "y"}, first_start=True)
+        store = node.store("a")
+        node.run(store, 5000)
+        self.assertThat(node.asked, Equals([]))
+        node.rows = rows(self.THREE)
+        node.run(store, 1000)
+        self.assertThat(len(node.asked), Equals(1))
 
     def test_waits_until_no_more_appear(self):
-        here = Surroundings(self.THREE, first_start=True)
-        store = here.store("a")
-        here.run(store, 300)
-        here.rows = rows({**self.THREE, "store-d": "zz"})
-        here.run(store, 300)
-        self.assertThat(here.asked, Equals([]))
-        here.run(store, 200)
-        self.assertThat(len(here.asked), Equals(1))
+        node = StubNode(self.THREE, first_start=True)
+        store = node.store("a")
+        node.run(store, 300)
+        node.rows = rows({**self.THREE, "store-d": "zz"})
+        node.run(store, 300)
+        self.assertThat(node.asked, Equals([]))
+        node.run(store, 200)
+        self.assertThat(len(node.asked), Equals(1))
 
     def test_the_first_asks_and_then_the_next(self):
         for name, waits_ms in (("a", 600), ("b", 1100), ("c", 1600)):
-            here = Surroundings(self.THREE, first_start=True)
-            store = here.store(name)
-            here.run(store, waits_ms - 50)
-            self.assertThat(here.asked, Equals([]))
-            here.run(store, 150)
-            self.assertThat(len(here.asked), Equals(1))
+            node = StubNode(self.THREE, first_start=True)
+            store = node.store(name)
+            node.run(store, waits_ms - 50)
+            self.assertThat(node.asked, Equals([]))
+            node.run(store, 150)
+            self.assertThat(len(node.asked), Equals(1))
 
     def test_who_is_left_out_does_not_ask(self):
-        here = Surroundings(
+        node = StubNode(
             {"store-a": "x", "store-b": "x", "store-c": "y", "store-d": "z"}, first_start=True
         )
-        store = here.store("b")
-        here.run(store, 5000)
-        self.assertThat(here.asked, Equals([]))
-
-    def test_blank_after_the_first_start_never_founds(self):
-        here = Surroundings(self.THREE)
-        store = here.store("a")
-        here.run(store, 5000)
-        self.assertThat(here.asked, Equals([]))
-
-    def test_there_at_the_first_start_and_restarted_founds(self):
-        here = Surroundings(self.THREE, first_start=True)
-        disk = SimDisk(here.time, 1 << 20)
-        store = here.store("a", disk)
-        here.run(store, 200)
+        store = node.store("b")
+        node.run(store, 5000)
+        self.assertThat(node.asked, Equals([]))
+
+    def test_blank_after_the_first_start_never_bootstraps(self):
+        node = StubNode(self.THREE)
+        store = node.store("a")
+        node.run(store, 5000)
+        self.assertThat(node.asked, Equals([]))
+
+    def test_there_at_the_first_start_and_restarted_bootstraps(self):
+        node = StubNode(self.THREE, first_start=True)
+        disk = SimDisk(node.time, 1 << 20)
+        store = node.store("a", disk)
+        node.run(store, 200)
         identity = store.log.identity
-        here.settings = Settings(**{**BASE, "control_count": 0})
-        store = here.store("another", disk)
+        node.settings = Settings(**{**BASE, "control_count": 0})
+        store = node.store("another", disk)
         self.assertThat(store.log.identity, Equals(identity))
-        here.run(store, 1000)
-        self.assertThat(len(here.asked), Equals(1))
+        node.run(store, 1000)
+        self.assertThat(len(node.asked), Equals(1))
 
-    def test_fenced_under_a_log_never_founds(self):
-        here = Surroundings(self.THREE)
-        disk = SimDisk(here.time, 1 << 20)
-        store = here.store("a", disk)
+    def test_fenced_under_a_log_never_bootstraps(self):
+        node = StubNode(self.THREE)
+        disk = SimDisk(node.time, 1 << 20)
+        store = node.store("a", disk)
         store.log.save_metadata(lambda ok: None, fence=4)
-        here.run(store, 200)
-        store = here.store("a", disk)
-        here.run(store, 5000)
-        self.assertThat(here.asked, Equals([]))
+        node.run(store, 200)
+        store = node.store("a", disk)
+        node.run(store, 5000)
+        self.assertThat(node.asked, Equals([]))
--- a/tests/test_log_conformance.py
+++ b/tests/test_log_conformance.py
@@ -52,7 +52,7 @@
             Equals([TRUNCATE, 0, 0]),
         )
 
-    def test_acknowledged_at_f_peers_in_memory(self):
+    def test_acknowledged_at_f_followers_in_memory(self):
         self.harness.cut.add("c")
         outcomes = self.harness.append("k1")
         self.assertThat(outcomes, Equals([]))
@@ -64,7 +64,7 @@
         self.harness.run(SETTINGS.delta_ms)
         self.assertThat(alone, Equals([]))
 
-    def test_peer_answers_with_both_stamps(self):
+    def test_follower_answers_with_both_stamps(self):
         self.harness.append("k1")
         self.harness.run(10)
         responses = []
@@ -90,7 +90,7 @@
         )
         self.assertThat(response.reception_ms, Equals(self.harness.logs["b"].buffer.received_ms[0]))
 
-    def test_after_two_delta_flush_here_and_at_a_peer(self):
+    def test_after_two_delta_flush_here_and_at_a_follower(self):
         self.harness.cut.update(("b", "c"))
         outcomes = self.harness.append("k1")
         self.harness.run(2 * SETTINGS.delta_ms + 40)
@@ -128,7 +128,7 @@
             Equals((1, 1)),
         )
 
-    def test_peer_discards_below_k_tau_only_what_a_snapshot_has(self):
+    def test_follower_discards_below_k_tau_only_what_a_snapshot_has(self):
         log = self.harness.logs["b"]
         self.harness.append("k1", durable=True)
         self.harness.run(50)
@@ -208,7 +208,7 @@
             self.assertThat(harness.recover("b", 4, members), Equals([True]))
             self.assertThat(harness.keys("b"), Equals(["k1", "k2", "k3"]))
 
-    def test_no_room_to_recover_is_no_recovery(self):
+    def test_no_space_to_recover_is_no_recovery(self):
         harness = self.grown()
         harness.disks["b"].wipe()
         harness.open("b")
@@ -244,7 +244,7 @@
         self.assertThat(len(set(plain)) < len(plain) and sorted(plain) != plain, Equals(True))
         self.assertThat(stamps, Equals(sorted(set(stamps))))
 
-    def test_stale_holder_is_refused_after_waking(self):
+    def test_stale_leader_is_refused_after_waking(self):
         harness = LogHarness()
         old = harness.lead("a", 1)
         harness.run(300)
@@ -298,7 +298,7 @@
         harness.run(1200)
         self.assertThat((harness.logs["b"].metadata.fence, len(responses)), Equals((2, 100)))
 
-    def test_peer_keeps_what_no_disk_has_yet(self):
+    def test_follower_keeps_what_no_disk_has_yet(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -40,7 +40,7 @@
         harness.disks["a"].damage("snapshot", 20)
         self.assertRaises(DamageError, harness.open, "a")
 
-    def test_full_disk_refuses_and_recovers_with_room_kept_back(self):
+    def test_full_disk_refuses_and_recovers_with_space_kept_back(self):
         harness, _ = self.one()
         for place in range(20):
             harness.append(f"more{place}", durable=True)
@@ -60,7 +60,7 @@
         harness.run(50)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
-    def test_peer_with_a_snapshot_ahead_of_the_holders_is_met_at_it(self):
+    def test_follower_with_a_snapshot_ahead_of_the_leaders_is_met_at_it(self):
         harness, _ = self.one()
         harness.logs["b"].maintain_snapshot(force=True)
         harness.run(50)
@@ -77,7 +77,7 @@
             Equals(([Outcome.ACKNOWLEDGED], 4, True)),
         )
 
-    def test_trimmed_log_is_mended_by_a_snapshot(self):
+    def test_trimmed_log_is_repaired_by_a_snapshot(self):
         harness, _ = self.one()
         for name in ("a", "b"):
             harness.logs[name].buffer.received_ms = [-(10**6)] * 3
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -10,8 +10,8 @@
 from testtools.matchers import Equals, LessThan
 
 
-class Lists(TestCase):
-    """A holder with two peers and a spare that is sent the log."""
+class MemberLists(TestCase):
+    """A leader with two followers and a standby that is sent the log."""
 
     def leading(self):
         harness = LogHarness()
@@ -35,7 +35,7 @@
         harness.run(300)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
-    def test_the_new_members_are_level_before_the_change_is_asked_for(self):
+    def test_the_new_members_are_caught_up_before_the_change_is_asked_for(self):
         harness = self.leading()
         harness.cut.update(("b", "x"))
         harness.append("k1")
@@ -57,7 +57,7 @@
         harness.leader.end_change(True)
         self.assertThat(harness.leader.members, Equals(self.following(harness)))
 
-    def test_level_members_are_counted(self):
+    def test_caught_up_members_are_counted(self):
         harness = self.leading()
         harness.append("k1", durable=True)
         harness.run(1500)
@@ -67,8 +67,8 @@
         self.assertThat(harness.leader.health.count_caught_up(), Equals(2))
 
 
-class Asking(TestCase):
-    def test_the_new_members_are_level_before_the_key_is_changed(self):
+class ChangeRequest(TestCase):
+    def test_the_new_members_are_caught_up_before_the_key_is_changed(self):
         """The spare's disk is slow, and calls go on that each take records of the log."""
         run = Run(31, settings={"catch_up_ms": 4900})
         run.start()
@@ -96,11 +96,11 @@
         self.assertThat(asked[:1], Equals([True]))
 
 
-class Alone(TestCase):
+class TakeoverWithoutAnswers(TestCase):
     def epoch(self, fleet):
         return fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
 
-    def test_a_store_whose_fellows_do_not_answer_says_so_and_does_not_spin(self):
+    def test_a_store_whose_peers_do_not_answer_says_so_and_does_not_spin(self):
         run = Run(33)
         run.start()
         fleet = run.fleet
@@ -137,7 +137,7 @@
 
 
 class _Deaf:
-    """A peer side that answers no recovery."""
+    """A follower that answers no recovery."""
 
     def __init__(self, receive):
         self._receive = receive
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -44,7 +44,7 @@
             len(answer.records) for answer in fetched if isinstance(answer, FetchResponse)
         )
 
-    def test_stores_that_are_level_fetch_nothing(self):
+    def test_stores_that_are_caught_up_fetch_nothing(self):
         harness = self.grown()
         harness.cut.add("a")
         fetched = self.watched(harness)
@@ -89,7 +89,7 @@
         self.assertThat(harness.recover("a", 3), Equals([True]))
         self.assertThat(harness.keys("a"), Equals([f"k{number}" for number in range(5)] + ["real"]))
 
-    def test_a_store_that_missed_a_recovery_keeps_what_is_settled_though_nothing_is_fetched(self):
+    def test_a_store_that_missed_a_recovery_keeps_what_is_committed_though_nothing_is_fetched(self):
         """Its own copy doesn't count as an answer, and whoever does count has no more than is settled here."""
         harness = self.grown(5)
         harness.run(1000)
@@ -181,7 +181,7 @@
             harness.run(50)
         return harness
 
-    def test_a_mark_says_nothing_after_a_cut_that_lost_its_own_new_mark(self):
+    def test_a_watermark_says_nothing_after_a_cut_that_lost_its_own_new_watermark(self):
         harness = self.one()
         log, disk = harness.logs["a"], harness.disks["a"]
         mark = disk.read("mark")
@@ -196,7 +196,7 @@
             (harness.logs["a"].last_seq, harness.logs["a"].metadata.fence), Equals((1, 5))
         )
 
-    def test_a_mark_of_the_present_fence_tells_of_damage(self):
+    def test_a_watermark_of_the_present_fence_tells_of_damage(self):
         harness = self.one()
         name = harness.logs["a"].records[0].file
         harness.disks["a"].truncate(name, harness.logs["a"].records[2].offset)
@@ -259,7 +259,7 @@
 
 
 class Snapshots(TestCase):
-    def test_made_in_steps_it_holds_what_was_settled_when_it_was_begun(self):
+    def test_made_in_steps_it_holds_what_was_committed_when_it_was_begun(self):
         import replicated_log.snapshots as module
 
         whole, module._STEP_BYTES = module._STEP_BYTES, 60
@@ -304,7 +304,7 @@
             (harness.logs["a"].snapshot_seq, harness.logs["a"].last_seq), Equals((kept, kept + 3))
         )
 
-    def test_one_that_finds_no_room_is_tried_again(self):
+    def test_one_that_finds_no_space_is_tried_again(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -368,7 +368,7 @@
         answer = self.appended(harness, 2, 8, 3, harness.logs["b"].records[3:])
         self.assertThat((answer.ok, answer.last_seq, answer.log_epoch), Equals((True, 8, 2)))
 
-    def test_an_append_that_contradicts_what_is_settled_is_refused(self):
+    def test_an_append_that_contradicts_what_is_committed_is_refused(self):
         harness = self.filled()
         log = harness.logs["b"]
         other = log.next_record(Stamp(2, 5), encode(key_opened("other")))
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -136,7 +136,7 @@
                 seed += 1
                 self.replaced_with(seed, step, how, of)
 
-    def test_a_holder_left_alone_with_the_log_takes_in_whoever_comes(self):
+    def test_a_leader_left_alone_with_the_log_takes_in_whoever_comes(self):
         """Of the old members only the holder is left, so nothing can be recovered from a majority of them."""
         run, fleet = self.founded(7)
         leader = fleet.leader()
