--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -272,7 +272,7 @@
         log = self._config_feed.value("log") or {}
         stores |= {row["address"] for row in (*log.get("members", ()), *log.get("prev", ()))}
         edges = {info.address for info in self._membership.nodes_in_role("edge", within_ms)}
-        return edges | set(self._config_feed.roll()) - stores
+        return edges | set(self._config_feed.serving_set()) - stores
 
     def _is_drained(self, worker: str) -> bool:
         return all(self._load.is_drained(worker, link, self.number) for link in self._edge_links())
--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -6,35 +6,48 @@
 """
 
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 from membership import Membership, rendezvous_weight
 
 __all__ = ["DigestTargets", "candidates", "nearness"]
 
-Candidate = tuple[str, str, str]
+_NEVER_MS = -1 << 40
+_SAME_ZONE, _SAME_REGION, _ELSEWHERE = range(3)
+_WORST = (_ELSEWHERE + 1, 0)
+
+
+class Candidate(NamedTuple):
+    """A control node that may be chosen: its link address, zone and region."""
+
+    address: str
+    zone: str
+    region: str
 
 
 def nearness(zone: str, region: str, own_zone: str, own_region: str) -> int:
     """Return 0 in the same zone, 1 in the same region, 2 elsewhere."""
-    return 0 if zone == own_zone else 1 if region == own_region else 2
+    if zone == own_zone:
+        return _SAME_ZONE
+    return _SAME_REGION if region == own_region else _ELSEWHERE
 
 
 def candidates(
-    listed: dict[str, Any] | None, neighbours: Membership, within_ms: int
+    voter_list: dict[str, Any] | None, membership: Membership, within_ms: int
 ) -> list[Candidate]:
-    """Return address, zone and region of the control nodes that may be chosen as contacts.
+    """Return the control nodes that may be chosen as targets.
 
-    They are the listed voters or, before there is a list, the control nodes whose cards came within
-    `within_ms`.
+    They are the listed voters or, before there is a list, the control nodes whose descriptions came
+    within `within_ms`.
     """
-    if listed:
+    if voter_list:
         return [
-            (row["address"], row.get("zone", ""), row.get("region", "")) for row in listed["voters"]
+            Candidate(row["address"], row.get("zone", ""), row.get("region", ""))
+            for row in voter_list["voters"]
         ]
     return [
-        (card.address, card.zone, card.region)
-        for card in neighbours.nodes_in_role("control", within_ms)
+        Candidate(info.address, info.zone, info.region)
+        for info in membership.nodes_in_role("control", within_ms)
     ]
 
 
@@ -42,29 +55,29 @@
     """The chosen contacts of one node, nearest first.
 
     `node` gives the clock, the settings and this node's address. The feed reports which contacts
-    were sent a digest (`asked`) and which replied (`heard`).
+    were sent a digest (`sent_to`) and which replied (`replied`).
     """
 
     __slots__ = (
-        "_asked_ms",
+        "_avoided_until_ms",
         "_chosen",
-        "_left_until_ms",
         "_node",
+        "_preference",
+        "_previous",
         "_probe",
         "_probed_ms",
-        "_rank",
-        "_told",
+        "_unanswered_since_ms",
     )
 
     def __init__(self, node: Any) -> None:
         self._node = node
         self._chosen: list[str] = []
-        self._told: list[str] = []
-        self._asked_ms: dict[str, int] = {}
-        self._left_until_ms: dict[str, int] = {}
+        self._previous: list[str] = []
+        self._unanswered_since_ms: dict[str, int] = {}
+        self._avoided_until_ms: dict[str, int] = {}
         self._probe = ""
-        self._probed_ms = -1 << 40
-        self._rank: dict[str, tuple] = {}
+        self._probed_ms = _NEVER_MS
+        self._preference: dict[str, tuple[int, int]] = {}
 
     def rank(self, address: str) -> int:
         """Return 1 for the first contact, 2 for a further one, 0 for any other address."""
@@ -76,10 +89,17 @@
         After the contacts come sometimes a nearer candidate that is tried, and the contacts given
         up since the last call.
         """
-        node = self._node
-        now_ms = node.env.now()
-        settings = node.settings
-        self._rank = {
+        previous = set(self._previous)
+        self._preference = self._preferences(among)
+        self._avoid_silent()
+        self._fill_chosen()
+        self._previous = list(self._chosen)
+        return [*self._chosen, *self._probe_nearer(), *sorted(previous - set(self._chosen))]
+
+    def _preferences(self, among: Iterable[Candidate]) -> dict[str, tuple[int, int]]:
+        """Return by address what candidates are compared by: nearness, then rendezvous weight."""
+        node, settings = self._node, self._node.settings
+        return {
             address: (
                 nearness(zone, region, settings.zone, settings.region),
                 -rendezvous_weight(address, node.address),
@@ -87,68 +107,78 @@
             for address, zone, region in among
             if address != node.address
         }
-        before = set(self._told)
-        for address in [
+
+    def _avoid_silent(self) -> None:
+        """Give up the contacts that have not replied in time."""
+        now_ms, timeout_ms = self._node.env.now(), self._node.settings.failure_timeout_ms
+        silent = [
             address
-            for address, at_ms in self._asked_ms.items()
-            if now_ms - at_ms > settings.failure_timeout_ms
-        ]:
-            self._leave(address)
-        self._chosen = [address for address in self._chosen if address in self._rank][
-            : settings.fan_out
+            for address, since_ms in self._unanswered_since_ms.items()
+            if now_ms - since_ms > timeout_ms
         ]
-        while len(self._chosen) < min(settings.fan_out, len(self._rank)):
+        for address in silent:
+            self._avoid(address)
+
+    def _fill_chosen(self) -> None:
+        """Keep the contacts that are still candidates and add others up to fan_out."""
+        fan_out = self._node.settings.fan_out
+        still = [address for address in self._chosen if address in self._preference]
+        self._chosen = still[:fan_out]
+        while len(self._chosen) < min(fan_out, len(self._preference)):
+            others = set(self._preference) - set(self._chosen)
             self._chosen.append(
                 min(
-                    set(self._rank) - set(self._chosen),
-                    key=lambda row: (self._left(row), self._rank[row]),
+                    others,
+                    key=lambda address: (self._avoided_until(address), self._preference[address]),
                 )
             )
-        self._chosen.sort(key=self._rank.__getitem__)
-        self._told = list(self._chosen)
-        return [*self._chosen, *self._nearer(now_ms), *sorted(before - set(self._chosen))]
+        self._chosen.sort(key=self._preference.__getitem__)
 
-    def _left(self, address: str) -> int:
-        until_ms = self._left_until_ms.get(address, 0)
+    def _avoided_until(self, address: str) -> int:
+        until_ms = self._avoided_until_ms.get(address, 0)
         return until_ms if until_ms > self._node.env.now() else 0
 
-    def _nearer(self, now_ms: int) -> list[str]:
+    def _probe_nearer(self) -> list[str]:
+        """Return the best candidate, if it is not chosen and it is time to try it again."""
+        now_ms = self._node.env.now()
         if now_ms - self._probed_ms >= self._node.settings.removal_timeout_ms:
             self._probed_ms = now_ms
-            best = min(self._rank, key=self._rank.__getitem__, default="")
+            best = min(self._preference, key=self._preference.__getitem__, default="")
             self._probe = best if best and best not in self._chosen else ""
             return [self._probe] if self._probe else []
         return []
 
-    def asked(self, address: str) -> None:
+    def sent_to(self, address: str) -> None:
         """Note that a contact was sent a digest and has to reply within failure_timeout_ms."""
         if address in self._chosen:
-            self._asked_ms.setdefault(address, self._node.env.now())
+            self._unanswered_since_ms.setdefault(address, self._node.env.now())
 
-    def heard(self, address: str, sure: bool) -> None:
-        """Note a reply; `sure` is whether the sender is in contact with a majority of the voters.
+    def replied(self, address: str, in_contact: bool) -> None:
+        """Note a reply; `in_contact` is whether its sender is in contact with a majority.
 
         A contact that is not is given up at once, if there is another one to choose.
         """
-        if not sure:
-            if address in self._chosen and len(self._rank) > len(self._chosen):
-                self._leave(address)
-            self._asked_ms.pop(address, None)
+        if not in_contact:
+            if address in self._chosen and len(self._preference) > len(self._chosen):
+                self._avoid(address)
+            self._unanswered_since_ms.pop(address, None)
             return
-        self._asked_ms.pop(address, None)
-        self._left_until_ms.pop(address, None)
+        self._unanswered_since_ms.pop(address, None)
+        self._avoided_until_ms.pop(address, None)
         if address == self._probe and self._chosen and address not in self._chosen:
-            worst = max(self._chosen, key=lambda row: self._rank.get(row, (9,)))
-            if self._rank[address] < self._rank.get(worst, (9,)):
+            worst = max(self._chosen, key=lambda row: self._preference.get(row, _WORST))
+            if self._preference[address] < self._preference.get(worst, _WORST):
                 self._chosen[self._chosen.index(worst)] = address
         self._probe = "" if address == self._probe else self._probe
 
-    def _leave(self, address: str) -> None:
-        self._asked_ms.pop(address, None)
-        self._left_until_ms[address] = self._node.env.now() + self._node.settings.removal_timeout_ms
+    def _avoid(self, address: str) -> None:
+        self._unanswered_since_ms.pop(address, None)
+        self._avoided_until_ms[address] = (
+            self._node.env.now() + self._node.settings.removal_timeout_ms
+        )
         if address in self._chosen:
             self._chosen.remove(address)
 
     def resumed(self) -> None:
         """After a pause of this node, do not count missing replies against the contacts."""
-        self._asked_ms.clear()
+        self._unanswered_since_ms.clear()
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -1,6 +1,6 @@
 """The config feed at one node: the newest body of each key with its number.
 
-A new version is relayed to all neighbours when it first arrives. Digests, exchanged every
+A new version is relayed to all peers when it first arrives. Digests, exchanged every
 heartbeat_ms, find versions that were missed; a node that starts has none and is sent all, which
 serves as its snapshot. A change of a large body is sent as a merge patch on the number before it.
 Numbers never go back.
@@ -15,86 +15,100 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from messaging import Message, Origin, decode, encode
+from messaging import Message, Origin, decode_as, encode
 
 from config_feed.digest_targets import Candidate, DigestTargets
 from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
 from config_feed.patches import merge, merge_diff
-from config_feed.version_tracker import CONFIRMERS, VersionTracker
+from config_feed.version_tracker import CONFIRMING_ROLES, NEVER_MS, DigestReport, VersionTracker
 
 __all__ = ["ConfigFeed"]
 
-_REPORT_BEATS = 2
-_PEER_BEATS = 5
+_MIN_PATCHED_CHARACTERS = 1024
+# With fan_out: heartbeats between reports to the voters, and between digests to a peer.
+_REPORT_EVERY = 2
+_PEER_DIGEST_EVERY = 5
+
+
+class KeyVersion:
+    """A numbered version of a key with its whole JSON body."""
+
+    __slots__ = ("body", "number")
+
+    def __init__(self, number: int, body: str) -> None:
+        self.number = number
+        self.body = body
+
+
+_NO_VERSION = KeyVersion(0, "")
 
 
 class ConfigFeed(VersionTracker):
     """Holds, relays and compares the versions of all keys at one node.
 
-    `neighbours` returns the addresses to relay to, and `extra` further ones to exchange digests
-    with. `sure` returns whether this node knows its versions to be the newest: a control node in
-    contact with a majority, or a ready edge. `hands_out` returns whether it answers digests of
-    edges and stores with items; a control node without a majority does not, since its items may be
-    stale. Times are ms of the node's clock: `quorate_ms` and `sure_edge_ms` are when the last
-    digest came from such a control node or edge, and `contacts_ms` when the last came from each
-    identity.
+    `peer_addresses` returns the addresses to relay to, and `extra_addresses` further ones to
+    exchange digests with. `is_current` returns whether this node knows its versions to be the
+    newest: a control node in contact with a majority, or a ready edge. `serves_updates` returns
+    whether it answers digests of edges and stores with updates; a control node without a
+    majority does not, since they may be stale. Times are ms of the node's clock:
+    `control_quorum_heard_ms` and `current_edge_heard_ms` are when the last digest came from such a
+    control node or edge, and `digest_heard_ms` when the last came from each identity.
     """
 
     __slots__ = (
-        "_beat_count",
         "_behind_since_ms",
-        "_contacts",
-        "_extra",
-        "_items",
-        "_lows_told",
-        "_neighbours",
+        "_digest_targets",
+        "_extra_addresses",
+        "_ignore_digests_until_ms",
         "_patches",
-        "_quiet_until_ms",
+        "_peer_addresses",
+        "_rounds",
         "_sent_ms",
+        "_sent_watermarks",
+        "_versions",
         "_watchers",
-        "candidates",
-        "contacts_ms",
-        "hands_out",
+        "control_quorum_heard_ms",
+        "current_edge_heard_ms",
+        "digest_heard_ms",
         "identity",
-        "quorate_ms",
+        "is_current",
         "sent_bytes",
-        "sure",
-        "sure_edge_ms",
+        "serves_updates",
+        "target_candidates",
     )
     HANDLES = (VersionDigest, KeyUpdates)
 
     def __init__(
         self,
         identity: str,
-        neighbours: Callable[[], Iterable[str]],
-        extra: Callable[[], Iterable[str]] = lambda: (),
-        sure: Callable[[], bool] = lambda: False,
+        peer_addresses: Callable[[], Iterable[str]],
+        extra_addresses: Callable[[], Iterable[str]] = lambda: (),
+        is_current: Callable[[], bool] = lambda: False,
     ) -> None:
         super().__init__()
         self.identity = identity
-        self.sure = sure
-        self.hands_out: Callable[[], bool] = lambda: True
+        self.is_current = is_current
+        self.serves_updates: Callable[[], bool] = lambda: True
         self._behind_since_ms: dict[str, int] = {}
-        self.candidates: Callable[[], Iterable[Candidate]] = lambda: ()
-        self.quorate_ms = -1 << 40
-        self.sure_edge_ms = -1 << 40
-        self.contacts_ms: dict[str, int] = {}
+        self.target_candidates: Callable[[], Iterable[Candidate]] = lambda: ()
+        self.control_quorum_heard_ms = NEVER_MS
+        self.current_edge_heard_ms = NEVER_MS
+        self.digest_heard_ms: dict[str, int] = {}
         self.sent_bytes = 0
-        self._neighbours = neighbours
-        self._extra = extra
-        self._items: dict[str, tuple[int, str]] = {}
+        self._peer_addresses = peer_addresses
+        self._extra_addresses = extra_addresses
+        self._versions: dict[str, KeyVersion] = {}
         self._patches: dict[str, KeyUpdate] = {}
         self._watchers: list[Callable[[str, int, str], None]] = []
-        self._sent_ms = -1 << 40
-        self._quiet_until_ms = -1 << 40
-        self._beat_count = 0
-        self._contacts: DigestTargets | None = None
-        self._lows_told: dict[str, int] = {}
+        self._sent_ms = NEVER_MS
+        self._ignore_digests_until_ms = NEVER_MS
+        self._rounds = 0
+        self._sent_watermarks: dict[str, int] = {}
 
     def attach(self, node: Any) -> None:
-        """Attach the node, whose settings choose the contacts."""
+        """Bind the feed to its node, whose settings choose the targets of digests."""
         super().attach(node)
-        self._contacts = DigestTargets(node)
+        self._digest_targets = DigestTargets(node)
 
     def watch(self, watcher: Callable[[str, int, str], None]) -> None:
         """Call `watcher` with key, number and body of each version that this node takes."""
@@ -102,11 +116,11 @@
 
     def number(self, key: str) -> int:
         """Return the number held of a key, 0 for none."""
-        return self._items.get(key, (0, ""))[0]
+        return self._versions.get(key, _NO_VERSION).number
 
     def body(self, key: str) -> str:
         """Return the body held of a key, empty for none."""
-        return self._items.get(key, (0, ""))[1]
+        return self._versions.get(key, _NO_VERSION).body
 
     def value(self, key: str) -> Any:
         """Return the decoded JSON body held of a key, None for none."""
@@ -115,10 +129,10 @@
 
     def numbers(self) -> dict[str, int]:
         """Return the number held of each key."""
-        return {key: number for key, (number, _) in self._items.items()}
+        return {key: version.number for key, version in self._versions.items()}
 
     @property
-    def place(self) -> int:
+    def position(self) -> int:
         """The sum of all numbers held, by which operators compare nodes."""
         return sum(self.numbers().values())
 
@@ -126,155 +140,182 @@
 
     def publish(self, key: str, number: int, body: str) -> None:
         """Take a version that control has decided and relay it; older ones change nothing."""
-        held_number, held_body = self._items.get(key, (0, ""))
-        if number <= held_number:
+        current = self._versions.get(key, _NO_VERSION)
+        if number <= current.number:
             return
         self._patches.pop(key, None)
-        if held_number and number == held_number + 1 and len(body) > 1024:
-            patch = merge_diff(held_body, body)
-            if merge(held_body, patch) == body:
+        if current.number and number == current.number + 1 and len(body) > _MIN_PATCHED_CHARACTERS:
+            patch = merge_diff(current.body, body)
+            if merge(current.body, patch) == body:
                 self._patches[key] = KeyUpdate(
-                    key=key, number=number, base_number=held_number, body=patch
+                    key=key, number=number, base_number=current.number, body=patch
                 )
-        self._take(key, number, body, "")
+        self._accept(key, number, body, "")
 
-    def _take(self, key: str, number: int, body: str, sender: str) -> None:
-        self._items[key] = (number, body)
+    def _accept(self, key: str, number: int, body: str, sender: str) -> None:
+        self._versions[key] = KeyVersion(number, body)
         self._behind_since_ms.pop(key, None)
         for watcher in self._watchers:
             watcher(key, number, body)
+        self._relay(key, sender)
+
+    def _relay(self, key: str, sender: str) -> None:
+        """Send a version just accepted on to others, but not to the node that sent it."""
         patch = self._patches.get(key)
-        rows = [encode(patch if patch is not None and patch.number == number else self._whole(key))]
+        is_patched = patch is not None and patch.number == self.number(key)
+        updates = [encode(patch if patch is not None and is_patched else self._full_update(key))]
         if self.node.settings.fan_out:
-            for address in self._onward(sender):
-                self._send(address, rows)
+            for address in self._relay_addresses(sender):
+                self._send(address, updates)
             return
         for address in self._addresses():
             if address != sender:
-                self._send(address, rows)
+                self._send(address, updates)
                 self._send_digest(address)
 
-    def _onward(self, sender: str) -> list[str]:
+    def _relay_addresses(self, sender: str) -> list[str]:
         """Return the addresses that a new version is relayed to at once, with fan_out.
 
         A voter relays to its first reporters, and to the other voters unless one of them sent it.
         """
-        if not self.votes():
+        if not self.is_voter():
             return []
-        voters = self._voters()
-        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
+        voters = self._voter_addresses()
+        since_ms = self._live_since_ms()
         reporters = {
-            row[3]
-            for identity, row in self.confirmed.items()
-            if self._ranks.get(identity) == 1 and row[1] >= floor_ms
+            report.link
+            for identity, report in self.reports.items()
+            if self._ranks.get(identity) == 1 and report.received_ms >= since_ms
         }
         return sorted(
             (reporters | (set() if sender in voters else voters)) - {self.node.address, sender}
         )
 
-    def _voters(self) -> set[str]:
-        return set(self._extra())
+    def _voter_addresses(self) -> set[str]:
+        return set(self._extra_addresses())
 
     def _addresses(self) -> list[str]:
-        return sorted((set(self._neighbours()) | set(self._extra())) - {self.node.address})
+        return sorted(
+            (set(self._peer_addresses()) | set(self._extra_addresses())) - {self.node.address}
+        )
 
-    def _whole(self, key: str) -> KeyUpdate:
-        number, body = self._items[key]
-        return KeyUpdate(key=key, number=number, base_number=0, body=body)
+    def _full_update(self, key: str) -> KeyUpdate:
+        version = self._versions[key]
+        return KeyUpdate(key=key, number=version.number, base_number=0, body=version.body)
 
-    def _send(self, address: str, rows: list[bytes]) -> None:
-        if rows:
-            self.sent_bytes += sum(len(row) for row in rows)
-            self.node.send(address, KeyUpdates(items=rows))
+    def _send(self, address: str, updates: list[bytes]) -> None:
+        if updates:
+            self.sent_bytes += sum(map(len, updates))
+            self.node.send(address, KeyUpdates(updates=updates))
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Process another node's digest or news."""
+        """Process another node's digest or updates."""
         raise TypeError(type(message).__name__)
 
     @receive.register
     def _(self, message: KeyUpdates, origin: Origin) -> None:
         before = self.numbers()
-        for data in message.items:
-            item = decode(data)
-            if item.number <= self.number(item.key):
+        for data in message.updates:
+            update = decode_as(KeyUpdate, data)
+            if update.number <= self.number(update.key):
                 continue
-            if item.base_number == 0:
-                self._patches.pop(item.key, None)
-                self._take(item.key, item.number, item.body, origin.sender)
-            elif item.base_number == self.number(item.key):
-                self._patches[item.key] = item
-                self._take(
-                    item.key, item.number, merge(self.body(item.key), item.body), origin.sender
+            if update.base_number == 0:
+                self._patches.pop(update.key, None)
+                self._accept(update.key, update.number, update.body, origin.sender)
+            elif update.base_number == self.number(update.key):
+                self._patches[update.key] = update
+                self._accept(
+                    update.key,
+                    update.number,
+                    merge(self.body(update.key), update.body),
+                    origin.sender,
                 )
             else:
                 self._send_digest(origin.sender)
         if self.numbers() != before:
-            if self.node.settings.fan_out and not self.votes():
+            if self.node.settings.fan_out and not self.is_voter():
                 self._report()
             else:
                 self._send_digest(origin.sender)
 
     # -- digests -------------------------------------------------------------------------------
 
-    def _digest(self, rank: int = 0, edges: int = 0) -> VersionDigest:
+    def _digest(self, rank: int = 0, edge_count: int = 0) -> VersionDigest:
         numbers = self.numbers()
-        lows = self.lows() if self.node.settings.fan_out and self.votes() else {}
+        lows = self.low_watermarks() if self.node.settings.fan_out and self.is_voter() else {}
         return VersionDigest(
             identity=self.identity,
             role=self.node.settings.role,
-            sure=self.sure(),
+            is_current=self.is_current(),
             keys=list(numbers),
             numbers=list(numbers.values()),
             low_keys=list(lows),
-            lows=list(lows.values()),
+            low_numbers=list(lows.values()),
             rank=rank,
-            edges=edges,
+            edge_count=edge_count,
         )
 
     def _send_digest(self, address: str) -> None:
         self.node.send(
-            address, self._digest(rank=self._contacts.rank(address), edges=self._edges_for(address))
+            address,
+            self._digest(
+                rank=self._digest_targets.rank(address), edge_count=self._edge_count_for(address)
+            ),
         )
 
     @receive.register
     def _(self, message: VersionDigest, origin: Origin) -> None:
-        now_ms = self.node.env.now()
-        theirs = dict(zip(message.keys, message.numbers, strict=True))
-        if now_ms >= self._quiet_until_ms:
-            self.contacts_ms[message.identity] = now_ms
-            if message.role == "control":
-                self._note_control(message.sure, theirs, now_ms)
-            elif message.sure:
-                self.sure_edge_ms = now_ms
-        before = self.confirmed.get(message.identity)
-        self.confirmed[message.identity] = (message.role, now_ms, theirs, origin.sender)
+        their_numbers = dict(zip(message.keys, message.numbers, strict=True))
+        has_changed = self._record_report(message, origin, their_numbers)
         if self.node.settings.fan_out:
-            self._note_report(message, origin, before is None or before[2] != theirs)
-        if message.role == "control" or self.hands_out():
-            self._send(
-                origin.sender,
-                [
-                    encode(self._newer(key, theirs.get(key, 0)))
-                    for key, number in self.numbers().items()
-                    if number > theirs.get(key, 0)
-                ],
-            )
+            self._note_report(message, origin, has_changed)
+        if message.role == "control" or self.serves_updates():
+            self._send(origin.sender, self._missing_updates(their_numbers))
         if self._wants_digest(message, origin) or (
-            self._may_give(message)
-            and any(number > self.number(key) for key, number in theirs.items())
+            self._will_send_updates(message)
+            and any(number > self.number(key) for key, number in their_numbers.items())
         ):
             self._send_digest(origin.sender)
 
-    def _may_give(self, message: VersionDigest) -> bool:
-        """Whether the sender answers a digest from here with the items that this node lacks."""
-        return self.node.settings.role == "control" or message.role != "control" or message.sure
+    def _record_report(
+        self, message: VersionDigest, origin: Origin, their_numbers: dict[str, int]
+    ) -> bool:
+        """Record a digest; return whether its numbers differ from the sender's previous one."""
+        now_ms = self.node.env.now()
+        if now_ms >= self._ignore_digests_until_ms:
+            self.digest_heard_ms[message.identity] = now_ms
+            if message.role == "control":
+                self._note_control_digest(message.is_current, their_numbers, now_ms)
+            elif message.is_current:
+                self.current_edge_heard_ms = now_ms
+        previous = self.reports.get(message.identity)
+        self.reports[message.identity] = DigestReport(
+            message.role, now_ms, their_numbers, origin.sender
+        )
+        return previous is None or previous.numbers != their_numbers
+
+    def _missing_updates(self, their_numbers: dict[str, int]) -> list[bytes]:
+        """Return the encoded updates that a node with these numbers lacks."""
+        return [
+            encode(self._update_for(key, their_numbers.get(key, 0)))
+            for key, number in self.numbers().items()
+            if number > their_numbers.get(key, 0)
+        ]
+
+    def _will_send_updates(self, message: VersionDigest) -> bool:
+        """Whether the sender answers a digest from here with the updates that this node lacks."""
+        return (
+            self.node.settings.role == "control" or message.role != "control" or message.is_current
+        )
 
-    def _note_control(self, sure: bool, theirs: dict[str, int], now_ms: int) -> None:
-        if sure:
-            self.quorate_ms = now_ms
-        for key in CONFIRMERS:
-            if theirs.get(key, 0) > self.number(key):
+    def _note_control_digest(
+        self, is_current: bool, their_numbers: dict[str, int], now_ms: int
+    ) -> None:
+        if is_current:
+            self.control_quorum_heard_ms = now_ms
+        for key in CONFIRMING_ROLES:
+            if their_numbers.get(key, 0) > self.number(key):
                 self._behind_since_ms.setdefault(key, now_ms)
 
     def behind_ms(self) -> int:
@@ -290,8 +331,8 @@
         """Whether the sender reports to this voter, and so expects a digest as a heartbeat."""
         return (
             bool(self.node.settings.fan_out)
-            and self.votes()
-            and (message.role != "control" or origin.sender not in self._voters())
+            and self.is_voter()
+            and (message.role != "control" or origin.sender not in self._voter_addresses())
         )
 
     # -- reports to the voters (fan_out) -------------------------------------------------------
@@ -299,41 +340,48 @@
     def _note_report(self, message: VersionDigest, origin: Origin, changed: bool) -> None:
         self._ranks[message.identity] = message.rank
         if message.role == "control":
-            self._lows[message.identity] = dict(zip(message.low_keys, message.lows, strict=True))
-            self._edges_told[message.identity] = message.edges
-            self._contacts.heard(origin.sender, message.sure)
-        elif (changed or message.rank == 0) and self.votes() and self.lows() != self._lows_told:
-            self._tell_voters()
-
-    def _edges_for(self, address: str) -> int:
-        if not (self.node.settings.fan_out and self.votes()):
+            self._low_watermarks[message.identity] = dict(
+                zip(message.low_keys, message.low_numbers, strict=True)
+            )
+            self._edge_counts[message.identity] = message.edge_count
+            self._digest_targets.replied(origin.sender, message.is_current)
+        elif (
+            (changed or message.rank == 0)
+            and self.is_voter()
+            and self.low_watermarks() != self._sent_watermarks
+        ):
+            self._send_watermarks()
+
+    def _edge_count_for(self, address: str) -> int:
+        if not (self.node.settings.fan_out and self.is_voter()):
             return 0
-        return self._own_edges() if address in self._voters() else self.edge_count()
+        return self._own_edge_count() if address in self._voter_addresses() else self.edge_count()
 
-    def _tell_voters(self) -> None:
-        self._lows_told = self.lows()
-        digest = self._digest(edges=self._own_edges())
-        for address in sorted(self._voters() - {self.node.address}):
+    def _send_watermarks(self) -> None:
+        self._sent_watermarks = self.low_watermarks()
+        digest = self._digest(edge_count=self._own_edge_count())
+        for address in sorted(self._voter_addresses() - {self.node.address}):
             self.node.send(address, digest)
 
     def _report(self) -> None:
-        for address in self._contacts.choose(self.candidates()):
-            self._contacts.asked(address)
+        for address in self._digest_targets.choose(self.target_candidates()):
+            self._digest_targets.sent_to(address)
             self._send_digest(address)
 
-    def _tick_by_way_of_voters(self) -> None:
-        self._beat_count += 1
-        if self.votes():
-            self._tell_voters()
-        elif self._beat_count % _REPORT_BEATS == 0 or not self._items:
+    def _tick_with_fan_out(self) -> None:
+        self._rounds += 1
+        if self.is_voter():
+            self._send_watermarks()
+        elif self._rounds % _REPORT_EVERY == 0 or not self._versions:
             self._report()
         peers = sorted(
-            set(self._neighbours()) - {self.node.address, *(row[0] for row in self.candidates())}
+            set(self._peer_addresses())
+            - {self.node.address, *(node.address for node in self.target_candidates())}
         )
-        if peers and not self.votes() and self._beat_count % _PEER_BEATS == 0:
-            self._send_digest(peers[self._beat_count // _PEER_BEATS % len(peers)])
+        if peers and not self.is_voter() and self._rounds % _PEER_DIGEST_EVERY == 0:
+            self._send_digest(peers[self._rounds // _PEER_DIGEST_EVERY % len(peers)])
 
-    def _newer(self, key: str, their_number: int) -> KeyUpdate:
+    def _update_for(self, key: str, their_number: int) -> KeyUpdate:
         patch = self._patches.get(key)
         if (
             patch is not None
@@ -341,7 +389,7 @@
             and patch.number == self.number(key)
         ):
             return patch
-        return self._whole(key)
+        return self._full_update(key)
 
     def tick(self) -> None:
         """Send digests every heartbeat_ms."""
@@ -351,9 +399,9 @@
         self._sent_ms = now_ms
         self._since_ms = min(self._since_ms, now_ms)
         for identity in self._forget_silent(now_ms):
-            self.contacts_ms.pop(identity, None)
+            self.digest_heard_ms.pop(identity, None)
         if self.node.settings.fan_out:
-            self._tick_by_way_of_voters()
+            self._tick_with_fan_out()
             return
         digest = self._digest()
         for address in self._addresses():
@@ -364,8 +412,8 @@
 
         Those that waited in buffers say nothing about the present.
         """
-        self._quiet_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
+        self._ignore_digests_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
         self._since_ms = self.node.env.now()
-        self.quorate_ms = self.sure_edge_ms = -1 << 40
-        self.contacts_ms = dict.fromkeys(self.contacts_ms, -1 << 40)
-        self._contacts.resumed()
+        self.control_quorum_heard_ms = self.current_edge_heard_ms = NEVER_MS
+        self.digest_heard_ms = dict.fromkeys(self.digest_heard_ms, NEVER_MS)
+        self._digest_targets.resumed()
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -1,7 +1,8 @@
 """Which version of each key the nodes have in force, as the voters learn it from digests.
 
 A control key's owner acknowledges a version by this. With fan_out a voter also counts what other
-voters report of the nodes that send their digests to them.
+voters report of the nodes that send their digests to them: the lowest numbers among these, which
+are low watermarks of what all of them have.
 """
 
 from collections.abc import Callable
@@ -9,39 +10,70 @@
 
 from messaging import Component
 
-__all__ = ["CONFIRMERS", "LEAST", "ROLL_KEY", "VersionTracker"]
+__all__ = [
+    "CONFIRMING_ROLES",
+    "DigestReport",
+    "MIN_SERVING_SET",
+    "NEVER_MS",
+    "SERVING_SET_KEY",
+    "VersionTracker",
+]
 
-ROLL_KEY = "fleet"
-LEAST = 3
-CONFIRMERS = {"profiles": ("edge", "store"), "workers": ("edge",)}
+SERVING_SET_KEY = "fleet"
+MIN_SERVING_SET = 3
+"""The smallest serving set of which a majority is required."""
+
+CONFIRMING_ROLES = {"profiles": ("edge", "store"), "workers": ("edge",)}
+"""The keys whose versions nodes confirm, with the roles that do."""
+
+NEVER_MS = -1 << 40
+_NOT_STARTED_MS = 1 << 60
+_NO_LIMIT = 1 << 60
+_FIRST_TARGET = 1
+
+
+class DigestReport:
+    """What the newest digest of a node said; `received_ms` is by the receiving node's clock.
+
+    `numbers` has the number of each key that the node holds, `link` is its link address.
+    """
+
+    __slots__ = ("link", "numbers", "received_ms", "role")
+
+    def __init__(self, role: str, received_ms: int, numbers: dict[str, int], link: str) -> None:
+        self.role = role
+        self.received_ms = received_ms
+        self.numbers = numbers
+        self.link = link
 
 
 class VersionTracker(Component):
-    """The part of the feed that records and counts confirmations; a subclass holds the items.
+    """The part of the feed that records and counts confirmations; a subclass holds the versions.
 
-    `votes` returns whether this node is a voter. `confirmed` maps the identity of each node that
-    sent a digest to its role, the time of the digest (ms of this node's clock), the number that it
-    has of each key, and its link address.
+    `is_voter` returns whether this node is a voter. `reports` has the newest digest of each node,
+    by its identity.
     """
 
     __slots__ = (
-        "_edges_told",
-        "_lows",
+        "_edge_counts",
+        "_low_watermarks",
         "_ranks",
-        "_roll",
+        "_serving_set",
+        "_serving_set_number",
         "_since_ms",
-        "confirmed",
-        "votes",
+        "is_voter",
+        "reports",
     )
 
     def __init__(self) -> None:
-        self.votes: Callable[[], bool] = lambda: False
-        self.confirmed: dict[str, tuple[str, int, dict[str, int], str]] = {}
-        self._since_ms = 1 << 60
-        self._roll: tuple[int, frozenset[str]] = (0, frozenset())
+        self.is_voter: Callable[[], bool] = lambda: False
+        self.reports: dict[str, DigestReport] = {}
+        self._since_ms = _NOT_STARTED_MS
+        self._serving_set_number = 0
+        self._serving_set: frozenset[str] = frozenset()
         self._ranks: dict[str, int] = {}
-        self._lows: dict[str, dict[str, int]] = {}
-        self._edges_told: dict[str, int] = {}
+        self._low_watermarks: dict[str, dict[str, int]] = {}
+        self._edge_counts: dict[str, int] = {}
 
     def number(self, key: str) -> int:
         """Return the number held of a key, 0 for none."""
@@ -55,105 +87,116 @@
         """Drop nodes that sent no digest for removal_timeout_ms, and return their identities."""
         silent = [
             identity
-            for identity, row in self.confirmed.items()
-            if now_ms - row[1] > self.node.settings.removal_timeout_ms
+            for identity, report in self.reports.items()
+            if now_ms - report.received_ms > self.node.settings.removal_timeout_ms
         ]
         for identity in silent:
-            del self.confirmed[identity]
+            del self.reports[identity]
             self._ranks.pop(identity, None)
-            self._lows.pop(identity, None)
-            self._edges_told.pop(identity, None)
+            self._low_watermarks.pop(identity, None)
+            self._edge_counts.pop(identity, None)
         return silent
 
-    def lows(self) -> dict[str, int]:
+    def _live_since_ms(self) -> int:
+        failure_timeout_ms: int = self.node.settings.failure_timeout_ms
+        return self.node.env.now() - failure_timeout_ms
+
+    def low_watermarks(self) -> dict[str, int]:
         """Return for each confirmed key the lowest number among the nodes that report here."""
-        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
+        since_ms = self._live_since_ms()
         lows: dict[str, int] = {}
-        for identity, (role, at_ms, numbers, _) in self.confirmed.items():
-            if at_ms >= floor_ms and self._ranks.get(identity):
-                for key, roles in CONFIRMERS.items():
-                    if role in roles:
-                        lows[key] = min(lows.get(key, 1 << 60), numbers.get(key, 0))
+        for identity, report in self.reports.items():
+            if report.received_ms < since_ms or not self._ranks.get(identity):
+                continue
+            for key, roles in CONFIRMING_ROLES.items():
+                if report.role in roles:
+                    lows[key] = min(lows.get(key, _NO_LIMIT), report.numbers.get(key, 0))
         return lows
 
-    def _own_edges(self) -> int:
-        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
+    def _own_edge_count(self) -> int:
+        """Return how many live edges send their digests to this node first."""
+        since_ms = self._live_since_ms()
         return sum(
             1
-            for identity, (role, at_ms, _, _) in self.confirmed.items()
-            if role == "edge" and at_ms >= floor_ms and self._ranks.get(identity) == 1
+            for identity, report in self.reports.items()
+            if report.role == "edge"
+            and report.received_ms >= since_ms
+            and self._ranks.get(identity) == _FIRST_TARGET
         )
 
     def edge_count(self) -> int:
         """Return how many edges are live.
 
-        A voter adds up the counts of all voters; other nodes take the largest count they were told.
+        A voter adds up the counts of all voters; other nodes take the largest count reported.
         """
-        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
-        told = [
+        since_ms = self._live_since_ms()
+        counts = [
             count
-            for identity, count in self._edges_told.items()
-            if identity in self.confirmed and self.confirmed[identity][1] >= floor_ms
+            for identity, count in self._edge_counts.items()
+            if identity in self.reports and self.reports[identity].received_ms >= since_ms
         ]
-        return self._own_edges() + sum(told) if self.votes() else max(told, default=0)
+        if self.is_voter():
+            return self._own_edge_count() + sum(counts)
+        return max(counts, default=0)
 
-    def all_confirm(self, key: str, number: int, roles: tuple[str, ...], within_ms: int) -> bool:
+    def all_have(self, key: str, number: int, roles: tuple[str, ...], within_ms: int) -> bool:
         """Whether every live node of these roles has this number of the key in force.
 
         A node is live if its digest came within `within_ms`. With fan_out, nodes that report to
         another voter are counted by that voter's digest.
         """
-        floor_ms = self.node.env.now() - within_ms
+        since_ms = self.node.env.now() - within_ms
         if any(
             lows.get(key, number) < number
-            for identity, lows in self._lows.items()
-            if identity in self.confirmed and self.confirmed[identity][1] >= floor_ms
+            for identity, lows in self._low_watermarks.items()
+            if identity in self.reports and self.reports[identity].received_ms >= since_ms
         ):
             return False
         return all(
-            numbers.get(key, 0) >= number
-            for identity, (role, at_ms, numbers, _) in self.confirmed.items()
-            if role in roles
-            and at_ms >= floor_ms
+            report.numbers.get(key, 0) >= number
+            for identity, report in self.reports.items()
+            if report.role in roles
+            and report.received_ms >= since_ms
             and (self._ranks.get(identity) or not self.node.settings.fan_out)
         )
 
-    def roll(self) -> frozenset[str]:
-        """Return the roster: the link addresses of the edges and stores that are counted."""
-        number = self.number(ROLL_KEY)
-        if number != self._roll[0]:
-            self._roll = (number, frozenset(self.value(ROLL_KEY)["links"]))
-        return self._roll[1]
+    def serving_set(self) -> frozenset[str]:
+        """Return the link addresses of the edges and stores that are counted."""
+        number = self.number(SERVING_SET_KEY)
+        if number != self._serving_set_number:
+            self._serving_set_number = number
+            self._serving_set = frozenset(self.value(SERVING_SET_KEY)["links"])
+        return self._serving_set
 
     @property
-    def binding(self) -> bool:
-        """Whether the roster is large enough for its majority to be required."""
-        return len(self.roll()) >= LEAST
+    def needs_majority(self) -> bool:
+        """Whether the serving set is large enough for its majority to be required."""
+        return len(self.serving_set()) >= MIN_SERVING_SET
 
-    def heard_links(self, within_ms: int) -> set[str]:
+    def links_heard(self, within_ms: int) -> set[str]:
         """Return the link addresses of edges and stores whose digests came within `within_ms`."""
-        floor_ms = self.node.env.now() - within_ms
+        since_ms = self.node.env.now() - within_ms
         return {
-            link
-            for role, at_ms, _, link in self.confirmed.values()
-            if role != "control" and at_ms >= floor_ms
+            report.link
+            for report in self.reports.values()
+            if report.role != "control" and report.received_ms >= since_ms
         }
 
-    def most_confirm(self, key: str, number: int, within_ms: int) -> bool:
-        """Whether a majority of the roster reported this number of the key within `within_ms`.
+    def majority_has(self, key: str, number: int, within_ms: int) -> bool:
+        """Whether a majority of the serving set reported this number within `within_ms`.
 
-        Always true while the roster has fewer than LEAST members: no edge serves without control by
-        such a roster.
+        Always true while the serving set has fewer than MIN_SERVING_SET members: no edge serves
+        without control by such a set.
         """
-        floor_ms = self.node.env.now() - within_ms
+        since_ms = self.node.env.now() - within_ms
         have = {
-            link
-            for _, at_ms, numbers, link in self.confirmed.values()
-            if at_ms >= floor_ms and numbers.get(key, 0) >= number
+            report.link
+            for report in self.reports.values()
+            if report.received_ms >= since_ms and report.numbers.get(key, 0) >= number
         }
-        roll = self.roll()
-        return not self.binding or 2 * len(roll & have) > len(roll)
+        serving = self.serving_set()
+        return not self.needs_majority or 2 * len(serving & have) > len(serving)
 
-    def listened(self, for_ms: int) -> bool:
+    def has_listened(self, for_ms: int) -> bool:
         """Whether this node has been running without a pause for `for_ms`."""
         return self.node.env.now() - self._since_ms > for_ms
--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -17,7 +17,7 @@
     """
     config_feed, settings = node.config_feed, node.settings
     if role == "edge":
-        return describe_edge(link, config_feed.roll())
+        return describe_edge(link, config_feed.serving_set())
     retired = RetiredMachines.from_value(config_feed.value(RETIRED_KEY)).identities
     if role == "store":
         log = config_feed.value(LOG_KEY) or {"members": [], "holder": ""}
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -43,11 +43,11 @@
                 "voters_number": node.acceptor.list_number,
                 "steward": node.voter_list_manager.steward(),
                 "keys": node.owner.ownership(),
-                "roll": sorted(node.config_feed.roll()),
+                "roll": sorted(node.config_feed.serving_set()),
                 "log": node.config_feed.value(LOG_KEY),
                 "retired": (node.config_feed.value(RETIRED_KEY) or {}).get("identities", []),
                 "feed": node.config_feed.numbers(),
-                "place": node.config_feed.place,
+                "place": node.config_feed.position,
             }
         )
 
@@ -72,7 +72,7 @@
         return rows
 
     def _heard_row(self, role: str, info: NodeInfo) -> dict[str, Any]:
-        confirmed = self._node.config_feed.confirmed.get(info.identity)
+        report = self._node.config_feed.reports.get(info.identity)
         return {
             "role": role,
             "name": info.name,
@@ -82,7 +82,7 @@
             "zone": info.zone,
             "standing": _LIVE if self._node.membership.is_live(info.identity) else _SILENT,
             "ready": info.ready,
-            "feed": confirmed[2] if confirmed else None,
+            "feed": report.numbers if report else None,
         }
 
     def _own_row(self) -> dict[str, Any]:
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -71,7 +71,7 @@
             identity,
             lambda: [info.address for info in self.membership.view()],
             lambda: self.acceptor.voters.values(),
-            sure=self.has_quorum,
+            is_current=self.has_quorum,
         )
         self.membership.extra_addresses = lambda: (
             self.acceptor.voters.values() or (() if settings.control_count else settings.seeds)
@@ -80,11 +80,11 @@
         self.membership.is_isolated = lambda: (
             self._is_voter() and not self._hears(settings.contact_timeout_ms)
         )
-        self.config_feed.votes = self._is_voter
-        self.config_feed.candidates = lambda: candidates(
+        self.config_feed.is_voter = self._is_voter
+        self.config_feed.target_candidates = lambda: candidates(
             self._voter_list(), self.membership, settings.removal_timeout_ms
         )
-        self.config_feed.hands_out = lambda: (
+        self.config_feed.serves_updates = lambda: (
             self.has_quorum() if self._is_voter() else self.hears_majority()
         )
 
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -55,7 +55,7 @@
             "steward": node.voter_list_manager.steward() if node.acceptor.voters else None,
             "keys": node.owner.ownership(),
             "feed": node.config_feed.numbers(),
-            "place": node.config_feed.place,
+            "place": node.config_feed.position,
         }
 
     def metrics(self) -> dict[str, float]:
@@ -71,7 +71,7 @@
             **rows,
             "control_quorate": int(node.has_quorum()),
             "control_voters_number": node.acceptor.list_number,
-            "feed_place": node.config_feed.place,
+            "feed_place": node.config_feed.position,
             "feed_sent_bytes_total": node.config_feed.sent_bytes,
             "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -121,12 +121,12 @@
         body = await read_json_body(request, node.settings.max_body_bytes, ForgetMachinesBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
-        unknown = sorted(set(body.links) - node.config_feed.roll())
+        unknown = sorted(set(body.links) - node.config_feed.serving_set())
         if unknown:
             reason = f"not on the roll: {', '.join(unknown)}"
             return refusal_response(refused("unknown-machine", reason, 404, field="links"))
         live = sorted(
-            set(body.links) & node.config_feed.heard_links(node.settings.removal_timeout_ms)
+            set(body.links) & node.config_feed.links_heard(node.settings.removal_timeout_ms)
         )
         if live:
             reason = f"heard lately: {', '.join(live)}"
--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from config_feed import ConfigFeed
-from config_feed.version_tracker import CONFIRMERS, ROLL_KEY
+from config_feed.version_tracker import CONFIRMING_ROLES, SERVING_SET_KEY
 from messaging import Node
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
@@ -55,8 +55,8 @@
                 self._read(key)
 
     def _known_keys(self) -> tuple[str, ...]:
-        serving_set = () if self._node.settings.cut_off == "serve" else (ROLL_KEY,)
-        return (CONTROL_KEY, *CONFIRMERS, RETIRED_KEY, LOG_KEY, *serving_set)
+        serving_set = () if self._node.settings.cut_off == "serve" else (SERVING_SET_KEY,)
+        return (CONTROL_KEY, *CONFIRMING_ROLES, RETIRED_KEY, LOG_KEY, *serving_set)
 
     def _is_read_due(self, key: str) -> bool:
         since_ms = self._node.env.now() - self._read_ms.get(key, LONG_AGO_MS)
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -5,7 +5,7 @@
 """
 
 from config_feed import ConfigFeed
-from config_feed.version_tracker import CONFIRMERS
+from config_feed.version_tracker import CONFIRMING_ROLES
 from messaging import Node
 
 from control_store.acceptor import Acceptor
@@ -103,10 +103,10 @@
             )
         else:
             within_ms = settings.confirmation_timeout_ms
-            majority = config_feed.most_confirm(key, version, within_ms)
+            majority = config_feed.majority_has(key, version, within_ms)
         return majority and (
             now_ms >= change.due_ms
-            or config_feed.all_confirm(key, version, CONFIRMERS[key], within_ms)
+            or config_feed.all_have(key, version, CONFIRMING_ROLES[key], within_ms)
         )
 
     def _is_published_by_majority(self, key: str, version: int) -> bool:
@@ -115,8 +115,8 @@
         oldest_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
         publishing = {
             identity
-            for identity, (_, at_ms, numbers, _) in config_feed.confirmed.items()
-            if at_ms >= oldest_ms and numbers.get(key, 0) >= version
+            for identity, report in config_feed.reports.items()
+            if report.received_ms >= oldest_ms and report.numbers.get(key, 0) >= version
         }
         if config_feed.number(key) >= version:
             publishing.add(self._acceptor.identity)
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from config_feed import ConfigFeed
-from config_feed.version_tracker import CONFIRMERS
+from config_feed.version_tracker import CONFIRMING_ROLES
 from messaging import Component
 
 from control_store.key_owner import KeyOwner
@@ -74,9 +74,9 @@
     def _read_all(self) -> None:
         settings = self.node.settings
         self._attempt += 1
-        self._missing = set(CONFIRMERS)
+        self._missing = set(CONFIRMING_ROLES)
         self._retry_at_ms = self.node.env.now() + settings.request_timeout_ms
-        for key in CONFIRMERS:
+        for key in CONFIRMING_ROLES:
             self._read(key, self._attempt)
 
     def _read(self, key: str, attempt: int) -> None:
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from config_feed import ConfigFeed
-from config_feed.version_tracker import LEAST, ROLL_KEY
+from config_feed.version_tracker import MIN_SERVING_SET, SERVING_SET_KEY
 from messaging import Component
 
 from control_store.key_owner import KeyOwner
@@ -59,28 +59,28 @@
     def _next_set(self) -> list[str] | None:
         """Return the addresses of the next serving set, or None without cause for a change."""
         settings, config_feed = self.node.settings, self._config_feed
-        current = config_feed.roll()
-        live = config_feed.heard_links(settings.failure_timeout_ms)
+        current = config_feed.serving_set()
+        live = config_feed.links_heard(settings.failure_timeout_ms)
         if not current:
             return sorted(live) or None
         joining = sorted(live - current)[:1]
         lost = self._first_lost(current)
-        if not config_feed.binding:
+        if not config_feed.needs_majority:
             return self._next_set_unless_binding(current, live, joining, lost)
-        if not config_feed.most_confirm(
-            ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirmation_timeout_ms
+        if not config_feed.majority_has(
+            SERVING_SET_KEY, config_feed.number(SERVING_SET_KEY), settings.confirmation_timeout_ms
         ):
             return None
         if joining:
             return sorted({*current, *joining})
-        return sorted(current - set(lost)) if lost and len(current) > LEAST else None
+        return sorted(current - set(lost)) if lost and len(current) > MIN_SERVING_SET else None
 
     def _first_lost(self, current: frozenset[str]) -> list[str]:
         """Return the first machine that has been silent for long, if there is one."""
         timeout_ms = self.node.settings.removal_timeout_ms
-        if not self._config_feed.listened(timeout_ms):
+        if not self._config_feed.has_listened(timeout_ms):
             return []
-        return sorted(current - self._config_feed.heard_links(timeout_ms))[:1]
+        return sorted(current - self._config_feed.links_heard(timeout_ms))[:1]
 
     def _next_set_unless_binding(
         self, current: frozenset[str], live: set[str], joining: list[str], lost: list[str]
@@ -107,7 +107,7 @@
                 return
             self._change(sorted(current - set(addresses)), result.version, done)
 
-        self._owner.submit(ReadKey(key=ROLL_KEY, hops=0), read)
+        self._owner.submit(ReadKey(key=SERVING_SET_KEY, hops=0), read)
 
     def _propose(self, addresses: list[str]) -> None:
         def changed(result: ChangeResult) -> None:
@@ -115,13 +115,13 @@
 
         self._change_in_progress = True
         self.node.env.log("serving-set-changing", addresses=addresses)
-        self._change(addresses, self._config_feed.number(ROLL_KEY), changed)
+        self._change(addresses, self._config_feed.number(SERVING_SET_KEY), changed)
 
     def _change(self, addresses: list[str], version: int, done: ResultCallback) -> None:
         """Replace `version` of the serving set by these addresses."""
         self._owner.submit(
             Change(
-                key=ROLL_KEY,
+                key=SERVING_SET_KEY,
                 version=version,
                 change_id=self.node.env.token(),
                 hops=0,
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -236,7 +236,7 @@
             return False
         if now_ms - decided.at_ms >= settings.edge_confirmation_timeout_ms:
             return True
-        return self._config_feed.all_confirm(
+        return self._config_feed.all_have(
             WORKERS_KEY, decided.version, ("edge",), settings.confirmation_timeout_ms
         )
 
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -39,7 +39,7 @@
             self._control_addresses,
         )
         self.membership.extra_addresses = self._control_addresses
-        self.config_feed.candidates = lambda: candidates(
+        self.config_feed.target_candidates = lambda: candidates(
             self.config_feed.value(CONTROL_KEY), self.membership, self.settings.removal_timeout_ms
         )
         self._profile_tree = ProfileTree({})
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -61,7 +61,7 @@
         self._make_shared_components(env, settings, identity)
         self._readiness = EdgeReadiness(self)
         self.stopping = False
-        self.membership.is_ready = self.config_feed.sure = lambda: not self.why_unready()
+        self.membership.is_ready = self.config_feed.is_current = lambda: not self.why_unready()
         self._make_routing(identity, sender)
         self._make_batch_work(identity)
         self._make_capacity_sharing(identity)
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -98,7 +98,7 @@
             "reason": node.why_unready(),
             "profiles_digest": node.profile_tree_digest,
             "feed": node.config_feed.numbers(),
-            "place": node.config_feed.place,
+            "place": node.config_feed.position,
             "holder_epoch": node.holder.epoch,
             "live": self._completions.live_now,
             "items": node.job_runner.running(),
@@ -141,6 +141,6 @@
             "edge_samples_given_up_total": node.borrowing.given_up,
             "edge_loans_recalled_total": node.borrowing.recalls,
             "edge_workers_lent": len(node.roster.lent),
-            "feed_place": node.config_feed.place,
+            "feed_place": node.config_feed.position,
             "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -48,7 +48,7 @@
         if not self._caught_up:
             failure_timeout_ms = self._node.settings.failure_timeout_ms
             informed = (
-                now_ms - self._node.config_feed.quorate_ms <= failure_timeout_ms
+                now_ms - self._node.config_feed.control_quorum_heard_ms <= failure_timeout_ms
                 or now_ms - self._started_ms > failure_timeout_ms
                 and not self._hears_some_control()
             )
@@ -62,7 +62,10 @@
 
     def _hears_control(self, now_ms: int) -> bool:
         """Whether a control node with a majority was heard within `contact_timeout_ms`."""
-        if now_ms - self._node.config_feed.quorate_ms <= self._node.settings.contact_timeout_ms:
+        if (
+            now_ms - self._node.config_feed.control_quorum_heard_ms
+            <= self._node.settings.contact_timeout_ms
+        ):
             self._was_quorate = True
             return True
         return False
@@ -74,15 +77,15 @@
         are known to live, and either it or an edge that is ready has once heard from control.
         """
         feed, contact_timeout_ms = self._node.config_feed, self._node.settings.contact_timeout_ms
-        serving = feed.roll()
+        serving = feed.serving_set()
         contacts_ms = [
-            feed.contacts_ms[identity]
-            for identity, row in feed.confirmed.items()
-            if identity in feed.contacts_ms and row[3] in serving
+            feed.digest_heard_ms[identity]
+            for identity, report in feed.reports.items()
+            if identity in feed.digest_heard_ms and report.link in serving
         ]
         recent = sum(1 for at_ms in contacts_ms if now_ms - at_ms <= contact_timeout_ms)
-        vouched = feed.binding and (
-            self._was_quorate or now_ms - feed.sure_edge_ms <= contact_timeout_ms
+        vouched = feed.needs_majority and (
+            self._was_quorate or now_ms - feed.current_edge_heard_ms <= contact_timeout_ms
         )
         return (
             vouched
@@ -105,7 +108,7 @@
         feed = self._node.config_feed
         return feed.number(PROFILES_KEY) > 0 and all(
             feed.number(key) >= number
-            for _, at_ms, numbers, _ in feed.confirmed.values()
-            if at_ms >= floor_ms
-            for key, number in numbers.items()
+            for report in feed.reports.values()
+            if report.received_ms >= floor_ms
+            for key, number in report.numbers.items()
         )
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -123,7 +123,7 @@
         now_ms, timeout_ms = self.env.now(), int(self.settings.failure_timeout_ms)
         return (
             now_ms - self._started_ms > timeout_ms
-            and now_ms - self.config_feed.quorate_ms < timeout_ms
+            and now_ms - self.config_feed.control_quorum_heard_ms < timeout_ms
         )
 
     def learned(self, number: int, body: str) -> None:
--- a/libs/data_plane/src/data_plane/store_process.py
+++ b/libs/data_plane/src/data_plane/store_process.py
@@ -64,7 +64,7 @@
             "settled_seq": local.committed_seq,
             "snap_seq": local.snapshot_seq,
             "feed": self.node.config_feed.numbers(),
-            "place": self.node.config_feed.place,
+            "place": self.node.config_feed.position,
             "lots": len(local.state.jobs),
             "open_lots": len(local.state.open_jobs),
             "keys": len(local.state.keys),
@@ -93,6 +93,6 @@
             "store_holds": int(self.node.log.leader is not None),
             "store_open_lots": len(local.state.open_jobs),
             "store_shelves": len(local.archive.names()),
-            "feed_place": self.node.config_feed.place,
+            "feed_place": self.node.config_feed.position,
             "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -20,7 +20,7 @@
         """Send one version of a key to every store."""
         item = encode(KeyUpdate(key=key, number=number, base_number=0, body=body))
         for address in self._stores:
-            self.node.send(address, KeyUpdates(items=[item]))
+            self.node.send(address, KeyUpdates(updates=[item]))
 
 
 class FleetView(Component):
@@ -37,9 +37,9 @@
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Take in the versions of the log's key that the feed brings."""
-        updates = cast(KeyUpdates, message)
-        for item in updates.items:
-            update = decode_as(KeyUpdate, item)
+        batch = cast(KeyUpdates, message)
+        for data in batch.updates:
+            update = decode_as(KeyUpdate, data)
             self.learned(update.number, update.body)
 
     def learned(self, number: int, body: str) -> None:
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -233,7 +233,9 @@
     def in_serving_set(self) -> bool:
         """Return whether each running host's serving set has just the running edges and stores."""
         links = {host.address for host in self.hosts.values() if host.up and host.role != "control"}
-        return all(host.node.config_feed.roll() == links for host in self.hosts.values() if host.up)
+        return all(
+            host.node.config_feed.serving_set() == links for host in self.hosts.values() if host.up
+        )
 
     def run_until_true(self, check: Callable[[], Any], limit_ms: float) -> bool:
         """Run until `check` holds, tested every 50 ms; return whether it did within `limit_ms`."""
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -18,7 +18,7 @@
 BREAKS: dict[str, tuple[str, str, str, str]] = {
     "a cut-off control node hands out settings": (
         "config_feed/src/config_feed/feed.py",
-        'if message.role == "control" or self.hands_out():',
+        'if message.role == "control" or self.serves_updates():',
         "if True:",
         _CUT_OFF + "no_item",
     ),
@@ -90,25 +90,25 @@
     ),
     "acknowledged before it is in force": (
         "control_store/src/control_store/pending_acknowledgements.py",
-        "return majority and ( now_ms >= change.due_ms or config_feed.all_confirm(",
-        "return majority and (True or config_feed.all_confirm(",
+        "return majority and ( now_ms >= change.due_ms or config_feed.all_have(",
+        "return majority and (True or config_feed.all_have(",
         _FEED + "not_acknowledged",
     ),
     "acknowledged with most edges cut off": (
         "config_feed/src/config_feed/version_tracker.py",
-        "return not self.binding or 2 * len(roll & have) > len(roll)",
+        "return not self.needs_majority or 2 * len(serving & have) > len(serving)",
         "return True",
         _FEED + "doubt_until",
     ),
     "the roll changes without its majority": (
         "control_store/src/control_store/serving_set.py",
-        "if not config_feed.most_confirm(ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirmation_timeout_ms):",
+        "if not config_feed.majority_has(SERVING_SET_KEY, config_feed.number(SERVING_SET_KEY), settings.confirmation_timeout_ms):",
         "if False:",
         _FEED + "doubt_until",
     ),
     "the feed goes back": (
         "config_feed/src/config_feed/feed.py",
-        "if item.number <= self.number(item.key):\n                continue",
+        "if update.number <= self.number(update.key):\n                continue",
         "if False:\n                continue",
         _FEED + "old_news",
     ),
@@ -120,7 +120,7 @@
     ),
     "reports go to a voter that is cut off": (
         "config_feed/src/config_feed/digest_targets.py",
-        "if address in self._chosen and len(self._rank) > len(self._chosen):",
+        "if address in self._chosen and len(self._preference) > len(self._chosen):",
         "if False:",
         _FAN + "leaves_voters",
     ),
@@ -222,7 +222,7 @@
     ),
     "a patch is merged into any base": (
         "config_feed/src/config_feed/feed.py",
-        "elif item.base_number == self.number(item.key):",
+        "elif update.base_number == self.number(update.key):",
         "elif True:",
         _MANY + "with_a_standby",
     ),
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -280,7 +280,7 @@
         class Watching:
             def send(self, sender, to, request_id, in_reply_to, message):
                 if isinstance(message, KeyUpdates) or (
-                    isinstance(message, VersionDigest) and message.sure
+                    isinstance(message, VersionDigest) and message.is_current
                 ):
                     sent.append(to)
                 network.send(sender, to, request_id, in_reply_to, message)
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -155,7 +155,7 @@
         fleet.time.run_until(fleet.time.now_ms + 100)
         self.assertThat(
             [
-                node.config_feed.all_confirm(
+                node.config_feed.all_have(
                     "workers", number, roles, node.settings.failure_timeout_ms
                 )
                 for roles in (("edge",), ("edge", "store"))
@@ -199,16 +199,20 @@
     def test_contacts_that_died_are_replaced_and_come_back(self):
         fleet = self.founded()
         edge = fleet.hosts["edge1"]
-        first = edge.node.config_feed._contacts._chosen[0]
+        first = edge.node.config_feed._digest_targets._chosen[0]
         host = next(host for host in fleet.with_role("control") if host.address == first)
         host.kill()
         self.assertThat(
-            fleet.run_until_true(lambda: edge.node.config_feed._contacts.rank(first) == 0, 2000),
+            fleet.run_until_true(
+                lambda: edge.node.config_feed._digest_targets.rank(first) == 0, 2000
+            ),
             Equals(True),
         )
         host.start()
         self.assertThat(
-            fleet.run_until_true(lambda: edge.node.config_feed._contacts.rank(first) == 1, 9000),
+            fleet.run_until_true(
+                lambda: edge.node.config_feed._digest_targets.rank(first) == 1, 9000
+            ),
             Equals(True),
         )
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -52,7 +52,7 @@
             self.change(run)
         node = fleet.hosts["edge1"].node
         old = KeyUpdate(key="profiles", number=1, base_number=0, body='{"profiles": {}}')
-        fleet.hosts["control1"].node.send(node.address, KeyUpdates(items=[encode(old)]))
+        fleet.hosts["control1"].node.send(node.address, KeyUpdates(updates=[encode(old)]))
         fleet.time.run_until(fleet.time.now_ms + 50)
         self.assertThat(
             (node.config_feed.number("profiles"), "rulings" in node.profile_tree().rows),
@@ -126,7 +126,8 @@
             links = {host.address for host in firsts}
             self.assertThat(
                 fleet.run_until_true(
-                    lambda control=control, links=links: control.config_feed.roll() == links, 6000
+                    lambda control=control, links=links: control.config_feed.serving_set() == links,
+                    6000,
                 ),
                 Equals(True),
             )
