--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -24,7 +24,7 @@
 
 
 def _empty_page(outcome: JobOutcome) -> ListForwardResultsResponse:
-    return ListForwardResultsResponse(outcome=outcome, rows=[], total=0, over=False)
+    return ListForwardResultsResponse(outcome=outcome, rows=[], total=0, complete=False)
 
 
 class _ParkedRead:
@@ -78,7 +78,7 @@
 
     def _answer_or_park(self, message: ListForwardResults, reply: Reply, due_ms: int) -> None:
         page = self._page(message)
-        complete = page.outcome != JobOutcome.KNOWN or page.rows or page.over
+        complete = page.outcome != JobOutcome.KNOWN or page.rows or page.complete
         if complete or self._node.env.now() >= due_ms:
             reply(page)
         else:
@@ -128,7 +128,7 @@
             self._request_repair(RecordKind.JOB, job.job_id)
             return _empty_page(JobOutcome.UNKNOWN)
         return ListForwardResultsResponse(
-            outcome=JobOutcome.KNOWN, rows=rows, total=job.total, over=not job.open
+            outcome=JobOutcome.KNOWN, rows=rows, total=job.total, complete=not job.open
         )
 
     def _rows(self, job: Job, message: ListForwardResults) -> list[bytes] | None:
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -114,7 +114,7 @@
             path=job.path,
             call=item.body,
             avoid=list(item.failed_at),
-            left_ms=max(0, job.expires_ms - self._log_ms()),
+            remaining_ms=max(0, job.expires_ms - self._log_ms()),
         )
 
 
--- a/libs/batch_state/src/batch_state/messages/forward_jobs.py
+++ b/libs/batch_state/src/batch_state/messages/forward_jobs.py
@@ -61,7 +61,7 @@
 
 
 class ForwardAssignment(Message, wire_name="ForwardWork"):
-    """A forwarded item to run within `left_ms`; `avoid` are the workers that failed on it."""
+    """A forwarded item to run within `remaining_ms`; `avoid` are the workers that failed on it."""
 
     job_id: str
     index: int
@@ -69,7 +69,7 @@
     path: str
     call: bytes
     avoid: list[str]
-    left_ms: int
+    remaining_ms: int
 
 
 class ItemOutcome(Message, wire_name="ItemEnd"):
@@ -111,12 +111,12 @@
 
 
 class ListForwardResultsResponse(Message, wire_name="PageReceipt"):
-    """A page of encoded ForwardResults; `over` says that no more will come."""
+    """A page of encoded ForwardResults; `complete` says that no more will come."""
 
     outcome: str
     rows: list[bytes]
     total: int
-    over: bool
+    complete: bool
 
 
 class GetItem(Message, wire_name="ReadItem"):
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -198,5 +198,5 @@
         message is not None
         and message.outcome == JobOutcome.KNOWN
         and not message.rows
-        and not message.over
+        and not message.complete
     )
--- a/libs/request_routing/src/request_routing/item_run.py
+++ b/libs/request_routing/src/request_routing/item_run.py
@@ -98,7 +98,7 @@
         self._call_later = call_later
         self._done = done
         self._item = cast(messages.ForwardItem, decode(assignment.call))
-        self._due_ms: int = router.node.env.now() + assignment.left_ms
+        self._due_ms: int = router.node.env.now() + assignment.remaining_ms
         self._data: list[bytes] = []
         self._last_event_id: int | None = None
         self._request: InFlightRequest | None = None
--- a/tests/test_forward_dispatch.py
+++ b/tests/test_forward_dispatch.py
@@ -141,7 +141,7 @@
         fixture.leader.commit()
         page = fixture.response(held)
         self.assertThat(
-            (page.total, page.over, [decode(row).item_id for row in page.rows]),
+            (page.total, page.complete, [decode(row).item_id for row in page.rows]),
             Equals((2, False, ["one-1"])),
         )
 
@@ -154,8 +154,8 @@
         fixture.request(messages.CancelJob(job_id="one"))
         self.assertThat(
             (
-                fixture.response(ended).over,
-                fixture.response(fixture.list_results("one", 5, 500)).over,
+                fixture.response(ended).complete,
+                fixture.response(fixture.list_results("one", 5, 500)).complete,
             ),
             Equals((True, True)),
         )
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -145,7 +145,7 @@
                     path="route",
                     call=call,
                     avoid=list(avoid),
-                    left_ms=left_ms,
+                    remaining_ms=left_ms,
                 )
             )
             for index in range(count)
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -210,7 +210,7 @@
         page = m.ListForwardResultsResponse(
             outcome="known",
             total=40,
-            over=False,
+            complete=False,
             rows=[
                 encode(m.ForwardResult(item_id="a", outcome="finished", text='{"x"}\né'.encode())),
                 encode(m.ForwardResult(item_id="b", outcome="dead", text=b"why")),
@@ -241,8 +241,14 @@
         )
         for message, status in (
             (None, 503),
-            (m.ListForwardResultsResponse(outcome="unknown", total=0, over=False, rows=[]), 503),
-            (m.ListForwardResultsResponse(outcome="missing", total=0, over=False, rows=[]), 404),
+            (
+                m.ListForwardResultsResponse(outcome="unknown", total=0, complete=False, rows=[]),
+                503,
+            ),
+            (
+                m.ListForwardResultsResponse(outcome="missing", total=0, complete=False, rows=[]),
+                404,
+            ),
         ):
             response, calls = self.call(
                 forward_results_response("l", 0, message), "GET", "/vaneledge/lots/l"
