--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -9,10 +9,9 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING
 
-from batch_state import BatchState
 from batch_state.entries import JobArchived, KeyArchived
 from batch_state.jobs import Job
-from batch_state.state import IdempotencyKey
+from batch_state.state import BatchState, IdempotencyKey
 from messaging import Message
 from storage import DiskFullError, walk
 
@@ -272,6 +271,6 @@
     """Add rows of an archived job or key to a new file and return the entry that refers to them."""
     if item.kind is ArchivedKind.JOB:
         return file.add_job(state.jobs[item.name], rows)
-    archived = state.keys[item.name].shelf
+    archived = state.keys[item.name].archived
     assert archived is not None, "the key is archived"
     return file.add_key_again(archived, rows)
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import BatchState
 from batch_state.entries import JobArchived, KeyArchived
+from batch_state.state import BatchState
 from messaging import Message, encode
 from storage import DiskFullError
 
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from batch_state import BatchState
+from batch_state.state import BatchState
 from messaging import Message, encode
 from storage import DamageError, Disk
 
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -5,7 +5,7 @@
 when it was begun.
 """
 
-from batch_state import BatchState
+from batch_state.state import BatchState
 from messaging import Message, decode, encode
 from storage import DamageError, frame, scan
 
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -8,7 +8,7 @@
 
 
 class ArchiveFiles(TestCase):
-    def founded(self, seed=8):
+    def fleet_with_archives(self, seed=8):
         run = Run(seed, settings={"segment_bytes": 4096})
         run.start()
         fleet = run.fleet
@@ -27,19 +27,19 @@
             host.node.log.log.maintain_snapshot(True)
         self.assertThat(
             fleet.run_until_true(
-                lambda: all(self.on_shelves(host) for host in fleet.with_role("store")), 9000
+                lambda: all(self.all_archived(host) for host in fleet.with_role("store")), 9000
             ),
             Equals(True),
         )
         return run, fleet
 
-    def on_shelves(self, host):
+    def all_archived(self, host):
         jobs = host.node.log.log.state.jobs
         return len(jobs) == 3 and all(
             job.archived is not None and not job.items for job in jobs.values()
         )
 
-    def leaves(self, host):
+    def archive_files(self, host):
         return [name for name in host.disk.names() if name.startswith(ARCHIVE_PREFIX)]
 
     def results(self, run, job_id):
@@ -56,7 +56,7 @@
         self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
 
     def test_read_back_after_power_and_by_a_new_leader(self):
-        run, fleet = self.founded()
+        run, fleet = self.fleet_with_archives()
         for host in fleet.with_role("store"):
             host.lose_power()
             host.start()
@@ -73,7 +73,7 @@
         self.kept(run)
 
     def test_a_standby_has_the_files_before_it_counts(self):
-        run, fleet = self.founded()
+        run, fleet = self.fleet_with_archives()
         for number in range(3):
             fleet.hosts.pop(f"store{number + 1}").lose_disk()
             fresh = fleet.add("store", f"fresh{number + 1}")
@@ -86,12 +86,13 @@
 
             self.assertThat(fleet.run_until_true(joined, 15_000), Equals(True))
             self.assertThat(
-                fresh.node.log.log.archive.referenced() <= set(self.leaves(fresh)), Equals(True)
+                fresh.node.log.log.archive.referenced() <= set(self.archive_files(fresh)),
+                Equals(True),
             )
         self.kept(run)
 
     def test_a_damaged_block_is_never_listed_and_a_read_repairs_it(self):
-        run, fleet = self.founded()
+        run, fleet = self.fleet_with_archives()
         leader = fleet.leader()
         job = leader.node.log.log.state.jobs["lot2"]
         leader.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
@@ -101,7 +102,7 @@
         self.kept(run)
 
     def test_a_block_in_anothers_place_is_not_taken_for_it(self):
-        run, fleet = self.founded()
+        run, fleet = self.fleet_with_archives()
         log = fleet.leader().node.log.log
         one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
         one.archived.file, one.archived.block_offsets, one.archived.block_sizes = (
@@ -114,7 +115,7 @@
         self.kept(run)
 
     def test_a_sweep_repairs_what_nobody_reads(self):
-        run, fleet = self.founded()
+        run, fleet = self.fleet_with_archives()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
         job, key = log.state.jobs["lot1"], log.state.keys["kept"]
@@ -125,12 +126,28 @@
             return len(results) == 9 and (key.archived is None or log.archive.read_answer(key))
 
         self.assertThat(bool(whole()), Equals(False))
-        files = len(self.leaves(host))
+        files = len(self.archive_files(host))
         self.assertThat(
             bool(fleet.run_until_true(whole, (files + 1) * host.settings.removal_timeout_ms)),
             Equals(True),
         )
 
+    def test_a_check_repairs_a_damaged_answer(self):
+        run, fleet = self.fleet_with_archives()
+        host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
+        log = host.node.log.log
+        key = log.state.keys["kept"]
+        answer = log.archive.read_answer(key)
+        self.assertThat(bool(answer), Equals(True))
+        host.disk.damage(key.archived.file, key.archived.block_offset + 10)
+        self.assertThat(log.archive.read_answer(key), Equals(None))
+        files = len(self.archive_files(host))
+        fleet.run_until_true(
+            lambda: log.archive.read_answer(log.state.keys["kept"]),
+            (files + 1) * host.settings.removal_timeout_ms,
+        )
+        self.assertThat(log.archive.read_answer(log.state.keys["kept"]), Equals(answer))
+
     def test_files_of_forgotten_lots_are_removed(self):
         run = Run(6, settings={"keep_ms": 2000, "segment_bytes": 4096})
         run.start()
@@ -139,13 +156,13 @@
             run.clients.submit("summaries", 30)
             fleet.run_until_true(lambda: False, 2500)
         store = fleet.with_role("store")[0]
-        self.assertThat(len(self.leaves(store)) > 0, Equals(True))
-        old = set(self.leaves(store))
+        self.assertThat(len(self.archive_files(store)) > 0, Equals(True))
+        old = set(self.archive_files(store))
         self.assertThat(
             fleet.run_until_true(lambda: not store.node.log.log.state.jobs, 60_000), Equals(True)
         )
         store.node.log.log.maintain_snapshot(True)
         self.assertThat(
-            bool(fleet.run_until_true(lambda: not old & set(self.leaves(store)), 20_000)),
+            bool(fleet.run_until_true(lambda: not old & set(self.archive_files(store)), 20_000)),
             Equals(True),
         )
