--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -10,8 +10,8 @@
   with their checks of bodies and events, `attempt_outcome`, `header_names`.
 - What an edge knows of workers: `worker`, `worker_registry`, `prefix_affinity`, `prefill_tracker`,
   `latency_estimator`.
-- Batch items at an edge: `job_runner`, `item_reports`, `item_executor`, `item_run`; the client of
-  the log's leader, `leader_client`; `idempotency`.
+- `idempotency`: keys of requests that may not be repeated, kept by the log's leader.
+- `batch_execution`: batch items at an edge and the leader's client; nothing else here imports it.
 
 It imports `messaging`, `runtime`, `membership` and the messages of `batch_state`. Invariants: a
 request that may have run is retried only if it is idempotent and nothing of it was delivered, or
@@ -67,9 +67,9 @@
         "forward_lifecycle": ("ForwardLifecycle",),
         "header_names": ("WorkerHeaderNames", "end_to_end"),
         "in_flight": ("InFlightRequest",),
-        "item_executor": ("ItemExecutor",),
-        "job_runner": ("JobRunner",),
-        "leader_client": ("LeaderClient",),
+        "batch_execution.item_executor": ("ItemExecutor",),
+        "batch_execution.job_runner": ("JobRunner",),
+        "batch_execution.leader_client": ("LeaderClient",),
         "lifecycle": ("ItemKey", "RequestLifecycle", "State"),
         "prefill_tracker": ("PrefillTracker",),
         "prefix_placement": ("choose", "prefix_of"),
--- a/libs/request_routing/src/request_routing/item_executor.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_executor.py
@@ -13,9 +13,9 @@
 from messaging import Component
 from runtime import Verdict
 
+from request_routing.batch_execution.item_outcome import ItemDone, ItemOutcome
+from request_routing.batch_execution.item_run import ItemRun
 from request_routing.calls import Call
-from request_routing.item_outcome import ItemDone, ItemOutcome
-from request_routing.item_run import ItemRun
 from request_routing.lifecycle import ItemKey, RequestLifecycle
 from request_routing.prefix_placement import prefix_of
 from request_routing.request_router import RequestRouter
--- a/libs/request_routing/src/request_routing/item_reports.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_reports.py
@@ -10,7 +10,7 @@
 from batch_state import messages
 from messaging import encode
 
-from request_routing.leader_client import LeaderClient
+from request_routing.batch_execution.leader_client import LeaderClient
 
 __all__ = ["Assignment", "ItemClaim", "ItemReports", "RunningItem"]
 
--- a/libs/request_routing/src/request_routing/item_run.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_run.py
@@ -11,10 +11,10 @@
 from batch_state import messages
 from messaging import decode
 
+from request_routing.batch_execution.item_outcome import ItemDone, ItemOutcome
 from request_routing.calls import ForwardCall
 from request_routing.forward_lifecycle import ForwardLifecycle
 from request_routing.in_flight import InFlightRequest
-from request_routing.item_outcome import ItemDone, ItemOutcome
 from request_routing.lifecycle import AttemptRecord, ItemKey
 from request_routing.request_router import RequestRouter
 from request_routing.steps import Step, StepKind
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/batch_execution/job_runner.py
@@ -12,9 +12,14 @@
 from batch_state import messages
 from messaging import Component, Message, decode
 
-from request_routing.item_outcome import ItemDone, ItemOutcome
-from request_routing.item_reports import Assignment, ItemClaim, ItemReports, RunningItem
-from request_routing.leader_client import LeaderClient
+from request_routing.batch_execution.item_outcome import ItemDone, ItemOutcome
+from request_routing.batch_execution.item_reports import (
+    Assignment,
+    ItemClaim,
+    ItemReports,
+    RunningItem,
+)
+from request_routing.batch_execution.leader_client import LeaderClient
 
 __all__ = ["JobRunner", "RolloutSamples"]
 
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -19,7 +19,7 @@
         _FEED + "cut_off",
     ),
     "a cut-off edge keeps its claims": (
-        "request_routing/src/request_routing/job_runner.py",
+        "request_routing/src/request_routing/batch_execution/job_runner.py",
         "if self.running() and silent_ms > settings.claim_timeout_ms:",
         "if False:",
         _BATCH_JOBS + "partitioned",
@@ -127,7 +127,7 @@
         _DAYS + "calm",
     ),
     "pieces of a result run together": (
-        "request_routing/src/request_routing/item_run.py",
+        "request_routing/src/request_routing/batch_execution/item_run.py",
         'self._end(ItemOutcome.FINISHED, b"\\n".join(self._data), worker)',
         'self._end(ItemOutcome.FINISHED, b"".join(self._data), worker)',
         _DAYS + "calm",
@@ -274,13 +274,13 @@
         _CLAIMS + "uses_up",
     ),
     "an edge that stood still runs on": (
-        "request_routing/src/request_routing/job_runner.py",
+        "request_routing/src/request_routing/batch_execution/job_runner.py",
         "if gap_ms > self.node.settings.claim_timeout_ms:",
         "if False:",
         _CLAIMS + "stood_still",
     ),
     "work of a succeeded holder is begun": (
-        "request_routing/src/request_routing/job_runner.py",
+        "request_routing/src/request_routing/batch_execution/job_runner.py",
         "if response.epoch < self._leader.epoch:",
         "if False:",
         _CLAIMS + "superseded",
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -16,8 +16,8 @@
     WorkerHeaderNames,
     WorkerRegistry,
 )
-from request_routing.item_run import data_of
-from request_routing.leader_client import LeaderClient
+from request_routing.batch_execution.item_run import data_of
+from request_routing.batch_execution.leader_client import LeaderClient
 from runtime import Settings
 from testtools import TestCase
 from testtools.matchers import Equals
