--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any
 
-from storage.disk import KEPT_BACK, SMALL_BYTES, DiskFullError
+from storage.disk import RESERVED_SHARE, SMALL_BYTES, DiskFullError
 
 __all__ = ["FLUSH_MS", "SimDisk"]
 
@@ -81,7 +81,7 @@
 
     def roomy(self, size: int, urgent: bool = False) -> bool:
         """Return whether `size` more bytes fit; urgent writes may use the reserve."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - KEPT_BACK)
+        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
         return sum(len(data) for data in self._files.values()) + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -13,18 +13,41 @@
 import os
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
+from enum import Enum, auto
 from pathlib import Path
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
-__all__ = ["Disk", "DiskFullError", "FolderDisk", "KEPT_BACK"]
+__all__ = ["Disk", "DiskFullError", "FolderDisk", "RESERVED_SHARE"]
+
+RESERVED_SHARE = 0.2
+"""The share of the space that only urgent writes may use."""
 
-KEPT_BACK = 0.2
 SMALL_BYTES = 4096
+"""Up to this size a file is replaced even where there is no space left."""
+
 _PUSH_BYTES = 1 << 18
-_FULL = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+_DEVICE_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+
+
+class _StepKind(Enum):
+    """What a lazy step does to its file."""
+
+    WRITE = auto()
+    TRUNCATE = auto()
+    REMOVE = auto()
+
 
+class _Step(NamedTuple):
+    """Lazy work on one file; steps are numbered in the order in which they were submitted.
 
-_Step = tuple[int, str, str, int, bytes]
+    `offset` is where `data` is written, or the size to truncate to.
+    """
+
+    number: int
+    kind: _StepKind
+    name: str
+    offset: int
+    data: bytes
 
 
 class DiskFullError(Exception):
@@ -109,9 +132,9 @@
         }
         self._used_bytes = sum(self._sizes.values())
         self._steps: list[_Step] = []
-        self._steps_bytes = 0
-        self._stuck: list[_Step] = []
-        self._asked, self._made = 0, 0
+        self._steps_size_bytes = 0
+        self._unapplied: list[_Step] = []
+        self._last_submitted, self._last_completed = 0, 0
         self._last_step: dict[str, int] = {}
         self._folder_changed = False
         self._worker = ThreadPoolExecutor(1, thread_name_prefix="storage")
@@ -141,7 +164,7 @@
 
     def roomy(self, size: int, urgent: bool = False) -> bool:
         """Whether so many more bytes may be written; False once the device is full or broken."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - KEPT_BACK)
+        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
         return not self._broken and not self._full and self._used_bytes + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
@@ -149,30 +172,30 @@
         if not self.roomy(max(0, offset + len(data) - self._sizes.get(name, 0)), urgent):
             raise DiskFullError(name)
         self._resize(name, max(self._sizes.get(name, 0), offset + len(data)))
-        self._step("write", name, offset, data)
-        if self._steps_bytes > _PUSH_BYTES:
+        self._submit(_StepKind.WRITE, name, offset, data)
+        if self._steps_size_bytes > _PUSH_BYTES:
             self.push()
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file to a size, lazily; a file that doesn't exist is left alone."""
         if name in self._sizes:
             self._resize(name, size)
-            self._step("truncate", name, size, b"")
+            self._submit(_StepKind.TRUNCATE, name, size, b"")
 
     def remove(self, name: str) -> None:
         """Remove a file, lazily; a file that doesn't exist is no error."""
         self._forget(name)
-        self._step("remove", name, 0, b"")
+        self._submit(_StepKind.REMOVE, name, 0, b"")
 
     def push(self) -> None:
         """Start the lazy work on the device without a flush, with what it refused when full."""
         if self._steps or self._full:
-            self._worker.submit(self._make, self._taken())
+            self._worker.submit(self._apply, self._take_steps())
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
         """Make all earlier work on these files durable, then call `done`."""
         self._worker.submit(
-            self._flush, self._taken(), [name for name in names if name in self._sizes], done
+            self._flush, self._take_steps(), [name for name in names if name in self._sizes], done
         )
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
@@ -186,9 +209,11 @@
             return
         self._forget(name)
         self._resize(name, len(data))
-        self._asked += 1
-        self._last_step[name] = self._asked
-        self._worker.submit(self._replace, self._taken(), self._asked, name, data, done)
+        self._last_submitted += 1
+        self._last_step[name] = self._last_submitted
+        self._worker.submit(
+            self._replace, self._take_steps(), self._last_submitted, name, data, done
+        )
 
     def close(self) -> None:
         """Finish the lazy work, without a flush, and close all files."""
@@ -224,19 +249,19 @@
         if reader is not None:
             os.close(reader)
 
-    def _step(self, kind: str, name: str, at: int, data: bytes) -> None:
-        self._asked += 1
-        self._last_step[name] = self._asked
-        self._steps.append((self._asked, kind, name, at, data))
-        self._steps_bytes += len(data)
+    def _submit(self, kind: _StepKind, name: str, offset: int, data: bytes) -> None:
+        self._last_submitted += 1
+        self._last_step[name] = self._last_submitted
+        self._steps.append(_Step(self._last_submitted, kind, name, offset, data))
+        self._steps_size_bytes += len(data)
 
-    def _taken(self) -> list[_Step]:
-        steps, self._steps, self._steps_bytes = self._steps, [], 0
+    def _take_steps(self) -> list[_Step]:
+        steps, self._steps, self._steps_size_bytes = self._steps, [], 0
         return steps
 
     def _catch_up(self, name: str) -> None:
         """Wait for lazy work on a file that is about to be read."""
-        if self._last_step.get(name, 0) > self._made:
+        if self._last_step.get(name, 0) > self._last_completed:
             self._wait()
 
     def _wait(self) -> None:
@@ -245,38 +270,41 @@
 
     # -- on the worker's thread --------------------------------------------------------------------
 
-    def _make(self, steps: list[_Step]) -> bool:
+    def _apply(self, steps: list[_Step]) -> bool:
         """Do the steps in order; return False if some are left.
 
         What a full device refuses is kept for the next time.
         """
-        steps = self._stuck = self._stuck + steps
+        steps = self._unapplied = self._unapplied + steps
         while steps:
-            number, kind, name, at, data = steps[0]
             try:
-                self._make_one(kind, name, at, data)
+                self._apply_step(steps[0])
             except OSError as error:
-                self._full = error.errno in _FULL
+                self._full = error.errno in _DEVICE_FULL_ERRORS
                 if not self._full:
-                    self._break()
+                    self._mark_broken()
                 return False
-            steps.pop(0)
-            self._made = max(self._made, number)
+            completed = steps.pop(0)
+            self._last_completed = max(self._last_completed, completed.number)
         self._full = False
         return True
 
-    def _make_one(self, kind: str, name: str, at: int, data: bytes) -> None:
-        if kind == "remove":
-            self._drop_handle(name)
-            (self._folder / name).unlink(missing_ok=True)
+    def _apply_step(self, step: _Step) -> None:
+        if step.kind is _StepKind.REMOVE:
+            self._drop_handle(step.name)
+            (self._folder / step.name).unlink(missing_ok=True)
             self._folder_changed = True
-        elif kind == "truncate":
-            os.ftruncate(self._handle(name), at)
+        elif step.kind is _StepKind.TRUNCATE:
+            os.ftruncate(self._handle(step.name), step.offset)
         else:
-            handle, view = self._handle(name), memoryview(data)
-            while view:
-                written = os.pwrite(handle, view, at)
-                at, view = at + written, view[written:]
+            self._write_all(self._handle(step.name), step.offset, step.data)
+
+    @staticmethod
+    def _write_all(handle: int, offset: int, data: bytes) -> None:
+        unwritten = memoryview(data)
+        while unwritten:
+            written_bytes = os.pwrite(handle, unwritten, offset)
+            offset, unwritten = offset + written_bytes, unwritten[written_bytes:]
 
     def _handle(self, name: str) -> int:
         handle = self._handles.get(name)
@@ -292,41 +320,41 @@
         if handle is not None:
             os.close(handle)
 
-    def _break(self) -> None:
+    def _mark_broken(self) -> None:
         if not self._broken:
             self._broken = True
             self._call(self._on_broken)
 
     def _flush(self, steps: list[_Step], names: list[str], done: Callable[[bool], None]) -> None:
-        made = self._make(steps)
+        is_applied = self._apply(steps)
         try:
-            for name in names if made else []:
+            for name in names if is_applied else []:
                 if name in self._handles or (self._folder / name).exists():
                     os.fsync(self._handle(name))
             self._flush_folder()
         except OSError:
-            self._break()
-        ok = made and not self._broken
+            self._mark_broken()
+        ok = is_applied and not self._broken
         self._call(lambda: done(ok))
 
     def _replace(
         self, steps: list[_Step], number: int, name: str, data: bytes, done: Callable[[bool], None]
     ) -> None:
-        self._make(steps)
+        self._apply(steps)
         ok = not self._broken
         try:
             self._drop_handle(name)
             path = self._folder / f"{name}.tmp"
-            with open(path, "wb") as page:
-                page.write(data)
-                page.flush()
-                os.fsync(page.fileno())
+            with open(path, "wb") as file:
+                file.write(data)
+                file.flush()
+                os.fsync(file.fileno())
             os.replace(path, self._folder / name)
             self._folder_changed = True
             self._flush_folder()
         except OSError:
             ok = False
-        self._made = max(self._made, number)
+        self._last_completed = max(self._last_completed, number)
         self._call(lambda: done(ok))
 
     def _flush_folder(self) -> None:
--- a/libs/storage/src/storage/frames.py
+++ b/libs/storage/src/storage/frames.py
@@ -10,7 +10,8 @@
 
 __all__ = ["DamageError", "frame", "over_hole", "scan", "walk"]
 
-_HEAD = struct.Struct(">II")
+_HEADER = struct.Struct(">II")
+_MAX_FIRST_BYTE = 4
 
 
 class DamageError(Exception):
@@ -24,15 +25,15 @@
 
 def frame(payload: bytes) -> bytes:
     """Return the payload as a frame."""
-    return _HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+    return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def _at(data: bytes, offset: int) -> bytes | None:
+def _payload_at(data: bytes, offset: int) -> bytes | None:
     """Return the payload of the frame at an offset, or None if there is no intact frame."""
-    if offset + _HEAD.size > len(data):
+    if offset + _HEADER.size > len(data):
         return None
-    size, checksum = _HEAD.unpack_from(data, offset)
-    start = offset + _HEAD.size
+    size, checksum = _HEADER.unpack_from(data, offset)
+    start = offset + _HEADER.size
     if size == 0 or start + size > len(data):
         return None
     payload = data[start : start + size]
@@ -49,7 +50,7 @@
         (
             at
             for at in range(max(offset + 1, first - 3), min(first + 1, len(data)))
-            if _at(data, at) is not None
+            if _payload_at(data, at) is not None
         ),
         None,
     )
@@ -58,20 +59,20 @@
 def walk(data: bytes, offset: int = 0) -> tuple[list[tuple[int, bytes]], int]:
     """Return the intact frames from an offset on as (offset, payload), and where they end."""
     frames = []
-    while (payload := _at(data, offset)) is not None:
+    while (payload := _payload_at(data, offset)) is not None:
         frames.append((offset, payload))
-        offset += _HEAD.size + len(payload)
+        offset += _HEADER.size + len(payload)
     return frames, offset
 
 
 def scan(data: bytes) -> tuple[list[tuple[int, bytes]], int, int | None]:
-    """Return what walk returns, and where an intact frame lies behind the end, or None.
+    """Return what `walk` returns, and where an intact frame lies behind the end, or None.
 
-    The search goes byte by byte.
+    The search goes byte by byte. A frame is shorter than 64 MiB, so its first byte is below 4.
     """
     frames, offset = walk(data)
     if offset < len(data):
-        for later in range(offset + 1, len(data) - _HEAD.size):
-            if data[later] < 4 and _at(data, later) is not None:
+        for later in range(offset + 1, len(data) - _HEADER.size):
+            if data[later] < _MAX_FIRST_BYTE and _payload_at(data, later) is not None:
                 return frames, offset, later
     return frames, offset, None
--- a/libs/testbed/src/testbed/fault_injection/disks.py
+++ b/libs/testbed/src/testbed/fault_injection/disks.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from storage import DiskFullError, FolderDisk
-from storage.disk import KEPT_BACK, SMALL_BYTES
+from storage.disk import RESERVED_SHARE, SMALL_BYTES
 
 __all__ = ["PowerDisk"]
 
@@ -45,7 +45,7 @@
 
     def roomy(self, size: int, urgent: bool = False) -> bool:
         """Return whether `size` more bytes fit; urgent writes may use the reserve."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - KEPT_BACK)
+        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
         return (
             self._inner.roomy(0, True)
             and sum(len(page) for page in self._seen.values()) + size <= limit
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -4,7 +4,7 @@
 from log_harness import LogHarness
 from replicated_log import Outcome
 from storage import DamageError
-from storage.disk import KEPT_BACK
+from storage.disk import RESERVED_SHARE
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -47,7 +47,7 @@
         harness.run(100)
         disk = harness.disks["a"]
         used = sum(len(disk.read(name)) for name in disk.names())
-        room, disk.room_bytes = disk.room_bytes, int(used / (1 - KEPT_BACK)) - 1
+        room, disk.room_bytes = disk.room_bytes, int(used / (1 - RESERVED_SHARE)) - 1
         self.assertThat(harness.append("full", durable=True), Equals([Outcome.FULL]))
         ended = []
         harness.leader.append(
