--- a/libs/capacity_sharing/src/capacity_sharing/__init__.py
+++ b/libs/capacity_sharing/src/capacity_sharing/__init__.py
@@ -4,7 +4,7 @@
 epochs, once every edge has nothing left there, and return when the worker itself reports that it is
 free.
 
-- Slots: `borrowing` runs the samples of an edge, `slots` says which slots it may fill,
+- Slots: `sample_runner` runs the samples of an edge, `slots` says which slots it may fill,
   `entitlement` divides them among the edges, and `sampling` is the call to a worker.
 - Whole workers: `loan_table` has the states of loans and their changes, `loan_manager` decides them
   at control, and `lent_workers` follows them at an edge.
@@ -14,15 +14,15 @@
 import it. A new reason to refuse or recall a loan goes into `load`.
 """
 
-from capacity_sharing.borrowing import Borrowing
 from capacity_sharing.lent_workers import LentWorkers
 from capacity_sharing.loan_manager import LoanManager, LoanOutcome, LoanStatus
 from capacity_sharing.loan_table import LOANS_KEY, LoanState
 from capacity_sharing.outlook import JobOutlook
+from capacity_sharing.sample_runner import SampleRunner
 
 __all__ = [
     "LOANS_KEY",
-    "Borrowing",
+    "SampleRunner",
     "LentWorkers",
     "JobOutlook",
     "LoanManager",
--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -37,7 +37,7 @@
 
 _RETRIES = 3
 _CALL_FACTOR = 2
-"""How long a call waits for its outcome, in units of `answer_ms`."""
+"""How long a call waits for its outcome, in units of `control_call_timeout_ms`."""
 
 _LONG_AGO_MS = -1 << 40
 
@@ -203,7 +203,7 @@
     # -- changing the key ----------------------------------------------------------------------
 
     def _change(self, worker: str, make: MakeTable, done: Done) -> None:
-        due_ms = self.node.env.now() + self.node.settings.answer_ms * _CALL_FACTOR
+        due_ms = self.node.env.now() + self.node.settings.control_call_timeout_ms * _CALL_FACTOR
         change = _PendingChange(worker, make, due_ms, done)
         if not self._in_contact():
             change.finish(LoanStatus.DOUBT, "this node hears no majority of the voters")
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -28,7 +28,7 @@
 from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
 from capacity_sharing.slots import LendableSlots
 
-__all__ = ["Borrowing", "SlotsWanted"]
+__all__ = ["SampleRunner", "SlotsWanted"]
 
 Done = Callable[[str, Any, str], None]
 _LONG_AGO_MS = -1 << 40
@@ -64,7 +64,7 @@
         return None if self.attempt is None else self.attempt.worker
 
 
-class Borrowing(Component):
+class SampleRunner(Component):
     """The component of an edge that runs samples and gives slots back.
 
     `edges` gives identity and address of the other live edges; `why_unready` gives why this edge
@@ -247,7 +247,7 @@
             self._preempt(sample, reason)
         return len(samples)
 
-    def first_claim(self, worker: Worker, call: Any) -> None:
+    def reclaim_slot(self, worker: Worker, call: Any) -> None:
         """Make room at a worker before something other than a sample is sent there.
 
         Called by the carrier; a live call also takes precedence over samples whose prompt may still
@@ -275,7 +275,7 @@
         if not call.job and self._slots.used(worker) + 1 > self._slots.usable(worker):
             self._note_demand(worker)
 
-    def starved(self, workers: Iterable[Worker]) -> None:
+    def reclaim_slots(self, workers: Iterable[Worker]) -> None:
         """Give back all slots at these workers, since a live call found no free slot at any."""
         workers = list(workers)
         for worker in workers:
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from batch_state.messages import RolloutAssignment
-from capacity_sharing import Borrowing, LentWorkers
+from capacity_sharing import LentWorkers, SampleRunner
 from messaging import Environment
 from request_routing import (
     ItemExecutor,
@@ -41,7 +41,7 @@
 
     __slots__ = (
         "_readiness",
-        "borrowing",
+        "sample_runner",
         "carrier",
         "edge_service",
         "forward_job_service",
@@ -82,7 +82,7 @@
                 self.forward_service,
                 self.forward_job_service,
                 self.rollout_service,
-                self.borrowing,
+                self.sample_runner,
                 self.lent_workers,
             ],
         )
@@ -113,7 +113,7 @@
         self.item_executor = ItemExecutor(
             self.carrier, self.roster, self.profile_tree, self.why_unready, self._edge_count
         )
-        self.borrowing = Borrowing(
+        self.sample_runner = SampleRunner(
             identity,
             self.carrier,
             self.roster,
@@ -124,7 +124,7 @@
         self.job_runner = JobRunner(
             identity, self.holder, self.item_executor.capacity, self._start_assignment
         )
-        self.job_runner.samples = self.borrowing
+        self.job_runner.samples = self.sample_runner
 
     def _make_capacity_sharing(self, identity: str) -> None:
         """Make what leases whole workers to training."""
@@ -133,11 +133,11 @@
             self.config_feed,
             self.roster,
             self.carrier,
-            self.borrowing.lends,
-            lambda: self.borrowing.recalled,
+            self.sample_runner.lends,
+            lambda: self.sample_runner.recalled,
             lambda: [*self._control_addresses(), *(address for _, address in self._live_edges())],
         )
-        self.borrowing.live_peak = self.lent_workers.live_peak
+        self.sample_runner.live_peak = self.lent_workers.live_peak
 
     def _make_services(self) -> None:
         """Make what answers clients; the HTTP servers call these."""
@@ -157,7 +157,7 @@
     def _start_assignment(self, assignment: Any, done: Callable[..., None]) -> Any:
         """Start an item or a sample that the leader has assigned to this edge."""
         is_rollout = isinstance(assignment, RolloutAssignment)
-        executor = self.borrowing if is_rollout else self.item_executor
+        executor = self.sample_runner if is_rollout else self.item_executor
         return executor.start(assignment, done)
 
     # -- what the components ask about the fleet -----------------------------------------------
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -193,7 +193,7 @@
             self._perform(request, lifecycle.worker_selected(worker))
         elif not call.job:
             if self.slot_lender is not None:
-                self.slot_lender.starved(workers)
+                self.slot_lender.reclaim_slots(workers)
             self._admit(request, workers)
         elif call.survives_disconnect or not workers or self._admission.all_backing_off(workers):
             self._perform(request, lifecycle.no_worker_free(bool(workers)))
@@ -293,7 +293,7 @@
         if call.rollout:
             worker.borrowed += 1
         elif self.slot_lender is not None:
-            self.slot_lender.first_claim(worker, call)
+            self.slot_lender.reclaim_slot(worker, call)
         worker.in_flight += 1
         worker.request_sent(self.node.env.now())
 
--- a/libs/request_routing/src/request_routing/routing_context.py
+++ b/libs/request_routing/src/request_routing/routing_context.py
@@ -14,11 +14,11 @@
 class SlotLender(Protocol):
     """Whoever lends slots to rollouts and takes them back for live requests and batch items."""
 
-    def starved(self, workers: list[Worker]) -> None:
+    def reclaim_slots(self, workers: list[Worker]) -> None:
         """Give back slots of these workers: a live request found none free."""
         ...
 
-    def first_claim(self, worker: Worker, call: Any) -> None:
+    def reclaim_slot(self, worker: Worker, call: Any) -> None:
         """Give a slot back for a call that is about to be sent to this worker."""
         ...
 
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -214,7 +214,7 @@
         outcomes: list[Any] = []
 
         def report_again() -> None:
-            if not outcomes or outcomes[0].name == "doubt":
+            if not outcomes or outcomes[0].status == "doubt":
                 self._report_return(worker, loan)
 
         if hosts:
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -181,7 +181,7 @@
         "tests/test_capacity_sharing.py -k Outlook",
     ),
     "a call finds its slot borrowed": (
-        "capacity_sharing/src/capacity_sharing/borrowing.py",
+        "capacity_sharing/src/capacity_sharing/sample_runner.py",
         "        if worker.borrowed:\n            now_ms",
         "        if False:\n            now_ms",
         "tests/test_capacity_sharing_evening.py -k takes_its_slot",
@@ -199,7 +199,7 @@
         "tests/test_capacity_sharing.py -k weights",
     ),
     "a sample given up is forgotten": (
-        "capacity_sharing/src/capacity_sharing/borrowing.py",
+        "capacity_sharing/src/capacity_sharing/sample_runner.py",
         '        self._stop(sample)\n        sample.done("again", "", "")',
         "        self._stop(sample)",
         "tests/test_capacity_sharing_evening.py -k nothing_is_late",
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -7,7 +7,7 @@
 from contextlib import ExitStack
 from unittest import mock
 
-from capacity_sharing import Borrowing, LentWorkers, LoanManager
+from capacity_sharing import LentWorkers, LoanManager, SampleRunner
 from capacity_sharing.slots import LendableSlots
 from data_plane.rollout_service import RolloutBody
 from simulator import judge
@@ -22,11 +22,11 @@
         (LendableSlots, "entitlement", lambda self, worker, share: 99),
         (LendableSlots, "usable", lambda self, worker: worker.slots),
         (LendableSlots, "_reading", lambda self: set()),
-        (Borrowing, "first_claim", lambda self, worker, call: None),
-        (Borrowing, "_review", lambda self, worker: None),
+        (SampleRunner, "reclaim_slot", lambda self, worker, call: None),
+        (SampleRunner, "_review", lambda self, worker: None),
     ],
     "a sample given up is not told": [
-        (Borrowing, "_preempt", lambda self, sample, reason: self._stop(sample))
+        (SampleRunner, "_preempt", lambda self, sample, reason: self._stop(sample))
     ],
     "a lent worker is used": [
         (LoanManager, "_is_drained", lambda self, worker: True),
@@ -83,7 +83,7 @@
         self.assertThat(bool(fleet.run_until_true(check, limit_ms)), Equals(True))
 
     def samples(self, fleet):
-        return sum(host.node.borrowing.running() for host in fleet.running("edge"))
+        return sum(host.node.sample_runner.running() for host in fleet.running("edge"))
 
     def ordered(self, fleet, give):
         heard = []
@@ -102,7 +102,7 @@
                 worker.event_ms = 300.0
             evening.trainers.submit(30, 2)
             self.wait(fleet, lambda fleet=fleet: self.samples(fleet) >= 12)
-            edge = max(fleet.with_role("edge"), key=lambda host: host.node.borrowing.running())
+            edge = max(fleet.with_role("edge"), key=lambda host: host.node.sample_runner.running())
             with mock.patch.object(Clients, "choose_edge", lambda self, avoid="", edge=edge: edge):
                 for _ in range(23):
                     evening.live_clients.live("rulings")
