--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -40,8 +40,8 @@
     ),
     "a stale holder goes on": (
         "replicated_log/src/replicated_log/follower.py",
-        "if message.epoch < log.metadata.fence:\n            self._refuse(message, reply, ResponseReason.FENCED)\n        elif",
-        "if False:\n            self._refuse(message, reply, ResponseReason.FENCED)\n        elif",
+        "if message.epoch < log.metadata.fence:",
+        "if False:",
         _LOG + "stale_leader",
     ),
     "answers of an old log count": (
@@ -137,7 +137,7 @@
         "replicated_log/src/replicated_log/failure_detector.py",
         "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own) * leader_heartbeat_ms)",
         "return self._own == names[0]",
-        _MEMBERS + "swapped",
+        _MEMBERS + "empty_one_at_a_new_address",
     ),
     "a blank disk answers for the store that was counted on": (
         "replicated_log/src/replicated_log/tail_fetch.py",
