--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -217,7 +217,7 @@
                 data = b"".join(chunks)
                 await response.write(data)
                 carriage.acknowledge(len(data))
-        if last.name == "finish":
+        if last.response is not None:
             return await self._finish(request, response, carriage, last)
         if response is None:
             return self._refuse(last.refusal)
@@ -241,7 +241,7 @@
         last: Step,
     ) -> web.StreamResponse:
         """End a complete response; one that wasn't begun is written as a whole."""
-        status, body = last.value
+        status, body = last.response
         if response is not None:
             await response.write_eof()
             return response
