--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -31,7 +31,11 @@
 
 
 class NodeProcess(Service):
-    """What the programs' processes share; a role overrides make, busy, wind_down and apply."""
+    """What the programs' processes share; a role overrides make, busy, wind_down and apply.
+
+    `make_extra_services` returns services that are run beside the role's own; it is called once
+    they are made.
+    """
 
     def __init__(self, settings: Settings) -> None:
         super().__init__()
@@ -40,6 +44,7 @@
         self.disk: FolderDisk | None = None
         self.node: Any = None
         self.runner: NodeRunner | None = None
+        self.make_extra_services: Callable[[], list[Service]] = list
 
     def make_environment(self) -> ProcessEnvironment:
         """Return the node's environment: clock, random numbers and log."""
@@ -76,6 +81,8 @@
     async def on_start(self) -> None:
         """Make the node, and start its loop."""
         await self.make()
+        for service in self.make_extra_services():
+            await self.add_runtime_dependency(service)
         self.runner = NodeRunner(self.node, self.env, self.make_transport(self.node.receive))
         await self.add_runtime_dependency(self.runner)
 
