--- a/libs/batch_state/src/batch_state/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -17,8 +17,20 @@
 the text of `outcomes` must not change.
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from batch_state import entries, messages
+    from batch_state.batch_service import BatchService
+    from batch_state.state import (
+        BatchState,
+        IdempotencyKey,
+        Item,
+        Job,
+    )
+
 __all__ = ["BatchService", "Item", "IdempotencyKey", "BatchState", "Job", "entries", "messages"]
 
 __getattr__ = lazy_exports(
--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -194,7 +194,9 @@
             self.finished += 1
             sample.done(
                 "ran",
-                sample_result(sample.work, worker, call.told or call.weights, step.response.body),
+                sample_result(
+                    sample.work, worker, call.told or call.weights, cast(str, step.response.body)
+                ),
                 worker,
             )
         else:
--- a/libs/control_plane/src/control_plane/__init__.py
+++ b/libs/control_plane/src/control_plane/__init__.py
@@ -15,8 +15,13 @@
 voters, and a handler answers with what it learns of them.
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from control_plane.nodes import ControlNode
+
 __all__ = ["ControlNode"]
 
 __getattr__ = lazy_exports(
--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -32,8 +32,43 @@
 - messages, whose wire names and fields' order never change: `messages`, `worker_messages`
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from control_store.acceptor import Acceptor
+    from control_store.client import ControlClient
+    from control_store.key_owner import KeyOwner
+    from control_store.messages import (
+        NO_BASE,
+        Change,
+        ChangeResult,
+        FindChange,
+        Outcome,
+        ReadKey,
+    )
+    from control_store.profile import Profile
+    from control_store.profile_tree import (
+        ProfileTree,
+        explain,
+        profiles_digest,
+    )
+    from control_store.profile_validation import check_tree
+    from control_store.read_barrier import ReadBarrier
+    from control_store.register import Register
+    from control_store.serving_set import ServingSet
+    from control_store.voter_list_manager import VoterListManager
+    from control_store.worker_list import WorkerList
+    from control_store.worker_messages import (
+        WorkerReport,
+        WorkerState,
+    )
+    from control_store.worker_records import (
+        WorkerRecords,
+        apply_reports,
+    )
+
 __all__ = [
     "NO_BASE",
     "Acceptor",
--- a/libs/data_plane/src/data_plane/__init__.py
+++ b/libs/data_plane/src/data_plane/__init__.py
@@ -13,8 +13,14 @@
 modules, one of the assembly into `edge_node` or `store_node`.
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from data_plane.edge_node import EdgeNode
+    from data_plane.store_node import StoreNode
+
 __all__ = ["EdgeNode", "StoreNode"]
 
 __getattr__ = lazy_exports(
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -141,13 +141,15 @@
             )
             on_response(response)
 
+        profile = self._profile_tree().usable(path)
+        assert profile is not None, "the path was checked"
         self._holder.request(
             SubmitJob(
                 job_id=job_id,
                 digest=_digest([path, due_ms, bodies]),
                 path=path,
                 items=bodies,
-                safe=self._profile_tree().usable(path).repeatable,
+                safe=profile.repeatable,
                 due_ms=due_ms,
                 epoch=0,
                 leader_ms=0,
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -111,6 +111,7 @@
     ) -> SubmitForwardJob:
         number, profile_tree = self._profiles()
         profile = profile_tree.usable(path)
+        assert profile is not None, "the path was checked"
         calls = [encode(item) for item in items]
         return SubmitForwardJob(
             job_id=job_id,
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -14,6 +14,7 @@
 from aiohttp import HttpVersion11, web
 from mode import Service
 from request_routing import ForwardCall, InFlightRequest, Step
+from request_routing.steps import StepKind
 from runtime import Refusal, log, refused
 
 from data_plane.forward_connections import DEFAULT_LIMITS, ConnectionServer, listen
@@ -217,8 +218,9 @@
                 data = b"".join(chunks)
                 await response.write(data)
                 carriage.acknowledge(len(data))
-        if last.response is not None:
+        if last.kind is StepKind.FINISH:
             return await self._finish(request, response, carriage, last)
+        assert last.refusal is not None, "a last step that is no finish has a refusal"
         if response is None:
             return self._refuse(last.refusal)
         self._cut(request, last.refusal)
@@ -227,6 +229,7 @@
     async def _start_response(
         self, request: web.BaseRequest, carriage: InFlightRequest
     ) -> web.StreamResponse:
+        assert carriage.head is not None, "a response that has begun has a head"
         status, headers, _ = carriage.head
         response = web.StreamResponse(status=status, headers=headers)
         self._set_keep_alive(response)
@@ -241,10 +244,12 @@
         last: Step,
     ) -> web.StreamResponse:
         """End a complete response; one that wasn't begun is written as a whole."""
+        assert last.response is not None, "a finish has a response"
         status, body = last.response
         if response is not None:
             await response.write_eof()
             return response
+        assert carriage.head is not None, "a finished response has a head"
         _, headers, length = carriage.head
         if request.method == "HEAD":
             return _head_response(status, headers, length)
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Callable
-from typing import Any, cast
+from typing import Any
 
 from control_store import ProfileTree
 from messaging import Component
@@ -38,7 +38,7 @@
 
     def about(self) -> dict[str, Any]:
         """Return what the configuration has beside the profiles, such as limits for clients."""
-        return cast(dict[str, Any], self._profile_tree().about)
+        return self._profile_tree().about
 
     def route(self, host: str, target: str) -> Any:
         """Return the profile of a host and a request target, or a Refusal.
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -6,9 +6,10 @@
 """
 
 import json
-from typing import Any, Generic, TypeVar
+from typing import Any, Generic, TypeVar, cast
 
 from request_routing import Step
+from request_routing.steps import StepKind
 from runtime import Refusal, Verdict, doubtful, refused
 
 __all__ = ["ServiceResponse", "completion_response", "not_ready"]
@@ -79,8 +80,9 @@
 
 def completion_response(step: Step) -> ServiceResponse[None]:
     """Return the response of a live completion, from the last step of its life cycle."""
-    if step.kind in ("finish", "replay"):
-        return ServiceResponse(
-            step.response.status, step.response.body, replayed=step.kind == "replay"
-        )
+    if step.kind in (StepKind.FINISH, StepKind.REPLAY):
+        assert step.response is not None, "a finish and a replay have a response"
+        body = cast(str, step.response.body)
+        return ServiceResponse(step.response.status, body, replayed=step.kind is StepKind.REPLAY)
+    assert step.refusal is not None, "a last step that is no finish has a refusal"
     return ServiceResponse.refuse(step.refusal)
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 from messaging.node_runner import awaited
-from request_routing import Attempt
+from request_routing import Attempt, ForwardCall, ForwardExchange
 from runtime import log
 from yarl import URL
 
@@ -118,7 +118,7 @@
         method: str,
     ) -> None:
         attempt.connecting = True
-        request_id = attempt.request.call.request_id
+        request_id = cast(ForwardCall, attempt.request.call).request_id
         CURRENT_REQUEST.set(
             OutgoingRequest(target, request_id, attempt.idempotent, attempt.connected)
         )
@@ -132,7 +132,7 @@
                 read_bufsize=_READ_BYTES,
             ) as response:
                 attempt.head(response.status, response.headers.items(), response.content_length)
-                if not attempt.exchange.trusted:
+                if not cast(ForwardExchange, attempt.exchange).trusted:
                     cast(WorkerResponse, response).close_connection_after()
                 async for chunk in response.content.iter_any():
                     attempt.data(chunk)
--- a/libs/modelcheck/src/modelcheck/__init__.py
+++ b/libs/modelcheck/src/modelcheck/__init__.py
@@ -16,8 +16,30 @@
 `testbed` import it.
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from modelcheck.actions import (
+        read_schedule,
+        write_schedule,
+    )
+    from modelcheck.control_initial_states import CONTROL_INITIAL_STATES
+    from modelcheck.control_model import ControlKeyModel
+    from modelcheck.explorer import Explorer
+    from modelcheck.initial_states import INITIAL_STATES
+    from modelcheck.linearizability import (
+        Call,
+        linearize,
+    )
+    from modelcheck.system_model import (
+        Bounds,
+        InitialState,
+        InvariantViolationError,
+        Operation,
+    )
+
 __all__ = [
     "CONTROL_INITIAL_STATES",
     "INITIAL_STATES",
--- a/libs/modelcheck/src/modelcheck/control_model.py
+++ b/libs/modelcheck/src/modelcheck/control_model.py
@@ -17,6 +17,7 @@
 from itertools import combinations
 from typing import NamedTuple, cast
 
+from config_feed import ConfigFeed
 from control_store import Acceptor, Change, KeyOwner, Outcome
 from control_store.messages import (
     Accept,
@@ -29,6 +30,7 @@
 )
 from control_store.proposal_number import ProposalNumber
 from control_store.quorum_round import QuorumRound
+from membership import Membership
 from messaging import Node, decode_as, encode
 from runtime import Settings
 from storage import frame, scan
@@ -230,7 +232,11 @@
         trusted = (
             self.identities[self._owners[index]] if index in self._owners else acceptor.identity
         )
-        owner = KeyOwner(acceptor, FixedFailureDetector(trusted), NullConfigFeed())
+        owner = KeyOwner(
+            acceptor,
+            cast(Membership, FixedFailureDetector(trusted)),
+            cast(ConfigFeed, NullConfigFeed()),
+        )
         running.env.on_send = _VoteObserver(running)
         return Node(running.env, self._settings, [acceptor, owner])
 
--- a/libs/modelcheck/src/modelcheck/log_model.py
+++ b/libs/modelcheck/src/modelcheck/log_model.py
@@ -16,8 +16,10 @@
 from typing import Any, NamedTuple, cast
 
 from batch_state.entries import JobCancelled
+from config_feed import ConfigFeed
 from control_store import Acceptor, Change, ControlClient, KeyOwner
 from control_store.messages import AcceptorMetadata
+from membership import Membership
 from messaging import Node, encode
 from replicated_log import Leader, LocalLog, LogReplica, Outcome
 from replicated_log.messages import (
@@ -363,7 +365,11 @@
     def _start_control(self, running: RunningNode) -> Node:
         acceptor = Acceptor(running.disk, running.env.token)
         feed = BroadcastFeed(self.addresses[1:])
-        owner = KeyOwner(acceptor, FixedFailureDetector(acceptor.identity), feed)
+        owner = KeyOwner(
+            acceptor,
+            cast(Membership, FixedFailureDetector(acceptor.identity)),
+            cast(ConfigFeed, feed),
+        )
         return Node(running.env, self._make_settings("control"), [owner, acceptor, feed])
 
     def submit(self, index: int, running: RunningNode, number: int) -> None:
--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -19,8 +19,36 @@
 Fields and formats of messages and files are fixed (tests/test_compatibility.py).
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from replicated_log.archive_repair import ArchiveRepair
+    from replicated_log.configuration import ReplicaAddress
+    from replicated_log.leader import Leader
+    from replicated_log.local_log import LocalLog
+    from replicated_log.log_replica import LogReplica
+    from replicated_log.messages import (
+        AppendRequest,
+        AppendResponse,
+        FetchRecords,
+        FetchResponse,
+        InstallSnapshot,
+        Record,
+        ReplicaMetadata,
+        Stamp,
+        StartRecovery,
+        StartRecoveryResponse,
+        StoredEntry,
+    )
+    from replicated_log.pending_appends import Outcome
+    from replicated_log.recovery import (
+        Recovery,
+        merge_records,
+    )
+    from replicated_log.replica_placement import spread
+
 __all__ = [
     "AppendRequest",
     "AppendResponse",
--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -19,8 +19,62 @@
 cleanly only if it is complete and of one run.
 """
 
+from typing import TYPE_CHECKING
+
 from runtime.lazy_exports import lazy_exports
 
+if TYPE_CHECKING:  # for type checkers; at run time each name is imported on first access
+    from request_routing.attempt import (
+        Attempt,
+        AttemptTransport,
+    )
+    from request_routing.attempt_outcome import (
+        AttemptOutcome,
+        OutcomeKind,
+    )
+    from request_routing.calls import (
+        Call,
+        ForwardCall,
+    )
+    from request_routing.event_check import EventCheck
+    from request_routing.forward_exchange import ForwardExchange
+    from request_routing.forward_lifecycle import ForwardLifecycle
+    from request_routing.header_names import (
+        WorkerHeaderNames,
+        end_to_end,
+    )
+    from request_routing.in_flight import InFlightRequest
+    from request_routing.item_executor import ItemExecutor
+    from request_routing.job_runner import JobRunner
+    from request_routing.leader_client import LeaderClient
+    from request_routing.lifecycle import (
+        ItemKey,
+        RequestLifecycle,
+        State,
+    )
+    from request_routing.prefill_tracker import PrefillTracker
+    from request_routing.prefix_placement import (
+        choose,
+        prefix_of,
+    )
+    from request_routing.request_router import RequestRouter
+    from request_routing.response_head import WorkerLoad
+    from request_routing.retry_budget import RetryBudget
+    from request_routing.steps import (
+        Step,
+        StepKind,
+    )
+    from request_routing.stream_checks import (
+        StreamCheck,
+        check_body,
+    )
+    from request_routing.worker import (
+        Worker,
+        WorkerUpdate,
+    )
+    from request_routing.worker_exchange import WorkerExchange
+    from request_routing.worker_registry import WorkerRegistry
+
 __all__ = [
     "Attempt",
     "AttemptOutcome",
