--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -32,6 +32,9 @@
         AttemptOutcome,
         OutcomeKind,
     )
+    from request_routing.batch_execution.item_executor import ItemExecutor
+    from request_routing.batch_execution.job_runner import JobRunner
+    from request_routing.batch_execution.leader_client import LeaderClient
     from request_routing.calls import (
         Call,
         ForwardCall,
@@ -44,9 +47,6 @@
         end_to_end,
     )
     from request_routing.in_flight import InFlightRequest
-    from request_routing.item_executor import ItemExecutor
-    from request_routing.job_runner import JobRunner
-    from request_routing.leader_client import LeaderClient
     from request_routing.lifecycle import (
         ItemKey,
         RequestLifecycle,
