--- a/libs/batch_state/src/batch_state/__init__.py
+++ b/libs/batch_state/src/batch_state/__init__.py
@@ -31,7 +31,7 @@
         Job,
     )
 
-__all__ = ["BatchService", "Item", "IdempotencyKey", "BatchState", "Job", "entries", "messages"]
+__all__ = ["BatchService", "BatchState", "IdempotencyKey", "Item", "Job", "entries", "messages"]
 
 __getattr__ = lazy_exports(
     __name__,
--- a/libs/batch_state/src/batch_state/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/idempotency_keys.py
@@ -17,16 +17,16 @@
     """
 
     __slots__ = (
+        "archived",
         "at_ms",
         "body",
         "cached_entries",
         "digest",
         "edge",
         "key",
-        "archived",
+        "request_id",
         "state",
         "status",
-        "request_id",
     )
 
     def __init__(self, entry: KeyOpened) -> None:
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -33,11 +33,11 @@
 
     __slots__ = (
         "body",
+        "claim_number",
         "edge",
         "failed_at",
         "failures",
         "item_id",
-        "claim_number",
         "outcome",
         "result",
         "state",
@@ -84,6 +84,7 @@
     """
 
     __slots__ = (
+        "archived",
         "at_ms",
         "attempts",
         "cached_entries",
@@ -105,7 +106,6 @@
         "rollout",
         "safe",
         "samples",
-        "archived",
         "tokens",
         "total",
         "unfinished",
--- a/libs/batch_state/src/batch_state/messages/forward_jobs.py
+++ b/libs/batch_state/src/batch_state/messages/forward_jobs.py
@@ -7,16 +7,16 @@
 from messaging import Message
 
 __all__ = [
-    "ForwardItem",
-    "SubmitForwardJob",
     "ForwardAssignment",
-    "ItemOutcome",
-    "ReportItemOutcomes",
-    "ListForwardResults",
+    "ForwardItem",
     "ForwardResult",
-    "ListForwardResultsResponse",
     "GetItem",
     "GetItemResponse",
+    "ItemOutcome",
+    "ListForwardResults",
+    "ListForwardResultsResponse",
+    "ReportItemOutcomes",
+    "SubmitForwardJob",
 ]
 
 
--- a/libs/batch_state/src/batch_state/messages/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/messages/idempotency_keys.py
@@ -5,7 +5,7 @@
 
 from messaging import Message
 
-__all__ = ["OpenKey", "CloseKey", "KeyResponse"]
+__all__ = ["CloseKey", "KeyResponse", "OpenKey"]
 
 
 class OpenKey(Message):
--- a/libs/batch_state/src/batch_state/messages/jobs.py
+++ b/libs/batch_state/src/batch_state/messages/jobs.py
@@ -8,17 +8,17 @@
 from messaging import Message
 
 __all__ = [
-    "SubmitJob",
-    "JobResponse",
-    "GetJob",
+    "AdvanceListing",
     "CancelJob",
+    "GetJob",
+    "ItemAssignment",
+    "JobResponse",
     "ListResults",
-    "ResultRow",
     "ListResultsResponse",
-    "ItemAssignment",
     "ReportResult",
     "ReportResultResponse",
-    "AdvanceListing",
+    "ResultRow",
+    "SubmitJob",
 ]
 
 
--- a/libs/batch_state/src/batch_state/messages/rollouts.py
+++ b/libs/batch_state/src/batch_state/messages/rollouts.py
@@ -6,7 +6,7 @@
 
 from messaging import Message
 
-__all__ = ["SubmitRollout", "RolloutAssignment", "RolloutHeartbeat", "RolloutHeartbeatResponse"]
+__all__ = ["RolloutAssignment", "RolloutHeartbeat", "RolloutHeartbeatResponse", "SubmitRollout"]
 
 
 class SubmitRollout(Message, wire_name="RolloutHandIn"):
--- a/libs/batch_state/src/batch_state/state.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -34,7 +34,7 @@
 from batch_state.jobs import AdmissionEntry, Item, Job
 from batch_state.outcomes import ItemState, KeyState, RecordKind
 
-__all__ = ["Item", "IdempotencyKey", "BatchState", "Job"]
+__all__ = ["BatchState", "IdempotencyKey", "Item", "Job"]
 
 
 class BatchState:
@@ -45,7 +45,7 @@
     be archived.
     """
 
-    __slots__ = ("unarchived", "keys", "jobs", "open_jobs", "waiting_tokens")
+    __slots__ = ("jobs", "keys", "open_jobs", "unarchived", "waiting_tokens")
 
     def __init__(self) -> None:
         self.waiting_tokens: dict[str, int] = {}
--- a/libs/capacity_sharing/src/capacity_sharing/__init__.py
+++ b/libs/capacity_sharing/src/capacity_sharing/__init__.py
@@ -22,11 +22,11 @@
 
 __all__ = [
     "LOANS_KEY",
-    "SampleRunner",
-    "LentWorkers",
     "JobOutlook",
+    "LentWorkers",
     "LoanManager",
     "LoanOutcome",
     "LoanState",
     "LoanStatus",
+    "SampleRunner",
 ]
--- a/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
@@ -32,13 +32,13 @@
     __slots__ = (
         "_at_risk",
         "_carrier",
-        "_edge",
         "_config_feed",
+        "_edge",
         "_lends",
         "_load",
+        "_recipients",
         "_roster",
         "_sent_ms",
-        "_recipients",
     )
     HANDLES = (EdgeLoad,)
 
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -87,7 +87,7 @@
             worker.slots,
             live.get(id(worker), 0),
             worker.in_flight,
-            roster.is_usable(worker) or worker.identity in roster.lent and not worker.leaving,
+            roster.is_usable(worker) or (worker.identity in roster.lent and not worker.leaving),
             worker.borrowed,
         )
         for worker in roster.all()
--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -73,21 +73,21 @@
     """
 
     __slots__ = (
-        "_handled_reports",
-        "_requested_ms",
         "_carrier",
-        "_edges",
         "_deferred",
+        "_edges",
+        "_handled_reports",
         "_recalled",
+        "_requested_ms",
         "_roster",
         "_samples",
         "_samples_out",
         "_slots",
-        "_tree",
         "_slots_wanted",
+        "_tree",
         "_why_unready",
-        "given_up",
         "finished",
+        "given_up",
         "live_peak",
         "recalls",
     )
--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -17,4 +17,4 @@
 from config_feed.feed import ConfigFeed
 from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
 
-__all__ = ["VersionDigest", "ConfigFeed", "KeyUpdates", "KeyUpdate", "candidates"]
+__all__ = ["ConfigFeed", "KeyUpdate", "KeyUpdates", "VersionDigest", "candidates"]
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -5,7 +5,7 @@
 
 from messaging import Message
 
-__all__ = ["VersionDigest", "KeyUpdates", "KeyUpdate"]
+__all__ = ["KeyUpdate", "KeyUpdates", "VersionDigest"]
 
 
 class KeyUpdate(Message, wire_name="NewsItem"):
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -12,10 +12,10 @@
 
 __all__ = [
     "CONFIRMING_ROLES",
-    "DigestReport",
     "MIN_SERVING_SET",
     "NEVER_MS",
     "SERVING_SET_KEY",
+    "DigestReport",
     "VersionTracker",
 ]
 
--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -20,7 +20,7 @@
 from data_plane.replay import compare, play
 from data_plane.store_process import StoreProcess
 
-__all__ = ["request_and_print", "main", "serve_flags"]
+__all__ = ["main", "request_and_print", "serve_flags"]
 
 app = App(
     name="vaneledge-data",
@@ -93,14 +93,17 @@
 
 
 async def _request(method: str, url: str, body: Any, headers: dict[str, str] | None) -> int:
-    async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S)) as session:
-        async with session.request(method, url, json=body, headers=headers) as response:
-            out = sys.stdout if response.status < 400 else sys.stderr
-            async for line in response.content:
-                out.write(line.decode(errors="replace"))
-                out.flush()
-            out.write("\n")
-            return 0 if response.status < 400 else 1
+    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
+    async with (
+        aiohttp.ClientSession(timeout=timeout) as session,
+        session.request(method, url, json=body, headers=headers) as response,
+    ):
+        out = sys.stdout if response.status < 400 else sys.stderr
+        async for line in response.content:
+            out.write(line.decode(errors="replace"))
+            out.flush()
+        out.write("\n")
+        return 0 if response.status < 400 else 1
 
 
 def request_and_print(
--- a/libs/data_plane/src/data_plane/completion_api.py
+++ b/libs/data_plane/src/data_plane/completion_api.py
@@ -6,6 +6,7 @@
 """
 
 import asyncio
+import contextlib
 import re
 from typing import Any
 
@@ -151,10 +152,8 @@
 ) -> web.StreamResponse:
     """End a stream with an error event and without the end mark, and drop the connection."""
     request["verdict"], request["code"] = response.verdict, response.code
-    try:
+    with contextlib.suppress(ConnectionError):
         await started.write(b"event: error\ndata: " + response.body.encode() + b"\n\n")
-    except ConnectionError:
-        pass
     if request.transport is not None:
         request.transport.abort()
     return started
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -42,7 +42,6 @@
 
     __slots__ = (
         "_readiness",
-        "sample_runner",
         "carrier",
         "edge_service",
         "forward_job_service",
@@ -54,6 +53,7 @@
         "readings",
         "rollout_service",
         "roster",
+        "sample_runner",
         "stopping",
     )
 
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -49,8 +49,10 @@
             failure_timeout_ms = self._node.settings.failure_timeout_ms
             informed = (
                 now_ms - self._node.config_feed.control_quorum_heard_ms <= failure_timeout_ms
-                or now_ms - self._started_ms > failure_timeout_ms
-                and not self._hears_some_control()
+                or (
+                    now_ms - self._started_ms > failure_timeout_ms
+                    and not self._hears_some_control()
+                )
             )
             self._caught_up = informed and self._has_newest_profiles(now_ms - failure_timeout_ms)
         return "" if self._caught_up else _NOT_CAUGHT_UP
--- a/libs/data_plane/src/data_plane/metrics.py
+++ b/libs/data_plane/src/data_plane/metrics.py
@@ -58,7 +58,7 @@
     The collecting library is imported when it is first needed, not at a process's start.
     """
 
-    __slots__ = ("_read", "_registry", "_durations")
+    __slots__ = ("_durations", "_read", "_registry")
 
     def __init__(self, read: Callable[[], dict[str, float]]) -> None:
         self._read = read
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -97,11 +97,11 @@
 
     def start_draining(self) -> None:
         """Begin to drain; a role overrides it."""
-        return None
+        return
 
     def wind_down(self) -> None:
         """Stop what draining has not finished; a role overrides it."""
-        return None
+        return
 
     def apply(self, settings: Settings) -> None:
         """Apply changed settings."""
--- a/libs/data_plane/src/data_plane/recorder.py
+++ b/libs/data_plane/src/data_plane/recorder.py
@@ -168,7 +168,7 @@
         self._folder.mkdir(parents=True, exist_ok=True)
         self._file_count += 1
         path = self._folder / f"{self._edge}-{wall_ms()}-{self._file_count:04d}.jsonl"
-        self._file = open(path, "w", buffering=1)
+        self._file = open(path, "w", buffering=1)  # noqa: SIM115 -- closed by `close`
         self._row_count = 0
         first = {
             "kind": LineKind.FIRST,
--- a/libs/data_plane/src/data_plane/request_bodies.py
+++ b/libs/data_plane/src/data_plane/request_bodies.py
@@ -11,11 +11,11 @@
 from runtime import Refusal, refused
 
 __all__ = [
-    "HeartbeatBody",
-    "CompletionBody",
-    "SubmitJobBody",
     "JOB_ID_PATTERN",
+    "CompletionBody",
+    "HeartbeatBody",
     "LeaveBody",
+    "SubmitJobBody",
     "parse",
 ]
 
--- a/libs/messaging/src/messaging/components.py
+++ b/libs/messaging/src/messaging/components.py
@@ -61,7 +61,7 @@
 
     def tick(self) -> None:
         """Do periodic work; called every few milliseconds."""
-        return None
+        return
 
     def connection_closed(self, address: str) -> None:
         """Take note that the connection from an address has ended, perhaps with its process."""
--- a/libs/modelcheck/src/modelcheck/model_environment.py
+++ b/libs/modelcheck/src/modelcheck/model_environment.py
@@ -33,7 +33,7 @@
 class Envelope:
     """A message in flight, with its request's number and the one it replies to (0 for none)."""
 
-    __slots__ = ("message", "in_reply_to", "request_id", "sender", "to")
+    __slots__ = ("in_reply_to", "message", "request_id", "sender", "to")
 
     def __init__(
         self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
@@ -91,9 +91,9 @@
         "name",
         "now_ms",
         "on_send",
-        "sent",
         "requests",
         "rng",
+        "sent",
     )
 
     def __init__(self, name: str, address: str, boot_image: BootImage) -> None:
@@ -133,7 +133,7 @@
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
         """Discard the event."""
-        return None
+        return
 
 
 class _StepKind(StrEnum):
@@ -214,7 +214,7 @@
 
     def push(self) -> None:
         """Do nothing: writes are visible to the process at once."""
-        return None
+        return
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
         """Write `data` at `offset`; not durable before a flush."""
--- a/libs/platform_testbed/src/platform_testbed/live_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/live_clients.py
@@ -5,6 +5,7 @@
 """
 
 import asyncio
+import contextlib
 import json
 import random
 from typing import Any
@@ -17,7 +18,7 @@
 from platform_testbed.site import Kind, Sheet
 from platform_testbed.worker_calls import digest
 
-__all__ = ["LiveClients", "PROMISES"]
+__all__ = ["PROMISES", "LiveClients"]
 
 PROMISES = (408, 421, 429, 503)
 _KEEP_S = 4.0
@@ -287,7 +288,7 @@
         return self._at[client]
 
     def _goes_on(self, kind: Kind, row: dict[str, Any]) -> bool:
-        if row["how"] in ("unreached",):
+        if row["how"] == "unreached":
             return True
         if row["how"] == "answered":
             if row["status"] in PROMISES:
@@ -300,8 +301,6 @@
     async def _come_back(self, row: dict[str, Any], left_ms: float) -> None:
         wait_ms = 20.0
         if row["how"] == "answered" and row["retry_after"]:
-            try:
+            with contextlib.suppress(ValueError):
                 wait_ms = max(wait_ms, min(float(row["retry_after"]) * 1000, left_ms / 3))
-            except ValueError:
-                pass
         await asyncio.sleep(wait_ms / 1000)
--- a/libs/platform_testbed/src/platform_testbed/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -48,6 +48,7 @@
 
     __slots__ = (
         "addresses",
+        "data_dir",
         "held",
         "ip",
         "life",
@@ -57,10 +58,9 @@
         "process",
         "removed",
         "settings_file",
+        "started_ms",
         "trouble",
         "zone",
-        "data_dir",
-        "started_ms",
     )
 
     def __init__(self, name: str, machine_class: str, zone: str, ip: str, folder: Path) -> None:
@@ -204,7 +204,7 @@
         }
         if machine.data_dir:
             values["dataDir"] = machine.data_dir
-        values["zones"] = {zone: sheet.region for zone in sheet.zones}
+        values["zones"] = dict.fromkeys(sheet.zones, sheet.region)
         values["bindAddresses"] = machine.addresses
         values["limits"] = {
             "cpuShare": 0.6,
--- a/libs/platform_testbed/src/platform_testbed/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -6,6 +6,7 @@
 """
 
 import asyncio
+import contextlib
 import copy
 import json
 import random
@@ -311,10 +312,8 @@
             await asyncio.sleep(0.3)
         settings = None
         if last[0]:
-            try:
+            with contextlib.suppress(ValueError):
                 settings = json.loads(last[1])
-            except ValueError:
-                pass
         return self.history.add("read-back", self.clock(), status=last[0], settings=settings)
 
     # -- stores to be emptied ------------------------------------------------------------------
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -13,18 +13,19 @@
 from messaging import Message
 
 __all__ = [
+    "NO_STAMP",
+    "TRUNCATE",
     "AppendRequest",
     "AppendResponse",
     "FetchRecords",
-    "FetchTail",
     "FetchResponse",
+    "FetchTail",
     "InstallSnapshot",
-    "ReplicaMetadata",
+    "LeaderHeartbeat",
     "LeaderPoll",
     "LeaderPollResponse",
-    "LeaderHeartbeat",
-    "NO_STAMP",
     "Record",
+    "ReplicaMetadata",
     "ResponseReason",
     "SnapshotHeader",
     "Stamp",
@@ -32,7 +33,6 @@
     "StartRecoveryResponse",
     "StoredEntry",
     "TransferLeadership",
-    "TRUNCATE",
 ]
 
 TRUNCATE = 1
--- a/libs/request_routing/src/request_routing/batch_execution/leader_client.py
+++ b/libs/request_routing/src/request_routing/batch_execution/leader_client.py
@@ -223,7 +223,7 @@
         if self._requests:
             self._read_key()
         for request in list(self._requests):
-            if 0 < request.attempts and request.epoch < self._epoch:
+            if request.attempts > 0 and request.epoch < self._epoch:
                 request.next_send_ms = now_ms
             if now_ms >= request.due_ms:
                 self._finish(request, None)
--- a/libs/request_routing/src/request_routing/forward_lifecycle.py
+++ b/libs/request_routing/src/request_routing/forward_lifecycle.py
@@ -104,7 +104,7 @@
     def _may_retry(self, may_have_run: bool) -> bool:
         if self.delivered:
             return self._resumable and self.last_event_id is not None
-        return self.idempotent or not may_have_run and not self._may_have_run
+        return self.idempotent or (not may_have_run and not self._may_have_run)
 
     def _finish_with(self, status: int, body: str | bytes) -> Step:
         finish = Step(StepKind.FINISH, response=FinalResponse(status, body))
--- a/libs/runtime/src/runtime/__init__.py
+++ b/libs/runtime/src/runtime/__init__.py
@@ -18,8 +18,8 @@
 from runtime.verdicts import Refusal, Verdict, doubtful, refused
 
 __all__ = [
-    "Settings",
     "Refusal",
+    "Settings",
     "Verdict",
     "boot_ms",
     "doubtful",
--- a/libs/runtime/src/runtime/settings.py
+++ b/libs/runtime/src/runtime/settings.py
@@ -12,7 +12,7 @@
 from expression import Error, Ok, Result
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
-__all__ = ["Settings", "load_settings", "changed_settings", "RELOADABLE"]
+__all__ = ["RELOADABLE", "Settings", "changed_settings", "load_settings"]
 
 _MAX_PORT = 65535
 
--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -38,14 +38,14 @@
         "_busy_until_ms",
         "_durable",
         "_files",
+        "_full_room_bytes",
         "_host",
         "_pending",
-        "time",
-        "_full_room_bytes",
-        "set_aside_count",
         "flush_ms",
         "flushes",
         "room_bytes",
+        "set_aside_count",
+        "time",
     )
 
     def __init__(self, time: Any, room_bytes: int, flush_ms: float = FLUSH_MS) -> None:
@@ -94,7 +94,7 @@
 
     def push(self) -> None:
         """Do nothing: there is no buffer between the process and this disk."""
-        return None
+        return
 
     def truncate(self, name: str, size: int) -> None:
         """Shorten or extend a file to `size` bytes without flushing."""
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -51,10 +51,10 @@
     """
 
     __slots__ = (
-        "live_clients",
         "_rng",
         "faulty",
         "fleet",
+        "live_clients",
         "run",
         "share",
         "start_ms",
--- a/libs/simulator/src/simulator/rules_rollouts.py
+++ b/libs/simulator/src/simulator/rules_rollouts.py
@@ -218,7 +218,7 @@
     """Return the breaches by rule; a rule in `due` that judged nothing counts as broken."""
     judgements = {name: rule(having, without) for name, rule in LOAN_RULES.items()}
     return {
-        name: breaches if breaches else ["nothing to judge"]
+        name: breaches or ["nothing to judge"]
         for name, (judged, breaches) in judgements.items()
         if breaches or (name in due and not judged)
     }
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -51,7 +51,7 @@
 class Run:
     """A fleet with its clients and operators; `items` bounds the size of jobs."""
 
-    __slots__ = ("fleet", "items", "operators", "stopped", "clients")
+    __slots__ = ("clients", "fleet", "items", "operators", "stopped")
 
     def __init__(
         self,
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -52,14 +52,14 @@
 
     __slots__ = (
         "_last_ms",
-        "time",
-        "partitioned_pairs",
-        "isolated_hosts",
         "duplicate_rate",
         "hosts",
+        "isolated_hosts",
         "loss_rate",
-        "slow_ms",
+        "partitioned_pairs",
         "sent",
+        "slow_ms",
+        "time",
         "zones",
     )
 
--- a/libs/simulator/src/simulator/worker_transport.py
+++ b/libs/simulator/src/simulator/worker_transport.py
@@ -52,12 +52,12 @@
 
     __slots__ = (
         "_address",
+        "_attempt",
         "_fleet",
         "_host",
-        "_last_ms",
         "_incarnation",
+        "_last_ms",
         "_open",
-        "_attempt",
         "_target",
     )
 
--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-__all__ = ["Disk", "DiskFullError", "FolderDisk", "RESERVED_SHARE"]
+__all__ = ["RESERVED_SHARE", "Disk", "DiskFullError", "FolderDisk"]
 
 RESERVED_SHARE = 0.2
 """The share of the space that only urgent writes may use."""
--- a/libs/testbed/src/testbed/fault_injection/__init__.py
+++ b/libs/testbed/src/testbed/fault_injection/__init__.py
@@ -8,4 +8,4 @@
 from testbed.fault_injection.injected_faults import InjectedFaults, write_faults
 from testbed.fault_injection.nodes import run_node
 
-__all__ = ["PowerDisk", "InjectedFaults", "run_node", "write_faults"]
+__all__ = ["InjectedFaults", "PowerDisk", "run_node", "write_faults"]
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -17,7 +17,7 @@
 
 from testbed.fault_injection.injected_faults import write_faults
 
-__all__ = ["Fleet", "NodeProcess", "SHAPES", "until"]
+__all__ = ["SHAPES", "Fleet", "NodeProcess", "until"]
 
 SHAPES = {
     "jade": {"edges": 6, "stores": 3, "control": 5, "workers": 7},
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -25,7 +25,7 @@
 )
 from simulator import History, run_seed
 
-__all__ = ["HistoryResult", "KeyReader", "check_history", "check_seed", "key_calls", "job_calls"]
+__all__ = ["HistoryResult", "KeyReader", "check_history", "check_seed", "job_calls", "key_calls"]
 
 _READ_EVERY_MS = 120.0
 _NO_EFFECT = "not_run"
@@ -74,7 +74,7 @@
     search met its limit.
     """
 
-    __slots__ = ("violations", "calls", "configurations", "objects", "seconds", "seed", "undecided")
+    __slots__ = ("calls", "configurations", "objects", "seconds", "seed", "undecided", "violations")
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -134,7 +134,7 @@
     ),
     "an unsafe forwarded request is sent again": (
         "request_routing/src/request_routing/forward_lifecycle.py",
-        "return self.idempotent or not may_have_run and not self._may_have_run",
+        "return self.idempotent or (not may_have_run and not self._may_have_run)",
         "return True",
         _DAYS + "faults",
     ),
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -61,7 +61,7 @@
             f"  {path:16} {spread(values)}; "
             f"{sum(1 for value in values if value > _LATE_MS.get(path, 1e9))} late"
         )
-    back = [row for row in traffic.history.rows_of("probe")]
+    back = list(traffic.history.rows_of("probe"))
     lines.append(
         "after the last fault: "
         + ", ".join(
--- a/libs/testbed/src/testbed/trace.py
+++ b/libs/testbed/src/testbed/trace.py
@@ -29,6 +29,13 @@
 _OF_LOANS = ("loan-changed", "loan-overdue", "worker-withheld", "worker-serves-again")
 
 
+def _names_part(kind: str, field: str, value: str, name: str) -> bool:
+    """Whether a value has the name as a part: a worker's incarnation, or an item's request."""
+    if kind == "worker":
+        return value.startswith(f"{name}/")
+    return kind in ("job", "lot") and field in _OF_REQUESTS and f"-{name}-" in value
+
+
 def _has(row: dict[str, Any], kind: str, name: str) -> bool:
     if kind == "loan" and row.get("event") not in _OF_LOANS:
         return False
@@ -39,11 +46,7 @@
         if isinstance(value, list):
             if name in value:
                 return True
-        elif str(value) == name:
-            return True
-        elif kind == "worker" and str(value).startswith(f"{name}/"):
-            return True
-        elif kind in ("job", "lot") and field in _OF_REQUESTS and f"-{name}-" in str(value):
+        elif str(value) == name or _names_part(kind, field, str(value), name):
             return True
     return False
 
--- a/libs/testbed/src/testbed/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -61,7 +61,7 @@
         self._gate = asyncio.Semaphore(slots)
         self._waiting = 0
         self._leaving = False
-        self._runs_page = open(runs_file, "a", buffering=1) if runs_file else None
+        self._runs_page = open(runs_file, "a", buffering=1) if runs_file else None  # noqa: SIM115 -- kept open
 
     def _note(self, kind: str, **fields: Any) -> None:
         if self._runs_page is not None:
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -216,7 +216,7 @@
             outlook = JobOutlook(1000)
             outlook.heard(SimpleNamespace(edge="e", capacity=2), 0)
             outlook.took("p", 200)
-            state = SimpleNamespace(open_jobs={place: job for place, job in enumerate(jobs)})
+            state = SimpleNamespace(open_jobs=dict(enumerate(jobs)))
             logged = []
             self.assertThat(
                 outlook.at_risk(
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -4,6 +4,7 @@
 """
 
 import asyncio
+import contextlib
 import json
 
 from data_plane import EdgeNode
@@ -205,10 +206,8 @@
                 "{tx}", fields["X-Vaneledge-Transaction"]
             )
             writer.write(text.replace("{{", "{").replace("}}", "}").encode())
-        try:
+        with contextlib.suppress(ConnectionError):
             await writer.drain()
-        except ConnectionError:
-            pass
         writer.close()
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -53,7 +53,7 @@
     def cut_from(self, fleet, host, role, both=True, outward=True):
         for other in fleet.hosts.values():
             if other is not host and (
-                role == "disks" and other.role != "edge" or other.role == role
+                (role == "disks" and other.role != "edge") or other.role == role
             ):
                 if both or outward:
                     fleet.network.partitioned_pairs.add((host.address, other.address))
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -87,7 +87,7 @@
             lambda: (
                 '{"epoch": 4, "holder": "s1", "members": [{"identity": "s1", "address": "store:1"}]}'
             ),
-            lambda: [],
+            list,
         )
         roster = WorkerRegistry(
             list, lambda identity, labels: True, lambda: (1, json.dumps({"workers": rows}))
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -1,6 +1,7 @@
 """Messages there and back, and bytes that are none: a node on a real link refuses them and lives."""
 
 import asyncio
+import contextlib
 import random
 
 from membership.messages import Heartbeat, ShuffleRequest
@@ -52,10 +53,8 @@
             data = bytearray(good)
             for _ in range(rng.randrange(1, 4)):
                 data[rng.randrange(len(data))] = rng.randrange(256)
-            try:
+            with contextlib.suppress(BadMessageError):
                 decode(bytes(data[: rng.randrange(len(data) + 1)]))
-            except BadMessageError:
-                pass
 
     def test_a_link_refuses_them_and_goes_on(self):
         async def run():
--- a/tests/test_node_requests.py
+++ b/tests/test_node_requests.py
@@ -2,6 +2,7 @@
 ones, those of a former life and those that waited while the node stood still change nothing.
 """
 
+import itertools
 import random
 from types import SimpleNamespace
 
@@ -97,5 +98,5 @@
     def test_ids_of_different_lives_lie_apart(self):
         """A late reply would have to meet an id in use: lives begin at random places of a wide range."""
         firsts = sorted(Life(seed).ask() for seed in range(200))
-        gaps = [after - before for before, after in zip(firsts, firsts[1:], strict=False)]
+        gaps = [after - before for before, after in itertools.pairwise(firsts)]
         self.assertThat((min(gaps) > 10_000, firsts[-1] < 1 << 62), Equals((True, True)))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -64,7 +64,7 @@
         super().setUp()
         self.env, self.number, self.rows = Env(), 0, {}
         self.registry = WorkerRegistry(
-            lambda: [],
+            list,
             TREE.allows_worker,
             lambda: (self.number, json.dumps({"workers": self.rows})),
         )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,5 +1,7 @@
 """Rows about recovery beyond the design page's: what is fetched, what is cut, and the small files beside the log."""
 
+import itertools
+
 from batch_state import BatchState, entries
 from log_harness import SETTINGS, LogHarness
 from log_harness import entry as key_opened
@@ -209,7 +211,7 @@
             log.save_metadata(lambda ok: None, fence=fence)
             harness.run(10)
             sizes.append(len(disk.read("meta")))
-        begun_anew = sum(size < before for before, size in zip(sizes, sizes[1:], strict=False))
+        begun_anew = sum(size < before for before, size in itertools.pairwise(sizes))
         self.assertThat((max(sizes) <= 4300, 0 < begun_anew < 3), Equals((True, True)))
         harness.open("a")
         self.assertThat(
