--- a/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
@@ -31,13 +31,13 @@
 
     __slots__ = (
         "_at_risk",
-        "_carrier",
         "_config_feed",
         "_edge",
         "_lends",
         "_load",
         "_recipients",
-        "_roster",
+        "_registry",
+        "_router",
         "_sent_ms",
     )
     HANDLES = (EdgeLoad,)
@@ -48,17 +48,17 @@
         self,
         edge: str,
         config_feed: ConfigFeed,
-        roster: WorkerRegistry,
-        carrier: RequestRouter,
+        registry: WorkerRegistry,
+        router: RequestRouter,
         lends: Callable[[], bool],
         at_risk: Callable[[], bool],
         recipients: Callable[[], Iterable[str]],
     ) -> None:
-        self._edge, self._config_feed, self._roster, self._carrier = (
+        self._edge, self._config_feed, self._registry, self._router = (
             edge,
             config_feed,
-            roster,
-            carrier,
+            registry,
+            router,
         )
         self._lends, self._at_risk, self._recipients = lends, at_risk, recipients
         self._sent_ms = _LONG_AGO_MS
@@ -76,7 +76,7 @@
 
     def _update_samples(self) -> None:
         samples = self._load.samples(self.node.address)
-        for worker in self._roster.all():
+        for worker in self._registry.all():
             worker.borrowed_elsewhere = samples.get(worker.identity, 0)
 
     def live_peak(self, worker: str) -> int | None:
@@ -91,27 +91,27 @@
     def _published(self, key: str, number: int, body: str) -> None:
         if key == LOANS_KEY and body:
             lent = LoanTable.from_body(body).withheld()
-            for identity in sorted(lent ^ self._roster.lent):
+            for identity in sorted(lent ^ self._registry.lent):
                 self.node.env.log(
                     "worker-withheld" if identity in lent else "worker-serves-again",
                     worker=identity,
                     number=number,
                 )
-            self._roster.lent = lent
+            self._registry.lent = lent
 
     def tick(self) -> None:
         """Report this edge's load once each `heartbeat_ms`, where slots or workers may be lent."""
         now_ms = self.node.env.now()
         if now_ms - self._sent_ms < self.node.settings.heartbeat_ms or not (
-            self._lends() or self._roster.lent
+            self._lends() or self._registry.lent
         ):
             return
         self._sent_ms = now_ms
         report = load_report(
             self._edge,
             self._config_feed.number(LOANS_KEY),
-            self._roster,
-            self._carrier,
+            self._registry,
+            self._router,
             self._at_risk(),
         )
         self._load.take(self.node.address, report, now_ms)
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -74,10 +74,10 @@
     staying: list[str]
 
 
-def load_report(edge: str, number: int, roster: Any, carrier: Any, jobs_at_risk: bool) -> EdgeLoad:
+def load_report(edge: str, number: int, registry: Any, router: Any, jobs_at_risk: bool) -> EdgeLoad:
     """Return an edge's report, from its worker registry and what its router is sending."""
     live: dict[int, int] = {}
-    for send in carrier.attempts():
+    for send in router.attempts():
         if not send.request.call.job:
             live[id(send.worker)] = live.get(id(send.worker), 0) + 1
     loads = {
@@ -87,17 +87,17 @@
             worker.slots,
             live.get(id(worker), 0),
             worker.in_flight,
-            roster.is_usable(worker) or (worker.identity in roster.lent and not worker.leaving),
+            registry.is_usable(worker) or (worker.identity in registry.lent and not worker.leaving),
             worker.borrowed,
         )
-        for worker in roster.all()
-        if not roster.is_silent(worker)
+        for worker in registry.all()
+        if not registry.is_silent(worker)
     }
     return EdgeLoad(
         edge=edge,
         number=number,
         workers=json.dumps(loads),
-        waiting=carrier.waiting(),
+        waiting=router.waiting(),
         jobs_at_risk=jobs_at_risk,
     )
 
--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -45,18 +45,18 @@
 class _Sample:
     """A sample that runs at this edge, or has ended."""
 
-    __slots__ = ("carriage", "done", "has_ended", "work")
+    __slots__ = ("done", "has_ended", "in_flight", "work")
 
     def __init__(self, work: RolloutAssignment, done: Done) -> None:
         self.work = work
         self.done = done
-        self.carriage: InFlightRequest | None = None
+        self.in_flight: InFlightRequest | None = None
         self.has_ended = False
 
     @property
     def attempt(self) -> Attempt | None:
         """The present attempt at a worker; None while there is none."""
-        return None if self.carriage is None else self.carriage.attempt
+        return None if self.in_flight is None else self.in_flight.attempt
 
     @property
     def worker(self) -> Worker | None:
@@ -73,13 +73,13 @@
     """
 
     __slots__ = (
-        "_carrier",
         "_deferred",
         "_edges",
         "_handled_reports",
         "_recalled",
+        "_registry",
         "_requested_ms",
-        "_roster",
+        "_router",
         "_samples",
         "_samples_out",
         "_slots",
@@ -96,16 +96,16 @@
     def __init__(
         self,
         edge: str,
-        carrier: RequestRouter,
-        roster: WorkerRegistry,
+        router: RequestRouter,
+        registry: WorkerRegistry,
         tree: Callable[[], Any],
         why_unready: Callable[[], str],
         edges: Callable[[], list[tuple[str, str]]],
     ) -> None:
-        self._carrier, self._roster, self._tree = carrier, roster, tree
+        self._router, self._registry, self._tree = router, registry, tree
         self._why_unready, self._edges = why_unready, edges
         self._slots = LendableSlots(
-            edge, carrier, roster, tree, edges, lambda worker: self.live_peak(worker)
+            edge, router, registry, tree, edges, lambda worker: self.live_peak(worker)
         )
         self._samples: list[_Sample] = []
         self._deferred: list[tuple[int, Callable[[], None]]] = []
@@ -116,7 +116,7 @@
         self._samples_out = 0
         self.given_up = self.finished = self.recalls = 0
         self.live_peak: Callable[[str], int | None] = lambda worker: None
-        carrier.slot_lender = self
+        router.slot_lender = self
 
     # -- what may be lent ----------------------------------------------------------------------
 
@@ -139,12 +139,14 @@
             return 0, frozenset()
         return self._slots.room()
 
-    def choose(self, tx: RequestLifecycle, weights: str, workers: list[Worker]) -> Worker | None:
+    def choose(
+        self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
+    ) -> Worker | None:
         """Choose a worker for a sample, on the carrier's behalf; None if no worker may take it.
 
         The least loaded one is taken of those that aren't known to have other weights.
         """
-        return self._slots.choose(tx, weights, workers)
+        return self._slots.choose(lifecycle, weights, workers)
 
     # -- running -------------------------------------------------------------------------------
 
@@ -160,7 +162,7 @@
             self._retry_later(sample)
             return lambda: self._stop(sample)
         due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
-        tx = RequestLifecycle(
+        lifecycle = RequestLifecycle(
             f"{env.token()}-{work.job_id}-{work.index}",
             profile,
             "",
@@ -169,23 +171,25 @@
             due_ms,
             claimed=True,
         )
-        tx.idempotent = True
-        tx.job = ItemKey(work.job_id, work.index)
+        lifecycle.idempotent = True
+        lifecycle.job = ItemKey(work.job_id, work.index)
         self._samples.append(sample)
         call = SampleCall(json.loads(work.body), work.weights)
-        carriage = self._carrier.start(
-            tx, call, None, lambda step: self._ended(sample, tx, call, step)
+        in_flight = self._router.start(
+            lifecycle, call, None, lambda step: self._ended(sample, lifecycle, call, step)
         )
         if not sample.has_ended:
-            sample.carriage = carriage
+            sample.in_flight = in_flight
         return lambda: self._stop(sample)
 
-    def _ended(self, sample: _Sample, tx: RequestLifecycle, call: SampleCall, step: Step) -> None:
+    def _ended(
+        self, sample: _Sample, lifecycle: RequestLifecycle, call: SampleCall, step: Step
+    ) -> None:
         if sample.has_ended:
             return
         self._close(sample)
-        worker = tx.attempts[-1][0] if tx.attempts else ""
-        for stamp, reason in tx.attempts:
+        worker = lifecycle.attempts[-1][0] if lifecycle.attempts else ""
+        for stamp, reason in lifecycle.attempts:
             if reason == OTHER_WEIGHTS:
                 self._slots.has_other_weights(stamp, sample.work.weights)
         if step.kind != "finish" or step.response is None:
@@ -220,8 +224,8 @@
         """
         if not sample.has_ended:
             self._close(sample)
-            if sample.carriage is not None:
-                sample.carriage.cancel()
+            if sample.in_flight is not None:
+                sample.in_flight.cancel()
 
     def _preempt(self, sample: _Sample, reason: str) -> None:
         worker = "" if sample.worker is None else sample.worker.identity
@@ -302,11 +306,11 @@
     def receive(self, message: Message, origin: Origin) -> None:
         """Give slots back because a live call at another edge needs them."""
         wanted = cast(SlotsWanted, message)
-        for worker in self._roster.all():
+        for worker in self._registry.all():
             if worker.identity == wanted.worker:
                 self._preempt_at(worker, wanted.slots, "a live call elsewhere needs the slot")
 
-    def told(self, response: Any) -> None:
+    def on_heartbeat_response(self, response: Any) -> None:
         """Take from the leader's response how many samples the fleet runs, and whether to stop."""
         self._samples_out = response.samples_out
         if response.recalled and not self._recalled:
@@ -340,7 +344,7 @@
     def _review(self, worker: Worker) -> None:
         """Give back what a worker needs; each report that somebody waits is acted on once."""
         report = (worker.beat, worker.load_reported_ms)
-        if not self._roster.is_usable(worker):
+        if not self._registry.is_usable(worker):
             self._preempt_at(worker, worker.borrowed, "the worker is not to be used")
         elif worker.waiting and self._handled_reports.get(worker.instance_id) != report:
             self._handled_reports[worker.instance_id] = report
--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -81,23 +81,23 @@
 
 
 @new_exchange.register
-def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> SampleExchange:
-    limit_bytes = carrier.node.settings.max_response_bytes
-    return SampleExchange(worker.instance_id, tx.edge_request_id, limit_bytes, call)
+def _(call: SampleCall, router: Any, lifecycle: Any, worker: Worker) -> SampleExchange:
+    limit_bytes = router.node.settings.max_response_bytes
+    return SampleExchange(worker.instance_id, lifecycle.edge_request_id, limit_bytes, call)
 
 
 @worker_request.register
-def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> WorkerRequest:
-    request = worker_request.dispatch(Call)(call, carrier, tx, worker)
+def _(call: SampleCall, router: Any, lifecycle: Any, worker: Worker) -> WorkerRequest:
+    request = worker_request.dispatch(Call)(call, router, lifecycle, worker)
     headers = {**request.headers, URGENCY_HEADER: _LOWEST, WEIGHTS_HEADER: call.weights}
     return WorkerRequest(request.target, headers, request.body)
 
 
 @choose_worker.register
 def _(
-    call: SampleCall, carrier: Any, tx: Any, workers: list[Worker], roster: WorkerRegistry
+    call: SampleCall, router: Any, lifecycle: Any, workers: list[Worker], registry: WorkerRegistry
 ) -> Worker | None:
-    chosen: Worker | None = carrier.slot_lender.choose(tx, call.weights, workers)
+    chosen: Worker | None = router.slot_lender.choose(lifecycle, call.weights, workers)
     return chosen
 
 
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -20,27 +20,27 @@
     """
 
     __slots__ = (
-        "_carrier",
         "_edge",
         "_edges",
         "_entitled",
         "_lending",
         "_live_peak",
         "_other_weights",
-        "_roster",
+        "_registry",
+        "_router",
         "_tree",
     )
 
     def __init__(
         self,
         edge: str,
-        carrier: RequestRouter,
-        roster: WorkerRegistry,
+        router: RequestRouter,
+        registry: WorkerRegistry,
         tree: Callable[[], Any],
         edges: Callable[[], list[tuple[str, str]]],
         live_peak: Callable[[str], int | None],
     ) -> None:
-        self._edge, self._carrier, self._roster, self._tree = edge, carrier, roster, tree
+        self._edge, self._router, self._registry, self._tree = edge, router, registry, tree
         self._edges, self._live_peak = edges, live_peak
         self._entitled = Entitlements()
         self._lending: tuple[Any, list[Any]] = (None, [])
@@ -62,7 +62,7 @@
         """Return how many workers take a sample now, and the paths on which they do."""
         reading = self._reading()
         room, paths = 0, set()
-        for worker in self._roster.workers():
+        for worker in self._registry.workers():
             open_paths = [
                 profile.name
                 for profile in self.profiles()
@@ -75,30 +75,30 @@
 
     def _reading(self) -> set[str]:
         """Stamps of the workers that may still be reading a prompt of this edge's calls."""
-        node = self._carrier.node
+        node = self._router.node
         now_ms, reading_ms = node.env.now(), node.settings.heartbeat_ms
         return {
             send.worker.instance_id
-            for send in self._carrier.attempts()
+            for send in self._router.attempts()
             if unstarted(send, now_ms, reading_ms)
         }
 
     def used(self, worker: Worker) -> float:
         """Return the slots in use at a worker, samples included."""
-        requests = worker.load(self._carrier.node.env.now()) if worker.listed else worker.weight
+        requests = worker.load(self._router.node.env.now()) if worker.listed else worker.weight
         used: float = worker.borrowed + worker.borrowed_elsewhere + requests
         return used
 
     def usable(self, worker: Worker) -> int:
         """Return how many slots of a worker may be used before the share kept for live calls."""
-        kept = math.ceil(worker.slots * self._carrier.node.settings.live_share)
+        kept = math.ceil(worker.slots * self._router.node.settings.live_share)
         usable: int = worker.slots - kept
         return usable
 
     def _takes(self, worker: Worker, profile: Any, reading: set[str]) -> bool:
         return (
             not worker.waiting
-            and worker.full_until_ms <= self._carrier.node.env.now()
+            and worker.full_until_ms <= self._router.node.env.now()
             and worker.instance_id not in reading
             and self.used(worker) < self.usable(worker)
             and worker.borrowed < self.entitlement(worker, profile.loan_share)
@@ -118,17 +118,19 @@
 
     def has_other_weights(self, stamp: str, weights: str) -> None:
         """Offer the worker no sample that wants these weights until `force_ms` has passed."""
-        node = self._carrier.node
+        node = self._router.node
         self._other_weights[stamp, weights] = node.env.now() + node.settings.force_ms
 
-    def choose(self, tx: RequestLifecycle, weights: str, workers: list[Worker]) -> Worker | None:
+    def choose(
+        self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
+    ) -> Worker | None:
         """Return the least loaded worker that takes a sample of these weights, or None."""
-        now_ms, reading = self._carrier.node.env.now(), self._reading()
+        now_ms, reading = self._router.node.env.now(), self._reading()
         fit = [
             worker
             for worker in workers
-            if worker.instance_id not in tx.avoid
-            and self._takes(worker, tx.profile, reading)
+            if worker.instance_id not in lifecycle.avoid
+            and self._takes(worker, lifecycle.profile, reading)
             and self._other_weights.get((worker.instance_id, weights), -1) < now_ms
         ]
         return min(
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -49,7 +49,7 @@
             identity, self._settings.removal_timeout_ms
         )
 
-    def is_settled(self, node: NodeLocation) -> bool:
+    def is_stable(self, node: NodeLocation) -> bool:
         """Whether a node has been known for longer than a request may be under way."""
         known_ms = self._now_ms - self._membership.known_since_ms(node.identity)
         return bool(known_ms > self._settings.request_timeout_ms)
--- a/libs/control_store/src/control_store/voter_succession.py
+++ b/libs/control_store/src/control_store/voter_succession.py
@@ -27,7 +27,7 @@
         """Whether a voter has sent no heartbeat for so long that it is to be replaced."""
         ...
 
-    def is_settled(self, node: NodeLocation) -> bool:
+    def is_stable(self, node: NodeLocation) -> bool:
         """Whether a standby node has been known for longer than any vote may be under way."""
         ...
 
@@ -101,7 +101,7 @@
     standbys = sorted(standbys, key=lambda node: (node.address not in addresses, node.identity))
     for node in standbys:
         if node.address in addresses:
-            if observations.is_settled(node):
+            if observations.is_stable(node):
                 others = [voter for voter in voters if voter.address != node.address]
                 return current.successor([*others, Voter.from_node(node)])
         elif lost:
--- a/libs/data_plane/src/data_plane/completion_api.py
+++ b/libs/data_plane/src/data_plane/completion_api.py
@@ -78,7 +78,7 @@
             self._metrics.observe_completion(body.model, response.verdict, seconds)
             queue.put_nowait(_End(step, response))
 
-        carriage = self._service.complete(
+        in_flight = self._service.complete(
             body.model,
             key,
             body.model_dump(exclude_none=True, exclude={"model", "stream"}),
@@ -86,15 +86,15 @@
             queue.put_nowait,
             on_end,
         )
-        if isinstance(carriage, ServiceResponse):
-            return http_response(carriage)
+        if isinstance(in_flight, ServiceResponse):
+            return http_response(in_flight)
         self.live_now += 1
         try:
             return await self._write(
-                request, queue, carriage.lifecycle.edge_request_id, body.stream
+                request, queue, in_flight.lifecycle.edge_request_id, body.stream
             )
         except (ConnectionError, asyncio.CancelledError):
-            carriage.disconnect()
+            in_flight.disconnect()
             raise
         finally:
             self.live_now -= 1
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -42,17 +42,17 @@
 
     __slots__ = (
         "_readiness",
-        "carrier",
         "edge_service",
         "forward_job_service",
         "forward_service",
-        "holder",
         "item_executor",
         "job_runner",
+        "leader_client",
         "lent_workers",
         "readings",
+        "registry",
         "rollout_service",
-        "roster",
+        "router",
         "sample_runner",
         "stopping",
     )
@@ -73,9 +73,9 @@
             [
                 self.membership,
                 self.config_feed,
-                self.holder,
-                self.roster,
-                self.carrier,
+                self.leader_client,
+                self.registry,
+                self.router,
                 self.readings,
                 self.item_executor,
                 self.job_runner,
@@ -92,38 +92,38 @@
 
     def _make_routing(self, identity: str, sender: Any) -> None:
         """Make what sends single requests to workers."""
-        self.holder = LeaderClient(
+        self.leader_client = LeaderClient(
             lambda: self.config_feed.body(LOG_KEY),
             lambda: [
                 card.address
                 for card in self.membership.nodes_in_role("store", self.settings.removal_timeout_ms)
             ],
         )
-        self.roster = WorkerRegistry(
+        self.registry = WorkerRegistry(
             lambda: [card.address for card in self.membership.view() if card.role == "edge"],
             lambda identity, labels: self.profile_tree().allows_worker(identity, labels),
             self._worker_list,
         )
-        self.carrier = RequestRouter(
-            identity, self.holder, self.roster, self.profile_tree, sender, self._edge_count
+        self.router = RequestRouter(
+            identity, self.leader_client, self.registry, self.profile_tree, sender, self._edge_count
         )
-        self.readings = self.carrier.prefill = PrefillTracker(self._prefill_peers)
+        self.readings = self.router.prefill = PrefillTracker(self._prefill_peers)
 
     def _make_batch_work(self, identity: str) -> None:
         """Make what runs items of batch jobs and samples of rollouts."""
         self.item_executor = ItemExecutor(
-            self.carrier, self.roster, self.profile_tree, self.why_unready, self._edge_count
+            self.router, self.registry, self.profile_tree, self.why_unready, self._edge_count
         )
         self.sample_runner = SampleRunner(
             identity,
-            self.carrier,
-            self.roster,
+            self.router,
+            self.registry,
             self.profile_tree,
             self.why_unready,
             self._live_edges,
         )
         self.job_runner = JobRunner(
-            identity, self.holder, self.item_executor.capacity, self._start_assignment
+            identity, self.leader_client, self.item_executor.capacity, self._start_assignment
         )
         self.job_runner.samples = self.sample_runner
 
@@ -132,8 +132,8 @@
         self.lent_workers = LentWorkers(
             identity,
             self.config_feed,
-            self.roster,
-            self.carrier,
+            self.registry,
+            self.router,
             self.sample_runner.lends,
             lambda: self.sample_runner.recalled,
             lambda: [*self._control_addresses(), *(address for _, address in self._live_edges())],
@@ -143,14 +143,16 @@
     def _make_services(self) -> None:
         """Make what answers clients; the HTTP servers call these."""
         self.edge_service = EdgeService(
-            self.carrier, self.holder, self.job_runner, self.profile_tree, self.why_unready
+            self.router, self.leader_client, self.job_runner, self.profile_tree, self.why_unready
+        )
+        self.rollout_service = RolloutService(
+            self.edge_service, self.leader_client, self.profile_tree
         )
-        self.rollout_service = RolloutService(self.edge_service, self.holder, self.profile_tree)
         self.forward_service = ForwardService(
-            self.carrier, self.profile_tree, self._readiness.why_unsure
+            self.router, self.profile_tree, self._readiness.why_unsure
         )
         self.forward_job_service = ForwardJobService(
-            self.holder,
+            self.leader_client,
             self.job_runner,
             lambda: (self.config_feed.number(PROFILES_KEY), self.profile_tree()),
         )
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -70,7 +70,7 @@
         """Whether live requests or batch items are in flight."""
         return (
             any(server.busy() for server in self.forward_servers)
-            or self.node.carrier.count_in_flight(False) > 0
+            or self.node.router.count_in_flight(False) > 0
             or self._completions.live_now > 0
             or self.node.job_runner.running() > 0
         )
@@ -99,11 +99,11 @@
             "profiles_digest": node.profile_tree_digest,
             "feed": node.config_feed.numbers(),
             "place": node.config_feed.position,
-            "holder_epoch": node.holder.epoch,
+            "holder_epoch": node.leader_client.epoch,
             "live": self._completions.live_now,
             "items": node.job_runner.running(),
             "neighbours": [card.address for card in node.membership.view()],
-            "workers": [self._worker_row(worker) for worker in node.roster.all()],
+            "workers": [self._worker_row(worker) for worker in node.registry.all()],
         }
 
     def _worker_row(self, worker: Worker) -> dict[str, Any]:
@@ -112,7 +112,7 @@
             "identity": worker.identity,
             "incarnation": worker.incarnation,
             "address": worker.address,
-            "usable": node.roster.is_usable(worker),
+            "usable": node.registry.is_usable(worker),
             "leaving": worker.leaving,
             "weight": worker.weight,
             "slots": worker.slots,
@@ -122,7 +122,7 @@
     def metrics(self) -> dict[str, float]:
         """Return the edge's numbers by name; `data_plane.metrics.HELP` explains them."""
         node = self.node
-        rows = {f"edge_{name}_total": count for name, count in node.carrier.counts.items()}
+        rows = {f"edge_{name}_total": count for name, count in node.router.counts.items()}
         for server in self.forward_servers:
             for code, count in server.counts.items():
                 rows[f"edge_told_{code.replace('-', '_')}_total"] = count
@@ -130,17 +130,17 @@
         rows["edge_connections_opened_total"] = pool.opened if pool is not None else 0
         return {
             **rows,
-            "edge_waiting_now": node.carrier.waiting(),
+            "edge_waiting_now": node.router.waiting(),
             "edge_ready": int(not node.why_unready()),
             "edge_live_now": self._completions.live_now,
             "edge_items_now": node.job_runner.running(),
             "edge_items_finished_total": node.job_runner.finished,
-            "edge_workers": len(node.roster.workers()),
+            "edge_workers": len(node.registry.workers()),
             "edge_samples_now": node.sample_runner.running(),
             "edge_samples_finished_total": node.sample_runner.finished,
             "edge_samples_given_up_total": node.sample_runner.given_up,
             "edge_loans_recalled_total": node.sample_runner.recalls,
-            "edge_workers_lent": len(node.roster.lent),
+            "edge_workers_lent": len(node.registry.lent),
             "feed_place": node.config_feed.position,
             "worst_tick_ms": self.runner.worst_tick_ms if self.runner else 0,
         }
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -48,18 +48,25 @@
     string. Responses are given to callbacks on the node's thread.
     """
 
-    __slots__ = ("_carrier", "_holder", "_jobs", "_profile_tree", "_retry_budgets", "_why_unready")
+    __slots__ = (
+        "_jobs",
+        "_leader_client",
+        "_profile_tree",
+        "_retry_budgets",
+        "_router",
+        "_why_unready",
+    )
 
     def __init__(
         self,
-        carrier: RequestRouter,
-        holder: LeaderClient,
+        router: RequestRouter,
+        leader_client: LeaderClient,
         jobs: JobRunner,
         profile_tree: Callable[[], ProfileTree],
         why_unready: Callable[[], str],
     ) -> None:
-        self._carrier = carrier
-        self._holder = holder
+        self._router = router
+        self._leader_client = leader_client
         self._jobs = jobs
         self._profile_tree = profile_tree
         self._why_unready = why_unready
@@ -111,7 +118,7 @@
             if step.kind != "gone":
                 on_end(step, completion_response(step))
 
-        return self._carrier.start(lifecycle, call, on_event if stream else None, on_last_step)
+        return self._router.start(lifecycle, call, on_event if stream else None, on_last_step)
 
     # -- batch jobs ----------------------------------------------------------------------------
 
@@ -143,7 +150,7 @@
 
         profile = self._profile_tree().usable(path)
         assert profile is not None, "the path was checked"
-        self._holder.request(
+        self._leader_client.request(
             SubmitJob(
                 job_id=job_id,
                 digest=_digest([path, due_ms, bodies]),
@@ -160,7 +167,7 @@
 
     def progress(self, job_id: str, on_response: OnResponse) -> None:
         """Give a job's progress."""
-        self._holder.request(
+        self._leader_client.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
             lambda message: on_response(job_response(job_id, message)),
@@ -169,7 +176,7 @@
     def results(self, job_id: str, from_index: int, limit: int, on_response: OnResponse) -> None:
         """Give a page of at most `limit` results, from index `from_index` on."""
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
-        self._holder.request(
+        self._leader_client.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
             lambda message: on_response(results_response(job_id, from_index, message)),
@@ -185,6 +192,6 @@
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(job_response(job_id, message))
 
-        self._holder.request(
+        self._leader_client.request(
             CancelJob(job_id=job_id), self.node.settings.force_ms, on_leader_response
         )
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -57,15 +57,15 @@
     callbacks on the node's thread.
     """
 
-    __slots__ = ("_holder", "_jobs", "_profiles")
+    __slots__ = ("_jobs", "_leader_client", "_profiles")
 
     def __init__(
         self,
-        holder: LeaderClient,
+        leader_client: LeaderClient,
         jobs: JobRunner,
         profiles: Callable[[], tuple[int, ProfileTree]],
     ) -> None:
-        self._holder = holder
+        self._leader_client = leader_client
         self._jobs = jobs
         self._profiles = profiles
 
@@ -100,7 +100,7 @@
             )
             on_response(response)
 
-        request = self._holder.request(
+        request = self._leader_client.request(
             self._submission(job_id, path, items, tokens),
             int(client_ms * _CLIENT_TIME_SHARE),
             on_leader_response,
@@ -146,7 +146,7 @@
             return max(0, end_ms - self.node.env.now())
 
         def request_page() -> None:
-            self._holder.request(
+            self._leader_client.request(
                 ListForwardResults(
                     job_id=job_id,
                     from_position=from_position,
@@ -176,7 +176,9 @@
         def on_item(message: GetItemResponse | None) -> None:
             on_response(forward_item_response(job_id, message))
 
-        self._holder.request(GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item)
+        self._leader_client.request(
+            GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item
+        )
 
     def cancel(
         self, job_id: str, on_response: Callable[[ServiceResponse[JobResponse]], None]
@@ -190,7 +192,9 @@
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(forward_cancellation_response(job_id, message))
 
-        self._holder.request(CancelJob(job_id=job_id), self._patience_ms(), on_leader_response)
+        self._leader_client.request(
+            CancelJob(job_id=job_id), self._patience_ms(), on_leader_response
+        )
 
 
 def _more_may_come(message: ListForwardResultsResponse | None) -> bool:
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -195,17 +195,17 @@
         self, request: web.BaseRequest, profile: Any, call: ForwardCall
     ) -> web.StreamResponse:
         queue: EventQueue = asyncio.Queue()
-        carriage = self._node.forward_service.forward(
+        in_flight = self._node.forward_service.forward(
             profile, call, self._reader.client_ms(request), queue.put_nowait, queue.put_nowait
         )
         try:
-            return await self._write(request, queue, carriage)
+            return await self._write(request, queue, in_flight)
         except (ConnectionError, asyncio.CancelledError):
-            carriage.disconnect()
+            in_flight.disconnect()
             raise
 
     async def _write(
-        self, request: web.BaseRequest, queue: EventQueue, carriage: InFlightRequest
+        self, request: web.BaseRequest, queue: EventQueue, in_flight: InFlightRequest
     ) -> web.StreamResponse:
         """Write the response as it comes, until the request's last step."""
         response: web.StreamResponse | None = None
@@ -214,12 +214,12 @@
             chunks, last = _take_queued(await queue.get(), queue)
             if chunks:
                 if response is None:
-                    response = await self._start_response(request, carriage)
+                    response = await self._start_response(request, in_flight)
                 data = b"".join(chunks)
                 await response.write(data)
-                carriage.acknowledge(len(data))
+                in_flight.acknowledge(len(data))
         if last.kind is StepKind.FINISH:
-            return await self._finish(request, response, carriage, last)
+            return await self._finish(request, response, in_flight, last)
         assert last.refusal is not None, "a last step that is no finish has a refusal"
         if response is None:
             return self._refuse(last.refusal)
@@ -227,10 +227,10 @@
         return response
 
     async def _start_response(
-        self, request: web.BaseRequest, carriage: InFlightRequest
+        self, request: web.BaseRequest, in_flight: InFlightRequest
     ) -> web.StreamResponse:
-        assert carriage.head is not None, "a response that has begun has a head"
-        status, headers, _ = carriage.head
+        assert in_flight.head is not None, "a response that has begun has a head"
+        status, headers, _ = in_flight.head
         response = web.StreamResponse(status=status, headers=headers)
         self._set_keep_alive(response)
         await response.prepare(request)
@@ -240,7 +240,7 @@
         self,
         request: web.BaseRequest,
         response: web.StreamResponse | None,
-        carriage: InFlightRequest,
+        in_flight: InFlightRequest,
         last: Step,
     ) -> web.StreamResponse:
         """End a complete response; one that wasn't begun is written as a whole."""
@@ -249,8 +249,8 @@
         if response is not None:
             await response.write_eof()
             return response
-        assert carriage.head is not None, "a finished response has a head"
-        _, headers, length = carriage.head
+        assert in_flight.head is not None, "a finished response has a head"
+        _, headers, length = in_flight.head
         if request.method == "HEAD":
             return _head_response(status, headers, length)
         return web.Response(status=status, headers=headers, body=body)
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -24,15 +24,15 @@
     are, or an empty string.
     """
 
-    __slots__ = ("_carrier", "_profile_tree", "_why_unready")
+    __slots__ = ("_profile_tree", "_router", "_why_unready")
 
     def __init__(
         self,
-        carrier: RequestRouter,
+        router: RequestRouter,
         profile_tree: Callable[[], ProfileTree],
         why_unsure: Callable[[], str],
     ) -> None:
-        self._carrier = carrier
+        self._router = router
         self._profile_tree = profile_tree
         self._why_unready = why_unsure
 
@@ -75,7 +75,7 @@
             if step.kind != "gone":
                 on_end(step)
 
-        return self._carrier.start(lifecycle, call, on_data, on_last_step)
+        return self._router.start(lifecycle, call, on_data, on_last_step)
 
 
 def _no_route() -> Refusal:
--- a/libs/data_plane/src/data_plane/rollout_service.py
+++ b/libs/data_plane/src/data_plane/rollout_service.py
@@ -69,16 +69,16 @@
 class RolloutService(Component):
     """Serves rollouts; the HTTP side and the simulator's trainers use the same object."""
 
-    __slots__ = ("_edge_service", "_holder", "_profile_tree")
+    __slots__ = ("_edge_service", "_leader_client", "_profile_tree")
 
     def __init__(
         self,
         edge_service: EdgeService,
-        holder: LeaderClient,
+        leader_client: LeaderClient,
         profile_tree: Callable[[], ProfileTree],
     ) -> None:
         self._edge_service = edge_service
-        self._holder = holder
+        self._leader_client = leader_client
         self._profile_tree = profile_tree
 
     def submit(self, rollout_id: str, body: RolloutBody, on_response: OnResponse) -> None:
@@ -99,7 +99,7 @@
             )
             on_response(_as_rollout(submission_response(message.job_id, response)))
 
-        self._holder.request(message, self.node.settings.force_ms, on_leader_response)
+        self._leader_client.request(message, self.node.settings.force_ms, on_leader_response)
 
     def _submission_refusal(self, body: RolloutBody) -> ServiceResponse[None] | None:
         """Return why a rollout can't be submitted here, or None."""
@@ -115,7 +115,7 @@
     def progress(self, rollout_id: str, on_response: OnResponse) -> None:
         """Give a rollout's progress."""
         job_id = job_id_of(rollout_id)
-        self._holder.request(
+        self._leader_client.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
             lambda message: on_response(_as_rollout(job_response(job_id, message))),
@@ -127,7 +127,7 @@
         """Give a page of at most `limit` samples, from index `from_index` on."""
         job_id = job_id_of(rollout_id)
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
-        self._holder.request(
+        self._leader_client.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
             lambda message: on_response(_as_rollout(results_response(job_id, from_index, message))),
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -119,7 +119,7 @@
         identities: list[str] = value.get("identities", [])
         return identities
 
-    def settled_in(self) -> bool:
+    def knows_fleet(self) -> bool:
         """Whether it is up long enough to know who lives, and in touch with a control majority."""
         now_ms, timeout_ms = self.env.now(), int(self.settings.failure_timeout_ms)
         return (
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -26,7 +26,9 @@
         body = await read_json_body(request, self._node.settings.max_body_bytes, HeartbeatBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
-        accepted = self._node.roster.apply_update(WorkerUpdate(**body.model_dump(), leaving=False))
+        accepted = self._node.registry.apply_update(
+            WorkerUpdate(**body.model_dump(), leaving=False)
+        )
         if not accepted:
             return refusal_response(
                 refused(
@@ -48,7 +50,7 @@
         body = await read_json_body(request, self._node.settings.max_body_bytes, LeaveBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
-        self._node.roster.apply_update(self._leave_update(body))
+        self._node.registry.apply_update(self._leave_update(body))
         return json_response({"left": True})
 
     def _leave_update(self, body: LeaveBody) -> WorkerUpdate:
@@ -56,7 +58,7 @@
         known = next(
             (
                 worker
-                for worker in self._node.roster.all()
+                for worker in self._node.registry.all()
                 if worker.identity == body.identity and worker.incarnation == body.incarnation
             ),
             None,
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -64,6 +64,6 @@
         """Return the identities of the stores that are to leave."""
         return self._retired
 
-    def settled_in(self) -> bool:
+    def knows_fleet(self) -> bool:
         """Return False: the model bootstraps the log, never a store."""
         return False
--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -33,7 +33,7 @@
         log. `changed_ms` is when this store's role last changed, in milliseconds of its clock.
         """
         settings, now_ms = node.settings, node.env.now()
-        if not self._fleet.settled_in() or now_ms - changed_ms < settings.heartbeat_ms:
+        if not self._fleet.knows_fleet() or now_ms - changed_ms < settings.heartbeat_ms:
             return []
         candidates = self._fleet.store_rows()
         if candidates != self._candidates:
--- a/libs/replicated_log/src/replicated_log/interfaces.py
+++ b/libs/replicated_log/src/replicated_log/interfaces.py
@@ -39,7 +39,7 @@
         """Return the identities of the stores that are to leave."""
         ...
 
-    def settled_in(self) -> bool:
+    def knows_fleet(self) -> bool:
         """Whether this store is up long enough to know who lives, and hears a control majority."""
         ...
 
--- a/libs/request_routing/src/request_routing/batch_execution/job_runner.py
+++ b/libs/request_routing/src/request_routing/batch_execution/job_runner.py
@@ -48,7 +48,7 @@
         """Return how many samples may start now, and on which routes."""
         ...
 
-    def told(self, response: Any) -> None:
+    def on_heartbeat_response(self, response: Any) -> None:
         """Take the leader's response to a heartbeat."""
         ...
 
@@ -188,7 +188,7 @@
         for job_id in response.closed_jobs:
             self.stop(job_id, "lot over")
         if isinstance(response, messages.RolloutHeartbeatResponse) and self.samples is not None:
-            self.samples.told(response)
+            self.samples.on_heartbeat_response(response)
         assignments = [cast(Assignment, decode(data)) for data in response.work]
         for assignment in assignments:
             self._run(assignment)
--- a/libs/request_routing/src/request_routing/worker.py
+++ b/libs/request_routing/src/request_routing/worker.py
@@ -51,7 +51,7 @@
         "borrowed",
         "borrowed_elsewhere",
         "cache_use",
-        "down_beat",
+        "down_heartbeat",
         "down_ms",
         "failures",
         "full_until_ms",
@@ -84,7 +84,7 @@
         self.prefilling = self.prefilling_items = 0
         self.failures = 0
         self.other_load = 0.0
-        self.down_beat = -1
+        self.down_heartbeat = -1
         self.down_ms = self.full_until_ms = NEVER_MS
         self.load_reported_ms = self.answered_ms = NEVER_MS
         self.oldest_unanswered_ms = self.sent_ms = NEVER_MS
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -188,7 +188,7 @@
         It is back once a heartbeat sent after the failure shows it alive, or after twice
         `force_ms`. A listed one is left out for a backoff that grows with its failures in a row.
         """
-        worker.down_beat = worker.beat
+        worker.down_heartbeat = worker.beat
         worker.down_ms = self.node.env.now()
         worker.failures += 1
         self._log("worker-down", worker, "WARNING")
@@ -238,7 +238,7 @@
             return False
         if worker.identity in self.lent or self._workers.get(worker.identity) is not worker:
             return False
-        if worker.listed or worker.beat > worker.down_beat + 1:
+        if worker.listed or worker.beat > worker.down_heartbeat + 1:
             return True
         down_for_ms = self.node.env.now() - worker.down_ms
         return bool(down_for_ms > 2 * self.node.settings.force_ms)
--- a/libs/simulator/src/simulator/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -94,7 +94,7 @@
         if not edges:
             return False
         edge = self.time.rng.choice(edges)
-        edge.node.roster.apply_update(
+        edge.node.registry.apply_update(
             WorkerUpdate(
                 identity=self.identity,
                 incarnation=self.incarnation,
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -138,7 +138,7 @@
     ),
     "a lost disk's vote under way is not waited for": (
         "control_store/src/control_store/voter_succession.py",
-        "if observations.is_settled(node):",
+        "if observations.is_stable(node):",
         "if True:",
         _FOUNDING + "another_identity",
     ),
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -193,7 +193,7 @@
         env = ProcessEnvironment(node_settings.link)
         self.sender = HttpSender(node_settings.request_timeout_ms)
         self.node = EdgeNode(env, node_settings, self.sender)
-        self.node.carrier.header_names = platform_names.WORKER_HEADERS
+        self.node.router.header_names = platform_names.WORKER_HEADERS
         self.node.forward_service._why_unready = lambda: "" if self.ready else "unsure"
         self.runner = NodeRunner(self.node, env)
         await self.runner.start()
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -93,15 +93,13 @@
             run.clients.live("rulings", hangs_up_ms=30.0)
         fleet.time.run_until(fleet.time.now_ms + 120)
         nodes = [host.node for host in fleet.with_role("edge")]
-        self.assertThat(sum(node.carrier.counts.get("steps_gone", 0) for node in nodes), Equals(12))
-        self.assertThat(
-            sum(node.carrier.counts.get("sends_failed", 0) for node in nodes), Equals(0)
-        )
+        self.assertThat(sum(node.router.counts.get("steps_gone", 0) for node in nodes), Equals(12))
+        self.assertThat(sum(node.router.counts.get("sends_failed", 0) for node in nodes), Equals(0))
         self.assertThat(
             {
-                (worker.in_flight, node.roster.is_usable(worker))
+                (worker.in_flight, node.registry.is_usable(worker))
                 for node in nodes
-                for worker in node.roster.all()
+                for worker in node.registry.all()
             },
             Equals({(0, True)}),
         )
--- a/tests/test_batch_jobs.py
+++ b/tests/test_batch_jobs.py
@@ -100,7 +100,7 @@
         others = [host.address for host in fleet.hosts.values() if host is not edges[0]]
         fleet.network.split([[edges[0].address], others])
         seen = []
-        edges[1].node.holder.request(messages.CancelJob(job_id="lot1"), 2000, seen.append)
+        edges[1].node.leader_client.request(messages.CancelJob(job_id="lot1"), 2000, seen.append)
         self.wait(fleet, lambda: seen)
         self.assertThat(seen[0].outcome, Equals("known"))
         self.assertThat(edges[0].node.job_runner.running() > 0 and len(workers) == 3, Equals(True))
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -247,7 +247,9 @@
             Equals("serving"),
         )
         self.wait(
-            fleet, lambda: not any(host.node.roster.lent for host in fleet.with_role("edge")), 1000
+            fleet,
+            lambda: not any(host.node.registry.lent for host in fleet.with_role("edge")),
+            1000,
         )
 
     def test_a_lent_worker_is_recalled_when_live_calls_need_it(self):
@@ -278,7 +280,7 @@
         self.assertThat(asked.status, Equals("ok"), asked.reason)
         fleet.run_until_true(lambda: False, 1200)
         self.assertThat(
-            (self.state(fleet), edge.node.roster.lent), Equals(("lending", frozenset()))
+            (self.state(fleet), edge.node.registry.lent), Equals(("lending", frozenset()))
         )
         fleet.network.heal()
         self.wait(fleet, lambda: self.state(fleet) == "lent", 3000)
@@ -288,9 +290,9 @@
         self.ordered(fleet, lambda loans, done: loans.take_back("worker1", loan, "", done))
         self.wait(
             fleet,
-            lambda: all(not host.node.roster.lent for host in fleet.with_role("edge")[1:]),
+            lambda: all(not host.node.registry.lent for host in fleet.with_role("edge")[1:]),
             1000,
         )
-        self.assertThat(edge.node.roster.lent, Equals(frozenset({"worker1"})))
+        self.assertThat(edge.node.registry.lent, Equals(frozenset({"worker1"})))
         fleet.network.heal()
-        self.wait(fleet, lambda: not edge.node.roster.lent, 2000)
+        self.wait(fleet, lambda: not edge.node.registry.lent, 2000)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -31,12 +31,12 @@
     return f"HTTP/1.1 {status}\r\n{ids}Content-Length: {size}\r\n\r\n" + body
 
 
-def event(place, tx="{tx}"):
-    return f'id: {place}\ndata: {{{{"id": "{tx}", "choices": []}}}}\n\n'
+def event(place, lifecycle="{tx}"):
+    return f'id: {place}\ndata: {{{{"id": "{lifecycle}", "choices": []}}}}\n\n'
 
 
-def chunk(text, tx="t" * 12):
-    return f"{len(text.replace('{{', '{').replace('}}', '}').replace('{tx}', tx)):x}\r\n{text}\r\n"
+def chunk(text, lifecycle="t" * 12):
+    return f"{len(text.replace('{{', '{').replace('}}', '}').replace('{tx}', lifecycle)):x}\r\n{text}\r\n"
 
 
 END = "data: [DONE]\n\n"
@@ -253,7 +253,7 @@
         await shell.start()
         node.config_feed.publish("profiles", 1, TREE)
         for place in (2, 3):
-            node.roster.apply_update(
+            node.registry.apply_update(
                 WorkerUpdate(
                     identity=f"w{place}",
                     incarnation=1,
@@ -279,13 +279,13 @@
         )
         lifecycle.idempotent = safe
         pieces, done = [], asyncio.get_running_loop().create_future()
-        node.carrier.start(
+        node.router.start(
             lifecycle,
             Call({"prompt": "x"}, "", "x", False, streamed),
             pieces.append,
             done.set_result,
         )
         step = await done
-        self.assertThat(sum(worker.in_flight for worker in node.roster.all()), Equals(0))
+        self.assertThat(sum(worker.in_flight for worker in node.registry.all()), Equals(0))
         await shell.stop()
         return f"{step.kind} {step.refusal.verdict if step.refusal else 'ran'} {len(lifecycle.attempts)} {len(pieces)}"
--- a/tests/test_forward_jobs_sim.py
+++ b/tests/test_forward_jobs_sim.py
@@ -50,9 +50,9 @@
             }
         )
         for host in self.fleet.with_role("edge"):
-            host.node.roster._worker_list = lambda: (1, listed)
-            host.node.carrier.header_names = HEADER_NAMES
-            host.node.carrier.transport = self._sender_of(host)
+            host.node.registry._worker_list = lambda: (1, listed)
+            host.node.router.header_names = HEADER_NAMES
+            host.node.router.transport = self._sender_of(host)
         self.fleet.run_until_true(lambda: False, 800)
 
     def _sender_of(self, host):
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -104,7 +104,7 @@
         async with Edge([None, worker]) as edge:
             statuses = [(await edge.one("/p/1"))[0] for _ in range(4)]
             self.assertThat(statuses, Equals([200] * 4))
-            self.assertThat(edge.node.carrier.counts.get("sends_failed", 0), LessThan(3))
+            self.assertThat(edge.node.router.counts.get("sends_failed", 0), LessThan(3))
 
     @run
     async def test_without_any_worker_the_refusal_is_immediate(self):
@@ -180,7 +180,7 @@
                 await asyncio.wait_for(client.reader.readuntil(b"data: x\n\n"), 2)
                 client.writer.close()
                 await asyncio.wait_for(worker.lost.wait(), 2)
-                self.assertThat(sum(one.in_flight for one in edge.node.roster.all()), Equals(0))
+                self.assertThat(sum(one.in_flight for one in edge.node.registry.all()), Equals(0))
 
     @run
     async def test_a_slow_client_holds_the_worker_back(self):
@@ -205,7 +205,7 @@
                 await asyncio.sleep(0.2)
             self.assertThat(seen, LessThan(2500))
             self.assertThat(
-                max(one.unread_bytes for one in edge.node.carrier.in_flight.values()),
+                max(one.unread_bytes for one in edge.node.router.in_flight.values()),
                 LessThan(1 << 18),
             )
             client.writer.transport.resume_reading()
@@ -235,7 +235,7 @@
                 )
         async with Edge([Worker("w0", dark), Worker("w1", dark)], force_ms=400) as edge:
             self.assertThat((await edge.one("/s/1", extra="Deadline-Ms: 700\r\n"))[0], Equals(504))
-            self.assertThat(edge.node.carrier.counts["sends_live"], Equals(1))
+            self.assertThat(edge.node.router.counts["sends_live"], Equals(1))
 
 
 class Connections(TestCase):
--- a/tests/test_forwards.py
+++ b/tests/test_forwards.py
@@ -329,7 +329,7 @@
     async def one(self, settings, sender, name, streamed, safe, wait_ms):
         env = ProcessEnvironment(settings.link)
         node = EdgeNode(env, settings, sender)
-        node.carrier.header_names = DIALECT
+        node.router.header_names = DIALECT
         shell = NodeRunner(node, env)
         await shell.start()
         node.config_feed.publish("profiles", 1, TREE)
@@ -349,9 +349,9 @@
             f"id-{name}",
             stream=streamed,
         )
-        request = node.carrier.start(lifecycle, call, pieces.append, done.set_result)
+        request = node.router.start(lifecycle, call, pieces.append, done.set_result)
         step = await done
-        self.assertThat(sum(worker.in_flight for worker in node.roster.all()), Equals(0))
+        self.assertThat(sum(worker.in_flight for worker in node.registry.all()), Equals(0))
         await shell.stop()
         numbers = ",".join(
             line.removeprefix("id: ")
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -35,7 +35,7 @@
     """What the steward has observed: who is silent, and the rest the same for every node."""
     return SimpleNamespace(
         is_silent=lambda identity: identity in silent,
-        is_settled=lambda node: settled,
+        is_stable=lambda node: settled,
         all_voters_heard_since=lambda node: all_heard,
         has_returned=lambda identity: identity not in silent,
     )
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -83,21 +83,23 @@
         }
         tree = ProfileTree(TREE)
         self.tree = tree
-        self.holder = LeaderClient(
+        self.leader_client = LeaderClient(
             lambda: (
                 '{"epoch": 4, "holder": "s1", "members": [{"identity": "s1", "address": "store:1"}]}'
             ),
             list,
         )
-        roster = WorkerRegistry(
+        registry = WorkerRegistry(
             list, lambda identity, labels: True, lambda: (1, json.dumps({"workers": rows}))
         )
-        self.carrier = RequestRouter("edge", self.holder, roster, lambda: self.tree, self._send)
-        self.carrier.header_names = DIALECT
-        self.items = ItemExecutor(self.carrier, roster, lambda: self.tree, lambda: "", lambda: 1)
-        self.runner = JobRunner("edge", self.holder, self.items.capacity, self.items.start)
+        self.router = RequestRouter(
+            "edge", self.leader_client, registry, lambda: self.tree, self._send
+        )
+        self.router.header_names = DIALECT
+        self.items = ItemExecutor(self.router, registry, lambda: self.tree, lambda: "", lambda: 1)
+        self.runner = JobRunner("edge", self.leader_client, self.items.capacity, self.items.start)
         self.node = Node(
-            env, settings, [self.holder, roster, self.carrier, self.items, self.runner]
+            env, settings, [self.leader_client, registry, self.router, self.items, self.runner]
         )
         self.after(25)
 
--- a/tests/test_log_bootstrap.py
+++ b/tests/test_log_bootstrap.py
@@ -43,7 +43,7 @@
     def log_key(self):
         return 0, ""
 
-    def settled_in(self):
+    def knows_fleet(self):
         return True
 
     def store_rows(self):
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -103,7 +103,7 @@
         for returned, wanted in rows:
             observations = SimpleNamespace(
                 is_silent=lambda identity: False,
-                is_settled=lambda node: True,
+                is_stable=lambda node: True,
                 all_voters_heard_since=lambda node: True,
                 has_returned=lambda identity, returned=returned: returned,
             )
