--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -20,7 +20,7 @@
     WorkerList,
 )
 from data_plane.control_keys import CONTROL_KEY, PROFILES_KEY
-from data_plane.data_folder import open_or_set_aside
+from data_plane.data_folder import open_or_quarantine
 from membership import Membership
 from messaging import Component, Environment, Node
 from runtime.settings import Settings
@@ -54,7 +54,7 @@
 
     def __init__(self, env: Environment, settings: Settings, disk: Disk) -> None:
         self.disk = disk
-        self.acceptor: Acceptor = open_or_set_aside(env, disk, lambda: Acceptor(disk, env.token))
+        self.acceptor: Acceptor = open_or_quarantine(env, disk, lambda: Acceptor(disk, env.token))
         self._profiles_number = 0
         self._profiles = ProfileTree({})
         self._make_membership(settings)
--- a/libs/control_store/src/control_store/metadata_file.py
+++ b/libs/control_store/src/control_store/metadata_file.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from messaging import decode_as, encode
-from storage import DamageError, Disk, frame, scan
+from storage import DamageError, Disk, frame, scan_frames
 
 from control_store.messages import AcceptorMetadata
 from control_store.register_store import LOG_PREFIX, WriteCallback
@@ -42,7 +42,7 @@
             raise DamageError(METADATA_FILE, 0)
 
     def _read(self) -> AcceptorMetadata:
-        frames, _, _ = scan(self._disk.read(METADATA_FILE))
+        frames, _, _ = scan_frames(self._disk.read(METADATA_FILE))
         if not frames:
             raise DamageError(METADATA_FILE, 0)
         return decode_as(AcceptorMetadata, frames[0][1])
--- a/libs/control_store/src/control_store/register_store.py
+++ b/libs/control_store/src/control_store/register_store.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from messaging import Node, decode_as, encode
-from storage import DamageError, Disk, DiskFullError, frame, scan
+from storage import DamageError, Disk, DiskFullError, frame, scan_frames
 
 from control_store.messages import RegisterRecord
 from control_store.register import AcceptedVersion, Register
@@ -71,7 +71,7 @@
 
     def _read_snapshot(self) -> None:
         data = self._disk.read(SNAPSHOT_FILE)
-        frames, end, _ = scan(data)
+        frames, end, _ = scan_frames(data)
         if end != len(data):
             raise DamageError(SNAPSHOT_FILE, end)
         self._apply_records(frames)
@@ -79,7 +79,7 @@
     def _read_log(self, name: str) -> None:
         """Read a log, which becomes the one that is appended to, and cut off its torn tail."""
         data = self._disk.read(name)
-        frames, end, next_frame = scan(data)
+        frames, end, next_frame = scan_frames(data)
         if next_frame is not None and _flushed_bytes_noted(data[next_frame:]) > end:
             raise DamageError(name, end)
         self._apply_records(frames)
@@ -159,7 +159,7 @@
 
     def tick(self) -> None:
         """Let the disk write, and start a snapshot if the log is longer than segment_bytes."""
-        self._disk.push()
+        self._disk.start_writeback()
         if self._log_bytes > self._node.settings.segment_bytes and not self._flushing:
             self._write_snapshot()
 
@@ -193,7 +193,7 @@
     """Return the furthest offset that any intact record in a damaged tail notes as flushed."""
     offsets = [0]
     while data:
-        frames, _, next_frame = scan(data)
+        frames, _, next_frame = scan_frames(data)
         offsets += [decode_as(RegisterRecord, payload).flushed_bytes for _, payload in frames]
         data = data[next_frame:] if next_frame is not None else b""
     return max(offsets)
--- a/libs/data_plane/src/data_plane/data_folder.py
+++ b/libs/data_plane/src/data_plane/data_folder.py
@@ -6,17 +6,17 @@
 from messaging import Environment
 from storage import DamageError
 
-__all__ = ["open_or_set_aside"]
+__all__ = ["open_or_quarantine"]
 
 ContentT = TypeVar("ContentT")
 
 
-def open_or_set_aside(
+def open_or_quarantine(
     env: Environment, disk: Any, open_content: Callable[[], ContentT]
 ) -> ContentT:
-    """Return what `open_content` reads from the disk; a damaged folder is set aside first.
+    """Return what `open_content` reads from the disk; a damaged folder is quarantined first.
 
-    `disk` is a Disk that can set its folder aside (`set_aside`).
+    `disk` is a Disk that can quarantine its files (`quarantine`).
 
     The node then goes on as a new, empty identity, which the others bring up to date before it
     counts for anything.
@@ -25,5 +25,5 @@
         return open_content()
     except DamageError as damage:
         env.log("disk-damaged", "ERROR", file=damage.name, offset=damage.offset)
-        disk.set_aside()
+        disk.quarantine()
         return open_content()
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -107,7 +107,7 @@
         """Apply changed settings."""
         self.settings = self.node.settings = settings
         if self.disk is not None:
-            self.disk.room_bytes = settings.disk_bytes
+            self.disk.capacity_bytes = settings.disk_bytes
 
     async def drain(self) -> None:
         """Drain: wait while the process is busy, for at most a share of `grace_ms`."""
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -21,7 +21,7 @@
     PROFILES_KEY,
     RETIRED_KEY,
 )
-from data_plane.data_folder import open_or_set_aside
+from data_plane.data_folder import open_or_quarantine
 from data_plane.data_node import DataNode
 
 __all__ = ["StoreNode"]
@@ -34,7 +34,7 @@
 
     def __init__(self, env: Environment, settings: Settings, disk: Disk) -> None:
         self.disk = disk
-        local = open_or_set_aside(env, disk, lambda: LocalLog(disk, settings, env.now, env.token))
+        local = open_or_quarantine(env, disk, lambda: LocalLog(disk, settings, env.now, env.token))
         self._make_shared_components(env, settings, local.identity)
         self.control = ControlClient(self._control_addresses, self._key_owners)
         self.batch_service = BatchService(
--- a/libs/modelcheck/src/modelcheck/control_model.py
+++ b/libs/modelcheck/src/modelcheck/control_model.py
@@ -33,7 +33,7 @@
 from membership import Membership
 from messaging import Node, decode_as, encode
 from runtime import Settings
-from storage import frame, scan
+from storage import frame, scan_frames
 
 from modelcheck.control_stubs import FixedFailureDetector, NullConfigFeed
 from modelcheck.model_environment import BootImage, Envelope, ModelDisk
@@ -479,7 +479,7 @@
     for name, data in files.items():
         if not name.startswith(_LOG_FILE_PREFIX):
             continue
-        for _, payload in scan(data)[0]:
+        for _, payload in scan_frames(data)[0]:
             record = decode_as(RegisterRecord, payload)
             age = (record.promised, record.accepted)
             newest[record.key] = max(newest.get(record.key, ()), (age, record.value))
--- a/libs/modelcheck/src/modelcheck/model_environment.py
+++ b/libs/modelcheck/src/modelcheck/model_environment.py
@@ -208,11 +208,11 @@
         """Return up to `size` bytes of a file from `offset`; empty if there is no such file."""
         return self.files.get(name, b"")[offset : offset + size]
 
-    def roomy(self, size: int, urgent: bool = False) -> bool:
+    def has_room(self, size: int, urgent: bool = False) -> bool:
         """Whether there is room for `size` bytes: always."""
         return True
 
-    def push(self) -> None:
+    def start_writeback(self) -> None:
         """Do nothing: writes are visible to the process at once."""
         return
 
@@ -244,7 +244,7 @@
         """Begin an atomic replacement of a file's content; `done` is called when it ends."""
         self.unfinished.append(_UnfinishedFlush(done, name, bytes(data)))
 
-    def set_aside(self) -> None:
+    def quarantine(self) -> None:
         """Remove everything, durably."""
         for files in (self.files, self.durable, self.pending):
             files.clear()
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -13,7 +13,7 @@
 from batch_state.jobs import Job
 from batch_state.state import BatchState, IdempotencyKey
 from messaging import Message
-from storage import DiskFullError, walk
+from storage import DiskFullError, read_frames
 
 from replicated_log.archive_blocks import ArchivedItem, ArchivedKind, ArchiveFile, decode_block
 
@@ -172,7 +172,7 @@
             return []
         self._checked_file = next((name for name in names if name > self._checked_file), names[0])
         data = self._log.disk.read(self._checked_file)
-        return [] if walk(data)[1] == len(data) else self._damaged_items(self._checked_file)
+        return [] if read_frames(data)[1] == len(data) else self._damaged_items(self._checked_file)
 
     def _damaged_items(self, file: str) -> list[ArchivedItem]:
         state = self._log.state
--- a/libs/replicated_log/src/replicated_log/archive_blocks.py
+++ b/libs/replicated_log/src/replicated_log/archive_blocks.py
@@ -8,7 +8,7 @@
 from batch_state.jobs import Job
 from batch_state.state import IdempotencyKey
 from messaging import Message, decode_as, encode
-from storage import frame, walk
+from storage import frame, read_frames
 
 __all__ = ["ArchiveBlock", "ArchiveFile", "ArchivedItem", "ArchivedKind", "decode_block"]
 
@@ -42,7 +42,7 @@
 
 def decode_block(data: bytes, name: str) -> list[bytes] | None:
     """Return the rows of a block, or None if it is damaged or belongs to another name."""
-    frames, end = walk(data)
+    frames, end = read_frames(data)
     if len(frames) != 1 or end != len(data):
         return None
     block = decode_as(ArchiveBlock, zlib.decompress(frames[0][1]))
--- a/libs/replicated_log/src/replicated_log/follower.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -275,5 +275,5 @@
             probe=probe,
             position=position,
             snapshot_seq=log.snapshot_seq,
-            roomy=log.disk.roomy(0),
+            has_room=log.disk.has_room(0),
         )
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -156,7 +156,7 @@
 
     def _has_space_for(self, bodies: list[bytes], urgent: bool) -> bool:
         needed_bytes = sum(len(body) + _ENTRY_OVERHEAD_BYTES for body in bodies)
-        return self._log.disk.roomy(needed_bytes, urgent) and (urgent or self.health.has_space())
+        return self._log.disk.has_room(needed_bytes, urgent) and (urgent or self.health.has_space())
 
     def _write(self, entries: list[Message], bodies: list[bytes], urgent: bool) -> bool:
         """Write the entries to this store's log, all or none."""
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -209,7 +209,7 @@
         if self.role is not Role.FOLLOWER:
             self.step_down_if_superseded("superseded", self.configuration.epoch)
         self.failure_detector.tick()
-        self.log.disk.push()
+        self.log.disk.start_writeback()
         if self.leader is not None:
             self.leader.tick()
         elif self.log.is_flush_due():
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -170,7 +170,7 @@
         """Hand over to a member with space once this disk was full for `failure_timeout_ms`."""
         replica, leader = self._replica, self._replica.leader
         now_ms = replica.node.env.now()
-        if replica.log.disk.roomy(0):
+        if replica.log.disk.has_room(0):
             self._had_space_ms = now_ms
         if replica.key.changing or leader is None:
             return
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -142,8 +142,8 @@
     `ok` says that the records were taken; if not, `reason` (ResponseReason) says why. `last_seq` is
     how far the follower's log matches the leader's, `flushed_seq` how far it is on its disk.
     `position` is what the response is about: the record that the request followed or, with
-    PARTIAL_SNAPSHOT, how many bytes of the snapshot are here; -1 if neither. `roomy` says that its
-    disk has space.
+    PARTIAL_SNAPSHOT, how many bytes of the snapshot are here; -1 if neither. `has_room` says that
+    its disk has space.
     """
 
     identity: str
@@ -159,7 +159,7 @@
     probe: int
     position: int
     snapshot_seq: int
-    roomy: bool
+    has_room: bool
 
 
 class InstallSnapshot(Message, wire_name="Install"):
--- a/libs/replicated_log/src/replicated_log/metadata_file.py
+++ b/libs/replicated_log/src/replicated_log/metadata_file.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from messaging import decode_as, encode
-from storage import DamageError, Disk, DiskFullError, frame, scan
+from storage import DamageError, Disk, DiskFullError, frame, scan_frames
 
 from replicated_log.messages import ReplicaMetadata
 
@@ -65,7 +65,7 @@
         states: list[ReplicaMetadata] = []
         offset: int | None = 0
         while offset is not None:
-            frames, end, later = scan(data[offset:])
+            frames, end, later = scan_frames(data[offset:])
             states += [decode_as(ReplicaMetadata, payload) for _, payload in frames]
             self._end_bytes = offset + end if later is None and offset + end == len(data) else 0
             offset = None if later is None else offset + later
--- a/libs/replicated_log/src/replicated_log/queue_files.py
+++ b/libs/replicated_log/src/replicated_log/queue_files.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from messaging import decode_as
-from storage import Disk, frame, over_hole, walk
+from storage import Disk, find_frame_after_hole, frame, read_frames
 
 from replicated_log.messages import TRUNCATE, Record, StoredEntry
 from replicated_log.record_buffer import RecordBuffer
@@ -123,8 +123,8 @@
 
 def _frames(data: bytes) -> list[tuple[int, bytes]]:
     """Return the frames of a file; holes of zeros are records that came by a snapshot instead."""
-    frames, stop = walk(data)
-    while (at := over_hole(data, stop)) is not None:
-        more, stop = walk(data, at)
+    frames, stop = read_frames(data)
+    while (at := find_frame_after_hole(data, stop)) is not None:
+        more, stop = read_frames(data, at)
         frames += more
     return frames
--- a/libs/replicated_log/src/replicated_log/replica_health.py
+++ b/libs/replicated_log/src/replicated_log/replica_health.py
@@ -101,7 +101,7 @@
 
     def member_with_disk_space(self) -> str | None:
         """Return a member in touch with space on its disk if this store has none, else None."""
-        if self._log.disk.roomy(0):
+        if self._log.disk.has_room(0):
             return None
         floor_ms = self._now() - self.settings.failure_timeout_ms
         return next(
--- a/libs/replicated_log/src/replicated_log/replicator.py
+++ b/libs/replicated_log/src/replicated_log/replicator.py
@@ -178,7 +178,7 @@
             follower.snapshot = b""
         elif follower.snapshot and message.reason in _STEPS_OF_SNAPSHOT:
             self._snapshots.handle_response(follower, message, self.probe)
-        follower.disk_full = message.reason == ResponseReason.DISK_FULL or not message.roomy
+        follower.disk_full = message.reason == ResponseReason.DISK_FULL or not message.has_room
         follower.probe = max(follower.probe, message.probe)
         if message.ok:
             self._advance(follower, message)
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -7,7 +7,7 @@
 
 from batch_state.state import BatchState
 from messaging import Message, decode, encode
-from storage import DamageError, frame, scan
+from storage import DamageError, frame, scan_frames
 
 from replicated_log.archive_blocks import ArchivedKind
 from replicated_log.messages import SnapshotHeader, Stamp
@@ -77,7 +77,7 @@
 
 def read_snapshot(data: bytes) -> tuple[SnapshotHeader | None, list[Message]]:
     """Return the header and the entries; the header is None if the bytes are no whole snapshot."""
-    frames, end, _ = scan(data)
+    frames, end, _ = scan_frames(data)
     header = decode(frames[0][1]) if frames else None
     if not isinstance(header, SnapshotHeader):
         return None, []
--- a/libs/simulator/src/simulator/disks.py
+++ b/libs/simulator/src/simulator/disks.py
@@ -28,37 +28,37 @@
 
 
 class SimDisk:
-    """A disk of `room_bytes` with the interface of `storage.FolderDisk`.
+    """A disk of `capacity_bytes` with the interface of `storage.FolderDisk`.
 
     A flush takes between 0.5 and 1.5 times `flush_ms` of virtual time. `flushes` counts the
-    flushes done, `set_aside_count` the times that damaged content was set aside.
+    flushes done, `quarantine_count` the times that damaged content was quarantined.
     """
 
     __slots__ = (
         "_busy_until_ms",
         "_durable",
         "_files",
-        "_full_room_bytes",
         "_host",
+        "_normal_capacity_bytes",
         "_pending",
+        "capacity_bytes",
         "flush_ms",
         "flushes",
-        "room_bytes",
-        "set_aside_count",
+        "quarantine_count",
         "time",
     )
 
-    def __init__(self, time: Any, room_bytes: int, flush_ms: float = FLUSH_MS) -> None:
+    def __init__(self, time: Any, capacity_bytes: int, flush_ms: float = FLUSH_MS) -> None:
         self.time = time
         self._files: dict[str, bytearray] = {}
         self._durable: dict[str, bytearray] = {}
         self._pending: dict[str, list[_Change]] = {}
         self._busy_until_ms = 0.0
         self._host: Any = None
-        self.room_bytes = self._full_room_bytes = room_bytes
+        self.capacity_bytes = self._normal_capacity_bytes = capacity_bytes
         self.flush_ms = flush_ms
         self.flushes = 0
-        self.set_aside_count = 0
+        self.quarantine_count = 0
 
     def bind(self, host: Any) -> None:
         """Attach the disk to the process that its host is about to start."""
@@ -79,20 +79,20 @@
         """Return up to `size` bytes from `offset`; empty beyond the end or without such a file."""
         return bytes(self._files.get(name, b"")[offset : offset + size])
 
-    def roomy(self, size: int, urgent: bool = False) -> bool:
+    def has_room(self, size: int, urgent: bool = False) -> bool:
         """Return whether `size` more bytes fit; urgent writes may use the reserve."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
+        limit = self.capacity_bytes if urgent else self.capacity_bytes * (1 - RESERVED_SHARE)
         return sum(len(data) for data in self._files.values()) + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
         """Write without flushing; DiskFullError if the file's growth finds no space."""
         grows = max(0, offset + len(data) - len(self._files.get(name, b"")))
-        if not self.roomy(grows, urgent):
+        if not self.has_room(grows, urgent):
             raise DiskFullError(name)
         _put(self._files.setdefault(name, bytearray()), offset, data)
         self._pending.setdefault(name, []).append((_ChangeKind.WRITE, offset, data))
 
-    def push(self) -> None:
+    def start_writeback(self) -> None:
         """Do nothing: there is no buffer between the process and this disk."""
         return
 
@@ -131,7 +131,7 @@
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
         """Replace a whole file atomically and durably; `done(False)` if it finds no space."""
-        if len(data) > SMALL_BYTES and not self.roomy(len(data), True):
+        if len(data) > SMALL_BYTES and not self.has_room(len(data), True):
             self._schedule(lambda: done(False))
             return
 
@@ -143,9 +143,9 @@
 
         self._schedule(replaced)
 
-    def set_aside(self) -> None:
+    def quarantine(self) -> None:
         """Count a disk whose content is damaged, and start again from an empty one."""
-        self.set_aside_count += 1
+        self.quarantine_count += 1
         self._files.clear()
         self._durable.clear()
         self._pending.clear()
@@ -186,11 +186,11 @@
 
     def fill(self) -> None:
         """Reduce the space to a tenth more than is in use."""
-        self.room_bytes = int(sum(len(data) for data in self._files.values()) * 1.1)
+        self.capacity_bytes = int(sum(len(data) for data in self._files.values()) * 1.1)
 
     def restore_capacity(self) -> None:
         """Restore the full space; files stay."""
-        self.room_bytes = self._full_room_bytes
+        self.capacity_bytes = self._normal_capacity_bytes
 
     def wipe(self) -> None:
         """Lose all files, as when a disk is replaced by a blank one."""
--- a/libs/storage/src/storage/__init__.py
+++ b/libs/storage/src/storage/__init__.py
@@ -10,15 +10,15 @@
 """
 
 from storage.disk import Disk, DiskFullError, FolderDisk
-from storage.frames import DamageError, frame, over_hole, scan, walk
+from storage.frames import DamageError, find_frame_after_hole, frame, read_frames, scan_frames
 
 __all__ = [
     "DamageError",
     "Disk",
     "DiskFullError",
     "FolderDisk",
+    "find_frame_after_hole",
     "frame",
-    "over_hole",
-    "scan",
-    "walk",
+    "read_frames",
+    "scan_frames",
 ]
--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -25,7 +25,7 @@
 SMALL_BYTES = 4096
 """Up to this size a file is replaced even where there is no space left."""
 
-_PUSH_BYTES = 1 << 18
+_WRITEBACK_BYTES = 1 << 18
 _DEVICE_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 
@@ -96,30 +96,30 @@
         """Replace a file as a whole, atomically and durably."""
         ...
 
-    def roomy(self, size: int, urgent: bool = False) -> bool:
+    def has_room(self, size: int, urgent: bool = False) -> bool:
         """Whether so many more bytes may be written."""
         ...
 
-    def push(self) -> None:
-        """Start the lazy work on the device without a flush."""
+    def start_writeback(self) -> None:
+        """Start writing lazy work to the device, without a flush."""
         ...
 
 
 class FolderDisk:
     """A Disk on the files of one folder.
 
-    `room_bytes` limits the space used. `call` runs a function on the caller's event loop; through
-    it come all callbacks, and `on_broken` after an input/output error other than a full device.
+    `capacity_bytes` limits the space used. `call` runs a function on the caller's event loop; it
+    runs all callbacks, and `on_broken` after an input/output error other than a full device.
     """
 
     def __init__(
         self,
         folder: str,
-        room_bytes: int,
+        capacity_bytes: int,
         call: Callable[[Callable[[], None]], None],
         on_broken: Callable[[], None] = lambda: None,
     ) -> None:
-        self.room_bytes = room_bytes
+        self.capacity_bytes = capacity_bytes
         self._folder = Path(folder)
         self._folder.mkdir(parents=True, exist_ok=True)
         self._call = call
@@ -162,19 +162,19 @@
             handle = self._readers[name] = os.open(self._folder / name, os.O_RDONLY)
         return os.pread(handle, size, offset)
 
-    def roomy(self, size: int, urgent: bool = False) -> bool:
+    def has_room(self, size: int, urgent: bool = False) -> bool:
         """Whether so many more bytes may be written; False once the device is full or broken."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
+        limit = self.capacity_bytes if urgent else self.capacity_bytes * (1 - RESERVED_SHARE)
         return not self._broken and not self._full and self._used_bytes + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
-        """Write lazily. Raises DiskFullError if there is no room; see `roomy`."""
-        if not self.roomy(max(0, offset + len(data) - self._sizes.get(name, 0)), urgent):
+        """Write lazily. Raises DiskFullError if it exceeds the capacity; see `has_room`."""
+        if not self.has_room(max(0, offset + len(data) - self._sizes.get(name, 0)), urgent):
             raise DiskFullError(name)
         self._resize(name, max(self._sizes.get(name, 0), offset + len(data)))
         self._submit(_StepKind.WRITE, name, offset, data)
-        if self._steps_size_bytes > _PUSH_BYTES:
-            self.push()
+        if self._steps_size_bytes > _WRITEBACK_BYTES:
+            self.start_writeback()
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file to a size, lazily; a file that doesn't exist is left alone."""
@@ -187,7 +187,7 @@
         self._forget(name)
         self._submit(_StepKind.REMOVE, name, 0, b"")
 
-    def push(self) -> None:
+    def start_writeback(self) -> None:
         """Start the lazy work on the device without a flush, with what it refused when full."""
         if self._steps or self._full:
             self._worker.submit(self._apply, self._take_steps())
@@ -202,9 +202,9 @@
         """Replace a file as a whole, atomically and durably, then call `done`.
 
         The new contents go to a temporary file that is flushed and renamed. A file of more than
-        SMALL_BYTES is refused without room, and `done` gets False.
+        SMALL_BYTES is refused where there is no capacity left, and `done` gets False.
         """
-        if len(data) > SMALL_BYTES and not self.roomy(len(data), True):
+        if len(data) > SMALL_BYTES and not self.has_room(len(data), True):
             self._call(lambda: done(False))
             return
         self._forget(name)
@@ -217,24 +217,24 @@
 
     def close(self) -> None:
         """Finish the lazy work, without a flush, and close all files."""
-        self.push()
+        self.start_writeback()
         self._worker.shutdown(wait=True)
         for handle in [*self._handles.values(), *self._readers.values()]:
             os.close(handle)
         self._handles.clear()
         self._readers.clear()
 
-    def set_aside(self) -> None:
+    def quarantine(self) -> None:
         """Move all files into a new subfolder, where they are kept for inspection."""
         self._wait()
         count = sum(1 for path in self._folder.iterdir() if path.is_dir())
-        aside = self._folder / f"set-aside-{count + 1}"
-        aside.mkdir()
+        quarantine = self._folder / f"set-aside-{count + 1}"
+        quarantine.mkdir()
         for name in list(self._sizes):
             for handles in (self._handles, self._readers):
                 if name in handles:
                     os.close(handles.pop(name))
-            os.replace(self._folder / name, aside / name)
+            os.replace(self._folder / name, quarantine / name)
         self._sizes.clear()
         self._used_bytes = 0
         self._folder_changed = True
@@ -265,7 +265,7 @@
             self._wait()
 
     def _wait(self) -> None:
-        self.push()
+        self.start_writeback()
         self._worker.submit(lambda: None).result()
 
     # -- on the worker's thread --------------------------------------------------------------------
--- a/libs/storage/src/storage/frames.py
+++ b/libs/storage/src/storage/frames.py
@@ -1,14 +1,14 @@
 """Frames in a file: a length, a CRC-32 checksum, and the payload.
 
-A scan returns the intact frames from the start of a file and says what follows them: either a torn
-tail, which may be cut off, or damage, because intact frames that were flushed lie behind it and
-cutting would lose them.
+`scan_frames` returns the intact frames from the start of a file and says what follows them: either
+a torn tail, which may be cut off, or damage, because intact frames that were flushed lie behind it
+and cutting would lose them.
 """
 
 import struct
 import zlib
 
-__all__ = ["DamageError", "frame", "over_hole", "scan", "walk"]
+__all__ = ["DamageError", "find_frame_after_hole", "frame", "read_frames", "scan_frames"]
 
 _HEADER = struct.Struct(">II")
 _MAX_FIRST_BYTE = 4
@@ -40,7 +40,7 @@
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def over_hole(data: bytes, offset: int) -> int | None:
+def find_frame_after_hole(data: bytes, offset: int) -> int | None:
     """Return where an intact frame begins right behind a run of zeros, or None.
 
     Zeros are bytes that were never written, since later frames were written at their own offsets.
@@ -56,7 +56,7 @@
     )
 
 
-def walk(data: bytes, offset: int = 0) -> tuple[list[tuple[int, bytes]], int]:
+def read_frames(data: bytes, offset: int = 0) -> tuple[list[tuple[int, bytes]], int]:
     """Return the intact frames from an offset on as (offset, payload), and where they end."""
     frames = []
     while (payload := _payload_at(data, offset)) is not None:
@@ -65,12 +65,12 @@
     return frames, offset
 
 
-def scan(data: bytes) -> tuple[list[tuple[int, bytes]], int, int | None]:
-    """Return what `walk` returns, and where an intact frame lies behind the end, or None.
+def scan_frames(data: bytes) -> tuple[list[tuple[int, bytes]], int, int | None]:
+    """Return what `read_frames` returns, and where an intact frame lies behind the end, or None.
 
     The search goes byte by byte. A frame is shorter than 64 MiB, so its first byte is below 4.
     """
-    frames, offset = walk(data)
+    frames, offset = read_frames(data)
     if offset < len(data):
         for later in range(offset + 1, len(data) - _HEADER.size):
             if data[later] < _MAX_FIRST_BYTE and _payload_at(data, later) is not None:
--- a/libs/testbed/src/testbed/fault_injection/disks.py
+++ b/libs/testbed/src/testbed/fault_injection/disks.py
@@ -18,18 +18,18 @@
     """A disk with the interface of FolderDisk, which it wraps.
 
     Writes are kept in memory until they are flushed; `seed` draws those that reach the disk early.
-    It takes the room of `inner` over.
+    It takes over the capacity limit of `inner`.
     """
 
-    __slots__ = ("_inner", "_pending", "_rng", "_seen", "room_bytes")
+    __slots__ = ("_inner", "_pending", "_rng", "_seen", "capacity_bytes")
 
     def __init__(self, inner: FolderDisk, seed: int) -> None:
         self._inner = inner
         self._rng = random.Random(seed)
         self._seen = {name: bytearray(inner.read(name)) for name in inner.names()}
         self._pending: dict[str, list[tuple[str, int, bytes]]] = {}
-        self.room_bytes = inner.room_bytes
-        inner.room_bytes = 1 << 60
+        self.capacity_bytes = inner.capacity_bytes
+        inner.capacity_bytes = 1 << 60
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -43,18 +43,18 @@
         """Return up to `size` bytes from `offset`; empty beyond the end or without such a file."""
         return bytes(self._seen.get(name, b"")[offset : offset + size])
 
-    def roomy(self, size: int, urgent: bool = False) -> bool:
+    def has_room(self, size: int, urgent: bool = False) -> bool:
         """Return whether `size` more bytes fit; urgent writes may use the reserve."""
-        limit = self.room_bytes if urgent else self.room_bytes * (1 - RESERVED_SHARE)
+        limit = self.capacity_bytes if urgent else self.capacity_bytes * (1 - RESERVED_SHARE)
         return (
-            self._inner.roomy(0, True)
+            self._inner.has_room(0, True)
             and sum(len(page) for page in self._seen.values()) + size <= limit
         )
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
-        """Write without flushing; DiskFullError if the file's growth finds no room."""
+        """Write without flushing; DiskFullError if the file's growth exceeds the capacity."""
         page = self._seen.get(name, bytearray())
-        if not self.roomy(max(0, offset + len(data) - len(page)), urgent):
+        if not self.has_room(max(0, offset + len(data) - len(page)), urgent):
             raise DiskFullError(name)
         if len(page) < offset:
             page.extend(b"\0" * (offset - len(page)))
@@ -64,9 +64,9 @@
             self._apply(name, ("write", offset, data[: self._rng.randrange(len(data) + 1)]))
         self._pending.setdefault(name, []).append(("write", offset, data))
 
-    def push(self) -> None:
+    def start_writeback(self) -> None:
         """Pass on to the wrapped disk."""
-        self._inner.push()
+        self._inner.start_writeback()
 
     def truncate(self, name: str, size: int) -> None:
         """Cut or extend a file to `size` bytes without flushing."""
@@ -103,17 +103,17 @@
         self._inner.flush(names, done)
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
-        """Replace a whole file durably; `done(False)` if it finds no room."""
-        if len(data) > SMALL_BYTES and not self.roomy(len(data), True):
+        """Replace a whole file durably; `done(False)` if it exceeds the capacity."""
+        if len(data) > SMALL_BYTES and not self.has_room(len(data), True):
             self._inner.flush([], lambda ok: done(False))
             return
         self._pending.pop(name, None)
         self._seen[name] = bytearray(data)
         self._inner.replace(name, data, done)
 
-    def set_aside(self) -> None:
-        """Set damaged content aside and start again from an empty disk."""
-        self._inner.set_aside()
+    def quarantine(self) -> None:
+        """Quarantine damaged content and start again from an empty disk."""
+        self._inner.quarantine()
         self._seen.clear()
         self._pending.clear()
 
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -64,7 +64,7 @@
     ),
     "records behind a hole are lost": (
         "replicated_log/src/replicated_log/queue_files.py",
-        "while (at := over_hole(data, stop)) is not None:",
+        "while (at := find_frame_after_hole(data, stop)) is not None:",
         "while (at := None) is not None:",
         "tests/test_log_disks.py -k trimmed",
     ),
--- a/tests/test_log_conformance.py
+++ b/tests/test_log_conformance.py
@@ -213,10 +213,10 @@
         harness.disks["b"].wipe()
         harness.open("b")
         disk = harness.disks["b"]
-        room, disk.room_bytes = disk.room_bytes, 120
+        capacity_bytes, disk.capacity_bytes = disk.capacity_bytes, 120
         members = list(MEMBERS)
         self.assertThat(harness.recover("b", 2, members), Equals([False]))
-        disk.room_bytes = room
+        disk.capacity_bytes = capacity_bytes
         self.assertThat(harness.recover("b", 3, members), Equals([True]))
         self.assertThat(harness.keys("b"), Equals(["k1", "k2", "k3"]))
 
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -47,7 +47,10 @@
         harness.run(100)
         disk = harness.disks["a"]
         used = sum(len(disk.read(name)) for name in disk.names())
-        room, disk.room_bytes = disk.room_bytes, int(used / (1 - RESERVED_SHARE)) - 1
+        capacity_bytes, disk.capacity_bytes = (
+            disk.capacity_bytes,
+            int(used / (1 - RESERVED_SHARE)) - 1,
+        )
         self.assertThat(harness.append("full", durable=True), Equals([Outcome.FULL]))
         ended = []
         harness.leader.append(
@@ -55,7 +58,7 @@
         )
         harness.run(50)
         self.assertThat(ended, Equals([Outcome.ACKNOWLEDGED]))
-        disk.room_bytes = room
+        disk.capacity_bytes = capacity_bytes
         outcomes = harness.append("again", durable=True)
         harness.run(50)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -84,7 +84,7 @@
         host.disk.damage(name, 20)
         host.start()
         self.assertThat(
-            (host.disk.set_aside_count, host.node.log.log.identity != old), Equals((1, True))
+            (host.disk.quarantine_count, host.node.log.log.identity != old), Equals((1, True))
         )
         self.until_member(run, host)
         wanted = fleet.leader().node.log.log.state.jobs
@@ -194,7 +194,7 @@
         run, fleet = self.bootstrapped()
         first = fleet.leader()
         first.disk.fill()
-        first.disk.room_bytes = int(first.disk.room_bytes / 1.1)
+        first.disk.capacity_bytes = int(first.disk.capacity_bytes / 1.1)
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() not in (None, first), 5000), Equals(True)
         )
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -316,14 +316,14 @@
             harness.append(f"k{number}", durable=True)
             harness.run(10)
         self.assertThat(log.snapshot_seq, Equals(0))
-        room, disk.room_bytes = (
-            disk.room_bytes,
+        capacity_bytes, disk.capacity_bytes = (
+            disk.capacity_bytes,
             sum(len(disk.read(name)) for name in disk.names()) + 200,
         )
         log.maintain_snapshot(force=True)
         harness.run(600)
         self.assertThat(log.snapshot_seq, Equals(0))
-        disk.room_bytes = room
+        disk.capacity_bytes = capacity_bytes
         harness.run(1000)
         self.assertThat(log.snapshot_seq, Equals(200))
 
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -43,9 +43,9 @@
 class _Machine:
     """One voter on a simulated disk, without a network: replies are gathered in `replies`."""
 
-    def __init__(self, seed, room_bytes=1 << 20, flush_ms=3.0):
+    def __init__(self, seed, capacity_bytes=1 << 20, flush_ms=3.0):
         self.time = VirtualTime(seed)
-        self.disk = _Disk(self.time, room_bytes, flush_ms)
+        self.disk = _Disk(self.time, capacity_bytes, flush_ms)
         self.incarnation, self.up, self.replies = 0, True, []
         self.acknowledged: dict[str, int] = {}
         self._requests: list[tuple[str, int]] = [("", 0)]
@@ -202,8 +202,8 @@
 
     def test_a_full_disk_that_has_space_again_removes_its_logs(self):
         machine, version = _Machine(7), 0
-        for room_bytes in (24_000, 1 << 20):
-            machine.disk.room_bytes = room_bytes
+        for capacity_bytes in (24_000, 1 << 20):
+            machine.disk.capacity_bytes = capacity_bytes
             for _ in range(40):
                 version += 1
                 machine.accept(version, body="x" * 700)
