--- a/libs/batch_state/src/batch_state/interfaces.py
+++ b/libs/batch_state/src/batch_state/interfaces.py
@@ -102,11 +102,11 @@
 class DeadlineForecast(Protocol):
     """Whether jobs will meet their deadlines beside rollouts."""
 
-    def heard(self, heartbeat: Any, now_ms: int, /) -> None:
+    def record_heartbeat(self, heartbeat: Any, now_ms: int, /) -> None:
         """Record an edge's free capacity."""
         ...
 
-    def took(self, path: str, took_ms: int, /) -> None:
+    def record_item_duration(self, path: str, duration_ms: int, /) -> None:
         """Record how many milliseconds an item of a path took."""
         ...
 
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -55,7 +55,7 @@
         share, since other edges have capacity too.
         """
         if isinstance(message, RolloutHeartbeat) and self._forecast is not None:
-            self._forecast.heard(message, self._node.env.now())
+            self._forecast.record_heartbeat(message, self._node.env.now())
         work: list[Assignment] = []
         if message.capacity:
             work = self._select_items(message)
--- a/libs/batch_state/src/batch_state/result_reports.py
+++ b/libs/batch_state/src/batch_state/result_reports.py
@@ -71,7 +71,7 @@
             and not job.rollout
             and message.outcome != ItemResult.RETURNED
         ):
-            self._forecast.took(job.path, took_ms)
+            self._forecast.record_item_duration(job.path, took_ms)
 
     def _entries(self, job: Job, message: ReportResult) -> list[Message]:
         item = job.items[message.index]
--- a/libs/capacity_sharing/src/capacity_sharing/entitlement.py
+++ b/libs/capacity_sharing/src/capacity_sharing/entitlement.py
@@ -10,17 +10,17 @@
 
 __all__ = ["Entitlements"]
 
-_KEPT = 4096
+_MAX_CACHE_ENTRIES = 4096
 
 
 class Entitlements:
     """The slots that each edge may fill, cached until the set of live edges changes."""
 
-    __slots__ = ("_edges", "_known")
+    __slots__ = ("_cache", "_edges")
 
     def __init__(self) -> None:
         self._edges: frozenset[str] = frozenset()
-        self._known: dict[tuple[str, int], int] = {}
+        self._cache: dict[tuple[str, int], int] = {}
 
     def slots(self, edge: str, edges: Iterable[str], worker: str, lendable: int) -> int:
         """Return how many of a worker's lendable slots `edge` may fill.
@@ -28,13 +28,10 @@
         `edges` are the identities of all live edges, `edge` among them.
         """
         edges = frozenset(edges)
-        if edges != self._edges or len(self._known) > _KEPT:
-            self._edges, self._known = edges, {}
+        if edges != self._edges or len(self._cache) > _MAX_CACHE_ENTRIES:
+            self._edges, self._cache = edges, {}
         key = (worker, lendable)
-        if key not in self._known:
-            self._known[key] = sum(
-                1
-                for slot in range(lendable)
-                if rendezvous_order(f"{worker}#{slot}", edges)[0] == edge
-            )
-        return self._known[key]
+        if key not in self._cache:
+            owners = (rendezvous_order(f"{worker}#{slot}", edges)[0] for slot in range(lendable))
+            self._cache[key] = sum(1 for owner in owners if owner == edge)
+        return self._cache[key]
--- a/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
@@ -54,13 +54,13 @@
         at_risk: Callable[[], bool],
         recipients: Callable[[], Iterable[str]],
     ) -> None:
-        self._edge, self._config_feed, self._registry, self._router = (
-            edge,
-            config_feed,
-            registry,
-            router,
-        )
-        self._lends, self._at_risk, self._recipients = lends, at_risk, recipients
+        self._edge = edge
+        self._config_feed = config_feed
+        self._registry = registry
+        self._router = router
+        self._lends = lends
+        self._at_risk = at_risk
+        self._recipients = recipients
         self._sent_ms = _LONG_AGO_MS
         config_feed.watch(self._published)
 
@@ -71,11 +71,11 @@
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Take another edge's report of its load."""
-        self._load.take(origin.sender, cast(EdgeLoad, message), self.node.env.now())
+        self._load.record_report(origin.sender, cast(EdgeLoad, message), self.node.env.now())
         self._update_samples()
 
     def _update_samples(self) -> None:
-        samples = self._load.samples(self.node.address)
+        samples = self._load.samples_elsewhere(self.node.address)
         for worker in self._registry.all():
             worker.borrowed_elsewhere = samples.get(worker.identity, 0)
 
@@ -85,7 +85,7 @@
 
     def resumed(self, gap_ms: int) -> None:
         """Forget all reports; called after the process was frozen."""
-        self._load.forget()
+        self._load.reset()
         self._update_samples()
 
     def _published(self, key: str, number: int, body: str) -> None:
@@ -114,8 +114,8 @@
             self._router,
             self._at_risk(),
         )
-        self._load.take(self.node.address, report, now_ms)
-        self._load.note(now_ms)
+        self._load.record_report(self.node.address, report, now_ms)
+        self._load.measure(now_ms)
         self._update_samples()
         for address in self._recipients():
             self.node.send(address, report)
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -6,15 +6,18 @@
 
 import json
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from control_store import ProfileTree
 from messaging import Message
+from request_routing import RequestRouter, WorkerRegistry
 
 __all__ = ["EdgeLoad", "LiveLoad", "WorkerLoad", "load_report"]
 
 _PEAK_MARGIN = 1.25
 _RECALL_UTILIZATION = 0.8
 _UNKNOWN_MS = -1
+_JOBS_AT_RISK = "a lot may come late"
 
 
 class EdgeLoad(Message):
@@ -54,7 +57,7 @@
     workers: dict[str, WorkerLoad]
 
 
-class _Sample(NamedTuple):
+class _LoadMeasurement(NamedTuple):
     """The load at one time: live calls by worker, and live calls that wait at edges."""
 
     at_ms: int
@@ -74,12 +77,14 @@
     staying: list[str]
 
 
-def load_report(edge: str, number: int, registry: Any, router: Any, jobs_at_risk: bool) -> EdgeLoad:
+def load_report(
+    edge: str, number: int, registry: WorkerRegistry, router: RequestRouter, jobs_at_risk: bool
+) -> EdgeLoad:
     """Return an edge's report, from its worker registry and what its router is sending."""
     live: dict[int, int] = {}
-    for send in router.attempts():
-        if not send.request.call.job:
-            live[id(send.worker)] = live.get(id(send.worker), 0) + 1
+    for attempt in router.attempts():
+        if not attempt.request.call.job:
+            live[id(attempt.worker)] = live.get(id(attempt.worker), 0) + 1
     loads = {
         worker.identity: WorkerLoad(
             worker.zone,
@@ -110,7 +115,7 @@
 
     __slots__ = (
         "_failure_timeout_ms",
-        "_known_workers",
+        "_last_loads",
         "_reports",
         "_since_ms",
         "_window",
@@ -121,24 +126,24 @@
         self._failure_timeout_ms = failure_timeout_ms
         self._window_ms = window_ms
         self._reports: dict[str, _Report] = {}
-        self._window: list[_Sample] = []
+        self._window: list[_LoadMeasurement] = []
         self._since_ms = _UNKNOWN_MS
-        self._known_workers: dict[str, WorkerLoad] = {}
+        self._last_loads: dict[str, WorkerLoad] = {}
 
-    def take(self, link: str, message: EdgeLoad, now_ms: int) -> None:
+    def record_report(self, link: str, message: EdgeLoad, now_ms: int) -> None:
         """Take the report of the edge with this link address."""
         rows = json.loads(message.workers)
         workers = {name: WorkerLoad(*row[: len(WorkerLoad._fields)]) for name, row in rows.items()}
         self._reports[link] = _Report(now_ms, message, workers)
-        self._known_workers.update(workers)
+        self._last_loads.update(workers)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop all reports and the window seen so far."""
         self._reports.clear()
         self._window.clear()
         self._since_ms = _UNKNOWN_MS
 
-    def note(self, now_ms: int) -> None:
+    def measure(self, now_ms: int) -> None:
         """Add the present load to the window; called each heartbeat."""
         self._reports = {
             link: report
@@ -154,7 +159,7 @@
             for name, load in report.workers.items():
                 live[name] = live.get(name, 0) + load.live
         waiting = sum(report.message.waiting for report in self._reports.values())
-        self._window.append(_Sample(now_ms, live, waiting))
+        self._window.append(_LoadMeasurement(now_ms, live, waiting))
         while self._window[0].at_ms < now_ms - self._window_ms():
             self._window.pop(0)
 
@@ -170,28 +175,28 @@
 
     def workers(self) -> dict[str, WorkerLoad]:
         """Return the workers that an edge may use and of which no edge says that it must not."""
-        found: dict[str, WorkerLoad] = {}
+        merged: dict[str, WorkerLoad] = {}
         for report in self._reports.values():
             for name, load in report.workers.items():
-                known = found.get(name)
-                found[name] = (
+                known = merged.get(name)
+                merged[name] = (
                     load
                     if known is None
                     else load._replace(is_usable=load.is_usable and known.is_usable)
                 )
-        return {name: load for name, load in found.items() if load.is_usable}
+        return {name: load for name, load in merged.items() if load.is_usable}
 
-    def samples(self, besides: str) -> dict[str, int]:
-        """Return by worker how many samples all edges run there, except the edge `besides`."""
-        found: dict[str, int] = {}
+    def samples_elsewhere(self, own_link: str) -> dict[str, int]:
+        """Return by worker how many samples all edges run there, except the edge at `own_link`."""
+        counts: dict[str, int] = {}
         for link, report in self._reports.items():
-            for name, load in report.workers.items() if link != besides else ():
-                found[name] = found.get(name, 0) + load.samples
-        return found
+            for name, load in report.workers.items() if link != own_link else ():
+                counts[name] = counts.get(name, 0) + load.samples
+        return counts
 
     def peak(self, worker: str) -> int | None:
         """Return the most live calls running at once at a worker; None while unknown."""
-        return max((sample.live.get(worker, 0) for sample in self._window), default=None)
+        return max((measurement.live.get(worker, 0) for measurement in self._window), default=None)
 
     def jobs_at_risk(self) -> bool:
         """Return whether an edge reports that a batch job may miss its deadline."""
@@ -200,16 +205,16 @@
     # -- what may be lent ----------------------------------------------------------------------
 
     def _served_by(
-        self, worker: str, profiles: Any, withheld: frozenset[str]
+        self, worker: str, profiles: ProfileTree, withheld: frozenset[str]
     ) -> list[_ServedProfile]:
         """Return the profiles that a worker serves, with the workers of each."""
-        known, seen = self.workers(), self._known_workers.get(worker)
-        if seen is None:
+        known, last_load = self.workers(), self._last_loads.get(worker)
+        if last_load is None:
             return []
         served = []
         for name in profiles.rows:
             profile = profiles.usable(name)
-            if profile is not None and profile.allows(worker, frozenset(seen.labels)):
+            if profile is not None and profile.allows(worker, frozenset(last_load.labels)):
                 allowed = [
                     other
                     for other, load in known.items()
@@ -219,7 +224,9 @@
                 served.append(_ServedProfile(name, allowed, staying))
         return served
 
-    def why_not(self, worker: str, profiles: Any, withheld: frozenset[str], now_ms: int) -> str:
+    def refusal_reason(
+        self, worker: str, profiles: ProfileTree, withheld: frozenset[str], now_ms: int
+    ) -> str:
         """Return why a worker may not be lent beside those `withheld`; empty if it may."""
         known = self.workers()
         if worker not in known:
@@ -227,11 +234,11 @@
         if self._since_ms < 0 or now_ms - self._since_ms < self._window_ms():
             return "the live load has not been watched for long enough"
         if self.jobs_at_risk():
-            return "a lot may come late"
+            return _JOBS_AT_RISK
         for profile in self._served_by(worker, profiles, withheld):
             if not any(known[other].zone == known[worker].zone for other in profile.staying):
                 return f"it is the last of {profile.name} in its zone"
-            peak = max(sample.calls(profile.workers) for sample in self._window)
+            peak = max(measurement.calls(profile.workers) for measurement in self._window)
             slots = sum(known[other].slots for other in profile.staying)
             if peak * _PEAK_MARGIN > slots:
                 return (
@@ -240,10 +247,10 @@
                 )
         return ""
 
-    def why_recall(self, worker: str, profiles: Any, withheld: frozenset[str]) -> str:
+    def recall_reason(self, worker: str, profiles: ProfileTree, withheld: frozenset[str]) -> str:
         """Return why a worker is needed back now; empty if it isn't."""
         if self.jobs_at_risk():
-            return "a lot may come late"
+            return _JOBS_AT_RISK
         known = self.workers()
         if not self._window:
             return ""
--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple, cast
 
 from config_feed import ConfigFeed
-from control_store import Change, ChangeResult, KeyOwner, Outcome, ReadKey
+from control_store import Change, ChangeResult, KeyOwner, Outcome, ProfileTree, ReadKey
 from expression import Error, Result
 from membership import Membership
 from messaging import Component, Message, Origin
@@ -29,6 +29,7 @@
     returned,
     withdrawn,
 )
+from capacity_sharing.pending_calls import CallState, PendingCall, PendingCalls
 
 __all__ = ["LoanManager", "LoanOutcome", "LoanStatus"]
 
@@ -68,28 +69,20 @@
 MakeTable = Callable[[LoanTable], Result[LoanTable, str]]
 
 
-class _PendingChange:
+class _PendingChange(PendingCall[LoanOutcome]):
     """A change of a worker's loan that waits for its outcome until `due_ms`."""
 
-    __slots__ = ("_done", "due_ms", "make", "retries", "worker")
+    __slots__ = ("make", "retries", "worker")
 
     def __init__(self, worker: str, make: MakeTable, due_ms: int, done: Done) -> None:
+        super().__init__(due_ms, done)
         self.worker = worker
         self.make = make
-        self.due_ms = due_ms
         self.retries = _RETRIES
-        self._done: Done | None = done
 
-    @property
-    def is_open(self) -> bool:
-        """Whether the caller still waits for the outcome."""
-        return self._done is not None
 
-    def finish(self, status: LoanStatus, reason: str = "", loan: Loan | None = None) -> None:
-        """Give the caller the outcome; only the first one counts."""
-        done, self._done = self._done, None
-        if done is not None:
-            done(LoanOutcome(status, reason, loan))
+def _finish_in_doubt(change: _PendingChange, reason: str) -> None:
+    change.finish(LoanOutcome(LoanStatus.DOUBT, reason))
 
 
 class _Observed(NamedTuple):
@@ -112,8 +105,8 @@
         "_config_feed",
         "_in_contact",
         "_load",
+        "_measured_ms",
         "_membership",
-        "_noted_ms",
         "_observed",
         "_owner",
         "_pending",
@@ -132,7 +125,7 @@
         owner: KeyOwner,
         membership: Membership,
         config_feed: ConfigFeed,
-        profiles: Callable[[], Any],
+        profiles: Callable[[], ProfileTree],
         in_contact: Callable[[], bool],
         is_owner: Callable[[], bool],
     ) -> None:
@@ -145,9 +138,9 @@
         self._table = LoanTable.from_body("")
         self.number = 0
         self._observed: dict[str, _Observed] = {}
-        self._pending: list[_PendingChange] = []
+        self._pending: PendingCalls[_PendingChange] = PendingCalls(_finish_in_doubt)
         self._changing: dict[str, int] = {}
-        self._noted_ms = _LONG_AGO_MS
+        self._measured_ms = _LONG_AGO_MS
         self.counts: dict[str, int] = {}
         config_feed.watch(self._published)
 
@@ -168,7 +161,7 @@
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Take an edge's report of its load."""
-        self._load.take(origin.sender, cast(EdgeLoad, message), self.node.env.now())
+        self._load.record_report(origin.sender, cast(EdgeLoad, message), self.node.env.now())
 
     # -- requests ------------------------------------------------------------------------------
 
@@ -183,8 +176,10 @@
 
         def make(table: LoanTable) -> Result[LoanTable, str]:
             now_ms = self.node.env.now()
-            if why := self._load.why_not(worker, self._profiles(), table.withheld(), now_ms):
-                return Error(why)
+            if reason := self._load.refusal_reason(
+                worker, self._profiles(), table.withheld(), now_ms
+            ):
+                return Error(reason)
             return granted(table, worker, borrower, weights, lease_ms, recall_ms)
 
         self._change(worker, make, done)
@@ -193,7 +188,7 @@
         """Recall a worker from its borrower; `done` gets a LoanOutcome."""
         self._change(worker, lambda table: recalled(table, worker, reason), done)
 
-    def take_back(self, worker: str, number: int, weights: str, done: Done) -> None:
+    def return_worker(self, worker: str, number: int, weights: str, done: Done) -> None:
         """Take a worker back that reports that it is free, with the number of its loan.
 
         `done` gets a LoanOutcome.
@@ -206,9 +201,9 @@
         due_ms = self.node.env.now() + self.node.settings.control_call_timeout_ms * _CALL_FACTOR
         change = _PendingChange(worker, make, due_ms, done)
         if not self._in_contact():
-            change.finish(LoanStatus.DOUBT, "this node hears no majority of the voters")
+            _finish_in_doubt(change, "this node hears no majority of the voters")
             return
-        self._pending.append(change)
+        self._pending.add(change)
         self._read(change)
 
     def _read(self, change: _PendingChange) -> None:
@@ -220,12 +215,13 @@
         if not change.is_open:
             return
         if result.outcome != Outcome.OK:
-            change.finish(LoanStatus.DOUBT, result.reason)
+            _finish_in_doubt(change, result.reason)
             return
         made = change.make(LoanTable.from_body(result.body))
         if made.is_error():
-            change.finish(LoanStatus.REFUSED, made.error)
+            change.finish(LoanOutcome(LoanStatus.REFUSED, made.error))
             return
+        change.state = CallState.PROPOSING
         self._owner.submit(
             Change(
                 key=LOANS_KEY,
@@ -240,15 +236,16 @@
     def _changed(self, change: _PendingChange, table: LoanTable, result: ChangeResult) -> None:
         if result.outcome == Outcome.OK:
             loan = table.loans[change.worker]
-            self._note_change(change.worker, loan)
-            change.finish(LoanStatus.OK, loan=loan)
+            self._record_change(change.worker, loan)
+            change.finish(LoanOutcome(LoanStatus.OK, loan=loan))
         elif result.outcome == Outcome.LOST and change.is_open and change.retries > 0:
             change.retries -= 1
+            change.state = CallState.READING
             self._read(change)
         else:
-            change.finish(LoanStatus.DOUBT, result.reason)
+            _finish_in_doubt(change, result.reason)
 
-    def _note_change(self, worker: str, loan: Loan) -> None:
+    def _record_change(self, worker: str, loan: Loan) -> None:
         state = str(loan.state)
         self.counts[state] = self.counts.get(state, 0) + 1
         self.node.env.log(
@@ -294,8 +291,8 @@
             return None
         if loan.state is LoanState.LENT and elapsed_ms > loan.lease_ms:
             return lambda table: recalled(table, worker, "its lease is over", epoch)
-        if why := self._load.why_recall(worker, self._profiles(), self._table.withheld()):
-            return lambda table: recalled(table, worker, why, epoch)
+        if reason := self._load.recall_reason(worker, self._profiles(), self._table.withheld()):
+            return lambda table: recalled(table, worker, reason, epoch)
         return None
 
     def _follow(self, now_ms: int) -> None:
@@ -337,20 +334,15 @@
     def tick(self) -> None:
         """End calls whose time is up; each `heartbeat_ms` record the load and act on due loans."""
         now_ms = self.node.env.now()
-        for change in self._pending:
-            if now_ms >= change.due_ms:
-                change.finish(LoanStatus.DOUBT, "no answer in time")
-        self._pending = [change for change in self._pending if change.is_open]
-        if now_ms - self._noted_ms >= self.node.settings.heartbeat_ms:
-            self._noted_ms = now_ms
-            self._load.note(now_ms)
+        self._pending.expire_due(now_ms)
+        if now_ms - self._measured_ms >= self.node.settings.heartbeat_ms:
+            self._measured_ms = now_ms
+            self._load.measure(now_ms)
             self._follow(now_ms)
 
     def resumed(self, gap_ms: int) -> None:
         """Forget all times and reports and end open calls in doubt; called after a freeze."""
         self._observed.clear()
         self._changing.clear()
-        self._load.forget()
-        for change in self._pending:
-            change.finish(LoanStatus.DOUBT, "this node was frozen")
-        self._pending = []
+        self._load.reset()
+        self._pending.expire_all("this node was frozen")
--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -1,54 +1,66 @@
 """The samples of rollouts that run at an edge, in slots that nothing else needs.
 
 A slot is lent only where nobody waits, the live share stays free and no prompt is being read. It is
-taken back at once, newest sample first, for a call or an item that finds no free place, and where
-another edge reports that one of its calls does. A sample that is given up counts for nothing: it
-waits at the log again and returns under a higher number.
+taken back at once, newest sample first, for a call or an item that finds no free slot, and where
+another edge reports that one of its calls does. A preempted sample counts for nothing: it waits at
+the log again and returns under a higher claim number.
 """
 
 import json
 import math
 from collections.abc import Callable, Iterable
-from typing import Any, cast
+from typing import NamedTuple, cast
 
-from batch_state.messages import RolloutAssignment
+from batch_state.messages import RolloutAssignment, RolloutHeartbeatResponse
+from control_store import ProfileTree
 from messaging import Component, Message, Origin
 from request_routing import (
     Attempt,
+    Call,
+    ForwardCall,
     InFlightRequest,
     ItemKey,
     RequestLifecycle,
     RequestRouter,
     RetryBudget,
     Step,
+    StepKind,
     Worker,
     WorkerRegistry,
 )
+from request_routing.batch_execution.item_outcome import ItemDone, ItemOutcome
 
-from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, sample_result, unstarted
+from capacity_sharing.sampling import OTHER_WEIGHTS, SampleCall, may_be_prefilling, sample_result
+from capacity_sharing.slot_requests import SlotRequests, SlotsWanted
 from capacity_sharing.slots import LendableSlots
 
-__all__ = ["SampleRunner", "SlotsWanted"]
+__all__ = ["SampleRunner"]
 
-Done = Callable[[str, Any, str], None]
-_LONG_AGO_MS = -1 << 40
-_MOST_WORKERS_WANTED = 8
+_OK = 200
+_MAX_REQUESTED_WORKERS = 8
 
 
-class SlotsWanted(Message, wire_name="PlaceWanted"):
-    """Asks other edges for slots at a worker, where calls found no free slot."""
+class _DeferredReport(NamedTuple):
+    """A report to the log that is made at `due_ms`."""
 
-    worker: str
-    slots: int
+    due_ms: int
+    report: Callable[[], None]
+
+
+class _WorkerReport(NamedTuple):
+    """Which of a worker's own reports of its load one is: its number, and when it came."""
+
+    heartbeat_number: int
+    load_reported_ms: int
 
 
 class _Sample:
     """A sample that runs at this edge, or has ended."""
 
-    __slots__ = ("done", "has_ended", "in_flight", "work")
+    __slots__ = ("assignment", "done", "has_ended", "in_flight")
 
-    def __init__(self, work: RolloutAssignment, done: Done) -> None:
-        self.work = work
+    def __init__(self, assignment: RolloutAssignment, done: ItemDone) -> None:
+        self.assignment = assignment
         self.done = done
         self.in_flight: InFlightRequest | None = None
         self.has_ended = False
@@ -76,19 +88,18 @@
         "_deferred",
         "_edges",
         "_handled_reports",
+        "_profiles",
         "_recalled",
         "_registry",
-        "_requested_ms",
         "_router",
         "_samples",
         "_samples_out",
+        "_slot_requests",
         "_slots",
-        "_slots_wanted",
-        "_tree",
         "_why_unready",
         "finished",
-        "given_up",
         "live_peak",
+        "preempted",
         "recalls",
     )
     HANDLES = (SlotsWanted,)
@@ -98,23 +109,25 @@
         edge: str,
         router: RequestRouter,
         registry: WorkerRegistry,
-        tree: Callable[[], Any],
+        profiles: Callable[[], ProfileTree],
         why_unready: Callable[[], str],
         edges: Callable[[], list[tuple[str, str]]],
     ) -> None:
-        self._router, self._registry, self._tree = router, registry, tree
-        self._why_unready, self._edges = why_unready, edges
+        self._router = router
+        self._registry = registry
+        self._profiles = profiles
+        self._why_unready = why_unready
+        self._edges = edges
         self._slots = LendableSlots(
-            edge, router, registry, tree, edges, lambda worker: self.live_peak(worker)
+            edge, router, registry, profiles, edges, lambda worker: self.live_peak(worker)
         )
         self._samples: list[_Sample] = []
-        self._deferred: list[tuple[int, Callable[[], None]]] = []
-        self._handled_reports: dict[str, tuple[int, int]] = {}
-        self._slots_wanted: dict[str, int] = {}
-        self._requested_ms = _LONG_AGO_MS
+        self._deferred: list[_DeferredReport] = []
+        self._handled_reports: dict[str, _WorkerReport] = {}
+        self._slot_requests = SlotRequests()
         self._recalled = False
         self._samples_out = 0
-        self.given_up = self.finished = self.recalls = 0
+        self.preempted = self.finished = self.recalls = 0
         self.live_peak: Callable[[str], int | None] = lambda worker: None
         router.slot_lender = self
 
@@ -122,7 +135,7 @@
 
     def lends(self) -> bool:
         """Return whether any usable profile lends slots."""
-        return bool(self._slots.profiles())
+        return bool(self._slots.lending_profiles())
 
     @property
     def recalled(self) -> bool:
@@ -133,16 +146,16 @@
         """Return how many samples run at this edge."""
         return len(self._samples)
 
-    def room(self) -> tuple[int, frozenset[str]]:
+    def capacity(self) -> tuple[int, frozenset[str]]:
         """Return how many samples could start now, one for each worker, and on which paths."""
         if self._recalled or self._why_unready():
             return 0, frozenset()
-        return self._slots.room()
+        return self._slots.capacity()
 
     def choose(
         self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
     ) -> Worker | None:
-        """Choose a worker for a sample, on the carrier's behalf; None if no worker may take it.
+        """Choose a worker for a sample, on the router's behalf; None if no worker may take it.
 
         The least loaded one is taken of those that aren't known to have other weights.
         """
@@ -150,20 +163,19 @@
 
     # -- running -------------------------------------------------------------------------------
 
-    def start(self, work: RolloutAssignment, done: Done) -> Callable[[], None]:
+    def start(self, assignment: RolloutAssignment, done: ItemDone) -> Callable[[], None]:
         """Run a sample and return a function that stops it.
 
-        `done` gets the outcome (`ran`, `refused` or `again`), the result or the reason, and the
-        worker.
+        `done` gets the outcome (RAN, REFUSED or AGAIN), the result or the reason, and the worker.
         """
-        sample = _Sample(work, done)
-        profile, env = self._tree().usable(work.path), self.node.env
+        sample = _Sample(assignment, done)
+        profile, env = self._profiles().usable(assignment.path), self.node.env
         if profile is None or self._recalled or self._why_unready():
             self._retry_later(sample)
             return lambda: self._stop(sample)
         due_ms = env.now() + max(profile.deadline_ms, 2 * self.node.settings.force_ms)
         lifecycle = RequestLifecycle(
-            f"{env.token()}-{work.job_id}-{work.index}",
+            f"{env.token()}-{assignment.job_id}-{assignment.index}",
             profile,
             "",
             env.now(),
@@ -172,9 +184,9 @@
             claimed=True,
         )
         lifecycle.idempotent = True
-        lifecycle.job = ItemKey(work.job_id, work.index)
+        lifecycle.job = ItemKey(assignment.job_id, assignment.index)
         self._samples.append(sample)
-        call = SampleCall(json.loads(work.body), work.weights)
+        call = SampleCall(json.loads(assignment.body), assignment.weights)
         in_flight = self._router.start(
             lifecycle, call, None, lambda step: self._ended(sample, lifecycle, call, step)
         )
@@ -189,28 +201,32 @@
             return
         self._close(sample)
         worker = lifecycle.attempts[-1][0] if lifecycle.attempts else ""
-        for stamp, reason in lifecycle.attempts:
+        for instance_id, reason in lifecycle.attempts:
             if reason == OTHER_WEIGHTS:
-                self._slots.has_other_weights(stamp, sample.work.weights)
-        if step.kind != "finish" or step.response is None:
+                self._slots.record_other_weights(instance_id, sample.assignment.weights)
+        if step.kind is not StepKind.FINISH or step.response is None:
             self._retry_later(sample)
-        elif step.response.status == 200:
+        elif step.response.status == _OK:
             self.finished += 1
             sample.done(
-                "ran",
+                ItemOutcome.RAN,
                 sample_result(
-                    sample.work, worker, call.told or call.weights, cast(str, step.response.body)
+                    sample.assignment,
+                    worker,
+                    call.reported_weights or call.weights,
+                    cast(str, step.response.body),
                 ),
                 worker,
             )
         else:
-            sample.done("refused", step.response.body, worker)
+            sample.done(ItemOutcome.REFUSED, step.response.body, worker)
 
     def _retry_later(self, sample: _Sample) -> None:
         def report() -> None:
-            sample.done("again", "", "")
+            sample.done(ItemOutcome.AGAIN, "", "")
 
-        self._deferred.append((self.node.env.now() + self.node.settings.heartbeat_ms, report))
+        due_ms = self.node.env.now() + self.node.settings.heartbeat_ms
+        self._deferred.append(_DeferredReport(due_ms, report))
 
     def _close(self, sample: _Sample) -> None:
         sample.has_ended = True
@@ -231,77 +247,81 @@
         worker = "" if sample.worker is None else sample.worker.identity
         self.node.env.log(
             "sample-given-up",
-            job=sample.work.job_id,
-            index=sample.work.index,
-            claim_number=sample.work.claim_number,
+            job=sample.assignment.job_id,
+            index=sample.assignment.index,
+            claim_number=sample.assignment.claim_number,
             worker=worker,
             reason=reason,
         )
-        self.given_up += 1
+        self.preempted += 1
         self._stop(sample)
-        sample.done("again", "", "")
+        sample.done(ItemOutcome.AGAIN, "", "")
 
-    # -- giving back ---------------------------------------------------------------------------
+    # -- preemption ----------------------------------------------------------------------------
 
     def _samples_at(self, worker: Worker) -> list[_Sample]:
         """Return the samples that run at a worker, newest first."""
         return [sample for sample in reversed(self._samples) if sample.worker is worker]
 
-    def _preempt_at(self, worker: Worker, slots: int, reason: str) -> int:
+    def _preempt_at(self, worker: Worker, slots: int, reason: str) -> None:
         samples = self._samples_at(worker)[: max(0, slots)]
         for sample in samples:
             self._preempt(sample, reason)
-        return len(samples)
 
-    def reclaim_slot(self, worker: Worker, call: Any) -> None:
-        """Make room at a worker before something other than a sample is sent there.
+    def reclaim_slot(self, worker: Worker, call: Call | ForwardCall) -> None:
+        """Free a slot at a worker before something other than a sample is sent there.
 
-        Called by the carrier; a live call also takes precedence over samples whose prompt may still
+        Called by the router; a live call also takes precedence over samples whose prompt may still
         be unread.
         """
         if worker.borrowed:
             now_ms = self.node.env.now()
-            reading_ms = self.node.settings.heartbeat_ms
+            prefill_ms = self.node.settings.heartbeat_ms
             for sample in self._samples_at(worker):
                 attempt = sample.attempt
-                if not call.job and attempt is not None and unstarted(attempt, now_ms, reading_ms):
+                if (
+                    not call.job
+                    and attempt is not None
+                    and may_be_prefilling(attempt, now_ms, prefill_ms)
+                ):
                     self._preempt(sample, "a live call comes first")
-            over = math.ceil(
+            excess = math.ceil(
                 self._slots.used(worker)
                 - worker.borrowed_elsewhere
                 + 1
                 - self._slots.usable(worker)
             )
-            if over > 0:
+            if excess > 0:
                 self._preempt_at(
                     worker,
-                    over,
+                    excess,
                     "an item needs the slot" if call.job else "a live call needs the slot",
                 )
         if not call.job and self._slots.used(worker) + 1 > self._slots.usable(worker):
-            self._note_demand(worker)
+            self._request_live_share(worker)
 
     def reclaim_slots(self, workers: Iterable[Worker]) -> None:
         """Give back all slots at these workers, since a live call found no free slot at any."""
         workers = list(workers)
         for worker in workers:
             self._preempt_at(worker, worker.borrowed, "a live call waits")
-        for worker in workers[:_MOST_WORKERS_WANTED]:
-            self._note_demand(worker)
+        for worker in workers[:_MAX_REQUESTED_WORKERS]:
+            self._request_live_share(worker)
 
-    def _note_demand(self, worker: Worker) -> None:
+    def _request_live_share(self, worker: Worker) -> None:
         """Ask other edges to keep the worker's live share free, if they have samples running."""
         if self._samples_out > len(self._samples):
-            self._slots_wanted[worker.identity] = self._slots_wanted.get(worker.identity, 0) + 1
-            if self.node.env.now() - self._requested_ms >= self.node.settings.delta_ms:
-                self._request_slots()
+            self._slot_requests.add(worker.identity)
+            self._request_slots()
 
     def _request_slots(self) -> None:
-        self._requested_ms = self.node.env.now()
-        wanted, self._slots_wanted = self._slots_wanted, {}
+        """Send the requests that are due to the other edges."""
+        requests = self._slot_requests.take_due(self.node.env.now(), self.node.settings.delta_ms)
+        if not requests:
+            return
         for _, address in self._edges():
-            for identity, slots in wanted.items():
-                self.node.send(address, SlotsWanted(worker=identity, slots=slots))
+            for request in requests:
+                self.node.send(address, request)
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Give slots back because a live call at another edge needs them."""
@@ -310,7 +330,7 @@
             if worker.identity == wanted.worker:
                 self._preempt_at(worker, wanted.slots, "a live call elsewhere needs the slot")
 
-    def on_heartbeat_response(self, response: Any) -> None:
+    def on_heartbeat_response(self, response: RolloutHeartbeatResponse) -> None:
         """Take from the leader's response how many samples the fleet runs, and whether to stop."""
         self._samples_out = response.samples_out
         if response.recalled and not self._recalled:
@@ -326,12 +346,11 @@
     def tick(self) -> None:
         """Report what is due to the log, ask other edges for slots and review workers in use."""
         now_ms = self.node.env.now()
-        due = [report for at_ms, report in self._deferred if at_ms <= now_ms]
-        self._deferred = [row for row in self._deferred if row[0] > now_ms]
-        for report in due:
-            report()
-        if self._slots_wanted and now_ms - self._requested_ms >= self.node.settings.delta_ms:
-            self._request_slots()
+        due = [deferred for deferred in self._deferred if deferred.due_ms <= now_ms]
+        self._deferred = [deferred for deferred in self._deferred if deferred.due_ms > now_ms]
+        for deferred in due:
+            deferred.report()
+        self._request_slots()
         if not self._samples:
             return
         if reason := self._why_unready() or ("" if self.lends() else "nothing is lent any more"):
@@ -343,14 +362,16 @@
 
     def _review(self, worker: Worker) -> None:
         """Give back what a worker needs; each report that somebody waits is acted on once."""
-        report = (worker.beat, worker.load_reported_ms)
+        report = _WorkerReport(worker.beat, worker.load_reported_ms)
         if not self._registry.is_usable(worker):
             self._preempt_at(worker, worker.borrowed, "the worker is not to be used")
         elif worker.waiting and self._handled_reports.get(worker.instance_id) != report:
             self._handled_reports[worker.instance_id] = report
             self._preempt_at(worker, worker.waiting, "somebody waits at the worker")
         else:
-            share = max((profile.loan_share for profile in self._slots.profiles()), default=0.0)
+            share = max(
+                (profile.loan_share for profile in self._slots.lending_profiles()), default=0.0
+            )
             self._preempt_at(
                 worker,
                 worker.borrowed - self._slots.entitlement(worker, share),
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -2,33 +2,41 @@
 
 import math
 from collections.abc import Callable
-from typing import Any
+from typing import NamedTuple
 
+from control_store import Profile, ProfileTree
 from request_routing import RequestLifecycle, RequestRouter, Worker, WorkerRegistry
 
 from capacity_sharing.entitlement import Entitlements
-from capacity_sharing.sampling import unstarted
+from capacity_sharing.sampling import may_be_prefilling
 
 __all__ = ["LendableSlots"]
 
 
+class _LendingProfiles(NamedTuple):
+    """The usable profiles of a tree that lend slots."""
+
+    tree: ProfileTree | None
+    profiles: list[Profile]
+
+
 class LendableSlots:
     """The slots that the profiles in force lend, less what calls, items and other edges need.
 
-    `tree` gives the profiles in force, `edges` identity and address of the other live edges.
+    `profiles` gives the profiles in force, `edges` identity and address of the other live edges.
     `live_peak` gives how many live calls a worker lately had at once, None while unknown.
     """
 
     __slots__ = (
         "_edge",
         "_edges",
-        "_entitled",
+        "_entitlements",
         "_lending",
         "_live_peak",
-        "_other_weights",
+        "_other_weights_until_ms",
+        "_profiles",
         "_registry",
         "_router",
-        "_tree",
     )
 
     def __init__(
@@ -36,51 +44,56 @@
         edge: str,
         router: RequestRouter,
         registry: WorkerRegistry,
-        tree: Callable[[], Any],
+        profiles: Callable[[], ProfileTree],
         edges: Callable[[], list[tuple[str, str]]],
         live_peak: Callable[[str], int | None],
     ) -> None:
-        self._edge, self._router, self._registry, self._tree = edge, router, registry, tree
-        self._edges, self._live_peak = edges, live_peak
-        self._entitled = Entitlements()
-        self._lending: tuple[Any, list[Any]] = (None, [])
-        self._other_weights: dict[tuple[str, str], int] = {}
-
-    def profiles(self) -> list[Any]:
+        self._edge = edge
+        self._router = router
+        self._registry = registry
+        self._profiles = profiles
+        self._edges = edges
+        self._live_peak = live_peak
+        self._entitlements = Entitlements()
+        self._lending = _LendingProfiles(None, [])
+        self._other_weights_until_ms: dict[tuple[str, str], int] = {}
+
+    def lending_profiles(self) -> list[Profile]:
         """Return the usable profiles that lend slots, cached until the profiles change."""
-        tree = self._tree()
-        if self._lending[0] is not tree:
+        tree = self._profiles()
+        if self._lending.tree is not tree:
             lends = any(row.get("loan_share") for row in tree.rows.values())
-            found = [tree.usable(name) for name in tree.rows] if lends else []
-            self._lending = (
+            usable = [tree.usable(name) for name in tree.rows] if lends else []
+            self._lending = _LendingProfiles(
                 tree,
-                [profile for profile in found if profile is not None and profile.loan_share > 0],
+                [profile for profile in usable if profile is not None and profile.loan_share > 0],
             )
-        return self._lending[1]
+        return self._lending.profiles
 
-    def room(self) -> tuple[int, frozenset[str]]:
+    def capacity(self) -> tuple[int, frozenset[str]]:
         """Return how many workers take a sample now, and the paths on which they do."""
-        reading = self._reading()
-        room, paths = 0, set()
+        prefilling = self._prefilling_instances()
+        capacity = 0
+        paths: set[str] = set()
         for worker in self._registry.workers():
             open_paths = [
                 profile.name
-                for profile in self.profiles()
+                for profile in self.lending_profiles()
                 if profile.allows(worker.identity, worker.labels)
-                and self._takes(worker, profile, reading)
+                and self._takes_sample(worker, profile, prefilling)
             ]
-            room += bool(open_paths)
+            capacity += bool(open_paths)
             paths.update(open_paths)
-        return room, frozenset(paths)
+        return capacity, frozenset(paths)
 
-    def _reading(self) -> set[str]:
-        """Stamps of the workers that may still be reading a prompt of this edge's calls."""
+    def _prefilling_instances(self) -> set[str]:
+        """Return the instance ids of workers that may still be reading a prompt of this edge."""
         node = self._router.node
-        now_ms, reading_ms = node.env.now(), node.settings.heartbeat_ms
+        now_ms, prefill_ms = node.env.now(), node.settings.heartbeat_ms
         return {
-            send.worker.instance_id
-            for send in self._router.attempts()
-            if unstarted(send, now_ms, reading_ms)
+            attempt.worker.instance_id
+            for attempt in self._router.attempts()
+            if may_be_prefilling(attempt, now_ms, prefill_ms)
         }
 
     def used(self, worker: Worker) -> float:
@@ -91,15 +104,15 @@
 
     def usable(self, worker: Worker) -> int:
         """Return how many slots of a worker may be used before the share kept for live calls."""
-        kept = math.ceil(worker.slots * self._router.node.settings.live_share)
-        usable: int = worker.slots - kept
+        live_slots = math.ceil(worker.slots * self._router.node.settings.live_share)
+        usable: int = worker.slots - live_slots
         return usable
 
-    def _takes(self, worker: Worker, profile: Any, reading: set[str]) -> bool:
+    def _takes_sample(self, worker: Worker, profile: Profile, prefilling: set[str]) -> bool:
         return (
             not worker.waiting
             and worker.full_until_ms <= self._router.node.env.now()
-            and worker.instance_id not in reading
+            and worker.instance_id not in prefilling
             and self.used(worker) < self.usable(worker)
             and worker.borrowed < self.entitlement(worker, profile.loan_share)
         )
@@ -114,27 +127,27 @@
             return 0
         edges = [self._edge, *(identity for identity, _ in self._edges())]
         lendable = min(math.floor(worker.slots * share), self.usable(worker) - peak)
-        return self._entitled.slots(self._edge, edges, worker.identity, max(0, lendable))
+        return self._entitlements.slots(self._edge, edges, worker.identity, max(0, lendable))
 
-    def has_other_weights(self, stamp: str, weights: str) -> None:
+    def record_other_weights(self, instance_id: str, weights: str) -> None:
         """Offer the worker no sample that wants these weights until `force_ms` has passed."""
         node = self._router.node
-        self._other_weights[stamp, weights] = node.env.now() + node.settings.force_ms
+        self._other_weights_until_ms[instance_id, weights] = node.env.now() + node.settings.force_ms
 
     def choose(
         self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
     ) -> Worker | None:
         """Return the least loaded worker that takes a sample of these weights, or None."""
-        now_ms, reading = self._router.node.env.now(), self._reading()
-        fit = [
+        now_ms, prefilling = self._router.node.env.now(), self._prefilling_instances()
+        candidates = [
             worker
             for worker in workers
             if worker.instance_id not in lifecycle.avoid
-            and self._takes(worker, lifecycle.profile, reading)
-            and self._other_weights.get((worker.instance_id, weights), -1) < now_ms
+            and self._takes_sample(worker, lifecycle.profile, prefilling)
+            and self._other_weights_until_ms.get((worker.instance_id, weights), -1) < now_ms
         ]
         return min(
-            fit,
+            candidates,
             key=lambda worker: (self.used(worker) / worker.slots, worker.identity),
             default=None,
         )
--- a/libs/control_plane/src/control_plane/__init__.py
+++ b/libs/control_plane/src/control_plane/__init__.py
@@ -3,8 +3,8 @@
 Modules, from the inside out:
 
 - `nodes` assembles the control node from components. Two components of its own change control keys
-  for callers: `configuration_changes` and `retirement`, with `pending_calls` and
-  `retired_machines`.
+  for callers: `configuration_changes` and `retirement`, with
+  `retired_machines` and `capacity_sharing.pending_calls`.
 - `profiles_api`, `members_api`, `retirement_api`, `workers_api` and `loans_api` are the handlers of
   the HTTP interface, one module for each concern; `request_bodies` validates what operators send,
   `key_operations` turns results into responses, and `member_status` describes members.
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -17,6 +17,7 @@
 from enum import StrEnum
 from typing import Any
 
+from capacity_sharing.pending_calls import CallState, PendingCall, PendingCalls
 from control_store import (
     NO_BASE,
     Change,
@@ -31,8 +32,6 @@
 from expression import Result
 from messaging import Component
 
-from control_plane.pending_calls import CallState, PendingCall, PendingCalls
-
 __all__ = [
     "ConfigurationChange",
     "ConfigurationChanges",
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -95,7 +95,7 @@
         return _response(
             worker,
             await awaited(
-                lambda done: self._node.loans.take_back(worker, body.loan, body.weights, done)
+                lambda done: self._node.loans.return_worker(worker, body.loan, body.weights, done)
             ),
         )
 
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -15,13 +15,13 @@
 from enum import StrEnum
 from typing import Any
 
+from capacity_sharing.pending_calls import CallState, PendingCall, PendingCalls
 from config_feed import ConfigFeed
 from control_store import Change, ChangeResult, KeyOwner, Outcome, ReadKey
 from data_plane.control_keys import LOG_KEY, RETIRED_KEY
 from membership import Membership
 from messaging import Component
 
-from control_plane.pending_calls import CallState, PendingCall, PendingCalls
 from control_plane.retired_machines import RetiredMachines
 
 __all__ = ["Retirement", "RetirementStatus"]
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -138,7 +138,7 @@
             "edge_workers": len(node.registry.workers()),
             "edge_samples_now": node.sample_runner.running(),
             "edge_samples_finished_total": node.sample_runner.finished,
-            "edge_samples_given_up_total": node.sample_runner.given_up,
+            "edge_samples_given_up_total": node.sample_runner.preempted,
             "edge_loans_recalled_total": node.sample_runner.recalls,
             "edge_workers_lent": len(node.registry.lent),
             "feed_place": node.config_feed.position,
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from batch_state import BatchService
-from capacity_sharing import JobOutlook
+from capacity_sharing import JobDeadlineForecast
 from control_store import ControlClient
 from membership import rendezvous_order
 from messaging import Environment
@@ -44,7 +44,7 @@
         )
         self.log: LogReplica = LogReplica(local, self.control, self, self.batch_service.set_leader)
         self.archive_repair = ArchiveRepair(local, self._other_members)
-        self.batch_service.make_forecast = lambda: JobOutlook(settings.failure_timeout_ms)
+        self.batch_service.make_forecast = lambda: JobDeadlineForecast(settings.failure_timeout_ms)
         self.batch_service.archive = local.archive
         self.batch_service.request_repair = self.archive_repair.repair
         local.archive.on_archived = self._release_archived
--- a/libs/request_routing/src/request_routing/batch_execution/job_runner.py
+++ b/libs/request_routing/src/request_routing/batch_execution/job_runner.py
@@ -44,7 +44,7 @@
         """Whether any profile lends slots to rollouts."""
         ...
 
-    def room(self) -> Capacity:
+    def capacity(self) -> Capacity:
         """Return how many samples may start now, and on which routes."""
         ...
 
@@ -154,7 +154,7 @@
                 paths=paths,
                 running=running,
             )
-        sample_capacity, sample_paths = self._capacity_now(self.samples.room)
+        sample_capacity, sample_paths = self._capacity_now(self.samples.capacity)
         return messages.RolloutHeartbeat(
             edge=self.edge,
             address=self.node.address,
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -218,7 +218,7 @@
                 self._report_return(worker, loan)
 
         if hosts:
-            self._rng.choice(hosts).node.loans.take_back(
+            self._rng.choice(hosts).node.loans.return_worker(
                 worker.identity, loan, worker.weights, outcomes.append
             )
         self._time.after(_REPORT_MS, report_again)
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -1,12 +1,13 @@
-"""Loans of spare capacity: the states of a worker that is lent, what live calls and lots keep back from loans, and samples
-that give way, each by a table of its own.
+"""Shared capacity: the states of a lent worker, what live calls and batch jobs need of the workers, the forecast of jobs'
+deadlines, and samples of rollouts, each by a table of its own.
 """
 
 import json
 from types import SimpleNamespace
 
-from batch_state import entries as e
+from batch_state import entries
 from batch_state.state import BatchState
+from capacity_sharing.deadline_forecast import JobDeadlineForecast
 from capacity_sharing.entitlement import Entitlements
 from capacity_sharing.load import EdgeLoad, LiveLoad
 from capacity_sharing.loan_table import (
@@ -17,7 +18,6 @@
     returned,
     withdrawn,
 )
-from capacity_sharing.outlook import JobOutlook
 from capacity_sharing.sampling import SampleCall, SampleExchange
 from control_store import ProfileTree
 from testtools import TestCase
@@ -32,7 +32,7 @@
     return granted(table, "w", "trainer", "v2", 1000, 100)
 
 
-class States(TestCase):
+class LoanTableChanges(TestCase):
     """From each state, what each change gives; a refusal changes nothing."""
 
     STEPS = {
@@ -54,36 +54,36 @@
         ("serving again", ["grant", "drained", "recalled", "returned"], {"grant": "lending"}),
     ]
 
-    def test_rows(self):
-        for name, way, allowed in self.ROWS:
+    def test_each_change_from_each_state(self):
+        for name, steps, allowed in self.ROWS:
             table = LoanTable.from_body("")
-            for step in way:
+            for step in steps:
                 table = self.STEPS[step](table).ok
             for step, change in self.STEPS.items():
-                made = change(table)
-                state = made.ok.loans["w"].state if made.is_ok() else None
+                changed = change(table)
+                state = changed.ok.loans["w"].state if changed.is_ok() else None
                 self.assertThat(state, Equals(allowed.get(step)), f"{name}: {step}")
-                if made.is_ok():
-                    self.assertThat(made.ok.epoch, Equals(table.epoch + 1))
+                if changed.is_ok():
+                    self.assertThat(changed.ok.epoch, Equals(table.epoch + 1))
                     self.assertThat(
-                        LoanTable.from_body(made.ok.body()).loans, Equals(made.ok.loans)
+                        LoanTable.from_body(changed.ok.body()).loans, Equals(changed.ok.loans)
                     )
                     self.assertThat(
-                        made.ok.withheld(), Equals(frozenset() if state == "serving" else {"w"})
+                        changed.ok.withheld(), Equals(frozenset() if state == "serving" else {"w"})
                     )
 
 
-class Kept(TestCase):
-    """What is kept back from loans of whole workers."""
+class LendingLimits(TestCase):
+    """Which workers may be lent whole, and which are recalled."""
 
-    TREE = ProfileTree(
+    PROFILES = ProfileTree(
         {"rulings": {"workers": {"labels": ["gpu"]}}, "other": {"workers": {"labels": ["cpu"]}}}
     )
 
     def load(self, rows, window_ms=1000, at_risk=False, waiting=0):
         load = LiveLoad(500, lambda: window_ms)
         for now_ms in range(0, 1300, 100):
-            load.take(
+            load.record_report(
                 "e1",
                 EdgeLoad(
                     edge="e1",
@@ -94,10 +94,10 @@
                 ),
                 now_ms,
             )
-            load.note(now_ms)
+            load.measure(now_ms)
         return load
 
-    def test_why_not(self):
+    def test_refusal_reasons(self):
         def row(zone="a", label="gpu", live=0, usable=True):
             return [zone, [label], 4, live, live, usable, 0]
 
@@ -108,14 +108,14 @@
             ("unusable", {**three, "w": row(usable=False)}, {}, frozenset(), "no edge"),
             ("last in its zone", {"w": row(), "x": row("b")}, {}, frozenset(), "it is the last"),
             (
-                "last of its kind",
+                "last with its label",
                 {"w": row(), "x": row(label="cpu")},
                 {},
                 frozenset(),
                 "it is the last",
             ),
             (
-                "the other one is out",
+                "the other one is withheld",
                 {"w": row(), "x": row()},
                 {},
                 frozenset({"x"}),
@@ -128,7 +128,7 @@
                 frozenset(),
                 "live calls",
             ),
-            ("waited for", three, {"waiting": 9}, frozenset(), "live calls"),
+            ("calls wait", three, {"waiting": 9}, frozenset(), "live calls"),
             (
                 "enough stay",
                 {"w": row(live=2), "x": row(live=2), "y": row(live=2)},
@@ -136,51 +136,55 @@
                 frozenset(),
                 "",
             ),
-            ("not watched", three, {"window_ms": 5000}, frozenset(), "the live load has not"),
-            ("lots at risk", three, {"at_risk": True}, frozenset(), "a lot"),
+            ("no whole window", three, {"window_ms": 5000}, frozenset(), "the live load has not"),
+            ("jobs at risk", three, {"at_risk": True}, frozenset(), "a lot"),
         ]
-        for name, rows, more, out, wanted in table:
-            why = self.load(rows, **more).why_not("w", self.TREE, out, 1200)
+        for name, rows, options, withheld, expected in table:
+            reason = self.load(rows, **options).refusal_reason("w", self.PROFILES, withheld, 1200)
             self.assertThat(
-                (bool(why), why[: len(wanted)]), Equals((bool(wanted), wanted)), f"{name}: {why}"
+                (bool(reason), reason[: len(expected)]),
+                Equals((bool(expected), expected)),
+                f"{name}: {reason}",
             )
 
-    def test_why_recall(self):
+    def test_recall_reasons(self):
         def rows(live, *names):
             return {name: ["a", ["gpu"], 4, live, live, True, 0] for name in names}
 
-        for name, seen, more, wanted in [
+        for name, reported, options, expected in [
             ("quiet", rows(1, "x", "y"), {}, ""),
             ("busy", rows(4, "x", "y"), {}, "live calls"),
-            ("lots", rows(0, "x", "y"), {"at_risk": True}, "a lot"),
+            ("jobs at risk", rows(0, "x", "y"), {"at_risk": True}, "a lot"),
         ]:
-            load = self.load(rows(0, "w"), **more)
-            load.take(
+            load = self.load(rows(0, "w"), **options)
+            load.record_report(
                 "e1",
                 EdgeLoad(
                     edge="e1",
                     number=1,
-                    workers=json.dumps(seen),
+                    workers=json.dumps(reported),
                     waiting=0,
-                    jobs_at_risk=bool(more),
+                    jobs_at_risk=bool(options),
                 ),
                 1250,
             )
-            load.note(1250)
-            why = load.why_recall("w", self.TREE, frozenset({"w"}))
+            load.measure(1250)
+            reason = load.recall_reason("w", self.PROFILES, frozenset({"w"}))
             self.assertThat(
-                (bool(why), why[: len(wanted)]), Equals((bool(wanted), wanted)), f"{name}: {why}"
+                (bool(reason), reason[: len(expected)]),
+                Equals((bool(expected), expected)),
+                f"{name}: {reason}",
             )
 
     def test_edges_together_fill_no_more_than_is_lent(self):
         for count in (1, 2, 3, 8):
-            edges = [f"e{place}" for place in range(count)]
+            edges = [f"e{index}" for index in range(count)]
             for lendable in (0, 1, 5, 24):
                 shares = [Entitlements().slots(edge, edges, "w", lendable) for edge in edges]
                 self.assertThat(sum(shares), Equals(lendable), f"{count} {lendable}")
 
 
-class Outlook(TestCase):
+class JobDeadlineForecasts(TestCase):
     def job(self, **fields):
         return SimpleNamespace(
             **{
@@ -196,9 +200,9 @@
             }
         )
 
-    def test_rows(self):
+    def test_jobs_at_risk(self):
         rows = [
-            ("no lot", [], 0, False),
+            ("no job", [], 0, False),
             ("in time", [self.job()], 0, False),
             ("too near", [self.job()], 8500, True),
             ("nothing waits", [self.job(waiting=0)], 9900, False),
@@ -212,24 +216,26 @@
                 False,
             ),
         ]
-        for name, jobs, log_ms, wanted in rows:
-            outlook = JobOutlook(1000)
-            outlook.heard(SimpleNamespace(edge="e", capacity=2), 0)
-            outlook.took("p", 200)
+        for name, jobs, log_ms, expected in rows:
+            forecast = JobDeadlineForecast(1000)
+            forecast.record_heartbeat(SimpleNamespace(edge="e", capacity=2), 0)
+            forecast.record_item_duration("p", 200)
             state = SimpleNamespace(open_jobs=dict(enumerate(jobs)))
             logged = []
             self.assertThat(
-                outlook.at_risk(
-                    state, log_ms, lambda *told, logged=logged, **fields: logged.append(told[0])
+                forecast.at_risk(
+                    state,
+                    log_ms,
+                    lambda event, *level, logged=logged, **fields: logged.append(event),
                 ),
-                Equals(wanted),
+                Equals(expected),
                 name,
             )
-            self.assertThat(logged, Equals(["loans-recalled"] if wanted else []), name)
+            self.assertThat(logged, Equals(["loans-recalled"] if expected else []), name)
 
 
-class Samples(TestCase):
-    def test_only_an_answer_of_the_weights_wanted_counts(self):
+class RolloutSamples(TestCase):
+    def test_only_an_answer_of_the_wanted_weights_counts(self):
         event = b'id: 0\ndata: {"id": "t", "choices": [{"index": 0, "text": "w"}]}\n\n'
         rows = [
             ("v1", ["v1"], "complete", "v1"),
@@ -239,7 +245,7 @@
             ("", [], "complete", ""),
             ("v1", ["v1", "v2"], "failed", ""),
         ]
-        for wanted, told, fate, seen in rows:
+        for wanted, named, outcome, reported in rows:
             call = SampleCall({"prompt": "a"}, wanted)
             exchange = SampleExchange("w/1", "t", 1000, call)
             exchange.head(
@@ -247,21 +253,21 @@
                 [
                     ("X-Vaneledge-Worker", "w/1"),
                     ("X-Vaneledge-Transaction", "t"),
-                    *(("x-vaneledge-weights", name) for name in told),
+                    *(("x-vaneledge-weights", name) for name in named),
                 ],
                 None,
             )
             _, early = exchange.data(event + b"data: [DONE]\n\n")
             self.assertThat(
-                ((early or exchange.end()).kind, call.told),
-                Equals((fate, seen)),
-                f"{wanted} {told}",
+                ((early or exchange.end()).kind, call.reported_weights),
+                Equals((outcome, reported)),
+                f"{wanted} {named}",
             )
 
-    def test_a_rollout_is_folded_dumped_and_counts_for_no_lot(self):
+    def test_a_rollout_is_applied_dumped_and_counts_for_no_job(self):
         state = BatchState()
         rows = [
-            e.RolloutAdmitted(
+            entries.RolloutAdmitted(
                 job_id="rollout:r",
                 digest="d",
                 path="p",
@@ -271,10 +277,10 @@
                 expires_ms=9,
                 at_ms=1,
             ),
-            e.ItemClaimed(job_id="rollout:r", index=4, edge="e1", claim_number=1),
-            e.ItemReturned(job_id="rollout:r", index=4, claim_number=1),
-            e.ItemClaimed(job_id="rollout:r", index=0, edge="e1", claim_number=2),
-            e.ItemFinished(job_id="rollout:r", index=0, outcome="ran", body="x", worker="w"),
+            entries.ItemClaimed(job_id="rollout:r", index=4, edge="e1", claim_number=1),
+            entries.ItemReturned(job_id="rollout:r", index=4, claim_number=1),
+            entries.ItemClaimed(job_id="rollout:r", index=0, edge="e1", claim_number=2),
+            entries.ItemFinished(job_id="rollout:r", index=0, outcome="ran", body="x", worker="w"),
         ]
         for row in rows:
             state.apply(row)
@@ -284,10 +290,10 @@
             Equals((6, ["a", "a", "a", "b", "b", "b"], 1, 5)),
         )
         self.assertThat((state.backlog("p"), state.rollout_backlog("p")), Equals((0, 1)))
-        twin = state.copy()
+        copy = state.copy()
         self.assertThat(
-            [repr(row) for row in twin.dump()], Equals([repr(row) for row in state.dump()])
+            [repr(row) for row in copy.dump()], Equals([repr(row) for row in state.dump()])
         )
         self.assertThat(
-            (twin.jobs["rollout:r"].rollout, twin.jobs["rollout:r"].weights), Equals((True, "v1"))
+            (copy.jobs["rollout:r"].rollout, copy.jobs["rollout:r"].weights), Equals((True, "v1"))
         )
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -55,7 +55,7 @@
 )
 
 # Packages that still use some of these words, for a later session; this set only gets smaller.
-NOT_YET = frozenset({"capacity_sharing", "platform_testbed", "testbed"})
+NOT_YET = frozenset({"platform_testbed", "testbed"})
 
 KEPT = {
     "beat": "a field of the JSON body with which a worker reports",
