--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -139,7 +139,7 @@
 
     @property
     def recalled(self) -> bool:
-        """Whether the log's leader has recalled all samples, as a batch job may come late."""
+        """Whether the log's leader has recalled all samples for a batch job at risk."""
         return self._recalled
 
     def running(self) -> int:
@@ -275,31 +275,28 @@
         be unread.
         """
         if worker.borrowed:
-            now_ms = self.node.env.now()
-            prefill_ms = self.node.settings.heartbeat_ms
-            for sample in self._samples_at(worker):
-                attempt = sample.attempt
-                if (
-                    not call.job
-                    and attempt is not None
-                    and may_be_prefilling(attempt, now_ms, prefill_ms)
-                ):
-                    self._preempt(sample, "a live call comes first")
-            excess = math.ceil(
-                self._slots.used(worker)
-                - worker.borrowed_elsewhere
-                + 1
-                - self._slots.usable(worker)
-            )
-            if excess > 0:
-                self._preempt_at(
-                    worker,
-                    excess,
-                    "an item needs the slot" if call.job else "a live call needs the slot",
-                )
+            if not call.job:
+                self._preempt_prefilling(worker)
+            self._preempt_excess(worker, call.job)
         if not call.job and self._slots.used(worker) + 1 > self._slots.usable(worker):
             self._request_live_share(worker)
 
+    def _preempt_prefilling(self, worker: Worker) -> None:
+        """Preempt the samples at a worker whose prompt may still be unread."""
+        now_ms = self.node.env.now()
+        prefill_ms = self.node.settings.heartbeat_ms
+        for sample in self._samples_at(worker):
+            attempt = sample.attempt
+            if attempt is not None and may_be_prefilling(attempt, now_ms, prefill_ms):
+                self._preempt(sample, "a live call comes first")
+
+    def _preempt_excess(self, worker: Worker, for_item: bool) -> None:
+        """Preempt as many samples at a worker as one request more needs beside the live share."""
+        used = self._slots.used(worker) - worker.borrowed_elsewhere + 1
+        excess = math.ceil(used - self._slots.usable(worker))
+        reason = "an item needs the slot" if for_item else "a live call needs the slot"
+        self._preempt_at(worker, excess, reason)
+
     def reclaim_slots(self, workers: Iterable[Worker]) -> None:
         """Give back all slots at these workers, since a live call found no free slot at any."""
         workers = list(workers)
--- a/libs/simulator/src/simulator/history.py
+++ b/libs/simulator/src/simulator/history.py
@@ -61,7 +61,7 @@
     """The answer to a trainer that asked for a whole worker."""
     BORROWED = "borrowed"
     """A trainer that has taken a worker."""
-    HANDED_BACK = "handed-back"
+    RETURNED = "handed-back"
     """A trainer that has returned a worker."""
 
 
--- a/libs/simulator/src/simulator/rules_rollouts.py
+++ b/libs/simulator/src/simulator/rules_rollouts.py
@@ -182,11 +182,11 @@
 
 
 def lent_workers_alone(having: History, without: list[History]) -> Judgement:
-    """A borrower has its worker to itself, from taking it to handing it back.
+    """A borrower has its worker to itself, from taking it to returning it.
 
-    Nothing runs there when it takes the worker, and nothing begins before it hands it back.
+    Nothing runs there when it takes the worker, and nothing begins before it returns it.
     """
-    returned_ms = {row["loan"]: row["at_ms"] for row in having.rows_of(RowKind.HANDED_BACK)}
+    returned_ms = {row["loan"]: row["at_ms"] for row in having.rows_of(RowKind.RETURNED)}
     breaches = []
     for row in having.rows_of(RowKind.BORROWED):
         if row["running"]:
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -7,6 +7,7 @@
 import json
 from typing import Any
 
+from capacity_sharing import LoanOutcome, LoanState, LoanStatus
 from data_plane.responses import ServiceResponse
 from data_plane.rollout_service import RolloutBody
 
@@ -19,8 +20,8 @@
 _WATCH_MS = 50
 _REPORT_MS = 400
 _READ_LIMIT = 1000
-_LOAN_MS = 6000
-_DRAIN_MS = 1500
+_LEASE_MS = 6000
+_RECALL_MS = 1500
 _OK, _CREATED, _NOT_FOUND = 200, 201, 404
 
 
@@ -149,7 +150,7 @@
         self._time.after(every_ms, lambda: self.borrow(every_ms, weights, until_ms))
 
     def _request_loan(self, host: Any, identity: str, weights: str) -> None:
-        def answered(outcome: Any) -> None:
+        def answered(outcome: LoanOutcome) -> None:
             self._history.add(
                 RowKind.LOAN_REQUESTED,
                 self._time.now_ms,
@@ -158,14 +159,14 @@
                 reason=outcome.reason,
             )
 
-        host.node.loans.grant(identity, "trainer", weights, _LOAN_MS, _DRAIN_MS, answered)
+        host.node.loans.grant(identity, "trainer", weights, _LEASE_MS, _RECALL_MS, answered)
 
     def watch(self) -> None:
-        """Follow the loans at control: take lent workers and hand recalled ones back."""
+        """Follow the loans at control: take lent workers and return recalled ones."""
         for host in self._fleet.running("control"):
             for identity, row in host.node.loans.rows().items():
                 worker = self._running_worker(identity)
-                if worker is not None and row["state"] in ("lent", "recalled"):
+                if worker is not None and row["state"] in (LoanState.LENT, LoanState.RECALLED):
                     self._observe_loan(worker, row)
         self._time.after(_WATCH_MS, self.watch)
 
@@ -183,7 +184,7 @@
         """Take a worker whose loan is new, or return it if it is recalled."""
         loan = f"loan{row['loan']}"
         if worker.borrower == loan:
-            if row["state"] == "recalled":
+            if row["state"] == LoanState.RECALLED:
                 self._return(worker, row, "recalled")
             return
         if any(seen["loan"] == loan for seen in self._history.rows_of(RowKind.BORROWED)):
@@ -205,16 +206,16 @@
             return
         worker.borrower, worker.weights = "", row["weights"] or worker.weights
         self._history.add(
-            RowKind.HANDED_BACK, self._time.now_ms, worker=worker.identity, loan=loan, why=why
+            RowKind.RETURNED, self._time.now_ms, worker=worker.identity, loan=loan, why=why
         )
         self._report_return(worker, row["loan"])
 
     def _report_return(self, worker: Any, loan: int) -> None:
         hosts = self._fleet.running("control")
-        outcomes: list[Any] = []
+        outcomes: list[LoanOutcome] = []
 
         def report_again() -> None:
-            if not outcomes or outcomes[0].status == "doubt":
+            if not outcomes or outcomes[0].status is LoanStatus.DOUBT:
                 self._report_return(worker, loan)
 
         if hosts:
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -182,8 +182,8 @@
     ),
     "a call finds its slot borrowed": (
         "capacity_sharing/src/capacity_sharing/sample_runner.py",
-        "        if worker.borrowed:\n            now_ms",
-        "        if False:\n            now_ms",
+        "        if worker.borrowed:\n            if not call.job:",
+        "        if False:\n            if not call.job:",
         "tests/test_capacity_sharing_evening.py -k reclaims_its_slot",
     ),
     "samples of other edges count as load": (
