--- a/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent_workers.py
@@ -109,7 +109,7 @@
         self._sent_ms = now_ms
         report = load_report(
             self._edge,
-            self._config_feed.number(LOANS_KEY),
+            self._config_feed.version(LOANS_KEY),
             self._registry,
             self._router,
             self._at_risk(),
--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -8,9 +8,10 @@
 - `digest_targets`: which control nodes a node reports to, where the setting `fan_out` is on.
 - `patches`: JSON merge patches, in which changes of large bodies travel.
 
-Invariants: the number of a key never goes back at a node; a patch is applied only to the number it
-was made for; a node without contact to a majority hands out no updates. This package imports
-`messaging` and `membership`. A key whose versions nodes confirm is added in `version_tracker`.
+Invariants: the version of a key never goes back at a node; a patch is applied only to the
+version it was made for; a node without contact to a majority hands out no updates. This package
+imports `messaging` and `membership`. A key whose versions nodes confirm is added in
+`version_tracker`.
 """
 
 from config_feed.digest_targets import candidates
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -1,13 +1,13 @@
-"""The config feed at one node: the newest body of each key with its number.
+"""The config feed at one node: the newest body of each key with its version.
 
 A new version is relayed to all peers when it first arrives. Digests, exchanged every
 heartbeat_ms, find versions that were missed; a node that starts has none and is sent all, which
-serves as its snapshot. A change of a large body is sent as a merge patch on the number before it.
-Numbers never go back.
+serves as its snapshot. A change of a large body is sent as a merge patch on the version before it.
+Versions never go back.
 
 With fan_out, digests and versions travel through the voters: a node that is not a voter reports to
 a few of them, at a longer interval, and each voter relays new versions to the nodes that report to
-it first and tells the other voters the lowest numbers reported to it.
+it first and tells the other voters the lowest versions reported to it.
 """
 
 import json
@@ -30,17 +30,17 @@
 _PEER_DIGEST_EVERY = 5
 
 
-class KeyVersion:
+class VersionedBody:
     """A numbered version of a key with its whole JSON body."""
 
-    __slots__ = ("body", "number")
+    __slots__ = ("body", "version")
 
-    def __init__(self, number: int, body: str) -> None:
-        self.number = number
+    def __init__(self, version: int, body: str) -> None:
+        self.version = version
         self.body = body
 
 
-_NO_VERSION = KeyVersion(0, "")
+_NO_ENTRY = VersionedBody(0, "")
 
 
 class ConfigFeed(VersionTracker):
@@ -58,6 +58,7 @@
     __slots__ = (
         "_behind_since_ms",
         "_digest_targets",
+        "_entries",
         "_extra_addresses",
         "_ignore_digests_until_ms",
         "_patches",
@@ -65,7 +66,6 @@
         "_rounds",
         "_sent_ms",
         "_sent_watermarks",
-        "_versions",
         "_watchers",
         "control_quorum_heard_ms",
         "current_edge_heard_ms",
@@ -97,7 +97,7 @@
         self.sent_bytes = 0
         self._peer_addresses = peer_addresses
         self._extra_addresses = extra_addresses
-        self._versions: dict[str, KeyVersion] = {}
+        self._entries: dict[str, VersionedBody] = {}
         self._patches: dict[str, KeyUpdate] = {}
         self._watchers: list[Callable[[str, int, str], None]] = []
         self._sent_ms = NEVER_MS
@@ -111,58 +111,62 @@
         self._digest_targets = DigestTargets(node)
 
     def watch(self, watcher: Callable[[str, int, str], None]) -> None:
-        """Call `watcher` with key, number and body of each version that this node takes."""
+        """Call `watcher` with key, version and body of each version that this node takes."""
         self._watchers.append(watcher)
 
-    def number(self, key: str) -> int:
-        """Return the number held of a key, 0 for none."""
-        return self._versions.get(key, _NO_VERSION).number
+    def version(self, key: str) -> int:
+        """Return the version held of a key, 0 for none."""
+        return self._entries.get(key, _NO_ENTRY).version
 
     def body(self, key: str) -> str:
         """Return the body held of a key, empty for none."""
-        return self._versions.get(key, _NO_VERSION).body
+        return self._entries.get(key, _NO_ENTRY).body
 
     def value(self, key: str) -> Any:
         """Return the decoded JSON body held of a key, None for none."""
         body = self.body(key)
         return json.loads(body) if body else None
 
-    def numbers(self) -> dict[str, int]:
-        """Return the number held of each key."""
-        return {key: version.number for key, version in self._versions.items()}
+    def versions(self) -> dict[str, int]:
+        """Return the version held of each key."""
+        return {key: entry.version for key, entry in self._entries.items()}
 
     @property
     def position(self) -> int:
-        """The sum of all numbers held, by which operators compare nodes."""
-        return sum(self.numbers().values())
+        """The sum of all versions held, by which operators compare nodes."""
+        return sum(self.versions().values())
 
     # -- new versions --------------------------------------------------------------------------
 
-    def publish(self, key: str, number: int, body: str) -> None:
+    def publish(self, key: str, version: int, body: str) -> None:
         """Take a version that control has decided and relay it; older ones change nothing."""
-        current = self._versions.get(key, _NO_VERSION)
-        if number <= current.number:
+        current = self._entries.get(key, _NO_ENTRY)
+        if version <= current.version:
             return
         self._patches.pop(key, None)
-        if current.number and number == current.number + 1 and len(body) > _MIN_PATCHED_CHARACTERS:
+        if (
+            current.version
+            and version == current.version + 1
+            and len(body) > _MIN_PATCHED_CHARACTERS
+        ):
             patch = merge_diff(current.body, body)
             if merge(current.body, patch) == body:
                 self._patches[key] = KeyUpdate(
-                    key=key, number=number, base_number=current.number, body=patch
+                    key=key, version=version, base_version=current.version, body=patch
                 )
-        self._accept(key, number, body, "")
+        self._accept(key, version, body, "")
 
-    def _accept(self, key: str, number: int, body: str, sender: str) -> None:
-        self._versions[key] = KeyVersion(number, body)
+    def _accept(self, key: str, version: int, body: str, sender: str) -> None:
+        self._entries[key] = VersionedBody(version, body)
         self._behind_since_ms.pop(key, None)
         for watcher in self._watchers:
-            watcher(key, number, body)
+            watcher(key, version, body)
         self._relay(key, sender)
 
     def _relay(self, key: str, sender: str) -> None:
         """Send a version just accepted on to others, but not to the node that sent it."""
         patch = self._patches.get(key)
-        is_patched = patch is not None and patch.number == self.number(key)
+        is_patched = patch is not None and patch.version == self.version(key)
         updates = [encode(patch if patch is not None and is_patched else self._full_update(key))]
         if self.node.settings.fan_out:
             for address in self._relay_addresses(sender):
@@ -200,8 +204,8 @@
         )
 
     def _full_update(self, key: str) -> KeyUpdate:
-        version = self._versions[key]
-        return KeyUpdate(key=key, number=version.number, base_number=0, body=version.body)
+        entry = self._entries[key]
+        return KeyUpdate(key=key, version=entry.version, base_version=0, body=entry.body)
 
     def _send(self, address: str, updates: list[bytes]) -> None:
         if updates:
@@ -215,25 +219,25 @@
 
     @receive.register
     def _(self, message: KeyUpdates, origin: Origin) -> None:
-        before = self.numbers()
+        before = self.versions()
         for data in message.updates:
             update = decode_as(KeyUpdate, data)
-            if update.number <= self.number(update.key):
+            if update.version <= self.version(update.key):
                 continue
-            if update.base_number == 0:
+            if update.base_version == 0:
                 self._patches.pop(update.key, None)
-                self._accept(update.key, update.number, update.body, origin.sender)
-            elif update.base_number == self.number(update.key):
+                self._accept(update.key, update.version, update.body, origin.sender)
+            elif update.base_version == self.version(update.key):
                 self._patches[update.key] = update
                 self._accept(
                     update.key,
-                    update.number,
+                    update.version,
                     merge(self.body(update.key), update.body),
                     origin.sender,
                 )
             else:
                 self._send_digest(origin.sender)
-        if self.numbers() != before:
+        if self.versions() != before:
             if self.node.settings.fan_out and not self.is_voter():
                 self._report()
             else:
@@ -242,16 +246,16 @@
     # -- digests -------------------------------------------------------------------------------
 
     def _digest(self, rank: int = 0, edge_count: int = 0) -> VersionDigest:
-        numbers = self.numbers()
+        versions = self.versions()
         lows = self.low_watermarks() if self.node.settings.fan_out and self.is_voter() else {}
         return VersionDigest(
             identity=self.identity,
             role=self.node.settings.role,
             is_current=self.is_current(),
-            keys=list(numbers),
-            numbers=list(numbers.values()),
+            keys=list(versions),
+            versions=list(versions.values()),
             low_keys=list(lows),
-            low_numbers=list(lows.values()),
+            low_versions=list(lows.values()),
             rank=rank,
             edge_count=edge_count,
         )
@@ -266,41 +270,41 @@
 
     @receive.register
     def _(self, message: VersionDigest, origin: Origin) -> None:
-        their_numbers = dict(zip(message.keys, message.numbers, strict=True))
-        has_changed = self._record_report(message, origin, their_numbers)
+        their_versions = dict(zip(message.keys, message.versions, strict=True))
+        has_changed = self._record_report(message, origin, their_versions)
         if self.node.settings.fan_out:
             self._note_report(message, origin, has_changed)
         if message.role == "control" or self.serves_updates():
-            self._send(origin.sender, self._missing_updates(their_numbers))
+            self._send(origin.sender, self._missing_updates(their_versions))
         if self._wants_digest(message, origin) or (
             self._will_send_updates(message)
-            and any(number > self.number(key) for key, number in their_numbers.items())
+            and any(version > self.version(key) for key, version in their_versions.items())
         ):
             self._send_digest(origin.sender)
 
     def _record_report(
-        self, message: VersionDigest, origin: Origin, their_numbers: dict[str, int]
+        self, message: VersionDigest, origin: Origin, their_versions: dict[str, int]
     ) -> bool:
-        """Record a digest; return whether its numbers differ from the sender's previous one."""
+        """Record a digest; return whether its versions differ from the sender's previous one."""
         now_ms = self.node.env.now()
         if now_ms >= self._ignore_digests_until_ms:
             self.digest_heard_ms[message.identity] = now_ms
             if message.role == "control":
-                self._note_control_digest(message.is_current, their_numbers, now_ms)
+                self._note_control_digest(message.is_current, their_versions, now_ms)
             elif message.is_current:
                 self.current_edge_heard_ms = now_ms
         previous = self.reports.get(message.identity)
         self.reports[message.identity] = DigestReport(
-            message.role, now_ms, their_numbers, origin.sender
+            message.role, now_ms, their_versions, origin.sender
         )
-        return previous is None or previous.numbers != their_numbers
+        return previous is None or previous.versions != their_versions
 
-    def _missing_updates(self, their_numbers: dict[str, int]) -> list[bytes]:
-        """Return the encoded updates that a node with these numbers lacks."""
+    def _missing_updates(self, their_versions: dict[str, int]) -> list[bytes]:
+        """Return the encoded updates that a node with these versions lacks."""
         return [
-            encode(self._update_for(key, their_numbers.get(key, 0)))
-            for key, number in self.numbers().items()
-            if number > their_numbers.get(key, 0)
+            encode(self._update_for(key, their_versions.get(key, 0)))
+            for key, version in self.versions().items()
+            if version > their_versions.get(key, 0)
         ]
 
     def _will_send_updates(self, message: VersionDigest) -> bool:
@@ -310,12 +314,12 @@
         )
 
     def _note_control_digest(
-        self, is_current: bool, their_numbers: dict[str, int], now_ms: int
+        self, is_current: bool, their_versions: dict[str, int], now_ms: int
     ) -> None:
         if is_current:
             self.control_quorum_heard_ms = now_ms
         for key in CONFIRMING_ROLES:
-            if their_numbers.get(key, 0) > self.number(key):
+            if their_versions.get(key, 0) > self.version(key):
                 self._behind_since_ms.setdefault(key, now_ms)
 
     def behind_ms(self) -> int:
@@ -341,7 +345,7 @@
         self._ranks[message.identity] = message.rank
         if message.role == "control":
             self._low_watermarks[message.identity] = dict(
-                zip(message.low_keys, message.low_numbers, strict=True)
+                zip(message.low_keys, message.low_versions, strict=True)
             )
             self._edge_counts[message.identity] = message.edge_count
             self._digest_targets.replied(origin.sender, message.is_current)
@@ -372,7 +376,7 @@
         self._rounds += 1
         if self.is_voter():
             self._send_watermarks()
-        elif self._rounds % _REPORT_EVERY == 0 or not self._versions:
+        elif self._rounds % _REPORT_EVERY == 0 or not self._entries:
             self._report()
         peers = sorted(
             set(self._peer_addresses())
@@ -381,12 +385,12 @@
         if peers and not self.is_voter() and self._rounds % _PEER_DIGEST_EVERY == 0:
             self._send_digest(peers[self._rounds // _PEER_DIGEST_EVERY % len(peers)])
 
-    def _update_for(self, key: str, their_number: int) -> KeyUpdate:
+    def _update_for(self, key: str, their_version: int) -> KeyUpdate:
         patch = self._patches.get(key)
         if (
             patch is not None
-            and patch.base_number == their_number
-            and patch.number == self.number(key)
+            and patch.base_version == their_version
+            and patch.version == self.version(key)
         ):
             return patch
         return self._full_update(key)
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -1,6 +1,6 @@
-"""Messages of the feed: new versions of control keys, and digests of the numbers held.
+"""Messages of the feed: new versions of control keys, and digests of the versions held.
 
-Each key has its own rising numbers. A node's position in the feed is the sum of its numbers.
+Each key has its own rising versions. A node's position in the feed is the sum of its versions.
 """
 
 from messaging import Message
@@ -11,12 +11,12 @@
 class KeyUpdate(Message, wire_name="NewsItem"):
     """One version of a key.
 
-    `body` is the whole JSON body if `base_number` is 0, otherwise a merge patch on that number.
+    `body` is the whole JSON body if `base_version` is 0, otherwise a merge patch on that version.
     """
 
     key: str
-    number: int
-    base_number: int
+    version: int
+    base_version: int
     body: str
 
 
@@ -27,12 +27,12 @@
 
 
 class VersionDigest(Message, wire_name="Digest"):
-    """The numbers that a node holds, which is also its heartbeat in the feed.
+    """The versions that a node holds, which is also its heartbeat in the feed.
 
-    `keys` and `numbers` are parallel, as are `low_keys` and `low_numbers`: of each confirmed key
-    the lowest number among the nodes that report to the sender. `is_current` is whether the sender
-    knows its numbers to be the newest. `rank` is 1 to the voter that is to relay updates at once, 2
-    to a further voter that the sender reports to, and 0 to all others. `edge_count` is how many
+    `keys` and `versions` are parallel, as are `low_keys` and `low_versions`: of each confirmed key
+    the lowest version among the nodes that report to the sender. `is_current` is whether the sender
+    knows its versions to be the newest. `rank` is 1 to the voter that is to relay updates at once,
+    2 to a further voter that the sender reports to, and 0 to all others. `edge_count` is how many
     edges report to the sender first; in a digest to a node that reports, how many there are in all.
     """
 
@@ -40,8 +40,8 @@
     role: str
     is_current: bool
     keys: list[str]
-    numbers: list[int]
+    versions: list[int]
     low_keys: list[str]
-    low_numbers: list[int]
+    low_versions: list[int]
     rank: int
     edge_count: int
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -1,7 +1,7 @@
 """Which version of each key the nodes have in force, as the voters learn it from digests.
 
 A control key's owner acknowledges a version by this. With fan_out a voter also counts what other
-voters report of the nodes that send their digests to them: the lowest numbers among these, which
+voters report of the nodes that send their digests to them: the lowest versions among these, which
 are low watermarks of what all of them have.
 """
 
@@ -35,15 +35,15 @@
 class DigestReport:
     """What the newest digest of a node said; `received_ms` is by the receiving node's clock.
 
-    `numbers` has the number of each key that the node holds, `link` is its link address.
+    `versions` has the version of each key that the node holds, `link` is its link address.
     """
 
-    __slots__ = ("link", "numbers", "received_ms", "role")
+    __slots__ = ("link", "received_ms", "role", "versions")
 
-    def __init__(self, role: str, received_ms: int, numbers: dict[str, int], link: str) -> None:
+    def __init__(self, role: str, received_ms: int, versions: dict[str, int], link: str) -> None:
         self.role = role
         self.received_ms = received_ms
-        self.numbers = numbers
+        self.versions = versions
         self.link = link
 
 
@@ -59,7 +59,7 @@
         "_low_watermarks",
         "_ranks",
         "_serving_set",
-        "_serving_set_number",
+        "_serving_set_version",
         "_since_ms",
         "is_voter",
         "reports",
@@ -69,14 +69,14 @@
         self.is_voter: Callable[[], bool] = lambda: False
         self.reports: dict[str, DigestReport] = {}
         self._since_ms = _NOT_STARTED_MS
-        self._serving_set_number = 0
+        self._serving_set_version = 0
         self._serving_set: frozenset[str] = frozenset()
         self._ranks: dict[str, int] = {}
         self._low_watermarks: dict[str, dict[str, int]] = {}
         self._edge_counts: dict[str, int] = {}
 
-    def number(self, key: str) -> int:
-        """Return the number held of a key, 0 for none."""
+    def version(self, key: str) -> int:
+        """Return the version held of a key, 0 for none."""
         raise NotImplementedError
 
     def value(self, key: str) -> Any:
@@ -102,7 +102,7 @@
         return self.node.env.now() - failure_timeout_ms
 
     def low_watermarks(self) -> dict[str, int]:
-        """Return for each confirmed key the lowest number among the nodes that report here."""
+        """Return for each confirmed key the lowest version among the nodes that report here."""
         since_ms = self._live_since_ms()
         lows: dict[str, int] = {}
         for identity, report in self.reports.items():
@@ -110,7 +110,7 @@
                 continue
             for key, roles in CONFIRMING_ROLES.items():
                 if report.role in roles:
-                    lows[key] = min(lows.get(key, _NO_LIMIT), report.numbers.get(key, 0))
+                    lows[key] = min(lows.get(key, _NO_LIMIT), report.versions.get(key, 0))
         return lows
 
     def _own_edge_count(self) -> int:
@@ -139,21 +139,21 @@
             return self._own_edge_count() + sum(counts)
         return max(counts, default=0)
 
-    def all_have(self, key: str, number: int, roles: tuple[str, ...], within_ms: int) -> bool:
-        """Whether every live node of these roles has this number of the key in force.
+    def all_have(self, key: str, version: int, roles: tuple[str, ...], within_ms: int) -> bool:
+        """Whether every live node of these roles has this version of the key in force.
 
         A node is live if its digest came within `within_ms`. With fan_out, nodes that report to
         another voter are counted by that voter's digest.
         """
         since_ms = self.node.env.now() - within_ms
         if any(
-            lows.get(key, number) < number
+            lows.get(key, version) < version
             for identity, lows in self._low_watermarks.items()
             if identity in self.reports and self.reports[identity].received_ms >= since_ms
         ):
             return False
         return all(
-            report.numbers.get(key, 0) >= number
+            report.versions.get(key, 0) >= version
             for identity, report in self.reports.items()
             if report.role in roles
             and report.received_ms >= since_ms
@@ -162,9 +162,9 @@
 
     def serving_set(self) -> frozenset[str]:
         """Return the link addresses of the edges and stores that are counted."""
-        number = self.number(SERVING_SET_KEY)
-        if number != self._serving_set_number:
-            self._serving_set_number = number
+        version = self.version(SERVING_SET_KEY)
+        if version != self._serving_set_version:
+            self._serving_set_version = version
             self._serving_set = frozenset(self.value(SERVING_SET_KEY)["links"])
         return self._serving_set
 
@@ -182,8 +182,8 @@
             if report.role != "control" and report.received_ms >= since_ms
         }
 
-    def majority_has(self, key: str, number: int, within_ms: int) -> bool:
-        """Whether a majority of the serving set reported this number within `within_ms`.
+    def majority_has(self, key: str, version: int, within_ms: int) -> bool:
+        """Whether a majority of the serving set reported this version within `within_ms`.
 
         Always true while the serving set has fewer than MIN_SERVING_SET members: no edge serves
         without control by such a set.
@@ -192,7 +192,7 @@
         have = {
             report.link
             for report in self.reports.values()
-            if report.received_ms >= since_ms and report.numbers.get(key, 0) >= number
+            if report.received_ms >= since_ms and report.versions.get(key, 0) >= version
         }
         serving = self.serving_set()
         return not self.needs_majority or 2 * len(serving & have) > len(serving)
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -46,7 +46,7 @@
                 "roll": sorted(node.config_feed.serving_set()),
                 "log": node.config_feed.value(LOG_KEY),
                 "retired": (node.config_feed.value(RETIRED_KEY) or {}).get("identities", []),
-                "feed": node.config_feed.numbers(),
+                "feed": node.config_feed.versions(),
                 "place": node.config_feed.position,
             }
         )
@@ -82,7 +82,7 @@
             "zone": info.zone,
             "standing": _LIVE if self._node.membership.is_live(info.identity) else _SILENT,
             "ready": info.ready,
-            "feed": report.numbers if report else None,
+            "feed": report.versions if report else None,
         }
 
     def _own_row(self) -> dict[str, Any]:
@@ -96,7 +96,7 @@
             "zone": node.settings.zone,
             "standing": _LIVE,
             "ready": not node.why_unready(),
-            "feed": node.config_feed.numbers(),
+            "feed": node.config_feed.versions(),
         }
 
 
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -37,7 +37,7 @@
 
     __slots__ = (
         "_profiles",
-        "_profiles_number",
+        "_profiles_version",
         "acceptor",
         "config_feed",
         "configuration_changes",
@@ -55,7 +55,7 @@
     def __init__(self, env: Environment, settings: Settings, disk: Disk) -> None:
         self.disk = disk
         self.acceptor: Acceptor = open_or_quarantine(env, disk, lambda: Acceptor(disk, env.token))
-        self._profiles_number = 0
+        self._profiles_version = 0
         self._profiles = ProfileTree({})
         self._make_membership(settings)
         self._make_control_store(settings)
@@ -178,7 +178,7 @@
         return (
             self._is_voter()
             and self._hears(self.settings.contact_timeout_ms)
-            and self.config_feed.number(CONTROL_KEY) > 0
+            and self.config_feed.version(CONTROL_KEY) > 0
             and self.read_barrier.passed()
             and self.config_feed.behind_ms() <= self.settings.failure_timeout_ms
         )
@@ -195,8 +195,8 @@
 
     def profiles(self) -> ProfileTree:
         """Return the profiles in force at this node."""
-        number = self.config_feed.number(PROFILES_KEY)
-        if number != self._profiles_number:
-            self._profiles_number = number
+        version = self.config_feed.version(PROFILES_KEY)
+        if version != self._profiles_version:
+            self._profiles_version = version
             self._profiles = ProfileTree.from_body(self.config_feed.body(PROFILES_KEY))
         return self._profiles
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -54,7 +54,7 @@
             "voters_number": node.acceptor.list_number,
             "steward": node.voter_list_manager.steward() if node.acceptor.voters else None,
             "keys": node.owner.ownership(),
-            "feed": node.config_feed.numbers(),
+            "feed": node.config_feed.versions(),
             "place": node.config_feed.position,
         }
 
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -253,7 +253,7 @@
         def done(result: ChangeResult) -> None:
             self._is_retiring_again = False
 
-        self._propose(self._config_feed.number(RETIRED_KEY), retired.with_names(returned), done)
+        self._propose(self._config_feed.version(RETIRED_KEY), retired.with_names(returned), done)
 
     # -- time ----------------------------------------------------------------------------------
 
--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -51,7 +51,7 @@
         for key in self._known_keys():
             if not self._owns(key):
                 self._read_ms.pop(key, None)
-            elif self._config_feed.number(key) == 0 and self._is_read_due(key):
+            elif self._config_feed.version(key) == 0 and self._is_read_due(key):
                 self._read(key)
 
     def _known_keys(self) -> tuple[str, ...]:
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -116,9 +116,9 @@
         publishing = {
             identity
             for identity, report in config_feed.reports.items()
-            if report.received_ms >= oldest_ms and report.numbers.get(key, 0) >= version
+            if report.received_ms >= oldest_ms and report.versions.get(key, 0) >= version
         }
-        if config_feed.number(key) >= version:
+        if config_feed.version(key) >= version:
             publishing.add(self._acceptor.identity)
         return 2 * len(publishing & set(voters)) > len(voters)
 
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -68,7 +68,7 @@
         if not config_feed.needs_majority:
             return self._next_set_unless_binding(current, live, joining, lost)
         if not config_feed.majority_has(
-            SERVING_SET_KEY, config_feed.number(SERVING_SET_KEY), settings.confirmation_timeout_ms
+            SERVING_SET_KEY, config_feed.version(SERVING_SET_KEY), settings.confirmation_timeout_ms
         ):
             return None
         if joining:
@@ -115,7 +115,7 @@
 
         self._change_in_progress = True
         self.node.env.log("serving-set-changing", addresses=addresses)
-        self._change(addresses, self._config_feed.number(SERVING_SET_KEY), changed)
+        self._change(addresses, self._config_feed.version(SERVING_SET_KEY), changed)
 
     def _change(self, addresses: list[str], version: int, done: ResultCallback) -> None:
         """Replace `version` of the serving set by these addresses."""
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -131,7 +131,7 @@
         if self.identity() != self._acceptor.identity:
             self._key_sweep.repair_owned()
             return
-        if self._config_feed.number(CONTROL_KEY) == 0:
+        if self._config_feed.version(CONTROL_KEY) == 0:
             self._store_first_list()
             return
         next_list = self._next_list()
@@ -183,7 +183,7 @@
         self._owner.submit(
             Change(
                 key=CONTROL_KEY,
-                version=self._config_feed.number(CONTROL_KEY),
+                version=self._config_feed.version(CONTROL_KEY),
                 change_id=f"voters-{next_list.number}-{self._acceptor.identity}",
                 body=_canonical(next_list.to_json()),
                 hops=0,
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -20,7 +20,7 @@
 
     __slots__ = (
         "_profile_tree",
-        "_profile_tree_number",
+        "_profile_tree_version",
         "_started_ms",
         "config_feed",
         "membership",
@@ -42,7 +42,7 @@
             self.config_feed.value(CONTROL_KEY), self.membership, self.settings.removal_timeout_ms
         )
         self._profile_tree = ProfileTree({})
-        self._profile_tree_number = 0
+        self._profile_tree_version = 0
         self.profile_tree_digest = ""
 
     def _control_addresses(self) -> list[str]:
@@ -57,9 +57,9 @@
 
     def profile_tree(self) -> ProfileTree:
         """Return the profiles in force, parsed again when the feed has newer ones."""
-        number = self.config_feed.number(PROFILES_KEY)
-        if number != self._profile_tree_number:
+        version = self.config_feed.version(PROFILES_KEY)
+        if version != self._profile_tree_version:
             self._profile_tree = ProfileTree.from_body(self.config_feed.body(PROFILES_KEY))
-            self._profile_tree_number = number
+            self._profile_tree_version = version
             self.profile_tree_digest = profiles_digest(self.config_feed.body(PROFILES_KEY))
         return self._profile_tree
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -154,7 +154,7 @@
         self.forward_job_service = ForwardJobService(
             self.leader_client,
             self.job_runner,
-            lambda: (self.config_feed.number(PROFILES_KEY), self.profile_tree()),
+            lambda: (self.config_feed.version(PROFILES_KEY), self.profile_tree()),
         )
 
     def _start_assignment(self, assignment: Any, done: Callable[..., None]) -> Any:
@@ -167,7 +167,7 @@
 
     def _worker_list(self) -> tuple[int, str]:
         """Return the number and the body of control's worker list, as the feed has it."""
-        return self.config_feed.number(WORKERS_KEY), self.config_feed.body(WORKERS_KEY)
+        return self.config_feed.version(WORKERS_KEY), self.config_feed.body(WORKERS_KEY)
 
     def _live_edges(self) -> list[tuple[str, str]]:
         """Return the identity and the address of each other live edge."""
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -97,7 +97,7 @@
             "ready": not node.why_unready(),
             "reason": node.why_unready(),
             "profiles_digest": node.profile_tree_digest,
-            "feed": node.config_feed.numbers(),
+            "feed": node.config_feed.versions(),
             "place": node.config_feed.position,
             "holder_epoch": node.leader_client.epoch,
             "live": self._completions.live_now,
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -108,9 +108,9 @@
     def _has_newest_profiles(self, floor_ms: int) -> bool:
         """Whether it has profiles, and no key is newer at a node heard since `floor_ms`."""
         feed = self._node.config_feed
-        return feed.number(PROFILES_KEY) > 0 and all(
-            feed.number(key) >= number
+        return feed.version(PROFILES_KEY) > 0 and all(
+            feed.version(key) >= version
             for report in feed.reports.values()
             if report.received_ms >= floor_ms
-            for key, number in report.numbers.items()
+            for key, version in report.versions.items()
         )
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -38,7 +38,7 @@
         self._make_shared_components(env, settings, local.identity)
         self.control = ControlClient(self._control_addresses, self._key_owners)
         self.batch_service = BatchService(
-            lambda: (self.config_feed.number(PROFILES_KEY), self.profile_tree()),
+            lambda: (self.config_feed.version(PROFILES_KEY), self.profile_tree()),
             self._leader,
             lambda: self.log.log.state,
         )
@@ -73,7 +73,7 @@
 
     def log_key(self) -> tuple[int, str]:
         """Return the number and the body of the log's control key, as the feed has it."""
-        return self.config_feed.number(LOG_KEY), self.config_feed.body(LOG_KEY)
+        return self.config_feed.version(LOG_KEY), self.config_feed.body(LOG_KEY)
 
     def _other_members(self) -> list[str]:
         return [
@@ -127,9 +127,9 @@
             and now_ms - self.config_feed.control_quorum_heard_ms < timeout_ms
         )
 
-    def learned(self, number: int, body: str) -> None:
+    def learned(self, version: int, body: str) -> None:
         """Take a log key that control has told this store itself, ahead of the feed."""
-        self.config_feed.publish(LOG_KEY, number, body)
+        self.config_feed.publish(LOG_KEY, version, body)
 
     def _leader(self) -> tuple[int, str]:
         """Return the leader's epoch and its address, empty if it isn't known."""
@@ -138,7 +138,7 @@
 
     def why_unready(self) -> str:
         """Return why it is not ready, or an empty string."""
-        if not self.config_feed.number(LOG_KEY):
+        if not self.config_feed.version(LOG_KEY):
             return "the log is not founded yet"
         names = [row["identity"] for row in json.loads(self.config_feed.body(LOG_KEY))["members"]]
         if self.log.log.identity not in names:
--- a/libs/data_plane/src/data_plane/store_process.py
+++ b/libs/data_plane/src/data_plane/store_process.py
@@ -63,7 +63,7 @@
             "flushed_seq": local.flushed_seq,
             "settled_seq": local.committed_seq,
             "snap_seq": local.snapshot_seq,
-            "feed": self.node.config_feed.numbers(),
+            "feed": self.node.config_feed.versions(),
             "place": self.node.config_feed.position,
             "lots": len(local.state.jobs),
             "open_lots": len(local.state.open_jobs),
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -16,9 +16,9 @@
     def __init__(self, stores: list[str]) -> None:
         self._stores = stores
 
-    def publish(self, key: str, number: int, body: str) -> None:
+    def publish(self, key: str, version: int, body: str) -> None:
         """Send one version of a key to every store."""
-        item = encode(KeyUpdate(key=key, number=number, base_number=0, body=body))
+        item = encode(KeyUpdate(key=key, version=version, base_version=0, body=body))
         for address in self._stores:
             self.node.send(address, KeyUpdates(updates=[item]))
 
@@ -26,13 +26,13 @@
 class FleetView(Component):
     """A stub of a store's view: the log's key as received, and all stores, taken for live."""
 
-    __slots__ = ("_body", "_number", "_retired", "_rows")
+    __slots__ = ("_body", "_retired", "_rows", "_version")
     HANDLES = (KeyUpdates,)
 
     def __init__(self, rows: list[dict[str, str]], retired: list[str]) -> None:
         self._rows = rows
         self._retired = retired
-        self._number = 0
+        self._version = 0
         self._body = ""
 
     def receive(self, message: Message, origin: Origin) -> None:
@@ -40,12 +40,12 @@
         batch = cast(KeyUpdates, message)
         for data in batch.updates:
             update = decode_as(KeyUpdate, data)
-            self.learned(update.number, update.body)
+            self.learned(update.version, update.body)
 
-    def learned(self, number: int, body: str) -> None:
+    def learned(self, version: int, body: str) -> None:
         """Take in a version of the log's key, unless a newer one is known."""
-        if number > self._number:
-            self._number, self._body = number, body
+        if version > self._version:
+            self._version, self._body = version, body
 
     def update(self, rows: list[dict[str, str]], retired: list[str]) -> None:
         """Replace the live stores and the identities of those that are to leave."""
@@ -53,8 +53,8 @@
         self._retired = retired
 
     def log_key(self) -> tuple[int, str]:
-        """Return the newest known version of the log's key, number and body."""
-        return self._number, self._body
+        """Return the newest known version of the log's key, with its body."""
+        return self._version, self._body
 
     def store_rows(self) -> list[dict[str, str]]:
         """Return the rows of all live stores."""
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -195,7 +195,7 @@
                 edge=host.name,
                 incarnation=host.incarnation,
                 ready=not host.node.why_unready(),
-                number=host.node.config_feed.number("profiles"),
+                number=host.node.config_feed.version("profiles"),
                 change_id=_change_id_in(host.node.profile_tree()),
             )
 
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -102,19 +102,19 @@
     ),
     "the roll changes without its majority": (
         "control_store/src/control_store/serving_set.py",
-        "if not config_feed.majority_has(SERVING_SET_KEY, config_feed.number(SERVING_SET_KEY), settings.confirmation_timeout_ms):",
+        "if not config_feed.majority_has(SERVING_SET_KEY, config_feed.version(SERVING_SET_KEY), settings.confirmation_timeout_ms):",
         "if False:",
         _FEED + "doubt_until",
     ),
     "the feed goes back": (
         "config_feed/src/config_feed/feed.py",
-        "if update.number <= self.number(update.key):\n                continue",
+        "if update.version <= self.version(update.key):\n                continue",
         "if False:\n                continue",
         _FEED + "old_news",
     ),
     "acknowledged while a voter's edges lack it": (
         "config_feed/src/config_feed/version_tracker.py",
-        "if any(lows.get(key, number) < number for",
+        "if any(lows.get(key, version) < version for",
         "if any(False for",
         _FAN + "not_waited_for",
     ),
@@ -222,7 +222,7 @@
     ),
     "a patch is merged into any base": (
         "config_feed/src/config_feed/feed.py",
-        "elif update.base_number == self.number(update.key):",
+        "elif update.base_version == self.version(update.key):",
         "elif True:",
         _MANY + "with_a_standby",
     ),
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -122,8 +122,8 @@
     ),
     "an edge stays with its first profiles": (
         "data_plane/src/data_plane/data_node.py",
-        "        if number != self._profile_tree_number:\n",
-        "        if not self._profile_tree_number:\n",
+        "        if version != self._profile_tree_version:\n",
+        "        if not self._profile_tree_version:\n",
         _DAYS + "calm",
     ),
     "pieces of a result run together": (
--- a/tests/orders_case.py
+++ b/tests/orders_case.py
@@ -29,7 +29,7 @@
 
     def version(self, platform):
         return max(
-            host.node.config_feed.number("profiles")
+            host.node.config_feed.version("profiles")
             for host in platform.fleet.with_role("control")
             if host.up
         )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -243,7 +243,7 @@
         fleet.network.isolate(old.address)
         seen = []
         owner.node.owner.submit(self.change(1, "b"), seen.append)
-        fleet.run_until_true(lambda: owner.node.config_feed.number("profiles") == 2, 2000)
+        fleet.run_until_true(lambda: owner.node.config_feed.version("profiles") == 2, 2000)
         fleet.network.heal()
         self.assertThat(versions(), Equals({1, 2}))
         owner.node.owner.repair("profiles")
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -111,15 +111,15 @@
                 self.wait(fleet, 500)
                 for host in new_hosts:
                     self.assertThat(
-                        (host.node.why_unready() != "", host.node.config_feed.number("profiles")),
+                        (host.node.why_unready() != "", host.node.config_feed.version("profiles")),
                         Equals((True, 0)),
                         (duty, host.name),
                     )
             fleet.network.heal()
 
             def have_the_newest(new_hosts=new_hosts):
-                numbers = {host.node.config_feed.number("profiles") for host in new_hosts}
-                return numbers == {2} and not new_hosts[0].node.why_unready()
+                versions = {host.node.config_feed.version("profiles") for host in new_hosts}
+                return versions == {2} and not new_hosts[0].node.why_unready()
 
             self.assertThat(fleet.run_until_true(have_the_newest, 2000), Equals(True), duty)
 
@@ -142,7 +142,7 @@
         self.assertThat(
             fleet.run_until_true(lambda: not new_host.node.why_unready(), 4000), Equals(True)
         )
-        self.assertThat(new_host.node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(new_host.node.config_feed.version("profiles"), Equals(2))
 
     def test_digests_of_nodes_that_get_nothing_go_at_the_heartbeat(self):
         """A cut-off node that tells of more than it hands out once was asked again at once, without end."""
@@ -176,9 +176,9 @@
 
                 def in_order(new_host=new_host, node=node, way=way):
                     for number, vouches in (
-                        (node.config_feed.number("profiles"), node.has_quorum()),
+                        (node.config_feed.version("profiles"), node.has_quorum()),
                         (
-                            new_host.node.config_feed.number("profiles"),
+                            new_host.node.config_feed.version("profiles"),
                             not new_host.node.why_unready(),
                         ),
                     ):
@@ -267,7 +267,7 @@
                     Equals(True),
                     (freeze_ms, result.outcome, result.version),
                 )
-            self.assertThat(host.node.config_feed.number("profiles"), Equals(newest))
+            self.assertThat(host.node.config_feed.version("profiles"), Equals(newest))
 
     def test_no_item_reaches_an_edge_or_store_while_there_is_no_majority(self):
         fleet = self.bootstrapped(control=3)
@@ -294,4 +294,4 @@
         control = {other.address for other in fleet.with_role("control")}
         self.assertThat(set(sent) - control, Equals(set()))
         self.assertThat(edge.node.why_unready(), Equals(""))
-        self.assertThat(edge.node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(edge.node.config_feed.version("profiles"), Equals(2))
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -76,8 +76,8 @@
         fleet.run_until_true(lambda: seen, 4000)
         return (seen[0].outcome if seen else "none"), fleet.time.now_ms - began_ms
 
-    def numbers(self, fleet, role="edge"):
-        return {host.node.config_feed.number("profiles") for host in fleet.running(role)}
+    def profile_versions(self, fleet, role="edge"):
+        return {host.node.config_feed.version("profiles") for host in fleet.running(role)}
 
     def test_a_node_tells_a_few_of_its_zone_and_a_peer_now_and_then(self):
         for edges in (6, 24):
@@ -119,7 +119,8 @@
         for version in range(1, 4):
             outcome, took_ms = self.change(fleet, version, at=f"control{version}")
             self.assertThat(
-                (outcome, took_ms <= 150, self.numbers(fleet)), Equals(("ok", True, {version + 1}))
+                (outcome, took_ms <= 150, self.profile_versions(fleet)),
+                Equals(("ok", True, {version + 1})),
             )
 
     def test_an_edge_that_has_not_heard_in_time_is_not_waited_for(self):
@@ -142,7 +143,7 @@
         self.assertThat((outcome, took_ms <= 150), Equals(("ok", True)), took_ms)
         fleet.hosts["edge1"].wake()
         self.assertThat(
-            fleet.run_until_true(lambda: self.numbers(fleet) == {3}, 1000), Equals(True)
+            fleet.run_until_true(lambda: self.profile_versions(fleet) == {3}, 1000), Equals(True)
         )
 
     def test_stores_are_not_waited_for_where_workers_change(self):
@@ -151,12 +152,12 @@
             host.freeze()
         node = fleet.hosts["control1"].node
         self.change(fleet, 0, "workers")
-        number = node.config_feed.number("workers")
+        version = node.config_feed.version("workers")
         fleet.time.run_until(fleet.time.now_ms + 100)
         self.assertThat(
             [
                 node.config_feed.all_have(
-                    "workers", number, roles, node.settings.failure_timeout_ms
+                    "workers", version, roles, node.settings.failure_timeout_ms
                 )
                 for roles in (("edge",), ("edge", "store"))
             ],
@@ -192,7 +193,7 @@
         at = next(host.name for host in fleet.with_role("control") if host not in near)
         self.assertThat(self.change(fleet, 1, at=at)[0], Equals("ok"))
         self.assertThat(
-            fleet.run_until_true(lambda: edge.node.config_feed.number("profiles") == 2, 300),
+            fleet.run_until_true(lambda: edge.node.config_feed.version("profiles") == 2, 300),
             Equals(True),
         )
 
@@ -238,11 +239,12 @@
         for _ in range(20):
             fleet.time.run_until(fleet.time.now_ms + 500)
             self.assertThat(
-                (edge.node.why_unready(), edge.node.config_feed.number("profiles")), Equals(("", 1))
+                (edge.node.why_unready(), edge.node.config_feed.version("profiles")),
+                Equals(("", 1)),
             )
         fleet.network.heal()
         self.assertThat(
-            fleet.run_until_true(lambda: edge.node.config_feed.number("profiles") == 2, 1500),
+            fleet.run_until_true(lambda: edge.node.config_feed.version("profiles") == 2, 1500),
             Equals(True),
         )
 
@@ -256,7 +258,7 @@
         self.assertThat(
             fleet.run_until_true(lambda: not edge.node.why_unready(), 2000), Equals(True)
         )
-        self.assertThat(edge.node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(edge.node.config_feed.version("profiles"), Equals(2))
         for host in fleet.with_role("control"):
             host.kill()
         edge.settings = edge.settings.model_copy(
@@ -267,4 +269,4 @@
         self.assertThat(
             fleet.run_until_true(lambda: not edge.node.why_unready(), 5000), Equals(True)
         )
-        self.assertThat(edge.node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(edge.node.config_feed.version("profiles"), Equals(2))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -29,7 +29,7 @@
         row = self.change(run)
         self.assertThat(row["outcome"], Equals("ok"))
         self.assertThat(
-            {host.node.config_feed.number("profiles") for host in fleet.with_role("edge")},
+            {host.node.config_feed.version("profiles") for host in fleet.with_role("edge")},
             Equals({2}),
         )
         self.assertThat(row["answered_ms"] - row["at_ms"] < 500, Equals(True))
@@ -40,7 +40,7 @@
         fleet.network.slow_ms[slow.address] = 250.0
         for _ in range(8):
             row = self.change(run)
-            number = slow.node.config_feed.number("profiles")
+            number = slow.node.config_feed.version("profiles")
             self.assertThat(
                 (row["outcome"], number >= row["version"] or slow.node.why_unready() != ""),
                 Equals(("ok", True)),
@@ -51,11 +51,11 @@
         for _ in range(2):
             self.change(run)
         node = fleet.hosts["edge1"].node
-        old = KeyUpdate(key="profiles", number=1, base_number=0, body='{"profiles": {}}')
+        old = KeyUpdate(key="profiles", version=1, base_version=0, body='{"profiles": {}}')
         fleet.hosts["control1"].node.send(node.address, KeyUpdates(updates=[encode(old)]))
         fleet.time.run_until(fleet.time.now_ms + 50)
         self.assertThat(
-            (node.config_feed.number("profiles"), "rulings" in node.profile_tree().rows),
+            (node.config_feed.version("profiles"), "rulings" in node.profile_tree().rows),
             Equals((3, True)),
         )
 
@@ -74,7 +74,7 @@
             fleet.run_until_true(lambda: not fleet.hosts["edge1"].node.why_unready(), 3000),
             Equals(True),
         )
-        self.assertThat(fleet.hosts["edge1"].node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(fleet.hosts["edge1"].node.config_feed.version("profiles"), Equals(2))
 
     def test_a_version_that_most_edges_cannot_get_is_doubt_until_they_can(self):
         """Four of six edges and stores on the far side of a cut serve on among themselves, so what the near
@@ -90,7 +90,7 @@
         self.assertThat(
             (
                 row["outcome"],
-                {host.node.config_feed.number("profiles") for host in fleet.with_role("edge")},
+                {host.node.config_feed.version("profiles") for host in fleet.with_role("edge")},
             ),
             Equals(("doubt", {1})),
         )
@@ -169,7 +169,7 @@
             fleet.run_until_true(lambda: not fleet.hosts["edge2"].node.why_unready(), 4000),
             Equals(True),
         )
-        self.assertThat(fleet.hosts["edge2"].node.config_feed.number("profiles"), Equals(2))
+        self.assertThat(fleet.hosts["edge2"].node.config_feed.version("profiles"), Equals(2))
 
     def test_with_control_gone_a_restarted_edge_trusts_no_minority(self):
         run, fleet = self.founded()
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -228,7 +228,7 @@
             self.assertThat(
                 (len(host.node.acceptor.voters), host.node.has_quorum()), Equals((3, True))
             )
-            self.assertThat(host.node.config_feed.number("profiles"), Equals(1))
+            self.assertThat(host.node.config_feed.version("profiles"), Equals(1))
         self.assertThat(self.change(fleet, "control3", 1)[0], Equals("ok"))
 
     def test_a_replacement_at_a_new_address_votes_within_the_time_to_catch_up(self):
@@ -269,7 +269,7 @@
                 fleet.time.now_ms + 2 * fleet.hosts["control1"].settings.failure_timeout_ms
             )
             version = max(
-                host.node.config_feed.number("profiles") for host in fleet.with_role("control")
+                host.node.config_feed.version("profiles") for host in fleet.with_role("control")
             )
             outcome, took_ms = self.change(fleet, "control4", version)
             self.assertThat((outcome, took_ms < 1500), Equals(("ok", True)))
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -145,7 +145,7 @@
 
     def retire(self, fleet, host):
         node = fleet.with_role("control")[0].node
-        version = node.config_feed.number("retired")
+        version = node.config_feed.version("retired")
         names = (node.config_feed.value("retired") or {"identities": []})["identities"] + [
             host.node.log.log.identity
         ]
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -152,7 +152,7 @@
 
     def _all_up_to_date(self):
         return all(
-            host.node.config_feed.number("profiles") == self.newest("profiles")
+            host.node.config_feed.version("profiles") == self.newest("profiles")
             for host in self.fleet.hosts.values()
         )
 
@@ -274,7 +274,7 @@
         def up_to_date():
             watched.watch()
             for host, _ in leaving:
-                if host.node.config_feed.number("profiles") >= watched.newest("profiles"):
+                if host.node.config_feed.version("profiles") >= watched.newest("profiles"):
                     sent = fleet.network.bytes_to[host.address] - before[host.address]
                     rows.setdefault(host.name, (fleet.time.now_ms - begun_ms, sent))
             return len(rows) == len(leaving)
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -62,7 +62,7 @@
 
     def retire(self, fleet, names):
         owner = fleet.with_role("control")[0].node.owner
-        version = fleet.with_role("control")[0].node.config_feed.number("retired")
+        version = fleet.with_role("control")[0].node.config_feed.version("retired")
         seen = []
         owner.submit(
             Change(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -235,7 +235,7 @@
             task = platform.start(owner.name, "PUT", SETTINGS_PATH, revised(5), {"If-Match": "3"})
 
             def published():
-                return owner.node.config_feed.number("profiles") == 2
+                return owner.node.config_feed.version("profiles") == 2
 
             for _ in range(6):
                 await asyncio.sleep(0)
@@ -243,7 +243,7 @@
                 fleet.time.run_until(fleet.time.now_ms + 0.05)
             fleet.network.isolate(owner.address)
             response = (await platform.finish(task, wait_ms=1000))[0]
-            in_force = [host.node.config_feed.number("profiles") for host in (*others, *edges)]
+            in_force = [host.node.config_feed.version("profiles") for host in (*others, *edges)]
             if response is not None and response[0] == 200:
                 self.assertThat(sum(1 for number in in_force[:4] if number == 2) >= 2, Equals(True))
             else:
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -165,7 +165,7 @@
                     (after_ms, strike),
                 )
                 self.changed(fleet, 2)
-                numbers = {
-                    host.node.config_feed.number("profiles") for host in fleet.with_role("control")
+                versions = {
+                    host.node.config_feed.version("profiles") for host in fleet.with_role("control")
                 }
-                self.assertThat(numbers, Equals({3}), (after_ms, strike))
+                self.assertThat(versions, Equals({3}), (after_ms, strike))
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -164,10 +164,10 @@
             platform.run(400)
             node = platform.fleet.hosts["edge1"].node
             self.assertThat(
-                (len(self.listed(platform)), node.config_feed.number("workers") <= 2),
+                (len(self.listed(platform)), node.config_feed.version("workers") <= 2),
                 Equals((40, True)),
             )
-            before = node.config_feed.number("workers")
+            before = node.config_feed.version("workers")
             for index in range(40):
                 await self.heartbeat(
                     platform,
@@ -177,7 +177,7 @@
                     callCount=2,
                 )
             platform.run(1500)
-            self.assertThat(node.config_feed.number("workers"), Equals(before))
+            self.assertThat(node.config_feed.version("workers"), Equals(before))
 
         self.run_test(body)
 
