--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -3,7 +3,8 @@
 Control publishes numbered versions of each key; nodes relay them and compare digests.
 
 - `messages`: updates and digests.
-- `feed`: the component that holds, relays and compares versions.
+- `feed`: the component that relays and compares versions.
+- `versioned_keys`: the versions that a node has, their watchers, and the updates made from them.
 - `version_tracker`: which nodes have which version in force, by their digests.
 - `digest_targets`: which control nodes a node reports to, where the setting `fan_out` is on.
 - `patches`: JSON merge patches, in which changes of large bodies travel.
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -10,7 +10,6 @@
 it first and tells the other voters the lowest versions reported to it.
 """
 
-import json
 from collections.abc import Callable, Iterable
 from functools import singledispatchmethod
 from typing import Any
@@ -19,30 +18,16 @@
 
 from config_feed.digest_targets import Candidate, DigestTargets
 from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
-from config_feed.patches import merge, merge_diff
 from config_feed.version_tracker import CONFIRMING_ROLES, NEVER_MS, DigestReport, VersionTracker
+from config_feed.versioned_keys import VersionedKeys, VersionWatcher
 
 __all__ = ["ConfigFeed"]
 
-_MIN_PATCHED_CHARACTERS = 1024
 # With fan_out: heartbeats between reports to the voters, and between digests to a peer.
 _REPORT_EVERY = 2
 _PEER_DIGEST_EVERY = 5
 
 
-class VersionedBody:
-    """A numbered version of a key with its whole JSON body."""
-
-    __slots__ = ("body", "version")
-
-    def __init__(self, version: int, body: str) -> None:
-        self.version = version
-        self.body = body
-
-
-_NO_ENTRY = VersionedBody(0, "")
-
-
 class ConfigFeed(VersionTracker):
     """Holds, relays and compares the versions of all keys at one node.
 
@@ -58,15 +43,13 @@
     __slots__ = (
         "_behind_since_ms",
         "_digest_targets",
-        "_entries",
         "_extra_addresses",
         "_ignore_digests_until_ms",
-        "_patches",
+        "_keys",
         "_peer_addresses",
         "_rounds",
         "_sent_ms",
         "_sent_watermarks",
-        "_watchers",
         "control_quorum_heard_ms",
         "current_edge_heard_ms",
         "digest_heard_ms",
@@ -97,9 +80,7 @@
         self.sent_bytes = 0
         self._peer_addresses = peer_addresses
         self._extra_addresses = extra_addresses
-        self._entries: dict[str, VersionedBody] = {}
-        self._patches: dict[str, KeyUpdate] = {}
-        self._watchers: list[Callable[[str, int, str], None]] = []
+        self._keys = VersionedKeys()
         self._sent_ms = NEVER_MS
         self._ignore_digests_until_ms = NEVER_MS
         self._rounds = 0
@@ -110,26 +91,25 @@
         super().attach(node)
         self._digest_targets = DigestTargets(node)
 
-    def watch(self, watcher: Callable[[str, int, str], None]) -> None:
+    def watch(self, watcher: VersionWatcher) -> None:
         """Call `watcher` with key, version and body of each version that this node takes."""
-        self._watchers.append(watcher)
+        self._keys.watch(watcher)
 
     def version(self, key: str) -> int:
         """Return the version held of a key, 0 for none."""
-        return self._entries.get(key, _NO_ENTRY).version
+        return self._keys.version(key)
 
     def body(self, key: str) -> str:
         """Return the body held of a key, empty for none."""
-        return self._entries.get(key, _NO_ENTRY).body
+        return self._keys.body(key)
 
     def value(self, key: str) -> Any:
         """Return the decoded JSON body held of a key, None for none."""
-        body = self.body(key)
-        return json.loads(body) if body else None
+        return self._keys.value(key)
 
     def versions(self) -> dict[str, int]:
         """Return the version held of each key."""
-        return {key: entry.version for key, entry in self._entries.items()}
+        return self._keys.versions()
 
     @property
     def position(self) -> int:
@@ -140,34 +120,20 @@
 
     def publish(self, key: str, version: int, body: str) -> None:
         """Take a version that control has decided and relay it; older ones change nothing."""
-        current = self._entries.get(key, _NO_ENTRY)
-        if version <= current.version:
+        if version <= self.version(key):
             return
-        self._patches.pop(key, None)
-        if (
-            current.version
-            and version == current.version + 1
-            and len(body) > _MIN_PATCHED_CHARACTERS
-        ):
-            patch = merge_diff(current.body, body)
-            if merge(current.body, patch) == body:
-                self._patches[key] = KeyUpdate(
-                    key=key, version=version, base_version=current.version, body=patch
-                )
-        self._accept(key, version, body, "")
-
-    def _accept(self, key: str, version: int, body: str, sender: str) -> None:
-        self._entries[key] = VersionedBody(version, body)
+        self._keys.store(key, version, body, self._keys.make_patch(key, version, body))
+        self._announce(key, version, body, "")
+
+    def _announce(self, key: str, version: int, body: str, sender: str) -> None:
+        """Pass a version just stored to the watchers and on to other nodes."""
         self._behind_since_ms.pop(key, None)
-        for watcher in self._watchers:
-            watcher(key, version, body)
+        self._keys.notify(key, version, body)
         self._relay(key, sender)
 
     def _relay(self, key: str, sender: str) -> None:
         """Send a version just accepted on to others, but not to the node that sent it."""
-        patch = self._patches.get(key)
-        is_patched = patch is not None and patch.version == self.version(key)
-        updates = [encode(patch if patch is not None and is_patched else self._full_update(key))]
+        updates = [encode(self._keys.latest_update(key))]
         if self.node.settings.fan_out:
             for address in self._relay_addresses(sender):
                 self._send(address, updates)
@@ -203,10 +169,6 @@
             (set(self._peer_addresses()) | set(self._extra_addresses())) - {self.node.address}
         )
 
-    def _full_update(self, key: str) -> KeyUpdate:
-        entry = self._entries[key]
-        return KeyUpdate(key=key, version=entry.version, base_version=0, body=entry.body)
-
     def _send(self, address: str, updates: list[bytes]) -> None:
         if updates:
             self.sent_bytes += sum(map(len, updates))
@@ -225,18 +187,13 @@
             if update.version <= self.version(update.key):
                 continue
             if update.base_version == 0:
-                self._patches.pop(update.key, None)
-                self._accept(update.key, update.version, update.body, origin.sender)
+                self._keys.store(update.key, update.version, update.body)
             elif update.base_version == self.version(update.key):
-                self._patches[update.key] = update
-                self._accept(
-                    update.key,
-                    update.version,
-                    merge(self.body(update.key), update.body),
-                    origin.sender,
-                )
+                self._keys.apply_patch(update)
             else:
                 self._send_digest(origin.sender)
+                continue
+            self._announce(update.key, update.version, self.body(update.key), origin.sender)
         if self.versions() != before:
             if self.node.settings.fan_out and not self.is_voter():
                 self._report()
@@ -275,7 +232,7 @@
         if self.node.settings.fan_out:
             self._note_report(message, origin, has_changed)
         if message.role == "control" or self.serves_updates():
-            self._send(origin.sender, self._missing_updates(their_versions))
+            self._send(origin.sender, self._keys.missing_updates(their_versions))
         if self._wants_digest(message, origin) or (
             self._will_send_updates(message)
             and any(version > self.version(key) for key, version in their_versions.items())
@@ -299,14 +256,6 @@
         )
         return previous is None or previous.versions != their_versions
 
-    def _missing_updates(self, their_versions: dict[str, int]) -> list[bytes]:
-        """Return the encoded updates that a node with these versions lacks."""
-        return [
-            encode(self._update_for(key, their_versions.get(key, 0)))
-            for key, version in self.versions().items()
-            if version > their_versions.get(key, 0)
-        ]
-
     def _will_send_updates(self, message: VersionDigest) -> bool:
         """Whether the sender answers a digest from here with the updates that this node lacks."""
         return (
@@ -376,7 +325,7 @@
         self._rounds += 1
         if self.is_voter():
             self._send_watermarks()
-        elif self._rounds % _REPORT_EVERY == 0 or not self._entries:
+        elif self._rounds % _REPORT_EVERY == 0 or not self.versions():
             self._report()
         peers = sorted(
             set(self._peer_addresses())
@@ -385,16 +334,6 @@
         if peers and not self.is_voter() and self._rounds % _PEER_DIGEST_EVERY == 0:
             self._send_digest(peers[self._rounds // _PEER_DIGEST_EVERY % len(peers)])
 
-    def _update_for(self, key: str, their_version: int) -> KeyUpdate:
-        patch = self._patches.get(key)
-        if (
-            patch is not None
-            and patch.base_version == their_version
-            and patch.version == self.version(key)
-        ):
-            return patch
-        return self._full_update(key)
-
     def tick(self) -> None:
         """Send digests every heartbeat_ms."""
         now_ms = self.node.env.now()
