--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -5,7 +5,7 @@
 _CONTROL = "tests/test_control.py -k "
 _FEED = "tests/test_feed.py -k "
 _FAN = "tests/test_fan_out.py -k "
-_FOUNDING = "tests/test_founding.py -k "
+_BOOTSTRAP = "tests/test_voter_bootstrap.py -k "
 _DAYS = "tests/test_platform_days.py -k "
 _EXPLORE = "tests/test_explore.py -k "
 _VOTER_FILES = "tests/test_voter_files.py -k "
@@ -26,7 +26,7 @@
         "control_plane/src/control_plane/nodes.py",
         "and self.read_barrier.passed()",
         "",
-        _CUT_OFF + "vouches",
+        _CUT_OFF + "that_is_back",
     ),
     "an edge begins by the word of a cut-off neighbour": (
         "data_plane/src/data_plane/edge_readiness.py",
@@ -38,7 +38,7 @@
         "control_store/src/control_store/forwarding.py",
         "first_live(direct, membership.hears_majority) or",
         "",
-        _CUT_OFF + "vouches",
+        _CUT_OFF + "that_is_back",
     ),
     "a retirement is refused by a node that knows too little": (
         "control_plane/src/control_plane/retirement.py",
@@ -110,7 +110,7 @@
         "config_feed/src/config_feed/feed.py",
         "if update.version <= self.version(update.key):\n                continue",
         "if False:\n                continue",
-        _FEED + "old_news",
+        _FEED + "old_update",
     ),
     "acknowledged while a voter's edges lack it": (
         "config_feed/src/config_feed/version_tracker.py",
@@ -128,19 +128,19 @@
         "control_store/src/control_store/forwarding.py",
         "first_live(direct, membership.hears_majority) or first_live(order, membership.hears_majority) or",
         "",
-        _FOUNDING + "hears_nobody",
+        _BOOTSTRAP + "hears_nobody",
     ),
     "a disk that lost its vote votes again": (
         "control_store/src/control_store/bootstrap.py",
         "elif not self._may_bootstrap():",
         "elif False:",
-        _FOUNDING + "wiped_before",
+        _BOOTSTRAP + "wiped_before",
     ),
     "a lost disk's vote under way is not waited for": (
         "control_store/src/control_store/voter_succession.py",
         "if observations.is_stable(node):",
         "if True:",
-        _FOUNDING + "another_identity",
+        _BOOTSTRAP + "another_identity",
     ),
     "a change on any base is taken": (
         "control_plane/src/control_plane/configuration_changes.py",
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -92,7 +92,7 @@
                 fleet.network.partition(host.address, other.address)
         return host
 
-    def test_who_starts_at_a_cut_off_control_node_gets_no_settings(self):
+    def test_a_node_started_at_a_cut_off_control_node_gets_no_settings(self):
         """Whichever duty it had, and for as long as the cut lasts; afterwards it gets the newest."""
         for duty in ("profiles", "steward", "none"):
             fleet = self.bootstrapped()
@@ -145,7 +145,7 @@
         self.assertThat(new_host.node.config_feed.version("profiles"), Equals(2))
 
     def test_digests_of_nodes_that_get_nothing_go_at_the_heartbeat(self):
-        """A cut-off node that tells of more than it hands out once was asked again at once, without end."""
+        """A digest of a cut-off node that lists more than it serves was once answered at once, without end."""
         fleet = self.bootstrapped()
         away = self.owner(fleet, "profiles")
         self.cut(fleet, away)
@@ -155,7 +155,7 @@
         self.wait(fleet, 1000)
         self.assertThat(fleet.network.sent - before < 10_000, Equals(True))
 
-    def test_a_control_node_that_is_back_vouches_for_nothing_old(self):
+    def test_a_control_node_that_is_back_confirms_nothing_old(self):
         """Each way of the cut; an edge that hears only this node begins with the newest or not at all."""
         for way in ("all", "both", "in", "out"):
             for seed in range(3):
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -1,4 +1,4 @@
-"""Digests and news by way of the voters, and edges that go on serving when they are cut off: simulated
+"""Digests and updates relayed by the voters, and edges that go on serving when they are cut off: simulated
 fleets without traffic.
 """
 
@@ -22,7 +22,7 @@
 }
 
 
-class Counting:
+class SendCounter:
     """Stands before the network at one host and notes what it sends."""
 
     def __init__(self, host):
@@ -38,8 +38,8 @@
         return Counter(to for to, message in self.sent if isinstance(message, kind))
 
 
-class ByWayOfVoters(TestCase):
-    def founded(self, control=5, edges=6, seed=4, **settings):
+class FanOutTest(TestCase):
+    def bootstrapped(self, control=5, edges=6, seed=4, **settings):
         fleet = SimFleet(
             seed,
             edges=edges,
@@ -79,43 +79,47 @@
     def profile_versions(self, fleet, role="edge"):
         return {host.node.config_feed.version("profiles") for host in fleet.running(role)}
 
-    def test_a_node_tells_a_few_of_its_zone_and_a_peer_now_and_then(self):
+    def test_a_node_reports_to_a_few_voters_of_its_zone_and_now_and_then_to_a_peer(self):
         for edges in (6, 24):
-            fleet = self.founded(edges=edges)
+            fleet = self.bootstrapped(edges=edges)
             edge = fleet.hosts["edge2"]
             control = {host.address: host.settings.zone for host in fleet.with_role("control")}
-            counting, span_ms = Counting(edge), 10 * edge.settings.heartbeat_ms
+            counter, span_ms = SendCounter(edge), 10 * edge.settings.heartbeat_ms
             fleet.time.run_until(fleet.time.now_ms + span_ms)
-            told = counting.of(VersionDigest)
-            self.assertThat([control[to] for to in told if to in control], HasLength(2))
+            digests_sent = counter.of(VersionDigest)
+            self.assertThat([control[to] for to in digests_sent if to in control], HasLength(2))
             self.assertThat(
-                edge.settings.zone in {control[to] for to in told if to in control}, Equals(True)
+                edge.settings.zone in {control[to] for to in digests_sent if to in control},
+                Equals(True),
             )
             self.assertThat(
-                sum(count for to, count in told.items() if to not in control) <= 4, Equals(True)
+                sum(count for to, count in digests_sent.items() if to not in control) <= 4,
+                Equals(True),
             )
-            shuffles = sum(counting.of((ShuffleRequest, ShuffleResponse)).values())
+            shuffles = sum(counter.of((ShuffleRequest, ShuffleResponse)).values())
             self.assertThat(
-                (sum(told.values()) <= 14, shuffles <= 8), Equals((True, True)), (told, shuffles)
+                (sum(digests_sent.values()) <= 14, shuffles <= 8),
+                Equals((True, True)),
+                (digests_sent, shuffles),
             )
 
-    def test_a_voter_passes_news_on_to_those_who_report_to_it_first(self):
-        fleet = self.founded(edges=12)
-        counting = {host.name: Counting(host) for host in fleet.with_role("control")}
+    def test_a_voter_relays_updates_to_those_who_report_to_it_first(self):
+        fleet = self.bootstrapped(edges=12)
+        counters = {host.name: SendCounter(host) for host in fleet.with_role("control")}
         self.change(fleet, 1)
-        passed = Counter(
+        received = Counter(
             to
-            for count in counting.values()
-            for to, number in count.of(KeyUpdates).items()
+            for counter in counters.values()
+            for to, number in counter.of(KeyUpdates).items()
             for _ in range(number)
         )
-        edges = [passed[host.address] for host in fleet.with_role("edge")]
+        edges = [received[host.address] for host in fleet.with_role("edge")]
         self.assertThat(
-            (min(edges), max(edges) <= 2, sum(edges) <= 15), Equals((1, True, True)), passed
+            (min(edges), max(edges) <= 2, sum(edges) <= 15), Equals((1, True, True)), received
         )
 
     def test_acknowledged_once_live_edges_have_it(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         for version in range(1, 4):
             outcome, took_ms = self.change(fleet, version, at=f"control{version}")
             self.assertThat(
@@ -123,8 +127,8 @@
                 Equals(("ok", True, {version + 1})),
             )
 
-    def test_an_edge_that_has_not_heard_in_time_is_not_waited_for(self):
-        fleet = self.founded()
+    def test_an_edge_that_has_not_confirmed_in_time_is_not_waited_for(self):
+        fleet = self.bootstrapped()
         settings = fleet.hosts["edge1"].settings
         fleet.hosts["edge1"].freeze()
         outcome, took_ms = self.change(fleet, 1)
@@ -147,7 +151,7 @@
         )
 
     def test_stores_are_not_waited_for_where_workers_change(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         for host in fleet.with_role("store"):
             host.freeze()
         node = fleet.hosts["control1"].node
@@ -166,31 +170,31 @@
 
     def test_an_edge_leaves_voters_that_hear_no_majority(self):
         """The edge reaches everyone, but those to whom it reports are cut from the other voters."""
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
-        counting = Counting(edge)
+        counter = SendCounter(edge)
         fleet.time.run_until(fleet.time.now_ms + 2 * edge.settings.heartbeat_ms)
         contacts = [
             to
-            for to in counting.of(VersionDigest)
+            for to in counter.of(VersionDigest)
             if to in {host.address for host in fleet.with_role("control")}
         ]
         self.assertThat(contacts, HasLength(2))
-        near = [host for host in fleet.with_role("control") if host.address in contacts]
-        for host in near:
+        contact_hosts = [host for host in fleet.with_role("control") if host.address in contacts]
+        for host in contact_hosts:
             for other in fleet.with_role("control"):
-                if other not in near:
+                if other not in contact_hosts:
                     fleet.network.partition(host.address, other.address)
         fleet.time.run_until(fleet.time.now_ms + int(1.5 * edge.settings.force_ms))
-        counting.sent.clear()
+        counter.sent.clear()
         fleet.time.run_until(fleet.time.now_ms + 3 * edge.settings.heartbeat_ms)
-        told = {
+        digests_sent = {
             to: message.rank
-            for to, message in counting.sent
+            for to, message in counter.sent
             if isinstance(message, VersionDigest) and message.rank
         }
-        self.assertThat((len(told), set(told) & set(contacts)), Equals((2, set())))
-        at = next(host.name for host in fleet.with_role("control") if host not in near)
+        self.assertThat((len(digests_sent), set(digests_sent) & set(contacts)), Equals((2, set())))
+        at = next(host.name for host in fleet.with_role("control") if host not in contact_hosts)
         self.assertThat(self.change(fleet, 1, at=at)[0], Equals("ok"))
         self.assertThat(
             fleet.run_until_true(lambda: edge.node.config_feed.version("profiles") == 2, 300),
@@ -198,7 +202,7 @@
         )
 
     def test_contacts_that_died_are_replaced_and_come_back(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
         first = edge.node.config_feed._digest_targets._chosen[0]
         host = next(host for host in fleet.with_role("control") if host.address == first)
@@ -218,7 +222,7 @@
         )
 
     def test_everyone_knows_how_many_edges_live(self):
-        fleet = self.founded(edges=9)
+        fleet = self.bootstrapped(edges=9)
 
         def counts():
             return {
@@ -232,7 +236,7 @@
         self.assertThat(fleet.run_until_true(lambda: counts() == {8}, 4000), Equals(True), counts())
 
     def test_a_cut_off_edge_serves_by_what_it_knows_and_never_goes_back(self):
-        fleet = self.founded()
+        fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
         fleet.network.isolate(edge.address)
         self.assertThat(self.change(fleet, 1)[0], Equals("ok"))
@@ -248,8 +252,8 @@
             Equals(True),
         )
 
-    def test_a_new_life_begins_with_the_newest_by_control_or_by_its_neighbours(self):
-        fleet = self.founded()
+    def test_a_restarted_node_starts_with_the_newest_from_control_or_from_its_peers(self):
+        fleet = self.bootstrapped()
         self.change(fleet, 1)
         edge = fleet.hosts["edge1"]
         edge.kill()
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The feed, and when an edge takes itself to be in touch: simulated fleets, without traffic."""
+"""The config feed, and when an edge considers itself connected: simulated fleets, without traffic."""
 
 from config_feed import KeyUpdate, KeyUpdates
 from messaging import encode
@@ -8,8 +8,8 @@
 from testtools.matchers import Equals
 
 
-class Feed(TestCase):
-    def founded(self, seed=3, **sizes):
+class ConfigFeedTest(TestCase):
+    def bootstrapped(self, seed=3, **sizes):
         run = Run(seed, **sizes)
         run.start()
         return run, run.fleet
@@ -20,12 +20,12 @@
         run.fleet.run_until_true(lambda: seen, 6000)
         return seen[0]
 
-    def edges_away(self, fleet, *names):
+    def partition_nodes(self, fleet, *names):
         others = [host.address for host in fleet.hosts.values() if host.name not in names]
         fleet.network.split([[fleet.hosts[name].address for name in names], others])
 
     def test_acknowledged_once_live_edges_have_it(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         row = self.change(run)
         self.assertThat(row["outcome"], Equals("ok"))
         self.assertThat(
@@ -35,19 +35,19 @@
         self.assertThat(row["answered_ms"] - row["at_ms"] < 500, Equals(True))
 
     def test_not_acknowledged_while_a_slow_edge_lacks_it(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         slow = fleet.hosts["edge1"]
         fleet.network.slow_ms[slow.address] = 250.0
         for _ in range(8):
             row = self.change(run)
-            number = slow.node.config_feed.version("profiles")
+            version = slow.node.config_feed.version("profiles")
             self.assertThat(
-                (row["outcome"], number >= row["version"] or slow.node.why_unready() != ""),
+                (row["outcome"], version >= row["version"] or slow.node.why_unready() != ""),
                 Equals(("ok", True)),
             )
 
-    def test_old_news_never_takes_a_node_back(self):
-        run, fleet = self.founded()
+    def test_an_old_update_never_takes_a_node_back(self):
+        run, fleet = self.bootstrapped()
         for _ in range(2):
             self.change(run)
         node = fleet.hosts["edge1"].node
@@ -60,8 +60,8 @@
         )
 
     def test_a_cut_off_edge_turns_unready_within_a_second_and_delays_no_longer_than_the_bound(self):
-        run, fleet = self.founded()
-        self.edges_away(fleet, "edge1")
+        run, fleet = self.bootstrapped()
+        self.partition_nodes(fleet, "edge1")
         began_ms = fleet.time.now_ms
         self.assertThat(
             fleet.run_until_true(lambda: fleet.hosts["edge1"].node.why_unready(), 1000),
@@ -80,8 +80,8 @@
         """Four of six edges and stores on the far side of a cut serve on among themselves, so what the near
         side decides is not acknowledged; sent again after the cut, it is known.
         """
-        run, fleet = self.founded()
-        self.edges_away(fleet, "edge1", "edge2", "edge3", "store1")
+        run, fleet = self.bootstrapped()
+        self.partition_nodes(fleet, "edge1", "edge2", "edge3", "store1")
         fleet.time.run_until(fleet.time.now_ms + 4000)
         self.assertThat(
             [host.node.why_unready() for host in fleet.with_role("edge")], Equals(["", "", ""])
@@ -101,8 +101,8 @@
         self.assertThat(fleet.run_until_true(lambda: seen, 4000), Equals(True))
         self.assertThat((seen[0]["outcome"], seen[0]["version"]), Equals(("ok", 2)))
 
-    def test_the_roll_follows_machines_that_come_and_go(self):
-        run, fleet = self.founded()
+    def test_the_serving_set_follows_machines_that_come_and_go(self):
+        run, fleet = self.bootstrapped()
         fleet.add("edge", "edge4")
         fleet.hosts.pop("edge1").kill()
         self.assertThat(
@@ -112,7 +112,7 @@
             Equals(True),
         )
 
-    def test_a_roll_just_begun_is_not_held_up_by_machines_that_went(self):
+    def test_a_new_serving_set_is_not_blocked_by_machines_that_left(self):
         """The first one or two that control ever heard are taken back before any other comes."""
         for count in (1, 2):
             fleet = SimFleet(2, edges=3, stores=3, workers=0)
@@ -138,8 +138,8 @@
                 host.start()
             self.assertThat(fleet.run_until_true(fleet.in_serving_set, 25_000), Equals(True))
 
-    def test_a_roll_that_lost_most_of_its_machines_is_cut_by_the_operator(self):
-        run, fleet = self.founded()
+    def test_a_serving_set_that_lost_most_of_its_machines_is_reduced_by_the_operator(self):
+        run, fleet = self.bootstrapped()
         lost = [fleet.hosts.pop(name) for name in ("edge1", "edge2", "store1", "store2")]
         for host in lost:
             host.kill()
@@ -154,9 +154,9 @@
         )
 
     def test_edges_serve_on_without_control_and_a_restarted_one_gets_the_newest(self):
-        run, fleet = self.founded()
+        run, fleet = self.bootstrapped()
         self.change(run)
-        self.edges_away(fleet, *[host.name for host in fleet.with_role("control")])
+        self.partition_nodes(fleet, *[host.name for host in fleet.with_role("control")])
         for _ in range(12):
             fleet.time.run_until(fleet.time.now_ms + 1000)
             self.assertThat(
@@ -171,13 +171,13 @@
         )
         self.assertThat(fleet.hosts["edge2"].node.config_feed.version("profiles"), Equals(2))
 
-    def test_with_control_gone_a_restarted_edge_trusts_no_minority(self):
-        run, fleet = self.founded()
+    def test_without_control_a_restarted_edge_trusts_no_minority(self):
+        run, fleet = self.bootstrapped()
         control = [host.name for host in fleet.with_role("control")]
-        self.edges_away(fleet, *control)
+        self.partition_nodes(fleet, *control)
         fleet.time.run_until(fleet.time.now_ms + 2000)
         fleet.network.heal()
-        self.edges_away(fleet, "edge1", "edge2")
+        self.partition_nodes(fleet, "edge1", "edge2")
         fleet.time.run_until(fleet.time.now_ms + 500)
         fleet.hosts["edge1"].kill()
         fleet.hosts["edge1"].start()
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -46,10 +46,10 @@
         )
         self.wait(fleet, 3000)
         run.read_all()
-        found = judge(fleet.history)
+        violations = judge(fleet.history)
         if delayed:
-            found.pop("lots-in-time", None)
-        self.assertThat(found, Equals({}))
+            violations.pop("lots-in-time", None)
+        self.assertThat(violations, Equals({}))
         self.assertThat(
             len(fleet.history.rows_of("final")),
             Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
@@ -77,15 +77,15 @@
 
     def test_power_or_disks_lost_right_after_an_acknowledgement(self):
         rows = {
-            "the holder's power": lambda holder, peers: ([], [holder]),
-            "a peer's power": lambda holder, peers: ([], peers[:1]),
-            "everybody's power": lambda holder, peers: ([], [holder, *peers]),
-            "the holder's disk": lambda holder, peers: ([holder], []),
-            "a peer's disk": lambda holder, peers: (peers[1:], []),
-            "the holder's disk, the others' power": lambda holder, peers: ([holder], peers),
-            "a peer's disk, the others' power": lambda holder, peers: (
+            "the leader's power": lambda leader, peers: ([], [leader]),
+            "a peer's power": lambda leader, peers: ([], peers[:1]),
+            "everybody's power": lambda leader, peers: ([], [leader, *peers]),
+            "the leader's disk": lambda leader, peers: ([leader], []),
+            "a peer's disk": lambda leader, peers: (peers[1:], []),
+            "the leader's disk, the others' power": lambda leader, peers: ([leader], peers),
+            "a peer's disk, the others' power": lambda leader, peers: (
                 peers[:1],
-                [holder, *peers[1:]],
+                [leader, *peers[1:]],
             ),
         }
         for seed, choose in enumerate(rows.values()):
@@ -131,9 +131,9 @@
     def test_a_machine_replaced_at_another_address_and_then_another_disk_lost(self):
         run, fleet = self.bootstrapped(6)
         for number in range(2):
-            gone = fleet.leader() if number else self.peers(fleet)[0]
-            gone.lose_disk()
-            fleet.hosts.pop(gone.name)
+            lost = fleet.leader() if number else self.peers(fleet)[0]
+            lost.lose_disk()
+            fleet.hosts.pop(lost.name)
             self.wait(fleet, 2000)
             new_host = fleet.add("store", f"fresh{number}")
             self.jobs(run, 1)
@@ -155,7 +155,7 @@
             lambda result: None,
         )
 
-    def test_a_retired_machine_gone_at_the_end_and_another_disk_lost_at_once(self):
+    def test_a_retired_machine_removed_at_the_end_and_another_disk_lost_at_once(self):
         for seed, of_holder in enumerate((True, False, True, False)):
             run, fleet = self.bootstrapped(20 + seed)
             fleet.add("store", "fresh")
@@ -179,8 +179,8 @@
 
     def test_a_wiped_machine_comes_back_while_another_is_frozen(self):
         run, fleet = self.bootstrapped(8)
-        holder, (one, _) = fleet.leader(), self.peers(fleet)
-        self.jobs(run, 1, lambda: self.inject_fault(fleet, [holder], [], 400))
+        leader, (one, _) = fleet.leader(), self.peers(fleet)
+        self.jobs(run, 1, lambda: self.inject_fault(fleet, [leader], [], 400))
         one.freeze()
         self.wait(fleet, 4000)
         self.assertThat(fleet.leader(), Equals(None))
@@ -189,14 +189,14 @@
         self.jobs(run, 1)
         self.check_nothing_lost(run, delayed=True)
 
-    def test_the_first_one_back_neither_recovers_alone_nor_founds(self):
+    def test_the_first_one_back_neither_recovers_alone_nor_bootstraps(self):
         run, fleet = self.bootstrapped(9)
-        holder, peers = fleet.leader(), self.peers(fleet)
+        leader, peers = fleet.leader(), self.peers(fleet)
         number = fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
         for host in fleet.hosts.values():
             host.lose_power()
-        holder.lose_disk()
-        for host in [*fleet.with_role("control"), *fleet.with_role("edge"), holder, peers[0]]:
+        leader.lose_disk()
+        for host in [*fleet.with_role("control"), *fleet.with_role("edge"), leader, peers[0]]:
             host.start()
         fleet.add("store", "fresh")
         fleet.add("store", "another")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -160,13 +160,13 @@
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() is not None, 12000), Equals(True)
         )
-        holder = fleet.leader()
+        leader = fleet.leader()
         self.assertThat(
-            fleet.run_until_true(lambda: len(holder.node.live_stores()) == 2, 3000), Equals(True)
+            fleet.run_until_true(lambda: len(leader.node.live_stores()) == 2, 3000), Equals(True)
         )
         for host in fleet.with_role("store"):
             host.wall_step_ms += 8 * day
-        fleet.run_until_true(lambda: False, 2 * holder.settings.resume_ms)
+        fleet.run_until_true(lambda: False, 2 * leader.settings.resume_ms)
         run.clients.live("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
         self.assertThat([row["outcome"] for row in seen], Equals(["finish", "replay"]))
--- a/tests/test_members_more.py
+++ b/tests/test_members_more.py
@@ -1,5 +1,5 @@
-"""Members that change, once more: retired with no spare, undone midway, swapped while others are down, spares
-that are lost, machines that come back with their old disks; and each member told in words.
+"""Members that change, once more: retired with no standby, undone midway, swapped while others are down, spares
+that are lost, machines that come back with their old disks; and the description of each member.
 """
 
 import json
@@ -125,8 +125,8 @@
 
     def test_a_replacement_while_the_power_of_the_others_fails(self):
         run, fleet = self.bootstrapped(13)
-        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
-        fleet.hosts.pop(gone.name).lose_disk()
+        lost = next(host for host in fleet.with_role("store") if host is not fleet.leader())
+        fleet.hosts.pop(lost.name).lose_disk()
         new_host = fleet.add("store", "fresh")
         fleet.run_until_true(lambda: False, fleet.hosts["edge1"].settings.removal_timeout_ms - 500)
         for host in fleet.with_role("store"):
@@ -137,8 +137,8 @@
 
     def test_a_standby_lost_while_it_catches_up_and_another_comes(self):
         run, fleet = self.bootstrapped(14)
-        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
-        fleet.hosts.pop(gone.name).lose_disk()
+        lost = next(host for host in fleet.with_role("store") if host is not fleet.leader())
+        fleet.hosts.pop(lost.name).lose_disk()
         first = fleet.add("store", "first")
         fleet.run_until_true(lambda: False, 300)
         fleet.hosts.pop("first").lose_disk()
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -16,41 +16,42 @@
 DOWN_MS = 600
 
 
-def change_of(fleet):
+def membership_change_of(fleet):
     leader = fleet.leader()
     return None if leader is None else leader.node.log._membership._change
 
 
-def listed(fleet, host):
+def is_listed(fleet, host):
     value = fleet.with_role("control")[0].node.config_feed.value("log")
     return host.node.log.log.identity in {row["identity"] for row in value["members"]}
 
 
-def decided(fleet, host):
-    """A majority of the voters has the key's new value on disk, whether or not anybody was told."""
-    holds = [
+def is_decided(fleet, host):
+    """A majority of the voters has the key's new value on disk, whether or not any node has learned it."""
+    learned = [
         host.node.log.log.identity in json.dumps(control.node.config_feed.value("log"))
         for control in fleet.with_role("control")
     ]
-    return any(holds)
+    return any(learned)
 
 
 STEPS = {
-    "the spare has just come": lambda fleet, spare: True,
-    "the spare is sent the log": lambda fleet, spare: (
-        spare.node.log.log.identity in fleet.leader().node.log.leader.followers
+    "the standby has just started": lambda fleet, standby: True,
+    "the standby is sent the log": lambda fleet, standby: (
+        standby.node.log.log.identity in fleet.leader().node.log.leader.followers
     ),
-    "the change has begun": lambda fleet, spare: change_of(fleet) is not None,
-    "the change is asked for": lambda fleet, spare: (
-        change_of(fleet) is not None and change_of(fleet)._requested_version >= 0
+    "the change has begun": lambda fleet, standby: membership_change_of(fleet) is not None,
+    "the change is requested": lambda fleet, standby: (
+        membership_change_of(fleet) is not None
+        and membership_change_of(fleet)._requested_version >= 0
     ),
-    "the change is decided": decided,
-    "the holder knows": lambda fleet, spare: (
+    "the change is decided": is_decided,
+    "the leader knows": lambda fleet, standby: (
         fleet.leader() is not None
-        and spare.node.log.log.identity in fleet.leader().node.log.leader.members
+        and standby.node.log.log.identity in fleet.leader().node.log.leader.members
     ),
 }
-AGREED = ("the change is decided", "the holder knows")
+DECIDED_STEPS = ("the change is decided", "the leader knows")
 
 
 def kill(host):
@@ -65,8 +66,8 @@
     host.lose_disk()
 
 
-class SecondLosses(TestCase):
-    def founded(self, seed):
+class SecondLossTest(TestCase):
+    def bootstrapped(self, seed):
         run = Run(seed, settings=SETTINGS)
         run.start()
         run.fleet.run_until_true(lambda: False, 800)
@@ -94,51 +95,53 @@
 
     def all_members(self, fleet):
         return fleet.leader() is not None and all(
-            host.up and listed(fleet, host) for host in fleet.with_role("store")
+            host.up and is_listed(fleet, host) for host in fleet.with_role("store")
         )
 
-    def kept(self, run):
+    def check_nothing_lost(self, run):
         run.read_all()
-        found = judge(run.fleet.history)
-        found.pop("lots-in-time", None)
-        self.assertThat(found, Equals({}))
+        violations = judge(run.fleet.history)
+        violations.pop("lots-in-time", None)
+        self.assertThat(violations, Equals({}))
         self.assertThat(
             len(run.fleet.history.rows_of("final")),
             Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
         )
 
     def lose_one_for_good(self, fleet):
-        gone = self.followers(fleet)[0]
-        gone.lose_disk()
-        fleet.hosts.pop(gone.name)
+        lost = self.followers(fleet)[0]
+        lost.lose_disk()
+        fleet.hosts.pop(lost.name)
 
-    def replaced_with(self, seed, step, how, of):
-        run, fleet = self.founded(seed)
+    def check_replacement(self, seed, step, how, of):
+        run, fleet = self.bootstrapped(seed)
         self.lose_one_for_good(fleet)
         fleet.run_until_true(lambda: False, 200)
         other, leader = self.followers(fleet)[0], fleet.leader()
-        spare = fleet.add("store", "spare")
-        self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, spare)), Equals(True))
-        struck = {"holder": leader, "other": other, "spare": spare}[of]
-        how(struck)
-        fleet.time.after(DOWN_MS, struck.start)
-        whole = fleet.run_until_true(lambda: self.all_members(fleet), DOWN_MS + 2 * CATCH_UP_MS)
-        self.assertThat(whole, Equals(True))
+        standby = fleet.add("store", "spare")
+        self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, standby)), Equals(True))
+        failing_host = {"leader": leader, "other": other, "standby": standby}[of]
+        how(failing_host)
+        fleet.time.after(DOWN_MS, failing_host.start)
+        has_all_members = fleet.run_until_true(
+            lambda: self.all_members(fleet), DOWN_MS + 2 * CATCH_UP_MS
+        )
+        self.assertThat(has_all_members, Equals(True))
         self.jobs(run, 1)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_while_a_member_is_replaced(self):
         seed = 40
         for step in STEPS:
-            rows = [(kill, "holder"), (lose_power, "other"), (lose_disk, "other")]
-            rows += [(lose_disk, "holder")] if step in AGREED else [(lose_disk, "spare")]
+            rows = [(kill, "leader"), (lose_power, "other"), (lose_disk, "other")]
+            rows += [(lose_disk, "leader")] if step in DECIDED_STEPS else [(lose_disk, "standby")]
             for how, of in rows:
                 seed += 1
-                self.replaced_with(seed, step, how, of)
+                self.check_replacement(seed, step, how, of)
 
     def test_a_leader_left_alone_with_the_log_takes_in_whoever_comes(self):
-        """Of the old members only the holder is left, so nothing can be recovered from a majority of them."""
-        run, fleet = self.founded(7)
+        """Of the old members only the leader is left, so nothing can be recovered from a majority of them."""
+        run, fleet = self.bootstrapped(7)
         leader = fleet.leader()
         epoch = leader.node.log.leader.epoch
         for _ in range(2):
@@ -153,12 +156,12 @@
             (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
         self.jobs(run, 1)
-        self.kept(run)
+        self.check_nothing_lost(run)
 
     def test_a_leaving_member_stays_until_the_others_have_all_it_has(self):
-        """One member's disk is lost and not replaced yet: the leaving one's copy is needed until a spare is level."""
+        """One member's disk is lost and not replaced yet: the leaving one's copy is needed until a standby has caught up."""
         for seed, of_leader in ((70, False), (71, True)):
-            run, fleet = self.founded(seed)
+            run, fleet = self.bootstrapped(seed)
             self.lose_one_for_good(fleet)
             fleet.run_until_true(lambda: False, 300)
             leaving = fleet.leader() if of_leader else self.followers(fleet)[0]
@@ -168,25 +171,25 @@
             self.assertThat(log.must_stay(), Equals(True))
             fleet.add("store", "spare1")
             fleet.add("store", "spare2")
-            gone = fleet.run_until_true(lambda log=log: not log.must_stay(), 2 * CATCH_UP_MS)
-            self.assertThat(gone, Equals(True))
+            may_stop = fleet.run_until_true(lambda log=log: not log.must_stay(), 2 * CATCH_UP_MS)
+            self.assertThat(may_stop, Equals(True))
             leaving.lose_disk()
             fleet.hosts.pop(leaving.name)
-            whole = fleet.run_until_true(
+            has_all_members = fleet.run_until_true(
                 lambda fleet=fleet: self.all_members(fleet), 2 * CATCH_UP_MS
             )
-            self.assertThat(whole, Equals(True))
+            self.assertThat(has_all_members, Equals(True))
             self.jobs(run, 1)
-            self.kept(run)
+            self.check_nothing_lost(run)
 
     def test_time_to_full_tolerance_idle_and_under_a_burst(self):
         """The snapshot that the empty machine is sent has several parts, and calls go on; it answers the appends that
         are still sent to the identity that lived at its address before.
         """
-        whole, snapshot_sender._PART_BYTES = snapshot_sender._PART_BYTES, 4096
-        self.addCleanup(setattr, snapshot_sender, "_PART_BYTES", whole)
+        part_bytes, snapshot_sender._PART_BYTES = snapshot_sender._PART_BYTES, 4096
+        self.addCleanup(setattr, snapshot_sender, "_PART_BYTES", part_bytes)
         for seed, burst in ((60, 0), (61, 30)):
-            run, fleet = self.founded(seed)
+            run, fleet = self.bootstrapped(seed)
             self.burst(run, burst)
             fleet.run_until_true(lambda: False, 1500)
             fleet.leader().node.log.log.maintain_snapshot(force=True)
--- a/tests/test_founding.py
+++ b/tests/test_voter_bootstrap.py
@@ -1,4 +1,4 @@
-"""Founding where no count of control nodes is told, and the lists of voters that follow: tables for the
+"""Bootstrap where no count of control nodes is configured, and the lists of voters that follow: tables for the
 rules, simulated fleets for how long it takes and what is acknowledged meanwhile.
 """
 
@@ -41,7 +41,7 @@
     )
 
 
-class Rules(TestCase):
+class SuccessionRulesTest(TestCase):
     def test_who_votes_first(self):
         nodes = [node_info("c", "1"), node_info("a", "2"), node_info("b", "3"), node_info("d", "4")]
         rows = [
@@ -101,7 +101,7 @@
         )
 
 
-class Founded(TestCase):
+class VoterBootstrapTest(TestCase):
     def fleet(self, control=5, seed=5, seeds=SEEDS, **settings):
         return SimFleet(
             seed,
@@ -278,7 +278,7 @@
             fleet.time.run_until(fleet.time.now_ms + 3000)
 
     def test_a_change_outlives_its_owner(self):
-        """Asked just as the owner dies: told to another control node, it is acknowledged within the bound."""
+        """Submitted just as the owner dies: sent to another control node, it is acknowledged within the bound."""
         fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -21,7 +21,7 @@
 
 
 class _Disk(SimDisk):
-    """Refuses flushes or replacements when told, as a full disk does."""
+    """Refuses flushes or replacements on request, as a full disk does."""
 
     def __init__(self, *values):
         super().__init__(*values)
@@ -228,10 +228,10 @@
         plain = os.pwrite
         self.addCleanup(setattr, os, "pwrite", plain)
 
-        def pwrite(handle, data, at):
+        def pwrite(handle, data, offset):
             if self.full:
                 raise OSError(errno.ENOSPC, "full")
-            return plain(handle, data, at)
+            return plain(handle, data, offset)
 
         os.pwrite = pwrite
         self.acceptor = Acceptor(self.disk, lambda: "1")
