--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -47,7 +47,7 @@
 
     def sweep(self) -> None:
         """Forget refusals so old that no stamp from before them can still come."""
-        floor_ms = self._node.env.now() - 2 * self._node.settings.fresh_ms
+        floor_ms = self._node.env.now() - 2 * self._node.settings.max_submission_age_ms
         self._refused_ms = {
             job_id: at_ms for job_id, at_ms in self._refused_ms.items() if at_ms > floor_ms
         }
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -91,7 +91,9 @@
         self._return_unheard(message)
         self._held.pop(message.edge, None)
         if not self._answer(message, reply, False):
-            self._held[message.edge] = _Held(message, reply, now_ms + self._node.settings.beat_ms)
+            self._held[message.edge] = _Held(
+                message, reply, now_ms + self._node.settings.heartbeat_ms
+            )
 
     def _hear(self, message: m.EdgeHeartbeat, now_ms: int) -> None:
         """Note that an edge is alive; of two edges at one address the earlier one has ended."""
@@ -227,7 +229,7 @@
                     continue
                 if (
                     now_ms - self._claimed_ms.get((job.job_id, index), self._since_ms)
-                    > 2 * self._node.settings.ask_ms
+                    > 2 * self._node.settings.request_timeout_ms
                 ):
                     rows.append(e.ItemReturned(job_id=job.job_id, index=index, number=item.number))
         if rows:
@@ -336,7 +338,7 @@
             return False
         return (
             self._node.env.now() - self._edges.get(edge, self._since_ms)
-            <= self._node.settings.dead_ms
+            <= self._node.settings.failure_timeout_ms
         )
 
     def _lost(self, job: Job, edge: str) -> bool:
@@ -352,7 +354,7 @@
             return not self._live(edge)
         return (
             self._node.env.now() - self._edges.get(edge, self._since_ms)
-            > self._node.settings.reclaim_ms
+            > self._node.settings.claim_revocation_ms
         )
 
     def tick(self) -> None:
--- a/libs/batch_state/src/batch_state/leader_replies.py
+++ b/libs/batch_state/src/batch_state/leader_replies.py
@@ -23,12 +23,15 @@
         self._holder, self.node = holder, node
 
     def stale(self, message: Any) -> bool:
-        """Whether a request's stamp is of another holder or too old (`fresh_ms`).
+        """Whether a request's stamp is of another holder or too old (`max_submission_age_ms`).
 
         Such a request may be one whose sender has already given up on it.
         """
         age_ms = self.node.env.now() - message.holder_ms
-        return message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.settings.fresh_ms
+        return (
+            message.epoch != self._holder.epoch
+            or not 0 <= age_ms <= self.node.settings.max_submission_age_ms
+        )
 
     def log(
         self,
--- a/libs/capacity_sharing/src/capacity_sharing/borrowing.py
+++ b/libs/capacity_sharing/src/capacity_sharing/borrowing.py
@@ -188,7 +188,7 @@
         def again() -> None:
             sample.done("again", "", "")
 
-        self._later.append((self.node.env.now() + self.node.settings.beat_ms, again))
+        self._later.append((self.node.env.now() + self.node.settings.heartbeat_ms, again))
 
     def _close(self, sample: _Sample) -> None:
         sample.over = True
@@ -251,7 +251,7 @@
             now_ms = self.node.env.now()
             for sample in self._at(worker):
                 if not call.job and unstarted(
-                    sample.carriage.send, now_ms, self.node.settings.beat_ms
+                    sample.carriage.send, now_ms, self.node.settings.heartbeat_ms
                 ):
                     self._give_up(sample, "a live call comes first")
             over = math.ceil(
--- a/libs/capacity_sharing/src/capacity_sharing/lending.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lending.py
@@ -118,7 +118,9 @@
     def attach(self, node: Any) -> None:
         """Join the node and start to watch the live load over its `load_window_ms`."""
         super().attach(node)
-        self._load = LiveLoad(node.settings.dead_ms, lambda: self.node.settings.load_window_ms)
+        self._load = LiveLoad(
+            node.settings.failure_timeout_ms, lambda: self.node.settings.load_window_ms
+        )
 
     def _published(self, key: str, number: int, body: str) -> None:
         if key == LOANS_KEY and body:
@@ -161,7 +163,9 @@
         self._decide(worker, lambda value: returned(value, worker, loan, weights), done)
 
     def _decide(self, worker: str, make: Make, done: Done) -> None:
-        call = _Call(worker, make, self.node.env.now() + self.node.settings.answer_ms * 2, done)
+        call = _Call(
+            worker, make, self.node.env.now() + self.node.settings.control_call_timeout_ms * 2, done
+        )
         if not self._sure():
             call.finish(LoanOutcome("doubt", "this node hears no majority of the voters"))
             return
@@ -221,10 +225,14 @@
         Those are the edges heard of, and whoever is on the roll and isn't a store.
         """
         settings = self.node.settings
-        stores = {card.address for card in self._neighbours.of_role("store", settings.gone_ms)}
+        stores = {
+            card.address for card in self._neighbours.of_role("store", settings.removal_timeout_ms)
+        }
         log = self._config_feed.value("log") or {}
         stores |= {row["address"] for row in (*log.get("members", ()), *log.get("prev", ()))}
-        edges = {card.address for card in self._neighbours.of_role("edge", settings.gone_ms)}
+        edges = {
+            card.address for card in self._neighbours.of_role("edge", settings.removal_timeout_ms)
+        }
         return edges | set(self._config_feed.roll()) - stores
 
     def _is_drained(self, worker: str) -> bool:
@@ -254,13 +262,13 @@
         return None
 
     def tick(self) -> None:
-        """End calls whose time is up; once each `beat_ms` record the load and act on due loans."""
+        """End calls whose time is up; each `heartbeat_ms` record the load and act on due loans."""
         now_ms = self.node.env.now()
         for call in self._calls:
             if now_ms >= call.due_ms:
                 call.finish(LoanOutcome("doubt", "no answer in time"))
         self._calls = [call for call in self._calls if call.done is not None]
-        if now_ms - self._noted_ms >= self.node.settings.beat_ms:
+        if now_ms - self._noted_ms >= self.node.settings.heartbeat_ms:
             self._noted_ms = now_ms
             self._load.note(now_ms)
             self._follow(now_ms)
@@ -289,7 +297,7 @@
     def _warn(self, worker: str, row: dict[str, Any], held_ms: int) -> None:
         if (
             row["state"] == LoanState.RECALLED
-            and 0 <= held_ms - row["recall_ms"] < self.node.settings.beat_ms
+            and 0 <= held_ms - row["recall_ms"] < self.node.settings.heartbeat_ms
         ):
             self.node.env.log(
                 "loan-overdue", "ERROR", worker=worker, borrower=row["borrower"], loan=row["loan"]
--- a/libs/capacity_sharing/src/capacity_sharing/lent.py
+++ b/libs/capacity_sharing/src/capacity_sharing/lent.py
@@ -65,7 +65,7 @@
     def attach(self, node: Any) -> None:
         """Join the node and start to watch the live load over its `force_ms`."""
         super().attach(node)
-        self._load = LiveLoad(node.settings.dead_ms, lambda: self.node.settings.force_ms)
+        self._load = LiveLoad(node.settings.failure_timeout_ms, lambda: self.node.settings.force_ms)
 
     def receive(self, message: EdgeLoad, origin: Origin) -> None:
         """Take another edge's report of its load."""
@@ -98,9 +98,9 @@
             self._roster.lent = lent
 
     def tick(self) -> None:
-        """Report this edge's load once each `beat_ms`, where slots or workers may be lent."""
+        """Report this edge's load once each `heartbeat_ms`, where slots or workers may be lent."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.settings.beat_ms or not (
+        if now_ms - self._sent_ms < self.node.settings.heartbeat_ms or not (
             self._lends() or self._roster.lent
         ):
             return
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -62,13 +62,13 @@
 class LiveLoad:
     """The latest reports of all edges and the live calls over a window.
 
-    Reports older than `dead_ms` are dropped; `window_ms` gives the window's length.
+    Reports older than `failure_timeout_ms` are dropped; `window_ms` gives the window's length.
     """
 
     __slots__ = ("_dead_ms", "_reports", "_rows", "_seen", "_since_ms", "_window_ms")
 
-    def __init__(self, dead_ms: int, window_ms: Callable[[], int]) -> None:
-        self._dead_ms, self._window_ms = dead_ms, window_ms
+    def __init__(self, failure_timeout_ms: int, window_ms: Callable[[], int]) -> None:
+        self._dead_ms, self._window_ms = failure_timeout_ms, window_ms
         self._reports: dict[str, tuple[int, EdgeLoad, dict[str, list]]] = {}
         self._rows: list[tuple[int, dict[str, int], int]] = []
         self._since_ms = -1
--- a/libs/capacity_sharing/src/capacity_sharing/outlook.py
+++ b/libs/capacity_sharing/src/capacity_sharing/outlook.py
@@ -21,8 +21,8 @@
 
     __slots__ = ("_dead_ms", "_item_ms", "_risk", "_rooms")
 
-    def __init__(self, dead_ms: int) -> None:
-        self._dead_ms = dead_ms
+    def __init__(self, failure_timeout_ms: int) -> None:
+        self._dead_ms = failure_timeout_ms
         self._item_ms: dict[str, float] = {}
         self._rooms: dict[str, tuple[int, int]] = {}
         self._risk = ""
--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -83,7 +83,9 @@
 
 @new_exchange.register
 def _(call: SampleCall, carrier: Any, tx: Any, worker: Worker) -> SampleExchange:
-    return SampleExchange(worker.stamp, tx.transaction_id, carrier.node.settings.answer_bytes, call)
+    return SampleExchange(
+        worker.stamp, tx.transaction_id, carrier.node.settings.max_response_bytes, call
+    )
 
 
 @worker_request.register
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -76,7 +76,7 @@
     def _reading(self) -> set[str]:
         """Stamps of the workers that may still be reading a prompt of this edge's calls."""
         node = self._carrier.node
-        now_ms, reading_ms = node.env.now(), node.settings.beat_ms
+        now_ms, reading_ms = node.env.now(), node.settings.heartbeat_ms
         return {
             send.worker.stamp
             for send in self._carrier.sends()
--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -2,7 +2,7 @@
 
 A few are chosen, of its own zone first and spread by rendezvous hashing, and kept as long as they
 reply as nodes in contact with a majority. One that falls silent or is disconnected from the other
-voters is avoided for gone_ms; a nearer one is tried again from time to time.
+voters is avoided for removal_timeout_ms; a nearer one is tried again from time to time.
 """
 
 from collections.abc import Iterable
@@ -90,7 +90,7 @@
         for address in [
             address
             for address, at_ms in self._asked_ms.items()
-            if now_ms - at_ms > settings.dead_ms
+            if now_ms - at_ms > settings.failure_timeout_ms
         ]:
             self._leave(address)
         self._chosen = [address for address in self._chosen if address in self._rank][
@@ -112,7 +112,7 @@
         return until_ms if until_ms > self._node.env.now() else 0
 
     def _nearer(self, now_ms: int) -> list[str]:
-        if now_ms - self._probed_ms >= self._node.settings.gone_ms:
+        if now_ms - self._probed_ms >= self._node.settings.removal_timeout_ms:
             self._probed_ms = now_ms
             best = min(self._rank, key=self._rank.__getitem__, default="")
             self._probe = best if best and best not in self._chosen else ""
@@ -120,7 +120,7 @@
         return []
 
     def asked(self, address: str) -> None:
-        """Note that a contact was sent a digest and has to reply within dead_ms."""
+        """Note that a contact was sent a digest and has to reply within failure_timeout_ms."""
         if address in self._chosen:
             self._asked_ms.setdefault(address, self._node.env.now())
 
@@ -144,7 +144,7 @@
 
     def _leave(self, address: str) -> None:
         self._asked_ms.pop(address, None)
-        self._left_until_ms[address] = self._node.env.now() + self._node.settings.gone_ms
+        self._left_until_ms[address] = self._node.env.now() + self._node.settings.removal_timeout_ms
         if address in self._chosen:
             self._chosen.remove(address)
 
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -1,9 +1,9 @@
 """The config feed at one node: the newest body of each key with its number.
 
-A new version is relayed to all neighbours when it first arrives. Digests, exchanged every beat_ms,
-find versions that were missed; a node that starts has none and is sent all, which serves as its
-snapshot. A change of a large body is sent as a merge patch on the number before it. Numbers never
-go back.
+A new version is relayed to all neighbours when it first arrives. Digests, exchanged every
+heartbeat_ms, find versions that were missed; a node that starts has none and is sent all, which
+serves as its snapshot. A change of a large body is sent as a merge patch on the number before it.
+Numbers never go back.
 
 With fan_out, digests and versions travel through the voters: a node that is not a voter reports to
 a few of them, at a longer interval, and each voter relays new versions to the nodes that report to
@@ -162,7 +162,7 @@
         if not self.votes():
             return []
         voters = self._voters()
-        floor_ms = self.node.env.now() - self.node.settings.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
         reporters = {
             row[3]
             for identity, row in self.confirmed.items()
@@ -344,9 +344,9 @@
         return self._whole(key)
 
     def tick(self) -> None:
-        """Send digests every beat_ms."""
+        """Send digests every heartbeat_ms."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.settings.beat_ms:
+        if now_ms - self._sent_ms < self.node.settings.heartbeat_ms:
             return
         self._sent_ms = now_ms
         self._since_ms = min(self._since_ms, now_ms)
@@ -360,11 +360,11 @@
             self.node.send(address, digest)
 
     def resumed(self, gap_ms: int) -> None:
-        """Disregard digests for beat_ms after a pause of the process.
+        """Disregard digests for heartbeat_ms after a pause of the process.
 
         Those that waited in buffers say nothing about the present.
         """
-        self._quiet_until_ms = self.node.env.now() + self.node.settings.beat_ms
+        self._quiet_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
         self._since_ms = self.node.env.now()
         self.quorate_ms = self.sure_edge_ms = -1 << 40
         self.contacts_ms = dict.fromkeys(self.contacts_ms, -1 << 40)
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -52,11 +52,11 @@
         raise NotImplementedError
 
     def _forget_silent(self, now_ms: int) -> list[str]:
-        """Drop nodes that sent no digest for gone_ms, and return their identities."""
+        """Drop nodes that sent no digest for removal_timeout_ms, and return their identities."""
         silent = [
             identity
             for identity, row in self.confirmed.items()
-            if now_ms - row[1] > self.node.settings.gone_ms
+            if now_ms - row[1] > self.node.settings.removal_timeout_ms
         ]
         for identity in silent:
             del self.confirmed[identity]
@@ -67,7 +67,7 @@
 
     def lows(self) -> dict[str, int]:
         """Return for each confirmed key the lowest number among the nodes that report here."""
-        floor_ms = self.node.env.now() - self.node.settings.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
         lows: dict[str, int] = {}
         for identity, (role, at_ms, numbers, _) in self.confirmed.items():
             if at_ms >= floor_ms and self._ranks.get(identity):
@@ -77,7 +77,7 @@
         return lows
 
     def _own_edges(self) -> int:
-        floor_ms = self.node.env.now() - self.node.settings.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
         return sum(
             1
             for identity, (role, at_ms, _, _) in self.confirmed.items()
@@ -89,7 +89,7 @@
 
         A voter adds up the counts of all voters; other nodes take the largest count they were told.
         """
-        floor_ms = self.node.env.now() - self.node.settings.dead_ms
+        floor_ms = self.node.env.now() - self.node.settings.failure_timeout_ms
         told = [
             count
             for identity, count in self._edges_told.items()
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -8,7 +8,8 @@
   of one base only one is decided.
 - A change of another base is never proposed. It is only looked up, since it may be a retry of a
   change that was decided before.
-- Every caller has its result within `answer_ms`, if need be that the outcome is not known.
+- Every caller has its result within `control_call_timeout_ms`, if need be that the outcome is not
+  known.
 """
 
 import json
@@ -151,15 +152,18 @@
     # -- calls ---------------------------------------------------------------------------------
 
     def change(self, change: ConfigurationChange, done: Done) -> None:
-        """Make a change; `done` gets its result within `answer_ms`."""
+        """Make a change; `done` gets its result within `control_call_timeout_ms`."""
         self._begin(_ChangeCall(change, self._due_ms(), done))
 
     def read(self, done: Done) -> None:
-        """Read the configuration in force; `done` gets the result within `answer_ms`."""
+        """Read the configuration in force.
+
+        `done` gets the result within `control_call_timeout_ms`.
+        """
         self._begin(_ReadCall(self._due_ms(), done))
 
     def _due_ms(self) -> int:
-        due_ms: int = self.node.env.now() + self.node.settings.answer_ms
+        due_ms: int = self.node.env.now() + self.node.settings.control_call_timeout_ms
         return due_ms
 
     def _begin(self, call: _Call) -> None:
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -58,7 +58,7 @@
             self._heard_row(role, info)
             for role in _ROLES
             for info in sorted(
-                node.membership.of_role(role, node.settings.gone_ms),
+                node.membership.of_role(role, node.settings.removal_timeout_ms),
                 key=lambda info: info.address,
             )
         ]
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -76,10 +76,12 @@
             self.acceptor.voters.values() or (() if settings.control_count else settings.seeds)
         )
         self.membership.ready = lambda: not self.why_unready()
-        self.membership.deaf = lambda: self._is_voter() and not self._hears(settings.cut_ms)
+        self.membership.deaf = lambda: (
+            self._is_voter() and not self._hears(settings.contact_timeout_ms)
+        )
         self.config_feed.votes = self._is_voter
         self.config_feed.candidates = lambda: candidates(
-            self._voter_list(), self.membership, settings.gone_ms
+            self._voter_list(), self.membership, settings.removal_timeout_ms
         )
         self.config_feed.hands_out = lambda: (
             self.has_quorum() if self._is_voter() else self.hears_majority()
@@ -89,7 +91,9 @@
         """Make the components that decide the control keys, their voters and the serving set."""
         self.owner = KeyOwner(self.acceptor, self.membership, self.config_feed)
         self.read_barrier = ReadBarrier(
-            self.owner, self.config_feed, lambda: self._is_voter() and self._hears(settings.cut_ms)
+            self.owner,
+            self.config_feed,
+            lambda: self._is_voter() and self._hears(settings.contact_timeout_ms),
         )
         self.bootstrap = Bootstrap(self.acceptor, self.owner, self.membership, self.config_feed)
         self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
@@ -155,24 +159,24 @@
         return 2 * heard > len(voters)
 
     def hears_majority(self) -> bool:
-        """Whether a majority of the voters sent this node heartbeats within `dead_ms`.
+        """Whether a majority of the voters sent this node heartbeats within `failure_timeout_ms`.
 
         This node need not be a voter itself.
         """
-        return bool(self.acceptor.voters) and self._hears(self.settings.dead_ms)
+        return bool(self.acceptor.voters) and self._hears(self.settings.failure_timeout_ms)
 
     def has_quorum(self) -> bool:
         """Whether this node is a voter in contact with a majority and its configuration is fresh.
 
         It has to have re-read the configuration from a majority since contact was last regained,
-        and must not have known of a newer version for longer than `dead_ms`.
+        and must not have known of a newer version for longer than `failure_timeout_ms`.
         """
         return (
             self._is_voter()
-            and self._hears(self.settings.cut_ms)
+            and self._hears(self.settings.contact_timeout_ms)
             and self.config_feed.number(CONTROL_KEY) > 0
             and self.read_barrier.passed()
-            and self.config_feed.behind_ms() <= self.settings.dead_ms
+            and self.config_feed.behind_ms() <= self.settings.failure_timeout_ms
         )
 
     def why_unready(self) -> str:
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -109,19 +109,19 @@
     def retire(self, name: str, done: Done) -> None:
         """Retire the store of this name; idempotent.
 
-        `done` gets OK, UNKNOWN, TOO_FEW or DOUBT within `answer_ms`.
+        `done` gets OK, UNKNOWN, TOO_FEW or DOUBT within `control_call_timeout_ms`.
         """
         self._begin(name, done, self._have_orders)
 
     def progress(self, name: str, done: Done) -> None:
         """Report the progress of a retirement by the store's name.
 
-        `done` gets ROLLING_OUT, FINISHED, UNKNOWN or DOUBT within `answer_ms`.
+        `done` gets ROLLING_OUT, FINISHED, UNKNOWN or DOUBT within `control_call_timeout_ms`.
         """
         self._begin(name, done, self._find_progress)
 
     def _begin(self, name: str, done: Done, have_read: HaveRead) -> None:
-        call = _Call(name, self.node.env.now() + self.node.settings.answer_ms, done)
+        call = _Call(name, self.node.env.now() + self.node.settings.control_call_timeout_ms, done)
         if not self._in_contact():
             call.finish(RetirementStatus.DOUBT)
             return
@@ -193,16 +193,16 @@
         if identity is None:
             if name in retired.names:
                 return RetirementStatus.OK
-            return self._certain(RetirementStatus.UNKNOWN, settings.gone_ms)
+            return self._certain(RetirementStatus.UNKNOWN, settings.removal_timeout_ms)
         if identity in retired.identities and retired.names.get(name) == identity:
             return RetirementStatus.OK
         remaining = [
             info
-            for info in self._membership.of_role("store", settings.dead_ms)
+            for info in self._membership.of_role("store", settings.failure_timeout_ms)
             if info.identity != identity and info.identity not in retired.identities
         ]
         if name not in retired.names and len(remaining) < settings.store_count:
-            return self._certain(RetirementStatus.TOO_FEW, settings.dead_ms)
+            return self._certain(RetirementStatus.TOO_FEW, settings.failure_timeout_ms)
         return None
 
     def _certain(self, refusal: RetirementStatus, after_ms: int) -> RetirementStatus:
@@ -263,8 +263,8 @@
         if self._since_ms < 0 or not self._in_contact():
             self._since_ms = now_ms
         if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.settings.beat_ms
-            for info in self._membership.of_role("store", self.node.settings.dead_ms):
+            self._next_ms = now_ms + self.node.settings.heartbeat_ms
+            for info in self._membership.of_role("store", self.node.settings.failure_timeout_ms):
                 self._identities[info.name] = info.identity
             self._retire_returned()
         self._calls.expire_due(now_ms)
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -87,7 +87,7 @@
         infos = [
             info
             for role in ("control", "store")
-            for info in self._node.membership.of_role(role, self._node.settings.gone_ms)
+            for info in self._node.membership.of_role(role, self._node.settings.removal_timeout_ms)
         ]
         return next((info.identity for info in infos if info.name == name), name)
 
@@ -123,7 +123,9 @@
         if unknown:
             reason = f"not on the roll: {', '.join(unknown)}"
             return refusal_response(refused("unknown-machine", reason, 404, field="links"))
-        live = sorted(set(body.links) & node.config_feed.heard_links(node.settings.gone_ms))
+        live = sorted(
+            set(body.links) & node.config_feed.heard_links(node.settings.removal_timeout_ms)
+        )
         if live:
             reason = f"heard lately: {', '.join(live)}"
             return refusal_response(refused("still-live", reason, 409, field="links"))
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -108,7 +108,7 @@
             self._awake_ms = now_ms
         if now_ms < self._next_ms:
             return
-        self._next_ms = now_ms + self.node.settings.beat_ms * 2
+        self._next_ms = now_ms + self.node.settings.heartbeat_ms * 2
         if not self._voter.metadata.list_body:
             self._found()
         elif not self._busy:
@@ -141,7 +141,10 @@
 
         for address in listed.values():
             self.node.request(
-                address, BootstrapRequest(members=members), self.node.settings.ask_ms, voted
+                address,
+                BootstrapRequest(members=members),
+                self.node.settings.request_timeout_ms,
+                voted,
             )
 
     def _proposed_members(self) -> str:
@@ -149,9 +152,12 @@
         if not self._may_found():
             return ""
         settings = self.node.settings
-        cards = [*self._neighbours.of_role("control", settings.dead_ms), self._neighbours.card()]
+        cards = [
+            *self._neighbours.of_role("control", settings.failure_timeout_ms),
+            self._neighbours.card(),
+        ]
         if not settings.control_count:
-            self._next_ms = self.node.env.now() + settings.beat_ms
+            self._next_ms = self.node.env.now() + settings.heartbeat_ms
         rows = founding_rows(cards, settings.control_count, set(settings.seeds))
         if not rows or rows[0]["identity"] != self._voter.identity:
             return ""
@@ -191,7 +197,10 @@
         self._busy = False
 
     def _read_unknown(self) -> None:
-        """Read keys of which no value is known: once owned by this node, and then every gone_ms."""
+        """Read keys of which no value is known.
+
+        This is done once they are owned by this node, and then every removal_timeout_ms.
+        """
         now_ms = self.node.env.now()
         keys = (
             CONTROL_KEY,
@@ -205,7 +214,8 @@
                 self._read_ms.pop(key, None)
             elif (
                 self._config_feed.number(key) == 0
-                and now_ms - self._read_ms.get(key, -1 << 40) > self.node.settings.gone_ms
+                and now_ms - self._read_ms.get(key, -1 << 40)
+                > self.node.settings.removal_timeout_ms
             ):
                 self._read_ms[key] = now_ms
                 self._owner.submit(
@@ -225,13 +235,13 @@
         voters = self._voter.voters
         spares = [
             card
-            for card in neighbours.of_role("control", settings.dead_ms)
+            for card in neighbours.of_role("control", settings.failure_timeout_ms)
             if card.identity not in voters and card.identity not in retired
         ]
-        long_awake = now_ms - self._awake_ms >= settings.gone_ms
+        long_awake = now_ms - self._awake_ms >= settings.removal_timeout_ms
 
         def silent(name: str) -> bool:
-            return long_awake and not neighbours.live(name, settings.gone_ms)
+            return long_awake and not neighbours.live(name, settings.removal_timeout_ms)
 
         if settings.control_count:
             return (
@@ -241,23 +251,25 @@
             )
 
         def all_heard(card: Any) -> bool:
-            since_ms = max(neighbours.first_ms(card.identity), self._awake_ms) + settings.beat_ms
+            since_ms = (
+                max(neighbours.first_ms(card.identity), self._awake_ms) + settings.heartbeat_ms
+            )
             return all(
                 name == self._voter.identity or neighbours.heard_ms(name) >= since_ms
                 for name in voters
             )
 
         def returned(name: str) -> bool | None:
-            if neighbours.heard_itself(name, settings.dead_ms):
+            if neighbours.heard_itself(name, settings.failure_timeout_ms):
                 return True
-            return False if now_ms - self._awake_ms > settings.dead_ms else None
+            return False if now_ms - self._awake_ms > settings.failure_timeout_ms else None
 
         return next_of_all(
             listed,
             spares,
             retired,
             silent,
-            lambda card: now_ms - neighbours.first_ms(card.identity) > settings.ask_ms,
+            lambda card: now_ms - neighbours.first_ms(card.identity) > settings.request_timeout_ms,
             all_heard,
             returned,
         )
@@ -281,7 +293,7 @@
                 receipt.outcome == "ok"
                 and json.loads(receipt.body)["number"] == following["number"]
             ):
-                self._next_ms = node.env.now() + node.settings.beat_ms // 4
+                self._next_ms = node.env.now() + node.settings.heartbeat_ms // 4
                 for row in following["voters"]:
                     node.send(row["address"], VoterListDecided(list_body=receipt.body))
 
@@ -326,7 +338,7 @@
             self.node,
             self._voter.voters,
             ListKeys(list_number=self._voter.list_number),
-            self.node.settings.ask_ms,
+            self.node.settings.request_timeout_ms,
             listed,
         )
 
--- a/libs/control_store/src/control_store/client.py
+++ b/libs/control_store/src/control_store/client.py
@@ -82,7 +82,7 @@
 
     def _send(self, asking: _Asking) -> None:
         settings, now_ms = self.node.settings, self.node.env.now()
-        asking.next_ms = now_ms + settings.ask_ms // 2
+        asking.next_ms = now_ms + settings.request_timeout_ms // 2
         address = asking.order[asking.sends % len(asking.order)]
         asking.sends += 1
         number = asking.sends
@@ -93,9 +93,11 @@
             if receipt is not None and receipt.outcome not in ("doubt", "refused"):
                 self._finish(asking, receipt.outcome, receipt.version, receipt.body)
             elif receipt is not None and number == asking.sends:
-                asking.next_ms = min(asking.next_ms, self.node.env.now() + settings.pulse_ms // 2)
+                asking.next_ms = min(
+                    asking.next_ms, self.node.env.now() + settings.leader_heartbeat_ms // 2
+                )
 
-        self.node.request(address, asking.make(), settings.ask_ms * 2, answered)
+        self.node.request(address, asking.make(), settings.request_timeout_ms * 2, answered)
 
     def _finish(self, asking: _Asking, outcome: str, version: int, body: str) -> None:
         self._askings.remove(asking)
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -51,7 +51,9 @@
         self._try(
             message,
             message.hops,
-            self._node.env.now() + settings.confirm_ms + 3 * settings.ask_ms,
+            self._node.env.now()
+            + settings.confirmation_timeout_ms
+            + 3 * settings.request_timeout_ms,
             done,
         )
 
@@ -80,9 +82,9 @@
         if duty in (None, self._voter.identity) or hops >= _RELAY_HOPS:
             self._enqueue(
                 message,
-                min(now_ms + settings.ask_ms * 2, due_ms)
+                min(now_ms + settings.request_timeout_ms * 2, due_ms)
                 if hops == 0
-                else now_ms + settings.ask_ms * 2,
+                else now_ms + settings.request_timeout_ms * 2,
                 answered,
             )
             return
@@ -91,7 +93,7 @@
         self._node.request(
             self._voter.voters[duty],
             message,
-            min(wait_ms, settings.dead_ms) if hops == 0 else wait_ms,
+            min(wait_ms, settings.failure_timeout_ms) if hops == 0 else wait_ms,
             answered,
         )
 
@@ -104,8 +106,8 @@
         """
         neighbours = self._neighbours
         order = [name for name in duty_order(concern, self._voter.voters) if neighbours.live(name)]
-        dead_ms = self._node.settings.dead_ms
-        direct = [name for name in order if neighbours.heard_itself(name, dead_ms)]
+        failure_timeout_ms = self._node.settings.failure_timeout_ms
+        direct = [name for name in order if neighbours.heard_itself(name, failure_timeout_ms)]
         return (
             first_live(direct, neighbours.hears)
             or first_live(order, neighbours.hears)
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -88,11 +88,11 @@
     def renew(self, key: str, done: Callable[[bool], None]) -> None:
         """Make sure that a majority of the present voters has the key's newest value.
 
-        `done` gets whether that was achieved within twice ask_ms.
+        `done` gets whether that was achieved within twice request_timeout_ms.
         """
         self._enqueue(
             Renew(key),
-            self.node.env.now() + self.node.settings.ask_ms * 2,
+            self.node.env.now() + self.node.settings.request_timeout_ms * 2,
             lambda receipt: done(receipt.outcome == Outcome.OK),
         )
 
@@ -115,7 +115,7 @@
             if self._holders(key, round_) < len(round_.replies):
                 self._enqueue(
                     Renew(name, True),
-                    self.node.env.now() + self.node.settings.ask_ms * 2,
+                    self.node.env.now() + self.node.settings.request_timeout_ms * 2,
                     lambda receipt: None,
                 )
 
@@ -123,7 +123,7 @@
             self.node,
             self._voter.voters,
             Confirm(key=name, epoch=epoch, proposer=self._by, list_number=self._voter.list_number),
-            self.node.settings.ask_ms,
+            self.node.settings.request_timeout_ms,
             heard,
             True,
         )
@@ -189,7 +189,9 @@
                 key.asking = False
                 done(key, round_, ok)
 
-        QuorumRound(self.node, self._voter.voters, message, self.node.settings.ask_ms, ended)
+        QuorumRound(
+            self.node, self._voter.voters, message, self.node.settings.request_timeout_ms, ended
+        )
 
     def _prepare(self, key: KeyState) -> None:
         key.state = State.PREPARING
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -61,9 +61,9 @@
         """
         settings = self._node.settings
         due_ms = (
-            changed_ms + settings.edges_ms
+            changed_ms + settings.edge_confirmation_timeout_ms
             if settings.cut_off == "serve"
-            else self._node.env.now() + settings.confirm_ms
+            else self._node.env.now() + settings.confirmation_timeout_ms
         )
         self._waiting.append(_Waiting(key, receipt, due_ms, done))
         self.check()
@@ -88,15 +88,15 @@
             most = (
                 self._handed_out(name, version)
                 if serves
-                else config_feed.most_confirm(name, version, settings.confirm_ms)
+                else config_feed.most_confirm(name, version, settings.confirmation_timeout_ms)
             )
-            within_ms = settings.dead_ms if serves else settings.confirm_ms
+            within_ms = settings.failure_timeout_ms if serves else settings.confirmation_timeout_ms
             if most and (
                 now_ms >= due_ms
                 or config_feed.all_confirm(name, version, CONFIRMERS[name], within_ms)
             ):
                 change.done(change.receipt)
-            elif now_ms >= due_ms + 2 * settings.ask_ms:
+            elif now_ms >= due_ms + 2 * settings.request_timeout_ms:
                 change.done(_in_doubt(version))
             else:
                 self._waiting.append(change)
@@ -104,7 +104,7 @@
     def _handed_out(self, key: str, version: int) -> bool:
         """Whether a majority of the voters publishes the version, this node counted if it votes."""
         config_feed, voters = self._config_feed, self._voter.voters
-        floor_ms = self._node.env.now() - self._node.settings.confirm_ms
+        floor_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
         have = {
             identity
             for identity, (_, at_ms, numbers, _) in config_feed.confirmed.items()
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -49,7 +49,10 @@
         return self._passed
 
     def tick(self) -> None:
-        """Read the keys, again every ask_ms until all are read; start over without a majority."""
+        """Read the keys, again every request_timeout_ms until all are read.
+
+        Without a majority, start over.
+        """
         if not self._hears_majority():
             self._reset()
             return
@@ -70,7 +73,7 @@
         settings = self.node.settings
         self._attempt += 1
         self._missing = set(CONFIRMERS)
-        self._retry_at_ms = self.node.env.now() + settings.ask_ms
+        self._retry_at_ms = self.node.env.now() + settings.request_timeout_ms
         for key in CONFIRMERS:
             self._read(key, self._attempt)
 
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -41,10 +41,10 @@
             return
         now_ms = self.node.env.now()
         if self._next_ms < 0:
-            self._next_ms = now_ms + self.node.settings.dead_ms
+            self._next_ms = now_ms + self.node.settings.failure_timeout_ms
         if now_ms < self._next_ms or self._busy:
             return
-        self._next_ms = now_ms + self.node.settings.beat_ms
+        self._next_ms = now_ms + self.node.settings.heartbeat_ms
         if not self._steward():
             return
         links = self._following()
@@ -54,19 +54,19 @@
     def _following(self) -> list[str] | None:
         settings, config_feed = self.node.settings, self._config_feed
         held = config_feed.roll()
-        heard = config_feed.heard_links(settings.dead_ms)
+        heard = config_feed.heard_links(settings.failure_timeout_ms)
         if not held:
             return sorted(heard) or None
         fresh = sorted(heard - held)[:1]
         gone = (
-            sorted(held - config_feed.heard_links(settings.gone_ms))[:1]
-            if config_feed.listened(settings.gone_ms)
+            sorted(held - config_feed.heard_links(settings.removal_timeout_ms))[:1]
+            if config_feed.listened(settings.removal_timeout_ms)
             else []
         )
         if not config_feed.binding:
             return self._begun(held, heard, fresh, gone)
         if not config_feed.most_confirm(
-            ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirm_ms
+            ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirmation_timeout_ms
         ):
             return None
         if fresh:
--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -1,8 +1,8 @@
 """The owner's side of the list of workers.
 
-Reports that arrive within batch_ms are gathered into one change of the key `workers`. Workers that
-are silent at every control node are removed. A drain is acknowledged once the list is on a majority
-of disks and the live edges have it, or had edges_ms to learn it.
+Reports that arrive within worker_list_batch_ms are gathered into one change of the key `workers`.
+Workers that are silent at every control node are removed. A drain is acknowledged once the list is
+on a majority of disks and the live edges have it, or had edge_confirmation_timeout_ms to learn it.
 """
 
 import json
@@ -88,7 +88,11 @@
         """Process a drain or an end: `done` gets "ok" once it is in force, or "doubt"."""
         self._gather(report)
         self._waits.append(
-            Wait(report.identity, self.node.env.now() + self.node.settings.answer_ms, done)
+            Wait(
+                report.identity,
+                self.node.env.now() + self.node.settings.control_call_timeout_ms,
+                done,
+            )
         )
 
     def _gather(self, report: WorkerReport) -> None:
@@ -181,9 +185,9 @@
                 version
                 and wait.identity not in self._reports
                 and (
-                    now_ms - at_ms >= settings.edges_ms
+                    now_ms - at_ms >= settings.edge_confirmation_timeout_ms
                     or self._config_feed.all_confirm(
-                        WORKERS_KEY, version, ("edge",), settings.confirm_ms
+                        WORKERS_KEY, version, ("edge",), settings.confirmation_timeout_ms
                     )
                 )
             ):
@@ -193,16 +197,16 @@
         self._waits = [wait for wait in self._waits if wait.done is not None]
 
     def judge_silent(self, now_ms: int) -> None:
-        """Remove workers without heartbeats for longer than silent_ms.
+        """Remove workers without heartbeats for longer than worker_removal_timeout_ms.
 
         Done only by a node that has owned the key, running and in contact, for that long itself.
         """
-        silent_ms = self.node.settings.silent_ms
-        if self._owned_ms < 0 or now_ms - self._owned_ms <= silent_ms:
+        worker_removal_timeout_ms = self.node.settings.worker_removal_timeout_ms
+        if self._owned_ms < 0 or now_ms - self._owned_ms <= worker_removal_timeout_ms:
             return
         for name, row in self.value["workers"].items():
             if (
-                now_ms - self._seen_ms.get(name, self._owned_ms) > silent_ms
+                now_ms - self._seen_ms.get(name, self._owned_ms) > worker_removal_timeout_ms
                 and name not in self._reports
             ):
                 self._gather(
@@ -236,7 +240,7 @@
         if (
             self._reports
             and not self._busy
-            and now_ms - self._first_ms >= self.node.settings.batch_ms
+            and now_ms - self._first_ms >= self.node.settings.worker_list_batch_ms
         ):
             self._change()
         self._check_waits()
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -121,7 +121,7 @@
         if name not in self._changes.value["ended"] and (row is None or not same_row(row, report)):
             self._pending[name] = report
             self._sent_ms = min(
-                self._sent_ms, now_ms - self._period_ms() + self.node.settings.batch_ms
+                self._sent_ms, now_ms - self._period_ms() + self.node.settings.worker_list_batch_ms
             )
         done("ok" if self._in_touch() else "refused")
 
@@ -147,7 +147,9 @@
         if not self._sure() or address is None:
             done("refused")
             return
-        wait = Wait(report.identity, self.node.env.now() + self.node.settings.answer_ms, done)
+        wait = Wait(
+            report.identity, self.node.env.now() + self.node.settings.control_call_timeout_ms, done
+        )
         self._calls.append(wait)
         if self._mine():
             self._changes.leave(report, wait.finish)
@@ -155,7 +157,7 @@
             self.node.request(
                 address,
                 WorkerLeft(report=encode(report)),
-                self.node.settings.answer_ms,
+                self.node.settings.control_call_timeout_ms,
                 lambda receipt: wait.finish(
                     "ok" if receipt is not None and receipt.ok else "doubt"
                 ),
@@ -183,7 +185,9 @@
             )
 
     def _forget(self, now_ms: int) -> None:
-        floor_ms = now_ms - 2 * self.node.settings.resume_ms - self.node.settings.silent_ms
+        floor_ms = (
+            now_ms - 2 * self.node.settings.resume_ms - self.node.settings.worker_removal_timeout_ms
+        )
         for name in [name for name, at_ms in self._heard_ms.items() if at_ms < floor_ms]:
             del self._heard_ms[name]
             self._seqs.pop(name, None)
@@ -200,7 +204,8 @@
         return (
             name in self._changes.value["ended"]
             or (row is not None and (row["seq"] >= report.seq or same_row(row, report)))
-            or now_ms - self._heard_ms.get(name, now_ms) > self.node.settings.silent_ms
+            or now_ms - self._heard_ms.get(name, now_ms)
+            > self.node.settings.worker_removal_timeout_ms
         )
 
     # -- the key's owner -----------------------------------------------------------------------
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -40,7 +40,7 @@
         )
         self.membership.wanted = self._control_addresses
         self.config_feed.candidates = lambda: candidates(
-            self.config_feed.value(CONTROL_KEY), self.membership, self.settings.gone_ms
+            self.config_feed.value(CONTROL_KEY), self.membership, self.settings.removal_timeout_ms
         )
         self._profile_tree = ProfileTree({})
         self._profile_tree_number = 0
@@ -51,7 +51,10 @@
         value = self.config_feed.value(CONTROL_KEY)
         if value:
             return [row["address"] for row in value["voters"]]
-        return [card.address for card in self.membership.of_role("control", self.settings.gone_ms)]
+        return [
+            card.address
+            for card in self.membership.of_role("control", self.settings.removal_timeout_ms)
+        ]
 
     def profile_tree(self) -> ProfileTree:
         """Return the profiles in force, parsed again when the feed has newer ones."""
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -94,7 +94,8 @@
         self.holder = LeaderClient(
             lambda: self.config_feed.body(LOG_KEY),
             lambda: [
-                card.address for card in self.membership.of_role("store", self.settings.gone_ms)
+                card.address
+                for card in self.membership.of_role("store", self.settings.removal_timeout_ms)
             ],
         )
         self.roster = WorkerRegistry(
@@ -171,7 +172,7 @@
         """Return the identity and the address of each other live edge."""
         return [
             (card.identity, card.address)
-            for card in self.membership.of_role("edge", self.settings.dead_ms)
+            for card in self.membership.of_role("edge", self.settings.failure_timeout_ms)
         ]
 
     def _prefill_peers(self) -> list[str]:
@@ -180,7 +181,7 @@
         Those are all of a small fleet, else those of this zone, which chooses workers near it
         first.
         """
-        cards = self.membership.of_role("edge", self.settings.gone_ms)
+        cards = self.membership.of_role("edge", self.settings.removal_timeout_ms)
         if len(cards) > _SMALL_FLEET_EDGES:
             return [card.address for card in cards if card.zone == self.settings.zone]
         return [card.address for card in cards]
@@ -188,7 +189,7 @@
     def _edge_count(self) -> int:
         """Return the number of edges: by the serving set, else those that are heard, and itself."""
         return self.config_feed.edge_count() or 1 + len(
-            self.membership.of_role("edge", self.settings.dead_ms)
+            self.membership.of_role("edge", self.settings.failure_timeout_ms)
         )
 
     def why_unready(self) -> str:
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -35,7 +35,7 @@
         if not (self._hears_control(now_ms) or self._hears_most(now_ms)):
             return _CUT_OFF
         if not self._caught_up:
-            self._caught_up = self._has_newest_profiles(now_ms - settings.cut_ms)
+            self._caught_up = self._has_newest_profiles(now_ms - settings.contact_timeout_ms)
         return "" if self._caught_up else _NOT_CAUGHT_UP
 
     def _why_not_begun(self, now_ms: int) -> str:
@@ -46,23 +46,23 @@
         control node that is heard but has no majority is cut off, and so may the neighbours be.
         """
         if not self._caught_up:
-            dead_ms = self._node.settings.dead_ms
+            failure_timeout_ms = self._node.settings.failure_timeout_ms
             informed = (
-                now_ms - self._node.config_feed.quorate_ms <= dead_ms
-                or now_ms - self._started_ms > dead_ms
+                now_ms - self._node.config_feed.quorate_ms <= failure_timeout_ms
+                or now_ms - self._started_ms > failure_timeout_ms
                 and not self._hears_some_control()
             )
-            self._caught_up = informed and self._has_newest_profiles(now_ms - dead_ms)
+            self._caught_up = informed and self._has_newest_profiles(now_ms - failure_timeout_ms)
         return "" if self._caught_up else _NOT_CAUGHT_UP
 
     def _hears_some_control(self) -> bool:
         """Whether any control node speaks to this one, even if without a majority."""
-        heard = self._node.membership.heard_directly(self._node.settings.dead_ms)
+        heard = self._node.membership.heard_directly(self._node.settings.failure_timeout_ms)
         return any(card.role == "control" for card in heard)
 
     def _hears_control(self, now_ms: int) -> bool:
-        """Whether a control node with a majority was heard within `cut_ms`."""
-        if now_ms - self._node.config_feed.quorate_ms <= self._node.settings.cut_ms:
+        """Whether a control node with a majority was heard within `contact_timeout_ms`."""
+        if now_ms - self._node.config_feed.quorate_ms <= self._node.settings.contact_timeout_ms:
             self._was_quorate = True
             return True
         return False
@@ -73,15 +73,17 @@
         Most of those on the feed's list that spoke to it lately still do, most of the whole list
         are known to live, and either it or an edge that is ready has once heard from control.
         """
-        feed, cut_ms = self._node.config_feed, self._node.settings.cut_ms
+        feed, contact_timeout_ms = self._node.config_feed, self._node.settings.contact_timeout_ms
         serving = feed.roll()
         contacts_ms = [
             feed.contacts_ms[identity]
             for identity, row in feed.confirmed.items()
             if identity in feed.contacts_ms and row[3] in serving
         ]
-        recent = sum(1 for at_ms in contacts_ms if now_ms - at_ms <= cut_ms)
-        vouched = feed.binding and (self._was_quorate or now_ms - feed.sure_edge_ms <= cut_ms)
+        recent = sum(1 for at_ms in contacts_ms if now_ms - at_ms <= contact_timeout_ms)
+        vouched = feed.binding and (
+            self._was_quorate or now_ms - feed.sure_edge_ms <= contact_timeout_ms
+        )
         return (
             vouched
             and recent > 0
@@ -95,7 +97,7 @@
         return {node.address} | {
             card.address
             for role in ("edge", "store")
-            for card in node.membership.of_role(role, 2 * node.settings.dead_ms)
+            for card in node.membership.of_role(role, 2 * node.settings.failure_timeout_ms)
         }
 
     def _has_newest_profiles(self, floor_ms: int) -> bool:
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -108,7 +108,9 @@
         end_ms = self.node.env.now() + wait_ms
 
         def ask() -> None:
-            held_ms = max(0, min(end_ms - self.node.env.now(), self.node.settings.ask_ms))
+            held_ms = max(
+                0, min(end_ms - self.node.env.now(), self.node.settings.request_timeout_ms)
+            )
             self._holder.ask(
                 m.ListForwardResults(
                     job_id=job_id,
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -38,7 +38,7 @@
         """
         tree = self._tree()
         if reason := self._why_unready():
-            return refused("not-ready", reason, 503, self.node.settings.dead_ms)
+            return refused("not-ready", reason, 503, self.node.settings.failure_timeout_ms)
         profile = tree.route(host, target.partition("?")[0])
         return (
             refused("no-route", "no route has this host and path", 404)
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -45,7 +45,7 @@
 
     def make_switchboard(self, deliver: Any) -> LinkTransport:
         """Return what sends and receives the fleet's messages; `deliver` gets them."""
-        return LinkTransport(self.settings.link, self.settings.ask_ms, deliver)
+        return LinkTransport(self.settings.link, self.settings.request_timeout_ms, deliver)
 
     def open_disk(self) -> FolderDisk:
         """Open the data folder; if a flush fails the process crashes."""
--- a/libs/data_plane/src/data_plane/role_processes.py
+++ b/libs/data_plane/src/data_plane/role_processes.py
@@ -51,7 +51,7 @@
 
     def make_sender(self) -> HttpSender:
         """Return the transport of requests to workers."""
-        return HttpSender(self.settings.ask_ms)
+        return HttpSender(self.settings.request_timeout_ms)
 
     def start_draining(self) -> None:
         """Become unready, and take no more batch items."""
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -29,20 +29,21 @@
 class HttpSender:
     """Sends attempts; `pool` has the connections of forwarded requests once there was one.
 
-    `ask_ms` is the time for a connection, in milliseconds; forwarded requests have a share of it.
+    `request_timeout_ms` is the time for a connection, in milliseconds; forwarded requests have a
+    share of it.
     """
 
     __slots__ = ("_ask_ms", "_kept", "_session", "pool")
 
-    def __init__(self, ask_ms: int) -> None:
+    def __init__(self, request_timeout_ms: int) -> None:
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         self._session = aiohttp.ClientSession(
             connector=connector,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=ask_ms / 1000),
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=request_timeout_ms / 1000),
             max_line_size=_HEAD_BYTES,
             auto_decompress=False,
         )
-        self._ask_ms = ask_ms
+        self._ask_ms = request_timeout_ms
         self._kept: aiohttp.ClientSession | None = None
         self.pool: WorkerPool | None = None
 
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -43,7 +43,7 @@
         )
         self.log: LogReplica = LogReplica(local, self.control, self, self.batch_service.take_holder)
         self.archive_repair = ArchiveRepair(local, self._other_members)
-        self.batch_service.make_forecast = lambda: JobOutlook(settings.dead_ms)
+        self.batch_service.make_forecast = lambda: JobOutlook(settings.failure_timeout_ms)
         self.batch_service.shelves = local.archive
         self.batch_service.mend = self.archive_repair.repair
         local.archive.on_archived = self._release_archived
@@ -89,12 +89,15 @@
         """Return the addresses of the other live stores by identity."""
         return {
             card.identity: card.address
-            for card in self.membership.of_role("store", self.settings.dead_ms)
+            for card in self.membership.of_role("store", self.settings.failure_timeout_ms)
         }
 
     def store_rows(self) -> list[dict[str, str]]:
         """Return the live stores, this one among them, ordered by identity."""
-        cards = [self.membership.card(), *self.membership.of_role("store", self.settings.dead_ms)]
+        cards = [
+            self.membership.card(),
+            *self.membership.of_role("store", self.settings.failure_timeout_ms),
+        ]
         return sorted(
             (
                 {"identity": card.identity, "address": card.address, "zone": card.zone}
@@ -115,8 +118,8 @@
         """Whether it is up long enough to know who lives, and in touch with a control majority."""
         now_ms = self.env.now()
         return (
-            now_ms - self._started_ms > self.settings.dead_ms
-            and now_ms - self.config_feed.quorate_ms < self.settings.dead_ms
+            now_ms - self._started_ms > self.settings.failure_timeout_ms
+            and now_ms - self.config_feed.quorate_ms < self.settings.failure_timeout_ms
         )
 
     def learned(self, number: int, body: str) -> None:
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -40,7 +40,7 @@
         return json_response(
             {
                 "enrolled": self._node.profile_tree().allows_worker(beat.identity, labels),
-                "beat_ms": self._node.settings.beat_ms,
+                "heartbeat_ms": self._node.settings.heartbeat_ms,
             }
         )
 
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -101,7 +101,7 @@
         return self._cards.get(identity)
 
     def live(self, identity: str, within_ms: int | None = None) -> bool:
-        """Return whether a node was heard of within the time; `dead_ms` if none is given.
+        """Return whether a node was heard of within the time, by default `failure_timeout_ms`.
 
         Without a given time, a node whose address refused a connection is not live until it is
         heard again. The node itself always is.
@@ -111,7 +111,7 @@
         if within_ms is None and identity in self._refused:
             return False
         return self.node.env.now() - self.heard_ms(identity) <= (
-            within_ms or self.node.settings.dead_ms
+            within_ms or self.node.settings.failure_timeout_ms
         )
 
     def heard_itself(self, identity: str, within_ms: int) -> bool:
@@ -158,9 +158,9 @@
     # -- beats and shuffles --------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Send heartbeats and exchange views, once each `beat_ms`."""
+        """Send heartbeats and exchange views, once each `heartbeat_ms`."""
         now_ms = self.node.env.now()
-        if now_ms - self._sent_ms < self.node.settings.beat_ms:
+        if now_ms - self._sent_ms < self.node.settings.heartbeat_ms:
             return
         self._sent_ms = now_ms
         self._beat_ms = max(self._beat_ms + 1, self.node.env.wall())
@@ -183,18 +183,21 @@
         if self.node.settings.fan_out:
             return self._own_kin(role)
         kin = (
-            {card.address for card in self.of_role(role, self.node.settings.gone_ms)}
+            {card.address for card in self.of_role(role, self.node.settings.removal_timeout_ms)}
             if role != "edge"
             else set()
         )
         if role != "edge":
-            kin |= {card.address for card in self.of_role("control", self.node.settings.gone_ms)}
+            kin |= {
+                card.address
+                for card in self.of_role("control", self.node.settings.removal_timeout_ms)
+            }
         return sorted((kin | set(self.wanted())) - {self.node.address})
 
     def _own_kin(self, role: str) -> list[str]:
         if role == "edge":
             return []
-        kin = {card.address for card in self.of_role(role, self.node.settings.gone_ms)}
+        kin = {card.address for card in self.of_role(role, self.node.settings.removal_timeout_ms)}
         if role == "control" or self._beat_count % _CONTROL_BEATS == 0:
             kin |= set(self.wanted())
         kin = sorted(kin - {self.node.address})
@@ -247,7 +250,7 @@
         first = decode(card)
         fresh = (
             self.node.env.now() - self._fresh_ms.get(first.identity, -1 << 40)
-            <= self.node.settings.dead_ms
+            <= self.node.settings.failure_timeout_ms
         )
         if self._beats.get(first.identity, -1) >= first.beat and not fresh:
             self._beats[first.identity] = first.beat - 1
@@ -272,7 +275,7 @@
         ]:
             if (
                 self._cards[identity].beat > card.beat
-                and self._fresh_ms[identity] > now_ms - self.node.settings.dead_ms
+                and self._fresh_ms[identity] > now_ms - self.node.settings.failure_timeout_ms
             ):
                 return
             self._drop(identity)
@@ -289,7 +292,7 @@
         for identity in [
             identity
             for identity in self._cards
-            if now_ms - self._fresh_ms[identity] > self.node.settings.gone_ms
+            if now_ms - self._fresh_ms[identity] > self.node.settings.removal_timeout_ms
         ]:
             self._drop(identity)
         for identity in list(self._beats)[: max(0, len(self._beats) - _REMEMBERED)]:
--- a/libs/messaging/src/messaging/components.py
+++ b/libs/messaging/src/messaging/components.py
@@ -169,7 +169,7 @@
         now_ms = self.env.now()
         gap_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
-        if gap_ms > self.settings.frozen_ms:
+        if gap_ms > self.settings.freeze_threshold_ms:
             self.env.log("frozen", "WARNING", gap_ms=gap_ms)
             for part in self.components:
                 part.resumed(gap_ms)
--- a/libs/messaging/src/messaging/node_runner.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -75,9 +75,9 @@
         self.node = node
         self.worst_tick_ms = 0
         self._env = env
-        self._tick_ms = max(5, min(node.settings.delta_ms // 2, node.settings.beat_ms // 8))
+        self._tick_ms = max(5, min(node.settings.delta_ms // 2, node.settings.heartbeat_ms // 8))
         self._switchboard = switchboard or LinkTransport(
-            env.address, node.settings.ask_ms, node.receive
+            env.address, node.settings.request_timeout_ms, node.receive
         )
         env.switchboard = self._switchboard
         self._switchboard.on_refused = lambda address: self._tell("connection_refused", address)
--- a/libs/modelcheck/src/modelcheck/control_keys.py
+++ b/libs/modelcheck/src/modelcheck/control_keys.py
@@ -106,8 +106,8 @@
             data_folder="disk",
             control_count=voters,
         )
-        self.timeout_ms = self._settings.ask_ms
-        self.freeze_ms = self._settings.frozen_ms + 1
+        self.timeout_ms = self._settings.request_timeout_ms
+        self.freeze_ms = self._settings.freeze_threshold_ms + 1
         self._owners = owners or {}
         self.identities = [f"control-n{index}" for index in range(voters)]
         rows = [
--- a/libs/modelcheck/src/modelcheck/store_log.py
+++ b/libs/modelcheck/src/modelcheck/store_log.py
@@ -109,9 +109,9 @@
         self.operations = [Operation("found", _CONTROL, found), *operations]
         self.bounds = bounds
         self._settings = self._make_settings("store")
-        self.tick_ms = self._settings.pulse_ms
-        self.timeout_ms = self._settings.ask_ms
-        self.freeze_ms = self._settings.frozen_ms + 1
+        self.tick_ms = self._settings.leader_heartbeat_ms
+        self.timeout_ms = self._settings.request_timeout_ms
+        self.freeze_ms = self._settings.freeze_threshold_ms + 1
         self.prelude = (
             Step(Kind.SUBMIT, _CONTROL, _FOUND),
             Step(Kind.TICK, 1),
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -121,7 +121,7 @@
         self.node.request(
             source,
             FetchArchive(file=files[0], offset=len(got)),
-            2 * self.node.settings.ask_ms,
+            2 * self.node.settings.request_timeout_ms,
             told,
         )
 
@@ -185,7 +185,7 @@
         self.node.request(
             others[0],
             ReadArchived(kind=kind, name=name, from_index=len(got)),
-            self.node.settings.ask_ms,
+            self.node.settings.request_timeout_ms,
             told,
         )
 
@@ -195,10 +195,10 @@
             self.node.env.log("shelf-mended", kind=kind, what=name)
 
     def tick(self) -> None:
-        """Sweep the next archive file for damage, once in `gone_ms`."""
+        """Sweep the next archive file for damage, once in `removal_timeout_ms`."""
         now_ms = self.node.env.now()
         if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.settings.gone_ms
+            self._next_ms = now_ms + self.node.settings.removal_timeout_ms
             self._page = ("", b"")
             for kind, name in self._log.archive.sweep():
                 self.repair(kind, name)
--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -24,11 +24,11 @@
 
         Founding waits until as many blank stores are known as the log needs and no more have
         appeared for two heartbeats. The first of the chosen stores tries first, then the next one,
-        `ask_ms` later. A store that starts blank after the fleet never founds. `changed_ms` is when
-        this store's role last changed, in milliseconds of its clock.
+        `request_timeout_ms` later. A store that starts blank after the fleet never founds.
+        `changed_ms` is when this store's role last changed, in milliseconds of its clock.
         """
         settings, now_ms = node.settings, node.env.now()
-        if not self._fleet.settled_in() or now_ms - changed_ms < settings.beat_ms:
+        if not self._fleet.settled_in() or now_ms - changed_ms < settings.heartbeat_ms:
             return []
         blank = self._fleet.store_rows()
         if blank != self._candidates:
@@ -42,6 +42,9 @@
         ):
             return []
         rank = names.index(self._log.identity)
-        if now_ms - self._candidates_ms >= 2 * settings.beat_ms + rank * settings.ask_ms:
+        if (
+            now_ms - self._candidates_ms
+            >= 2 * settings.heartbeat_ms + rank * settings.request_timeout_ms
+        ):
             return members
         return []
--- a/libs/replicated_log/src/replicated_log/failure_detector.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -52,26 +52,29 @@
 
     def process_ended(self) -> None:
         """Record that the holder's machine says that its process isn't running."""
-        self.silent_ms = max(self.silent_ms, self._settings.suspect_ms)
+        self.silent_ms = max(self.silent_ms, self._settings.leader_failure_ms)
 
     @property
     def hears_leader(self) -> bool:
-        """Whether the holder has been heard within `doubt_ms`."""
-        return self.silent_ms < self._settings.doubt_ms
+        """Whether the holder has been heard within `leader_suspicion_ms`."""
+        return self.silent_ms < self._settings.leader_suspicion_ms
 
     def tick(self) -> None:
-        """Count the time since the last tick as silence, at most half of `pulse_ms` a tick."""
+        """Count the time since the last tick as silence.
+
+        At most half of `leader_heartbeat_ms` is counted a tick.
+        """
         now_ms = self._now()
-        self.silent_ms += min(now_ms - self._last_ms, self._settings.pulse_ms // 2)
+        self.silent_ms += min(now_ms - self._last_ms, self._settings.leader_heartbeat_ms // 2)
         self._last_ms = now_ms
 
     def should_poll(self, orphaned: bool) -> bool:
-        """Whether to poll the other members now; at most once in `pulse_ms`.
+        """Whether to poll the other members now; at most once in `leader_heartbeat_ms`.
 
         `orphaned` says that this very store is named as the holder but isn't at work.
         """
-        due = orphaned or self.silent_ms >= self._settings.doubt_ms
-        if not due or self._now() - self._polled_ms < self._settings.pulse_ms:
+        due = orphaned or self.silent_ms >= self._settings.leader_suspicion_ms
+        if not due or self._now() - self._polled_ms < self._settings.leader_heartbeat_ms:
             return False
         self._polled_ms = self._now()
         return True
@@ -83,8 +86,8 @@
             self.handle_heartbeat()
 
     def unanswered(self, names: list[str]) -> list[str]:
-        """Return the members that haven't answered within twice `dead_ms`."""
-        floor_ms = self._now() - 2 * self._settings.dead_ms
+        """Return the members that haven't answered within twice `failure_timeout_ms`."""
+        floor_ms = self._now() - 2 * self._settings.failure_timeout_ms
         return [
             name
             for name in names
@@ -98,7 +101,7 @@
         that are being retired (`retired`) claim only if nobody else can.
         """
         settings, now_ms = self._settings, self._now()
-        floor_ms = now_ms - 2 * settings.pulse_ms
+        floor_ms = now_ms - 2 * settings.leader_heartbeat_ms
         answers = {
             name: answer
             for name, (at_ms, answer) in self._answers.items()
@@ -117,7 +120,10 @@
         willing = [name for name in able if name not in retired] or able
         if self._own not in willing:
             return False
-        return now_ms - self._eligible_since_ms >= willing.index(self._own) * settings.pulse_ms
+        return (
+            now_ms - self._eligible_since_ms
+            >= willing.index(self._own) * settings.leader_heartbeat_ms
+        )
 
     def _is_free(
         self, answers: dict[str, LeaderPollResponse], names: list[str], leader: str, epoch: int
@@ -134,4 +140,4 @@
         if sum(answer.hears_leader for name, answer in answers.items() if name != leader) >= f:
             return False
         disowned = leader == self._own or (held is not None and held.epoch >= epoch)
-        return disowned or self.silent_ms >= self._settings.suspect_ms
+        return disowned or self.silent_ms >= self._settings.leader_failure_ms
--- a/libs/replicated_log/src/replicated_log/follower_progress.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -83,7 +83,7 @@
             follower.snapshot, follower.snapshot_acked_bytes = self._log.stored_snapshot(), 0
             self._send_part(follower, probe)
         elif (
-            now_ms - follower.snapshot_sent_ms >= self._settings.ask_ms
+            now_ms - follower.snapshot_sent_ms >= self._settings.request_timeout_ms
             and follower.snapshot_acked_bytes < len(follower.snapshot)
         ):
             self._send_part(follower, probe)
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -2,8 +2,9 @@
 
 An append is written without a flush, sent to the followers and acknowledged once f of them have it
 in memory. After 2 delta it is acknowledged only once it is settled, that is durable on f+1 disks;
-after `ask_ms` its outcome is unknown. A caller may wait for settling from the start, which brings
-the flush forward. Reads wait until f followers have confirmed that this epoch isn't fenced.
+after `request_timeout_ms` its outcome is unknown. A caller may wait for settling from the start,
+which brings the flush forward. Reads wait until f followers have confirmed that this epoch isn't
+fenced.
 """
 
 from collections.abc import Callable
@@ -164,7 +165,7 @@
     def _send(self, follower: FollowerProgress, flush: bool = False) -> None:
         log = self._log
         follower.last_sent_ms = self._now()
-        if self._now() - follower.last_heard_ms > self.settings.dead_ms:
+        if self._now() - follower.last_heard_ms > self.settings.failure_timeout_ms:
             follower.next_seq = log.last_seq + 1
         previous = log.stamp_at(follower.next_seq - 1)
         if previous is None or follower.next_seq < log.first_seq:
@@ -258,12 +259,12 @@
             self.add_learner(identity, address)
 
     def is_responsive(self, identity: str) -> bool:
-        """Whether a follower has adopted this epoch and was heard within `doubt_ms`."""
+        """Whether a follower has adopted this epoch and was heard within `leader_suspicion_ms`."""
         follower = self.followers.get(identity)
         return (
             follower is not None
             and follower.adopted
-            and self._now() - follower.last_heard_ms < self.settings.doubt_ms
+            and self._now() - follower.last_heard_ms < self.settings.leader_suspicion_ms
         )
 
     def is_caught_up(self, identity: str) -> bool:
@@ -276,7 +277,7 @@
             follower is not None
             and follower.adopted
             and follower.flushed_seq >= self._level_seq[0]
-            and self._now() - follower.last_heard_ms < self.settings.dead_ms
+            and self._now() - follower.last_heard_ms < self.settings.failure_timeout_ms
         )
 
     def count_caught_up(self) -> int:
@@ -285,8 +286,8 @@
         return own + sum(self.is_caught_up(name) for name in self.members)
 
     def has_quorum(self) -> bool:
-        """Whether f members have answered within `doubt_ms`, so that a quorum is in touch."""
-        floor_ms = self._now() - self.settings.doubt_ms
+        """Whether f members have answered within `leader_suspicion_ms`: a quorum is in touch."""
+        floor_ms = self._now() - self.settings.leader_suspicion_ms
         return (
             sum(follower.last_heard_ms >= floor_ms for follower in self._voting())
             >= self.settings.store_faults
@@ -332,7 +333,7 @@
         """Return a member in touch with room on its disk if this store has none, else None."""
         if self._log.disk.roomy(0):
             return None
-        return self._quorums.member_with_disk_space(self._now() - self.settings.dead_ms)
+        return self._quorums.member_with_disk_space(self._now() - self.settings.failure_timeout_ms)
 
     def adopted(self) -> bool:
         """Whether f followers have the recovered log on disk under this epoch."""
@@ -375,7 +376,7 @@
     def tick(self) -> None:
         """Do the periodic work: time out callers, flush what is due, resend, and take snapshots."""
         now_ms = self._now()
-        if now_ms - self._level_seq[2] >= self.settings.pulse_ms:
+        if now_ms - self._level_seq[2] >= self.settings.leader_heartbeat_ms:
             self._level_seq = (self._level_seq[1], self._log.committed_seq, now_ms)
         if any(
             now_ms - pending.at_ms >= 2 * self.settings.delta_ms for pending in self.pending_appends
@@ -384,14 +385,14 @@
         given_up = [
             pending
             for pending in self.pending_appends
-            if now_ms - pending.at_ms >= self.settings.ask_ms
+            if now_ms - pending.at_ms >= self.settings.request_timeout_ms
         ]
         self.pending_appends = [
             pending for pending in self.pending_appends if pending not in given_up
         ]
         for pending in given_up:
             pending.done(Outcome.UNKNOWN)
-        while self._readers and now_ms - self._readers[0][2] >= self.settings.ask_ms:
+        while self._readers and now_ms - self._readers[0][2] >= self.settings.request_timeout_ms:
             self._readers.pop(0)[1](False)
         if self._log.is_flush_due():
             self._bring_flush_forward()
@@ -404,7 +405,7 @@
             silent_ms = now_ms - follower.last_sent_ms
             if (
                 behind and silent_ms >= 2 * self.settings.delta_ms
-            ) or silent_ms >= self.settings.pulse_ms:
+            ) or silent_ms >= self.settings.leader_heartbeat_ms:
                 if behind:
                     follower.next_seq = (
                         follower.last_seq + 1
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -377,7 +377,7 @@
             self._snapping = False
             if not ok:
                 self._since_snap_bytes = self.settings.segment_bytes
-                self._snap_after_ms = self._now() + self.settings.ask_ms
+                self._snap_after_ms = self._now() + self.settings.request_timeout_ms
             elif seq > self.snapshot_seq:
                 self.snapshot_seq, self.snapshot_stamp = seq, stamp
                 self.trim()
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -211,11 +211,11 @@
             self._takeover.stuck()
 
     def send_heartbeat(self) -> None:
-        """Send the holder's heartbeat to the other members, once in `pulse_ms`."""
+        """Send the holder's heartbeat to the other members, once in `leader_heartbeat_ms`."""
         now_ms = self.node.env.now()
         if (
             self.role is Role.CLAIMING
-            or now_ms - self._heartbeat_sent_ms < self.node.settings.pulse_ms
+            or now_ms - self._heartbeat_sent_ms < self.node.settings.leader_heartbeat_ms
         ):
             return
         self._heartbeat_sent_ms = now_ms
@@ -280,7 +280,7 @@
                 self.node.request(
                     row["address"],
                     LeaderPoll(identity=self.log.identity, epoch=epoch),
-                    self.node.settings.suspect_ms,
+                    self.node.settings.leader_failure_ms,
                     polled,
                 )
 
--- a/libs/replicated_log/src/replicated_log/member_selection.py
+++ b/libs/replicated_log/src/replicated_log/member_selection.py
@@ -12,12 +12,16 @@
 
 
 def members_to_replace(
-    members: list[Row], live: list[Row], silent_ms: dict[str, int], retired: list[str], gone_ms: int
+    members: list[Row],
+    live: list[Row],
+    silent_ms: dict[str, int],
+    retired: list[str],
+    removal_timeout_ms: int,
 ) -> list[str]:
     """Return the members to replace, in order of urgency.
 
-    First those that are certainly lost, then those silent for longer than `gone_ms`, then the
-    retired.
+    First those that are certainly lost, then those silent for longer than `removal_timeout_ms`,
+    then the retired.
     """
     lives_at = {row["address"]: row["identity"] for row in live}
     names = [row["identity"] for row in members]
@@ -26,7 +30,9 @@
         for row in members
         if lives_at.get(row["address"], row["identity"]) not in names
     ]
-    silent = [name for name in names if name not in gone and silent_ms.get(name, 0) > gone_ms]
+    silent = [
+        name for name in names if name not in gone and silent_ms.get(name, 0) > removal_timeout_ms
+    ]
     leaving = [
         name for name in names if name in retired and name not in gone and name not in silent
     ]
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -36,7 +36,7 @@
         self._wanted_ms = -1
 
     def tick(self) -> None:
-        """Look at the members, at most once in `pulse_ms`."""
+        """Look at the members, at most once in `leader_heartbeat_ms`."""
         store = self._store
         now_ms = store.node.env.now()
         if store.leader.epoch != store.value["epoch"]:
@@ -48,7 +48,7 @@
             return
         if store.leaving:
             self._hand_to_another()
-        elif now_ms - self._housed_ms < store.node.settings.pulse_ms:
+        elif now_ms - self._housed_ms < store.node.settings.leader_heartbeat_ms:
             return
         self._housed_ms = now_ms
         if store.leaving:
@@ -78,7 +78,7 @@
             for name in names
             if name in leader.followers
         }
-        lost = members_to_replace(members, live, silent_ms, retired, settings.gone_ms)
+        lost = members_to_replace(members, live, silent_ms, retired, settings.removal_timeout_ms)
         warm = {name for name in leader.followers if name not in names}
         wanted = choose_standbys(members, spares, lost, warm, settings.store_faults)
         leader.set_standbys([(row["identity"], row["address"]) for row in wanted])
@@ -96,7 +96,7 @@
             self._wanted_ms = -1
             return
         self._wanted_ms = now_ms if self._wanted_ms < 0 else self._wanted_ms
-        if leader.pending_appends and now_ms - self._wanted_ms < settings.ask_ms:
+        if leader.pending_appends and now_ms - self._wanted_ms < settings.request_timeout_ms:
             return
         if old == store.log.identity:
             self._hand_to_another()
@@ -127,7 +127,7 @@
         )
 
     def _consider_room(self) -> None:
-        """Hand over to a member with room if this store's disk has been full for `dead_ms`."""
+        """Hand over to a member with room once this disk was full for `failure_timeout_ms`."""
         store = self._store
         now_ms = store.node.env.now()
         if store.log.disk.roomy(0):
@@ -139,7 +139,8 @@
         )
         if (
             following is not None
-            and now_ms - max(self._roomy_ms, store.changed_ms) > store.node.settings.dead_ms
+            and now_ms - max(self._roomy_ms, store.changed_ms)
+            > store.node.settings.failure_timeout_ms
         ):
             store.node.env.log("holder-full", "WARNING", following=following)
             store.changed_ms = now_ms
--- a/libs/replicated_log/src/replicated_log/recovery.py
+++ b/libs/replicated_log/src/replicated_log/recovery.py
@@ -220,7 +220,7 @@
                 stamp_epochs=[stamp[0] for stamp in stamps],
                 stamps_ms=[stamp[1] for stamp in stamps],
             ),
-            2 * self.settings.ask_ms,
+            2 * self.settings.request_timeout_ms,
             fetched,
         )
 
@@ -245,7 +245,7 @@
         self._ask(
             address,
             FetchRecords(epoch=self.epoch, from_seq=from_seq, offset=len(got)),
-            2 * self.settings.ask_ms,
+            2 * self.settings.request_timeout_ms,
             fetched,
         )
 
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -56,7 +56,9 @@
         store.node.env.log(event, "WARNING", lacks=lacks, epoch=epoch)
         if lacks:
             settings = store.node.settings
-            wait_ms = min(settings.ask_ms << self._failures, _LONGEST_WAIT * settings.force_ms)
+            wait_ms = min(
+                settings.request_timeout_ms << self._failures, _LONGEST_WAIT * settings.force_ms
+            )
             self._not_before_ms = store.node.env.now() + wait_ms
             self._failures = min(self._failures + 1, 10)
 
--- a/libs/request_routing/src/request_routing/attempt_requests.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -28,7 +28,7 @@
 @new_exchange.register
 def _(call: Call, carrier: Any, tx: Any, worker: Worker) -> WorkerExchange:
     return WorkerExchange(
-        worker.stamp, tx.transaction_id, call.stream, carrier.node.settings.answer_bytes
+        worker.stamp, tx.transaction_id, call.stream, carrier.node.settings.max_response_bytes
     )
 
 
@@ -40,7 +40,7 @@
         call.request_id,
         call.method,
         call.stream,
-        carrier.node.settings.answer_bytes,
+        carrier.node.settings.max_response_bytes,
         _resume_after(call, tx),
     )
 
@@ -197,7 +197,7 @@
             now_ms,
             settings.zone,
             carrier.node.env.rng,
-            settings.beat_ms,
+            settings.heartbeat_ms,
             settings.live_share,
             avoid,
             bound,
--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -25,7 +25,7 @@
         else:
             carrier.take(carriage, tx.open_receipt(receipt.outcome, receipt.status, receipt.body))
 
-    left_ms = max(node.settings.ask_ms, (tx.due_ms - node.env.now()) // 2)
+    left_ms = max(node.settings.request_timeout_ms, (tx.due_ms - node.env.now()) // 2)
     holder.ask(
         m.OpenKey(
             key=tx.key,
@@ -65,6 +65,6 @@
             status=status,
             body=body,
         ),
-        carrier.node.settings.ask_ms * 2,
+        carrier.node.settings.request_timeout_ms * 2,
         told,
     )
--- a/libs/request_routing/src/request_routing/in_flight.py
+++ b/libs/request_routing/src/request_routing/in_flight.py
@@ -134,7 +134,7 @@
         """Whether the client reads more slowly than the worker writes, so reading has to pause."""
         return (
             not self.over
-            and self.carriage.untaken_bytes > self._carrier.node.settings.untaken_bytes
+            and self.carriage.untaken_bytes > self._carrier.node.settings.response_buffer_bytes
         )
 
     def when_room(self, go_on: Callable[[Any], None]) -> None:
@@ -192,7 +192,7 @@
         self.untaken_bytes -= size_bytes
         if (
             self.when_room is not None
-            and self.untaken_bytes <= self._carrier.node.settings.untaken_bytes // 2
+            and self.untaken_bytes <= self._carrier.node.settings.response_buffer_bytes // 2
         ):
             go_on, self.when_room = self.when_room, None
             go_on(None)
--- a/libs/request_routing/src/request_routing/item_executor.py
+++ b/libs/request_routing/src/request_routing/item_executor.py
@@ -100,7 +100,11 @@
     def _trickle(self, workers: list[Any]) -> int:
         """Allow one item now and then even where live traffic takes every slot."""
         now_ms = self.node.env.now()
-        if not workers or self._running or now_ms - self._trickled_ms < self.node.settings.beat_ms:
+        if (
+            not workers
+            or self._running
+            or now_ms - self._trickled_ms < self.node.settings.heartbeat_ms
+        ):
             return 0
         self._trickled_ms = now_ms
         return 1
@@ -180,7 +184,7 @@
             status, text = step.value
             done("ran" if status == 200 else "refused", text, worker)
         elif step.refusal.verdict is Verdict.NOT_RUN or work.safe:
-            self._after(self.node.settings.beat_ms, lambda: done("again", "", worker))
+            self._after(self.node.settings.heartbeat_ms, lambda: done("again", "", worker))
         else:
             done("may_have_run", json.dumps(step.refusal.body()), worker)
 
--- a/libs/request_routing/src/request_routing/item_run.py
+++ b/libs/request_routing/src/request_routing/item_run.py
@@ -154,7 +154,7 @@
         return not was
 
     def _later(self, what: Callable[[], None]) -> None:
-        self._after(self._carrier.node.settings.beat_ms, what)
+        self._after(self._carrier.node.settings.heartbeat_ms, what)
 
     def _take(self, event: bytes) -> None:
         data = data_of(event)
--- a/libs/request_routing/src/request_routing/job_runner.py
+++ b/libs/request_routing/src/request_routing/job_runner.py
@@ -95,9 +95,9 @@
         """Send a heartbeat and reports that are due; stop everything once the lease has run out."""
         now_ms = self.node.env.now()
         settings = self.node.settings
-        if self.running() and now_ms - self._holder.heard_ms > settings.claim_ms:
+        if self.running() and now_ms - self._holder.heard_ms > settings.claim_timeout_ms:
             self.stop_all("holder silent")
-        due_ms = settings.beat_ms // 4 if self._wish else settings.beat_ms
+        due_ms = settings.heartbeat_ms // 4 if self._wish else settings.heartbeat_ms
         moved = self._asking and self._holder.epoch > self._asked_epoch
         if moved or (not self._asking and now_ms - self._asked_ms >= due_ms):
             self._beat()
@@ -130,7 +130,7 @@
         self.node.request(
             address,
             beat,
-            self.node.settings.ask_ms,
+            self.node.settings.request_timeout_ms,
             lambda receipt: self._answered(receipt, number, asked_ms),
         )
 
@@ -275,7 +275,7 @@
         self._placing.add(job_id)
         self._holder.ask(
             m.AdvanceListing(job_id=job_id, edge=self.edge, epoch=epoch, up_to=up_to),
-            self.node.settings.ask_ms,
+            self.node.settings.request_timeout_ms,
             lambda receipt: self._placing.discard(job_id),
         )
 
@@ -312,6 +312,6 @@
             )
 
     def resumed(self, gap_ms: int) -> None:
-        """Stop everything if the process was frozen for longer than the lease, `claim_ms`."""
-        if gap_ms > self.node.settings.claim_ms:
+        """Stop everything if the process was frozen for longer than `claim_timeout_ms`."""
+        if gap_ms > self.node.settings.claim_timeout_ms:
             self.stop_all("frozen")
--- a/libs/request_routing/src/request_routing/leader_client.py
+++ b/libs/request_routing/src/request_routing/leader_client.py
@@ -115,7 +115,9 @@
         is 0 nothing of it was sent. A stamped request of our own interface is waited for longer, by
         as long as its stamp may live, and is not sent again in that time.
         """
-        hold_ms = self.node.settings.fresh_ms if isinstance(message, _WAITED_FOR) else 0
+        hold_ms = (
+            self.node.settings.max_submission_age_ms if isinstance(message, _WAITED_FOR) else 0
+        )
         ask = _Ask(message, self.node.env.now(), wait_ms + hold_ms, hold_ms, done)
         self._asks.append(ask)
         self._send(ask)
@@ -124,10 +126,10 @@
     def _send(self, ask: _Ask) -> None:
         now_ms = self.node.env.now()
         held_ms = getattr(ask.message, "wait_ms", 0)
-        ask.next_ms = now_ms + held_ms + self.node.settings.ask_ms
+        ask.next_ms = now_ms + held_ms + self.node.settings.request_timeout_ms
         address = self.address()
         if not address:
-            ask.next_ms = now_ms + self.node.settings.beat_ms // 2
+            ask.next_ms = now_ms + self.node.settings.heartbeat_ms // 2
             return
         if isinstance(ask.message, _STAMPED):
             ask.message = type(ask.message)(
@@ -139,7 +141,7 @@
         self.node.request(
             address,
             ask.message,
-            held_ms + self.node.settings.ask_ms * 2,
+            held_ms + self.node.settings.request_timeout_ms * 2,
             lambda receipt: self._answered(ask, number, receipt),
         )
 
@@ -152,14 +154,14 @@
             return
         now_ms = self.node.env.now()
         if isinstance(receipt, m.NotLeader):
-            wait_ms = 0 if self.redirected(receipt) else self.node.settings.beat_ms // 2
+            wait_ms = 0 if self.redirected(receipt) else self.node.settings.heartbeat_ms // 2
             self._again(ask, now_ms + wait_ms)
         elif isinstance(receipt, m.StaleRequest):
             if receipt.epoch >= self._epoch:
                 self._epoch, self.holder_ms = receipt.epoch, receipt.holder_ms
                 self._again(ask, now_ms)
         elif getattr(receipt, "outcome", "") in _RETRIED:
-            self._again(ask, now_ms + self.node.settings.beat_ms // 2)
+            self._again(ask, now_ms + self.node.settings.heartbeat_ms // 2)
         elif getattr(receipt, "outcome", "") not in _REFUSED or number == ask.sends:
             self._finish(ask, receipt)
 
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -167,18 +167,23 @@
     ) -> tuple[bool, int]:
         line, tx, settings = self._line, carriage.tx, self.node.settings
         if workers and not carriage.call.kept_when_gone and self._all_rest(workers):
-            return now_ms - tx.started_ms < tx.profile.target_ms * _OUTAGE_SHARE, settings.ask_ms
+            return (
+                now_ms - tx.started_ms < tx.profile.target_ms * _OUTAGE_SHARE,
+                settings.request_timeout_ms,
+            )
         if not workers:
             held = line.missed_lately(
-                tx.profile.name, now_ms, settings.worker_ms
+                tx.profile.name, now_ms, settings.worker_timeout_ms
             ) or self._roster.heard_lately(tx.profile)
-            return held and line.makes_it(tx, settings.worker_ms / 2, now_ms), settings.dead_ms
+            return held and line.makes_it(
+                tx, settings.worker_timeout_ms / 2, now_ms
+            ), settings.failure_timeout_ms
         line.seen_worker(tx.profile.name, now_ms)
         before = line.before(carriage) if before is None else before
         wait_ms = line.estimate_ms(
             tx, before, sum(worker.slots for worker in workers), self.edges()
         )
-        return line.makes_it(tx, wait_ms, now_ms), max(settings.beat_ms, int(wait_ms))
+        return line.makes_it(tx, wait_ms, now_ms), max(settings.heartbeat_ms, int(wait_ms))
 
     def _all_rest(self, workers: list[Worker]) -> bool:
         return all(map(self._roster.resting, workers))
@@ -188,7 +193,7 @@
         now_ms = self.node.env.now()
         return (
             worker.silent_ms(now_ms)
-            > self._pace.dark_ms(path, False, self.node.settings.ask_ms / 2) / 2
+            > self._pace.dark_ms(path, False, self.node.settings.request_timeout_ms / 2) / 2
         )
 
     def _serve_items(self) -> None:
@@ -356,7 +361,7 @@
             if now_ms >= tx.due_ms:
                 dark = (
                     not carriage.call.kept_when_gone
-                    and send.worker.silent_ms(now_ms) > self.node.settings.ask_ms
+                    and send.worker.silent_ms(now_ms) > self.node.settings.request_timeout_ms
                 )
                 self.ended(
                     send,
--- a/libs/request_routing/src/request_routing/stall_detection.py
+++ b/libs/request_routing/src/request_routing/stall_detection.py
@@ -23,7 +23,7 @@
         return None
     began = send.heard_ms > send.began_ms
     silent_ms = min(now_ms - send.heard_ms, worker.silent_ms(now_ms))
-    if silent_ms > pace.dark_ms(profile.name, began, settings.ask_ms / 2):
+    if silent_ms > pace.dark_ms(profile.name, began, settings.request_timeout_ms / 2):
         return AttemptOutcome("failed", reason="worker dark", mark="down")
     if not carriage.call.job and now_ms - send.heard_ms > pace.patience_ms(
         settings.force_ms, profile.target_ms, profile.token_gap_ms
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -169,7 +169,7 @@
         return (
             pauses > 0
             and self.node.env.now() - worker.down_ms
-            < self.node.settings.ask_ms * _PAUSE_SHARE * 2 ** (pauses - 1)
+            < self.node.settings.request_timeout_ms * _PAUSE_SHARE * 2 ** (pauses - 1)
         )
 
     def connection_failed(self, worker: Worker) -> None:
@@ -206,10 +206,10 @@
             )
 
     def silent(self, worker: Worker) -> bool:
-        """Whether an unlisted worker sent no heartbeat for longer than `worker_ms`."""
+        """Whether an unlisted worker sent no heartbeat for longer than `worker_timeout_ms`."""
         return (
             not worker.listed
-            and self.node.env.now() - worker.heard_ms > self.node.settings.worker_ms
+            and self.node.env.now() - worker.heard_ms > self.node.settings.worker_timeout_ms
         )
 
     def heard_lately(self, profile: Any) -> bool:
@@ -273,7 +273,7 @@
 
     def resumed(self, gap_ms: int) -> None:
         """Discard what was heard before a freeze of `gap_ms`: it proves no worker alive."""
-        self._quiet_until_ms = self.node.env.now() + self.node.settings.beat_ms
+        self._quiet_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
         for worker in self._workers.values():
             worker.heard_ms = -1 << 40
             worker.down_ms, worker.others = min(worker.down_ms, self.node.env.now() - gap_ms), 0.0
--- a/libs/runtime/src/runtime/settings.py
+++ b/libs/runtime/src/runtime/settings.py
@@ -153,103 +153,113 @@
             raise ValueError("http: has to differ from link")
         return self
 
+    # -- derived intervals, time-outs and sizes ----------------------------------------------------
+    #
+    # Operators set a few bounds; these shares of them are internal and may change between versions.
+
     @property
-    def beat_ms(self) -> int:
-        """How often a node sends heartbeats and does its periodic work."""
+    def heartbeat_ms(self) -> int:
+        """How often a node sends heartbeats and digests and does its periodic work."""
         return max(10, int(self.force_ms * 0.1))
 
     @property
-    def dead_ms(self) -> int:
-        """Silence after which a node no longer counts as live when duties are assigned."""
+    def failure_timeout_ms(self) -> int:
+        """Silence after which a node counts as failed, and its roles pass to the next node.
+
+        Its load reports and digests no longer count either.
+        """
         return int(self.force_ms * 0.5)
 
     @property
-    def pulse_ms(self) -> int:
-        """How often the holder of the log sends its heartbeat to the other members."""
+    def leader_heartbeat_ms(self) -> int:
+        """How often the log's leader sends its heartbeat to the other members."""
         return max(10, int(self.force_ms * 0.05))
 
     @property
-    def doubt_ms(self) -> int:
-        """Silence of the log's holder after which a member asks the other members about it."""
+    def leader_suspicion_ms(self) -> int:
+        """Silence of the log's leader after which a member asks the other members about it."""
         return int(self.force_ms * 0.15)
 
     @property
-    def suspect_ms(self) -> int:
-        """Silence of the log's holder after which a member may replace it if enough agree."""
+    def leader_failure_ms(self) -> int:
+        """Silence of the log's leader after which a member may replace it if enough agree."""
         return int(self.force_ms * 0.2)
 
     @property
-    def worker_ms(self) -> int:
-        """Silence after which a worker is sent no new requests."""
+    def worker_timeout_ms(self) -> int:
+        """Silence after which an edge sends a worker no new requests."""
         return int(self.force_ms * 0.6)
 
     @property
-    def cut_ms(self) -> int:
-        """Silence of control after which an edge considers itself cut off."""
+    def contact_timeout_ms(self) -> int:
+        """Silence of the control nodes after which a node considers itself cut off from them."""
         return int(self.force_ms * 0.4)
 
     @property
-    def confirm_ms(self) -> int:
+    def confirmation_timeout_ms(self) -> int:
         """How long the acknowledgement of a version waits for the live edges to confirm it."""
         return int(self.force_ms * 0.75)
 
     @property
-    def answer_ms(self) -> int:
-        """The longest that a call at control is held before its outcome is reported as unknown."""
+    def control_call_timeout_ms(self) -> int:
+        """The longest that an operator's call waits before its outcome is reported as unknown."""
         return int(self.force_ms * 0.35)
 
     @property
-    def edges_ms(self) -> int:
+    def edge_confirmation_timeout_ms(self) -> int:
         """How long an acknowledgement waits for edges that go on serving without control."""
         return int(self.force_ms * 0.3)
 
     @property
-    def silent_ms(self) -> int:
-        """Silence at every control node after which a worker is removed from the list."""
+    def worker_removal_timeout_ms(self) -> int:
+        """Silence at every control node after which a worker is removed from the worker list."""
         return int(self.worker_beat_ms * 3.5)
 
     @property
-    def batch_ms(self) -> int:
-        """How long changes of the list of workers are gathered into one change."""
-        return max(1, int(self.beat_ms * 0.25))
+    def worker_list_batch_ms(self) -> int:
+        """How long changes of the worker list are gathered into one version of it."""
+        return max(1, int(self.heartbeat_ms * 0.25))
 
     @property
-    def gone_ms(self) -> int:
-        """Silence after which a member with a disk is replaced by a spare."""
+    def removal_timeout_ms(self) -> int:
+        """Silence after which a node is forgotten; a standby replaces a member with a disk."""
         return int(min(self.resume_ms, self.catch_up_ms or self.resume_ms) * 0.5)
 
     @property
-    def claim_ms(self) -> int:
-        """How long an edge goes on running batch items after it last heard from the holder."""
+    def claim_timeout_ms(self) -> int:
+        """How long an edge goes on running batch items after it last heard from the leader."""
         return int(self.end_ms * 0.75)
 
     @property
-    def reclaim_ms(self) -> int:
-        """When the holder takes back a silent edge's claims: after the edge has let go of them."""
+    def claim_revocation_ms(self) -> int:
+        """Silence of an edge after which the leader takes back its claims.
+
+        It is longer than `claim_timeout_ms`, so that the edge has stopped the items by then.
+        """
         return int(self.end_ms * 1.1)
 
     @property
-    def ask_ms(self) -> int:
-        """How long a connection attempt, a held poll or an unanswered question may last."""
+    def request_timeout_ms(self) -> int:
+        """How long a connection attempt, a long poll or a request between nodes may last."""
         return int(self.force_ms * 0.25)
 
     @property
-    def fresh_ms(self) -> int:
-        """How old the stamp on a submission may be when it reaches the log's holder."""
+    def max_submission_age_ms(self) -> int:
+        """How old the leader's stamp on a submission may be when it reaches the leader."""
         return int(self.force_ms * 0.5)
 
     @property
-    def answer_bytes(self) -> int:
-        """The longest answer accepted from a worker."""
+    def max_response_bytes(self) -> int:
+        """The longest response accepted from a worker."""
         return 4 * self.max_body_bytes
 
     @property
-    def untaken_bytes(self) -> int:
-        """How much of an answer waits for a slow client before reading from the worker pauses."""
+    def response_buffer_bytes(self) -> int:
+        """How much of a response waits for a slow client before reading from the worker pauses."""
         return max(1 << 14, self.max_body_bytes // 64)
 
     @property
-    def frozen_ms(self) -> int:
+    def freeze_threshold_ms(self) -> int:
         """The gap between two ticks from which a process counts as having been frozen."""
         return int(self.force_ms * 0.4)
 
@@ -287,5 +297,6 @@
     """
     differing = [name for name in Settings.model_fields if getattr(old, name) != getattr(new, name)]
     applied = [name for name in differing if name in RELOADABLE]
-    held = [name for name in differing if name not in RELOADABLE]
-    return old.model_copy(update={name: getattr(new, name) for name in applied}), applied, held
+    unapplied = [name for name in differing if name not in RELOADABLE]
+    in_force = old.model_copy(update={name: getattr(new, name) for name in applied})
+    return in_force, applied, unapplied
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -130,10 +130,10 @@
             return _Env(self.settings.link, weather)
 
         def make_switchboard(self, deliver: Any) -> _Links:
-            return _Links(self.settings.link, self.settings.ask_ms, deliver, weather)
+            return _Links(self.settings.link, self.settings.request_timeout_ms, deliver, weather)
 
         def make_sender(self) -> _Sender:
-            return _Sender(self.settings.ask_ms, weather)
+            return _Sender(self.settings.request_timeout_ms, weather)
 
         def open_disk(self) -> PowerDisk:
             self.disk = PowerDisk(super().open_disk(), seed)
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -102,7 +102,7 @@
     ),
     "the roll changes without its majority": (
         "control_store/src/control_store/serving_set.py",
-        "if not config_feed.most_confirm(ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirm_ms):",
+        "if not config_feed.most_confirm(ROLL_KEY, config_feed.number(ROLL_KEY), settings.confirmation_timeout_ms):",
         "if False:",
         _FEED + "doubt_until",
     ),
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -16,7 +16,7 @@
     ),
     "late hand-ins are taken": (
         "batch_state/src/batch_state/leader_replies.py",
-        "return message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.settings.fresh_ms",
+        "return (message.epoch != self._holder.epoch or not 0 <= age_ms <= self.node.settings.max_submission_age_ms)",
         "return False",
         _LOTS + "late",
     ),
@@ -135,7 +135,7 @@
     ),
     "only the first in order holds": (
         "replicated_log/src/replicated_log/failure_detector.py",
-        "return now_ms - self._eligible_since_ms >= willing.index(self._own) * settings.pulse_ms",
+        "return (now_ms - self._eligible_since_ms >= willing.index(self._own) * settings.leader_heartbeat_ms)",
         "return self._own == names[0]",
         _MEMBERS + "swapped",
     ),
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -20,7 +20,7 @@
     ),
     "a cut-off edge keeps its claims": (
         "request_routing/src/request_routing/job_runner.py",
-        "if self.running() and now_ms - self._holder.heard_ms > settings.claim_ms:",
+        "if self.running() and now_ms - self._holder.heard_ms > settings.claim_timeout_ms:",
         "if False:",
         _LOTS + "cut_off",
     ),
@@ -275,7 +275,7 @@
     ),
     "an edge that stood still runs on": (
         "request_routing/src/request_routing/job_runner.py",
-        "if gap_ms > self.node.settings.claim_ms:",
+        "if gap_ms > self.node.settings.claim_timeout_ms:",
         "if False:",
         _CLAIMS + "stood_still",
     ),
