--- a/libs/request_routing/src/request_routing/calls.py
+++ b/libs/request_routing/src/request_routing/calls.py
@@ -1,7 +1,8 @@
 """The two kinds of request that an edge serves.
 
-A `Call` is a completion of our own interface. A `ForwardCall` is forwarded whole and unchanged to a
-worker whose headers have names of their own, which a `WorkerHeaderNames` gives.
+A `Call` is a completion request of the edge's own HTTP interface; the edge builds the worker's
+request from it. A `ForwardCall` is a proxied request: method, target and body reach the worker
+unchanged, and the control headers that the edge adds are named by a `WorkerHeaderNames`.
 """
 
 from collections.abc import Iterable
@@ -11,17 +12,29 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that workers cache as a whole: its id, and its size in tokens."""
+    """A segment of a prompt that workers cache as a unit: its id and its size in tokens."""
 
     part_id: str
     tokens: int
 
 
 class Call:
-    """A completion: the worker's body, its digest for the idempotency key, and its prompt's prefix.
-
-    `job` is true for an item of a batch job, `stream` for an answer in server-sent events. It runs
-    to its end though its client has disconnected, unless it is idempotent.
+    """A completion request of the edge's own HTTP interface.
+
+    It keeps running after its client has disconnected, unless it is idempotent.
+
+    Parameters
+    ----------
+    body
+        Request body, from which the worker's request is built.
+    digest
+        Digest of the request, stored with its idempotency key to detect reuse of the key.
+    prefix
+        Digest of the start of the prompt, used for placement by prefix.
+    job
+        True for work of lower priority than live requests: batch items and rollout samples.
+    stream
+        True if the response is a stream of server-sent events.
     """
 
     __slots__ = ("body", "digest", "job", "prefix", "stream")
@@ -40,12 +53,34 @@
 
 
 class ForwardCall:
-    """A request that is forwarded to a worker as it came.
-
-    `parts` are the prompt's parts in order; `headers` are the end-to-end ones; `tokens_in` and
-    `tokens_out` are the expected tokens of prompt and answer. `resumable` says that a stream can be
-    continued after its last event, `job` that it is an item of a batch job, which is less urgent
-    than a request that a client waits for. `urgency` is passed to the worker in its header.
+    """A request that is forwarded to a worker unchanged.
+
+    It is cancelled when its client disconnects.
+
+    Parameters
+    ----------
+    method, target, host
+        Method, request target and `Host` value of the client's request.
+    headers
+        End-to-end headers of the client's request.
+    body
+        Body, forwarded byte for byte.
+    request_id
+        The client's request id; the worker has to repeat it in its response.
+    parts
+        Ids and sizes in tokens of the prompt's segments, in prompt order.
+    tokens_in, tokens_out
+        Expected number of tokens of the prompt and of the response.
+    stream
+        True if the response is a stream of server-sent events.
+    resumable
+        True if another worker can continue the stream after its last event.
+    job
+        True for an item of a batch job, which has a lower priority than a live request.
+    last_event_id
+        Id of the last event that the client already has; the stream resumes after it.
+    urgency
+        Priority that is passed to the worker in its urgency header.
     """
 
     __slots__ = (
@@ -97,5 +132,5 @@
 
     @property
     def prefix(self) -> str:
-        """The id of the prompt's first part, or an empty string."""
+        """The id of the prompt's first segment, or an empty string if there is none."""
         return self.parts[0].part_id if self.parts else ""
--- a/libs/request_routing/src/request_routing/forward_lifecycle.py
+++ b/libs/request_routing/src/request_routing/forward_lifecycle.py
@@ -1,8 +1,8 @@
-"""The state machine of a forwarded request, with a bound on its attempts.
+"""The state machine of a forwarded request, which is sent to a bounded number of workers.
 
-It has the states of any request. An idempotent request, and a stream that can be continued after
-its last event, is retried at another worker within that bound and the deadline; anything else only
-after the worker's answer that it has not run.
+Its states are those of `lifecycle`. An idempotent request, or a stream that can be resumed after
+its last event, is retried at another worker within that bound and before its deadline. Any other
+request is retried only if it certainly did not run.
 """
 
 from typing import Any
@@ -21,10 +21,23 @@
 
 
 class ForwardLifecycle(RequestLifecycle):
-    """A forwarded request; `max_attempts` bounds how many workers it may be passed on to.
-
-    A connection never made is no attempt; such workers are in `unreachable`. `max_attempts` and
-    `resumable` are taken from the profile if they are not given.
+    """The state machine of a forwarded request.
+
+    `unreachable` has the instance ids of the workers to which no connection could be made; they do
+    not count towards `max_attempts`.
+
+    Parameters
+    ----------
+    edge_request_id
+        Id that the edge assigned to the request.
+    profile
+        Profile of the request's route.
+    now_ms, due_ms
+        Arrival time and deadline in milliseconds of the node's clock.
+    max_attempts
+        Maximum number of workers that the request is sent to; by default the profile's `attempts`.
+    resumable
+        Whether another worker can continue the stream; by default the profile's `resumable`.
     """
 
     __slots__ = ("_attempted_workers", "_max_attempts", "_resumable", "unreachable")
@@ -47,25 +60,29 @@
 
     @property
     def attempts_left(self) -> int:
-        """How many further workers it may be passed on to."""
+        """How many further workers the request may be sent to."""
         return self._max_attempts - len(self._attempted_workers)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt may have run."""
+        """Whether any attempt may have run the request."""
         return self._may_have_run
 
     @property
     def can_retry_elsewhere(self) -> bool:
-        """Whether another worker could continue if the current attempt were given up now."""
+        """Whether another worker could take over if the current attempt were abandoned now."""
         return self.attempts_left > 1 and self._may_retry(True)
 
     def may_attempt(self, worker: str) -> bool:
-        """Whether an attempt at the worker of this identity is within the bound."""
+        """Whether the bound on the number of workers allows an attempt at this one."""
         return worker in self._attempted_workers or self.attempts_left > 0
 
     def attempt_failed(self, worker: str, may_have_run: bool, reason: str, now_ms: int) -> Step:
-        """Take the failure of an attempt; retry within the bound and the deadline, else give up."""
+        """Handle the failure of an attempt; retry within the bound and the deadline, else refuse.
+
+        A retry after a busy worker or a failed connection does not need a worker left within the
+        bound.
+        """
         self.attempts.append(AttemptRecord(worker, reason))
         self.avoid.add(worker)
         (self.unreachable if reason == NO_CONNECTION else self._attempted_workers).add(worker)
@@ -79,7 +96,11 @@
         return self._refuse("send-failed", reason, _BAD_GATEWAY)
 
     def worker_failed(self, worker: str, status: int, body: str | bytes, now_ms: int) -> Step:
-        """Take the worker's answer that it failed; retry elsewhere, else that is the answer."""
+        """Handle a worker's error response.
+
+        The request is retried at another worker where that is allowed. Otherwise the error response
+        is passed to the client, or a stream of which an event was delivered is cut.
+        """
         self.attempts.append(AttemptRecord(worker, f"status {status}"))
         self.avoid.add(worker)
         self._attempted_workers.add(worker)
@@ -91,12 +112,12 @@
         return self._finish_with(status, body)
 
     def admitted_to_queue(self) -> Step:
-        """Wait in the admission queue; workers that could not be reached may be by then."""
+        """Enter the admission queue; workers that were unreachable may be tried again."""
         self.unreachable.clear()
         return super().admitted_to_queue()
 
     def no_worker_free(self, any_worker: bool, retry_after_ms: int = 1000) -> Step:
-        """Give up, as no worker takes the request in time; as for any request."""
+        """Refuse the request, as no worker can take it in time."""
         if any_worker:
             return self._refuse("busy", "all workers are busy", _UNAVAILABLE, retry_after_ms)
         return self._refuse("no-worker", "no worker is live", _UNAVAILABLE, retry_after_ms)
@@ -111,7 +132,10 @@
         return self._enter(State.DONE, finish)
 
     def _refuse(self, code: str, reason: str, status: int, retry_after_ms: int = 0) -> Step:
-        """Give up; unless that is in doubt, the refusal promises that it never runs."""
+        """Refuse the request, or cut a stream of which an event was delivered.
+
+        The refusal states that the request has not run unless an attempt may have run it.
+        """
         if self.delivered:
             return self._cut(reason)
         refusal: Refusal
--- a/libs/request_routing/src/request_routing/in_flight.py
+++ b/libs/request_routing/src/request_routing/in_flight.py
@@ -1,7 +1,7 @@
-"""A request in flight at an edge, with the client that it is answered to.
+"""A request in flight at an edge, and the callbacks that deliver its response to the client.
 
-It has no socket. Whoever has the worker's connection stops reading from it while the client does
-not keep up (backpressure).
+It has no socket. The transport that owns the worker's connection stops reading from it while too
+many delivered bytes are unacknowledged (backpressure).
 """
 
 from collections.abc import Callable
@@ -19,25 +19,39 @@
 
 
 class RequestDriver(Protocol):
-    """Whoever drives the request: it is told what the client does."""
+    """The owner of a request in flight, which handles the client's disconnect and cancellation."""
 
     node: Any
 
     def client_disconnected(self, request: "InFlightRequest") -> None:
-        """Stop a request whose client has disconnected, if it may be stopped."""
+        """Stop a request whose client has disconnected, unless it has to run to completion."""
         ...
 
     def cancel(self, request: "InFlightRequest") -> None:
-        """Stop a request without reporting anything of it."""
+        """Stop a request without a last step and without a log line."""
         ...
 
 
 class InFlightRequest:
-    """One request in flight and the client that it is answered to.
-
-    `on_event` is given the events of a stream, `on_finished` the last step. `head` is the head of a
-    forwarded answer, that of its first worker. Live forwarded requests have backpressure:
-    `unread_bytes` counts what was delivered and not yet acknowledged by the client's side.
+    """One request in flight.
+
+    `head` is the response head for the client of a forwarded request; for a stream it is the head
+    of the first worker that delivered an event. `unread_bytes` counts the bytes that were
+    delivered and not yet acknowledged; only live forwarded requests are counted and so have
+    backpressure. `when_drained`, if set, is called once to resume reading from the worker.
+
+    Parameters
+    ----------
+    driver
+        The owner of the request.
+    lifecycle
+        The request's state machine.
+    call
+        What the client requested.
+    on_event
+        Called with each event of a stream, or None.
+    on_finished
+        Called with the last step.
     """
 
     __slots__ = (
@@ -81,7 +95,11 @@
             self.on_event(event)
 
     def acknowledge(self, size_bytes: int) -> None:
-        """Record that the client took `size_bytes`; reading resumes once half the bound is free."""
+        """Record that the client received `size_bytes` of the response.
+
+        Reading from the worker resumes once the unacknowledged bytes are at most half of
+        `response_buffer_bytes`.
+        """
         self.unread_bytes -= size_bytes
         resume = self.when_drained
         limit_bytes: int = self._driver.node.settings.response_buffer_bytes
@@ -92,12 +110,12 @@
     def disconnect(self) -> None:
         """Record that the client disconnected.
 
-        A completion that is not idempotent runs to its end; anything else is stopped.
+        A completion that is not idempotent runs to completion; any other request is stopped.
         """
         if not self.client_disconnected:
             self.client_disconnected = True
             self._driver.client_disconnected(self)
 
     def cancel(self) -> None:
-        """Stop the request on the edge's own account; nothing more is reported of it."""
+        """Stop the request from the edge's side; `on_finished` is not called."""
         self._driver.cancel(self)
--- a/libs/request_routing/src/request_routing/lifecycle.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -1,8 +1,8 @@
 """The state machine of one request.
 
-Each event has one method, which returns the step that the driver has to take next. Another attempt
-is made only for what certainly has not run, or for an idempotent request as long as nothing was
-delivered. Where neither is known, the refusal says that the request may have run.
+Each event has one method, which returns the step that the request router performs next. A failed
+attempt is retried only while no event has been delivered to the client, and only if the request
+certainly did not run or is idempotent. Once any attempt may have run, a refusal says so.
 """
 
 from enum import StrEnum
@@ -19,13 +19,13 @@
 __all__ = ["BUSY", "AttemptRecord", "ItemKey", "RequestLifecycle", "State"]
 
 BUSY = "busy"
-"""The reason of an attempt that the worker rejected unrun for want of a free slot."""
+"""The reason of an attempt that the worker rejected before running it: it had no free slot."""
 
 _ATTEMPT_DONE = "done"
 
 
 class State(StrEnum):
-    """The states of a request; the last four are final."""
+    """The states of a request. DONE, REFUSED, CUT and CLIENT_DISCONNECTED are final."""
 
     RECEIVED = "received"
     OPENING_KEY = "opening"
@@ -41,14 +41,14 @@
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt that is over: the worker's instance, and why it failed or `done`."""
+    """A finished attempt: the worker's instance id, and `done` or the reason of the failure."""
 
     worker: str
     reason: str
 
 
 class ItemKey(NamedTuple):
-    """The item of a batch job that a request runs."""
+    """Identifies the item of a batch job that a request runs."""
 
     job_id: str
     item_index: int
@@ -64,10 +64,26 @@
 class RequestLifecycle:
     """The state machine of a request, from its arrival to its last step.
 
-    `edge_request_id` is the id that the edge gives the request. `due_ms` is the deadline by the
-    node's clock in milliseconds, taken from the profile if it is not given. `claimed` means that
-    the log has the request already, so that no key is opened. `attempts` lists those that are over;
-    `avoid` the workers that failed.
+    Times are milliseconds of the node's clock. `attempts` lists the finished attempts, oldest
+    first; `avoid` has the instance ids of the workers at which an attempt failed.
+
+    Parameters
+    ----------
+    edge_request_id
+        Id that the edge assigned to the request.
+    profile
+        Profile of the request's route.
+    key
+        Idempotency key, or an empty string.
+    now_ms
+        Arrival time.
+    budget
+        Retry budget that the requests of the route share.
+    due_ms
+        Deadline; by default the arrival time plus the profile's `deadline_ms`.
+    claimed
+        True if no idempotency key has to be opened: the log has a claim of the batch item, or the
+        request is forwarded.
     """
 
     __slots__ = (
@@ -122,17 +138,18 @@
 
     @property
     def can_retry_elsewhere(self) -> bool:
-        """Whether another worker could continue if the current attempt were given up now."""
+        """Whether another worker could take over if the current attempt were abandoned now."""
         return False
 
     def widen_budget(self, max_tokens: float) -> None:
         """Raise the retry budget's bound to `max_tokens` tokens."""
         self._budget.widen(max_tokens)
 
-    # -- before an attempt ---------------------------------------------------------------------
-
     def begin(self) -> Step:
-        """Begin: open the idempotency key where the route needs one, else select a worker."""
+        """Start the request: open its idempotency key if it needs one, else select a worker.
+
+        A request that is neither idempotent nor claimed is refused if it has no key.
+        """
         self._budget.earn(self.profile.retry_budget)
         if self.idempotent or self.claimed:
             return self._select_worker()
@@ -141,10 +158,15 @@
         return self._enter(State.OPENING_KEY, Step(StepKind.OPEN_KEY))
 
     def key_answered(self, key_state: str, status: int = 0, body: str = "") -> Step:
-        """Take the leader's response to the opening of the idempotency key.
-
-        `key_state` is one of `KeyState`; anything else, as when no response came, leaves it in
-        doubt whether an earlier request with this key has run.
+        """Handle the leader's response to the opening of the idempotency key.
+
+        Parameters
+        ----------
+        key_state
+            A value of `KeyState`. With UNKNOWN (no response) or any other value the request is
+            refused, since an earlier request with this key may have run.
+        status, body
+            The recorded response, if `key_state` is RECORDED.
         """
         if key_state == KeyState.OPENED:
             self.key_is_open = True
@@ -155,41 +177,55 @@
         return self._refuse_now(request_refusals.key_refused(key_state))
 
     def worker_selected(self, worker: Worker) -> Step:
-        """Take the worker that the next attempt is made at."""
+        """Start the next attempt at this worker."""
         self.current_worker = worker.instance_id
         return self._enter(State.SENDING, Step(StepKind.SEND, worker=worker))
 
     def admitted_to_queue(self) -> Step:
-        """Wait in the admission queue: by an estimate a slot will be free soon enough."""
+        """Enter the admission queue; a slot is expected to be free in time."""
         return self._enter(State.QUEUED, Step(StepKind.ENQUEUE))
 
     def no_worker_free(self, any_worker: bool, retry_after_ms: int = 1000) -> Step:
-        """Give up, as no worker takes the request in time.
-
-        `any_worker` says that there are workers, but all busy; `retry_after_ms` is after how many
-        milliseconds the client should try again.
+        """Refuse the request, as no worker can take it in time.
+
+        Parameters
+        ----------
+        any_worker
+            True if the route has workers, all of them busy; false if it has none.
+        retry_after_ms
+            Milliseconds after which the client should try again.
         """
         if any_worker:
             return self._give_up(request_refusals.all_busy(retry_after_ms))
         return self._give_up(request_refusals.no_worker(retry_after_ms))
 
-    # -- during an attempt ---------------------------------------------------------------------
-
     def stream_started(self) -> Step:
-        """Take a complete head with matching ids; from here on events may be delivered."""
+        """Handle a valid response head with matching ids; events may be delivered from now on."""
         return self._enter(State.STREAMING, Step(StepKind.STREAM))
 
     def event_delivered(self) -> None:
-        """Record that the client was given an event of the answer."""
+        """Record that an event of the response was delivered to the client."""
         self.delivered = True
         self._may_have_run = True
 
     def attempt_failed(self, worker: str, may_have_run: bool, reason: str, now_ms: int) -> Step:
-        """Take the failure of an attempt and retry or give up.
-
-        What to do depends on whether the request may have run and whether any of it was delivered.
-        An attempt that certainly did not run cost its worker nothing, so a retry at another worker
-        is not charged to the retry budget: each worker once, or again if it was only full.
+        """Handle the failure of an attempt: retry, refuse the request, or cut its stream.
+
+        A stream of which an event was delivered is cut. Otherwise the request is retried before
+        its deadline if it is idempotent or this attempt certainly did not run it. An attempt that
+        certainly did not run cost its worker nothing, so its retry is not charged to the retry
+        budget: once for each worker, and any number of times for a worker that was busy.
+
+        Parameters
+        ----------
+        worker
+            Instance id of the worker.
+        may_have_run
+            False only if the worker certainly did not run the request in this attempt.
+        reason
+            Why the attempt failed.
+        now_ms
+            Time of the failure.
         """
         failed_before = worker in self.avoid
         self.attempts.append(AttemptRecord(worker, reason))
@@ -209,10 +245,9 @@
         return self._give_up(request_refusals.not_completed(reason))
 
     def completed(self, status: int, body: str | bytes) -> Step:
-        """Take a complete answer, and close the idempotency key if there is one.
+        """Handle a complete response, and close the idempotency key if one is open.
 
-        A worker's answer that the request itself is wrong is complete, too: no other worker is
-        asked.
+        A worker's response that rejects the request as invalid is complete, too: it is not retried.
         """
         self._may_have_run = True
         if self.current_worker:
@@ -221,18 +256,19 @@
         return self._end_with(Step(StepKind.FINISH, response=response), KeyOutcome.DONE)
 
     def worker_failed(self, worker: str, status: int, body: str | bytes, now_ms: int) -> Step:
-        """Take the worker's answer that it failed at the request; only forwarded ones have it."""
-        raise NotImplementedError(type(self).__name__)
+        """Handle a worker's error response.
 
-    # -- the end -------------------------------------------------------------------------------
+        Raises NotImplementedError except for forwarded requests, the only ones with this outcome.
+        """
+        raise NotImplementedError(f"{type(self).__name__} does not handle worker errors")
 
     def key_closed(self) -> Step:
-        """Take the end of the key's closing, whatever came of it."""
+        """Finish the request once the closing of its key has ended, successfully or not."""
         step = self._step_after_close or Step(StepKind.FINISH)
         return self._enter(_FINAL_STATES[step.kind], step)
 
     def client_disconnected(self) -> Step:
-        """End, since the client of an idempotent request has disconnected."""
+        """End the request, as its client has disconnected."""
         return self._enter(State.CLIENT_DISCONNECTED, Step(StepKind.CLIENT_DISCONNECTED))
 
     def _enter(self, state: State, step: Step) -> Step:
@@ -256,7 +292,7 @@
         return self._end_with(step, KeyOutcome.DOUBT)
 
     def _end_with(self, step: Step, key_outcome: KeyOutcome) -> Step:
-        """End with this step, after the idempotency key is closed if one is open."""
+        """End with this step; an open idempotency key is closed first."""
         if not self.key_is_open:
             return self._enter(_FINAL_STATES[step.kind], step)
         self._step_after_close = step
--- a/libs/request_routing/src/request_routing/response_head.py
+++ b/libs/request_routing/src/request_routing/response_head.py
@@ -1,4 +1,4 @@
-"""What the head of a worker's answer says: the head for the client, and the worker's load."""
+"""Data from the head of a worker's response: the head for the client, and the worker's load."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 
 
 class ResponseHead(NamedTuple):
-    """The head of a forwarded answer, as the client is given it.
+    """The head of a forwarded response, as it is sent to the client.
 
-    `headers` are the end-to-end ones; `length_bytes` is None if the length is not known.
+    `headers` has only end-to-end headers; `length_bytes` is None if the length is unknown.
     """
 
     status: int
@@ -17,7 +17,7 @@
 
 
 class WorkerLoad(NamedTuple):
-    """The load that a worker reports: requests that run and that wait, and its slots."""
+    """The load that a worker reports: its running and queued requests, and its slots."""
 
     running: int
     waiting: int
--- a/libs/request_routing/src/request_routing/steps.py
+++ b/libs/request_routing/src/request_routing/steps.py
@@ -1,4 +1,4 @@
-"""What the driver of a request has to do next, as its state machine says."""
+"""The steps that a request's state machine returns and the request router performs."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class StepKind(StrEnum):
-    """The kinds of step. The values name counters of the metrics (`steps_...`)."""
+    """The kinds of step. The values are part of metric names (`steps_<value>`)."""
 
     OPEN_KEY = "open"
     SELECT_WORKER = "place"
@@ -27,7 +27,11 @@
 
 
 class KeyOutcome(StrEnum):
-    """How an idempotency key is closed at the log's leader; the values are those of the log."""
+    """The state in which an idempotency key is closed; the values are stored in the log.
+
+    DONE: a response is recorded. VOID: the request did not run, so the key is free again. DOUBT:
+    the request may have run, but no response is recorded. NONE: the step closes no key.
+    """
 
     NONE = ""
     DONE = "done"
@@ -36,18 +40,27 @@
 
 
 class FinalResponse(NamedTuple):
-    """The HTTP status and the body that a request ends with."""
+    """The HTTP status and body of the response that completes a request."""
 
     status: int
     body: str | bytes
 
 
 class Step:
-    """What the driver has to do next.
-
-    `worker` is set for a send; `response` for a replay, a finish, and the closing of a key that a
-    response is recorded under; `refusal` for a refusal and a cut stream; `key_outcome` for the
-    closing of a key.
+    """The next action of the request router for one request.
+
+    Parameters
+    ----------
+    kind
+        The action.
+    refusal
+        The error for the client; set for REFUSE and CUT.
+    key_outcome
+        The state to close the key in; set for CLOSE_KEY.
+    response
+        The response; set for REPLAY, for FINISH, and for a CLOSE_KEY that records a response.
+    worker
+        The worker of the next attempt; set for SEND.
     """
 
     __slots__ = ("key_outcome", "kind", "refusal", "response", "worker")
