--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -12,7 +12,7 @@
 
 from request_routing.calls import ForwardCall
 from request_routing.in_flight import InFlightRequest
-from request_routing.request_refusals import KeyState
+from request_routing.request_refusals import OpenKeyOutcome
 from request_routing.steps import FinalResponse, Step
 
 __all__ = ["LeaderRequests", "close_key", "key_response_step", "open_key"]
@@ -77,7 +77,7 @@
     None means that no response came, so an earlier request with the key may have run.
     """
     if response is None:
-        return request.lifecycle.key_answered(KeyState.UNKNOWN)
+        return request.lifecycle.key_answered(OpenKeyOutcome.UNKNOWN)
     return request.lifecycle.key_answered(response.outcome, response.status, response.body)
 
 
--- a/libs/request_routing/src/request_routing/lifecycle.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -11,7 +11,7 @@
 from runtime import Refusal, Verdict
 
 from request_routing import request_refusals
-from request_routing.request_refusals import KeyState
+from request_routing.request_refusals import OpenKeyOutcome
 from request_routing.retry_budget import RetryBudget
 from request_routing.steps import FinalResponse, KeyOutcome, Step, StepKind
 from request_routing.worker import Worker
@@ -141,9 +141,9 @@
         """Whether another worker could take over if the current attempt were abandoned now."""
         return False
 
-    def widen_budget(self, max_tokens: float) -> None:
-        """Raise the retry budget's bound to `max_tokens` tokens."""
-        self._budget.widen(max_tokens)
+    def raise_retry_limit(self, max_tokens: float) -> None:
+        """Raise the limit of the retry budget to `max_tokens`; never lowers it."""
+        self._budget.raise_limit(max_tokens)
 
     def begin(self) -> Step:
         """Start the request: open its idempotency key if it needs one, else select a worker.
@@ -157,24 +157,24 @@
             return self._refuse_now(request_refusals.key_missing())
         return self._enter(State.OPENING_KEY, Step(StepKind.OPEN_KEY))
 
-    def key_answered(self, key_state: str, status: int = 0, body: str = "") -> Step:
+    def key_answered(self, open_outcome: str, status: int = 0, body: str = "") -> Step:
         """Handle the leader's response to the opening of the idempotency key.
 
         Parameters
         ----------
-        key_state
-            A value of `KeyState`. With UNKNOWN (no response) or any other value the request is
-            refused, since an earlier request with this key may have run.
+        open_outcome
+            A value of `OpenKeyOutcome`; any other value counts as UNKNOWN. OPENED starts the first
+            attempt, RECORDED replays the recorded response, and any other one refuses the request.
         status, body
-            The recorded response, if `key_state` is RECORDED.
+            The recorded response, if there is one.
         """
-        if key_state == KeyState.OPENED:
+        if open_outcome == OpenKeyOutcome.OPENED:
             self.key_is_open = True
             return self._select_worker()
-        if key_state == KeyState.RECORDED:
+        if open_outcome == OpenKeyOutcome.RECORDED:
             replay = Step(StepKind.REPLAY, response=FinalResponse(status, body))
             return self._enter(State.DONE, replay)
-        return self._refuse_now(request_refusals.key_refused(key_state))
+        return self._refuse_now(request_refusals.key_refused(open_outcome))
 
     def worker_selected(self, worker: Worker) -> Step:
         """Start the next attempt at this worker."""
--- a/libs/request_routing/src/request_routing/request_refusals.py
+++ b/libs/request_routing/src/request_routing/request_refusals.py
@@ -9,7 +9,7 @@
 from runtime import Refusal, doubtful, refused
 
 __all__ = [
-    "KeyState",
+    "OpenKeyOutcome",
     "all_busy",
     "deadline_passed",
     "key_missing",
@@ -25,7 +25,7 @@
 _RETRY_WHEN_FULL_MS = 5000
 
 
-class KeyState(StrEnum):
+class OpenKeyOutcome(StrEnum):
     """The outcome of opening an idempotency key at the log's leader.
 
     OPENED: the request may run now. RECORDED: the key's request has completed, and its response is
@@ -52,23 +52,23 @@
     )
 
 
-def key_refused(key_state: str) -> Refusal:
+def key_refused(open_outcome: str) -> Refusal:
     """Return the refusal of a request whose idempotency key could not be opened."""
-    if key_state in (KeyState.OPEN, KeyState.DOUBT):
+    if open_outcome in (OpenKeyOutcome.OPEN, OpenKeyOutcome.DOUBT):
         return doubtful(
-            "key-open" if key_state == KeyState.OPEN else "key-doubt",
+            "key-open" if open_outcome == OpenKeyOutcome.OPEN else "key-doubt",
             "an earlier request with this key may have run; nothing further was sent",
             _RETRY_MS,
             409,
         )
-    if key_state == KeyState.CONFLICT:
+    if open_outcome == OpenKeyOutcome.CONFLICT:
         return refused(
             "key-reused",
             "this key came before with another body; this body has not run",
             422,
             field=_KEY_HEADER,
         )
-    if key_state == KeyState.FULL:
+    if open_outcome == OpenKeyOutcome.FULL:
         return refused(
             "stores-full", "there is no room to keep this transaction", 503, _RETRY_WHEN_FULL_MS
         )
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -307,7 +307,7 @@
     def _start_attempt(self, request: InFlightRequest, worker: Worker) -> None:
         lifecycle, call = request.lifecycle, request.call
         now_ms = self.node.env.now()
-        lifecycle.widen_budget(_RETRY_TOKENS_PER_SLOT * worker.slots)
+        lifecycle.raise_retry_limit(_RETRY_TOKENS_PER_SLOT * worker.slots)
         if not call.job:
             self._admission.queue.worker_seen(lifecycle.profile.name, now_ms)
         self._count_attempt(call)
--- a/libs/request_routing/src/request_routing/retry_budget.py
+++ b/libs/request_routing/src/request_routing/retry_budget.py
@@ -9,7 +9,8 @@
     """A token bucket: each request adds a fraction of a token, each charged retry takes one token.
 
     Its capacity has to cover the requests in flight at one worker, so that all of them can be
-    retried when that worker is lost; `widen` raises it for larger workers. It is full at the start.
+    retried when that worker is lost; `raise_limit` raises it for larger workers. A new bucket is
+    full.
     """
 
     __slots__ = ("_max_tokens", "_tokens")
@@ -18,7 +19,7 @@
         self._max_tokens = max_tokens
         self._tokens = max_tokens
 
-    def widen(self, max_tokens: float) -> None:
+    def raise_limit(self, max_tokens: float) -> None:
         """Raise the capacity to `max_tokens` and add the difference; never lowers it."""
         if max_tokens > self._max_tokens:
             self._tokens += max_tokens - self._max_tokens
