--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -1,9 +1,10 @@
 """The registry of the workers that this edge knows.
 
-Heartbeats and leaves arrive at any edge and are flooded to all. A worker is a pair of identity and
-incarnation, so one that replaces another, at the same address or under the same name, is a
-different one. A leave is final for its incarnation. Silence, a failed connection or a leave takes a
-worker out of use; only what the profiles in force allow is used.
+Workers become known by their own heartbeats and leaves, which arrive at any edge and are flooded to
+all edges, or by a list that the control service keeps. A worker is identified by its identity and
+incarnation, so a replacement at the same address or with the same identity is a different worker. A
+leave is final for its incarnation. A worker that is silent, failed a connection or is leaving gets
+no new requests, and neither does one that no profile in force allows.
 """
 
 import json
@@ -16,9 +17,13 @@
 
 __all__ = ["Worker", "WorkerRegistry", "WorkerUpdate"]
 
+# The first backoff, as a fraction of `request_timeout_ms`; it doubles with each further failure.
 _BACKOFF_SHARE = 0.5
 _MAX_BACKOFF_STEPS = 5
+# Listed workers have no incarnations.
 _LISTED_INCARNATION = 0
+# A silent worker is removed after this many times `resume_ms`, and the record of a departed one
+# after _FORGET_DEPARTED_TIMES times as long.
 _FORGET_AFTER_RESUMES = 10
 _FORGET_DEPARTED_TIMES = 10
 _SERVING = "serving"
@@ -28,11 +33,20 @@
 
 
 class WorkerRegistry(Component):
-    """The workers by identity, and which of them may be used.
-
-    `peers` gives the other edges' addresses; `allowed` says whether any profile in force allows a
-    worker; `worker_list` gives the number and the body of the list that control keeps, if it keeps
-    one. `lent` are the identities of workers that are lent whole to rollouts.
+    """The known workers, and which of them may be used.
+
+    `lent` has the identities of the workers that are lent to rollouts as a whole and so get no
+    other requests. `list_number` is the number of the list that was applied last.
+
+    Parameters
+    ----------
+    peers
+        Returns the addresses of the other edges.
+    allowed
+        Whether any profile in force allows a worker with this identity and these labels.
+    worker_list
+        Returns the number and the JSON body of the control service's list of workers; the number
+        is 0 if there is none.
     """
 
     __slots__ = (
@@ -64,14 +78,16 @@
         self._departed: dict[Instance, int] = {}
         self._ignore_heartbeats_until_ms = NEVER_MS
 
-    # -- heartbeats and leaves -----------------------------------------------------------------
-
     def receive(self, message: Any, origin: Origin) -> None:
-        """Take a worker's update from another edge."""
+        """Handle a worker's update from another edge."""
         self.apply_update(message, origin.sender)
 
     def apply_update(self, update: WorkerUpdate, sender: str = "") -> bool:
-        """Take a heartbeat or a leave and pass it on if new; false for an outdated incarnation."""
+        """Apply a heartbeat or a leave, and forward it to the other edges if it is new.
+
+        Returns false if the update is of an incarnation that has left or was replaced. `sender` is
+        the address of the edge that sent the update; it is not forwarded there.
+        """
         known = self._workers.get(update.identity)
         instance = (update.identity, update.incarnation)
         if instance in self._departed and not update.leaving:
@@ -107,9 +123,11 @@
                 self.node.send(address, update)
 
     def _owns_its_address(self, update: WorkerUpdate, now_ms: int) -> bool:
-        """Decide which of two workers at one address is there: the one that started later.
+        """Whether this worker is the one at its address; if so, others at the address are removed.
 
-        The other never comes back, though old updates of it may still be in flight.
+        A known worker keeps the address if it is usable and started later, which shows in its
+        incarnation. The loser is recorded as departed and never comes back, as old updates of it
+        may still be in flight.
         """
         for other in [
             other
@@ -131,13 +149,17 @@
             event, level, worker=worker.identity, incarnation=worker.incarnation, **fields
         )
 
-    # -- the list ------------------------------------------------------------------------------
-
     def replace_list(self, rows: dict[str, dict[str, Any]]) -> None:
-        """Take the workers as control lists them.
+        """Apply a new list of workers from the control service.
 
-        A worker that is not listed, or is draining, gets nothing new. Heartbeats and silence count
-        for nothing here, as whoever lists the workers has judged that.
+        A listed worker that is no longer in the list or is draining gets no new requests; its
+        requests in flight go on. Heartbeats and silence of listed workers are ignored, as the
+        control service evaluates them.
+
+        Parameters
+        ----------
+        rows
+            The list's entries by the identities of the workers.
         """
         now_ms = self.node.env.now()
         for identity in [
@@ -148,10 +170,10 @@
             self._workers.pop(identity).leaving = True
         for identity, row in rows.items():
             if (identity, _LISTED_INCARNATION) not in self._departed:
-                self._take_row(_listed_update(identity, row), row, now_ms)
+                self._apply_row(_listed_update(identity, row), row, now_ms)
         self._index()
 
-    def _take_row(self, update: WorkerUpdate, row: dict[str, Any], now_ms: int) -> None:
+    def _apply_row(self, update: WorkerUpdate, row: dict[str, Any], now_ms: int) -> None:
         worker = self._workers.get(update.identity)
         if worker is None or not worker.listed or worker.address != update.address:
             if worker is not None:
@@ -175,18 +197,17 @@
                 for label in worker.labels:
                     self._by_label.setdefault(label, []).append(worker)
 
-    # -- what attempts tell of a worker --------------------------------------------------------
-
     def record_answer(self, worker: Worker) -> None:
-        """Record that a worker has answered, which ends its failures in a row."""
+        """Record that a worker completed a response, which resets its backoff."""
         worker.failures = 0
         worker.answered_ms = self.node.env.now()
 
     def record_connection_failure(self, worker: Worker) -> None:
-        """Take a worker out of use after a failed connection.
+        """Exclude a worker after a failed connection or a stall.
 
-        It is back once a heartbeat sent after the failure shows it alive, or after twice
-        `force_ms`. A listed one is left out for a backoff that grows with its failures in a row.
+        A worker known by heartbeats is usable again from the second heartbeat after the failure on,
+        as the first one may have been sent before it, or after twice `force_ms`. A listed worker
+        stays usable. Both back off for a time that grows with each consecutive failure.
         """
         worker.down_heartbeat = worker.beat
         worker.down_ms = self.node.env.now()
@@ -194,7 +215,11 @@
         self._log("worker-down", worker, "WARNING")
 
     def record_overload(self, worker: Worker) -> None:
-        """Record that a worker refused for want of a slot: full until its next report."""
+        """Record that a worker rejected a request because it had no free slot.
+
+        Until its next report its slots and as many queue places are assumed to be taken. It gets no
+        batch items and no queued requests for `delta_ms`.
+        """
         now_ms = self.node.env.now()
         worker.running = worker.waiting = worker.slots
         worker.in_flight_at_report = worker.in_flight
@@ -203,17 +228,15 @@
         worker.full_until_ms = now_ms + self.node.settings.delta_ms
 
     def record_mismatch(self, worker: Worker) -> None:
-        """Remove a worker at whose address another one answers."""
+        """Remove a worker for good, as another one responded at its address."""
         if self._workers.get(worker.identity) is worker:
             del self._workers[worker.identity]
             self._departed[(worker.identity, worker.incarnation)] = self.node.env.now()
             self._index()
             self._log("worker-mismatch", worker, "WARNING")
 
-    # -- which workers may be used -------------------------------------------------------------
-
     def is_backing_off(self, worker: Worker) -> bool:
-        """Whether a worker is left out for a while, which grows with each failure in a row."""
+        """Whether a worker's backoff after consecutive failures is still running."""
         steps = min(worker.failures, _MAX_BACKOFF_STEPS)
         if steps == 0:
             return False
@@ -221,12 +244,15 @@
         return bool(self.node.env.now() - worker.down_ms < backoff_ms)
 
     def is_silent(self, worker: Worker) -> bool:
-        """Whether an unlisted worker sent no heartbeat for longer than `worker_timeout_ms`."""
+        """Whether no heartbeat of an unlisted worker came for longer than `worker_timeout_ms`.
+
+        A listed worker is never silent.
+        """
         silent_ms = self.node.env.now() - worker.heard_ms
         return not worker.listed and bool(silent_ms > self.node.settings.worker_timeout_ms)
 
     def has_heard_from(self, profile: Any) -> bool:
-        """Whether a worker that this profile allows was heard lately, used or not."""
+        """Whether any worker that this profile allows is not silent, usable or not."""
         return any(
             profile.allows(worker.identity, worker.labels) and not self.is_silent(worker)
             for worker in self._workers.values()
@@ -244,7 +270,7 @@
         return bool(down_for_ms > 2 * self.node.settings.force_ms)
 
     def workers(self) -> list[Worker]:
-        """Return the usable workers that a profile in force allows."""
+        """Return the usable workers that any profile in force allows."""
         self._read_list()
         return [
             worker
@@ -253,7 +279,10 @@
         ]
 
     def listed(self, labels: frozenset[str]) -> list[Worker]:
-        """Return the listed workers with any of these labels, even if no profile uses them."""
+        """Return the listed workers with any of these labels, without checking the profiles.
+
+        Draining workers and workers lent to rollouts are left out.
+        """
         self._read_list()
         if len(labels) == 1 and not self.lent:
             return self._by_label.get(next(iter(labels)), [])
@@ -268,10 +297,12 @@
         """Return every known worker."""
         return list(self._workers.values())
 
-    # -- time ----------------------------------------------------------------------------------
-
     def resumed(self, gap_ms: int) -> None:
-        """Discard what was heard before a freeze of `gap_ms`: it proves no worker alive."""
+        """Handle the end of a freeze of this process that lasted `gap_ms` milliseconds.
+
+        Heartbeats received before the freeze, or buffered during it, do not prove that a worker is
+        alive, so they are discarded: those that arrive within `heartbeat_ms` do not count either.
+        """
         now_ms = self.node.env.now()
         self._ignore_heartbeats_until_ms = now_ms + self.node.settings.heartbeat_ms
         for worker in self._workers.values():
@@ -280,7 +311,7 @@
             worker.other_load = 0.0
 
     def tick(self) -> None:
-        """Forget workers and leaves that are old enough."""
+        """Remove workers that have been silent for long, and old records of departed ones."""
         now_ms = self.node.env.now()
         keep_ms = _FORGET_AFTER_RESUMES * self.node.settings.resume_ms
         for identity in [
@@ -301,7 +332,7 @@
 
 
 def _is_old(update: WorkerUpdate, known: Worker) -> bool:
-    """Whether this update says nothing new of a known worker."""
+    """Whether this update has nothing newer than what is known of its worker."""
     return (
         known.incarnation == update.incarnation
         and known.beat >= update.beat
@@ -310,7 +341,7 @@
 
 
 def _listed_update(identity: str, row: dict[str, Any]) -> WorkerUpdate:
-    """Return a row of the list in the form of a worker's own update."""
+    """Convert an entry of the worker list to a worker update."""
     return WorkerUpdate(
         identity=identity,
         incarnation=_LISTED_INCARNATION,
