--- a/libs/request_routing/src/request_routing/cost_placement.py
+++ b/libs/request_routing/src/request_routing/cost_placement.py
@@ -1,4 +1,4 @@
-"""Which worker a forwarded request is sent to: the one of the lowest estimated cost."""
+"""Placement of forwarded requests at the worker with the lowest estimated cost."""
 
 import math
 from random import Random
@@ -10,11 +10,13 @@
 
 __all__ = ["choose_forward", "cost"]
 
+# Costs and discounts are in requests: a request in flight costs 1.
 _CACHED_DISCOUNT = 0.75
 _NEAR_DISCOUNT = 0.25
 _NOISE = 0.01
 _OTHER_LOAD_WEIGHT = 0.1
 _PREFILL_PER_MS = 0.2
+# Live requests beyond the slots that may be queued at a worker, as a fraction of its slots.
 _QUEUE_SHARE = 0.25
 _SAMPLE_SIZE = 16
 
@@ -27,14 +29,28 @@
     recent_ms: int,
     prefill_ms: float = 0.0,
 ) -> float:
-    """Return the estimated cost of one more request at this worker, as a share of its slots.
-
-    What this edge itself has there counts most, and prompts that are still read count twice: a
-    worker's report on others is old by the time it is used, and edges that all believe it choose
-    the same worker at once. Of equal workers the one sent to longest ago is cheapest; what is
-    cached (`cached_share`, 0 to 1) and a worker in this zone (`near`) cost less. `recent_ms` is how
-    long an attempt counts as recent; `prefill_ms` how long the worker will probably go on reading
-    prompts, whichever edge sent them.
+    """Return the estimated cost of one more request at this worker, as a fraction of its slots.
+
+    This edge's own requests have the highest weight, and those whose prompt is still being
+    processed count twice. Requests of other callers have a low weight: a worker's report on them is
+    outdated when it is used, and edges that all rely on it would choose the same worker at the same
+    time. Among otherwise equal workers the one with the least recent request of this edge is
+    cheapest.
+
+    Parameters
+    ----------
+    worker
+        The worker.
+    now_ms
+        Time of the node's clock in milliseconds.
+    cached_share
+        Fraction (0 to 1) of the prompt that the worker has probably cached; reduces the cost.
+    near
+        Whether the worker is in this edge's zone; reduces the cost.
+    recent_ms
+        How long the last request to the worker adds to its cost; the addition declines linearly.
+    prefill_ms
+        How long the worker is expected to process prompts of any edge.
     """
     recent = max(0.0, 1.0 - (now_ms - worker.sent_ms) / recent_ms)
     own = (
@@ -50,9 +66,11 @@
 
 
 def _has_capacity(worker: Worker, job: bool, job_free: float, now_ms: int) -> bool:
-    """Whether a worker has capacity: batch jobs leave slots free, live requests may queue briefly.
+    """Whether a worker has capacity for one more request.
 
-    A batch item takes nothing where live requests wait.
+    A live request may use all slots, and a short queue unless the worker has just rejected a
+    request as busy. A batch item leaves `job_free` of the slots free, so it gets none where
+    requests are queued, and none at a worker that has just rejected a request.
     """
     load = worker.load(now_ms)
     accepts = worker.full_until_ms <= now_ms
@@ -76,9 +94,33 @@
 ) -> Worker | None:
     """Return the cheapest worker with capacity for a forwarded request, or None.
 
-    `job_free` is the share of the slots that batch jobs leave free; `avoid` are the instances to
-    leave out; `connections` bounds this edge's attempts at one worker, 0 for no bound. Ties are
-    broken at random, so that edges with the same knowledge do not all choose the same worker.
+    Ties are broken at random, so that edges with the same information do not all choose the same
+    worker.
+
+    Parameters
+    ----------
+    workers
+        The workers to choose from.
+    call
+        The request.
+    affinity
+        Estimates of the workers' prompt caches.
+    now_ms
+        Time of the node's clock in milliseconds.
+    zone
+        This edge's zone.
+    rng
+        Random numbers for samples and ties.
+    recent_ms
+        How long the last request to a worker adds to its cost.
+    job_free
+        Fraction of the slots that batch items leave free.
+    avoid
+        Instance ids of the workers to exclude.
+    connections
+        Maximum number of this edge's requests in flight at one worker; 0 means no limit.
+    prefill
+        Estimates of the prompts that workers have still to process, or None.
     """
     best, best_cost = None, 0.0
     for worker in _sampled(workers, call, affinity, rng):
@@ -105,9 +147,10 @@
 def _sampled(
     workers: list[Worker], call: ForwardCall, affinity: PrefixAffinity, rng: Random
 ) -> list[Worker]:
-    """Return the workers to look at: of very many, a random sample.
+    """Return the workers to compare: all of them, or a random sample if there are many.
 
-    Those that have cached what this prompt shares with fewest others are added to the sample.
+    Added to the sample are workers that probably have cached the longest known prefix of the
+    prompt, at most as many as are in the sample.
     """
     if len(workers) <= 2 * _SAMPLE_SIZE:
         return workers
--- a/libs/request_routing/src/request_routing/item_queue.py
+++ b/libs/request_routing/src/request_routing/item_queue.py
@@ -1,4 +1,4 @@
-"""Batch items that an edge was assigned and that no worker has yet, in the order they came."""
+"""The queue of batch items that are assigned to this edge and wait for a free worker."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,9 +10,12 @@
 
 
 class ItemQueue:
-    """Waits with items until a worker is free, under the profiles they were queued with.
+    """A FIFO queue of batch items, which expire when other profiles come into force.
 
-    `profiles` gives the profiles in force.
+    Parameters
+    ----------
+    profiles
+        Returns the profiles in force.
     """
 
     __slots__ = ("_profiles", "_queue", "_queued_under")
@@ -26,18 +29,22 @@
         return len(self._queue)
 
     def add(self, request: InFlightRequest) -> None:
-        """Queue an item."""
+        """Append an item to the queue."""
         if not self._queue:
             self._queued_under = self._profiles()
         self._queue.append(request)
 
     def remove(self, request: InFlightRequest) -> None:
-        """Take an item out of the queue, if it is there."""
+        """Remove an item, if it is queued."""
         if request in self._queue:
             self._queue.remove(request)
 
     def expired(self, now_ms: int) -> list[InFlightRequest]:
-        """Return the items that are late, or all of them once other profiles are in force."""
+        """Return the items that are past their deadline at `now_ms`.
+
+        If other profiles have come into force, the first call after that returns all items. Items
+        stay in the queue until they are removed.
+        """
         profiles = self._profiles()
         expired = [
             request
@@ -48,5 +55,5 @@
         return expired
 
     def first(self) -> InFlightRequest | None:
-        """Return the item that came first, or None."""
+        """Return the item that was queued first, or None."""
         return self._queue[0] if self._queue else None
--- a/libs/request_routing/src/request_routing/prefix_affinity.py
+++ b/libs/request_routing/src/request_routing/prefix_affinity.py
@@ -1,8 +1,8 @@
-"""Prefix-cache affinity: which worker was lately sent which part of a prompt.
+"""Prefix-cache affinity: which worker was recently sent which segment of a prompt.
 
-A worker caches a part only together with all parts before it, and evicts the least recently used
-once its memory is full. This map does the same by the tokens sent, so it is bounded as the workers'
-caches are.
+A worker caches a segment only together with all segments before it, and evicts the least recently
+used ones when its cache is full. This map does the same with the sizes of the segments that were
+sent, so its size is bounded by the size of the workers' caches.
 """
 
 from collections import OrderedDict
@@ -12,11 +12,12 @@
 
 __all__ = ["PrefixAffinity"]
 
+# Assumed size of a worker's cache if the profile does not give it.
 _DEFAULT_CACHE_TOKENS = 100_000
 
 
 class PrefixAffinity:
-    """An estimate of each worker's prompt cache: an LRU map from prompt parts to their tokens."""
+    """Estimates of the workers' prompt caches: for each worker an LRU map of prompt segments."""
 
     __slots__ = ("_cached", "_cached_tokens", "_workers_by_part")
 
@@ -26,11 +27,19 @@
         self._cached_tokens: dict[str, int] = {}
 
     def sent(self, worker: str, parts: Iterable[PromptPart], cache_tokens: int) -> None:
-        """Record that a prompt's `parts` were sent to `worker`.
-
-        The first parts count as used last, as they are what other prompts share. `cache_tokens` is
-        the size of the worker's cache in tokens, from its profile; 0 means unknown, and a guess is
-        used.
+        """Record that a prompt was sent to a worker.
+
+        The first segments become the most recently used ones, as other prompts share them.
+
+        Parameters
+        ----------
+        worker
+            Identity of the worker.
+        parts
+            The prompt's segments in order.
+        cache_tokens
+            Size of the worker's cache in tokens, from its profile; 0 if unknown, in which case a
+            default is used.
         """
         cached = self._cached.setdefault(worker, OrderedDict())
         for part_id, tokens in reversed(list(parts)):
@@ -50,7 +59,10 @@
             del self._workers_by_part[part_id]
 
     def share(self, worker: str, parts: Sequence[PromptPart]) -> float:
-        """Return the share (0 to 1) of the prompt's tokens that this worker has probably cached."""
+        """Return the fraction (0 to 1) of a prompt's tokens that a worker has probably cached.
+
+        Only the segments before the first one that is not cached count.
+        """
         cached = self._cached.get(worker)
         if not cached or not parts:
             return 0.0
@@ -62,7 +74,10 @@
         return cached_tokens / max(1, sum(tokens for _, tokens in parts))
 
     def workers_with(self, parts: Sequence[PromptPart]) -> set[str]:
-        """Return the workers that were sent the last part of this prompt that anybody was sent."""
+        """Return the workers that have probably cached the longest known prefix of a prompt.
+
+        These are the ones that were sent the last of its segments that was sent to any worker.
+        """
         return next(
             (
                 self._workers_by_part[part_id]
@@ -73,7 +88,7 @@
         )
 
     def keep_only(self, workers: Iterable[str]) -> None:
-        """Forget all workers but these."""
+        """Remove the estimates of all workers but these."""
         for worker in self._cached.keys() - set(workers):
             for part_id in self._cached.pop(worker):
                 self._evicted(worker, part_id)
--- a/libs/request_routing/src/request_routing/prefix_placement.py
+++ b/libs/request_routing/src/request_routing/prefix_placement.py
@@ -1,9 +1,9 @@
-"""Which worker a request of our own interface is sent to, by the prefix of its prompt.
+"""Placement of completions by the prefix of their prompt.
 
-Workers are ordered by rendezvous hashing of the prefix, so that equal prefixes meet a warm cache,
-and the first one whose weight is within its bound is taken. Live requests may use all slots and a
-short queue; batch jobs leave the live share free and take nothing from a worker where requests
-wait.
+Workers are ordered by rendezvous hashing of the prefix, so that prompts with the same prefix go to
+the same worker and find its cache warm. The first worker whose load is below its bound is chosen.
+Live requests may use all slots and a short queue. Batch jobs leave a fraction of the slots to live
+requests, and are not placed at a worker with queued requests.
 """
 
 import hashlib
@@ -19,12 +19,17 @@
 
 _PREFIX_CHARS = 256
 _DIGEST_BYTES = 8
-_EVENNESS = 1.25
+# Consistent hashing with bounded loads: no worker is preferred beyond this multiple of the mean.
+_BOUNDED_LOAD_FACTOR = 1.25
+# A live request may be queued at a worker with a load below this multiple of its slots.
 _QUEUE_FACTOR = 2
 
 
 def prefix_of(body: dict[str, Any]) -> str:
-    """Return a digest of the start of the prompt or messages, for placement by common prefix."""
+    """Return a hex digest of the start of the prompt or messages of a completion's body.
+
+    Bodies whose first 256 characters of text are the same have the same digest.
+    """
     if isinstance(body.get("prompt"), str):
         text = body["prompt"]
     else:
@@ -46,17 +51,34 @@
     avoid: frozenset[str] = frozenset(),
     by_prefix: bool = True,
 ) -> Worker | None:
-    """Return the worker for a request of our own interface, or None if none has capacity.
-
-    `live_share` is the share of a worker's slots that batch jobs leave to live requests,
-    `lot_share` the most that they may take; `avoid` are the instances of workers to leave out;
-    `near` prefers `zone`. Without `by_prefix` the lightest worker comes first.
+    """Return the worker for a completion, or None if no worker has capacity.
+
+    Parameters
+    ----------
+    workers
+        The workers to choose from.
+    prefix
+        Digest of the start of the prompt.
+    job
+        Whether the completion is an item of a batch job.
+    zone
+        This edge's zone.
+    near
+        Whether workers in `zone` come first.
+    live_share
+        Fraction of a worker's slots that batch jobs leave to live requests.
+    lot_share
+        Maximum fraction of a worker's slots that batch jobs may use.
+    avoid
+        Instance ids of the workers to exclude.
+    by_prefix
+        False to order the workers by their load instead of the prefix.
     """
     candidates = [worker for worker in workers if worker.instance_id not in avoid]
     if not candidates:
         return None
     mean_weight = sum(worker.weight for worker in candidates) / len(candidates)
-    even_bound = math.ceil(_EVENNESS * mean_weight) + 1
+    balanced_bound = math.ceil(_BOUNDED_LOAD_FACTOR * mean_weight) + 1
 
     def bound(worker: Worker) -> int:
         return _job_slots(worker, live_share, lot_share) if job else worker.slots
@@ -64,7 +86,7 @@
     ordered = _ordered(candidates, prefix, zone if near else None, by_prefix)
     if job:
         ordered = [worker for worker in ordered if worker.waiting == 0]
-    chosen = _first(ordered, lambda worker: worker.weight < min(bound(worker), even_bound))
+    chosen = _first(ordered, lambda worker: worker.weight < min(bound(worker), balanced_bound))
     if chosen is None:
         chosen = _first(ordered, lambda worker: worker.weight < bound(worker))
     if chosen is not None or job:
@@ -74,14 +96,14 @@
 
 
 def _job_slots(worker: Worker, live_share: float, lot_share: float) -> int:
-    """Return how many of a worker's slots batch jobs may use."""
+    """Return the load below which a worker gets items of batch jobs."""
     return min(
         worker.slots - math.ceil(worker.slots * live_share), math.floor(worker.slots * lot_share)
     )
 
 
 def _ordered(workers: list[Worker], prefix: str, zone: str | None, by_prefix: bool) -> list[Worker]:
-    """Return the workers in the order they are tried; those of `zone` first, unless it is None."""
+    """Return the workers in order of preference; those in `zone` first, unless it is None."""
 
     def rank(worker: Worker) -> tuple[Any, ...]:
         far = zone is not None and worker.zone != zone
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -217,8 +217,8 @@
     def record_overload(self, worker: Worker) -> None:
         """Record that a worker rejected a request because it had no free slot.
 
-        Until its next report its slots and as many queue places are assumed to be taken. It gets no
-        batch items and no queued requests for `delta_ms`.
+        Until its next report its slots and as many queue places are assumed to be taken. For
+        `delta_ms` it gets no forwarded batch items and no live requests beyond its slots.
         """
         now_ms = self.node.env.now()
         worker.running = worker.waiting = worker.slots
--- a/libs/request_routing/src/request_routing/worker_selection.py
+++ b/libs/request_routing/src/request_routing/worker_selection.py
@@ -1,6 +1,7 @@
-"""Which workers may serve a call, and which of them the next attempt is made at.
+"""Which workers may serve a call, and which of them gets the next attempt.
 
-One function each, dispatched by the call's type. `capacity_sharing.sampling` adds samples.
+Both functions are dispatched by the type of the call. `capacity_sharing.sampling` registers
+`choose_worker` for rollout samples.
 """
 
 import math
@@ -16,6 +17,7 @@
 
 __all__ = ["allowed_workers", "choose_worker"]
 
+# A worker gets a batch item only if its pending prompts take at most this fraction of `delta_ms`.
 _PREFILL_SHARE = 0.3
 _NEAR = "near"
 
@@ -24,8 +26,11 @@
 def allowed_workers(
     call: Any, router: RoutingContext, lifecycle: Any, registry: WorkerRegistry
 ) -> list[Worker]:
-    """Return the workers that may serve this call; raises NotImplementedError for other calls."""
-    raise NotImplementedError(type(call).__name__)
+    """Return the workers that may serve this call.
+
+    Raises NotImplementedError for a call of an unregistered type.
+    """
+    raise NotImplementedError(f"allowed_workers: unregistered call type {type(call).__name__}")
 
 
 @allowed_workers.register
@@ -41,7 +46,10 @@
 def _(
     call: ForwardCall, router: RoutingContext, lifecycle: Any, registry: WorkerRegistry
 ) -> list[Worker]:
-    """Return the workers of the service drawn by the traffic shares, else all that may serve it."""
+    """Return the workers of one service, drawn at random by the profile's traffic shares.
+
+    If that service has no workers, those of all services of the profile are returned.
+    """
     profile = lifecycle.profile
     return registry.listed(profile.choose_labels(router.node.env.rng.random())) or registry.listed(
         profile.labels
@@ -56,11 +64,11 @@
     workers: list[Worker],
     registry: WorkerRegistry,
 ) -> Worker | None:
-    """Return the worker for the next attempt, or None.
+    """Return the worker for the next attempt, or None if none of `workers` can take the call.
 
-    Raises NotImplementedError for other calls.
+    Raises NotImplementedError for a call of an unregistered type.
     """
-    raise NotImplementedError(type(call).__name__)
+    raise NotImplementedError(f"choose_worker: unregistered call type {type(call).__name__}")
 
 
 @choose_worker.register
@@ -71,7 +79,11 @@
     workers: list[Worker],
     registry: WorkerRegistry,
 ) -> Worker | None:
-    """Prefer workers that did not fail this request; of batch items, let one run in any case."""
+    """Choose by prefix; workers at which this request failed are chosen only if there is no other.
+
+    If no other batch item is in flight at this edge, an item may use the slots that are reserved
+    for live requests, so that batch jobs always make progress.
+    """
     settings, profile = router.node.settings, lifecycle.profile
     live_share = settings.live_share if call.job else 1 - profile.live_share
 
@@ -105,10 +117,13 @@
     workers: list[Worker],
     registry: WorkerRegistry,
 ) -> Worker | None:
-    """Leave out workers that failed lately; an idempotent request retries them first.
+    """Choose by cost among the workers that are healthy.
 
-    If all are left out, the one that failed longest ago is tried. None is tried again that could
-    not be reached for this very request.
+    A worker that is backing off is excluded. After the backoff a worker with failures gets only
+    idempotent requests until it responds, so that it is tested by requests that can be retried. If
+    no healthy worker is left, a live request is sent to the worker that failed longest ago. A
+    worker that was unreachable for this request is not tried again. Of batch items, the edges
+    together have at most about one per worker whose prompt is still being processed.
     """
     workers = [
         worker
@@ -116,16 +131,16 @@
         if lifecycle.may_attempt(worker.identity)
         and worker.instance_id not in lifecycle.unreachable
     ]
-    fit = _healthy(router, lifecycle, workers, registry)
+    eligible = _healthy(router, lifecycle, workers, registry)
     if call.job:
         if router.prefilling_items >= math.ceil(len(workers) / router.edge_count()):
             return None
-        fit = [worker for worker in fit if _may_take_item(router, worker)]
-    worker = _cheapest(call, router, lifecycle, fit, frozenset(lifecycle.avoid))
+        eligible = [worker for worker in eligible if _may_take_item(router, worker)]
+    worker = _cheapest(call, router, lifecycle, eligible, frozenset(lifecycle.avoid))
     if worker is None and lifecycle.avoid:
-        failed_before = [one for one in fit if one.instance_id in lifecycle.avoid]
+        failed_before = [other for other in eligible if other.instance_id in lifecycle.avoid]
         worker = _cheapest(call, router, lifecycle, failed_before, frozenset())
-    if worker is None and not fit and not call.job:
+    if worker is None and not eligible and not call.job:
         worker = _longest_down(router, lifecycle, workers)
     return worker
 
@@ -133,7 +148,7 @@
 def _healthy(
     router: RoutingContext, lifecycle: Any, workers: list[Worker], registry: WorkerRegistry
 ) -> list[Worker]:
-    """Return the workers that did not fail lately, without the stalled ones if others are left."""
+    """Return the workers that did not fail recently; stalled ones only if there are no others."""
     healthy = [
         worker
         for worker in workers
@@ -144,7 +159,7 @@
 
 
 def _may_take_item(router: RoutingContext, worker: Worker) -> bool:
-    """Whether a worker reads so little that a batch item's prompt delays nobody for long."""
+    """Whether a worker has so few pending prompts that a batch item delays no request for long."""
     if worker.prefilling_items:
         return False
     if router.prefill is None:
@@ -160,6 +175,7 @@
     workers: list[Worker],
     avoid: frozenset[str],
 ) -> Worker | None:
+    """Return the cheapest worker with capacity, with this edge's share of the connections."""
     settings, env = router.node.settings, router.node.env
     limit = lifecycle.profile.connections
     connections = max(1, limit // router.edge_count()) if limit else 0
@@ -179,7 +195,10 @@
 
 
 def _longest_down(router: RoutingContext, lifecycle: Any, workers: list[Worker]) -> Worker | None:
-    """Return the worker that failed longest ago, which is tried when all failed lately."""
+    """Return the worker that failed longest ago, or None.
+
+    One at which this request failed is returned only if that is at least `delta_ms` ago.
+    """
     settings, now_ms = router.node.settings, router.node.env.now()
     candidates = [
         worker
