--- a/libs/request_routing/src/request_routing/latency_estimator.py
+++ b/libs/request_routing/src/request_routing/latency_estimator.py
@@ -1,22 +1,27 @@
-"""How long a route's requests usually take to their first event and between events.
+"""Moving averages of a route's time to the first event and time between events.
 
-From these running means follows when a worker has been silent for so long that another one is
-tried. Silence is measured at the worker: one that sends anything to anybody here is only slow.
+They determine after how much silence a worker counts as stalled, so that another one is tried.
+Silence is measured per worker, not per request: a worker that sends data for any request of this
+edge is slow, not stalled.
 """
 
 __all__ = ["LatencyEstimator"]
 
+# Weight of the previous value in the exponential moving averages.
 _SMOOTHING = 0.9
+# A worker counts as stalled after this many times the mean plus _DEVIATIONS mean deviations.
 _STALL_FACTOR = 2.0
 _DEVIATIONS = 4.0
-_PATIENCE_SHARE = 0.45
-_TARGETS_WAITED = 4
-_GAPS_WAITED = 8
+# A client waits for the longest of `force_ms`, _CLIENT_TARGETS times `target_ms` and _CLIENT_GAPS
+# times `token_gap_ms`; an attempt may be without an event for this fraction of it.
+_ATTEMPT_SHARE = 0.45
+_CLIENT_TARGETS = 4
+_CLIENT_GAPS = 8
 _UNKNOWN_MS = -1.0
 
 
 class _RunningMean:
-    """The running mean of a duration and of its deviation, in milliseconds."""
+    """Exponential moving averages of a duration and of its absolute deviation, in milliseconds."""
 
     __slots__ = ("deviation_ms", "mean_ms")
 
@@ -32,7 +37,11 @@
         self.mean_ms = _SMOOTHING * self.mean_ms + (1 - _SMOOTHING) * took_ms
 
     def stall_after_ms(self, floor_ms: float) -> float:
-        """Return a time longer than nearly all seen; silent requests do not count themselves in."""
+        """Return a time that is longer than nearly all observed ones, at least `floor_ms`.
+
+        A request that is waiting now is not part of the averages, so that a stall does not raise
+        the limit that detects it.
+        """
         if self.mean_ms < 0:
             return max(floor_ms, 0.0)
         usual_ms = self.mean_ms + _DEVIATIONS * self.deviation_ms
@@ -40,7 +49,7 @@
 
 
 class LatencyEstimator:
-    """Running means of the times to the first event and between events, by route."""
+    """Moving averages of the time to the first event and of the time between events, by route."""
 
     __slots__ = ("_between_events", "_to_first_event")
 
@@ -49,26 +58,34 @@
         self._between_events: dict[str, _RunningMean] = {}
 
     def add_first_event(self, route: str, took_ms: float) -> None:
-        """Record a request's time to its first event, in milliseconds."""
+        """Add a request's time to its first event, in milliseconds."""
         self._to_first_event.setdefault(route, _RunningMean()).add(took_ms)
 
     def add_gap(self, route: str, took_ms: float) -> None:
-        """Record a time between two events, in milliseconds."""
+        """Add a time between two events of a stream, in milliseconds."""
         self._between_events.setdefault(route, _RunningMean()).add(took_ms)
 
     def stall_after_ms(self, route: str, streaming: bool, floor_ms: float) -> float:
-        """Return after how many milliseconds of silence to everybody a worker counts as stalled.
-
-        `streaming` says that the stream has begun; `floor_ms` is the least that is returned.
+        """Return after how many milliseconds of silence a worker counts as stalled.
+
+        Parameters
+        ----------
+        route
+            Name of the route; if it has no observations, twice `floor_ms` is returned.
+        streaming
+            Whether the first event of the stream has come.
+        floor_ms
+            Lower bound of the result.
         """
         known = (self._between_events if streaming else self._to_first_event).get(route)
         return known.stall_after_ms(floor_ms) if known is not None else _STALL_FACTOR * floor_ms
 
     @staticmethod
-    def patience_ms(force_ms: int, target_ms: int, gap_ms: int) -> float:
-        """Return how many milliseconds a request is left with a worker that answers others.
+    def event_timeout_ms(force_ms: int, target_ms: int, gap_ms: int) -> float:
+        """Return how many milliseconds an attempt may go without an event of its own.
 
-        It is well below the longest of these times, for which the client waits.
+        It applies also while the worker sends data for other requests. It is well below the time
+        for which the client waits, so that another worker can still be tried.
         """
-        longest_ms = max(force_ms, _TARGETS_WAITED * target_ms, _GAPS_WAITED * gap_ms)
-        return _PATIENCE_SHARE * longest_ms
+        client_timeout_ms = max(force_ms, _CLIENT_TARGETS * target_ms, _CLIENT_GAPS * gap_ms)
+        return _ATTEMPT_SHARE * client_timeout_ms
--- a/libs/request_routing/src/request_routing/stall_detection.py
+++ b/libs/request_routing/src/request_routing/stall_detection.py
@@ -1,4 +1,4 @@
-"""When an attempt is taken from a worker: its deadline passed, or the worker went silent."""
+"""Decides when an attempt is abandoned: after its deadline, or because the worker is silent."""
 
 from typing import Any
 
@@ -11,14 +11,16 @@
 
 __all__ = ["StallDetector"]
 
+# Lower bound of the stall timeout, as a fraction of `request_timeout_ms`.
 _FLOOR_SHARE = 0.5
+# A worker is avoided after this fraction of the stall timeout.
 _SUSPECT_SHARE = 0.5
 
 
 class StallDetector:
-    """Judges how long workers have been silent, by the usual latency of each route.
+    """Compares the silence of workers with the usual latency of each route.
 
-    `latency` learns that from the events that come. The floor is half of `request_timeout_ms`.
+    `latency` has these latencies, updated from the events of streams.
     """
 
     __slots__ = ("_registry", "latency")
@@ -28,7 +30,10 @@
         self.latency = LatencyEstimator()
 
     def add_event(self, attempt: Attempt, now_ms: int) -> None:
-        """Learn from an event of a stream; `last_event_ms` is still that of the one before."""
+        """Update the latencies from an event of a stream.
+
+        Has to be called before the attempt's `last_event_ms` is set to the time of this event.
+        """
         route = attempt.request.lifecycle.profile.name
         took_ms = now_ms - attempt.last_event_ms
         if attempt.started_streaming:
@@ -37,14 +42,18 @@
             self.latency.add_first_event(route, took_ms)
 
     def is_suspect(self, worker: Any, route: str, settings: Settings, now_ms: int) -> bool:
-        """Whether a worker is silent for unusually long; other workers are then preferred."""
+        """Whether a worker has been silent for unusually long; other workers are then preferred."""
         stall_ms = self.latency.stall_after_ms(
             route, False, settings.request_timeout_ms * _FLOOR_SHARE
         )
         return bool(worker.silent_ms(now_ms) > stall_ms * _SUSPECT_SHARE)
 
     def outcome(self, attempt: Attempt, settings: Settings, now_ms: int) -> AttemptOutcome | None:
-        """Return the failed outcome of an attempt to be given up now, or None."""
+        """Return the outcome of an attempt that has to be abandoned now, or None.
+
+        Apart from the deadline, only attempts that can be repeated are abandoned: a completion's if
+        it is idempotent, nothing was delivered and the worker sends no heartbeats.
+        """
         request = attempt.request
         lifecycle = request.lifecycle
         if now_ms >= lifecycle.due_ms:
@@ -56,16 +65,17 @@
             and not lifecycle.delivered
             and self._registry.is_silent(attempt.worker)
         ):
-            return failed(True, "worker silent")
+            return failed(True, "no heartbeat from the worker")
         return None
 
     def _forward_outcome(
         self, attempt: Attempt, settings: Settings, now_ms: int
     ) -> AttemptOutcome | None:
-        """Judge the attempt of a forwarded request.
+        """Return the outcome of a forwarded request's attempt to be abandoned now, or None.
 
-        Only what may be continued elsewhere is taken away; anything else is left there, since
-        silence does not tell that it has not run.
+        Only an attempt that can be continued at another worker is abandoned. Any other is left to
+        its worker until the deadline, since a silent worker may nevertheless be running the
+        request. No attempt is abandoned while it connects or while the client has data to read.
         """
         request, worker = attempt.request, attempt.worker
         profile = request.lifecycle.profile
@@ -78,12 +88,12 @@
             profile.name, attempt.started_streaming, settings.request_timeout_ms * _FLOOR_SHARE
         )
         if silent_ms > stall_ms:
-            return failed(True, "worker dark", WorkerFault.DOWN)
-        patience_ms = self.latency.patience_ms(
+            return failed(True, "worker stalled", WorkerFault.DOWN)
+        event_timeout_ms = self.latency.event_timeout_ms(
             settings.force_ms, profile.target_ms, profile.token_gap_ms
         )
-        if not request.call.job and waited_ms > patience_ms:
-            return failed(True, "worker silent")
+        if not request.call.job and waited_ms > event_timeout_ms:
+            return failed(True, "no event within the time-out")
         return None
 
 
@@ -93,4 +103,4 @@
         and attempt.worker.silent_ms(now_ms) > settings.request_timeout_ms
     )
     fault = WorkerFault.DOWN if stalled else WorkerFault.NONE
-    return failed(not attempt.connecting, "deadline", fault)
+    return failed(not attempt.connecting, "deadline passed", fault)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -269,7 +269,8 @@
         for target_ms, gap_ms in [(300, 150), (1000, 0), (0, 1000)]:
             gives_up_ms = max(2000, 4 * target_ms, 8 * gap_ms)
             self.assertThat(
-                LatencyEstimator.patience_ms(2000, target_ms, gap_ms), LessThan(gives_up_ms / 2)
+                LatencyEstimator.event_timeout_ms(2000, target_ms, gap_ms),
+                LessThan(gives_up_ms / 2),
             )
 
 
