--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -54,7 +54,7 @@
     )
     from request_routing.prefill_tracker import PrefillTracker
     from request_routing.prefix_placement import (
-        choose,
+        choose_by_prefix,
         prefix_of,
     )
     from request_routing.request_router import RequestRouter
@@ -105,7 +105,7 @@
     "WorkerRegistry",
     "WorkerUpdate",
     "check_body",
-    "choose",
+    "choose_by_prefix",
     "end_to_end",
     "prefix_of",
 ]
@@ -126,7 +126,7 @@
         "batch_execution.leader_client": ("LeaderClient",),
         "lifecycle": ("ItemKey", "RequestLifecycle", "State"),
         "prefill_tracker": ("PrefillTracker",),
-        "prefix_placement": ("choose", "prefix_of"),
+        "prefix_placement": ("choose_by_prefix", "prefix_of"),
         "request_router": ("RequestRouter",),
         "response_head": ("WorkerLoad",),
         "retry_budget": ("RetryBudget",),
--- a/libs/request_routing/src/request_routing/cost_placement.py
+++ b/libs/request_routing/src/request_routing/cost_placement.py
@@ -8,7 +8,7 @@
 from request_routing.prefix_affinity import PrefixAffinity
 from request_routing.worker import Worker
 
-__all__ = ["choose_forward", "cost"]
+__all__ = ["choose_by_cost", "cost"]
 
 # Costs and discounts are in requests: a request in flight costs 1.
 _CACHED_DISCOUNT = 0.75
@@ -79,7 +79,7 @@
     return load < worker.slots or (accepts and load < worker.slots * (1 + _QUEUE_SHARE))
 
 
-def choose_forward(
+def choose_by_cost(
     workers: list[Worker],
     call: ForwardCall,
     affinity: PrefixAffinity,
--- a/libs/request_routing/src/request_routing/prefix_placement.py
+++ b/libs/request_routing/src/request_routing/prefix_placement.py
@@ -15,7 +15,7 @@
 
 from request_routing.worker import Worker
 
-__all__ = ["choose", "prefix_of"]
+__all__ = ["choose_by_prefix", "prefix_of"]
 
 _PREFIX_CHARS = 256
 _DIGEST_BYTES = 8
@@ -40,7 +40,7 @@
     return hashlib.blake2b(start, digest_size=_DIGEST_BYTES).hexdigest()
 
 
-def choose(
+def choose_by_prefix(
     workers: Iterable[Worker],
     prefix: str,
     job: bool,
--- a/libs/request_routing/src/request_routing/worker_selection.py
+++ b/libs/request_routing/src/request_routing/worker_selection.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from request_routing.calls import Call, ForwardCall
-from request_routing.cost_placement import choose_forward
-from request_routing.prefix_placement import choose
+from request_routing.cost_placement import choose_by_cost
+from request_routing.prefix_placement import choose_by_prefix
 from request_routing.routing_context import RoutingContext
 from request_routing.worker import Worker
 from request_routing.worker_registry import WorkerRegistry
@@ -88,7 +88,7 @@
     live_share = settings.live_share if call.job else 1 - profile.live_share
 
     def choose_among(near: bool, avoid: frozenset[str]) -> Worker | None:
-        return choose(
+        return choose_by_prefix(
             workers,
             call.prefix,
             call.job,
@@ -105,7 +105,9 @@
     if worker is None and avoid:
         worker = choose_among(False, frozenset())
     if worker is None and call.job and router.count_in_flight(True) <= 1:
-        worker = choose(workers, call.prefix, False, settings.zone, False, 0.0, avoid=avoid)
+        worker = choose_by_prefix(
+            workers, call.prefix, False, settings.zone, False, 0.0, avoid=avoid
+        )
     return worker
 
 
@@ -179,7 +181,7 @@
     settings, env = router.node.settings, router.node.env
     limit = lifecycle.profile.connections
     connections = max(1, limit // router.edge_count()) if limit else 0
-    return choose_forward(
+    return choose_by_cost(
         workers,
         call,
         router.prefix_affinity,
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from request_routing import Worker, WorkerUpdate, choose
+from request_routing import Worker, WorkerUpdate, choose_by_prefix
 
 from testbed.fleet import SHAPES, Fleet, until
 from testbed.report import spread
@@ -152,7 +152,7 @@
             prefix = f"p{min(rng.randrange(prefixes), rng.randrange(prefixes))}"
             if len(under_way) >= 20:
                 under_way.pop(0).in_flight -= 1
-            worker = choose(pool, prefix, False, "a", True, 0.0, by_prefix=by_prefix)
+            worker = choose_by_prefix(pool, prefix, False, "a", True, 0.0, by_prefix=by_prefix)
             worker.in_flight += 1
             under_way.append(worker)
             placed[worker.identity] += 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -16,7 +16,7 @@
     end_to_end,
 )
 from request_routing.attempt_outcome import NO_CONNECTION
-from request_routing.cost_placement import choose_forward
+from request_routing.cost_placement import choose_by_cost
 from request_routing.latency_estimator import LatencyEstimator
 from request_routing.prefix_affinity import PrefixAffinity
 from runtime import Settings
@@ -75,7 +75,7 @@
         return {worker.identity: worker for worker in self.registry.listed(frozenset(["s"]))}
 
     def choose(self, workers, call=CALL, parts=None, **how):
-        return choose_forward(
+        return choose_by_cost(
             list(workers),
             call,
             parts or PrefixAffinity(),
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -12,7 +12,7 @@
     WorkerRegistry,
     WorkerUpdate,
     check_body,
-    choose,
+    choose_by_prefix,
     prefix_of,
 )
 from runtime import Settings, Verdict
@@ -306,13 +306,15 @@
 
     def test_same_prefix_same_worker_until_its_bound(self):
         workers = self.workers(a=(0, 0, "z"), b=(0, 0, "z"), c=(0, 0, "z"))
-        first = choose(workers, "p", False, "z", True, 0.0)
+        first = choose_by_prefix(workers, "p", False, "z", True, 0.0)
         self.assertThat(
-            {choose(workers, "p", False, "z", True, 0.0).identity for _ in range(5)},
+            {choose_by_prefix(workers, "p", False, "z", True, 0.0).identity for _ in range(5)},
             Equals({first.identity}),
         )
         first.running = 8
-        self.assertThat(choose(workers, "p", False, "z", True, 0.0) is first, Equals(False))
+        self.assertThat(
+            choose_by_prefix(workers, "p", False, "z", True, 0.0) is first, Equals(False)
+        )
 
     def test_rows(self):
         rows = [
@@ -327,7 +329,9 @@
             ({}, False, None),
         ]
         for loads, job, wanted in rows:
-            chosen = choose(self.workers(**loads), "p", job, "z", True, 0.25 if job else 0.0)
+            chosen = choose_by_prefix(
+                self.workers(**loads), "p", job, "z", True, 0.25 if job else 0.0
+            )
             self.assertThat(chosen and chosen.identity, Equals(wanted), str(loads))
 
     def test_prefix_is_the_common_start(self):
