--- a/libs/request_routing/src/request_routing/prefill_tracker.py
+++ b/libs/request_routing/src/request_routing/prefill_tracker.py
@@ -60,7 +60,7 @@
     def _(self, message: PrefillStarted, origin: Origin) -> None:
         self._add(message.worker, message.tokens)
 
-    def sent(self, worker: str, tokens: int) -> None:
+    def record_prompt(self, worker: str, tokens: int) -> None:
         """Record that this edge sent a prompt to a worker, and notify the other edges.
 
         `tokens` is the number of its tokens that the worker has probably not cached; 0 is ignored.
--- a/libs/request_routing/src/request_routing/prefix_affinity.py
+++ b/libs/request_routing/src/request_routing/prefix_affinity.py
@@ -26,7 +26,7 @@
         self._workers_by_part: dict[str, set[str]] = {}
         self._cached_tokens: dict[str, int] = {}
 
-    def sent(self, worker: str, parts: Iterable[PromptPart], cache_tokens: int) -> None:
+    def record_prompt(self, worker: str, parts: Iterable[PromptPart], cache_tokens: int) -> None:
         """Record that a prompt was sent to a worker.
 
         The first segments become the most recently used ones, as other prompts share them.
@@ -87,7 +87,7 @@
             set(),
         )
 
-    def keep_only(self, workers: Iterable[str]) -> None:
+    def retain_workers(self, workers: Iterable[str]) -> None:
         """Remove the estimates of all workers but these."""
         for worker in self._cached.keys() - set(workers):
             for part_id in self._cached.pop(worker):
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -352,10 +352,10 @@
             if self.prefill is not None:
                 unread_share = 1 - self.prefix_affinity.share(worker.identity, call.parts)
                 unread_tokens = int(call.tokens_in * unread_share)
-                self.prefill.sent(worker.identity, unread_tokens)
+                self.prefill.record_prompt(worker.identity, unread_tokens)
         if call.parts:
             cache_tokens = request.lifecycle.profile.cache_tokens
-            self.prefix_affinity.sent(worker.identity, call.parts, cache_tokens)
+            self.prefix_affinity.record_prompt(worker.identity, call.parts, cache_tokens)
         return unread_tokens
 
     def _count_prefill(self, worker: Worker, call: Call | ForwardCall, change: int) -> None:
@@ -452,7 +452,7 @@
         self._serve_items()
         if self._list_number != self._registry.list_number:
             self._list_number = self._registry.list_number
-            self.prefix_affinity.keep_only(worker.identity for worker in self._registry.all())
+            self.prefix_affinity.retain_workers(worker.identity for worker in self._registry.all())
 
     def client_disconnected(self, request: InFlightRequest) -> None:
         """Stop a request whose client has disconnected.
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -176,7 +176,7 @@
 
     def test_who_keeps_the_prompt_is_preferred_among_equals_only(self):
         workers, parts = self.publish(a=row(1), b=row(2)), PrefixAffinity()
-        parts.sent("b", CALL.parts, 10_000)
+        parts.record_prompt("b", CALL.parts, 10_000)
         self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("b"))
         workers["b"].in_flight = 1
         self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("a"))
@@ -214,7 +214,7 @@
             self.publish(**{f"w{place}": row(place) for place in range(200)}),
             PrefixAffinity(),
         )
-        parts.sent("w150", CALL.parts, 10_000)
+        parts.record_prompt("w150", CALL.parts, 10_000)
         self.assertThat(
             {self.choose(workers.values(), parts=parts).identity for _ in range(20)},
             Equals({"w150"}),
@@ -224,7 +224,7 @@
 class Affinities(TestCase):
     def test_shares_and_what_gives_way(self):
         parts = PrefixAffinity()
-        parts.sent("w", [("a", 100), ("b", 300)], 500)
+        parts.record_prompt("w", [("a", 100), ("b", 300)], 500)
         rows = [
             ([("a", 100), ("b", 300)], 1.0),
             ([("a", 100), ("c", 300)], 0.25),
@@ -233,7 +233,7 @@
         ]
         for asked, share in rows:
             self.assertThat(parts.share("w", asked), Equals(share), f"{asked}")
-        parts.sent("w", [("a", 100), ("c", 300)], 500)
+        parts.record_prompt("w", [("a", 100), ("c", 300)], 500)
         self.assertThat(
             [parts.share("w", [("a", 100), (part, 300)]) for part in "bc"], Equals([0.25, 1.0])
         )
@@ -241,13 +241,13 @@
             (parts.workers_with([("a", 1), ("z", 1)]), parts.workers_with([("b", 1)])),
             Equals(({"w"}, set())),
         )
-        parts.keep_only(["v"])
+        parts.retain_workers(["v"])
         self.assertThat((len(parts), parts.workers_with([("a", 1)])), Equals((0, set())))
 
     def test_it_stays_bounded(self):
         parts = PrefixAffinity()
         for number in range(5000):
-            parts.sent("w", [("shared", 100), (f"own-{number}", 400)], 10_000)
+            parts.record_prompt("w", [("shared", 100), (f"own-{number}", 400)], 10_000)
         self.assertThat(len(parts), LessThan(30))
 
 
--- a/tests/test_prefill_tracker.py
+++ b/tests/test_prefill_tracker.py
@@ -30,7 +30,7 @@
 class Counted(TestCase):
     def test_told_to_fellows_and_worn_off(self):
         made, posted = part(["e1", "e2"])
-        made.sent("w", 3000)
+        made.record_prompt("w", 3000)
         self.assertThat(
             [(to, message.worker, message.tokens) for to, message in posted],
             Equals([("e1", "w", 3000), ("e2", "w", 3000)]),
@@ -43,14 +43,14 @@
 
     def test_what_others_send_counts_alike(self):
         made, posted = part()
-        made.sent("w", 1000)
+        made.record_prompt("w", 1000)
         made.receive(PrefillStarted(worker="w", tokens=500), Origin("e2", 0))
         self.assertThat(made.left_ms("w"), Equals(15.0))
         self.assertThat(posted, Equals([]))
 
     def test_nothing_unread_is_not_told(self):
         made, posted = part(["e1"])
-        made.sent("w", 0)
+        made.record_prompt("w", 0)
         self.assertThat((posted, made.left_ms("w")), Equals(([], 0.0)))
 
     def test_the_pace_is_the_quickest_seen_and_forgotten_slowly(self):
