--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -98,7 +98,9 @@
 
     def used(self, worker: Worker) -> float:
         """Return the slots in use at a worker, samples included."""
-        requests = worker.load(self._router.node.env.now()) if worker.listed else worker.weight
+        requests = (
+            worker.load(self._router.node.env.now()) if worker.listed else worker.heartbeat_load
+        )
         used: float = worker.borrowed + worker.borrowed_elsewhere + requests
         return used
 
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -114,7 +114,7 @@
             "address": worker.address,
             "usable": node.registry.is_usable(worker),
             "leaving": worker.leaving,
-            "weight": worker.weight,
+            "weight": worker.heartbeat_load,
             "slots": worker.slots,
             "allowed": node.profile_tree().allows_worker(worker.identity, worker.labels),
         }
--- a/libs/request_routing/src/request_routing/batch_execution/item_executor.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_executor.py
@@ -90,7 +90,9 @@
         if not worker.listed:
             if worker.waiting:
                 return 0.0
-            return max(0, worker.slots - math.ceil(worker.slots * live_share) - worker.weight)
+            return max(
+                0, worker.slots - math.ceil(worker.slots * live_share) - worker.heartbeat_load
+            )
         load = worker.load(self.node.env.now())
         if worker.waiting and load >= worker.slots * _BUSY_SHARE:
             return 0.0
--- a/libs/request_routing/src/request_routing/prefix_placement.py
+++ b/libs/request_routing/src/request_routing/prefix_placement.py
@@ -77,8 +77,8 @@
     candidates = [worker for worker in workers if worker.instance_id not in avoid]
     if not candidates:
         return None
-    mean_weight = sum(worker.weight for worker in candidates) / len(candidates)
-    balanced_bound = math.ceil(_BOUNDED_LOAD_FACTOR * mean_weight) + 1
+    mean_load = sum(worker.heartbeat_load for worker in candidates) / len(candidates)
+    balanced_bound = math.ceil(_BOUNDED_LOAD_FACTOR * mean_load) + 1
 
     def bound(worker: Worker) -> int:
         return _job_slots(worker, live_share, lot_share) if job else worker.slots
@@ -86,13 +86,15 @@
     ordered = _ordered(candidates, prefix, zone if near else None, by_prefix)
     if job:
         ordered = [worker for worker in ordered if worker.waiting == 0]
-    chosen = _first(ordered, lambda worker: worker.weight < min(bound(worker), balanced_bound))
+    chosen = _first(
+        ordered, lambda worker: worker.heartbeat_load < min(bound(worker), balanced_bound)
+    )
     if chosen is None:
-        chosen = _first(ordered, lambda worker: worker.weight < bound(worker))
+        chosen = _first(ordered, lambda worker: worker.heartbeat_load < bound(worker))
     if chosen is not None or job:
         return chosen
-    queued = [worker for worker in ordered if worker.weight < _QUEUE_FACTOR * worker.slots]
-    return min(queued, key=lambda worker: worker.weight / worker.slots, default=None)
+    queued = [worker for worker in ordered if worker.heartbeat_load < _QUEUE_FACTOR * worker.slots]
+    return min(queued, key=lambda worker: worker.heartbeat_load / worker.slots, default=None)
 
 
 def _job_slots(worker: Worker, live_share: float, lot_share: float) -> int:
@@ -109,7 +111,7 @@
         far = zone is not None and worker.zone != zone
         if by_prefix:
             return (far, -rendezvous_weight(worker.identity, prefix))
-        return (far, worker.weight, worker.identity)
+        return (far, worker.heartbeat_load, worker.identity)
 
     return sorted(workers, key=rank)
 
--- a/libs/request_routing/src/request_routing/worker.py
+++ b/libs/request_routing/src/request_routing/worker.py
@@ -140,7 +140,7 @@
         self.leaving = self.leaving or update.leaving
 
     @property
-    def weight(self) -> int:
+    def heartbeat_load(self) -> int:
         """The estimated load in requests, for workers known by their heartbeats.
 
         It is the last reported load plus the change of this edge's requests since then, but at
