--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,5 +1,6 @@
-"""Where forwarded requests go: the list of workers, their load, what they cache, who is left out, and the state
-machine of a request that is bound to a number of workers.
+"""Placement of forwarded requests: listed workers, their load, caches, backoff and latency.
+
+Also the state machine of a forwarded request, which is sent to a bounded number of workers.
 """
 
 import json
@@ -34,7 +35,7 @@
 CALL = ForwardCall("POST", "/", "h", [], b"", "r", parts=[("a", 100), ("b", 300)])
 
 
-class Env:
+class FakeEnv:
     address = "10.0.0.1:1"
 
     def __init__(self):
@@ -47,7 +48,7 @@
         return None
 
 
-def row(place, state="serving", address=None, **more):
+def list_row(place, state="serving", address=None, **more):
     return {
         "address": address or f"10.0.1.{place}:80",
         "zone": "z",
@@ -59,10 +60,10 @@
     }
 
 
-class Fixture(TestCase):
+class RegistryTestCase(TestCase):
     def setUp(self):
         super().setUp()
-        self.env, self.number, self.rows = Env(), 0, {}
+        self.env, self.number, self.rows = FakeEnv(), 0, {}
         self.registry = WorkerRegistry(
             list,
             TREE.allows_worker,
@@ -74,27 +75,27 @@
         self.rows, self.number = rows, self.number + 1
         return {worker.identity: worker for worker in self.registry.listed(frozenset(["s"]))}
 
-    def choose(self, workers, call=CALL, parts=None, **how):
+    def choose(self, workers, call=CALL, affinity=None, **options):
         return choose_by_cost(
             list(workers),
             call,
-            parts or PrefixAffinity(),
+            affinity or PrefixAffinity(),
             self.env.ms,
             "z",
             self.env.rng,
             200,
-            **how,
+            **options,
         )
 
 
-class Listed(Fixture):
-    def test_who_is_listed(self):
-        """Rows: the list, and who may get something new."""
+class ListedWorkers(RegistryTestCase):
+    def test_listed_workers_get_requests_unless_draining(self):
+        """Rows: the list, and the workers that may get new requests."""
         for rows, wanted in [
-            ({"a": row(1), "b": row(2)}, "ab"),
-            ({"a": row(1, "draining"), "b": row(2)}, "b"),
-            ({"b": row(2)}, "b"),
-            ({"b": row(2), "c": row(1)}, "bc"),
+            ({"a": list_row(1), "b": list_row(2)}, "ab"),
+            ({"a": list_row(1, "draining"), "b": list_row(2)}, "b"),
+            ({"b": list_row(2)}, "b"),
+            ({"b": list_row(2), "c": list_row(1)}, "bc"),
             ({}, ""),
         ]:
             self.assertThat("".join(sorted(self.publish(**rows))), Equals(wanted))
@@ -102,24 +103,31 @@
             self.assertThat(
                 "".join(sorted(worker.identity for worker in self.registry.workers())),
                 Equals(wanted),
-                "silence counts for nothing",
+                "silence of a listed worker is ignored",
             )
 
-    def test_what_is_under_way_is_kept_over_a_new_list(self):
-        first = self.publish(a=row(1))["a"]
+    def test_requests_in_flight_are_kept_over_a_new_list(self):
+        first = self.publish(a=list_row(1))["a"]
         first.in_flight = 3
         self.assertThat(
-            self.publish(a=row(1, "draining"), b=row(2)), Equals({"b": self.registry._workers["b"]})
+            self.publish(a=list_row(1, "draining"), b=list_row(2)),
+            Equals({"b": self.registry._workers["b"]}),
+        )
+        self.assertThat(
+            (self.publish(a=list_row(1))["a"] is first, first.in_flight), Equals((True, 3))
+        )
+        self.assertThat(
+            self.publish(a=list_row(1, address="10.0.1.9:80"))["a"] is first, Equals(False)
         )
-        self.assertThat((self.publish(a=row(1))["a"] is first, first.in_flight), Equals((True, 3)))
-        self.assertThat(self.publish(a=row(1, address="10.0.1.9:80"))["a"] is first, Equals(False))
 
-    def test_one_whose_address_is_another_s_never_comes_back(self):
-        self.registry.record_mismatch(self.publish(a=row(1), b=row(2))["a"])
-        self.assertThat(sorted(self.publish(a=row(1), b=row(2), c=row(3))), Equals(["b", "c"]))
+    def test_worker_at_whose_address_another_responds_is_removed_for_good(self):
+        self.registry.record_mismatch(self.publish(a=list_row(1), b=list_row(2))["a"])
+        self.assertThat(
+            sorted(self.publish(a=list_row(1), b=list_row(2), c=list_row(3))), Equals(["b", "c"])
+        )
 
-    def test_the_backoff_grows_with_each_failure(self):
-        worker, spans = self.publish(a=row(1))["a"], []
+    def test_backoff_grows_with_each_failure(self):
+        worker, spans = self.publish(a=list_row(1))["a"], []
         for _ in range(7):
             self.registry.record_connection_failure(worker)
             began = self.env.ms
@@ -131,8 +139,8 @@
         self.registry.record_answer(worker)
         self.assertThat(self.registry.is_backing_off(worker), Equals(False))
 
-    def test_silence_is_measured_at_the_worker(self):
-        worker = self.publish(a=row(1))["a"]
+    def test_silence_is_measured_per_worker(self):
+        worker = self.publish(a=list_row(1))["a"]
         self.assertThat(worker.silent_ms(self.env.ms), Equals(0))
         worker.in_flight = 1
         worker.request_sent(self.env.ms)
@@ -141,16 +149,18 @@
         worker.in_flight = 2
         worker.request_sent(self.env.ms)
         self.assertThat(
-            worker.silent_ms(self.env.ms), Equals(300), "a second question makes it no less silent"
+            worker.silent_ms(self.env.ms),
+            Equals(300),
+            "a second request does not shorten the silence",
         )
         worker.answered_ms = self.env.ms
         self.env.ms += 50
         self.assertThat(worker.silent_ms(self.env.ms), Equals(50))
 
 
-class Placing(Fixture):
-    def test_even_by_what_is_under_way_then_in_turn(self):
-        workers = self.publish(a=row(1), b=row(2), c=row(3))
+class CostPlacement(RegistryTestCase):
+    def test_requests_are_spread_evenly_and_in_turn(self):
+        workers = self.publish(a=list_row(1), b=list_row(2), c=list_row(3))
         order = []
         for _ in range(9):
             worker = self.choose(workers.values())
@@ -162,8 +172,8 @@
             [sorted(order[at : at + 3]) for at in (0, 3, 6)], Equals([["a", "b", "c"]] * 3)
         )
 
-    def test_what_others_have_there_counts_little_but_fills_places(self):
-        workers = self.publish(a=row(1), b=row(2))
+    def test_load_of_other_callers_has_a_low_weight_but_takes_slots(self):
+        workers = self.publish(a=list_row(1), b=list_row(2))
         workers["a"].report_load(WorkerLoad(4, 0, 8), self.env.ms)
         workers["b"].in_flight = 2
         self.assertThat(self.choose(workers.values()).identity, Equals("a"))
@@ -171,21 +181,23 @@
         self.assertThat(self.choose(workers.values()).identity, Equals("b"))
         self.env.ms += 10_000
         self.assertThat(
-            self.choose(workers.values()).identity, Equals("a"), "old news count for less"
+            self.choose(workers.values()).identity, Equals("a"), "an older report counts less"
         )
 
-    def test_who_keeps_the_prompt_is_preferred_among_equals_only(self):
-        workers, parts = self.publish(a=row(1), b=row(2)), PrefixAffinity()
-        parts.record_prompt("b", CALL.parts, 10_000)
-        self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("b"))
+    def test_worker_with_cached_prompt_is_preferred_only_at_equal_load(self):
+        workers, affinity = self.publish(a=list_row(1), b=list_row(2)), PrefixAffinity()
+        affinity.record_prompt("b", CALL.parts, 10_000)
+        self.assertThat(self.choose(workers.values(), affinity=affinity).identity, Equals("b"))
         workers["b"].in_flight = 1
-        self.assertThat(self.choose(workers.values(), parts=parts).identity, Equals("a"))
+        self.assertThat(self.choose(workers.values(), affinity=affinity).identity, Equals("a"))
 
-    def test_places(self):
-        """Rows: under way at the only worker of eight slots, a lot's item or not, and whether there is a place."""
-        worker = self.publish(a=row(1))["a"]
+    def test_capacity_for_live_requests_and_batch_items(self):
+        """Rows: requests in flight at the only worker, which has 8 slots, and whether it has capacity for a live
+        request and for a batch item.
+        """
+        worker = self.publish(a=list_row(1))["a"]
         item = ForwardCall("POST", "/", "h", [], b"", "r", job=True)
-        for sending, live, job in [
+        for requests, live, job in [
             (0, True, True),
             (5, True, True),
             (6, True, False),
@@ -193,66 +205,66 @@
             (9, True, False),
             (10, False, False),
         ]:
-            worker.in_flight = sending
-            seen = (
+            worker.in_flight = requests
+            has_capacity = (
                 self.choose([worker]) is not None,
                 self.choose([worker], item, job_free=0.25) is not None,
             )
-            self.assertThat(seen, Equals((live, job)), f"{sending}")
+            self.assertThat(has_capacity, Equals((live, job)), f"{requests}")
         worker.in_flight = 3
         self.assertThat(self.choose([worker], connections=3), Equals(None))
 
-    def test_one_that_said_it_is_full_is_passed_over_for_a_moment(self):
-        worker = self.publish(a=row(1))["a"]
+    def test_overloaded_worker_is_skipped_for_a_while(self):
+        worker = self.publish(a=list_row(1))["a"]
         self.registry.record_overload(worker)
         self.assertThat(self.choose([worker]), Equals(None))
         self.env.ms += 1_000
         self.assertThat(self.choose([worker]), Equals(worker))
 
-    def test_of_very_many_a_sample_is_looked_at_and_those_that_cached_it(self):
-        workers, parts = (
-            self.publish(**{f"w{place}": row(place) for place in range(200)}),
+    def test_large_pool_is_sampled_and_caching_workers_are_added(self):
+        workers, affinity = (
+            self.publish(**{f"w{place}": list_row(place) for place in range(200)}),
             PrefixAffinity(),
         )
-        parts.record_prompt("w150", CALL.parts, 10_000)
+        affinity.record_prompt("w150", CALL.parts, 10_000)
         self.assertThat(
-            {self.choose(workers.values(), parts=parts).identity for _ in range(20)},
+            {self.choose(workers.values(), affinity=affinity).identity for _ in range(20)},
             Equals({"w150"}),
         )
 
 
 class Affinities(TestCase):
-    def test_shares_and_what_gives_way(self):
-        parts = PrefixAffinity()
-        parts.record_prompt("w", [("a", 100), ("b", 300)], 500)
+    def test_cached_shares_and_eviction(self):
+        affinity = PrefixAffinity()
+        affinity.record_prompt("w", [("a", 100), ("b", 300)], 500)
         rows = [
             ([("a", 100), ("b", 300)], 1.0),
             ([("a", 100), ("c", 300)], 0.25),
             ([("c", 9), ("b", 300)], 0.0),
             ([], 0.0),
         ]
-        for asked, share in rows:
-            self.assertThat(parts.share("w", asked), Equals(share), f"{asked}")
-        parts.record_prompt("w", [("a", 100), ("c", 300)], 500)
+        for prompt, share in rows:
+            self.assertThat(affinity.share("w", prompt), Equals(share), f"{prompt}")
+        affinity.record_prompt("w", [("a", 100), ("c", 300)], 500)
         self.assertThat(
-            [parts.share("w", [("a", 100), (part, 300)]) for part in "bc"], Equals([0.25, 1.0])
+            [affinity.share("w", [("a", 100), (part, 300)]) for part in "bc"], Equals([0.25, 1.0])
         )
         self.assertThat(
-            (parts.workers_with([("a", 1), ("z", 1)]), parts.workers_with([("b", 1)])),
+            (affinity.workers_with([("a", 1), ("z", 1)]), affinity.workers_with([("b", 1)])),
             Equals(({"w"}, set())),
         )
-        parts.retain_workers(["v"])
-        self.assertThat((len(parts), parts.workers_with([("a", 1)])), Equals((0, set())))
+        affinity.retain_workers(["v"])
+        self.assertThat((len(affinity), affinity.workers_with([("a", 1)])), Equals((0, set())))
 
-    def test_it_stays_bounded(self):
-        parts = PrefixAffinity()
+    def test_size_is_bounded(self):
+        affinity = PrefixAffinity()
         for number in range(5000):
-            parts.record_prompt("w", [("shared", 100), (f"own-{number}", 400)], 10_000)
-        self.assertThat(len(parts), LessThan(30))
+            affinity.record_prompt("w", [("shared", 100), (f"own-{number}", 400)], 10_000)
+        self.assertThat(len(affinity), LessThan(30))
 
 
 class Latencies(TestCase):
-    def test_how_long_until_a_worker_is_stalled(self):
+    def test_stall_timeout(self):
         latency = LatencyEstimator()
         self.assertThat(latency.stall_after_ms("p", False, 250), Equals(500))
         for _ in range(50):
@@ -262,20 +274,22 @@
             latency.add_first_event("p", took_ms)
         self.assertThat(latency.stall_after_ms("p", False, 250), GreaterThan(1500))
         self.assertThat(
-            latency.stall_after_ms("p", True, 250), Equals(500), "gaps are learnt for themselves"
+            latency.stall_after_ms("p", True, 250),
+            Equals(500),
+            "times between events have an average of their own",
         )
 
-    def test_patience_ends_well_before_the_client_s(self):
+    def test_event_timeout_is_well_below_the_client_s(self):
         for target_ms, gap_ms in [(300, 150), (1000, 0), (0, 1000)]:
-            gives_up_ms = max(2000, 4 * target_ms, 8 * gap_ms)
+            client_timeout_ms = max(2000, 4 * target_ms, 8 * gap_ms)
             self.assertThat(
                 LatencyEstimator.event_timeout_ms(2000, target_ms, gap_ms),
-                LessThan(gives_up_ms / 2),
+                LessThan(client_timeout_ms / 2),
             )
 
 
 class Lifecycles(TestCase):
-    """Rows: route, taken up again or not, what happens, the last step and its status, and how many workers."""
+    """Rows: route, whether its streams are resumable, events, kind of the last step, and its status or 0."""
 
     ROWS = [
         ("safe", False, ["run"] * 2, "place", 0),
@@ -285,15 +299,15 @@
         ("unsafe", False, ["not run"] * 2, "place", 0),
         ("unsafe", False, ["not run"] * 3, "refuse", 503),
         ("unsafe", False, ["busy"] * 5, "place", 0),
-        ("unsafe", False, ["unmade"] * 9, "place", 0),
-        ("unsafe", False, ["unmade", "run"], "refuse", 502),
+        ("unsafe", False, ["unreachable"] * 9, "place", 0),
+        ("unsafe", False, ["unreachable", "run"], "refuse", 502),
         ("unsafe", False, ["not run", "none"], "refuse", 503),
         ("safe", False, ["run", "none"], "refuse", 502),
         ("safe", False, ["late, not run"], "refuse", 503),
         ("unsafe", False, ["event", "run"], "cut", 502),
         ("unsafe", True, ["event", "run"], "place", 0),
         ("unsafe", True, ["event", "run", "none"], "cut", 502),
-        ("unsafe", True, ["unnumbered", "run"], "cut", 502),
+        ("unsafe", True, ["event without id", "run"], "cut", 502),
         ("unsafe", True, ["run", "run"], "place", 0),
         ("safe", False, ["event", "run"], "cut", 502),
         ("safe", False, ["500"], "place", 0),
@@ -302,13 +316,13 @@
         ("unsafe", True, ["event", "500"], "place", 0),
     ]
 
-    def test_rows(self):
+    def test_outcome_of_each_event_sequence(self):
         for route, resumable, events, last, status in self.ROWS:
             lifecycle = ForwardLifecycle("t", TREE.get(route), 0, 1000, resumable=resumable)
             step = lifecycle.begin()
             for place, event in enumerate(events):
                 worker = f"w{place}"
-                if event in ("event", "unnumbered"):
+                if event in ("event", "event without id"):
                     lifecycle.event_delivered()
                     lifecycle.last_event_id = 4 if event == "event" else None
                 elif event == "none":
@@ -317,11 +331,11 @@
                     step = lifecycle.worker_failed(worker, 500, b"no", 10)
                 else:
                     ran = event in ("run", "late")
-                    reason = {"busy": "busy", "unmade": NO_CONNECTION}.get(event, "broke")
+                    reason = {"busy": "busy", "unreachable": NO_CONNECTION}.get(event, "broke")
                     step = lifecycle.attempt_failed(
                         worker, ran, reason, 2000 if event.startswith("late") else 10
                     )
-            told = (
+            last_status = (
                 step.refusal.status
                 if step.refusal
                 else step.response.status
@@ -329,12 +343,12 @@
                 else 0
             )
             self.assertThat(
-                (step.kind, told), Equals((last, status)), f"{route} {resumable} {events}"
+                (step.kind, last_status), Equals((last, status)), f"{route} {resumable} {events}"
             )
 
 
 class Headers(TestCase):
-    def test_what_concerns_one_connection_stays_on_it(self):
+    def test_hop_by_hop_headers_are_removed(self):
         rows = [
             ("Host", "h"),
             ("A", "1"),
@@ -353,8 +367,8 @@
         self.assertThat(end_to_end(rows), Equals([("A", "1"), ("A", "10")]))
 
 
-class Heartbeats(Fixture):
-    def test_a_worker_known_by_heartbeats_is_not_a_listed_one(self):
+class Heartbeats(RegistryTestCase):
+    def test_worker_known_by_heartbeats_is_not_listed(self):
         self.registry.apply_update(
             WorkerUpdate(
                 identity="own",
@@ -371,5 +385,5 @@
             )
         )
         self.assertThat(
-            (sorted(self.publish(a=row(1))), len(self.registry.workers())), Equals((["a"], 2))
+            (sorted(self.publish(a=list_row(1))), len(self.registry.workers())), Equals((["a"], 2))
         )
--- a/tests/test_prefill_tracker.py
+++ b/tests/test_prefill_tracker.py
@@ -1,5 +1,7 @@
-"""Prompts still to be read at workers, as edges tell each other of them: what is counted, how it wears off,
-and that the placement keeps away from a worker that is busy reading, whoever sent it there.
+"""Estimates of the prompt tokens that workers have still to process, shared between edges.
+
+They decline over time, and a worker that is busy with prefill costs more in placement, whichever edge
+sent it the prompt.
 """
 
 from types import SimpleNamespace
@@ -12,7 +14,7 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 
-class Env:
+class FakeEnv:
     def __init__(self):
         self.ms = 1000
 
@@ -20,52 +22,54 @@
         return self.ms
 
 
-def part(fellows=()):
-    made, posted = PrefillTracker(lambda: list(fellows)), []
-    made.node = SimpleNamespace(env=Env(), send=lambda to, message: posted.append((to, message)))
-    made.tokens_per_ms = 100.0
-    return made, posted
+def new_tracker(peers=()):
+    tracker, sent = PrefillTracker(lambda: list(peers)), []
+    tracker.node = SimpleNamespace(
+        env=FakeEnv(), send=lambda to, message: sent.append((to, message))
+    )
+    tracker.tokens_per_ms = 100.0
+    return tracker, sent
 
 
-class Counted(TestCase):
-    def test_told_to_fellows_and_worn_off(self):
-        made, posted = part(["e1", "e2"])
-        made.record_prompt("w", 3000)
+class Estimates(TestCase):
+    def test_prompt_is_announced_to_peers_and_estimate_declines(self):
+        tracker, sent = new_tracker(["e1", "e2"])
+        tracker.record_prompt("w", 3000)
         self.assertThat(
-            [(to, message.worker, message.tokens) for to, message in posted],
+            [(to, message.worker, message.tokens) for to, message in sent],
             Equals([("e1", "w", 3000), ("e2", "w", 3000)]),
         )
         for later_ms, left_ms in ((0, 30.0), (10, 20.0), (20, 0.0), (500, 0.0)):
-            made.node.env.ms += later_ms
-            self.assertThat(made.left_ms("w"), Equals(left_ms), later_ms)
-        made.tick()
-        self.assertThat(len(made._unread), Equals(0))
-
-    def test_what_others_send_counts_alike(self):
-        made, posted = part()
-        made.record_prompt("w", 1000)
-        made.receive(PrefillStarted(worker="w", tokens=500), Origin("e2", 0))
-        self.assertThat(made.left_ms("w"), Equals(15.0))
-        self.assertThat(posted, Equals([]))
-
-    def test_nothing_unread_is_not_told(self):
-        made, posted = part(["e1"])
-        made.record_prompt("w", 0)
-        self.assertThat((posted, made.left_ms("w")), Equals(([], 0.0)))
-
-    def test_the_pace_is_the_quickest_seen_and_forgotten_slowly(self):
-        made, _ = part()
-        made.prefill_finished(3000, 20)
-        self.assertThat(made.tokens_per_ms, Equals(150.0))
-        made.prefill_finished(1000, 500)
-        self.assertThat(made.tokens_per_ms, LessThan(150.0))
-        self.assertThat(made.tokens_per_ms, GreaterThan(149.0))
-        made.prefill_finished(100_000, 1)
-        self.assertThat(made.tokens_per_ms, LessThan(301.0))
-
-
-class Placed(TestCase):
-    def test_a_busy_reader_costs_more_than_one_more_under_way(self):
+            tracker.node.env.ms += later_ms
+            self.assertThat(tracker.left_ms("w"), Equals(left_ms), later_ms)
+        tracker.tick()
+        self.assertThat(len(tracker._unread), Equals(0))
+
+    def test_prompts_of_other_edges_count_alike(self):
+        tracker, sent = new_tracker()
+        tracker.record_prompt("w", 1000)
+        tracker.receive(PrefillStarted(worker="w", tokens=500), Origin("e2", 0))
+        self.assertThat(tracker.left_ms("w"), Equals(15.0))
+        self.assertThat(sent, Equals([]))
+
+    def test_fully_cached_prompt_is_not_announced(self):
+        tracker, sent = new_tracker(["e1"])
+        tracker.record_prompt("w", 0)
+        self.assertThat((sent, tracker.left_ms("w")), Equals(([], 0.0)))
+
+    def test_rate_is_the_fastest_observed_and_decays_slowly(self):
+        tracker, _ = new_tracker()
+        tracker.prefill_finished(3000, 20)
+        self.assertThat(tracker.tokens_per_ms, Equals(150.0))
+        tracker.prefill_finished(1000, 500)
+        self.assertThat(tracker.tokens_per_ms, LessThan(150.0))
+        self.assertThat(tracker.tokens_per_ms, GreaterThan(149.0))
+        tracker.prefill_finished(100_000, 1)
+        self.assertThat(tracker.tokens_per_ms, LessThan(301.0))
+
+
+class Placement(TestCase):
+    def test_worker_busy_with_prefill_costs_more_than_one_request_more(self):
         def worker(in_flight):
             return SimpleNamespace(
                 in_flight=in_flight,
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -1,4 +1,7 @@
-"""An edge's pure parts: the state machine of a request, streams, worker choice, the registry."""
+"""The request state machine, stream checks, the worker registry and placement by prefix.
+
+They are tested without sockets, on a clock that the tests set.
+"""
 
 import json
 
@@ -23,7 +26,7 @@
 SETTINGS = Settings(link="10.0.0.1:1", http="10.0.0.1:2", zone="z", seeds=["10.0.0.1:1"])
 
 
-class SomeWorker:
+class FakeWorker:
     def __init__(self, instance_id):
         self.instance_id = instance_id
 
@@ -33,7 +36,14 @@
 
 
 class Lifecycles(TestCase):
-    """Rows: path, what happens after begin, the last step, its verdict or None, how the key is closed."""
+    """Rows: route, events after `begin`, kind of the last step, verdict of its refusal or None, and the
+    state in which the idempotency key is closed.
+
+    An event is "place" (a worker was selected), "wait" (queued), "none" (no worker free), "begun", "event"
+    and "end" (of the response), ("fail" or "late", whether the request may have run) for a failed attempt
+    before or after the deadline, "gone" (client disconnected), "closed" (the key), or the outcome of
+    opening the key.
+    """
 
     ROWS = [
         ("safe", ["place", "begun", "end"], "finish", None, ""),
@@ -80,14 +90,14 @@
         ("unsafe", ["unknown"], "refuse", "may_have_run", ""),
     ]
 
-    def test_rows(self):
+    def test_outcome_of_each_event_sequence(self):
         for path, events, last, verdict, close_as in self.ROWS:
             lifecycle = new_lifecycle(path, "k")
             step, closed = lifecycle.begin(), ""
             for event in events:
                 closed = step.key_outcome or closed
                 if event == "place":
-                    step = lifecycle.worker_selected(SomeWorker(f"w{len(lifecycle.attempts)}"))
+                    step = lifecycle.worker_selected(FakeWorker(f"w{len(lifecycle.attempts)}"))
                 elif event == "wait":
                     step = lifecycle.admitted_to_queue()
                 elif event == "gone":
@@ -112,35 +122,37 @@
                     )
                 else:
                     step = lifecycle.key_answered(event, 200, "kept")
-            told = str(step.refusal.verdict) if step.refusal else None
+            last_verdict = str(step.refusal.verdict) if step.refusal else None
             self.assertThat(
-                (step.kind, told, closed), Equals((last, verdict, close_as)), f"{path} {events}"
+                (step.kind, last_verdict, closed),
+                Equals((last, verdict, close_as)),
+                f"{path} {events}",
             )
 
-    def test_unsafe_without_a_key_is_refused(self):
+    def test_non_idempotent_request_without_a_key_is_refused(self):
         step = new_lifecycle("unsafe").begin()
         self.assertThat(
             (step.kind, step.refusal.verdict, step.refusal.field),
             Equals(("refuse", Verdict.NOT_RUN, "Idempotency-Key")),
         )
 
-    def test_budget_ends_retries(self):
+    def test_exhausted_budget_ends_retries(self):
         lifecycle = new_lifecycle("safe", budget=2.0)
         step = lifecycle.begin()
         attempts = 0
         while step.kind == "place":
-            lifecycle.worker_selected(SomeWorker(f"w{attempts}"))
+            lifecycle.worker_selected(FakeWorker(f"w{attempts}"))
             attempts += 1
             step = lifecycle.attempt_failed(f"w{attempts}", True, "x", 1)
         self.assertThat((attempts, step.kind), Equals((3, "refuse")))
 
-    def test_what_certainly_has_not_run_is_free_once_at_each_worker(self):
+    def test_retry_of_what_has_not_run_is_free_once_at_each_worker(self):
         lifecycle = new_lifecycle("unsafe", "k", budget=2.0)
         lifecycle.begin()
         step, attempts = lifecycle.key_answered("opened"), 0
         while step.kind == "place":
             worker = f"w{attempts % 5}"
-            lifecycle.worker_selected(SomeWorker(worker))
+            lifecycle.worker_selected(FakeWorker(worker))
             attempts += 1
             step = lifecycle.attempt_failed(worker, False, "x", 1)
         self.assertThat((attempts, step.key_outcome), Equals((5 + 2 + 1, "void")))
@@ -154,6 +166,8 @@
 
 
 class Streams(TestCase):
+    """Rows: chunks of the stream, number of events that are delivered, and the fault found."""
+
     ROWS = [
         ([event(0), event(1), END], 3, ""),
         ([event(0), END], 2, ""),
@@ -168,7 +182,7 @@
         ([event(0)[:9], event(0)[9:], END], 2, ""),
     ]
 
-    def test_rows(self):
+    def test_stream_faults(self):
         for chunks, delivered, fault in self.ROWS:
             check = StreamCheck()
             good = [found for chunk in chunks for found in check.feed(chunk)]
@@ -180,7 +194,7 @@
         ]
         self.assertThat((b"".join(good), check.close()), Equals((whole, "")))
 
-    def test_bodies(self):
+    def test_body_faults(self):
         rows = [
             (b"{}", 2, ""),
             (b"{}", 3, "length"),
@@ -218,7 +232,7 @@
     )
 
 
-class Clocked:
+class FakeEnv:
     address = "10.0.0.1:1"
 
     def __init__(self):
@@ -239,64 +253,65 @@
 class Registries(TestCase):
     def setUp(self):
         super().setUp()
-        self.env = Clocked()
+        self.env = FakeEnv()
         self.registry = WorkerRegistry(
-            lambda: ["e2", "e3"], lambda identity, labels: identity != "stranger"
+            lambda: ["e2", "e3"], lambda identity, labels: identity != "disallowed"
         )
         Node(self.env, SETTINGS, [self.registry])
 
-    def names(self):
+    def usable_ids(self):
         return sorted(worker.instance_id for worker in self.registry.workers())
 
-    def test_heartbeats_are_flooded_once_and_strangers_get_nothing(self):
+    def test_heartbeats_are_flooded_once_and_workers_not_allowed_are_unused(self):
         self.registry.apply_update(update("w"), "e2")
         self.registry.apply_update(update("w"), "e3")
-        self.registry.apply_update(update("stranger"))
+        self.registry.apply_update(update("disallowed"))
         self.assertThat(
             [to for to, message in self.env.sent if message.identity == "w"], Equals(["e3"])
         )
-        self.assertThat(self.names(), Equals(["w/1"]))
+        self.assertThat(self.usable_ids(), Equals(["w/1"]))
 
     def test_leave_is_final_for_its_incarnation(self):
         self.registry.apply_update(update("w"))
         self.registry.apply_update(update("w", leaving=True))
         self.assertThat(
-            (self.names(), self.registry.apply_update(update("w", beat=9))), Equals(([], False))
+            (self.usable_ids(), self.registry.apply_update(update("w", beat=9))),
+            Equals(([], False)),
         )
         self.registry.apply_update(update("w", incarnation=2))
-        self.assertThat(self.names(), Equals(["w/2"]))
+        self.assertThat(self.usable_ids(), Equals(["w/2"]))
         self.assertThat(
             self.registry.apply_update(update("w", beat=99, incarnation=1)), Equals(False)
         )
 
-    def test_silence_failed_connection_and_replacement_take_a_worker_out(self):
+    def test_silence_failed_connection_and_replacement_exclude_a_worker(self):
         self.registry.apply_update(update("w"))
         self.env.now_ms += SETTINGS.worker_timeout_ms + 1
-        self.assertThat(self.names(), Equals([]))
+        self.assertThat(self.usable_ids(), Equals([]))
         self.registry.apply_update(update("w", beat=2))
         self.registry.record_connection_failure(self.registry.workers()[0])
-        self.assertThat(self.names(), Equals([]))
+        self.assertThat(self.usable_ids(), Equals([]))
         self.registry.apply_update(update("w", beat=3))
-        self.assertThat(self.names(), Equals([]))
+        self.assertThat(self.usable_ids(), Equals([]))
         self.registry.apply_update(update("w", beat=4))
-        self.assertThat(self.names(), Equals(["w/1"]))
+        self.assertThat(self.usable_ids(), Equals(["w/1"]))
         self.registry.apply_update(update("v", address="w:1", incarnation=2))
-        self.assertThat(self.names(), Equals(["v/2"]))
+        self.assertThat(self.usable_ids(), Equals(["v/2"]))
         for late in (update("w", beat=5), update("u", address="w:1")):
             self.assertThat(self.registry.apply_update(late), Equals(False))
-        self.assertThat(self.names(), Equals(["v/2"]))
+        self.assertThat(self.usable_ids(), Equals(["v/2"]))
 
-    def test_buffered_heartbeats_prove_nothing_after_a_freeze(self):
+    def test_buffered_heartbeats_do_not_count_after_a_freeze(self):
         self.registry.apply_update(update("w"))
         self.registry.resumed(5000)
         self.registry.apply_update(update("w", beat=2))
-        self.assertThat(self.names(), Equals([]))
+        self.assertThat(self.usable_ids(), Equals([]))
         self.env.now_ms += SETTINGS.heartbeat_ms + 1
         self.registry.apply_update(update("w", beat=3))
-        self.assertThat(self.names(), Equals(["w/1"]))
+        self.assertThat(self.usable_ids(), Equals(["w/1"]))
 
 
-class Placement(TestCase):
+class PrefixPlacement(TestCase):
     def workers(self, **loads):
         made = []
         for name, (running, waiting, zone) in loads.items():
@@ -304,7 +319,7 @@
             made.append(Worker(row, 0))
         return made
 
-    def test_same_prefix_same_worker_until_its_bound(self):
+    def test_same_prefix_goes_to_the_same_worker_up_to_its_bound(self):
         workers = self.workers(a=(0, 0, "z"), b=(0, 0, "z"), c=(0, 0, "z"))
         first = choose_by_prefix(workers, "p", False, "z", True, 0.0)
         self.assertThat(
@@ -316,7 +331,8 @@
             choose_by_prefix(workers, "p", False, "z", True, 0.0) is first, Equals(False)
         )
 
-    def test_rows(self):
+    def test_choice_by_load_zone_and_kind(self):
+        """Rows: running, waiting and zone of each worker, whether it is a batch item, and the choice."""
         rows = [
             ({"a": (8, 0, "z"), "b": (1, 0, "z")}, False, "b"),
             ({"a": (6, 0, "z")}, True, None),
@@ -334,7 +350,7 @@
             )
             self.assertThat(chosen and chosen.identity, Equals(wanted), str(loads))
 
-    def test_prefix_is_the_common_start(self):
+    def test_prefix_is_of_the_start_of_the_prompt(self):
         head = "x" * 300
         self.assertThat(
             prefix_of({"prompt": head + "a"}), Equals(prefix_of({"prompt": head + "b"}))
