--- a/libs/request_routing/src/request_routing/forward_lifecycle.py
+++ b/libs/request_routing/src/request_routing/forward_lifecycle.py
@@ -16,7 +16,7 @@
 
 __all__ = ["ForwardLifecycle"]
 
-_RETRY_MS = 100
+_RETRY_AFTER_MS = 100
 _GATEWAY_TIMEOUT, _BAD_GATEWAY, _UNAVAILABLE = 504, 502, 503
 
 
@@ -140,7 +140,9 @@
             return self._cut(reason)
         refusal: Refusal
         if not self._may_have_run:
-            refusal = refused(code, f"not run: {reason}", _UNAVAILABLE, retry_after_ms or _RETRY_MS)
+            refusal = refused(
+                code, f"not run: {reason}", _UNAVAILABLE, retry_after_ms or _RETRY_AFTER_MS
+            )
         else:
             doubt_status = _GATEWAY_TIMEOUT if status == _GATEWAY_TIMEOUT else _BAD_GATEWAY
             refusal = doubtful(code, f"may have run: {reason}", status=doubt_status)
--- a/libs/request_routing/src/request_routing/prefill_tracker.py
+++ b/libs/request_routing/src/request_routing/prefill_tracker.py
@@ -43,12 +43,12 @@
         first. Only the first 24 are notified.
     """
 
-    __slots__ = ("_peers", "_unread", "tokens_per_ms")
+    __slots__ = ("_peers", "_pending", "tokens_per_ms")
     HANDLES = (PrefillStarted,)
 
     def __init__(self, peers: Callable[[], Iterable[str]]) -> None:
         self._peers = peers
-        self._unread: dict[str, tuple[float, int]] = {}
+        self._pending: dict[str, tuple[float, int]] = {}
         self.tokens_per_ms = _DEFAULT_TOKENS_PER_MS
 
     @singledispatchmethod
@@ -81,11 +81,11 @@
             self.tokens_per_ms = max(self.tokens_per_ms * _RATE_DECAY, seen_rate)
 
     def _add(self, worker: str, tokens: int) -> None:
-        self._unread[worker] = (self.left_tokens(worker) + tokens, self.node.env.now())
+        self._pending[worker] = (self.left_tokens(worker) + tokens, self.node.env.now())
 
     def left_tokens(self, worker: str) -> float:
         """Return the estimated number of prompt tokens that a worker has still to process."""
-        tokens, at_ms = self._unread.get(worker, (0.0, 0))
+        tokens, at_ms = self._pending.get(worker, (0.0, 0))
         return max(0.0, tokens - (self.node.env.now() - at_ms) * self.tokens_per_ms)
 
     def left_ms(self, worker: str) -> float:
@@ -94,5 +94,5 @@
 
     def tick(self) -> None:
         """Remove the workers that are expected to have processed all prompts."""
-        for worker in [worker for worker in self._unread if self.left_tokens(worker) <= 0]:
-            del self._unread[worker]
+        for worker in [worker for worker in self._pending if self.left_tokens(worker) <= 0]:
+            del self._pending[worker]
--- a/libs/request_routing/src/request_routing/request_refusals.py
+++ b/libs/request_routing/src/request_routing/request_refusals.py
@@ -21,8 +21,8 @@
 ]
 
 _KEY_HEADER = "Idempotency-Key"
-_RETRY_MS = 1000
-_RETRY_WHEN_FULL_MS = 5000
+_RETRY_AFTER_MS = 1000
+_RETRY_AFTER_FULL_MS = 5000
 
 
 class OpenKeyOutcome(StrEnum):
@@ -58,7 +58,7 @@
         return doubtful(
             "key-open" if open_outcome == OpenKeyOutcome.OPEN else "key-doubt",
             "an earlier request with this key may have run; nothing further was sent",
-            _RETRY_MS,
+            _RETRY_AFTER_MS,
             409,
         )
     if open_outcome == OpenKeyOutcome.CONFLICT:
@@ -70,13 +70,13 @@
         )
     if open_outcome == OpenKeyOutcome.FULL:
         return refused(
-            "stores-full", "there is no room to keep this transaction", 503, _RETRY_WHEN_FULL_MS
+            "stores-full", "there is no room to keep this transaction", 503, _RETRY_AFTER_FULL_MS
         )
     return doubtful(
         "stores-silent",
         "the stores did not answer; this request was not sent on, but whether one "
         "before it with this key has run is not known",
-        _RETRY_MS,
+        _RETRY_AFTER_MS,
     )
 
 
@@ -92,17 +92,17 @@
 
 def deadline_passed() -> Refusal:
     """Return the refusal of a request whose deadline passed."""
-    return refused("late", "the deadline passed", 504, _RETRY_MS)
+    return refused("late", "the deadline passed", 504, _RETRY_AFTER_MS)
 
 
 def workers_busy() -> Refusal:
     """Return the refusal of a request that workers rejected as busy, with no retry left."""
-    return refused("busy", "the workers of this path are busy", 429, _RETRY_MS)
+    return refused("busy", "the workers of this path are busy", 429, _RETRY_AFTER_MS)
 
 
 def not_completed(reason: str) -> Refusal:
     """Return the refusal of a request that failed; `reason` is why its last attempt failed."""
-    return refused("send-failed", f"could not be completed: {reason}", 502, _RETRY_MS)
+    return refused("send-failed", f"could not be completed: {reason}", 502, _RETRY_AFTER_MS)
 
 
 def stream_cut(reason: str) -> Refusal:
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -395,10 +395,7 @@
         self._prefill_ended(attempt)
 
     def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Handle the outcome of an attempt, perform the next step of its request, and serve queues.
-
-        Called by the transport through the attempt.
-        """
+        """Handle the outcome of an attempt: free its slot, continue its request, serve queues."""
         outcome = checked_outcome(attempt, outcome)
         self._close_attempt(attempt)
         if outcome.kind is OutcomeKind.FAILED:
--- a/libs/request_routing/src/request_routing/worker_registry.py
+++ b/libs/request_routing/src/request_routing/worker_registry.py
@@ -85,8 +85,10 @@
     def apply_update(self, update: WorkerUpdate, sender: str = "") -> bool:
         """Apply a heartbeat or a leave, and forward it to the other edges if it is new.
 
-        Returns false if the update is of an incarnation that has left or was replaced. `sender` is
-        the address of the edge that sent the update; it is not forwarded there.
+        Updates that arrive within `heartbeat_ms` after a freeze are not forwarded. Returns false
+        for a heartbeat of an incarnation that has left, and for any update of one that was
+        replaced. `sender` is the address of the edge that sent the update, which does not get it
+        again.
         """
         known = self._workers.get(update.identity)
         instance = (update.identity, update.incarnation)
--- a/tests/test_prefill_tracker.py
+++ b/tests/test_prefill_tracker.py
@@ -43,7 +43,7 @@
             tracker.node.env.ms += later_ms
             self.assertThat(tracker.left_ms("w"), Equals(left_ms), later_ms)
         tracker.tick()
-        self.assertThat(len(tracker._unread), Equals(0))
+        self.assertThat(len(tracker._pending), Equals(0))
 
     def test_prompts_of_other_edges_count_alike(self):
         tracker, sent = new_tracker()
