--- a/libs/request_routing/src/request_routing/request_refusals.py
+++ b/libs/request_routing/src/request_routing/request_refusals.py
@@ -1,4 +1,4 @@
-"""The refusals of requests to our own interface, and the states of idempotency keys.
+"""The refusals of requests to the edge's own interface, and the outcomes of opening a key.
 
 A refusal says whether the request has certainly not run (`refused`) or may have run (`doubtful`).
 Codes and texts are part of the interface (docs/interfaces.md); times are in milliseconds.
@@ -9,7 +9,7 @@
 from runtime import Refusal, doubtful, refused
 
 __all__ = [
-    "KeyState",
+    "OpenKeyOutcome",
     "all_busy",
     "deadline_passed",
     "key_missing",
@@ -21,12 +21,18 @@
 ]
 
 _KEY_HEADER = "Idempotency-Key"
-_RETRY_MS = 1000
-_RETRY_WHEN_FULL_MS = 5000
+_RETRY_AFTER_MS = 1000
+_RETRY_AFTER_FULL_MS = 5000
 
 
-class KeyState(StrEnum):
-    """What the leader of the log says of an idempotency key that is to be opened."""
+class OpenKeyOutcome(StrEnum):
+    """The outcome of opening an idempotency key at the log's leader.
+
+    OPENED: the request may run now. RECORDED: the key's request has completed, and its response is
+    recorded. OPEN: an earlier request with the key is running. DOUBT: an earlier one may have run.
+    CONFLICT: the key was used with a different request. FULL: the stores have no room for the key.
+    UNKNOWN: no usable response came.
+    """
 
     OPENED = "opened"
     RECORDED = "recorded"
@@ -38,7 +44,7 @@
 
 
 def key_missing() -> Refusal:
-    """Return the refusal of a request without the key that its route needs."""
+    """Return the refusal of a request without the idempotency key that its route requires."""
     return refused(
         "key-missing",
         "this path is not safe to repeat and needs an Idempotency-Key header",
@@ -46,31 +52,31 @@
     )
 
 
-def key_refused(key_state: str) -> Refusal:
-    """Return the refusal of a request whose key could not be opened."""
-    if key_state in (KeyState.OPEN, KeyState.DOUBT):
+def key_refused(open_outcome: str) -> Refusal:
+    """Return the refusal of a request whose idempotency key could not be opened."""
+    if open_outcome in (OpenKeyOutcome.OPEN, OpenKeyOutcome.DOUBT):
         return doubtful(
-            "key-open" if key_state == KeyState.OPEN else "key-doubt",
+            "key-open" if open_outcome == OpenKeyOutcome.OPEN else "key-doubt",
             "an earlier request with this key may have run; nothing further was sent",
-            _RETRY_MS,
+            _RETRY_AFTER_MS,
             409,
         )
-    if key_state == KeyState.CONFLICT:
+    if open_outcome == OpenKeyOutcome.CONFLICT:
         return refused(
             "key-reused",
             "this key came before with another body; this body has not run",
             422,
             field=_KEY_HEADER,
         )
-    if key_state == KeyState.FULL:
+    if open_outcome == OpenKeyOutcome.FULL:
         return refused(
-            "stores-full", "there is no room to keep this transaction", 503, _RETRY_WHEN_FULL_MS
+            "stores-full", "there is no room to keep this transaction", 503, _RETRY_AFTER_FULL_MS
         )
     return doubtful(
         "stores-silent",
         "the stores did not answer; this request was not sent on, but whether one "
         "before it with this key has run is not known",
-        _RETRY_MS,
+        _RETRY_AFTER_MS,
     )
 
 
@@ -86,19 +92,19 @@
 
 def deadline_passed() -> Refusal:
     """Return the refusal of a request whose deadline passed."""
-    return refused("late", "the deadline passed", 504, _RETRY_MS)
+    return refused("late", "the deadline passed", 504, _RETRY_AFTER_MS)
 
 
 def workers_busy() -> Refusal:
-    """Return the refusal of a request that a worker rejected as busy, with no retry left."""
-    return refused("busy", "the workers of this path are busy", 429, _RETRY_MS)
+    """Return the refusal of a request that workers rejected as busy, with no retry left."""
+    return refused("busy", "the workers of this path are busy", 429, _RETRY_AFTER_MS)
 
 
 def not_completed(reason: str) -> Refusal:
-    """Return the refusal of a request whose attempts failed."""
-    return refused("send-failed", f"could not be completed: {reason}", 502, _RETRY_MS)
+    """Return the refusal of a request that failed; `reason` is why its last attempt failed."""
+    return refused("send-failed", f"could not be completed: {reason}", 502, _RETRY_AFTER_MS)
 
 
 def stream_cut(reason: str) -> Refusal:
-    """Return the refusal that ends a stream of which events were delivered."""
+    """Return the error that ends a stream of which events were already delivered."""
     return doubtful("cut", f"the stream was cut: {reason}", status=502)
