--- a/libs/batch_state/src/batch_state/entries.py
+++ b/libs/batch_state/src/batch_state/entries.py
@@ -1,8 +1,9 @@
-"""The entries of the log.
+"""The entries of the replicated log.
 
-Each is a fact that the leader has decided; applying the same entries in the same order gives the
-same state on every replica. A snapshot is a short sequence of the same entries. Fields that end in
-`_ms` are milliseconds of the log's own time; `epoch` is that of a job's listing lease.
+Each entry records a decision of the leader; replicas that apply the same entries in the same order
+have the same state. A snapshot is a shorter sequence of such entries that gives that state. Fields
+that end in `_ms` are in milliseconds of the log's own time, which `LeaderService.log_ms` defines;
+`epoch` is the epoch of a job's listing lease.
 """
 
 from messaging import Message
@@ -30,7 +31,7 @@
 
 
 class JobAdmitted(Message, wire_name="LotAdmitted"):
-    """A job was admitted; an item that isn't `safe` must not be run twice."""
+    """An ordinary job was admitted; unless `safe`, none of its items may run twice."""
 
     job_id: str
     digest: str
@@ -42,10 +43,10 @@
 
 
 class ForwardJobAdmitted(Message, wire_name="ForwardLotAdmitted"):
-    """A job of forwarded calls was admitted.
+    """A forwarded job was admitted.
 
-    `calls` are encoded ForwardItems. From `expires_ms` on an item that has not ended is given up;
-    `version` is the version of the profiles at the leader that admitted the job.
+    `calls` are encoded ForwardItems. Items that have not ended at `expires_ms` end as dead.
+    `version` is the version of the profiles that the leader had at admission.
     """
 
     job_id: str
@@ -62,10 +63,10 @@
 
 
 class RolloutAdmitted(Message):
-    """A rollout, a job of the lowest class, was admitted.
+    """A rollout, a job of the lowest priority, was admitted.
 
-    Each prompt is sampled `samples` times by the policy of these weights. If `expires_ms` isn't 0,
-    the rollout ends then.
+    `items` are prompts; each is sampled `samples` times from the policy that `weights` names.
+    Unless `expires_ms` is 0, the rollout is cancelled at that time.
     """
 
     job_id: str
@@ -79,7 +80,10 @@
 
 
 class ItemsClaimed(Message):
-    """Items of one forwarded job were claimed for one edge."""
+    """Items of one forwarded job were claimed for one edge.
+
+    `indexes` and `claim_numbers` are parallel lists.
+    """
 
     job_id: str
     edge: str
@@ -88,9 +92,10 @@
 
 
 class AttemptFailed(Message):
-    """An attempt at a forwarded item failed; `failures` counts this one.
+    """An attempt at a forwarded item failed.
 
-    `worker` is avoided when the item is dispatched again.
+    `failures` is the number of failed attempts at the item, including this one. `worker` is avoided
+    when the item is dispatched again.
     """
 
     job_id: str
@@ -101,10 +106,10 @@
 
 
 class ResultListed(Message):
-    """A forwarded item ended and was listed as the next result.
+    """A forwarded item ended and was listed as the job's next result.
 
-    The listing lease passes to `edge` under `epoch` in the same entry. The order of these entries
-    is the order of the results.
+    The entry also grants the listing lease to `edge` under `epoch`. The job's results have the
+    order of these entries in the log.
     """
 
     job_id: str
@@ -117,7 +122,7 @@
 
 
 class ItemClaimed(Message):
-    """An item was claimed for an edge, under a number that rises with each claim."""
+    """An item was claimed for an edge; `claim_number` rises with each claim of the item."""
 
     job_id: str
     index: int
@@ -126,7 +131,7 @@
 
 
 class ItemFinished(Message):
-    """An item ended; its result may be listed."""
+    """An item of an ordinary job or a rollout ended; its result may be listed."""
 
     job_id: str
     index: int
@@ -136,7 +141,7 @@
 
 
 class ItemReturned(Message):
-    """The claim of this number was returned; the item waits again."""
+    """The claim of this number ended without a result; the item waits to be dispatched again."""
 
     job_id: str
     index: int
@@ -144,7 +149,7 @@
 
 
 class ListingLeaseGranted(Message, wire_name="BatonPassed"):
-    """The right to list a job's results passed to an edge, under a higher epoch."""
+    """A job's listing lease was granted to an edge under a higher epoch."""
 
     job_id: str
     edge: str
@@ -152,7 +157,10 @@
 
 
 class ListingAdvanced(Message, wire_name="ResultsPlaced"):
-    """Results were listed up to a position; void unless `epoch` is the listing lease's."""
+    """Results before position `up_to` were listed.
+
+    It has no effect unless `epoch` is that of the present listing lease.
+    """
 
     job_id: str
     up_to: int
@@ -167,13 +175,13 @@
 
 
 class JobExpired(Message, wire_name="LotForgotten"):
-    """A job that is over left the state, because its retention time has passed."""
+    """A closed job was removed because its retention period has passed."""
 
     job_id: str
 
 
 class KeyOpened(Message):
-    """A request that isn't safe to repeat was opened under a key."""
+    """A request that isn't safe to repeat was opened under an idempotency key."""
 
     key: str
     digest: str
@@ -183,7 +191,7 @@
 
 
 class KeyClosed(Message):
-    """A request ended, or its outcome is in doubt, as `state` says."""
+    """A request under an idempotency key ended; `state` is a `KeyState`, possibly IN_DOUBT."""
 
     key: str
     request_id: str
@@ -194,10 +202,10 @@
 
 
 class JobArchived(Message, wire_name="LotShelved"):
-    """Only in snapshots: a job that is over, whose results are in an archive file.
+    """Only in snapshots: a closed job whose results are in an archive file.
 
-    `block_offsets` and `block_sizes` are the offsets and lengths in bytes of the file's blocks,
-    `first_positions` the index of the first result in each.
+    `block_offsets` and `block_sizes` are the offsets and sizes, in bytes, of the file's blocks;
+    `first_positions` are the positions of the first result in each block.
     """
 
     job_id: str
@@ -218,9 +226,9 @@
 
 
 class KeyArchived(Message, wire_name="KeyShelved"):
-    """Only in snapshots: a key whose final answer is in an archive file.
+    """Only in snapshots: an idempotency key whose final response is in an archive file.
 
-    `block_offset` and `block_size` are the offset and length in bytes of its block.
+    `block_offset` and `block_size` are the offset and size, in bytes, of the block that has it.
     """
 
     key: str
@@ -235,6 +243,6 @@
 
 
 class KeyExpired(Message, wire_name="KeyForgotten"):
-    """A key left the state, because its retention time has passed."""
+    """An idempotency key was removed because its retention period has passed."""
 
     key: str
--- a/libs/batch_state/src/batch_state/interfaces.py
+++ b/libs/batch_state/src/batch_state/interfaces.py
@@ -1,4 +1,4 @@
-"""What this package needs of others: the log's leader, archive files, profiles and forecasts."""
+"""Interfaces that other packages implement: the log's leader, archives, profiles and forecasts."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
@@ -25,11 +25,11 @@
 """Sends the response to a request."""
 
 RepairRequest = Callable[[str, str], None]
-"""Takes the kind (`RecordKind`) and the name of a record whose archive file can't be read."""
+"""Requests repair of an unreadable archive file, by its record's kind (`RecordKind`) and name."""
 
 
 class StampedRequest(Protocol):
-    """A request that carries the leader's epoch and clock, as its sender last heard them."""
+    """A request with the leader's epoch and monotonic clock (ms) that its sender last received."""
 
     epoch: int
     leader_ms: int
@@ -59,27 +59,40 @@
         urgent: bool = False,
         /,
     ) -> bool:
-        """Append all entries or none, and return False if they were refused.
-
-        `done` gets an `AppendOutcome`, if `committed` only once the last entry is committed, else
-        once it is replicated in memory. An urgent append may use space that is held in reserve.
+        """Append all entries or none; return False if they were refused.
+
+        Parameters
+        ----------
+        entries
+            The entries; they may be empty.
+        committed
+            Whether to call `done` only once the last entry is committed, instead of once it is
+            replicated in memory.
+        done
+            Called with an `AppendOutcome`.
+        urgent
+            Whether the append may use reserved space.
         """
         ...
 
     def read(self, done: Callable[[bool], None], /) -> None:
-        """Call back with True once followers have confirmed the epoch after now, else False."""
+        """Call `done` with True once followers confirm the epoch after now, or else with False."""
         ...
 
 
 class ArchiveReader(Protocol):
-    """Reads results and answers from archive files."""
+    """Reads results of jobs and final responses of idempotency keys from archive files."""
 
     def read_results(self, job: "Job", from_index: int, limit: int, /) -> list[bytes] | None:
-        """Return results from an index on, at least one; None if the file can't be read."""
+        """Return encoded results from an index on, or None if the file can't be read.
+
+        There are at most `limit`, and perhaps fewer than the job has, but at least one unless
+        the index is at or beyond the last listed result.
+        """
         ...
 
     def read_answer(self, key: "IdempotencyKey", /) -> str | None:
-        """Return a key's final answer, or None if the file can't be read."""
+        """Return the body of a key's final response, or None if the file can't be read."""
         ...
 
 
@@ -90,17 +103,17 @@
         """Return the profile of this name, or None if it is abstract or unknown."""
         ...
 
-    def room(self, path: str, /) -> int | None:
-        """Return the backlog limit of a path in jobs, or None if there is no such path."""
+    def backlog_limit(self, path: str, /) -> int | None:
+        """Return how many ordinary jobs may be open on a path, or None if it isn't usable."""
         ...
 
 
 ProfileSource = Callable[[], tuple[int, Any]]
-"""Returns the version and the `Profiles` in force at this store, None if it has none."""
+"""Returns the version and the `Profiles` in force at this store; the latter None if it has none."""
 
 
 class DeadlineForecast(Protocol):
-    """Whether jobs will meet their deadlines beside rollouts."""
+    """Forecasts whether jobs will meet their deadlines while rollouts use shared capacity."""
 
     def record_heartbeat(self, heartbeat: Any, now_ms: int, /) -> None:
         """Record an edge's free capacity."""
@@ -111,5 +124,8 @@
         ...
 
     def at_risk(self, state: "BatchState", log_ms: int, log: Callable[..., None], /) -> bool:
-        """Return whether a job may miss its deadline; `log_ms` is the log's own time."""
+        """Return whether a job may miss its deadline, and log a change of the answer.
+
+        `log_ms` is the log's own time in milliseconds.
+        """
         ...
--- a/libs/batch_state/src/batch_state/job_entries.py
+++ b/libs/batch_state/src/batch_state/job_entries.py
@@ -1,6 +1,6 @@
-"""The log entries that rebuild a job as it is, for snapshots and copies.
+"""Converts a job into log entries that rebuild its present state, for snapshots and copies.
 
-They leave out what no longer matters, such as who held earlier claims of an item.
+They omit what has no further effect, such as which edges had earlier claims of an item.
 """
 
 from typing import TYPE_CHECKING
@@ -31,17 +31,17 @@
 
 
 def entries_of(job: "Job") -> list[Message]:
-    """Return entries that rebuild this very job."""
+    """Return the entries that, applied in order to an empty state, rebuild the job."""
     if job.archived is not None:
         return [_job_archived(job, job.archived)]
-    entries = _forward_job(job) if job.forward else _own_job(job)
+    entries = _forward_job_entries(job) if job.forward else _ordinary_job_entries(job)
     if job.cancelled:
         entries.append(JobCancelled(job_id=job.job_id, at_ms=job.cancelled_at_ms))
     return entries
 
 
 def _job_archived(job: "Job", archived: JobArchived) -> JobArchived:
-    """Return the archive entry; the job may have been cancelled after it was made."""
+    """Return the archive entry, updated in case the job was cancelled after it was archived."""
     return JobArchived(
         **{
             **archived.as_dict(),
@@ -51,13 +51,11 @@
     )
 
 
-# -- ordinary jobs and rollouts ----------------------------------------------------------------
-
-
-def _own_job(job: "Job") -> list[Message]:
+def _ordinary_job_entries(job: "Job") -> list[Message]:
+    """Return the entries of an ordinary job or a rollout, which differ only in the first."""
     entries: list[Message] = [_rollout_admitted(job) if job.rollout else _job_admitted(job)]
     for index, item in enumerate(job.items):
-        entries += _own_item(job, index, item)
+        entries += _ordinary_item_entries(job, index, item)
     if job.listing_epoch:
         entries.append(
             ListingLeaseGranted(job_id=job.job_id, edge=job.listing_edge, epoch=job.listing_epoch)
@@ -94,7 +92,7 @@
     )
 
 
-def _own_item(job: "Job", index: int, item: "Item") -> list[Message]:
+def _ordinary_item_entries(job: "Job", index: int, item: "Item") -> list[Message]:
     entries: list[Message] = []
     if item.claim_number:
         entries.append(
@@ -117,14 +115,11 @@
     return entries
 
 
-# -- forwarded jobs ----------------------------------------------------------------------------
-
-
-def _forward_job(job: "Job") -> list[Message]:
+def _forward_job_entries(job: "Job") -> list[Message]:
     entries: list[Message] = [_forward_job_admitted(job)]
     for index in [*job.pending, *job.claims]:
-        entries += _failed_attempts(job, index)
-        entries += _latest_claim(job, index)
+        entries += _failed_attempt_entries(job, index)
+        entries += _latest_claim_entries(job, index)
     entries += [_result_listed(job, index) for index in job.order]
     return entries
 
@@ -145,7 +140,7 @@
     )
 
 
-def _failed_attempts(job: "Job", index: int) -> list[Message]:
+def _failed_attempt_entries(job: "Job", index: int) -> list[Message]:
     entries: list[Message] = []
     for claim_number, worker in enumerate(job.items[index].failed_at, 1):
         entries.append(
@@ -163,7 +158,8 @@
     return entries
 
 
-def _latest_claim(job: "Job", index: int) -> list[Message]:
+def _latest_claim_entries(job: "Job", index: int) -> list[Message]:
+    """Return the entries of an item's latest claim, unless its failed attempts imply it."""
     item = job.items[index]
     if item.claim_number <= item.failures and item.state != ItemState.CLAIMED:
         return []
--- a/libs/batch_state/src/batch_state/outcomes.py
+++ b/libs/batch_state/src/batch_state/outcomes.py
@@ -1,6 +1,6 @@
 """Outcomes and states that messages, log entries and responses carry as text.
 
-The members' text is on the wire, on disk and in responses to clients, so it must not change.
+The members' values are on the wire, on disk and in responses to clients, so they must not change.
 """
 
 from enum import StrEnum
@@ -17,10 +17,10 @@
 
 
 class AppendOutcome(StrEnum):
-    """What became of an append to the log.
+    """The outcome of an append to the log.
 
-    COMMITTED: it is acknowledged as durably as was asked. FULL: it was refused for want of space
-    and has no effect. UNKNOWN: it may or may not survive.
+    COMMITTED: the entries are as durable as the caller requested. FULL: the append was refused for
+    lack of space and has no effect. UNKNOWN: the entries may or may not survive.
     """
 
     COMMITTED = "kept"
@@ -31,10 +31,12 @@
 class JobOutcome(StrEnum):
     """The outcome of a request about a job.
 
-    CONFLICT: other content came before under the same id. BACKLOG_FULL: the path's backlog limit is
-    reached. UNKNOWN_PATH: no such profile is in force. BEYOND_END: the job has no such index.
-    STALE: the request's stamp is too old. FULL: the stores have no space. UNKNOWN: the request may
-    or may not have been applied.
+    KNOWN: the job exists, and the response describes it. MISSING: there is no such job or item.
+    CONFLICT: the id belongs to a submission with other content. BACKLOG_FULL: the path's backlog
+    limit is reached. UNKNOWN_PATH: no profile in force accepts such jobs on the path. BEYOND_END:
+    the read starts beyond the job's last item. STALE: the request's epoch isn't the leader's or
+    its timestamp is too old. FULL: the stores have no space. UNKNOWN: the request may or may not
+    have been applied, or the answer to a read isn't known.
     """
 
     ADMITTED = "admitted"
@@ -52,9 +54,10 @@
 class KeyOutcome(StrEnum):
     """The outcome of a request about an idempotency key.
 
-    OPENED: the request may run now. OPEN: it runs already. IN_DOUBT: nobody knows whether it ran.
-    RECORDED: the response carries its final answer. CONFLICT: other content came before under the
-    same key. The others are as in `JobOutcome`.
+    OPENED: the request may run now. OPEN: another request under the key may be running.
+    IN_DOUBT: it isn't known whether the request ran. RECORDED: the response carries the final
+    status and body. CONFLICT: the key belongs to a request with other content. KNOWN: a request
+    to close was handled. The others are as in `JobOutcome`.
     """
 
     OPENED = "opened"
@@ -71,7 +74,8 @@
 class KeyState(StrEnum):
     """The state of a request under an idempotency key.
 
-    VOID: it has certainly not run, so the key may be opened again. DONE: its answer is recorded.
+    OPEN: it may be running. IN_DOUBT: it isn't known whether it ran. VOID: it has certainly not
+    run, so the key may be opened again. DONE: its final response is recorded.
     """
 
     OPEN = "open"
@@ -81,7 +85,7 @@
 
 
 class ItemState(StrEnum):
-    """The state of an item: nobody has it, an edge has claimed it, or its result is known."""
+    """The state of an item: unclaimed, claimed by an edge, or ended with a result."""
 
     WAITING = "waiting"
     CLAIMED = "claimed"
@@ -89,11 +93,12 @@
 
 
 class ItemResult(StrEnum):
-    """What an edge reports of an item, and what is listed as its outcome.
+    """The outcome that an edge reports of an item; unless RETURNED or FAILED, it is also listed.
 
-    Items of our own interface have further outcomes, which are passed through. RETURNED: it hasn't
-    run, so its claim is given back. MAY_HAVE_RUN: nobody knows. FINISHED, DEAD (no worker can do
-    it) and FAILED (one attempt) are of forwarded items.
+    RETURNED: the claim is returned, because the item hasn't run under it. MAY_HAVE_RUN: it isn't
+    known whether the item ran. Only of forwarded items: FINISHED, DEAD (no worker can run the item)
+    and FAILED (one attempt failed). Edges report further outcomes of items of ordinary jobs, which
+    are recorded unchanged.
     """
 
     RETURNED = "again"
--- a/tests/leader_fixture.py
+++ b/tests/leader_fixture.py
@@ -61,7 +61,7 @@
             else None
         )
 
-    def room(self, name):
+    def backlog_limit(self, name):
         return None
 
 
