--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -164,8 +164,6 @@
         waiting_tokens = self._leader.state.waiting_tokens.get(message.path, 0)
         return not limit_tokens or waiting_tokens + sum(message.tokens) <= limit_tokens
 
-    # -- common to all submissions ---------------------------------------------------------------
-
     def _stale(self, message: Submission) -> bool:
         """Whether a request is too old, or a copy of one that was refused."""
         return self._replies.stale(message) or message.leader_ms <= self._refused_ms.get(
--- a/libs/batch_state/src/batch_state/edge_liveness.py
+++ b/libs/batch_state/src/batch_state/edge_liveness.py
@@ -1,4 +1,4 @@
-"""Which edges the leader of the log hears, and which have lost their claims."""
+"""Which edges the leader of the log considers live, and which have lost their claims."""
 
 from messaging import Node
 
@@ -8,51 +8,52 @@
 
 
 class EdgeLiveness:
-    """When each edge was last heard, by the node's monotonic clock in milliseconds.
+    """Tracks when each edge last sent a message, by the node's monotonic clock in milliseconds.
 
-    Silence from before this leader's start doesn't count. Of two edges at one address the earlier
-    one has ended.
+    An edge that has sent none to this leader counts as silent since the leader's start. An edge has
+    ended once another one sends a heartbeat from its address.
     """
 
-    __slots__ = ("_edge_at", "_heard_ms", "_node", "_replaced", "started_ms")
+    __slots__ = ("_edge_at", "_last_message_ms", "_node", "_replaced", "started_ms")
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self.started_ms = node.env.now()
-        self._heard_ms: dict[str, int] = {}
+        self._last_message_ms: dict[str, int] = {}
         self._edge_at: dict[str, str] = {}
         self._replaced: set[str] = set()
 
-    def heard(self, edge: str) -> None:
-        """Record that a message of an edge has come."""
-        self._heard_ms[edge] = self._node.env.now()
+    def record_message(self, edge: str) -> None:
+        """Record that a message of an edge has arrived now."""
+        self._last_message_ms[edge] = self._node.env.now()
 
-    def heard_at(self, edge: str, address: str) -> str | None:
-        """Record a heartbeat, and return the edge that was at this address before, if another."""
-        self.heard(edge)
-        before = self._edge_at.get(address, edge)
+    def record_heartbeat(self, edge: str, address: str) -> str | None:
+        """Record a heartbeat from an address; return the edge that it replaces there, if any."""
+        self.record_message(edge)
+        previous = self._edge_at.get(address, edge)
         self._edge_at[address] = edge
-        if before == edge:
+        if previous == edge:
             return None
-        self._replaced.add(before)
-        return before
+        self._replaced.add(previous)
+        return previous
 
     def _silent_ms(self, edge: str) -> int:
-        return self._node.env.now() - self._heard_ms.get(edge, self.started_ms)
+        return self._node.env.now() - self._last_message_ms.get(edge, self.started_ms)
 
     def is_live(self, edge: str) -> bool:
-        """Whether an edge has been heard within `failure_timeout_ms`."""
+        """Whether an edge has been silent for no more than `failure_timeout_ms`."""
         return bool(edge) and self._silent_ms(edge) <= self._node.settings.failure_timeout_ms
 
     def live_count(self) -> int:
         """Return how many edges are live."""
-        return sum(1 for edge in self._heard_ms if self.is_live(edge))
+        return sum(1 for edge in self._last_message_ms if self.is_live(edge))
 
     def claims_lost(self, job: Job, edge: str) -> bool:
-        """Whether an edge has been silent for so long that its claims of a job are lost.
+        """Whether an edge has lost its claims of a job, because it was replaced or is silent.
 
-        That is longer than any edge keeps its claims. Forwarded items are safe and due soon, so
-        they are dispatched again once their edge doesn't count as live.
+        Claims are lost after `claim_revocation_ms` of silence, which is longer than any edge keeps
+        its claims. Forwarded items are safe to repeat and due soon, so their claims are lost once
+        the edge isn't live.
         """
         if edge in self._replaced:
             return True
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -116,8 +116,6 @@
             for parked in reads:
                 parked.reply(response)
 
-    # -- building the answers ----------------------------------------------------------------------
-
     def _page(self, message: ListForwardResults) -> ListForwardResultsResponse:
         job = self._committed_state().jobs.get(message.job_id)
         if job is None:
--- a/libs/batch_state/src/batch_state/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/idempotency_keys.py
@@ -9,11 +9,11 @@
 
 
 class IdempotencyKey:
-    """A request that isn't safe to repeat, under a client's key.
+    """A request that isn't safe to repeat, under a key that its client chose.
 
-    `state` is a `KeyState`; `status` and `body` are its final answer, whose body is in an archive
-    file once `archived` is set. `at_ms` is the log's time when it was opened. `cached_entries` has
-    the encoded entries for snapshots.
+    `state` is a `KeyState`. `status` and `body` are the final HTTP response; once `archived` is
+    set, its body is in an archive file. `at_ms` is when the key was opened, in milliseconds of the
+    log's own time. `cached_entries` are the encoded entries for snapshots.
     """
 
     __slots__ = (
@@ -43,7 +43,7 @@
 
     @classmethod
     def from_archive(cls, entry: KeyArchived) -> "IdempotencyKey":
-        """Return a key that is known only by its archive entry, which is yet to be applied."""
+        """Return a key built from its archive entry alone; the caller must still `archive` it."""
         key = cls(
             KeyOpened(
                 key=entry.key,
@@ -58,22 +58,22 @@
 
     @property
     def may_change(self) -> bool:
-        """Whether the request may still be closed."""
+        """Whether the key is open or in doubt, so that the request can still be closed."""
         return self.state in (KeyState.OPEN, KeyState.IN_DOUBT)
 
     def close(self, entry: KeyClosed) -> None:
-        """Record how the request ended."""
+        """Record the state of the request, and its final response if it has one."""
         self.state = entry.state
         self.status = entry.status
         self.body = entry.body
         self.cached_entries = None
 
     def archive(self, entry: KeyArchived) -> None:
-        """Drop the body, which is in an archive file."""
+        """Drop the response body, which is in the archive file from now on."""
         self.archived, self.body, self.cached_entries = entry, "", None
 
     def dump(self) -> list[Message]:
-        """Return entries that rebuild this very key."""
+        """Return the entries that rebuild this key."""
         if self.archived is not None:
             return [self.archived]
         rows: list[Message] = [
--- a/libs/batch_state/src/batch_state/item_claims.py
+++ b/libs/batch_state/src/batch_state/item_claims.py
@@ -1,6 +1,8 @@
-"""Claims of items by edges: made, returned because their notice was lost, or reclaimed.
+"""Claims of items by edges.
 
-A claim is in the log before the edge hears of it, and committed if the item isn't safe to repeat.
+A claim is appended to the log before the edge is notified, and committed first if the item isn't
+safe to repeat. It ends when the edge reports an outcome or returns the claim, when the notification
+was lost, or when the edge is lost.
 """
 
 from messaging import Message, Node
@@ -22,7 +24,10 @@
 
 
 def claim_entries(assignments: list[Assignment], edge: str) -> list[Message]:
-    """Return the entries by which an edge claims items, one for each forwarded job."""
+    """Return the entries that claim items for an edge.
+
+    There is one entry for each forwarded job, and one for each item of other jobs.
+    """
     entries: list[Message] = []
     forward: dict[str, ItemsClaimed] = {}
     for row in assignments:
@@ -44,7 +49,7 @@
 
 
 class ItemClaims:
-    """The claims that were made under one leader, and when."""
+    """Tracks when claims were made under one leader, and ends those that no edge will finish."""
 
     __slots__ = ("_claimed_ms", "_edges", "_leader", "_node")
 
@@ -52,20 +57,25 @@
         self._leader, self._node, self._edges = leader, node, edges
         self._claimed_ms: dict[tuple[str, int], int] = {}
 
-    def made(self, assignments: list[Assignment]) -> None:
+    def record_claims(self, assignments: list[Assignment]) -> None:
         """Record that items are claimed now."""
         now_ms = self._node.env.now()
         self._claimed_ms.update({(row.job_id, row.index): now_ms for row in assignments})
 
-    def ended(self, job_id: str, index: int) -> int | None:
-        """Return for how many milliseconds an item was claimed, None if that isn't known."""
+    def remove_claim(self, job_id: str, index: int) -> int | None:
+        """Remove the record of a claim, and return the claim's age in milliseconds if known.
+
+        It isn't known of a claim under an earlier leader.
+        """
         claimed_ms = self._claimed_ms.pop((job_id, index), None)
         return None if claimed_ms is None else self._node.env.now() - claimed_ms
 
-    def return_unnoticed(self, message: EdgeHeartbeat | RolloutHeartbeat) -> None:
-        """Return claims whose notice was lost: the edge doesn't list them as running.
+    def return_undelivered(self, message: EdgeHeartbeat | RolloutHeartbeat) -> None:
+        """Return claims of which the edge was never notified.
 
-        It would no longer accept the notice.
+        These are claims older than two request timeouts that the edge doesn't report as running:
+        the heartbeat response with the assignment was lost, and the edge no longer accepts it. A
+        claim under an earlier leader has an age only from the start of this one.
         """
         oldest_ms = self._node.env.now() - 2 * self._node.settings.request_timeout_ms
         running = set(message.running)
@@ -81,9 +91,10 @@
             self._leader.append(entries, False, lambda outcome: None, True)
 
     def reclaim_lost(self) -> bool:
-        """Take back the claims of lost edges, and return whether there were any.
+        """End the claims of lost edges, and return whether there were any.
 
-        Safe items are dispatched again under a higher number, others end as `may_have_run`.
+        Items that are safe to repeat wait for dispatch under a higher claim number; others end as
+        `may_have_run`.
         """
         entries: list[Message] = []
         for job in self._leader.state.open_jobs.values():
--- a/libs/batch_state/src/batch_state/item_dispatch.py
+++ b/libs/batch_state/src/batch_state/item_dispatch.py
@@ -1,9 +1,9 @@
-"""Dispatching of items to edges.
+"""Dispatch of items to edges.
 
-The leader answers an edge's heartbeat with items to run, listing leases and the jobs that are over.
-A claim is in the log before the edge hears of it, and committed if the item isn't safe to repeat. A
-heartbeat with free capacity for which there is nothing to say is parked for one heartbeat's time (a
-long poll), so that forwarded items are dispatched as they come.
+The response to an edge's heartbeat carries items to run, listing leases and the jobs that have
+closed. A claim is appended to the log before the edge is notified, and committed first if the item
+isn't safe to repeat. A heartbeat with free capacity for which there is nothing to report is parked
+for up to `heartbeat_ms` (a long poll), so that new forwarded items are dispatched at once.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class _ParkedHeartbeat:
-    """An edge's heartbeat that waits for work until `due_ms` of the node's clock."""
+    """An unanswered heartbeat, to be answered at the latest at `due_ms` of the node's clock."""
 
     __slots__ = ("due_ms", "message", "reply")
 
@@ -39,11 +39,23 @@
 
 
 class ItemDispatcher:
-    """Dispatches items under one leader, and takes what edges report of them.
-
-    `log_ms` returns the log's own time, and `on_results` gets the ids of forwarded jobs of which
-    something was committed. `forecast` says whether the jobs will be done in time beside rollouts;
-    without it no rollout is dispatched.
+    """Dispatches items under one leader, and records what edges report about them.
+
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node, for its clock, settings and log.
+    log_ms
+        Returns the log's own time in milliseconds.
+    profiles
+        Returns the profiles in force.
+    on_results
+        Called with the ids of forwarded jobs that may have newly committed results.
+    forecast
+        Tells whether jobs will meet their deadlines while rollouts run; without it no rollout is
+        dispatched.
     """
 
     __slots__ = (
@@ -81,33 +93,38 @@
         self._reports = ResultReports(leader, self._claims, self._leases, forecast)
         self._forward = ForwardCompletion(leader, node, log_ms, profiles, on_results)
 
-    # -- heartbeats ------------------------------------------------------------------------------
-
     def heartbeat(self, message: Heartbeat, reply: Reply) -> None:
-        """Answer an edge's heartbeat, at once or when there is something to say."""
+        """Answer an edge's heartbeat now, or park it if there is nothing to report.
+
+        It replaces an earlier parked heartbeat of the edge, which is then never answered.
+        """
         due_ms = self._node.env.now() + self._node.settings.heartbeat_ms
-        replaced = self._edges.heard_at(message.edge, message.address)
+        replaced = self._edges.record_heartbeat(message.edge, message.address)
         if replaced is not None:
             self._parked.pop(replaced, None)
-        self._claims.return_unnoticed(message)
+        self._claims.return_undelivered(message)
         self._parked.pop(message.edge, None)
         if not self._answer(message, reply):
             self._parked[message.edge] = _ParkedHeartbeat(message, reply, due_ms)
 
     def answer_parked(self) -> None:
-        """Answer the parked heartbeats for which there is something to say now."""
+        """Answer the parked heartbeats for which there is something to report now."""
         for edge, parked in list(self._parked.items()):
             if self._answer(parked.message, parked.reply):
                 self._parked.pop(edge, None)
 
     def close(self, response: Message) -> None:
-        """Answer all parked heartbeats with a message, because this leader's epoch is over."""
+        """Answer all parked heartbeats with `response`, because this leader's epoch has ended."""
         parked, self._parked = self._parked, {}
         for heartbeat in parked.values():
             heartbeat.reply(response)
 
     def _answer(self, message: Heartbeat, reply: Reply, due: bool = False) -> bool:
-        """Answer a heartbeat; return False if it may wait for something to be said."""
+        """Answer a heartbeat and return True, or return False if it may be parked.
+
+        With `due` it is always answered. If its claims can't be appended, it is answered without
+        the work.
+        """
         offer = self._offer(message)
         if not due and not offer.is_urgent(message):
             return False
@@ -123,7 +140,7 @@
             )
 
         if offer.work:
-            self._claims.made(offer.work)
+            self._claims.record_claims(offer.work)
             entries = claim_entries(offer.work, message.edge)
             self._leader.append(entries, offer.has_unsafe_work(), appended)
         else:
@@ -131,28 +148,32 @@
         return True
 
     def _offer(self, message: Heartbeat) -> HeartbeatOffer:
-        closed_jobs = self._jobs_over(message)
+        closed_jobs = self._closed_jobs(message)
         listing_leases = self._leases.of_edge(message.edge)
         self._leases.take_over_lost(message.edge)
         work = self._selector.select(message)
-        waiting, paths = self._waiting()
-        samples_out, recalled = self._rollouts()
+        waiting, paths = self._waiting_items()
+        samples_out, recalled = self._rollout_status()
         return HeartbeatOffer(
             work, listing_leases, closed_jobs, waiting, paths, samples_out, recalled
         )
 
-    def _jobs_over(self, message: Heartbeat) -> list[str]:
-        """Return the jobs of which an edge runs items although they are over."""
+    def _closed_jobs(self, message: Heartbeat) -> list[str]:
+        """Return the closed jobs of which an edge still runs items."""
         running = {item.rpartition("#")[0] for item in message.running}
-        return sorted(job_id for job_id in running if self._over(job_id))
+        return sorted(job_id for job_id in running if self._is_closed(job_id))
 
-    def _over(self, job_id: str) -> bool:
-        """Whether it is committed that a job is over, so that an edge may forget it."""
+    def _is_closed(self, job_id: str) -> bool:
+        """Whether an edge may drop a job: its closing or removal is committed, or it is unknown."""
         job = self._leader.committed_state.jobs.get(job_id)
         return not job.open if job is not None else job_id not in self._leader.state.jobs
 
-    def _waiting(self) -> tuple[int, list[str]]:
-        """Return how many items wait, and on which paths, for which edges then offer capacity."""
+    def _waiting_items(self) -> tuple[int, list[str]]:
+        """Return the number of waiting items, except of rollouts, and the paths with waiting items.
+
+        The paths include those of rollouts if rollouts are dispatched. Edges report capacity for
+        these paths in their next heartbeats.
+        """
         jobs = [
             job
             for job in self._leader.state.open_jobs.values()
@@ -162,23 +183,24 @@
             {job.path for job in jobs if job.waiting}
         )
 
-    # -- rollouts --------------------------------------------------------------------------------
+    def _rollout_status(self) -> tuple[int, bool]:
+        """Return how many samples run or may start, and whether a job needs their slots.
 
-    def _rollouts(self) -> tuple[int, bool]:
-        """Return how many samples are or may be out, and whether a job needs their slots."""
+        The number is that of the claimed samples, plus one for each open rollout.
+        """
         if self._forecast is None:
             return 0, False
         rollouts = [job for job in self._leader.state.open_jobs.values() if job.rollout]
         return sum(len(job.claims) + 1 for job in rollouts), self._rollouts_recalled()
 
     def _rollouts_recalled(self) -> bool:
-        """Whether a job may come late beside rollouts; a change of the answer is logged."""
+        """Whether a job may miss its deadline while rollouts run; a change is logged."""
         return self._forecast is not None and self._forecast.at_risk(
             self._leader.state, self._log_ms(), self._node.env.log
         )
 
     def _cancel_expired_rollouts(self) -> None:
-        """Cancel rollouts whose deadline has passed; their listed results stay."""
+        """Cancel rollouts past their deadline; their listed results stay readable."""
         log_ms = self._log_ms()
         expired = [
             job.job_id
@@ -194,26 +216,22 @@
                 True,
             )
 
-    # -- reports ---------------------------------------------------------------------------------
-
     def report_result(self, message: ReportResult, reply: Reply) -> None:
-        """Log an item's result, or that its claim is returned."""
-        self._edges.heard(message.edge)
+        """Record the result of an item, or the return of its claim."""
+        self._edges.record_message(message.edge)
         self._reports.report(message, reply)
 
     def report_outcomes(self, message: ReportItemOutcomes, reply: Reply) -> None:
-        """Log how an edge's forwarded items ended."""
-        self._edges.heard(message.edge)
+        """Record how attempts of an edge at forwarded items ended."""
+        self._edges.record_message(message.edge)
         self._forward.report(message, reply, self.answer_parked)
 
     def may_advance_listing(self, message: AdvanceListing) -> bool:
         """Whether an edge may list results up to a position under its lease."""
         return self._leases.may_advance(message)
 
-    # -- time ------------------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Answer parked heartbeats that are due, end what has expired, reclaim lost claims."""
+        """Answer due heartbeats, end expired items and rollouts, and end claims of lost edges."""
         now_ms = self._node.env.now()
         for edge in [edge for edge, parked in self._parked.items() if now_ms >= parked.due_ms]:
             parked = self._parked.pop(edge)
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -1,7 +1,7 @@
-"""The choice of the items that an edge gets.
+"""Selection of the items to dispatch to an edge.
 
-Jobs that are due first come first, forwarded ones up to the edge's share of what waits. Samples of
-rollouts get only what is left.
+Jobs are served by earliest deadline. An edge gets at most its share of the waiting forwarded items.
+Samples of rollouts are selected only for an edge that gets no other item.
 """
 
 import itertools
@@ -28,10 +28,22 @@
 
 
 class ItemSelector:
-    """Chooses items from the state of one leader.
-
-    `forecast` gets each edge's capacity; `recalled` says whether a job may come late beside
-    rollouts.
+    """Selects items from the state of one leader.
+
+    Parameters
+    ----------
+    leader
+        The leader whose state has the jobs.
+    node
+        The node, for its clock.
+    edges
+        The liveness of edges; forwarded items are shared among the live ones.
+    log_ms
+        Returns the log's own time in milliseconds.
+    forecast
+        Is given the capacity that edges report for rollouts; None if rollouts aren't dispatched.
+    recalled
+        Returns whether rollouts must yield, because a job may miss its deadline.
     """
 
     __slots__ = ("_edges", "_forecast", "_leader", "_log_ms", "_node", "_recalled")
@@ -49,10 +61,10 @@
         self._forecast, self._recalled = forecast, recalled
 
     def select(self, message: EdgeHeartbeat | RolloutHeartbeat) -> list[Assignment]:
-        """Return the work for an edge.
+        """Return the items to dispatch to an edge, at most as many as it has capacity for.
 
-        The edge gets as many items as it has capacity for, of forwarded jobs no more than its
-        share, since other edges have capacity too.
+        Of the waiting forwarded items an edge gets an equal share, so that other live edges with
+        capacity get some too.
         """
         if isinstance(message, RolloutHeartbeat) and self._forecast is not None:
             self._forecast.record_heartbeat(message, self._node.env.now())
@@ -81,7 +93,7 @@
             limit = message.capacity - len(work)
             if job.forward:
                 limit = min(limit, share)
-            indexes = _first(job, limit)
+            indexes = _first_pending(job, limit)
             if job.forward:
                 share -= len(indexes)
                 work += [self._forward_assignment(job, index) for index in indexes]
@@ -90,7 +102,7 @@
         return work
 
     def _select_samples(self, message: RolloutHeartbeat) -> list[Assignment]:
-        """Return samples of rollouts, those first that expire first."""
+        """Return samples of rollouts, by earliest expiry."""
         rollouts = sorted(
             (
                 job
@@ -101,7 +113,7 @@
         )
         samples: list[Assignment] = []
         for job in rollouts:
-            indexes = _first(job, message.sample_capacity - len(samples))
+            indexes = _first_pending(job, message.sample_capacity - len(samples))
             samples += [_rollout_assignment(job, index) for index in indexes]
         return samples
 
@@ -118,7 +130,7 @@
         )
 
 
-def _first(job: Job, count: int) -> list[int]:
+def _first_pending(job: Job, count: int) -> list[int]:
     """Return the indexes of the first pending items, at most `count`."""
     return list(itertools.islice(job.pending, max(0, count)))
 
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -1,7 +1,7 @@
-"""A job and its items, as the entries of the log have made them.
+"""The state of a job and its items.
 
-Results of an ordinary job are listed in the order of its items, up to `listed`; those of a
-forwarded job in the order in which they were committed, `order`.
+Results of ordinary jobs and rollouts are listed in the order of the items, up to `Job.listed`.
+Results of forwarded jobs are listed in the order in which they were committed, `Job.order`.
 """
 
 from typing import Any
@@ -21,14 +21,16 @@
 __all__ = ["AdmissionEntry", "Item", "Job"]
 
 AdmissionEntry = JobAdmitted | ForwardJobAdmitted | RolloutAdmitted
-"""The entries that begin a job."""
+"""The log entries that create a job."""
 
 
 class Item:
     """One item of a job: waiting, claimed or finished.
 
-    `body` is what is asked: text, or the bytes of a forwarded call; so is `result`.
-    `claim_number` is that of its latest claim; `failed_at` has the workers that failed on it.
+    `body` and `result` are the request and the response: text, or bytes in a forwarded job.
+    `claim_number` is the number of the latest claim, 0 before the first; `edge` is the edge of that
+    claim, empty while the item waits. `failures` counts failed attempts at a forwarded item, and
+    `failed_at` names their workers.
     """
 
     __slots__ = (
@@ -59,7 +61,7 @@
         self.worker = ""
 
     def claimed_under(self, claim_number: int) -> bool:
-        """Whether the claim of this number is the present one."""
+        """Whether the item is claimed now, under the claim of this number."""
         return self.state == ItemState.CLAIMED and self.claim_number == claim_number
 
 
@@ -75,12 +77,15 @@
 class Job:
     """A job and the state of its items.
 
-    `pending` has the indexes of unclaimed items in the order in which they are dispatched, `claims`
-    the claimed items. `tokens` counts those of items that haven't ended. `listing_edge` has the
-    listing lease under `listing_epoch`. `archived` is set once the results are in an archive file.
+    `pending` holds the indexes of waiting items in the order of dispatch, and `claims` the claimed
+    items by index. `listed` is the number of listed results, `tokens` that of the tokens of items
+    that haven't ended. `listing_edge` has the listing lease, under `listing_epoch`. `archived` is
+    set once the results are in an archive file; `items` is then empty. `cached_entries` are the
+    encoded entries for snapshots.
+
     Times are in milliseconds of the log's own time: `at_ms` of the admission, `due_ms` of the
-    deadline, `expires_ms` from when on items are given up. `cached_entries` caches the encoded
-    entries for snapshots.
+    deadline. At `expires_ms`, unfinished items of a forwarded job end as dead, and a rollout is
+    cancelled; ordinary jobs, and rollouts with an `expires_ms` of 0, don't expire.
     """
 
     __slots__ = (
@@ -134,7 +139,7 @@
         self.cached_entries: list[bytes] | None = None
 
     def _set_kind(self, entry: AdmissionEntry) -> None:
-        """Set what differs between ordinary jobs, forwarded jobs and rollouts."""
+        """Set the attributes that depend on the kind of job: ordinary, forwarded or rollout."""
         self.forward = isinstance(entry, ForwardJobAdmitted)
         self.rollout = isinstance(entry, RolloutAdmitted)
         self.safe = True
@@ -151,7 +156,7 @@
 
     @classmethod
     def from_archive(cls, entry: JobArchived) -> "Job":
-        """Return a job that is known only by its archive entry, which is yet to be applied."""
+        """Return a job built from its archive entry alone; the caller must still `archive` it."""
         job = cls(
             JobAdmitted(
                 job_id=entry.job_id,
@@ -170,19 +175,19 @@
 
     @property
     def open(self) -> bool:
-        """Whether the job still runs: neither cancelled nor listed to its last result."""
+        """Whether the job is neither cancelled nor fully listed."""
         return not self.cancelled and self.listed < self.total
 
     @property
     def waiting(self) -> int:
-        """How many items nobody has claimed."""
+        """The number of items that wait to be claimed."""
         return len(self.pending)
 
     @property
     def listable(self) -> int:
-        """Up to which position results could be listed now.
+        """The position up to which results could be listed now.
 
-        Those of a forwarded job are listed as they are committed.
+        In a forwarded job that is `listed`, as its results are listed as they are committed.
         """
         if self.forward:
             return self.listed
@@ -192,7 +197,7 @@
         return up_to
 
     def row(self, position: int) -> bytes:
-        """Return the encoded result at a position, as it is read and as it is archived."""
+        """Return the encoded result at a position; reads and archive files have the same bytes."""
         if self.forward:
             item = self.items[self.order[position]]
             return encode(
@@ -201,23 +206,21 @@
         item = self.items[position]
         return encode(ResultRow(index=position, outcome=item.outcome, body=item.result))
 
-    # -- changes of an item's state --------------------------------------------------------------
-
     def claim(self, index: int, edge: str, claim_number: int) -> None:
-        """Record that an edge has claimed an item."""
+        """Record that an item is claimed for an edge."""
         item = self.items[index]
         self.pending.pop(index, None)
         self.claims[index] = item
         item.state, item.edge, item.claim_number = ItemState.CLAIMED, edge, claim_number
 
-    def give_back(self, index: int) -> None:
-        """Return an item's claim; it is dispatched again after those that wait already."""
+    def return_claim(self, index: int) -> None:
+        """End the claim of an item without a result; the item goes to the end of `pending`."""
         item = self.claims.pop(index)
         self.pending[index] = None
         item.state, item.edge = ItemState.WAITING, ""
 
     def finish(self, index: int, outcome: str, result: Any, worker: str) -> int:
-        """Record how an item ended, and return its tokens, which no longer count."""
+        """Record the result of an item; return its number of tokens, subtracted from `tokens`."""
         item = self.items[index]
         self.pending.pop(index, None)
         self.claims.pop(index, None)
@@ -227,13 +230,11 @@
         self.tokens -= item.tokens
         return item.tokens
 
-    # -- archiving -------------------------------------------------------------------------------
-
     def archive(self, entry: JobArchived) -> None:
-        """Drop the items and results, which are in an archive file."""
+        """Drop the items and their results, which are in the archive file from now on."""
         self.archived, self.items, self.claims, self.cached_entries = entry, [], {}, None
         self.pending, self.order = {}, []
 
     def dump(self) -> list[Message]:
-        """Return entries that rebuild this very job."""
+        """Return the entries that rebuild this job."""
         return entries_of(self)
--- a/libs/batch_state/src/batch_state/leader_service.py
+++ b/libs/batch_state/src/batch_state/leader_service.py
@@ -134,7 +134,7 @@
     def _on(self, message: Message, origin: Origin) -> None:
         raise TypeError(type(message).__name__)
 
-    # -- jobs ------------------------------------------------------------------------------------
+    # Requests about jobs.
 
     @_on.register(SubmitJob)
     @_on.register(SubmitRollout)
@@ -201,7 +201,7 @@
     def _(self, message: GetItem, origin: Origin) -> None:
         self._forward_reader.get_item(message, partial(self._node.reply, origin))
 
-    # -- items -----------------------------------------------------------------------------------
+    # Requests of edges that run items.
 
     @_on.register(EdgeHeartbeat)
     @_on.register(RolloutHeartbeat)
@@ -232,7 +232,7 @@
             urgent=True,
         )
 
-    # -- idempotency keys ------------------------------------------------------------------------
+    # Requests about idempotency keys.
 
     @_on.register
     def _(self, message: OpenKey, origin: Origin) -> None:
@@ -242,8 +242,6 @@
     def _(self, message: CloseKey, origin: Origin) -> None:
         self._keys.close(message, origin)
 
-    # -- retention -------------------------------------------------------------------------------
-
     def remove_expired(self) -> None:
         """Remove what is over and past its retention time, by entries like any others."""
         self._admission.sweep()
--- a/libs/batch_state/src/batch_state/listing_leases.py
+++ b/libs/batch_state/src/batch_state/listing_leases.py
@@ -1,7 +1,8 @@
 """Listing leases: which edge may list the next results of a job.
 
-The lease goes to the edge that finished the next result. A lost one is granted again under a higher
-epoch, which is a fencing token: whoever listed under an earlier epoch can list nothing more.
+The lease is granted to the edge that reported the next result. The lease of a lost edge is granted
+to another. Each grant has a higher epoch, which is a fencing token: an edge with an earlier epoch
+can list no more results.
 """
 
 from messaging import encode
@@ -24,7 +25,7 @@
         self._leader, self._edges = leader, edges
 
     def of_edge(self, edge: str) -> list[bytes]:
-        """Return an edge's leases of jobs that have something to list, as encoded ListingLeases."""
+        """Return an edge's leases of open jobs with results to list, as encoded ListingLeases."""
         return [
             encode(ListingLease(job_id=job.job_id, epoch=job.listing_epoch, up_to=job.listable))
             for job in self._leader.state.open_jobs.values()
@@ -32,13 +33,17 @@
         ]
 
     def take_over_lost(self, edge: str) -> None:
-        """Grant an edge the leases of edges that aren't live, where there is something to list."""
+        """Grant an edge the leases of jobs with results to list whose leaseholder isn't live."""
         for job in list(self._leader.state.open_jobs.values()):
             if job.listable > job.listed and not self._edges.is_live(job.listing_edge):
                 self._grant(job, edge)
 
     def result_reported(self, job: Job, index: int, edge: str) -> None:
-        """Grant the lease to an edge that finished the next result, or if the lease is lost."""
+        """Grant the lease to an edge that reported a result, if there are results to list.
+
+        It is granted only if the reported result is the next to be listed, or if the present
+        leaseholder isn't live.
+        """
         if not job.open or job.listable <= job.listed:
             return
         if (
@@ -49,7 +54,10 @@
             self._grant(job, edge)
 
     def response(self, job: Job, edge: str, ok: bool) -> ReportResultResponse:
-        """Return the response to a reported result, with the edge's lease if it has it."""
+        """Return the response to a reported result.
+
+        It carries the lease if the edge has it and there are results to list.
+        """
         leased = job.listing_edge == edge and job.listable > job.listed
         return ReportResultResponse(
             ok=ok,
@@ -58,7 +66,10 @@
         )
 
     def may_advance(self, message: AdvanceListing) -> bool:
-        """Whether an edge may list results up to a position under its lease."""
+        """Whether an edge may list results up to a position.
+
+        It may if its lease is the present one of an open job, and these results are known.
+        """
         job = self._leader.state.jobs.get(message.job_id)
         return (
             job is not None
--- a/libs/batch_state/src/batch_state/result_reports.py
+++ b/libs/batch_state/src/batch_state/result_reports.py
@@ -35,7 +35,7 @@
     def report(self, message: ReportResult, reply: Reply) -> None:
         """Log an item's result, or that its claim is returned."""
         job = self._leader.state.jobs.get(message.job_id)
-        claimed_for_ms = self._claims.ended(message.job_id, message.index)
+        claimed_for_ms = self._claims.remove_claim(message.job_id, message.index)
         if job is None or job.cancelled or not 0 <= message.index < len(job.items):
             self._acknowledge(reply)
             return
--- a/libs/batch_state/src/batch_state/state.py
+++ b/libs/batch_state/src/batch_state/state.py
@@ -1,8 +1,9 @@
 """The state of batch jobs and idempotency keys, built by applying the entries of the log in order.
 
-`BatchState.apply` refuses nothing, since what is in the log has been decided; an entry that no
-longer applies changes nothing. Every replica that applies the same entries has the same state. An
-item goes from waiting to claimed to finished.
+`BatchState.apply` rejects no entry, since every entry in the log is a decision already made; an
+entry that doesn't apply to the present state has no effect. Replicas that apply the same entries
+have the same state. An item goes from waiting to claimed to finished; a claim that ends without a
+result makes it wait again.
 """
 
 from collections.abc import Callable
@@ -38,11 +39,11 @@
 
 
 class BatchState:
-    """The state that the entries of the log add up to.
+    """Jobs and idempotency keys after a sequence of log entries.
 
-    `open_jobs` has the jobs that still run, `waiting_tokens` the tokens of forwarded items that
-    haven't ended, by path. `unarchived` has the (kind, name) of jobs and keys that are over and can
-    be archived.
+    `open_jobs` holds the jobs that are neither cancelled nor fully listed, and `waiting_tokens` the
+    number of tokens of unfinished forwarded items, by path. `unarchived` holds the (kind, name) of
+    closed jobs and completed keys that aren't archived yet, in the order in which they closed.
     """
 
     __slots__ = ("jobs", "keys", "open_jobs", "unarchived", "waiting_tokens")
@@ -65,9 +66,9 @@
     @singledispatchmethod
     def apply(self, entry: Message) -> None:
         """Apply one entry."""
-        raise TypeError(type(entry).__name__)
+        raise TypeError(f"expected a log entry of batch_state, got {type(entry).__name__}")
 
-    # -- admission, cancellation and removal of jobs ---------------------------------------------
+    # Admission, cancellation and removal of jobs.
 
     @apply.register(JobAdmitted)
     @apply.register(ForwardJobAdmitted)
@@ -107,7 +108,7 @@
         else:
             self.waiting_tokens.pop(path, None)
 
-    # -- claims and results of items -------------------------------------------------------------
+    # Claims and results of items.
 
     @apply.register
     def _(self, entry: ItemClaimed) -> None:
@@ -131,7 +132,7 @@
     def _(self, entry: ItemReturned) -> None:
         item = self._item_to_change(entry.job_id, entry.index)
         if item is not None and item.claimed_under(entry.claim_number):
-            self.jobs[entry.job_id].give_back(entry.index)
+            self.jobs[entry.job_id].return_claim(entry.index)
 
     @apply.register
     def _(self, entry: AttemptFailed) -> None:
@@ -139,7 +140,7 @@
         if item is not None and item.claimed_under(entry.claim_number):
             item.failures = entry.failures
             item.failed_at = (*item.failed_at, entry.worker)
-            self.jobs[entry.job_id].give_back(entry.index)
+            self.jobs[entry.job_id].return_claim(entry.index)
 
     @apply.register
     def _(self, entry: ItemFinished) -> None:
@@ -154,13 +155,13 @@
         return job.items[index]
 
     def _job_to_change(self, job_id: str) -> Job | None:
-        """Return a job that is about to change; its cached entries are dropped."""
+        """Return the job, if it exists, and invalidate its cached entries before it changes."""
         job = self.jobs.get(job_id)
         if job is not None:
             job.cached_entries = None
         return job
 
-    # -- listing of results ----------------------------------------------------------------------
+    # Listing of results.
 
     @apply.register
     def _(self, entry: ListingLeaseGranted) -> None:
@@ -201,7 +202,7 @@
         if not job.open:
             self._close_job(job)
 
-    # -- idempotency keys ------------------------------------------------------------------------
+    # Idempotency keys.
 
     @apply.register
     def _(self, entry: KeyOpened) -> None:
@@ -222,11 +223,11 @@
         self.keys.pop(entry.key, None)
         self.unarchived.pop((RecordKind.KEY, entry.key), None)
 
-    # -- archiving -------------------------------------------------------------------------------
+    # Archiving.
 
     @apply.register
     def _(self, entry: JobArchived) -> None:
-        """Drop the results of a job that is here too, or add the job without them."""
+        """Drop the results of the job if it is closed; add it without them if it is missing."""
         job = self.jobs.get(entry.job_id)
         if job is None:
             job = self.jobs[entry.job_id] = Job.from_archive(entry)
@@ -237,7 +238,7 @@
 
     @apply.register
     def _(self, entry: KeyArchived) -> None:
-        """Drop the answer of a key that is here too, or add the key without it."""
+        """Drop the response body of the key if it is done; add it without one if it is missing."""
         key = self.keys.get(entry.key)
         if key is None:
             key = self.keys[entry.key] = IdempotencyKey.from_archive(entry)
@@ -245,10 +246,8 @@
             key.archive(entry)
             self.unarchived.pop((RecordKind.KEY, entry.key), None)
 
-    # -- snapshots and copies --------------------------------------------------------------------
-
     def dump(self) -> list[Message]:
-        """Return entries that rebuild this very state."""
+        """Return the entries that, applied in order to an empty state, rebuild this one."""
         entries: list[Message] = []
         for job in self.jobs.values():
             entries += job.dump()
@@ -257,10 +256,10 @@
         return entries
 
     def encoded(self, wrap: Callable[[bytes], bytes] = lambda row: row) -> list[bytes]:
-        """Return the same entries as bytes, each passed through `wrap`.
+        """Return the entries of `dump` as bytes, each passed through `wrap`.
 
-        Those of what is over are cached, so that a snapshot costs little more than what is new in
-        it.
+        The bytes of closed jobs and of keys are cached with the `wrap` of the first call, so that a
+        further snapshot encodes only open jobs and what has changed.
         """
         names = [
             *((RecordKind.JOB, job_id) for job_id in self.jobs),
@@ -269,7 +268,10 @@
         return [row for kind, name in names for row in self.encoded_entries(kind, name, wrap)]
 
     def encoded_entries(self, kind: str, name: str, wrap: Callable[[bytes], bytes]) -> list[bytes]:
-        """Return the encoded entries of one job or key; `kind` is a `RecordKind`."""
+        """Return the encoded entries of one job or key, cached unless it is an open job.
+
+        `kind` is a `RecordKind`.
+        """
         if kind == RecordKind.KEY:
             key = self.keys[name]
             if key.cached_entries is None:
@@ -281,18 +283,22 @@
         return job.cached_entries
 
     def copy(self) -> "BatchState":
-        """Return an independent state; jobs and keys that can't change any more are shared."""
-        twin = BatchState()
+        """Return a copy to which entries can be applied without changing this state.
+
+        Closed jobs, and keys that can't be closed any more, are shared: of the entries that the
+        leader appends, only those of archiving change them. The copy's `unarchived` is empty.
+        """
+        copied = BatchState()
         for job_id, job in self.jobs.items():
             if job.open:
                 for entry in job.dump():
-                    twin.apply(entry)
+                    copied.apply(entry)
             else:
-                twin.jobs[job_id] = job
+                copied.jobs[job_id] = job
         for name, key in self.keys.items():
             if key.may_change:
                 for entry in key.dump():
-                    twin.apply(entry)
+                    copied.apply(entry)
             else:
-                twin.keys[name] = key
-        return twin
+                copied.keys[name] = key
+        return copied
