--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -136,7 +136,7 @@
         position = message.from_position
         while position < job.listed and size_bytes < message.limit_bytes:
             more = (
-                [job.row(position)]
+                [job.encoded_result(position)]
                 if job.archived is None
                 else self._archive.read_results(job, position, job.listed)
             )
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -117,7 +117,7 @@
         rows: list[bytes] = []
         size_bytes = 0
         for index in range(message.from_index, min(job.listed, message.from_index + message.limit)):
-            rows.append(job.row(index))
+            rows.append(job.encoded_result(index))
             size_bytes += len(rows[-1])
             if size_bytes > _PAGE_BYTES:
                 break
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -196,7 +196,7 @@
             up_to += 1
         return up_to
 
-    def row(self, position: int) -> bytes:
+    def encoded_result(self, position: int) -> bytes:
         """Return the encoded result at a position; reads and archive files have the same bytes."""
         if self.forward:
             item = self.items[self.order[position]]
--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -250,7 +250,7 @@
         job = state.jobs.get(name)
         if job is None or job.archived is not None:
             return None
-        return file.add_job(job, [job.row(position) for position in range(job.listed)])
+        return file.add_job(job, [job.encoded_result(position) for position in range(job.listed)])
     key = state.keys.get(name)
     if key is None or key.archived is not None:
         return None
