--- a/libs/batch_state/src/batch_state/admission.py
+++ b/libs/batch_state/src/batch_state/admission.py
@@ -1,8 +1,9 @@
 """Admission of jobs by the leader of the log.
 
-It is exact because only the leader admits, and it counts what it has logged, committed or not. A
-job that was refused is admitted only under a later stamp, so that no late copy of the refused
-request is accepted.
+Backlog limits are exact, because only the leader admits jobs and it counts all that it has
+appended, committed or not. A submission carries the leader's epoch and clock that the edge last
+received. After a refusal, the job is admitted only by a submission with a later clock value, so
+that a delayed copy of the refused request has no effect.
 """
 
 from collections.abc import Callable
@@ -24,10 +25,22 @@
 
 
 class JobAdmission:
-    """Admits jobs in the log of one leader.
-
-    `log_ms` returns the log's own time; `on_new_items` is called when there is something new to
-    dispatch to edges that wait for it.
+    """Admits jobs to the log of one leader.
+
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node that sends the responses.
+    replies
+        Answers requests once entries are committed or reads confirmed.
+    profiles
+        Returns the profiles in force, with the backlog limits.
+    log_ms
+        Returns the log's own time in milliseconds.
+    on_new_items
+        Called after a forwarded job was appended, whose items can go to parked heartbeats.
     """
 
     __slots__ = (
@@ -54,11 +67,11 @@
         self._refused_ms: dict[str, int] = {}
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Admit or refuse a submission, and answer it."""
+        """Admit or refuse a submission, and respond to it."""
         self._on(message, origin)
 
-    def sweep(self) -> None:
-        """Forget refusals so old that no stamp from before them can still come."""
+    def drop_old_refusals(self) -> None:
+        """Drop refusals so old that a copy of the refused request would be stale anyway."""
         floor_ms = self._node.env.now() - 2 * self._node.settings.max_submission_age_ms
         self._refused_ms = {
             job_id: at_ms for job_id, at_ms in self._refused_ms.items() if at_ms > floor_ms
@@ -66,7 +79,7 @@
 
     @singledispatchmethod
     def _on(self, message: Message, origin: Origin) -> None:
-        raise TypeError(type(message).__name__)
+        raise TypeError(f"expected a submission of a job, got {type(message).__name__}")
 
     @_on.register
     def _(self, message: SubmitJob, origin: Origin) -> None:
@@ -96,7 +109,11 @@
 
     @_on.register
     def _(self, message: SubmitRollout, origin: Origin) -> None:
-        """Admit or refuse a rollout; rollouts have a backlog limit of their own."""
+        """Admit or refuse a rollout.
+
+        Rollouts have a backlog limit of their own, and run only on paths whose profile has a
+        `loan_share`.
+        """
         if self._answer_known(message, origin):
             return
         profile = self._profiles()[1].usable(message.path)
@@ -123,9 +140,10 @@
 
     @_on.register
     def _(self, message: SubmitForwardJob, origin: Origin) -> None:
-        """Admit or refuse a forwarded job; its backlog is limited in tokens.
+        """Admit or refuse a forwarded job; the backlog limit is in tokens.
 
-        Profiles that are older here than at the edge refuse nothing.
+        If the profiles at this store are older than those at the edge, the job is neither admitted
+        nor refused: the outcome is UNKNOWN.
         """
         if self._answer_known(message, origin):
             return
@@ -160,18 +178,18 @@
         )
 
     def _fits(self, message: SubmitForwardJob, limit_tokens: int) -> bool:
-        """Whether a path's backlog has space for a job; a limit of 0 means none."""
+        """Whether a job fits in its path's backlog; a limit of 0 means that there is no limit."""
         waiting_tokens = self._leader.state.waiting_tokens.get(message.path, 0)
         return not limit_tokens or waiting_tokens + sum(message.tokens) <= limit_tokens
 
     def _stale(self, message: Submission) -> bool:
-        """Whether a request is too old, or a copy of one that was refused."""
+        """Whether a request is stale, or a copy of one that was refused."""
         return self._replies.stale(message) or message.leader_ms <= self._refused_ms.get(
             message.job_id, -1
         )
 
     def _answer_known(self, message: Submission, origin: Origin) -> bool:
-        """Answer a submission whose id is taken, and return whether it is."""
+        """Return whether the job id is in use; if so, answer once that job is committed."""
         known = self._leader.state.jobs.get(message.job_id)
         if known is not None:
             same = known.digest == message.digest
@@ -185,7 +203,7 @@
         return known is not None
 
     def _refuse(self, message: Submission, origin: Origin) -> None:
-        """Refuse a submission for want of capacity."""
+        """Refuse a submission because the path's backlog is full."""
         self._refused_ms[message.job_id] = message.leader_ms
         self._answer_when_confirmed(message, origin, JobOutcome.BACKLOG_FULL)
 
--- a/libs/batch_state/src/batch_state/batch_service.py
+++ b/libs/batch_state/src/batch_state/batch_service.py
@@ -1,7 +1,7 @@
 """The store's service for batch jobs and idempotency keys.
 
 It passes the requests of edges to the `LeaderService` while this store leads the log, and otherwise
-answers who does.
+responds with the leader that it knows.
 """
 
 from collections import Counter
@@ -42,24 +42,31 @@
 
 
 class _NoArchive:
-    """Archive files that can't be read, until the store sets its own."""
+    """An archive without files, in use until the store sets its own."""
 
     def read_results(self, job: Any, from_index: int, limit: int, /) -> list[bytes] | None:
-        """Return None, as there are no files."""
+        """Return None, which means that the file can't be read."""
         return None
 
     def read_answer(self, key: Any, /) -> str | None:
-        """Return None, as there are no files."""
+        """Return None, which means that the file can't be read."""
         return None
 
 
 class BatchService(Component):
     """Handles the requests of edges while this store leads the log.
 
-    `known_leader` returns the leader's epoch and address as far as this store knows,
-    `committed_state` the committed state. `counts` has how many requests were handled, by the wire
-    name of their type. The store sets `archive` and `request_repair`, and `make_forecast` if
-    rollouts are to be dispatched.
+    `counts` is the number of requests handled as leader, by the wire name of their type. The store
+    sets `archive` and `request_repair`, and `make_forecast` if rollouts are to be dispatched.
+
+    Parameters
+    ----------
+    profiles
+        Returns the profiles in force.
+    known_leader
+        Returns the epoch and address of the leader that this store knows.
+    committed_state
+        Returns the state up to the last committed entry.
     """
 
     __slots__ = (
@@ -108,9 +115,9 @@
         self.make_forecast: Callable[[], DeadlineForecast] | None = None
 
     def set_leader(self, leader: LogLeader | None) -> None:
-        """Start to serve under a leader, or stop if it is None.
+        """Start to serve under a leader, or stop serving if it is None.
 
-        Requests that are parked are answered that this store isn't the leader any more.
+        Requests parked under the previous leader are answered with NotLeader.
         """
         if self._service is not None:
             self._service.close(self._not_leader())
@@ -131,13 +138,13 @@
         return NotLeader(epoch=epoch, address=address)
 
     def _serving(self) -> LeaderService | None:
-        """Return the service of this store's leader, None if it isn't the leader any more."""
+        """Return the service, or None unless this store leads the log."""
         if self._service is None or self._service.leader.deposed:
             return None
         return self._service
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Handle a request of an edge."""
+        """Handle a request of an edge, or respond with NotLeader."""
         service = self._serving()
         if service is None:
             self.node.reply(origin, self._not_leader())
@@ -147,7 +154,10 @@
         service.receive(message, origin)
 
     def backlogs(self) -> dict[str, int]:
-        """Return how many jobs are open on each path; empty unless this store is the leader."""
+        """Return how many jobs other than rollouts are open on each path.
+
+        It is empty unless this store is the leader.
+        """
         service = self._serving()
         if service is None:
             return {}
@@ -155,7 +165,7 @@
         return dict(Counter(job.path for job in open_jobs.values() if not job.rollout))
 
     def tick(self) -> None:
-        """Do the leader's periodic work, and now and then remove what is too old."""
+        """Do the leader's periodic work; remove expired jobs and keys every `resume_ms`."""
         service = self._serving()
         if service is None:
             return
--- a/libs/batch_state/src/batch_state/forward_completion.py
+++ b/libs/batch_state/src/batch_state/forward_completion.py
@@ -1,9 +1,9 @@
-"""How items of forwarded jobs end.
+"""Completion of the items of forwarded jobs.
 
-A result is finished and listed in one entry: the listing lease passes to the edge that brings it,
-under a higher epoch, and lists it next, so the order of the log is the order of the results. An
-item is dead once a worker said that it can't be done, after as many failed attempts as its route
-allows, when its time is up, or when its route is gone.
+One entry ends an item and lists its result, and grants the listing lease to the edge that reported
+it, under a higher epoch if another edge had the lease. So the results have the order of the log. An
+item ends as dead if a worker reports that it can't be run, after as many failed attempts as its
+route allows, when its job expires, or when its route is removed.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def _route_gone(job: Job, version: int, profiles: Any) -> bool:
-    """Whether a job's route is gone by profiles no older than those at its admission."""
+    """Whether a job's route is removed, by profiles no older than those at its admission."""
     return (
         profiles is not None
         and version >= max(1, job.version)
@@ -35,8 +35,18 @@
 class ForwardCompletion:
     """Ends items of forwarded jobs in the log of one leader.
 
-    `log_ms` returns the log's own time, and `on_results` gets the ids of jobs of which something
-    was committed.
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node, for its log.
+    log_ms
+        Returns the log's own time in milliseconds.
+    profiles
+        Returns the profiles in force.
+    on_results
+        Called with the ids of jobs that may have newly committed results.
     """
 
     __slots__ = ("_leader", "_log_ms", "_node", "_on_results", "_profiles")
@@ -55,9 +65,16 @@
     def report(
         self, message: ReportItemOutcomes, reply: Reply, on_returned: Callable[[], None]
     ) -> None:
-        """Log the reported outcomes in one append, then reply.
-
-        `on_returned` is called if items wait again.
+        """Append the entries for reported outcomes, and reply once they are committed.
+
+        Parameters
+        ----------
+        message
+            The outcomes; those of closed or unknown jobs and items are ignored.
+        reply
+            Sends the response, which isn't `ok` if the append failed.
+        on_returned
+            Called if a claim ended without a result, so that the item can be dispatched again.
         """
         entries: list[Message] = []
         for data in message.rows:
@@ -79,16 +96,16 @@
             on_returned()
 
     def _entries(self, job: Job, report: ItemOutcome, edge: str) -> list[Message]:
-        """Return the entries for one report.
+        """Return the entries for one reported outcome.
 
-        The first report that ends an item decides. A failure or a returned claim counts only under
-        the present claim.
+        The first report of FINISHED or DEAD ends the item, under whichever claim. A failure or the
+        return of a claim has an effect only under the present claim.
         """
         item = job.items[report.index]
         if item.state == ItemState.FINISHED:
             return []
         if report.outcome in (ItemResult.FINISHED, ItemResult.DEAD):
-            return [self._listed_as(report.outcome, job, report, edge)]
+            return [self._reported_result(report.outcome, job, report, edge)]
         if not item.claimed_under(report.claim_number):
             return []
         if report.outcome != ItemResult.FAILED:
@@ -98,7 +115,7 @@
                 )
             ]
         if item.failures + 1 >= self._attempts(job):
-            return [self._listed_as(ItemResult.DEAD, job, report, edge)]
+            return [self._reported_result(ItemResult.DEAD, job, report, edge)]
         return [
             AttemptFailed(
                 job_id=job.job_id,
@@ -109,13 +126,15 @@
             )
         ]
 
-    def _listed_as(self, outcome: str, job: Job, report: ItemOutcome, edge: str) -> ResultListed:
-        return self._listed(job, report.index, outcome, report.text, report.worker, edge)
+    def _reported_result(
+        self, outcome: str, job: Job, report: ItemOutcome, edge: str
+    ) -> ResultListed:
+        return self._result_listed(job, report.index, outcome, report.text, report.worker, edge)
 
-    def _listed(
+    def _result_listed(
         self, job: Job, index: int, outcome: str, text: bytes, worker: str, edge: str
     ) -> ResultListed:
-        """Return the entry that ends an item and passes the listing lease to the edge."""
+        """Return the entry that ends an item and grants the listing lease to the edge."""
         epoch = max(1, job.listing_epoch + (edge != job.listing_edge))
         return ResultListed(
             job_id=job.job_id,
@@ -128,19 +147,20 @@
         )
 
     def _attempts(self, job: Job) -> int:
-        """Return the most attempts allowed by any profile that may be in force.
+        """Return how many attempts an item may have, at least 1.
 
-        These are the profile at admission and the present one.
+        It is the larger limit of the profile at admission and the present one, as either may be in
+        force.
         """
-        profile = self._profile(job)
+        profile = self._present_profile(job)
         return max(job.attempts, profile.attempts or 0 if profile is not None else 0, 1)
 
-    def _profile(self, job: Job) -> Any:
+    def _present_profile(self, job: Job) -> Any:
         _, profiles = self._profiles()
         return profiles.usable(job.path) if profiles is not None else None
 
     def end_expired(self) -> None:
-        """End items whose time is up or whose route is gone."""
+        """End all unfinished items of jobs that have expired or whose route is removed."""
         now_ms = self._log_ms()
         version, profiles = self._profiles()
         entries: list[Message] = []
@@ -152,7 +172,7 @@
             if expired or _route_gone(job, version, profiles):
                 text = _EXPIRED_TEXT if expired else _ROUTE_GONE_TEXT
                 entries += [
-                    self._listed(job, index, ItemResult.DEAD, text, "", job.listing_edge)
+                    self._result_listed(job, index, ItemResult.DEAD, text, "", job.listing_edge)
                     for index in [*job.claims, *job.pending]
                 ]
                 job_ids.add(job.job_id)
--- a/libs/batch_state/src/batch_state/forward_reads.py
+++ b/libs/batch_state/src/batch_state/forward_reads.py
@@ -1,8 +1,8 @@
 """Reads of forwarded jobs at the leader.
 
-Only committed results are shown, and the leader's epoch was confirmed after the read came, either
-by followers or by the very append that committed the result. A read beyond the last result is
-parked until there is one or its time is up (a long poll).
+A response has only committed results, and is sent only once the leader's epoch was confirmed after
+the read arrived, either by followers or by the append that committed the result. A read beyond the
+last result is parked until there is one or its waiting time is up (a long poll).
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 
 class _ParkedRead:
-    """A read that waits for results until `due_ms` of the node's clock."""
+    """An unanswered read, to be answered at the latest at `due_ms` of the node's clock."""
 
     __slots__ = ("due_ms", "message", "reply")
 
@@ -37,10 +37,20 @@
 
 
 class ForwardJobReader:
-    """Answers reads under one leader.
-
-    `committed_state` returns the committed state; `request_repair` is called for a job whose
-    archive file can't be read.
+    """Answers reads of forwarded jobs under one leader.
+
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node, for its clock.
+    committed_state
+        Returns the state up to the last committed entry.
+    archive
+        Reads results from archive files.
+    request_repair
+        Called for a job whose archive file can't be read.
     """
 
     __slots__ = (
@@ -65,7 +75,7 @@
         self._parked: dict[str, list[_ParkedRead]] = {}
 
     def list_results(self, message: ListForwardResults, reply: Reply) -> None:
-        """Answer a read of a page once there is something to show or its time is up."""
+        """Answer once there are results, no more can come, it fails, or `wait_ms` have passed."""
         due_ms = self._node.env.now() + message.wait_ms
 
         def confirmed(ok: bool) -> None:
@@ -86,13 +96,13 @@
             self._parked.setdefault(message.job_id, []).append(parked)
 
     def results_committed(self, job_ids: set[str]) -> None:
-        """Answer the parked reads of these jobs, of which something was committed."""
+        """Answer the parked reads of these jobs that have new results or are complete now."""
         for job_id in job_ids & set(self._parked):
             for parked in self._parked.pop(job_id):
                 self._answer_or_park(parked.message, parked.reply, parked.due_ms)
 
     def tick(self) -> None:
-        """Answer parked reads whose time is up."""
+        """Answer parked reads whose waiting time is up."""
         now_ms = self._node.env.now()
         for job_id in list(self._parked):
             due = [parked for parked in self._parked[job_id] if now_ms >= parked.due_ms]
@@ -105,12 +115,12 @@
                 self._answer_now(parked)
 
     def _answer_now(self, parked: _ParkedRead) -> None:
-        """Answer a read whose time is up, after one more confirmation of the epoch."""
+        """Answer a read whose waiting time is up, once followers have confirmed the epoch again."""
         message = ListForwardResults(**{**parked.message.as_dict(), "wait_ms": 0})
         self.list_results(message, parked.reply)
 
     def close(self, response: Message) -> None:
-        """Answer all parked reads with a message, because this leader's epoch is over."""
+        """Answer all parked reads with `response`, because this leader's epoch has ended."""
         jobs, self._parked = self._parked, {}
         for reads in jobs.values():
             for parked in reads:
@@ -130,7 +140,10 @@
         )
 
     def _rows(self, job: Job, message: ListForwardResults) -> list[bytes] | None:
-        """Return results up to `limit_bytes`, at least one; None if the archive can't be read."""
+        """Return listed results up to `limit_bytes`, or None if the archive can't be read.
+
+        The first result is returned whatever its size.
+        """
         rows: list[bytes] = []
         size_bytes = 0
         position = message.from_position
@@ -151,7 +164,7 @@
         return rows
 
     def get_item(self, message: GetItem, reply: Reply) -> None:
-        """Answer with the call of an item that hasn't ended."""
+        """Answer with the call of an unfinished item of an open job, or else with MISSING."""
 
         def confirmed(ok: bool) -> None:
             job = self._committed_state().jobs.get(message.job_id)
--- a/libs/batch_state/src/batch_state/heartbeat_offer.py
+++ b/libs/batch_state/src/batch_state/heartbeat_offer.py
@@ -1,4 +1,4 @@
-"""What the leader has to say to one edge when it answers its heartbeat."""
+"""The content of the leader's response to an edge's heartbeat."""
 
 from messaging import encode
 
@@ -17,9 +17,9 @@
 
 
 class HeartbeatOffer:
-    """Work for an edge, and what else its heartbeat's response carries.
+    """What the response to an edge's heartbeat would carry at this moment.
 
-    The attributes are the fields of the responses, `work` as assignments that aren't encoded yet.
+    The attributes are the fields of the responses, except that `work` isn't encoded yet.
     """
 
     __slots__ = (
@@ -47,7 +47,12 @@
         self.samples_out, self.recalled = samples_out, recalled
 
     def is_urgent(self, message: Heartbeat) -> bool:
-        """Whether an edge should get this at once; otherwise its heartbeat may be parked."""
+        """Whether the heartbeat must be answered now; otherwise it may be parked.
+
+        It must if the edge has no free capacity, if there are items, leases or closed jobs for it,
+        if items wait on a path for which it reported no capacity, or if it runs rollouts and one is
+        open.
+        """
         return (
             not message.capacity
             or bool(self.work or self.listing_leases or self.closed_jobs)
@@ -56,13 +61,13 @@
         )
 
     def has_unsafe_work(self) -> bool:
-        """Whether an item isn't safe to repeat, so that its claim must be committed first."""
+        """Whether an item isn't safe to repeat, so that the claims must be committed first."""
         return any(isinstance(row, ItemAssignment) and not row.safe for row in self.work)
 
     def response(
         self, message: Heartbeat, epoch: int, leader_ms: int, claimed: bool
     ) -> EdgeHeartbeatResponse | RolloutHeartbeatResponse:
-        """Return the response to a heartbeat; without the work if it couldn't be claimed."""
+        """Return the response to a heartbeat, without the work unless it was `claimed`."""
         response = EdgeHeartbeatResponse(
             epoch=epoch,
             leader_ms=leader_ms,
--- a/libs/batch_state/src/batch_state/idempotency_service.py
+++ b/libs/batch_state/src/batch_state/idempotency_service.py
@@ -21,8 +21,20 @@
 class IdempotencyKeyService:
     """Opens and closes idempotency keys in the log of one leader.
 
-    `log_ms` returns the log's own time; `request_repair` is called for a key whose archive file
-    can't be read.
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node that sends the responses.
+    replies
+        Answers requests once entries are committed.
+    log_ms
+        Returns the log's own time in milliseconds.
+    archive
+        Reads final responses from archive files.
+    request_repair
+        Called for a key whose archive file can't be read.
     """
 
     __slots__ = ("_archive", "_leader", "_log_ms", "_node", "_replies", "_request_repair")
@@ -40,7 +52,7 @@
         self._log_ms, self._archive, self._request_repair = log_ms, archive, request_repair
 
     def open(self, message: OpenKey, origin: Origin) -> None:
-        """Open a key, or answer what is known of it."""
+        """Open a key that is unknown or void, or respond with the state of its request."""
         key = self._leader.state.keys.get(message.key)
         if key is not None and key.state != KeyState.VOID:
             self._answer_known(key, message, origin)
@@ -78,7 +90,11 @@
         )
 
     def close(self, message: CloseKey, origin: Origin) -> None:
-        """Record how a request ended, unless that is recorded or another has the key."""
+        """Record how a request ended.
+
+        It changes nothing if that state is recorded already, or if the key is unknown or belongs to
+        another request.
+        """
         key = self._leader.state.keys.get(message.key)
         if key is None or key.request_id != message.request_id or key.state == message.state:
             self._replies.when_committed(
@@ -102,7 +118,7 @@
 
 
 def _outcome(key: IdempotencyKey, message: OpenKey) -> KeyOutcome:
-    """Return the outcome of opening a key that is open, in doubt or done."""
+    """Return the outcome of opening a key whose state is OPEN, IN_DOUBT or DONE."""
     if key.digest != message.digest:
         return KeyOutcome.CONFLICT
     if key.state == KeyState.OPEN:
--- a/libs/batch_state/src/batch_state/job_responses.py
+++ b/libs/batch_state/src/batch_state/job_responses.py
@@ -1,4 +1,4 @@
-"""What clients are told of a job: its state, and pages of its results."""
+"""Responses about jobs: their state, and pages of their results."""
 
 from collections.abc import Callable
 
@@ -11,10 +11,14 @@
 __all__ = ["JobReader", "job_response", "results_response"]
 
 _PAGE_BYTES = 1 << 20
+"""No more results are added to a page that is larger than this."""
 
 
 def job_response(outcome: str, job_id: str, job: Job | None) -> JobResponse:
-    """Return the state of a job, or an empty one if there is none; `outcome` is a `JobOutcome`."""
+    """Return a response with the state of a job, or with empty fields if it is None.
+
+    `outcome` is a `JobOutcome`.
+    """
     if job is None:
         return JobResponse(
             outcome=outcome,
@@ -46,7 +50,7 @@
 def results_response(
     outcome: str, job: Job | None = None, rows: list[bytes] | None = None
 ) -> ListResultsResponse:
-    """Return a page of a job's results; without the job one that has nothing but an outcome."""
+    """Return a page of a job's results; without a job it has only the outcome."""
     return ListResultsResponse(
         outcome=outcome,
         rows=rows or [],
@@ -57,9 +61,18 @@
 
 
 class JobReader:
-    """Answers from the committed state; entries that aren't committed are not known yet.
-
-    `request_repair` is called for a job whose archive file can't be read.
+    """Answers reads from the committed state.
+
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    committed_state
+        Returns the state up to the last committed entry.
+    archive
+        Reads results from archive files.
+    request_repair
+        Called for a job whose archive file can't be read.
     """
 
     __slots__ = ("_archive", "_committed_state", "_leader", "_request_repair")
@@ -78,18 +91,18 @@
         """Return the state of a job."""
         job = self._committed_state().jobs.get(job_id)
         if job is None:
-            return job_response(self._absence(job_id), job_id, None)
+            return job_response(self._absence_outcome(job_id), job_id, None)
         return job_response(JobOutcome.KNOWN, job_id, job)
 
-    def _absence(self, job_id: str) -> JobOutcome:
-        """Return what is known of a job that isn't in the committed state."""
+    def _absence_outcome(self, job_id: str) -> JobOutcome:
+        """Return MISSING for a job in no state, UNKNOWN for one whose admission isn't committed."""
         return JobOutcome.UNKNOWN if job_id in self._leader.state.jobs else JobOutcome.MISSING
 
     def results(self, message: ListResults) -> ListResultsResponse:
         """Return a page of a job's results, from memory or from its archive file."""
         job = self._committed_state().jobs.get(message.job_id)
         if job is None:
-            return results_response(self._absence(message.job_id))
+            return results_response(self._absence_outcome(message.job_id))
         if message.from_index > job.total:
             return results_response(JobOutcome.BEYOND_END, job)
         if job.archived is None:
--- a/libs/batch_state/src/batch_state/leader_replies.py
+++ b/libs/batch_state/src/batch_state/leader_replies.py
@@ -1,7 +1,6 @@
-"""How the leader of the log answers requests.
+"""Responses of the leader of the log, and the check for stale requests.
 
-A response waits until an entry is committed or a read is confirmed, and a request is checked for a
-recent stamp of the leader's epoch.
+A response is sent once entries are committed or a read is confirmed by followers.
 """
 
 from collections.abc import Callable
@@ -23,9 +22,10 @@
         self._leader, self.node = leader, node
 
     def stale(self, message: StampedRequest) -> bool:
-        """Whether a request's stamp is of another leader or too old (`max_submission_age_ms`).
+        """Whether a request is for another epoch, or older than `max_submission_age_ms`.
 
-        Such a request may be one whose sender has already given up on it.
+        Its sender may have given up on such a request already. A clock value that is ahead of the
+        leader's clock counts as stale too.
         """
         age_ms = self.node.env.now() - message.leader_ms
         return (
@@ -40,10 +40,11 @@
         make_response: Callable[[str], Message],
         urgent: bool = False,
     ) -> bool:
-        """Append entries and answer once they are committed; False if they were refused.
+        """Append entries and respond once they are committed; return False if they were refused.
 
-        `make_response` gets an `AppendOutcome`. A refusal for want of space is answered only once
-        it is confirmed that this store was still the leader.
+        `make_response` is called with an `AppendOutcome`. A refusal for lack of space is answered
+        once followers have confirmed the epoch, or with UNKNOWN if they don't. An `urgent` append
+        may use reserved space.
         """
 
         def appended(outcome: str) -> None:
@@ -59,7 +60,10 @@
         return self._leader.append(entries, True, appended, urgent)
 
     def when_committed(self, origin: Origin, make_response: Callable[[bool], Message]) -> None:
-        """Answer once everything logged so far is committed, or with False if that fails."""
+        """Respond once all entries appended so far are committed.
+
+        `make_response` is called with False if that fails.
+        """
         self._leader.append(
             [],
             True,
@@ -70,5 +74,8 @@
         )
 
     def when_confirmed(self, origin: Origin, make_response: Callable[[bool], Message]) -> None:
-        """Answer once followers have confirmed the epoch, or with False if that fails."""
+        """Respond once followers have confirmed the epoch.
+
+        `make_response` is called with False if that fails.
+        """
         self._leader.read(lambda ok: self.node.reply(origin, make_response(ok)))
--- a/libs/batch_state/src/batch_state/leader_service.py
+++ b/libs/batch_state/src/batch_state/leader_service.py
@@ -1,7 +1,8 @@
-"""What one leader of the log does with the requests of edges.
+"""Handling of the requests of edges under one leader of the log.
 
-Admission is exact because only the leader admits, and it counts what it has logged, committed or
-not. Responses that clients may rely on wait until they are committed, that is durable on f+1 disks.
+Admission is exact, because only the leader admits jobs and it counts all that it has appended,
+committed or not. Responses that clients may rely on are sent only once the entries behind them are
+committed, that is, durable on f+1 disks.
 """
 
 from collections.abc import Callable
@@ -49,14 +50,29 @@
 __all__ = ["LeaderService"]
 
 _JOB_RETENTION_FACTOR = 7
-"""Jobs are kept this many times as long as idempotency keys (`keep_ms`)."""
+"""Jobs are retained this many times as long as idempotency keys (setting `keep_ms`)."""
 
 
 class LeaderService:
-    """Handles requests under one leader.
-
-    `committed_state` returns the committed state; `request_repair` is called for a record whose
-    archive file can't be read; without a forecast no rollout is dispatched.
+    """Handles the requests of edges under one leader.
+
+    Parameters
+    ----------
+    leader
+        The leader of the log.
+    node
+        The node, for its clocks, settings and responses.
+    profiles
+        Returns the profiles in force.
+    committed_state
+        Returns the state up to the last committed entry.
+    archive
+        Reads results and final responses from archive files.
+    request_repair
+        Called for a record whose archive file can't be read.
+    forecast
+        Tells whether jobs will meet their deadlines while rollouts run; without it no rollout is
+        dispatched.
     """
 
     __slots__ = (
@@ -111,8 +127,9 @@
     def log_ms(self) -> int:
         """Return the log's own time in milliseconds.
 
-        It continues from the newest entry by the monotonic clock, so that no step of the wall clock
-        makes anything look old. Time without a leader doesn't count.
+        It starts at the latest admission time of a job or key in the state, or at the wall clock if
+        there is none, and advances with the monotonic clock. So a step of the wall clock doesn't
+        make jobs or keys expire. Time without a leader doesn't count.
         """
         return self._base_ms + self._node.env.now() - self._started_ms
 
@@ -121,18 +138,18 @@
         self._on(message, origin)
 
     def close(self, response: Message) -> None:
-        """Answer all parked requests with a message, because this leader's epoch is over."""
+        """Answer all parked requests with `response`, because this leader's epoch has ended."""
         self._dispatcher.close(response)
         self._forward_reader.close(response)
 
     def tick(self) -> None:
-        """Dispatch items, and answer parked requests whose time is up."""
+        """Answer parked requests that are due, and end what has expired or is lost."""
         self._dispatcher.tick()
         self._forward_reader.tick()
 
     @singledispatchmethod
     def _on(self, message: Message, origin: Origin) -> None:
-        raise TypeError(type(message).__name__)
+        raise TypeError(f"expected a request to the leader, got {type(message).__name__}")
 
     # Requests about jobs.
 
@@ -186,7 +203,11 @@
             )
 
     def _cancelled(self, job: Job, outcome: str) -> JobResponse:
-        """Notify the edges that run the job and the readers of its results."""
+        """Return the response to a cancellation.
+
+        If it is committed, parked heartbeats of edges that run the job and parked reads of its
+        results are answered first.
+        """
         if outcome != AppendOutcome.COMMITTED:
             return job_response(outcome, job.job_id, job)
         self._dispatcher.answer_parked()
@@ -243,8 +264,11 @@
         self._keys.close(message, origin)
 
     def remove_expired(self) -> None:
-        """Remove what is over and past its retention time, by entries like any others."""
-        self._admission.sweep()
+        """Append the removal of keys and closed jobs whose retention period has passed.
+
+        It counts from the opening of the key or the admission of the job.
+        """
+        self._admission.drop_old_refusals()
         keep_ms = self._node.settings.keep_ms
         key_floor_ms = self.log_ms() - keep_ms
         job_floor_ms = self.log_ms() - _JOB_RETENTION_FACTOR * keep_ms
--- a/libs/batch_state/src/batch_state/messages/__init__.py
+++ b/libs/batch_state/src/batch_state/messages/__init__.py
@@ -1,12 +1,12 @@
 """Messages between the edges and the leader of the log: requests and their responses.
 
-A request that might run something late carries the leader's clock, `leader_ms`, as the edge last
-heard it; one that took too long is refused as stale, so that an outcome reported as unknown can't
-turn into a run long after. Fields that end in `_ms` are milliseconds. `epoch` is the leader's, and
-in ListingLease and AdvanceListing that of the listing lease.
+A request that may cause something to run carries the leader's epoch and monotonic clock, `epoch`
+and `leader_ms`, as the edge last received them. The leader refuses it as stale if it arrives too
+late, so that nothing runs long after its outcome was reported as unknown. Fields that end in `_ms`
+are in milliseconds. In ListingLease and AdvanceListing, `epoch` is that of the listing lease.
 
-The types are in one module per concern. A type that was renamed keeps its first name on the wire;
-the order and types of its fields must not change.
+Each module has the messages of one concern. A class that was renamed keeps its first name on the
+wire (`wire_name`); the order and types of a message's fields must not change.
 """
 
 from batch_state.messages.forward_jobs import (
--- a/libs/batch_state/src/batch_state/messages/forward_jobs.py
+++ b/libs/batch_state/src/batch_state/messages/forward_jobs.py
@@ -1,7 +1,7 @@
-"""Requests about forwarded jobs, whose items are calls that are passed on to workers.
+"""Requests about forwarded jobs, whose items are calls that are passed on to workers unchanged.
 
-`due_ms` and `keep_ms` of a submission are in milliseconds from now. `outcome` of a response is a
-`JobOutcome`, that of an item an `ItemResult`.
+`due_ms` and `keep_ms` of a submission are in milliseconds from its admission. The `outcome` of a
+response is a `JobOutcome`, that of an item an `ItemResult`.
 """
 
 from messaging import Message
@@ -23,8 +23,8 @@
 class ForwardItem(Message):
     """The call that an item of a forwarded job makes to a worker.
 
-    `headers` has names and values in turn, `part_ids` and `part_tokens` the parts of its prompt in
-    order.
+    `headers` has names and values alternately. `part_ids` and `part_tokens` are parallel lists of
+    the parts of the prompt, in order.
     """
 
     item_id: str
@@ -41,9 +41,9 @@
 class SubmitForwardJob(Message, wire_name="ForwardHandIn"):
     """Submit a job of forwarded calls.
 
-    `calls` are encoded ForwardItems, `tokens` what each counts for in the queue; `version` is the
-    number of the profiles at the edge.
-    From `keep_ms` on an item that hasn't ended is given up.
+    `calls` are encoded ForwardItems, and `tokens` how much each counts in the path's backlog.
+    `version` is the version of the profiles at the edge. Items that haven't ended after `keep_ms`
+    end as dead.
     """
 
     job_id: str
@@ -61,7 +61,10 @@
 
 
 class ForwardAssignment(Message, wire_name="ForwardWork"):
-    """A forwarded item to run within `remaining_ms`; `avoid` are the workers that failed on it."""
+    """A forwarded item to run within `remaining_ms`.
+
+    `call` is an encoded ForwardItem, and `avoid` names the workers that failed on the item.
+    """
 
     job_id: str
     index: int
@@ -73,9 +76,10 @@
 
 
 class ItemOutcome(Message, wire_name="ItemEnd"):
-    """How an attempt at an item of a forwarded job ended.
+    """The outcome of a claim of a forwarded item.
 
-    `outcome` is finished, dead (no worker can do it), failed (an attempt) or again (no attempt).
+    `outcome` is an `ItemResult`: finished, dead (no worker can run the item), failed (the attempt
+    failed) or again (no attempt was made, and the claim is returned).
     """
 
     job_id: str
@@ -87,14 +91,17 @@
 
 
 class ReportItemOutcomes(Message, wire_name="EndItems"):
-    """Report the ends of several forwarded items; `rows` are encoded ItemOutcomes."""
+    """Report the outcomes of several forwarded items; `rows` are encoded ItemOutcomes."""
 
     edge: str
     rows: list[bytes]
 
 
 class ListForwardResults(Message, wire_name="ReadPage"):
-    """List forwarded results; answered once there is one or after `wait_ms`."""
+    """List results of a forwarded job, as soon as there is one, or after `wait_ms`.
+
+    The page has at most `limit_bytes`, but its first result may be larger.
+    """
 
     job_id: str
     from_position: int
@@ -111,7 +118,7 @@
 
 
 class ListForwardResultsResponse(Message, wire_name="PageReceipt"):
-    """A page of encoded ForwardResults; `complete` says that no more will come."""
+    """A page of encoded ForwardResults; `complete` if the job lists no further results."""
 
     outcome: str
     rows: list[bytes]
@@ -127,7 +134,7 @@
 
 
 class GetItemResponse(Message, wire_name="ItemReceipt"):
-    """The response to GetItem: an encoded ForwardItem."""
+    """The response to GetItem; `call` is an encoded ForwardItem."""
 
     outcome: str
     call: bytes
--- a/libs/batch_state/src/batch_state/messages/heartbeats.py
+++ b/libs/batch_state/src/batch_state/messages/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats of edges, and what a store answers to any request that it can't serve.
+"""Heartbeats of edges, and the responses of a store to a request that it can't serve.
 
-A heartbeat reports free capacity and the items that run. Its response brings work, listing leases
-and the jobs that are over. `epoch` and `leader_ms` are the leader's epoch and monotonic clock in
-milliseconds; an edge puts them into the requests that must not be applied late.
+A heartbeat reports free capacity and running items. Its response carries items to run, listing
+leases and closed jobs. `epoch` and `leader_ms` are the leader's epoch and monotonic clock in
+milliseconds; edges copy them into the requests that must not be applied late.
 """
 
 from messaging import Message
@@ -13,8 +13,8 @@
 class EdgeHeartbeat(Message, wire_name="EdgeBeat"):
     """An edge's heartbeat.
 
-    `capacity` is how many items it could start now, on which `paths`; `running` are the items that
-    it runs, as JOB_ID#INDEX.
+    `capacity` is the number of items that the edge can start now on `paths`; `running` lists the
+    items that it runs, as JOB_ID#INDEX.
     """
 
     edge: str
@@ -27,9 +27,9 @@
 class EdgeHeartbeatResponse(Message, wire_name="HolderBeat"):
     """The response to EdgeHeartbeat.
 
-    `work` and `listing_leases` are encoded assignments and ListingLeases, `closed_jobs` the jobs
-    that are over. `waiting` counts the items that nobody has claimed, `paths` are those with such
-    items.
+    `work` has encoded assignments and `listing_leases` encoded ListingLeases. `closed_jobs` are the
+    closed jobs of which the edge reported running items. `waiting` is the number of unclaimed
+    items, except of rollouts; `paths` are the paths with unclaimed items.
     """
 
     epoch: int
@@ -50,14 +50,17 @@
 
 
 class NotLeader(Message, wire_name="NotHolder"):
-    """The response of a store that isn't the leader: the leader as far as it knows."""
+    """The response of a store that isn't the leader, with the leader that it knows."""
 
     epoch: int
     address: str
 
 
 class StaleRequest(Message, wire_name="Stale"):
-    """The stamp of a request is too old or of another epoch; this one would do."""
+    """The response to a request that is too old or of another epoch.
+
+    The same request with this epoch and clock would not be stale.
+    """
 
     epoch: int
     leader_ms: int
--- a/libs/batch_state/src/batch_state/messages/idempotency_keys.py
+++ b/libs/batch_state/src/batch_state/messages/idempotency_keys.py
@@ -1,6 +1,6 @@
-"""Requests about idempotency keys, under which a client sends what isn't safe to repeat.
+"""Requests about idempotency keys, which clients give to requests that aren't safe to repeat.
 
-`outcome` of a response is a `KeyOutcome`, `state` of CloseKey a `KeyState`.
+The `outcome` of a response is a `KeyOutcome`, the `state` of CloseKey a `KeyState`.
 """
 
 from messaging import Message
@@ -9,7 +9,7 @@
 
 
 class OpenKey(Message):
-    """Open a request that isn't safe to repeat, under a client's key."""
+    """Open an idempotency key for a request; `digest` is that of the request's content."""
 
     key: str
     digest: str
@@ -30,7 +30,7 @@
 
 
 class KeyResponse(Message, wire_name="KeyReceipt"):
-    """The response to OpenKey and CloseKey, with the final answer if it is recorded."""
+    """The response to OpenKey and CloseKey, with the final HTTP response if it is recorded."""
 
     outcome: str
     status: int
--- a/libs/batch_state/src/batch_state/messages/jobs.py
+++ b/libs/batch_state/src/batch_state/messages/jobs.py
@@ -1,8 +1,8 @@
-"""Requests about batch jobs of our own interface: submission, progress, results and reports.
+"""Requests about ordinary jobs: submission, state, results, and reports of edges.
 
-`due_ms` of a submission is in milliseconds from now, elsewhere in the log's own time. An item that
-isn't `safe` must not be run twice. `outcome` of a response is a `JobOutcome`, that of an item an
-`ItemResult`.
+The `due_ms` of a submission is in milliseconds from its admission, elsewhere in the log's own time.
+An item that isn't `safe` must not run twice. The `outcome` of a response is a `JobOutcome`, that of
+an item an `ItemResult` or another outcome that the edge reports.
 """
 
 from messaging import Message
@@ -23,7 +23,7 @@
 
 
 class SubmitJob(Message, wire_name="HandIn"):
-    """Submit a job; `digest`, that of the content, recognises the same submission sent again."""
+    """Submit a job; `digest`, that of the content, identifies a repeated submission."""
 
     job_id: str
     digest: str
@@ -36,7 +36,7 @@
 
 
 class JobResponse(Message, wire_name="LotReceipt"):
-    """The state of a job, or why there is none."""
+    """The response to requests about a job; without a job it has only the outcome and id."""
 
     outcome: str
     job_id: str
@@ -57,13 +57,13 @@
 
 
 class CancelJob(Message, wire_name="EndLot"):
-    """Cancel a job: what hasn't finished is not run any more."""
+    """Cancel a job: unfinished items are stopped or not started."""
 
     job_id: str
 
 
 class ListResults(Message, wire_name="ReadResults"):
-    """List results from an index on, at most `limit`."""
+    """List at most `limit` results from an index on."""
 
     job_id: str
     from_index: int
@@ -79,7 +79,7 @@
 
 
 class ListResultsResponse(Message, wire_name="ResultsReceipt"):
-    """A page of results: encoded ResultRows, and that `listed` of `total` are listed."""
+    """A page of encoded ResultRows, of a job that has listed `listed` of `total` results."""
 
     outcome: str
     rows: list[bytes]
@@ -101,7 +101,7 @@
 
 
 class ReportResult(Message, wire_name="Finish"):
-    """Report an item's result; the outcome `again` returns the claim, as it has not run."""
+    """Report an item's result; the outcome `again` returns the claim, as the item has not run."""
 
     job_id: str
     index: int
@@ -115,7 +115,8 @@
 class ReportResultResponse(Message, wire_name="FinishReceipt"):
     """The response to ReportResult, AdvanceListing and ReportItemOutcomes.
 
-    A `listing_epoch` above 0 grants the listing lease.
+    A `listing_epoch` above 0 means that the edge has the listing lease under that epoch, and may
+    list results up to the position `up_to`.
     """
 
     ok: bool
@@ -124,7 +125,7 @@
 
 
 class AdvanceListing(Message, wire_name="Place"):
-    """List the results of a job up to a position, under the listing lease's epoch."""
+    """List the results of a job up to a position, under a listing lease of this epoch."""
 
     job_id: str
     edge: str
--- a/libs/batch_state/src/batch_state/messages/rollouts.py
+++ b/libs/batch_state/src/batch_state/messages/rollouts.py
@@ -1,7 +1,6 @@
-"""Requests about rollouts: jobs of samples that run on capacity which is shared with training.
+"""Requests about rollouts: jobs of samples that run on capacity shared with training.
 
-The messages mirror those of ordinary jobs. A rollout's `due_ms` is in milliseconds from now, 0 for
-no deadline.
+They correspond to those of ordinary jobs.
 """
 
 from messaging import Message
@@ -10,7 +9,11 @@
 
 
 class SubmitRollout(Message, wire_name="RolloutHandIn"):
-    """Submit a rollout; `due_ms` is from now, 0 for no deadline."""
+    """Submit a rollout.
+
+    `due_ms` is in milliseconds from its admission, 0 for no deadline. The `items` are prompts, each
+    of which is sampled `samples` times.
+    """
 
     job_id: str
     digest: str
@@ -24,7 +27,7 @@
 
 
 class RolloutAssignment(Message, wire_name="RolloutWork"):
-    """A sample for an edge to run; `index` is `prompt` * samples of each prompt + `sample`."""
+    """A sample for an edge to run; `index` is `prompt` * samples per prompt + `sample`."""
 
     safe = True
     job_id: str
@@ -38,7 +41,7 @@
 
 
 class RolloutHeartbeat(Message, wire_name="RolloutBeat"):
-    """An EdgeHeartbeat with how many samples of rollouts may start, and on which paths."""
+    """An EdgeHeartbeat that adds how many samples of rollouts can start on `sample_paths`."""
 
     edge: str
     address: str
@@ -50,7 +53,11 @@
 
 
 class RolloutHeartbeatResponse(Message, wire_name="RolloutAnswer"):
-    """An EdgeHeartbeatResponse with how many samples run, and whether jobs need their slots."""
+    """An EdgeHeartbeatResponse with fields for rollouts.
+
+    `samples_out` is the number of samples that run or may start; `recalled` tells that other jobs
+    need their slots.
+    """
 
     epoch: int
     leader_ms: int
--- a/libs/batch_state/src/batch_state/result_reports.py
+++ b/libs/batch_state/src/batch_state/result_reports.py
@@ -1,4 +1,4 @@
-"""Reported results of items of our own interface, and of samples of rollouts."""
+"""Reported results of items of ordinary jobs and of samples of rollouts."""
 
 from messaging import Message
 
@@ -14,10 +14,11 @@
 
 
 class ResultReports:
-    """Logs reported results under one leader.
+    """Records reported results under one leader.
 
-    For items that aren't safe to repeat the answer waits until the result is committed: an edge
-    that forgot the item sooner would make it look as if it had never begun.
+    The response about an item that isn't safe to repeat waits until the result is committed. An
+    edge that dropped the item earlier would no longer report it as running, so if the result were
+    lost, the item would look as if it had never started and would run again.
     """
 
     __slots__ = ("_claims", "_forecast", "_leader", "_leases")
@@ -33,14 +34,14 @@
         self._forecast = forecast
 
     def report(self, message: ReportResult, reply: Reply) -> None:
-        """Log an item's result, or that its claim is returned."""
+        """Append an item's result, or the return of its claim."""
         job = self._leader.state.jobs.get(message.job_id)
         claimed_for_ms = self._claims.remove_claim(message.job_id, message.index)
         if job is None or job.cancelled or not 0 <= message.index < len(job.items):
             self._acknowledge(reply)
             return
         if claimed_for_ms is not None:
-            self._observe(job, message, claimed_for_ms)
+            self._record_duration(job, message, claimed_for_ms)
         entries = self._entries(job, message)
 
         def appended(outcome: str) -> None:
@@ -52,7 +53,7 @@
         self._leader.append(entries, not job.safe, appended, True)
 
     def _acknowledge(self, reply: Reply) -> None:
-        """Answer a report that changes nothing, once that is committed."""
+        """Respond to a report that changes nothing, once all earlier entries are committed."""
         self._leader.append(
             [],
             True,
@@ -64,8 +65,8 @@
             True,
         )
 
-    def _observe(self, job: Job, message: ReportResult, took_ms: int) -> None:
-        """Have the forecast learn how long an item took."""
+    def _record_duration(self, job: Job, message: ReportResult, took_ms: int) -> None:
+        """Pass the duration of an item of an ordinary job to the forecast, unless it hasn't run."""
         if (
             self._forecast is not None
             and not job.rollout
