--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -34,7 +34,7 @@
         "request_routing/src/request_routing/admission_queue.py",
         "return wait_ms + self.service_ms(lifecycle) <= _WAIT_SHARE * left_ms",
         "return False",
-        "tests/test_admission.py -k can_make_it",
+        "tests/test_admission.py -k meet_its_deadlines",
     ),
     "certain failures cost the budget": (
         "request_routing/src/request_routing/lifecycle.py",
@@ -46,7 +46,7 @@
         "request_routing/src/request_routing/request_router.py",
         "        self._finish(request, lifecycle.client_disconnected())",
         "        self._finish(request, lifecycle.no_worker_free(True))",
-        "tests/test_admission.py -k hangs_up",
+        "tests/test_admission.py -k disconnect",
     ),
     "a leaving worker is used": (
         "request_routing/src/request_routing/worker_registry.py",
@@ -265,7 +265,7 @@
         "return [ItemReturned(job_id=message.job_id, index=message.index, claim_number=message.claim_number)]",
         "if item.state != ItemState.CLAIMED:\n                return []\n            "
         "return [ItemReturned(job_id=message.job_id, index=message.index, claim_number=item.claim_number)]",
-        _CLAIMS + "handed_back_late",
+        _CLAIMS + "returned_late",
     ),
     "an item's failure counts under an old number": (
         "batch_state/src/batch_state/forward_completion.py",
--- a/tests/leader_fixture.py
+++ b/tests/leader_fixture.py
@@ -1,4 +1,4 @@
-"""A batch service with a clock, on a leader of the log whose appends commit when the test says so."""
+"""A batch service with a manual clock, under a fake leader of the log."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,11 @@
 
 
 class SingleNodeLeader:
-    """A leader of the log without followers; with `manual_commit` appends wait for `commit()`."""
+    """A leader of the log without followers.
+
+    Appends commit at once, or with `manual_commit` at the next `commit()`. With `full`, appends that
+    aren't urgent are refused.
+    """
 
     def __init__(self):
         self.epoch, self.deposed = 1, False
@@ -26,22 +30,22 @@
         self.full = self.manual_commit = False
         self.uncommitted = []
 
-    def append(self, rows, durable, done, urgent=False):
+    def append(self, entries, committed, done, urgent=False):
         if self.full and not urgent:
             done("full")
             return False
-        for row in rows:
-            self.state.apply(decode(encode(row)))
-        self.uncommitted.append((rows, done))
+        for entry in entries:
+            self.state.apply(decode(encode(entry)))
+        self.uncommitted.append((entries, done))
         if not self.manual_commit:
             self.commit()
         return True
 
     def commit(self):
-        rows, self.uncommitted = self.uncommitted, []
-        for entries, done in rows:
-            for row in entries:
-                self.committed_state.apply(decode(encode(row)))
+        appends, self.uncommitted = self.uncommitted, []
+        for entries, done in appends:
+            for entry in entries:
+                self.committed_state.apply(decode(encode(entry)))
             done("kept")
 
     def read(self, done):
@@ -49,7 +53,7 @@
 
 
 class FakeProfiles:
-    """Two routes; one of them has a backlog limit of a hundred tokens."""
+    """Profiles of two routes; route/a has a backlog limit of 100 tokens."""
 
     def __init__(self, *names):
         self.names = names or ("route/a", "route/b")
@@ -66,7 +70,11 @@
 
 
 class LeaderFixture:
-    """A batch service under a leader; `request` returns a number, `response` the answer to it."""
+    """A batch service under a leader.
+
+    `request` sends a request and returns its number; `response` returns the latest response to the
+    request of a number, or None.
+    """
 
     def __init__(self):
         self.now_ms = 50_000
@@ -90,15 +98,15 @@
         )
         self.service.attach(node)
         self.service.set_leader(self.leader)
-        self._ref = 0
+        self._request_number = 0
 
     def request(self, message):
-        self._ref += 1
-        self.service.receive(message, Origin("edge", self._ref))
-        return self._ref
+        self._request_number += 1
+        self.service.receive(message, Origin("edge", self._request_number))
+        return self._request_number
 
-    def response(self, ref):
-        return self.replies.get(ref, [None])[-1]
+    def response(self, number):
+        return self.replies.get(number, [None])[-1]
 
     def advance(self, wait_ms):
         self.now_ms += wait_ms
@@ -116,7 +124,7 @@
         version=7,
         attempts=3,
     ):
-        ids = [f"{job_id}-{place}" for place in range(len(tokens))]
+        ids = [f"{job_id}-{index}" for index in range(len(tokens))]
         return self.response(
             self.request(
                 messages.SubmitForwardJob(
@@ -149,8 +157,8 @@
             )
         )
 
-    def assignments(self, ref):
-        return [decode(row) for row in self.response(ref).work]
+    def assignments(self, number):
+        return [decode(row) for row in self.response(number).work]
 
     def report(self, work, outcome="finished", text=b"t", worker="w1", edge="e1"):
         rows = work if isinstance(work, list) else [work]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,7 @@
-"""Live calls at an edge that has no slot for them: who can make it waits, who can't is told so at once."""
+"""Live calls that find no free worker slot at an edge.
+
+The edge queues calls that can still meet their deadline, and refuses the others at once.
+"""
 
 from simulator import judge
 from simulator.runs import Run
@@ -7,33 +10,33 @@
 
 
 class Admission(TestCase):
-    def founded(self, seed=4, **sizes):
+    def started_fleet(self, seed=4, **sizes):
         run = Run(seed, **sizes)
         run.start()
         run.fleet.run_until_true(lambda: False, 900)
         return run, run.fleet
 
-    def crowd(self, run, count, span_ms=20.0, path="rulings"):
+    def send_burst(self, run, count, span_ms=20.0, path="rulings"):
         rows = []
-        for place in range(count):
+        for index in range(count):
             run.fleet.time.after(
-                span_ms * place / count, lambda: run.clients.live(path, done=rows.append)
+                span_ms * index / count, lambda: run.clients.live(path, done=rows.append)
             )
         run.fleet.run_until_true(lambda: len(rows) == count, 7000)
         self.assertThat(len(rows), Equals(count))
         return rows
 
-    def test_a_crowd_that_can_make_it_is_answered(self):
-        run, _ = self.founded()
-        self.crowd(run, 12, 600.0)
-        rows = self.crowd(run, 60)
+    def test_a_burst_that_can_meet_its_deadlines_is_answered(self):
+        run, _ = self.started_fleet()
+        self.send_burst(run, 12, 600.0)
+        rows = self.send_burst(run, 60)
         self.assertThat([row["code"] for row in rows if row["outcome"] != "finish"], Equals([]))
         self.assertThat(max(row["answered_ms"] - row["at_ms"] for row in rows) < 2000, Equals(True))
 
-    def test_who_cannot_make_it_is_told_at_once_with_a_time_to_come_back(self):
-        run, _ = self.founded()
-        self.crowd(run, 12, 600.0)
-        rows = self.crowd(run, 900)
+    def test_calls_that_cannot_meet_their_deadline_are_refused_at_once_with_a_retry_time(self):
+        run, _ = self.started_fleet()
+        self.send_burst(run, 12, 600.0)
+        rows = self.send_burst(run, 900)
         refused = [row for row in rows if row["outcome"] != "finish"]
         self.assertThat(len(refused) > 100 and len(rows) - len(refused) > 100, Equals(True))
         self.assertThat(
@@ -44,51 +47,51 @@
         self.assertThat((waited[len(waited) // 2] < 10, waited[-1] <= 1000), Equals((True, True)))
         self.assertThat(max(row["answered_ms"] - row["at_ms"] for row in rows) < 2000, Equals(True))
 
-    def test_a_moment_without_any_worker_is_waited_out(self):
-        run, fleet = self.founded()
-        self.crowd(run, 3)
+    def test_calls_wait_out_a_moment_without_any_worker(self):
+        run, fleet = self.started_fleet()
+        self.send_burst(run, 3)
         for worker in list(fleet.workers.values()):
             worker.leave()
         for name in ("late1", "late2"):
             fleet.time.after(350, lambda name=name: fleet.add_worker(name, ["gpu"]))
         fleet.time.run_until(fleet.time.now_ms + 10)
-        rows = self.crowd(run, 6)
+        rows = self.send_burst(run, 6)
         self.assertThat([row["outcome"] for row in rows], Equals(["finish"] * 6))
 
-    def test_an_edge_through_which_nothing_went_yet_waits_as_well(self):
+    def test_calls_wait_also_at_an_edge_that_has_served_none_yet(self):
         for seed in (6, 11, 15):
-            run, fleet = self.founded(seed)
+            run, fleet = self.started_fleet(seed)
             for worker in list(fleet.workers.values()):
                 worker.leave()
             fleet.time.after(350, lambda fleet=fleet: fleet.add_worker("late", ["gpu"]))
             fleet.time.run_until(fleet.time.now_ms + 10)
-            rows = self.crowd(run, 6)
+            rows = self.send_burst(run, 6)
             self.assertThat([row["outcome"] for row in rows], Equals(["finish"] * 6), seed)
 
-    def test_no_worker_for_long_is_told_at_once(self):
-        run, fleet = self.founded()
+    def test_calls_are_refused_at_once_after_a_long_time_without_workers(self):
+        run, fleet = self.started_fleet()
         for worker in list(fleet.workers.values()):
             worker.leave()
         fleet.time.run_until(fleet.time.now_ms + 3000)
-        row = self.crowd(run, 1)[0]
+        row = self.send_burst(run, 1)[0]
         self.assertThat(
             (row["code"], row["answered_ms"] - row["at_ms"] < 20), Equals(("no-worker", True))
         )
 
-    def test_a_worker_lost_with_many_in_flight_fails_none_of_them(self):
-        run, fleet = self.founded()
+    def test_a_worker_crash_with_many_calls_in_flight_fails_none_of_them(self):
+        run, fleet = self.started_fleet()
         for worker in fleet.workers.values():
             worker.slots, worker.event_ms = 20, 60.0
         fleet.run_until_true(lambda: False, 900)
         worker = next(iter(fleet.workers.values()))
         fleet.time.after(40, worker.crash)
-        rows = self.crowd(run, 45)
+        rows = self.send_burst(run, 45)
         self.assertThat(len(fleet.history.rows_of("send")) > 55, Equals(True))
         self.assertThat([row["code"] for row in rows if row["outcome"] == "error"], Equals([]))
         self.assertThat(judge(fleet.history), Equals({}))
 
-    def test_a_visitor_who_hangs_up_frees_the_slot_and_harms_nobody(self):
-        run, fleet = self.founded()
+    def test_a_client_disconnect_frees_the_slot_and_counts_as_no_failure(self):
+        run, fleet = self.started_fleet()
         for _ in range(12):
             run.clients.live("rulings", hangs_up_ms=30.0)
         fleet.time.run_until(fleet.time.now_ms + 120)
--- a/tests/test_batch_jobs.py
+++ b/tests/test_batch_jobs.py
@@ -1,4 +1,4 @@
-"""Guarantees of batch jobs on a simulated fleet, each under the one fault that threatens it."""
+"""Guarantees of batch jobs on a simulated fleet, each under the fault that could break it."""
 
 from batch_state import messages
 from simulator import judge
@@ -8,20 +8,20 @@
 
 
 class BatchJobs(TestCase):
-    def founded(self, seed=9):
+    def started_fleet(self, seed=9):
         run = Run(seed)
         run.start()
         run.fleet.run_until_true(lambda: False, 800)
         return run, run.fleet
 
-    def wait(self, fleet, check, limit_ms=8000):
+    def wait_until(self, fleet, check, limit_ms=8000):
         self.assertThat(bool(fleet.run_until_true(check, limit_ms)), Equals(True))
 
     def request(self, fleet, message):
         seen = []
         edge = next(host for host in fleet.with_role("edge") if host.up)
         edge.node.request(fleet.leader().address, message, 400, seen.append)
-        self.wait(fleet, lambda: seen)
+        self.wait_until(fleet, lambda: seen)
         return seen[0]
 
     def submit(self, fleet, job_id, age_ms=0, path="summaries", epoch=None):
@@ -41,7 +41,7 @@
         ).outcome
 
     def test_late_submissions_are_not_admitted(self):
-        run, fleet = self.founded()
+        run, fleet = self.started_fleet()
         settings = fleet.leader().settings
         for worker in fleet.workers.values():
             worker.crashed = True
@@ -55,10 +55,10 @@
             ("four", 200, None, "stale"),
             ("three", 0, None, "known"),
         ]
-        for job_id, age_ms, epoch, wanted in rows:
+        for job_id, age_ms, epoch, expected in rows:
             self.assertThat(
                 self.submit(fleet, job_id, age_ms, epoch=epoch),
-                Equals(wanted),
+                Equals(expected),
                 f"{job_id} {age_ms}",
             )
         self.request(fleet, messages.CancelJob(job_id="one"))
@@ -70,13 +70,13 @@
             self.lose_power_after_a_report(seed)
 
     def lose_power_after_a_report(self, seed):
-        run, fleet = self.founded(seed)
+        run, fleet = self.started_fleet(seed)
         history = fleet.history
         run.clients.submit("claims", 6)
-        self.wait(fleet, lambda: history.rows_of("run"))
+        self.wait_until(fleet, lambda: history.rows_of("run"))
         for host in fleet.with_role("store"):
             host.disk.flush_ms = 400.0
-        self.wait(fleet, lambda: history.rows_of("run-ended"))
+        self.wait_until(fleet, lambda: history.rows_of("run-ended"))
         fleet.time.run_until(fleet.time.now_ms + 30)
         for host in fleet.with_role("store"):
             host.lose_power()
@@ -88,11 +88,11 @@
         self.assertThat(history.rows_of("final")[0]["listed"], Equals(6))
 
     def test_a_partitioned_edge_stops_a_cancelled_job_in_time(self):
-        run, fleet = self.founded()
+        run, fleet = self.started_fleet()
         for worker in fleet.workers.values():
             worker.event_ms = 1500.0
         run.clients.submit("summaries", 12)
-        self.wait(
+        self.wait_until(
             fleet, lambda: any(host.node.job_runner.running() for host in fleet.with_role("edge"))
         )
         edges = sorted(fleet.with_role("edge"), key=lambda host: -host.node.job_runner.running())
@@ -101,31 +101,31 @@
         fleet.network.split([[edges[0].address], others])
         seen = []
         edges[1].node.leader_client.request(messages.CancelJob(job_id="lot1"), 2000, seen.append)
-        self.wait(fleet, lambda: seen)
+        self.wait_until(fleet, lambda: seen)
         self.assertThat(seen[0].outcome, Equals("known"))
         self.assertThat(edges[0].node.job_runner.running() > 0 and len(workers) == 3, Equals(True))
-        self.wait(
+        self.wait_until(
             fleet,
             lambda: not any(host.node.job_runner.running() for host in edges),
             edges[0].settings.end_ms,
         )
 
-    def test_the_backlog_limit_is_exact_in_a_crowd_through_every_edge(self):
-        run, fleet = self.founded()
+    def test_the_backlog_limit_is_exact_for_simultaneous_submissions_through_every_edge(self):
+        run, fleet = self.started_fleet()
         for worker in fleet.workers.values():
             worker.crashed = True
         rows = []
         for _ in range(20):
             run.clients.submit("summaries", 2, done=rows.append)
-        self.wait(fleet, lambda: len(rows) == 20)
+        self.wait_until(fleet, lambda: len(rows) == 20)
         outcomes = sorted(row["outcome"] for row in rows)
         self.assertThat(outcomes, Equals(["admitted"] * 3 + ["waiting-room-full"] * 17))
 
-    def test_all_finished_and_the_edge_with_the_listing_lease_lost(self):
-        run, fleet = self.founded()
+    def test_all_finished_results_are_listed_after_the_edge_with_the_listing_lease_was_lost(self):
+        run, fleet = self.started_fleet()
         run.clients.submit("summaries", 1)
         state = fleet.leader().node.log.leader.state
-        self.wait(fleet, lambda: state.jobs)
+        self.wait_until(fleet, lambda: state.jobs)
         job = next(iter(state.jobs.values()))
         while job.unfinished:
             fleet.time.run_until(fleet.time.now_ms + 0.2)
@@ -135,13 +135,13 @@
             for host in fleet.with_role("edge")
             if host.node.job_runner.edge == job.items[0].edge
         ).kill()
-        self.wait(fleet, lambda: job.listed == 1)
+        self.wait_until(fleet, lambda: job.listed == 1)
 
     def test_the_listing_lease_of_a_lost_edge_is_granted_again_under_a_higher_epoch(self):
-        run, fleet = self.founded()
+        run, fleet = self.started_fleet()
         run.clients.submit("summaries", 9)
         leader = fleet.leader().node.log.leader
-        self.wait(
+        self.wait_until(
             fleet,
             lambda: leader.state.jobs and next(iter(leader.state.jobs.values())).listing_epoch,
         )
@@ -152,9 +152,9 @@
             for host in fleet.with_role("edge")
             if host.node.job_runner.edge == job.listing_edge
         ).kill()
-        self.wait(fleet, lambda: job.listed == 9, 12000)
+        self.wait_until(fleet, lambda: job.listed == 9, 12000)
         self.assertThat(job.listing_epoch > before, Equals(True))
         stale = self.request(
-            fleet, messages.AdvanceListing(job_id="lot1", edge="whoever", epoch=before, up_to=9)
+            fleet, messages.AdvanceListing(job_id="lot1", edge="other", epoch=before, up_to=9)
         )
         self.assertThat(stale.ok, Equals(False))
--- a/tests/test_batch_state.py
+++ b/tests/test_batch_state.py
@@ -1,4 +1,4 @@
-"""The state machine; a state, its dump, its encoded entries and its copy are the same."""
+"""The state machine: the dump, the encoded entries and the copy of a state all rebuild it."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 def random_entries(seed):
-    """Entries in any order, some of which no longer apply."""
+    """Return random entries, some of which must have no effect because they don't apply."""
     rng = random.Random(seed)
     rows = []
     for job in range(4):
@@ -55,7 +55,7 @@
     return rows
 
 
-def snapshot_of(state):
+def comparable_state(state):
     jobs = {
         name: (
             job.listed,
@@ -95,25 +95,27 @@
                 dumped.apply(row)
             for row in cached.encoded():
                 encoded.apply(decode(row))
-            twin = state.copy()
-            for other in (dumped, encoded, twin):
-                self.assertThat(snapshot_of(other), Equals(snapshot_of(state)), f"seed {seed}")
+            copied = state.copy()
+            for other in (dumped, encoded, copied):
+                self.assertThat(
+                    comparable_state(other), Equals(comparable_state(state)), f"seed {seed}"
+                )
 
     def test_a_copy_is_independent(self):
         state = BatchState()
         for row in random_entries(1)[:4]:
             state.apply(row)
         state.apply(entries.KeyOpened(key="k", digest="d", edge="e", request_id="t", at_ms=1))
-        before = snapshot_of(state)
-        twin = state.copy()
+        before = comparable_state(state)
+        copied = state.copy()
         for row in (
             entries.ItemClaimed(job_id="l0", index=0, edge="e", claim_number=1),
             entries.JobCancelled(job_id="l2", at_ms=1),
             entries.KeyClosed(key="k", request_id="t", state="void", status=0, body="", at_ms=1),
         ):
-            twin.apply(row)
-        self.assertThat(snapshot_of(state), Equals(before))
-        self.assertThat(snapshot_of(twin) == before, Equals(False))
+            copied.apply(row)
+        self.assertThat(comparable_state(state), Equals(before))
+        self.assertThat(comparable_state(copied) == before, Equals(False))
 
     def test_results_are_listed_in_order_under_the_present_listing_lease(self):
         state = BatchState()
--- a/tests/test_forward_dispatch.py
+++ b/tests/test_forward_dispatch.py
@@ -1,4 +1,4 @@
-"""Forwarded jobs at the leader: dispatch, how items end, and reads of results."""
+"""Forwarded jobs at the leader: dispatch, completion of items, and reads of results."""
 
 from batch_state import messages
 from leader_fixture import SETTINGS, FakeProfiles, LeaderFixture
@@ -10,40 +10,40 @@
 class Dispatch(TestCase):
     def test_a_heartbeat_with_capacity_is_parked_until_there_is_work(self):
         fixture = LeaderFixture()
-        held, other, none = (
+        parked, other, none = (
             fixture.heartbeat("e1"),
             fixture.heartbeat("e2"),
             fixture.heartbeat("e3", capacity=0),
         )
         self.assertThat(
-            (fixture.response(held), fixture.response(other), fixture.response(none) is not None),
+            (fixture.response(parked), fixture.response(other), fixture.response(none) is not None),
             Equals((None, None, True)),
         )
         fixture.submit("one", (1,) * 6)
         self.assertThat(
-            (len(fixture.assignments(held)), len(fixture.assignments(other))), Equals((2, 2))
+            (len(fixture.assignments(parked)), len(fixture.assignments(other))), Equals((2, 2))
         )
         again = fixture.heartbeat("e1", running=["one#0", "one#1"])
         self.assertThat(len(fixture.assignments(again)), Equals(1))
 
     def test_a_parked_heartbeat_is_answered_in_time_and_by_a_leader_that_steps_down(self):
         fixture = LeaderFixture()
-        held = fixture.heartbeat()
+        parked = fixture.heartbeat()
         fixture.advance(199)
-        self.assertThat(fixture.response(held), Equals(None))
+        self.assertThat(fixture.response(parked), Equals(None))
         fixture.advance(1)
-        self.assertThat(fixture.response(held).work, Equals([]))
-        held = fixture.heartbeat()
+        self.assertThat(fixture.response(parked).work, Equals([]))
+        parked = fixture.heartbeat()
         fixture.service.set_leader(None)
         self.assertThat(
-            fixture.response(held), Equals(messages.NotLeader(epoch=9, address="10.0.0.9:1"))
+            fixture.response(parked), Equals(messages.NotLeader(epoch=9, address="10.0.0.9:1"))
         )
 
-    def test_an_edge_known_to_be_dead_loses_its_items(self):
+    def test_a_replaced_or_silent_edge_loses_its_items(self):
         fixture = LeaderFixture()
-        held = fixture.heartbeat("e1", address="10.0.0.1:1")
+        parked = fixture.heartbeat("e1", address="10.0.0.1:1")
         fixture.submit("one", (1, 1))
-        self.assertThat(len(fixture.assignments(held)), Equals(2))
+        self.assertThat(len(fixture.assignments(parked)), Equals(2))
         fixture.heartbeat("e9", capacity=0, address="10.0.0.1:1")
         fixture.advance(25)
         fresh = fixture.assignments(fixture.heartbeat("e2"))
@@ -54,17 +54,17 @@
             Equals([2, 3]),
         )
 
-    def test_edges_that_run_a_job_hear_that_it_was_cancelled(self):
+    def test_edges_that_run_a_job_are_notified_of_its_cancellation(self):
         fixture = LeaderFixture()
         fixture.submit("one", (1, 1))
         fixture.heartbeat("e1")
-        held = fixture.heartbeat("e1", running=["one#0", "one#1"])
+        parked = fixture.heartbeat("e1", running=["one#0", "one#1"])
         fixture.request(messages.CancelJob(job_id="one"))
-        self.assertThat(fixture.response(held).closed_jobs, Equals(["one"]))
+        self.assertThat(fixture.response(parked).closed_jobs, Equals(["one"]))
 
 
 class ItemCompletion(TestCase):
-    def test_how_items_end(self):
+    def test_reported_outcomes_list_an_item_or_dispatch_it_again(self):
         rows = [
             ("finished", ["finished"]),
             ("dead", ["dead"]),
@@ -108,7 +108,7 @@
         job = fixture.leader.state.jobs["one"]
         self.assertThat((job.listing_edge, job.listing_epoch), Equals(("e2", 2)))
 
-    def test_items_expire_with_their_time_or_their_route(self):
+    def test_items_end_when_they_expire_or_their_route_is_removed(self):
         fixture = LeaderFixture()
         fixture.submit("one", (1, 1), keep_ms=5000)
         fixture.submit("two", path="route/b")
@@ -119,12 +119,12 @@
         self.assertThat(
             [outcome for _, outcome in fixture.listed_results("one")], Equals(["finished", "dead"])
         )
-        for number, tree, listed in (
+        for number, profiles, listed in (
             (6, FakeProfiles("route/a"), 0),
             (7, FakeProfiles(), 0),
             (8, FakeProfiles("route/a"), 1),
         ):
-            fixture.profiles = (number, tree)
+            fixture.profiles = (number, profiles)
             fixture.advance(25)
             self.assertThat(len(fixture.listed_results("two")), Equals(listed), number)
 
@@ -135,17 +135,19 @@
         fixture.submit("one", (1, 1))
         work = fixture.assignments(fixture.heartbeat())
         fixture.leader.manual_commit = True
-        held, unheld = fixture.list_results("one", 0, 500), fixture.list_results("one")
+        parked, immediate = fixture.list_results("one", 0, 500), fixture.list_results("one")
         fixture.report(work[1])
-        self.assertThat((fixture.response(held), fixture.response(unheld).rows), Equals((None, [])))
+        self.assertThat(
+            (fixture.response(parked), fixture.response(immediate).rows), Equals((None, []))
+        )
         fixture.leader.commit()
-        page = fixture.response(held)
+        page = fixture.response(parked)
         self.assertThat(
             (page.total, page.complete, [decode(row).item_id for row in page.rows]),
             Equals((2, False, ["one-1"])),
         )
 
-    def test_a_read_is_answered_when_its_time_is_up_the_job_over_or_the_leader_another(self):
+    def test_a_parked_read_is_answered_on_timeout_cancellation_or_loss_of_leadership(self):
         fixture = LeaderFixture()
         fixture.submit("one", (1, 1))
         late, ended = fixture.list_results("one", 0, 100), fixture.list_results("one", 0, 500)
@@ -160,9 +162,9 @@
             Equals((True, True)),
         )
         fixture.submit("two")
-        held = fixture.list_results("two", 0, 500)
+        parked = fixture.list_results("two", 0, 500)
         fixture.service.set_leader(None)
-        self.assertThat(type(fixture.response(held)), Equals(messages.NotLeader))
+        self.assertThat(type(fixture.response(parked)), Equals(messages.NotLeader))
 
     def test_missing_only_if_neither_committed_nor_logged(self):
         fixture = LeaderFixture()
@@ -171,7 +173,7 @@
         fixture.submit("one")
         self.assertThat(fixture.response(fixture.list_results("one")).outcome, Equals("unknown"))
 
-    def test_a_page_is_bounded_but_has_one_result_at_least(self):
+    def test_a_page_is_bounded_but_has_at_least_one_result(self):
         fixture = LeaderFixture()
         fixture.submit("one", (1, 1, 1))
         for row, size in zip(
@@ -184,16 +186,16 @@
         ]
         self.assertThat(sizes, Equals([1, 2, 1, 0]))
 
-    def test_calls_of_items_that_are_not_listed(self):
+    def test_only_calls_of_unfinished_items_are_returned(self):
         fixture = LeaderFixture()
         fixture.submit("one", (1, 1))
         fixture.report(fixture.assignments(fixture.heartbeat())[0])
-        asks = {
+        responses = {
             name: fixture.response(fixture.request(messages.GetItem(job_id=job, item_id=name)))
             for job, name in (("one", "one-0"), ("one", "one-1"), ("one", "x"), ("two", "two-0"))
         }
         self.assertThat(
-            {name: (response.outcome, response.call) for name, response in asks.items()},
+            {name: (response.outcome, response.call) for name, response in responses.items()},
             Equals(
                 {
                     "one-0": ("missing", b""),
--- a/tests/test_forward_jobs.py
+++ b/tests/test_forward_jobs.py
@@ -10,7 +10,7 @@
 
 
 def random_entries(seed):
-    """Entries in any order, some of which no longer apply."""
+    """Return random entries, some of which must have no effect because they don't apply."""
     rng = random.Random(seed)
     rows = [
         entries.ForwardJobAdmitted(
@@ -72,7 +72,7 @@
 
 
 def apply_all(state, rows):
-    """Apply entries as the leader does, which counts an attempt that failed on top of those before it."""
+    """Apply entries, with `failures` of AttemptFailed set as the leader does: one more than before."""
     for row in rows:
         if isinstance(row, entries.AttemptFailed):
             job = state.jobs.get(row.job_id)
@@ -85,7 +85,7 @@
         state.apply(row)
 
 
-def snapshot_of(state):
+def comparable_state(state):
     jobs = {
         name: (
             job.order,
@@ -131,7 +131,9 @@
             for row in state.encoded():
                 encoded.apply(decode(row))
             for other in (dumped, encoded, state.copy()):
-                self.assertThat(snapshot_of(other), Equals(snapshot_of(state)), f"seed {seed}")
+                self.assertThat(
+                    comparable_state(other), Equals(comparable_state(state)), f"seed {seed}"
+                )
             self.assertThat(
                 sum(state.waiting_tokens.values()),
                 Equals(sum(job.tokens for job in state.open_jobs.values())),
@@ -188,7 +190,7 @@
         fixture.now_ms += 1
         self.assertThat(fixture.submit("seven", (40,)).outcome, Equals("admitted"))
 
-    def test_what_was_refused_runs_only_under_a_later_stamp(self):
+    def test_a_refused_job_is_admitted_only_with_a_later_clock_value(self):
         fixture = LeaderFixture()
         fixture.submit("one", (100,))
         self.assertThat(fixture.submit("two", (1,)).outcome, Equals("no_room"))
@@ -201,7 +203,7 @@
         fixture.now_ms += 1
         self.assertThat(fixture.submit("two", (1,)).outcome, Equals("admitted"))
 
-    def test_older_profiles_than_the_edges_refuse_nothing(self):
+    def test_profiles_older_than_those_of_the_edge_refuse_nothing(self):
         fixture = LeaderFixture()
         rows = [
             ("route/c", 8, "unknown"),
@@ -216,7 +218,7 @@
                 (path, version),
             )
 
-    def test_answered_once_committed_and_known_ever_after(self):
+    def test_a_submission_is_answered_once_committed_and_is_known_afterwards(self):
         fixture = LeaderFixture()
         fixture.leader.manual_commit = True
         self.assertThat(fixture.submit("one"), Equals(None))
--- a/tests/test_forward_jobs_sim.py
+++ b/tests/test_forward_jobs_sim.py
@@ -1,5 +1,8 @@
-"""Forwarded jobs on a simulated fleet with simulated workers: what is admitted is listed once, in one
-order at every edge, while the leader of the log, an edge or a store is lost in the middle.
+"""Forwarded jobs on a simulated fleet with simulated workers.
+
+Each item of an admitted job is listed once, and every edge shows the results in the same order, also
+if the leader of the log is killed, frozen or loses power or its disk, or an edge is killed, while the
+jobs run.
 """
 
 import json
@@ -23,16 +26,16 @@
 
 
 class ForwardJobClients:
-    """Clients of forwarded jobs at any edge, and workers that answer the calls event by event."""
+    """Clients that use forwarded jobs through random edges, and workers that stream their responses."""
 
     def __init__(self, seed):
         self.run = Run(seed)
         self.run.start()
         self.fleet = self.run.fleet
         self.time = self.fleet.time
-        self.runs = []
-        self.read = {}
-        self.total = {}
+        self.calls = []
+        self.results = {}
+        self.item_counts = {}
         listed = json.dumps(
             {
                 "workers": {
@@ -61,14 +64,14 @@
         def send(send, address, target, headers, body, method="POST"):
             state = {"open": True}
             pairs = dict(headers)
-            self.runs.append((self.time.now_ms, pairs["Id"]))
+            self.calls.append((self.time.now_ms, pairs["Id"]))
             first = int(pairs["Last-Event-Id"]) + 1 if "Last-Event-Id" in pairs else 0
 
-            def play(number):
+            def send_event(number):
                 if not (state["open"] and host.up and host.incarnation == incarnation):
                     return
                 if host.frozen:
-                    self.time.after(50, lambda: play(number))
+                    self.time.after(50, lambda: send_event(number))
                 elif number == first - 1:
                     send.head(
                         200,
@@ -80,16 +83,16 @@
                         ],
                         None,
                     )
-                    self.time.after(GAP_MS, lambda: play(first))
+                    self.time.after(GAP_MS, lambda: send_event(first))
                 elif number < EVENTS:
                     send.data(b"id: %d\ndata: %s-%d\n\n" % (number, pairs["Id"].encode(), number))
                     self.time.after(
-                        GAP_MS * (0.5 + self.time.rng.random()), lambda: play(number + 1)
+                        GAP_MS * (0.5 + self.time.rng.random()), lambda: send_event(number + 1)
                     )
                 else:
                     send.end()
 
-            self.time.after(2.0, lambda: play(first - 1))
+            self.time.after(2.0, lambda: send_event(first - 1))
             return lambda: state.update(open=False)
 
         return send
@@ -112,13 +115,13 @@
             )
             for number in range(count)
         ]
-        began_ms = self.time.now_ms
+        started_ms = self.time.now_ms
 
         def on_answer(answer):
             if answer.status == 202:
-                self.total[job_id] = count
+                self.item_counts[job_id] = count
                 if done is not None:
-                    done(self.time.now_ms - began_ms)
+                    done(self.time.now_ms - started_ms)
             elif tries:
                 self.time.after(50, lambda: self.submit(job_id, count, done, tries - 1))
 
@@ -126,26 +129,26 @@
             job_id, "summaries", items, [5] * count, 2000, on_answer
         )
 
-    def follow(self, job_id):
-        """Read until all results are there; results that were read before must not have changed."""
-        rows = self.read.setdefault(job_id, [])
+    def read_results(self, job_id):
+        """Read until all results are listed; results read before must not have changed."""
+        rows = self.results.setdefault(job_id, [])
         position = 0 if self.time.rng.random() < 0.2 else len(rows)
-        state = {"over": False}
+        state = {"done": False}
 
         def on_answer(answer):
-            if state["over"]:
+            if state["done"]:
                 return
-            state["over"] = True
+            state["done"] = True
             if answer is not None and answer.status == 200:
                 page = [(row.item_id, row.outcome, row.text) for row in answer.value.results]
                 for index, row in enumerate(page, position):
                     if index < len(rows) and rows[index] != row:
                         raise AssertionError(f"{job_id} {index}: {rows[index]} and then {row}")
                 rows[position : position + len(page)] = page
-            if len(rows) < self.total[job_id]:
+            if len(rows) < self.item_counts[job_id]:
                 self.time.after(
                     100 if answer is not None and answer.status == 200 else 300,
-                    lambda: self.follow(job_id),
+                    lambda: self.read_results(job_id),
                 )
 
         self.time.after(2500, lambda: on_answer(None))
@@ -155,78 +158,80 @@
 
 
 class ForwardJobs(TestCase):
-    def all_read(self, clients, jobs, limit_ms=15_000):
+    def assert_all_read(self, clients, jobs, limit_ms=15_000):
         def done():
-            return len(clients.total) == jobs and all(
-                len(clients.read.get(job_id, [])) == count
-                for job_id, count in clients.total.items()
+            return len(clients.item_counts) == jobs and all(
+                len(clients.results.get(job_id, [])) == count
+                for job_id, count in clients.item_counts.items()
             )
 
         self.assertThat(bool(clients.fleet.run_until_true(done, limit_ms)), Equals(True))
-        for job_id, rows in clients.read.items():
+        for job_id, rows in clients.results.items():
             texts = {
                 f"{job_id}.{number}": b"\n".join(
                     b"%s.%d-%d" % (job_id.encode(), number, event) for event in range(EVENTS)
                 )
-                for number in range(clients.total[job_id])
+                for number in range(clients.item_counts[job_id])
             }
             self.assertThat({item: text for item, _, text in rows}, Equals(texts))
             self.assertThat({outcome for _, outcome, _ in rows}, Equals({"finished"}))
 
-    def begin(self, seed, jobs=3, items=20):
+    def submit_jobs(self, seed, jobs=3, items=20):
         clients = ForwardJobClients(seed)
-        took = []
+        durations_ms = []
         for number in range(jobs):
             job_id = f"lot{number}"
             clients.submit(
-                job_id, items, lambda ms, job_id=job_id: (took.append(ms), clients.follow(job_id))
+                job_id,
+                items,
+                lambda ms, job_id=job_id: (durations_ms.append(ms), clients.read_results(job_id)),
             )
-        return clients, took
+        return clients, durations_ms
 
-    def test_a_calm_job_is_admitted_dispatched_and_listed_at_once(self):
-        clients, took = self.begin(3, 2, 9)
-        began_ms = clients.time.now_ms
-        self.all_read(clients, 2)
+    def test_without_faults_jobs_are_admitted_dispatched_and_listed_at_once(self):
+        clients, durations_ms = self.submit_jobs(3, 2, 9)
+        started_ms = clients.time.now_ms
+        self.assert_all_read(clients, 2)
         self.assertThat(
             (
-                max(took) < 60,
-                max(at_ms for at_ms, _ in clients.runs) - began_ms < 500,
-                len(clients.runs),
+                max(durations_ms) < 60,
+                max(at_ms for at_ms, _ in clients.calls) - started_ms < 500,
+                len(clients.calls),
             ),
             Equals((True, True, 18)),
         )
 
-    def test_the_leader_lost_in_the_middle(self):
-        for seed, how in ((1, "kill"), (2, "freeze"), (3, "lose_power"), (4, "lose_disk")):
-            clients, _ = self.begin(seed)
+    def test_all_results_are_listed_after_the_leader_was_lost(self):
+        for seed, fault in ((1, "kill"), (2, "freeze"), (3, "lose_power"), (4, "lose_disk")):
+            clients, _ = self.submit_jobs(seed)
             clients.time.run_until(clients.time.now_ms + 80 + 40 * seed)
             leader = clients.fleet.leader()
-            getattr(leader, how)()
-            clients.submit("late", 5, lambda ms, clients=clients: clients.follow("late"))
-            if how == "freeze":
+            getattr(leader, fault)()
+            clients.submit("late", 5, lambda ms, clients=clients: clients.read_results("late"))
+            if fault == "freeze":
                 clients.time.after(4000, leader.wake)
-            self.all_read(clients, 4)
+            self.assert_all_read(clients, 4)
 
-    def test_an_edge_lost_in_the_middle(self):
-        clients, _ = self.begin(5, 3, 30)
+    def test_all_results_are_listed_after_an_edge_was_lost(self):
+        clients, _ = self.submit_jobs(5, 3, 30)
         clients.time.run_until(clients.time.now_ms + 120)
         lost = max(clients.fleet.with_role("edge"), key=lambda host: host.node.job_runner.running())
         lost.kill()
-        began_ms = clients.time.now_ms
-        self.all_read(clients, 3)
-        self.assertThat(clients.time.now_ms - began_ms < 4000, Equals(True))
+        started_ms = clients.time.now_ms
+        self.assert_all_read(clients, 3)
+        self.assertThat(clients.time.now_ms - started_ms < 4000, Equals(True))
 
-    def test_cancelled_everywhere_in_time(self):
-        clients, _ = self.begin(6, 1, 60)
+    def test_a_cancelled_job_stops_at_every_edge(self):
+        clients, _ = self.submit_jobs(6, 1, 60)
         clients.time.run_until(clients.time.now_ms + 60)
         answers = []
         clients.edges()[0].node.forward_job_service.cancel("lot0", answers.append)
         clients.fleet.run_until_true(lambda: answers, 2000)
         self.assertThat(answers[0].status, Equals(200))
         clients.time.run_until(clients.time.now_ms + 100)
-        count = len(clients.runs)
+        count = len(clients.calls)
         clients.time.run_until(clients.time.now_ms + 3000)
         self.assertThat(
-            (len(clients.runs), sum(host.node.job_runner.running() for host in clients.edges())),
+            (len(clients.calls), sum(host.node.job_runner.running() for host in clients.edges())),
             Equals((count, 0)),
         )
--- a/tests/test_late_claims.py
+++ b/tests/test_late_claims.py
@@ -1,5 +1,5 @@
-"""Claims of items at edges and at the leader: notices that come late, results of a former claim, and edges that were
-frozen. What may not be repeated is started under one claim only.
+"""Claims of items at edges and at the leader: late notifications, outcomes reported under an earlier
+claim, and edges that stood still. An item that isn't safe to repeat must run under one claim only.
 """
 
 from types import SimpleNamespace
@@ -17,10 +17,10 @@
 
 
 class LeaderStub:
-    """What an edge knows of the leader; keeps the requests to it."""
+    """Stands in for the edge's client of the leader; records the requests to it."""
 
     def __init__(self):
-        self.epoch, self.heartbeat_answered_ms, self.asked = 5, 0, []
+        self.epoch, self.heartbeat_answered_ms, self.requests = 5, 0, []
 
     def address(self):
         return "h:1"
@@ -29,18 +29,18 @@
         self.epoch = max(self.epoch, response.epoch)
         self.heartbeat_answered_ms = sent_ms
 
-    def redirected(self, receipt):
+    def redirected(self, response):
         return False
 
     def request(self, message, wait_ms, done):
-        self.asked.append((message, done))
+        self.requests.append((message, done))
 
 
 class Runner:
-    """An edge's job runner, with its heartbeats answered by hand."""
+    """An edge's job runner; the test answers its heartbeats and ends its items."""
 
     def __init__(self):
-        self.now_ms, self.heartbeats, self.started, self.cancelled, self.ends = (
+        self.now_ms, self.heartbeats, self.started, self.cancelled, self.done_callbacks = (
             10_000,
             [],
             [],
@@ -63,7 +63,7 @@
 
     def _start(self, work, done):
         self.started.append((work.index, work.claim_number))
-        self.ends[work.index] = done
+        self.done_callbacks[work.index] = done
         return lambda: self.cancelled.append(work.index)
 
     def answer(self, index, number, safe=True, epoch=5, heartbeat=-1):
@@ -85,12 +85,12 @@
     def reported(self):
         return [
             (row.index, row.claim_number, row.outcome)
-            for row, _ in self.leader.asked
+            for row, _ in self.leader.requests
             if isinstance(row, messages.ReportResult)
         ]
 
 
-class AtTheEdge(TestCase):
+class ClaimsAtEdge(TestCase):
     def test_work_of_a_superseded_leader_is_not_started(self):
         for epoch, started in ((4, []), (5, [(0, 1)]), (6, [(0, 1)])):
             runner = Runner()
@@ -101,13 +101,13 @@
         runner = Runner()
         runner.answer(0, 1)
         runner.answer(0, 2)
-        runner.ends[0]("ran", "{}", "w")
+        runner.done_callbacks[0]("ran", "{}", "w")
         runner.answer(0, 3)
         self.assertThat((runner.started, runner.reported()), Equals(([(0, 1)], [(0, 1, "ran")])))
 
-    def test_an_edge_that_stood_still_stops_what_it_ran_and_says_once_what_came_of_it(self):
-        """What may be repeated is handed back under its claim; of the rest nobody can say."""
-        for gap_ms, safe, ends in (
+    def test_an_edge_that_stood_still_stops_its_items_and_reports_them_once(self):
+        """Items that are safe to repeat are returned under their claim; others end as may_have_run."""
+        for gap_ms, safe, reports in (
             (1500, True, []),
             (1501, True, [(0, 1, "again")]),
             (1501, False, [(0, 1, "may_have_run")]),
@@ -117,12 +117,14 @@
             runner.now_ms += gap_ms
             runner.jobs.resumed(gap_ms)
             self.assertThat(
-                (runner.reported(), runner.cancelled), Equals((ends, [0] if ends else [])), gap_ms
+                (runner.reported(), runner.cancelled),
+                Equals((reports, [0] if reports else [])),
+                gap_ms,
             )
-            runner.ends[0]("ran", "{}", "w")
+            runner.done_callbacks[0]("ran", "{}", "w")
             self.assertThat(len(runner.reported()), Equals(1))
 
-    def test_a_silent_leader_ends_the_claims(self):
+    def test_claims_end_while_the_leader_is_silent(self):
         runner = Runner()
         runner.answer(0, 1, safe=False)
         runner.now_ms += SETTINGS.claim_timeout_ms + 1
@@ -130,10 +132,10 @@
         self.assertThat(runner.reported(), Equals([(0, 1, "may_have_run")]))
 
 
-class AtTheLeader(TestCase):
-    """Rows: which ends come, each under the number of its claim and from its edge, and how the item stands."""
+class ClaimsAtLeader(TestCase):
+    """Outcomes reported under an earlier claim, and the state of the item afterwards."""
 
-    def test_ends_of_a_former_claim_of_a_forwarded_item(self):
+    def test_outcomes_under_an_earlier_claim_of_a_forwarded_item(self):
         for outcome, state, listed in (
             ("again", ("claimed", 2, "e2"), []),
             ("failed", ("claimed", 2, "e2"), []),
@@ -142,18 +144,18 @@
         ):
             fixture = LeaderFixture()
             fixture.submit("one")
-            former = fixture.assignments(fixture.heartbeat("e1"))[0]
-            fixture.report(former, "again", edge="e1")
+            earlier = fixture.assignments(fixture.heartbeat("e1"))[0]
+            fixture.report(earlier, "again", edge="e1")
             present = fixture.assignments(fixture.heartbeat("e2"))[0]
-            fixture.report(former, outcome, text=b"former", edge="e1")
+            fixture.report(earlier, outcome, text=b"former", edge="e1")
             item = fixture.leader.state.jobs["one"].items[0]
-            shown = (
+            present_state = (
                 (item.state, None, None)
                 if item.state == "finished"
                 else (item.state, item.claim_number, item.edge)
             )
             self.assertThat(
-                (shown, [row[1] for row in fixture.listed_results("one")]),
+                (present_state, [row[1] for row in fixture.listed_results("one")]),
                 Equals((state, listed)),
             )
             fixture.report(present, "finished", text=b"present", edge="e2")
@@ -163,7 +165,7 @@
                 outcome,
             )
 
-    def test_a_failure_of_a_former_claim_uses_up_no_attempt(self):
+    def test_a_failure_under_an_earlier_claim_uses_up_no_attempt(self):
         fixture = LeaderFixture()
         fixture.submit("one", attempts=3)
         claims = []
@@ -171,14 +173,14 @@
             claims.append(fixture.assignments(fixture.heartbeat("e1"))[0])
             fixture.report(claims[-1], "failed", edge="e1")
         present = fixture.assignments(fixture.heartbeat("e2"))[0]
-        for former in claims:
-            fixture.report(former, "failed", edge="e1")
+        for earlier in claims:
+            fixture.report(earlier, "failed", edge="e1")
         self.assertThat(fixture.listed_results("one"), Equals([]))
         fixture.report(present, "failed", edge="e2")
         self.assertThat([row[1] for row in fixture.listed_results("one")], Equals(["dead"]))
 
-    def test_a_claim_handed_back_late_leaves_the_present_one(self):
-        """An item of our own interface: only under the number of the present claim is it dealt again."""
+    def test_a_claim_returned_late_leaves_the_present_one(self):
+        """An item of an ordinary job is dispatched again only if its present claim is returned."""
         fixture = LeaderFixture()
         fixture.leader.append(
             [
@@ -196,16 +198,16 @@
             lambda outcome: None,
         )
         first = fixture.assignments(fixture.heartbeat("e1"))[0]
-        self.finish(fixture, first, "again", "e1")
+        self.report_result(fixture, first, "again", "e1")
         second = fixture.assignments(fixture.heartbeat("e2"))[0]
-        self.finish(fixture, first, "again", "e1")
+        self.report_result(fixture, first, "again", "e1")
         item = fixture.leader.state.jobs["l"].items[0]
         self.assertThat(
             (first.claim_number, second.claim_number, item.state, item.edge, item.claim_number),
             Equals((1, 2, "claimed", "e2", 2)),
         )
 
-    def finish(self, fixture, work, outcome, edge):
+    def report_result(self, fixture, work, outcome, edge):
         fixture.request(
             messages.ReportResult(
                 job_id=work.job_id,
