--- a/libs/batch_state/src/batch_state/interfaces.py
+++ b/libs/batch_state/src/batch_state/interfaces.py
@@ -87,7 +87,7 @@
         """Return encoded results from an index on, or None if the file can't be read.
 
         There are at most `limit`, and perhaps fewer than the job has, but at least one unless
-        the index is at or beyond the last listed result.
+        the index is beyond the last listed result.
         """
         ...
 
@@ -104,7 +104,7 @@
         ...
 
     def backlog_limit(self, path: str, /) -> int | None:
-        """Return how many ordinary jobs may be open on a path, or None if it isn't usable."""
+        """Return how many jobs, except rollouts, may be open on a path; None if it isn't usable."""
         ...
 
 
--- a/libs/batch_state/src/batch_state/item_selection.py
+++ b/libs/batch_state/src/batch_state/item_selection.py
@@ -41,7 +41,7 @@
     log_ms
         Returns the log's own time in milliseconds.
     forecast
-        Is given the capacity that edges report for rollouts; None if rollouts aren't dispatched.
+        Records the heartbeats of edges that run rollouts; None if rollouts aren't dispatched.
     recalled
         Returns whether rollouts must yield, because a job may miss its deadline.
     """
--- a/libs/batch_state/src/batch_state/jobs.py
+++ b/libs/batch_state/src/batch_state/jobs.py
@@ -78,7 +78,7 @@
     """A job and the state of its items.
 
     `pending` holds the indexes of waiting items in the order of dispatch, and `claims` the claimed
-    items by index. `listed` is the number of listed results, `tokens` that of the tokens of items
+    items by index. `listed` is the number of listed results, `tokens` the number of tokens of items
     that haven't ended. `listing_edge` has the listing lease, under `listing_epoch`. `archived` is
     set once the results are in an archive file; `items` is then empty. `cached_entries` are the
     encoded entries for snapshots.
--- a/libs/batch_state/src/batch_state/outcomes.py
+++ b/libs/batch_state/src/batch_state/outcomes.py
@@ -34,9 +34,9 @@
     KNOWN: the job exists, and the response describes it. MISSING: there is no such job or item.
     CONFLICT: the id belongs to a submission with other content. BACKLOG_FULL: the path's backlog
     limit is reached. UNKNOWN_PATH: no profile in force accepts such jobs on the path. BEYOND_END:
-    the read starts beyond the job's last item. STALE: the request's epoch isn't the leader's or
-    its timestamp is too old. FULL: the stores have no space. UNKNOWN: the request may or may not
-    have been applied, or the answer to a read isn't known.
+    the read starts at an index above the job's total. STALE: the request is of another epoch of the
+    leader, too old, or a copy of one that was refused. FULL: the stores have no space. UNKNOWN: the
+    request may or may not have been applied, or the answer to a read isn't known.
     """
 
     ADMITTED = "admitted"
