--- a/libs/replicated_log/src/replicated_log/configuration.py
+++ b/libs/replicated_log/src/replicated_log/configuration.py
@@ -1,6 +1,6 @@
 """The configuration of the log: its epoch, its leader and its members.
 
-It is the JSON value of the control key `log`, which only compare-and-set changes.
+It is stored as the JSON value of the control key `log` and changed only by compare-and-set.
 """
 
 import json
@@ -12,11 +12,11 @@
 LOG_KEY = "log"
 
 MemberRow = dict[str, str]
-"""A store in the configuration: `identity`, `address` and, in newer values, `zone`."""
+"""A store in the configuration: `identity`, `address` and `zone`; old values have no `zone`."""
 
 
 class ReplicaAddress(NamedTuple):
-    """A member of the log and where it is reached, IP:PORT."""
+    """The identity of a replica and its address, IP:PORT."""
 
     identity: str
     address: str
@@ -28,17 +28,17 @@
 
 
 class Phase(StrEnum):
-    """Whether the leader of the epoch still recovers the log or serves."""
+    """Whether the leader of the epoch is still recovering the log or serves."""
 
     RECOVERING = "recovering"
     SERVING = "serving"
 
 
 class LogConfiguration:
-    """One value of the control key.
+    """One value of the log's control key.
 
-    A leader that is `recovering` recovers from `previous_members` and serves with `members`. Epoch
-    0 stands for a log that hasn't been bootstrapped.
+    In the phase RECOVERING the leader recovers the log from `previous_members` and will serve with
+    `members`. Epoch 0 means that the log hasn't been bootstrapped.
     """
 
     __slots__ = ("epoch", "leader", "members", "phase", "previous_members")
@@ -64,7 +64,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> "LogConfiguration":
-        """Read the value of the control key."""
+        """Parse the JSON value of the control key."""
         value = json.loads(text)
         return cls(
             value["epoch"],
@@ -75,7 +75,7 @@
         )
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the value of the control key, which is empty for an absent configuration."""
+        """Return the value of the control key; a log that isn't bootstrapped has an empty one."""
         if not self.exists:
             return {}
         return {
@@ -87,7 +87,7 @@
         }
 
     def to_json(self) -> str:
-        """Return the value of the control key as it is stored."""
+        """Return the JSON value of the control key."""
         return json.dumps(self.as_dict())
 
     @property
@@ -97,7 +97,7 @@
 
     @property
     def names(self) -> list[str]:
-        """The identities of the members in order."""
+        """The identities of the members, in their configured order."""
         return [row["identity"] for row in self.members]
 
     @property
@@ -106,15 +106,15 @@
         return next((row["address"] for row in self.members if row["identity"] == self.leader), "")
 
     def recovery_members(self) -> list[MemberRow]:
-        """Return the members that a recovery has to ask."""
+        """Return the members from which the log has to be recovered."""
         return self.previous_members if self.phase is Phase.RECOVERING else self.members
 
     def serving(self) -> "LogConfiguration":
-        """Return the configuration in which the leader of this one serves."""
+        """Return the same configuration in the phase SERVING."""
         return self.with_members(self.members, Phase.SERVING)
 
     def with_members(
         self, members: list[MemberRow], phase: Phase | None = None
     ) -> "LogConfiguration":
-        """Return the configuration with other members, from which it would be recovered too."""
+        """Return the configuration with other members, which are also those to recover from."""
         return LogConfiguration(self.epoch, self.leader, phase or self.phase, members, members)
--- a/libs/replicated_log/src/replicated_log/configuration_key.py
+++ b/libs/replicated_log/src/replicated_log/configuration_key.py
@@ -1,4 +1,4 @@
-"""The control key of the log as one store knows it."""
+"""A store's copy of the log's control key."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,18 @@
 
 
 class ConfigurationKey:
-    """The newest configuration that this store has heard of, and its version.
+    """The latest configuration that this store has received, and its version.
 
-    `changing` says that a change requested here is under way. `on_new_epoch` is called after each
-    change of the epoch.
+    `changing` is true while a change requested by this store is in progress.
+
+    Parameters
+    ----------
+    client : KeyClient
+        Changes the control key.
+    fleet : FleetView
+        Provides the versions that arrive by the configuration feed.
+    on_new_epoch : callable
+        Called after each change of the epoch.
     """
 
     __slots__ = ("_client", "_fleet", "_on_new_epoch", "changing", "configuration", "version")
@@ -28,11 +36,11 @@
         self.version = 0
 
     def refresh(self) -> None:
-        """Take over what the fleet's configuration feed has brought."""
+        """Apply the latest version received by the configuration feed."""
         self.update(*self._fleet.log_key())
 
     def update(self, version: int, body: str) -> None:
-        """Take in a version of the key, unless it isn't newer than the one known."""
+        """Apply a version of the key if it is newer than the known one."""
         if version <= self.version:
             return
         epoch = self.configuration.epoch
@@ -42,7 +50,11 @@
             self._on_new_epoch()
 
     def change(self, configuration: LogConfiguration, done: Callable[[str], None]) -> None:
-        """Change the key by compare-and-set, one change at a time; `done` gets the outcome."""
+        """Change the key by compare-and-set against the known version.
+
+        `done` is called with the outcome, after the version in force has been applied if it is
+        known. `changing` is true until then.
+        """
         self.changing = True
 
         def changed(outcome: str, version: int, body: str) -> None:
--- a/libs/replicated_log/src/replicated_log/interfaces.py
+++ b/libs/replicated_log/src/replicated_log/interfaces.py
@@ -1,4 +1,4 @@
-"""What the log needs of the node around it."""
+"""Interfaces that a store node implements for the replicated log."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -10,39 +10,44 @@
 ChangeCallback = Callable[[str, int, str], None]
 
 CHANGE_DONE = "ok"
-"""The outcome of a change of a control key that was made."""
+"""The outcome of a successful change of a control key."""
 
 
 class KeyClient(Protocol):
-    """Changes control keys by compare-and-set (`control_store.ControlClient`)."""
+    """A client that changes control keys by compare-and-set (`control_store.ControlClient`)."""
 
     def change(self, key: str, version: int, body: str, done: ChangeCallback) -> None:
         """Replace `version` of a key by `body`.
 
-        `done` gets the outcome and, if known, the version and the body in force.
+        `done` is called with the outcome and with the version and body now in force; the version is
+        0 if they aren't known.
         """
         ...
 
 
 class FleetView(Protocol):
-    """What this store knows about the fleet."""
+    """The view that one store has of the fleet."""
 
     def log_key(self) -> tuple[int, str]:
-        """Return the version and the body of the log's control key, as far as they have come."""
+        """Return the latest version and body of the log's control key that this store received."""
         ...
 
     def store_rows(self) -> list[MemberRow]:
-        """Return the live stores, this one among them, ordered by identity."""
+        """Return the live stores, including this one, ordered by identity."""
         ...
 
     def retired_stores(self) -> list[str]:
-        """Return the identities of the stores that are to leave."""
+        """Return the identities of the stores that are being retired."""
         ...
 
     def knows_fleet(self) -> bool:
-        """Whether this store is up long enough to know who lives, and hears a control majority."""
+        """Whether the list of live stores is reliable.
+
+        This store has then run for long enough to have heard from all live nodes, and it is in
+        contact with a majority of the control nodes.
+        """
         ...
 
     def learned(self, number: int, body: str) -> None:
-        """Take the log's control key in a version that control has told this store itself."""
+        """Record a version of the log's control key that a control node returned directly."""
         ...
--- a/libs/replicated_log/src/replicated_log/messages.py
+++ b/libs/replicated_log/src/replicated_log/messages.py
@@ -1,10 +1,11 @@
-"""Messages between the replicas of the log, and the records that they keep on disk.
+"""Messages exchanged by the replicas of the log, and the structures that they store on disk.
 
-A record has the fields of the published scheme that the log follows (docs/design.md): stamp, file
-and flags, size, frame and absolute offset. Added to it are the epoch, as the upper half of the
-stamp, and the sequence number, by which a follower sees that nothing is missing before a record.
-Fields that end in `_ms` are milliseconds, `seq` is a sequence number, `epoch` and `fence` are
-epochs of the leader.
+A record has the fields of the published scheme on which the log is based (docs/design.md): stamp,
+file, flags, size, frame and absolute file offset. Two fields extend the scheme: the epoch, which is
+the upper half of the stamp, and the sequence number, by which a follower detects missing records.
+
+Fields that end in `_ms` are in milliseconds. `seq` is the sequence number of a record; `epoch` and
+`fence` are leader epochs.
 """
 
 from enum import StrEnum
@@ -36,22 +37,33 @@
 ]
 
 TRUNCATE = 1
-"""Flag of the first record of a queue file: the receiver empties the file first."""
+"""Flag of the first record of a queue file: the receiver empties the file before writing it."""
 
 
 class Stamp(NamedTuple):
-    """The unique, ordered stamp of a record: its epoch, then its time in milliseconds."""
+    """The unique stamp of a record; stamps are ordered by epoch, then by time in milliseconds."""
 
     epoch: int
     time_ms: int
 
 
 NO_STAMP = Stamp(0, 0)
-"""What stands for the stamp of a record before the first one."""
+"""The stamp of the position before the first record."""
 
 
 class ResponseReason(StrEnum):
-    """Why a follower hasn't taken what a leader sent, or how far it is with a snapshot."""
+    """Why a follower rejected a leader's message, or the progress of a snapshot transfer.
+
+    - NONE: no reason given; the value of every successful response.
+    - FENCED: the follower's fence is higher than the epoch of the message.
+    - BUSY: the follower is adopting an epoch or installing a snapshot.
+    - GAP: the follower has no record at `prev_seq`, or one with another stamp.
+    - CONTRADICTS_COMMITTED: the records differ from records that the follower has committed.
+    - DISK_FULL: the records don't fit on the disk, or the snapshot could not be installed.
+    - PARTIAL_SNAPSHOT: more parts of the snapshot are needed.
+    - SNAPSHOT_INSTALLED: the snapshot has replaced the follower's log.
+    - SNAPSHOT_DAMAGED: the snapshot isn't intact.
+    """
 
     NONE = ""
     FENCED = "fenced"
@@ -65,7 +77,7 @@
 
 
 class StoredEntry(Message):
-    """The payload of a frame in a queue file: one encoded entry and its position in the log."""
+    """The payload of a frame in a queue file: an encoded entry (`body`) and its log position."""
 
     epoch: int
     stamp_ms: int
@@ -74,10 +86,10 @@
 
 
 class Record(Message):
-    """One record of the log as it is sent and written: a whole frame and where it lies in its file.
+    """One record of the log as sent and stored: a complete frame and its location in a queue file.
 
-    `frame` is `size_bytes` long, `offset` its absolute position in `file`, in bytes. The flag
-    TRUNCATE on the first record of a file tells the receiver to empty the file first.
+    `frame` has `size_bytes` bytes and starts at the absolute byte `offset` of `file`. `flags` is
+    TRUNCATE on the first record of a file, which tells the receiver to empty the file first.
     """
 
     epoch: int
@@ -91,12 +103,12 @@
 
     @property
     def stamp(self) -> Stamp:
-        """The unique, ordered stamp of the record."""
+        """The stamp of the record."""
         return Stamp(self.epoch, self.stamp_ms)
 
 
 class SnapshotHeader(Message, wire_name="SnapshotHead"):
-    """The first frame of a snapshot: the last record that it covers and how many frames follow."""
+    """The first frame of a snapshot: the last record covered and the number of frames after it."""
 
     seq: int
     epoch: int
@@ -107,8 +119,9 @@
 class ReplicaMetadata(Message, wire_name="LogMeta"):
     """The durable metadata of a replica.
 
-    `fence` is the highest epoch that it has accepted; it refuses lower ones. `log_epoch` is the
-    epoch of the last recovery that its copy of the log has taken over.
+    `identity` is the unique name of the replica's disk. `fence` is the highest epoch that the
+    replica has accepted; it rejects messages of lower epochs. `log_epoch` is the epoch of the last
+    recovery whose result the replica's log contains.
     """
 
     identity: str
@@ -117,12 +130,13 @@
 
 
 class AppendRequest(Message, wire_name="Append"):
-    """From the leader to a follower: the records after `prev_seq`, or none as a heartbeat.
+    """From the leader to a follower: the records after `prev_seq`; a heartbeat has no records.
 
-    The follower accepts them only if its record at `prev_seq` has the stamp (`prev_epoch`,
-    `prev_ms`). `base_seq` is the end of the recovered log of this epoch, `committed_seq` the last
-    record durable on f+1 disks. `flush` asks for a flush and a second response after it; `probe` is
-    returned as it came.
+    The follower accepts the records only if its own record at `prev_seq` has the stamp
+    (`prev_epoch`, `prev_ms`). `base_seq` is the last record of the recovered log with which the
+    epoch began, and `committed_seq` the last record durable on f+1 disks. With `flush`, a follower
+    that has unflushed records flushes them and sends a second response afterwards. Responses return
+    `probe` unchanged.
     """
 
     epoch: int
@@ -139,11 +153,15 @@
 class AppendResponse(Message, wire_name="Appended"):
     """A follower's response to AppendRequest and InstallSnapshot.
 
-    `ok` says that the records were taken; if not, `reason` (ResponseReason) says why. `last_seq` is
-    how far the follower's log matches the leader's, `flushed_seq` how far it is on its disk.
-    `position` is what the response is about: the record that the request followed or, with
-    PARTIAL_SNAPSHOT, how many bytes of the snapshot are here; -1 if neither. `has_room` says that
-    its disk has space.
+    `ok` means that the records were accepted; otherwise `reason` is a ResponseReason. `last_seq` is
+    the last record up to which the follower's log is known to match the leader's, and `flushed_seq`
+    the last one on the follower's disk. `stamp_epoch`, `stamp_ms` and `reception_ms` are the stamp
+    of the follower's last record and the time at which it was received.
+
+    `position` depends on the reason: `prev_seq` for GAP, the last common record for
+    CONTRADICTS_COMMITTED, the number of snapshot bytes received for PARTIAL_SNAPSHOT, otherwise -1.
+    `snapshot_seq` is the last record that the follower's snapshot covers. `has_room` means that the
+    follower's disk has free space.
     """
 
     identity: str
@@ -163,9 +181,10 @@
 
 
 class InstallSnapshot(Message, wire_name="Install"):
-    """From the leader to a follower: a part of a snapshot that replaces the follower's log.
+    """From the leader to a follower: one part of a snapshot that replaces the follower's log.
 
-    `offset` and `total` are bytes of the whole snapshot.
+    `offset` is the position of the part in the snapshot and `total` the size of the whole snapshot,
+    both in bytes. Responses return `probe` unchanged.
     """
 
     epoch: int
@@ -176,15 +195,16 @@
 
 
 class StartRecovery(Message, wire_name="Start"):
-    """From a recovering replica: raise your fence to `epoch` and say what you hold."""
+    """From a recovering replica: raise the fence to `epoch` and return the extent of the log."""
 
     epoch: int
 
 
 class StartRecoveryResponse(Message, wire_name="Started"):
-    """The answer to StartRecovery: the replica's fence, log epoch and extent of its log.
+    """The response to StartRecovery: the replica's fence, its log epoch and the extent of its log.
 
-    `ok` says that its fence is exactly the epoch asked for.
+    `ok` means that the fence equals the requested epoch. `snapshot_seq` is the last record covered
+    by the snapshot, `last_seq` the last record, and `count` the number of records in memory.
     """
 
     identity: str
@@ -197,9 +217,10 @@
 
 
 class FetchTail(Message):
-    """Ask for all records after the last one that both replicas hold.
+    """Requests all records after the last one that both replicas have.
 
-    The lists describe records of the asking replica, each by its sequence number and its stamp.
+    The three lists are parallel: the sequence number, stamp epoch and stamp time of records of the
+    requesting replica.
     """
 
     epoch: int
@@ -211,8 +232,9 @@
 class LeaderHeartbeat(Message, wire_name="Pulse"):
     """The leader's heartbeat to the other members.
 
-    `has_quorum` says that at least f members have answered the leader lately; `caught_up` is how
-    many members, the leader included, have on disk what was committed one heartbeat ago.
+    A serving leader sets `has_quorum` while at least f members have responded to it within
+    `leader_suspicion_ms`; a store that is still taking over always sets it. `caught_up` is the
+    number of members, the leader included, that have on disk what was committed one heartbeat ago.
     """
 
     epoch: int
@@ -221,9 +243,9 @@
 
 
 class LeaderPoll(Message, wire_name="Poll"):
-    """A member's question to the others whether the leader is still at work.
+    """Asks another member whether the leader is still active.
 
-    `identity` is the asking replica and `epoch` the epoch that it knows.
+    `identity` is the sender and `epoch` the epoch of the configuration that it knows.
     """
 
     identity: str
@@ -231,11 +253,11 @@
 
 
 class LeaderPollResponse(Message, wire_name="Polled"):
-    """The answer to LeaderPoll.
+    """The response to LeaderPoll.
 
-    `epoch` is the highest epoch known to the answering replica. `is_leader` says that it is at work
-    as the leader itself, `hears_leader` that it receives the leader's heartbeats, `leaving` that it
-    is shutting down and won't become the leader.
+    `epoch` is the highest epoch known to the sender. `is_leader` means that the sender is the
+    active leader or is taking over, `hears_leader` that it receives the leader's heartbeats, and
+    `leaving` that it is shutting down and won't become the leader.
     """
 
     identity: str
@@ -246,7 +268,7 @@
 
 
 class TransferLeadership(Message, wire_name="Succeed"):
-    """From a leader that hands over to its successor: the control key in its new version.
+    """From a leader to the successor that it has named: the new version of the log's control key.
 
     `number` is the version and `body` the JSON value of the key.
     """
@@ -256,7 +278,7 @@
 
 
 class FetchRecords(Message, wire_name="Fetch"):
-    """Ask for records from `from_seq` on, or for the snapshot from the byte `offset` on."""
+    """Requests the records from `from_seq` on, or the snapshot from the byte `offset` on."""
 
     epoch: int
     from_seq: int
@@ -264,10 +286,11 @@
 
 
 class FetchResponse(Message, wire_name="Fetched"):
-    """The answer to FetchRecords and FetchTail: encoded records, or a part of the snapshot.
+    """The response to FetchRecords and FetchTail: encoded records, or a part of the snapshot.
 
-    A part of the snapshot is sent if the asked replica has already trimmed `from_seq`; `total` is
-    then the whole snapshot's size in bytes. `last_seq` is the end of the answering replica's log.
+    A part of the snapshot is sent if the sender has already trimmed the record `from_seq`; `total`
+    is then the size of the whole snapshot in bytes. `last_seq` is the last record of the sender's
+    log. `ok` means that the sender's fence equals the requested epoch.
     """
 
     identity: str
--- a/libs/replicated_log/src/replicated_log/role.py
+++ b/libs/replicated_log/src/replicated_log/role.py
@@ -1,4 +1,4 @@
-"""The roles of a store in the log."""
+"""The roles of a store in the replicated log."""
 
 from enum import StrEnum
 
@@ -6,10 +6,11 @@
 
 
 class Role(StrEnum):
-    """What a store does for the log at the moment.
+    """The present role of a store in the replicated log.
 
-    A follower follows the leader. The other roles are the steps by which a store becomes the
-    leader.
+    A FOLLOWER replicates the leader's log. The other roles are the steps of becoming the leader, in
+    order: claim the next epoch in the control key, recover the log, have f followers adopt the
+    recovered log, announce changed members in the control key, and serve.
     """
 
     FOLLOWER = "peer"
@@ -21,4 +22,4 @@
 
 
 LEADING_ROLES = (Role.RECOVERING, Role.ADOPTING, Role.ANNOUNCING, Role.SERVING)
-"""The roles of a store that the control key names as the leader and that is at work."""
+"""The roles in which a store acts as the leader that the control key names."""
