--- a/libs/replicated_log/src/replicated_log/flush_watermark.py
+++ b/libs/replicated_log/src/replicated_log/flush_watermark.py
@@ -1,6 +1,7 @@
-"""The flush watermark: how far the log on a disk has been reported flushed.
+"""The flush watermark: the last record that the disk has reported as flushed.
 
-On opening, it tells an unflushed tail that was torn off from damage to flushed records.
+When the log is opened, the watermark distinguishes an unflushed tail lost in a crash from damage to
+flushed records.
 """
 
 from storage import Disk, frame, scan_frames
@@ -10,11 +11,11 @@
 __all__ = ["FlushWatermark"]
 
 _FILE = "mark"
-_SPACE_BYTES = 64
+_MAX_FRAME_BYTES = 64
 
 
 class FlushWatermark:
-    """The last sequence number reported flushed, stored with the fence under which this was so."""
+    """The last sequence number reported as flushed, stored with the fence in force at that time."""
 
     __slots__ = ("_disk", "_metadata_file")
 
@@ -23,9 +24,10 @@
         self._metadata_file = metadata_file
 
     def read(self) -> int:
-        """Return the watermark, or 0 if it was written under an earlier fence.
+        """Return the watermark, or 0 if there is none that holds.
 
-        The records that an earlier watermark counts may have been truncated since.
+        A watermark written under an earlier fence doesn't hold, since the records that it covers
+        may have been truncated. None holds while the log hasn't adopted the present fence's epoch.
         """
         names = self._disk.names()
         frames = scan_frames(self._disk.read(_FILE))[0] if _FILE in names else []
@@ -34,8 +36,11 @@
         return seq if fence == metadata.fence == metadata.log_epoch else 0
 
     def write(self, seq: int) -> None:
-        """Write it lazily if there is space and the log is of the present fence's epoch."""
+        """Write the watermark without a flush.
+
+        Does nothing if the log hasn't adopted the epoch of the present fence or the disk is full.
+        """
         metadata = self._metadata_file.metadata
-        if metadata.fence == metadata.log_epoch and self._disk.has_room(_SPACE_BYTES, True):
+        if metadata.fence == metadata.log_epoch and self._disk.has_room(_MAX_FRAME_BYTES, True):
             data = frame(f"{metadata.fence:020d} {seq:020d}".encode())
             self._disk.write(_FILE, 0, data, True)
--- a/libs/replicated_log/src/replicated_log/follower.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -1,8 +1,9 @@
 """The follower's side of the log.
 
-A message of a lower epoch is refused; a higher epoch is first written to disk as the fence. Records
-are taken only in sequence, so having a record means having all before it. A log that missed a
-recovery is adopted into the new epoch once it matches the recovered log to its end, on disk.
+A message of a lower epoch than the fence is rejected. A higher epoch is first written to disk as
+the fence. Records are accepted only in sequence, so a replica that has a record has all records
+before it. A log that missed a recovery adopts the new epoch once it matches the whole recovered log
+and is on disk.
 """
 
 from collections.abc import Callable
@@ -34,9 +35,9 @@
 
 
 class _SnapshotCopy:
-    """A snapshot that is being fetched, so that all its parts are of one piece.
+    """The snapshot that is being sent in parts, which all have to come from the same version.
 
-    `committed_seq` is how far the log was committed when it was taken, -1 if there is none.
+    `committed_seq` is the last committed record when the copy was made, or -1 if there is none.
     """
 
     __slots__ = ("committed_seq", "data")
@@ -46,13 +47,13 @@
         self.data = b""
 
     def refresh(self, log: LocalLog) -> None:
-        """Take the log's snapshot, if more has been committed since."""
+        """Replace the copy by the log's snapshot if records have been committed since."""
         if self.committed_seq != log.committed_seq:
             self.committed_seq, self.data = log.committed_seq, log.stored_snapshot()
 
 
 class Follower:
-    """Handles the messages of a leader or of a recovering store for one replica."""
+    """Handles messages that a leader or a recovering store sends to one replica."""
 
     __slots__ = ("_busy", "_log", "_received_snapshot", "_sent_snapshot", "_source")
 
@@ -64,10 +65,10 @@
         self._source = ""
 
     def receive(self, message: FollowerMessage, reply: ReplyCallback, source: str = "") -> None:
-        """Handle a message after raising the fence to its epoch where needed.
+        """Handle a message; the fence is first raised to its epoch if that is higher.
 
-        `reply` is called with each response, perhaps later, and never if the fence could not be
-        written. `source` is the sender's address.
+        `reply` is called with each response, possibly after this call returns. There is no response
+        if the fence could not be written. `source` is the sender's address.
         """
         self._source = source
         if message.epoch <= self._log.metadata.fence:
@@ -82,9 +83,7 @@
 
     @singledispatchmethod
     def _handle(self, message: Message, reply: ReplyCallback) -> None:
-        raise TypeError(type(message).__name__)
-
-    # -- recovery by another store -------------------------------------------------------------
+        raise TypeError(f"Follower cannot handle a {type(message).__name__} message")
 
     @_handle.register
     def _(self, message: StartRecovery, reply: ReplyCallback) -> None:
@@ -121,8 +120,6 @@
         )
         self._handle(FetchRecords(epoch=message.epoch, from_seq=shared_seq + 1, offset=0), reply)
 
-    # -- records from a leader -----------------------------------------------------------------
-
     @_handle.register
     def _(self, message: AppendRequest, reply: ReplyCallback) -> None:
         log = self._log
@@ -136,11 +133,11 @@
             self._append_records(message, reply)
 
     def _append_records(self, message: AppendRequest, reply: ReplyCallback) -> None:
-        """Take records that follow what is here.
+        """Append the records of a message whose predecessor this log has.
 
-        Records that the message doesn't have are removed only once others take their place, or once
-        this log matches the recovered log to its end. A short or late message thus removes no copy
-        of what follows it.
+        Records of this log that aren't in the message are removed only if other records replace
+        them, or once this log matches the whole recovered log. A short or late message therefore
+        removes no copies of the records after it.
         """
         log = self._log
         records = [decode_as(Record, data) for data in message.records]
@@ -167,7 +164,7 @@
             self._acknowledge(message, reply)
 
     def _shared_seq(self, prev_seq: int, records: list[Record]) -> int:
-        """Return the last of the records after `prev_seq` that this log has too."""
+        """Return the last of these records that this log has without a gap, or `prev_seq`."""
         shared_seq = prev_seq
         for record in records:
             if self._log.stamp_at(record.seq) != record.stamp:
@@ -184,7 +181,7 @@
         reply(self._response(message.probe, True))
 
     def _adopt(self, message: AppendRequest, reply: ReplyCallback) -> None:
-        """Flush the log, then raise its log epoch: from then on this replica's answers count."""
+        """Flush the log, then set its log epoch; from then on this replica counts in quorums."""
         self._busy = True
 
         def flushed(ok: bool) -> None:
@@ -199,8 +196,6 @@
 
         self._log.ensure_flushed(flushed)
 
-    # -- a snapshot from a leader --------------------------------------------------------------
-
     @_handle.register
     def _(self, message: InstallSnapshot, reply: ReplyCallback) -> None:
         if self._busy:
@@ -235,8 +230,6 @@
             self._busy = False
             self._refuse(message, reply, ResponseReason.SNAPSHOT_DAMAGED)
 
-    # -- responses -----------------------------------------------------------------------------
-
     def _refuse(
         self,
         message: AppendRequest | InstallSnapshot,
@@ -256,7 +249,7 @@
     ) -> AppendResponse:
         """Build the response to the leader.
 
-        `last_seq` is how far this log is known to match the leader's, where that isn't its end.
+        `last_seq` is the last record known to match the leader's log, by default the last one.
         """
         log = self._log
         stamp = log.last_stamp
--- a/libs/replicated_log/src/replicated_log/follower_progress.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -1,4 +1,4 @@
-"""The leader's view of a follower."""
+"""The leader's view of the replication progress of a follower."""
 
 __all__ = ["FollowerProgress"]
 
@@ -6,13 +6,24 @@
 
 
 class FollowerProgress:
-    """What the leader knows of one store that it sends the log.
+    """The replication progress of one follower, as known to the leader.
 
-    `last_seq` and `flushed_seq` are how far the store has the log in memory and on disk, as it said
-    itself; they count only if it has `adopted` the leader's epoch. `next_seq` is the next record to
-    send, `sent_prev_seq` the record that the last request followed, `probe` the last probe
-    returned. `snapshot` is being sent to it, `snapshot_taken_bytes` of it have arrived. Times are
-    milliseconds of the leader's clock.
+    Times are in milliseconds of the leader's clock.
+
+    Attributes
+    ----------
+    last_seq, flushed_seq : int
+        The last records that the follower has reported to have in memory and on disk. They count
+        only once it has `adopted` the leader's epoch.
+    next_seq : int
+        The next record to send.
+    sent_prev_seq : int
+        `prev_seq` of the latest AppendRequest, or -1.
+    probe : int
+        The highest probe that the follower has returned.
+    snapshot : bytes
+        The snapshot that is being sent, empty if there is none; the follower has acknowledged its
+        first `snapshot_acknowledged_bytes`.
     """
 
     __slots__ = (
@@ -28,8 +39,8 @@
         "probe",
         "sent_prev_seq",
         "snapshot",
+        "snapshot_acknowledged_bytes",
         "snapshot_sent_ms",
-        "snapshot_taken_bytes",
     )
 
     def __init__(self, identity: str, address: str, next_seq: int, now_ms: int) -> None:
@@ -46,4 +57,4 @@
         self.disk_full = False
         self.snapshot = b""
         self.snapshot_sent_ms = _LONG_AGO_MS
-        self.snapshot_taken_bytes = 0
+        self.snapshot_acknowledged_bytes = 0
--- a/libs/replicated_log/src/replicated_log/pending_appends.py
+++ b/libs/replicated_log/src/replicated_log/pending_appends.py
@@ -1,4 +1,4 @@
-"""Appends that have not been acknowledged yet."""
+"""Appends that wait for their acknowledgement."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -7,10 +7,11 @@
 
 
 class Outcome(StrEnum):
-    """What became of an append.
+    """The outcome of an append.
 
-    ACKNOWLEDGED: it is on a quorum. FULL: it was refused for want of space and has no effect.
-    UNKNOWN: it may or may not survive.
+    - ACKNOWLEDGED: a quorum has the records.
+    - FULL: rejected because a disk is full; the append has no effect.
+    - UNKNOWN: the records may or may not survive.
     """
 
     ACKNOWLEDGED = "kept"
@@ -22,9 +23,10 @@
 
 
 class PendingAppend:
-    """A caller that waits until a record is in the memory of a quorum or, if `durable`, committed.
+    """An append that waits until a quorum has its last record `seq`.
 
-    Committed means durable on f+1 disks. `at_ms` is when the wait began.
+    The record has to be in the memory of the quorum or, if `durable` is set, committed, that is
+    durable on f+1 disks. `at_ms` is the start of the wait in milliseconds of the leader's clock.
     """
 
     __slots__ = ("at_ms", "done", "durable", "seq")
@@ -37,7 +39,7 @@
 
 
 class PendingAppends:
-    """The callers that wait, in the order of their appends."""
+    """The appends that wait, in the order of their records."""
 
     __slots__ = ("_rows",)
 
@@ -48,15 +50,15 @@
         return bool(self._rows)
 
     def add(self, pending: PendingAppend) -> None:
-        """Add the latest append."""
+        """Add an append; its records follow those of all others."""
         self._rows.append(pending)
 
     def any_before(self, at_ms: int) -> bool:
-        """Whether an append has waited since `at_ms` or longer."""
+        """Whether an append has waited since `at_ms` or earlier."""
         return any(pending.at_ms <= at_ms for pending in self._rows)
 
     def finish(self, outcome: Outcome, is_finished: Callable[[PendingAppend], bool]) -> None:
-        """Give an outcome to the appends that are finished; they no longer wait then."""
+        """Remove the appends for which `is_finished` holds and report `outcome` for each."""
         finished = [pending for pending in self._rows if is_finished(pending)]
         if finished:
             self._rows = [pending for pending in self._rows if pending not in finished]
@@ -64,6 +66,6 @@
                 pending.done(outcome)
 
     def take_all(self) -> list[PendingAppend]:
-        """Return all appends; nobody waits after that."""
+        """Remove and return all appends."""
         rows, self._rows = self._rows, []
         return rows
--- a/libs/replicated_log/src/replicated_log/pending_reads.py
+++ b/libs/replicated_log/src/replicated_log/pending_reads.py
@@ -1,7 +1,8 @@
 """Reads that wait until a quorum has confirmed the leader's epoch.
 
-Each read begins a probe: a number that followers return. A read is confirmed once f followers have
-returned its probe or a later one, since none of them was fenced when the read began.
+Each read gets a probe, a number that is sent to the followers and returned by them. A read is
+confirmed once f followers have returned its probe or a later one: none of them had been fenced by a
+higher epoch when the read began.
 """
 
 from collections.abc import Callable
@@ -12,7 +13,7 @@
 
 
 class _PendingRead:
-    """A read, its probe, and when it began, in milliseconds of the leader's clock."""
+    """A read, its probe, and its start (`at_ms`) in milliseconds of the leader's clock."""
 
     __slots__ = ("at_ms", "done", "probe")
 
@@ -23,7 +24,7 @@
 
 
 class PendingReads:
-    """The reads that wait, in the order of their probes; `last_probe` is that of the last one."""
+    """The reads that wait, in the order of their probes; `last_probe` is the latest one issued."""
 
     __slots__ = ("_rows", "last_probe")
 
@@ -37,16 +38,16 @@
         self._rows.append(_PendingRead(self.last_probe, at_ms, done))
 
     def confirm(self, probe: int) -> None:
-        """Answer the reads up to a probe that a quorum has returned."""
+        """Complete the reads up to a probe that a quorum has returned, with True."""
         while self._rows and self._rows[0].probe <= probe:
             self._rows.pop(0).done(True)
 
     def expire(self, until_ms: int) -> None:
-        """Refuse the reads that began at `until_ms` or before."""
+        """Fail the reads that began at `until_ms` or before, with False."""
         while self._rows and self._rows[0].at_ms <= until_ms:
             self._rows.pop(0).done(False)
 
     def take_all(self) -> list[ReadCallback]:
-        """Return the callbacks of all reads; nobody waits after that."""
+        """Remove all reads and return their callbacks."""
         rows, self._rows = self._rows, []
         return [row.done for row in rows]
--- a/libs/replicated_log/src/replicated_log/replicator.py
+++ b/libs/replicated_log/src/replicated_log/replicator.py
@@ -1,4 +1,4 @@
-"""Replication from the leader to its followers: members and standby replicas alike."""
+"""Replication from the leader to its followers, which are members and standby replicas."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 
 
 class _EncodedRecordCache:
-    """The encoded form of the latest records, made once for all followers."""
+    """Caches the encoded form of the latest records, which all followers share."""
 
     __slots__ = ("_encoded",)
 
@@ -32,7 +32,7 @@
         self._encoded: dict[int, bytes] = {}
 
     def encode(self, record: Record) -> bytes:
-        """Return the record as it is sent."""
+        """Return the encoded record."""
         data = self._encoded.get(record.seq)
         if data is None:
             data = self._encoded[record.seq] = encode(record)
@@ -41,15 +41,15 @@
         return data
 
     def clear(self) -> None:
-        """Forget all records, because some were removed again."""
+        """Drop all records, because some have been removed from the log."""
         self._encoded.clear()
 
 
 class Replicator:
-    """Sends the log of one epoch to the followers and takes in how far they are.
+    """Sends the log of one epoch to the followers and tracks their progress.
 
-    `base_seq` is the end of the recovered log. `probe` goes out with every request. Followers are
-    asked to flush up to `flush_wanted_seq`.
+    `base_seq` is the last record of the recovered log. `probe` is sent with every request. A
+    follower that hasn't flushed the record `flush_wanted_seq` is asked to flush.
     """
 
     __slots__ = (
@@ -89,33 +89,33 @@
         for identity, address in members:
             self.add(identity, address)
 
-    # -- followers -----------------------------------------------------------------------------
-
     def add(self, identity: str, address: str) -> None:
-        """Start to replicate to a store, unless it is a follower already or this store itself."""
+        """Start to replicate to a store; ignored for this store and for present followers."""
         if identity not in self.followers and identity != self._log.identity:
             self.followers[identity] = FollowerProgress(
                 identity, address, self._log.last_seq + 1, self._now()
             )
 
     def remove_others(self, names: list[str]) -> None:
-        """Stop to replicate to stores that aren't among these identities."""
+        """Stop replicating to the stores that aren't among these identities."""
         for identity in [identity for identity in self.followers if identity not in names]:
             del self.followers[identity]
 
-    # -- sending -------------------------------------------------------------------------------
-
     def forget_encoded(self) -> None:
-        """Encode records anew, because some were removed again."""
+        """Drop cached encodings, because records have been removed from the log."""
         self._encoded.clear()
 
     def send_to_all(self) -> None:
-        """Send each follower the records that it lacks, or at least the probe."""
+        """Send each follower its next records and the probe."""
         for follower in self.followers.values():
             self._send(follower)
 
     def send_due(self) -> None:
-        """Send again to followers that are behind, and a heartbeat to those that are not."""
+        """Resend to followers that are behind, and send heartbeats to all.
+
+        A follower that is behind is sent its unconfirmed records every 2 `delta_ms`; the others get
+        a heartbeat every `leader_heartbeat_ms`. Both times count from the latest request.
+        """
         now_ms = self._now()
         for follower in self.followers.values():
             is_behind = (
@@ -132,7 +132,11 @@
                 self._send(follower)
 
     def _go_back(self, follower: FollowerProgress) -> None:
-        """Begin again with the first record that the follower hasn't confirmed."""
+        """Continue with the first record that the follower hasn't confirmed.
+
+        For a follower that hasn't adopted the epoch, that is at most the first record after the
+        recovered log.
+        """
         if follower.adopted:
             follower.next_seq = follower.last_seq + 1
         else:
@@ -166,12 +170,10 @@
         )
         follower.next_seq += len(records)
 
-    # -- responses -----------------------------------------------------------------------------
-
     def handle_response(
         self, follower: FollowerProgress, message: AppendResponse, address: str
     ) -> None:
-        """Take in a follower's response and send what it lacks."""
+        """Process a follower's response and send the records that it still lacks."""
         follower.address = address
         follower.last_heard_ms = self._now()
         if message.ok or message.reason in _ENDS_OF_SNAPSHOT:
@@ -199,10 +201,12 @@
             self._send(follower)
 
     def _close_gap(self, follower: FollowerProgress, message: AppendResponse) -> None:
-        """Go one record back, but not behind the follower's snapshot, which is committed.
+        """Resend from one record earlier, or from the follower's end if that is earlier still.
 
-        Responses to requests before the last one are ignored, or each would cause a request of its
-        own.
+        Records that the follower's snapshot covers are committed and not resent. The leader's
+        snapshot is sent instead if `prev_seq` is covered by the follower's snapshot and precedes
+        the end of the leader's. Responses to requests before the latest one are ignored, since each
+        would otherwise cause another request.
         """
         if message.position != follower.sent_prev_seq or follower.snapshot:
             return
--- a/libs/replicated_log/src/replicated_log/snapshot_sender.py
+++ b/libs/replicated_log/src/replicated_log/snapshot_sender.py
@@ -39,14 +39,14 @@
         waited_ms = self._now() - follower.snapshot_sent_ms
         if not follower.snapshot or waited_ms >= self._settings.force_ms:
             follower.snapshot = self._log.stored_snapshot()
-            follower.snapshot_taken_bytes = 0
+            follower.snapshot_acknowledged_bytes = 0
             self._send_part(follower, probe)
         elif waited_ms >= self._settings.request_timeout_ms and _is_incomplete(follower):
             self._send_part(follower, probe)
 
     def _send_part(self, follower: FollowerProgress, probe: int) -> None:
         follower.snapshot_sent_ms = self._now()
-        offset = follower.snapshot_taken_bytes
+        offset = follower.snapshot_acknowledged_bytes
         self._send(
             follower.address,
             InstallSnapshot(
@@ -64,11 +64,11 @@
         """Take in that a follower is installing the snapshot, or how much of it has arrived."""
         if message.reason == ResponseReason.BUSY:
             follower.snapshot_sent_ms = self._now()
-            follower.snapshot_taken_bytes = len(follower.snapshot)
-        elif message.position > follower.snapshot_taken_bytes:
-            follower.snapshot_taken_bytes = message.position
+            follower.snapshot_acknowledged_bytes = len(follower.snapshot)
+        elif message.position > follower.snapshot_acknowledged_bytes:
+            follower.snapshot_acknowledged_bytes = message.position
             self._send_part(follower, probe)
 
 
 def _is_incomplete(follower: FollowerProgress) -> bool:
-    return follower.snapshot_taken_bytes < len(follower.snapshot)
+    return follower.snapshot_acknowledged_bytes < len(follower.snapshot)
