--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -1,10 +1,10 @@
 """The leader of the log for one epoch.
 
 An append is written without a flush, sent to the followers and acknowledged once f of them have it
-in memory. After 2 delta it is acknowledged only once it is committed, that is durable on f+1 disks;
-after `request_timeout_ms` its outcome is unknown. A caller may wait for the commit from the start,
-which brings the flush forward. Reads wait until f followers have confirmed that this epoch isn't
-fenced.
+in memory. After 2 `delta_ms` it is acknowledged only once it is committed, that is durable on f+1
+disks; after `request_timeout_ms` its outcome is UNKNOWN. A caller may require the commit from the
+start (`durable`), which requests a flush at once. A read completes once f followers have confirmed
+that no higher epoch has fenced them.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 
 __all__ = ["Leader", "Outcome"]
 
-# What an entry takes on the disk beyond its encoded form, at most.
+# Upper bound of the disk space that an entry takes in addition to its encoded form.
 _ENTRY_OVERHEAD_BYTES = 64
 _ALL_BYTES = 1 << 62
 
@@ -40,11 +40,29 @@
 class Leader:
     """Appends, reads and replication of one epoch, until a higher epoch deposes the leader.
 
-    `state` includes records that aren't committed yet; `base_seq` is the end of the recovered log.
-    `members` are the stores to replicate to, this one among them. `now` is the leader's clock and
-    `wall` the time of day, both in milliseconds; `send` sends a message to an address. The leader
-    calls `on_adopted` once f followers have adopted the recovered log, and `on_deposed` with the
-    higher fence that a follower has answered with.
+    `state` is the state after all records, including those that aren't committed yet; see
+    `committed_state`. `base_seq` is the last record of the recovered log.
+
+    Parameters
+    ----------
+    log : LocalLog
+        The recovered log of this store.
+    epoch : int
+        The epoch to lead.
+    members : list of ReplicaAddress
+        The members of the log, including this store.
+    settings : Settings
+        The settings of the process.
+    now : callable
+        Returns the leader's clock in milliseconds.
+    wall : callable
+        Returns the time of day in milliseconds, from which the stamps of records are made.
+    send : callable
+        Sends a message to an address.
+    on_deposed : callable
+        Called with the fence of the first response whose fence is higher than `epoch`.
+    on_adopted : callable
+        Called once when f followers have the recovered log on disk under this epoch.
     """
 
     __slots__ = (
@@ -98,7 +116,7 @@
             self.state.apply(decode_entry(record))
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = self._replicator.settings = self.health.settings = settings
 
     @property
@@ -108,16 +126,16 @@
 
     @property
     def members(self) -> list[str]:
-        """The identities of the members in force."""
+        """The identities of the present members."""
         return self._quorums.members
 
     @property
     def followers(self) -> dict[str, FollowerProgress]:
-        """What is known of each store that is sent the log, by identity."""
+        """The replication progress of each follower, member or standby, by identity."""
         return self._replicator.followers
 
     def drop_archived(self, entry: JobArchived | KeyArchived) -> None:
-        """Drop what was archived in a file from `state`, if it is over there too."""
+        """Drop an archived job or key from `state` if `state` still holds it."""
         if isinstance(entry, JobArchived):
             known = entry.job_id in self.state.jobs
         else:
@@ -125,8 +143,6 @@
         if known:
             self.state.apply(entry)
 
-    # -- appending -----------------------------------------------------------------------------
-
     def append(
         self,
         entries: list[Message],
@@ -134,10 +150,20 @@
         done: AppendCallback,
         urgent: bool = False,
     ) -> bool:
-        """Append all entries or none; `done` gets the outcome of the last. False if refused.
-
-        With `durable` the append is acknowledged only once it is committed. An `urgent` one may use
-        the reserved part of the disks.
+        """Append all entries or none, and return whether they were appended.
+
+        Parameters
+        ----------
+        entries : list of Message
+            The entries, each of which becomes one record.
+        durable : bool
+            Acknowledge the append only once it is committed.
+        done : callable
+            Called once with the outcome; at once if the append is rejected, with FULL if a disk has
+            no space and with UNKNOWN if the leader has been deposed.
+        urgent : bool
+            Allow the append to use the reserved part of this disk, also while fewer than f other
+            members have disk space.
         """
         bodies = [encode(entry) for entry in entries]
         if self.deposed or not self._has_space_for(bodies, urgent):
@@ -159,7 +185,7 @@
         return self._log.disk.has_room(needed_bytes, urgent) and (urgent or self.health.has_space())
 
     def _write(self, entries: list[Message], bodies: list[bytes], urgent: bool) -> bool:
-        """Write the entries to this store's log, all or none."""
+        """Write all entries to this store's log, or none and return False if the disk is full."""
         last_seq = self._log.last_seq
         try:
             for body, entry in zip(bodies, entries, strict=True):
@@ -174,31 +200,31 @@
         return Stamp(self.epoch, max(self._wall(), self._log.last_stamp.time_ms + 1))
 
     def has_pending_appends(self) -> bool:
-        """Whether callers wait for the acknowledgement of appends."""
+        """Whether any append waits for its acknowledgement."""
         return bool(self._appends)
 
-    # -- reading -------------------------------------------------------------------------------
-
     def read(self, done: ReadCallback) -> None:
-        """Call back with True once f followers have confirmed this epoch after now, else False."""
+        """Confirm that this store still leads the log.
+
+        `done` is called with True once f followers have confirmed the epoch after this call, and
+        with False after `request_timeout_ms` or when the leader stops.
+        """
         self._reads.add(done, self._now())
         self._replicator.probe = self._reads.last_probe
         self._replicator.send_to_all()
 
-    # -- replication ---------------------------------------------------------------------------
-
     def add_learner(self, identity: str, address: str) -> None:
-        """Start to replicate to a standby, which counts in no quorum until it is a member."""
+        """Start to replicate to a standby; it counts for no quorum until it is a member."""
         self._replicator.add(identity, address)
 
     def set_standbys(self, standbys: list[ReplicaAddress]) -> None:
-        """Replicate to these standby replicas and to no others."""
+        """Replicate to the members and to these standby replicas only."""
         self._replicator.remove_others([*self.members, *(standby.identity for standby in standbys)])
         for identity, address in standbys:
             self._replicator.add(identity, address)
 
     def handle_response(self, message: AppendResponse, address: str) -> None:
-        """Take in a follower's response; a higher fence in it deposes this leader."""
+        """Process a follower's response; a fence higher than this epoch deposes the leader."""
         if message.fence > self.epoch:
             self._depose(message.fence)
             return
@@ -208,7 +234,10 @@
             self.progress()
 
     def progress(self) -> None:
-        """Commit, acknowledge and answer reads as far as the followers' responses allow."""
+        """Commit records, acknowledge appends and complete reads as far as the quorums allow.
+
+        The first commit covers the whole recovered log.
+        """
         faults = self.settings.store_faults
         committed_seq = self._quorums.committed_seq(faults, self._log.flushed_seq)
         if committed_seq > self._log.committed_seq and committed_seq >= self.base_seq:
@@ -223,37 +252,36 @@
         self._reads.confirm(self._quorums.reached(faults, confirmed_probe))
 
     def _is_ready(self, pending: PendingAppend, replicated: int) -> bool:
-        """Whether an append may be acknowledged; `replicated` is in the memory of f followers."""
+        """Whether an append may be acknowledged.
+
+        `replicated` is the last record that f followers have in memory.
+        """
         if pending.durable or self._now() - pending.at_ms >= 2 * self.settings.delta_ms:
             return pending.seq <= self._log.committed_seq
         return pending.seq <= replicated
 
     def adopted(self) -> bool:
-        """Whether f followers have the recovered log on disk under this epoch."""
+        """Whether this store and f members have the recovered log on disk under this epoch."""
         count = sum(
             follower.adopted and follower.flushed_seq >= self.base_seq
             for follower in self._quorums.voting_followers()
         )
         return count >= self.settings.store_faults and self._log.flushed_seq >= self.base_seq
 
-    # -- changing the members ------------------------------------------------------------------
-
-    def begin_change(self, following: list[str]) -> None:
-        """Start a change of members: from now on a quorum of both lists is needed."""
-        self._quorums.begin_change(following, self._log.last_seq)
+    def begin_change(self, new_members: list[str]) -> None:
+        """Start a change of members: from now on a quorum of each list is needed."""
+        self._quorums.begin_change(new_members, self._log.last_seq)
         self._bring_flush_forward()
 
     def is_change_ready(self) -> bool:
-        """Whether the following members have on disk all that was acknowledged without them."""
+        """Whether a quorum of the new members has on disk all records before the change."""
         return self._quorums.is_change_ready(self.settings.store_faults, self._log.flushed_seq)
 
-    def end_change(self, made: bool) -> None:
-        """End a change of members; the following list is in force if it was `made`."""
-        self._quorums.end_change(made)
+    def end_change(self, applied: bool) -> None:
+        """End a change of members; if it was `applied`, the new list replaces the present one."""
+        self._quorums.end_change(applied)
         self.progress()
 
-    # -- flushing ------------------------------------------------------------------------------
-
     def _bring_flush_forward(self) -> None:
         self._replicator.flush_wanted_seq = self._log.last_seq
         if not self._flush_requested:
@@ -271,10 +299,8 @@
         if ok and self._log.flushed_seq < self._replicator.flush_wanted_seq:
             self._request_flush()
 
-    # -- periodic work -------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Do the periodic work: time out callers, flush what is due, resend, and take snapshots."""
+        """Do the periodic work: time-outs, due flushes, resends, heartbeats and snapshots."""
         now_ms = self._now()
         self.health.tick()
         if self._appends.any_before(now_ms - 2 * self.settings.delta_ms):
@@ -294,7 +320,7 @@
             self._on_deposed(fence)
 
     def stop(self) -> None:
-        """Step down: report the outcome of all waiting callers as unknown."""
+        """Stop: end all pending appends with UNKNOWN and fail all pending reads."""
         self.deposed = True
         appends, reads = self._appends.take_all(), self._reads.take_all()
         for pending in appends:
--- a/libs/replicated_log/src/replicated_log/member_selection.py
+++ b/libs/replicated_log/src/replicated_log/member_selection.py
@@ -1,7 +1,7 @@
-"""Choices about the log's members: whom to replace, and by which standby.
+"""Selection of the members to replace, and of the standby replicas that replace them.
 
-These are pure functions of what the leader has heard. A member is certainly lost once another
-identity lives at its address; otherwise its silence decides.
+All functions are pure. A member is certainly lost once a live store with another identity has its
+address; otherwise a member counts as lost after a time of silence.
 """
 
 from replicated_log.configuration import MemberRow
@@ -23,8 +23,9 @@
 ) -> list[str]:
     """Return the members to replace, in order of urgency.
 
-    First those that are certainly lost, then those silent for longer than `removal_timeout_ms`,
-    then the retired. `silent_ms` is how long each member has been silent.
+    These are the members that are certainly lost, then those silent for longer than
+    `removal_timeout_ms`, then the retired ones. `silent_ms` maps members to their time of silence
+    in milliseconds; a member that is missing there isn't silent.
     """
     live_at = {row["address"]: row["identity"] for row in live}
     names = [row["identity"] for row in members]
@@ -43,7 +44,11 @@
 
 
 def member_in_shared_zone(members: list[MemberRow], standby: MemberRow) -> str | None:
-    """Return a member that shares its zone with another, if the standby's zone has no member."""
+    """Return a member whose replacement by the standby spreads the members over more zones.
+
+    That is the last member in a zone with several members, if the standby's zone has none; else
+    None.
+    """
     zones = [_zone(row) for row in members]
     if standby["zone"] in zones:
         return None
@@ -55,14 +60,14 @@
     candidates: list[MemberRow],
     to_replace: list[str],
     learners: set[str],
-    most: int,
+    limit: int,
 ) -> list[MemberRow]:
-    """Return the stores to replicate to: one, or as many as are to be replaced, up to `most`.
+    """Return the stores to replicate to as standbys, at least one if there is a candidate.
 
-    Those that have the log already (`learners`) come first, then those whose zone has the fewest
-    remaining members.
+    There is one standby for each member to replace, up to `limit`. Stores that are already sent the
+    log (`learners`) come first, then those whose zone has the fewest remaining members.
     """
-    count = max(1, min(len(to_replace), most))
+    count = max(1, min(len(to_replace), limit))
     return sorted(
         candidates,
         key=lambda row: (
@@ -76,7 +81,7 @@
 def choose_replacement(
     members: list[MemberRow], ready: list[MemberRow], to_replace: list[str]
 ) -> MemberRow | None:
-    """Return the ready standby whose zone has the fewest remaining members, or None."""
+    """Return the caught-up standby whose zone has the fewest remaining members, or None."""
     return min(
         ready,
         key=lambda row: (_remaining_in_zone(row, members, to_replace), row["identity"]),
--- a/libs/replicated_log/src/replicated_log/membership_change.py
+++ b/libs/replicated_log/src/replicated_log/membership_change.py
@@ -1,8 +1,8 @@
 """One change of the list of members by a serving leader, within its epoch.
 
-Nothing is recovered from the members before, since the leader has the whole log. The control key is
-changed only once f+1 of the following members have on disk all that was acknowledged without them.
-Until the outcome is known, an acknowledged record is on a quorum of both lists.
+No recovery from the previous members is needed, since the leader has the whole log. The control key
+is changed only once f+1 of the new members have on disk all records acknowledged before the change.
+Until the outcome is known, a record is acknowledged only once a quorum of each list has it.
 """
 
 from typing import TYPE_CHECKING
@@ -19,24 +19,26 @@
 
 
 class MembershipChange:
-    """A change under way by a serving `leader`; `following` are the rows of the new list."""
+    """A change of members in progress, from the leader's present list to `new_members`."""
 
-    __slots__ = ("_began_ms", "_following", "_leader", "_replica", "_requested_version")
+    __slots__ = ("_began_ms", "_leader", "_new_members", "_replica", "_requested_version")
 
-    def __init__(self, replica: "LogReplica", leader: Leader, following: list[MemberRow]) -> None:
+    def __init__(self, replica: "LogReplica", leader: Leader, new_members: list[MemberRow]) -> None:
         self._replica = replica
         self._leader = leader
-        self._following = following
+        self._new_members = new_members
         self._requested_version = _NOT_REQUESTED
         self._began_ms = replica.node.env.now()
-        leader.begin_change([row["identity"] for row in following])
+        leader.begin_change([row["identity"] for row in new_members])
 
     def tick(self) -> bool:
-        """Take the next step and return whether the change has been made or given up.
+        """Take the next step and return whether the change has ended, applied or abandoned.
 
-        A change whose outcome isn't known is requested again until it is, as it may yet be decided.
+        A change that isn't ready within `force_ms` is abandoned. Once requested, a change is
+        requested again until its outcome is known, since it may still be decided; it is abandoned
+        if the control key changes otherwise.
         """
-        if self._is_made():
+        if self._is_applied():
             return self._end(True)
         if self._requested_version != _NOT_REQUESTED:
             if self._replica.key.version != self._requested_version:
@@ -51,10 +53,10 @@
             return self._end(False)
         return False
 
-    def _is_made(self) -> bool:
+    def _is_applied(self) -> bool:
         configuration = self._replica.configuration
         return (
-            configuration.members == self._following and configuration.epoch == self._leader.epoch
+            configuration.members == self._new_members and configuration.epoch == self._leader.epoch
         )
 
     def _waited_ms(self) -> int:
@@ -63,17 +65,17 @@
     def _request(self) -> None:
         key = self._replica.key
         if not key.changing:
-            key.change(key.configuration.with_members(self._following), self._answered)
+            key.change(key.configuration.with_members(self._new_members), self._answered)
 
     def _answered(self, outcome: str) -> None:
         leader = self._replica.leader
         if leader is not None and leader.epoch == self._replica.configuration.epoch:
             self._replica.on_change_answered()
 
-    def _end(self, made: bool) -> bool:
-        self._leader.end_change(made)
+    def _end(self, applied: bool) -> bool:
+        self._leader.end_change(applied)
         self._replica.node.env.log(
-            "members-changed" if made else "members-change-given-back",
+            "members-changed" if applied else "members-change-given-back",
             "WARNING",
             members=sorted(self._replica.configuration.names),
             epoch=self._leader.epoch,
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -1,7 +1,8 @@
 """Maintenance of the list of members by the serving leader.
 
-It replaces members that are lost or retired by standby replicas that have the log, spreads the
-members over the zones, and hands over to another member when it leaves or its disk is full.
+The leader replaces lost, silent and retired members by standby replicas that have caught up, and
+spreads the members over the zones. It hands over to another member when it shuts down, is to be
+replaced itself or has a full disk.
 """
 
 from typing import TYPE_CHECKING
@@ -27,9 +28,9 @@
 
 
 class MembershipManager:
-    """Looks after the members of the log that one replica leads.
+    """Maintains the members of the log while its replica serves as the leader.
 
-    Times are milliseconds of the replica's clock.
+    Times are in milliseconds of the replica's clock.
     """
 
     __slots__ = (
@@ -50,12 +51,15 @@
         self._change: MembershipChange | None = None
 
     def start(self) -> None:
-        """Start anew, because the replica has begun to serve."""
+        """Reset the state, because the replica has begun to serve."""
         self._change = None
         self._wanted_since_ms = _NOT_WANTED
 
     def tick(self) -> None:
-        """Look at the members, at most once in `leader_heartbeat_ms`."""
+        """Continue a change of members, or check the members every `leader_heartbeat_ms`.
+
+        A store that is shutting down hands over instead.
+        """
         replica, leader = self._replica, self._replica.leader
         if leader is None or leader.epoch != replica.configuration.epoch:
             return
@@ -81,12 +85,10 @@
         self._consider_disk_space()
 
     def follow_change(self) -> None:
-        """Take the next step of the change of members under way, if there is one."""
+        """Take the next step of the change of members in progress, if there is one."""
         if self._change is not None and self._change.tick():
             self._change = None
 
-    # -- replacing members ---------------------------------------------------------------------
-
     def _consider_replacement(self, leader: Leader) -> None:
         replica = self._replica
         members = replica.configuration.members
@@ -96,7 +98,7 @@
         leader.set_standbys(addresses_of(standbys))
         ready = [row for row in standbys if leader.health.is_caught_up(row["identity"])]
         new = choose_replacement(members, ready, to_replace)
-        old = None if new is None else self._member_to_give_way(to_replace, new)
+        old = None if new is None else self._choose_outgoing_member(to_replace, new)
         if new is None or old is None:
             self._wanted_since_ms = _NOT_WANTED
         elif self._may_replace_now(leader):
@@ -130,8 +132,12 @@
             self._replica.node.settings.store_faults,
         )
 
-    def _member_to_give_way(self, to_replace: list[str], new: MemberRow) -> str | None:
-        """Return the member whose place a standby takes: for its loss, or for the zones' sake."""
+    def _choose_outgoing_member(self, to_replace: list[str], new: MemberRow) -> str | None:
+        """Return the member that a standby is to replace, or None.
+
+        That is the most urgent member to replace. If there is none, and this store has served for
+        `resume_ms`, it is a member whose replacement spreads the members over more zones.
+        """
         if to_replace:
             return to_replace[0]
         replica = self._replica
@@ -141,7 +147,7 @@
         return member_in_shared_zone(replica.configuration.members, new)
 
     def _may_replace_now(self, leader: Leader) -> bool:
-        """Whether no caller waits for an append, or the replacement has been held up for long."""
+        """Whether no append is pending, or the replacement has waited for `request_timeout_ms`."""
         now_ms = self._replica.node.env.now()
         if self._wanted_since_ms == _NOT_WANTED:
             self._wanted_since_ms = now_ms
@@ -156,18 +162,19 @@
         if old == replica.log.identity:
             self._hand_over(leader)
             return
-        following = [row for row in replica.configuration.members if row["identity"] != old]
-        following.append(new)
+        new_members = [row for row in replica.configuration.members if row["identity"] != old]
+        new_members.append(new)
         replica.node.env.log(
             "store-replaced", "WARNING", old=old, new=new["identity"], epoch=leader.epoch
         )
-        self._change = MembershipChange(replica, leader, following)
+        self._change = MembershipChange(replica, leader, new_members)
         self.follow_change()
 
-    # -- handing over --------------------------------------------------------------------------
-
     def _consider_disk_space(self) -> None:
-        """Hand over to a member with space once this disk was full for `failure_timeout_ms`."""
+        """Hand over to a member with free disk space if this disk stays full.
+
+        It has to be full for longer than `failure_timeout_ms`.
+        """
         replica, leader = self._replica, self._replica.leader
         now_ms = replica.node.env.now()
         if replica.log.disk.has_room(0):
@@ -192,7 +199,7 @@
             self._replica.claim(configuration.members, configuration.recovery_members(), successor)
 
     def _successor(self, leader: Leader) -> str | None:
-        """Return the member in touch, not retired, with the most of the log."""
+        """Return the other responsive member with the longest log that isn't retired, or None."""
         retired = self._fleet.retired_stores()
         names = [name for name in leader.members if name != self._replica.log.identity]
         able = [name for name in names if leader.health.is_responsive(name) and name not in retired]
--- a/libs/replicated_log/src/replicated_log/quorums.py
+++ b/libs/replicated_log/src/replicated_log/quorums.py
@@ -1,7 +1,7 @@
-"""Quorums of the log: how far enough replicas have come.
+"""Quorums of the log: up to which record enough replicas have the log.
 
-Together with the leader, `faults` (f) other members of a list are a majority of it. While the list
-of members is being changed, a quorum of the present and of the following list is needed.
+The leader and `faults` (f) other members of a list form a quorum of it. While the list of members
+is being changed, a quorum of the present list and one of the new list are needed.
 """
 
 from collections.abc import Callable
@@ -12,64 +12,72 @@
 
 
 class Quorums:
-    """The list of members and, during a change of members, the list that follows it.
+    """The present list of members and, during a change of members, the new list.
 
-    During a change a record counts only once it is on enough replicas of both lists. Either may be
-    in force, since the change of the control key may have been decided although its answer hasn't
-    arrived. `members` and `following` are lists of identities.
+    During a change, a record counts only once it is on enough replicas of both lists. Either list
+    may be in force, since the change of the control key may have been decided before its response
+    arrives. Both lists hold identities; `new_members` is None while no change is in progress.
     """
 
-    __slots__ = ("_change_seq", "_followers", "following", "members")
+    __slots__ = ("_change_seq", "_followers", "members", "new_members")
 
     def __init__(self, members: list[str], followers: dict[str, FollowerProgress]) -> None:
         self.members = members
-        self.following: list[str] | None = None
+        self.new_members: list[str] | None = None
         self._followers = followers
         self._change_seq = 0
 
     def followers_of(self, names: list[str]) -> list[FollowerProgress]:
-        """Return the followers in a list of identities; the leader itself is left out."""
+        """Return the followers with these identities; the leader itself is not a follower."""
         return [self._followers[name] for name in names if name in self._followers]
 
     def voting_followers(self) -> list[FollowerProgress]:
-        """Return the followers that are members."""
+        """Return the followers that are members of the present list."""
         return self.followers_of(self.members)
 
     def reached(self, faults: int, measure: Callable[[FollowerProgress], int]) -> int:
-        """Return the highest value reached by `faults` followers in every list that counts."""
+        """Return the highest value of `measure` that `faults` followers of every list have reached.
+
+        Followers that aren't in a list don't count for it.
+        """
         return min(_reached(self.followers_of(names), faults, measure) for names in self._lists())
 
     def committed_seq(self, faults: int, own_flushed_seq: int) -> int:
-        """Return the last record that is durable on f+1 disks in every list that counts."""
+        """Return the last record that is durable on `faults` + 1 disks of every list."""
         return min(
             _committed([own_flushed_seq, *map(flushed_seq, self.followers_of(names))], faults)
             for names in self._lists()
         )
 
     def _lists(self) -> list[list[str]]:
-        return [self.members] if self.following is None else [self.members, self.following]
+        return [self.members] if self.new_members is None else [self.members, self.new_members]
 
-    # -- changing the members ------------------------------------------------------------------
+    def begin_change(self, new_members: list[str], last_seq: int) -> None:
+        """Start a change of members.
 
-    def begin_change(self, following: list[str], last_seq: int) -> None:
-        """Start a change of members; records up to `last_seq` may be on the present list alone."""
-        self.following = following
+        Records up to `last_seq` may have been acknowledged by the present members alone.
+        """
+        self.new_members = new_members
         self._change_seq = last_seq
 
     def is_change_ready(self, faults: int, own_flushed_seq: int) -> bool:
-        """Whether f+1 of the following members, the leader included, have these records on disk."""
-        followers = self.followers_of(self.following or [])
+        """Whether the new members can form a quorum alone.
+
+        That is so once the leader and `faults` other new members have on disk all records up to the
+        `last_seq` given to `begin_change`.
+        """
+        followers = self.followers_of(self.new_members or [])
         return min(own_flushed_seq, _reached(followers, faults, flushed_seq)) >= self._change_seq
 
-    def end_change(self, made: bool) -> None:
-        """End the change: the following list is in force if it was `made`, else the present one."""
-        if made and self.following is not None:
-            self.members = self.following
-        self.following = None
+    def end_change(self, applied: bool) -> None:
+        """End the change; if it was `applied`, the new list replaces the present one."""
+        if applied and self.new_members is not None:
+            self.members = self.new_members
+        self.new_members = None
 
 
 def _committed(flushed_seqs: list[int], faults: int) -> int:
-    """Return the highest record that `faults` + 1 of the replicas have on disk."""
+    """Return the last record that `faults` + 1 of the replicas have on disk, or 0."""
     flushed_seqs.sort(reverse=True)
     return flushed_seqs[faults] if len(flushed_seqs) > faults else 0
 
@@ -82,12 +90,12 @@
 
 
 def flushed_seq(follower: FollowerProgress) -> int:
-    """Return the last record of this epoch's log that a follower has on disk."""
+    """Return the last record of this epoch's log that a follower has on disk, or 0."""
     return follower.flushed_seq if follower.adopted else 0
 
 
 def replicated_seq(follower: FollowerProgress) -> int:
-    """Return the last record of this epoch's log that a follower has in memory."""
+    """Return the last record of this epoch's log that a follower has in memory, or 0."""
     return follower.last_seq if follower.adopted else 0
 
 
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -165,7 +165,7 @@
     ),
     "what one list alone has is acknowledged during a change": (
         "replicated_log/src/replicated_log/quorums.py",
-        "return [self.members] if self.following is None else [self.members, self.following]",
+        "return [self.members] if self.new_members is None else [self.members, self.new_members]",
         "return [self.members]",
         "tests/test_member_change.py -k both_lists",
     ),
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -146,7 +146,7 @@
         for name in MEMBER_CHANGE_INITIAL_STATES:
             explorer = Explorer(INITIAL_STATES[name].model())
             store = explorer.local_states.run(explorer.initial_state().nodes[1]).node.components[0]
-            following = store.leader._quorums.following
+            following = store.leader._quorums.new_members
             new = "store-n2-2-1" if name.startswith("returned") else "store-n4"
             self.assertThat(following, Equals(["store-n1", "store-n3", new]), name)
 
