--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap: which stores become the first members of the log."""
+"""Bootstrap of the log: selects its first members."""
 
 from messaging import Node
 
@@ -9,12 +9,12 @@
 
 __all__ = ["LogBootstrap"]
 
-# How many heartbeats the list of blank stores has to stay the same.
+# The number of heartbeats for which the list of live stores has to stay unchanged.
 _STABLE_HEARTBEATS = 2
 
 
 class LogBootstrap:
-    """The blank stores that this store has heard of, and since when they have been the same."""
+    """Tracks the live stores until their list is stable, and selects the first members."""
 
     __slots__ = ("_candidates", "_fleet", "_log", "_stable_since_ms")
 
@@ -27,10 +27,11 @@
     def members(self, node: Node, changed_ms: int) -> list[MemberRow]:
         """Return the first members if this store is to bootstrap the log now, else an empty list.
 
-        It waits until as many blank stores are known as the log needs and no more have appeared for
-        two heartbeats. The first of the chosen stores tries first, then the next one,
-        `request_timeout_ms` later. A store that starts blank after the fleet never bootstraps the
-        log. `changed_ms` is when this store's role last changed, in milliseconds of its clock.
+        A store waits until `store_count` stores are known and their list has been unchanged for two
+        heartbeats. Of the selected stores, each waits `request_timeout_ms` longer than the one
+        before it. A store whose blank disk was added after the first start of the fleet never
+        bootstraps the log; see `LocalLog.may_bootstrap`. `changed_ms` is the time of this store's
+        last change of role, in milliseconds of its clock; it has to be a heartbeat ago.
         """
         settings, now_ms = node.settings, node.env.now()
         if not self._fleet.knows_fleet() or now_ms - changed_ms < settings.heartbeat_ms:
--- a/libs/replicated_log/src/replicated_log/election.py
+++ b/libs/replicated_log/src/replicated_log/election.py
@@ -1,6 +1,6 @@
-"""How a store becomes a candidate: watching the leader, polling the members, claiming an epoch.
+"""Leader election: polls the members about the leader, and claims the next epoch.
 
-An epoch is claimed by a change of the control key, which names the store that is to lead it.
+An epoch is claimed by a compare-and-set of the control key, which names the epoch's leader.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -18,7 +18,7 @@
 
 
 class LeaderElection:
-    """The claims of one replica."""
+    """Decides when a replica polls the members or claims an epoch, and does so."""
 
     __slots__ = ("_bootstrap", "_fleet", "_replica")
 
@@ -28,7 +28,10 @@
         self._bootstrap = LogBootstrap(replica.log, fleet)
 
     def consider(self) -> None:
-        """Poll the members or claim the next epoch, if this replica should."""
+        """Poll the members, claim the next epoch or bootstrap the log, if this replica should.
+
+        Does nothing unless the replica is a follower and isn't shutting down.
+        """
         replica = self._replica
         if replica.leaving or replica.role is not Role.FOLLOWER:
             return
@@ -63,7 +66,7 @@
             )
 
     def poll(self) -> None:
-        """Ask the other members whether the leader is still at work."""
+        """Ask the other members whether the leader is still active."""
         replica = self._replica
         epoch = replica.configuration.epoch
 
@@ -88,9 +91,10 @@
                 )
 
     def claim(self, members: list[MemberRow], previous: list[MemberRow], leader: str) -> None:
-        """Claim the next epoch for `leader`, which may be another store, in the control key.
+        """Claim the next epoch in the control key for `leader`, which may be another store.
 
-        `previous` are the members to recover from, `members` those to serve with.
+        The epoch is one higher than both the known epoch and this store's fence. `previous` are the
+        members to recover from and `members` those to serve with.
         """
         replica = self._replica
         epoch = max(replica.configuration.epoch, replica.log.metadata.fence) + 1
@@ -116,7 +120,7 @@
         )
 
     def _transfer_to(self, leader: str, members: list[MemberRow]) -> None:
-        """Tell the store that was named as the leader of its claim."""
+        """Send the new control key to the store that it names as the leader."""
         key = self._replica.key
         address = next(row["address"] for row in members if row["identity"] == leader)
         self._replica.node.send(
--- a/libs/replicated_log/src/replicated_log/failure_detector.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -1,9 +1,10 @@
 """Failure detection of the log's leader by one member.
 
-Silence is counted in this store's own ticks, so a store that stood still itself suspects nobody.
-After some silence the other members are polled. The store claims the next epoch only if n-f members
-answer and fewer than f still hear the leader, so a member that is merely cut off from the leader
-claims nothing. Members that come earlier in the list claim first.
+The leader's silence is counted in ticks of this store, so a store that was frozen doesn't suspect
+the leader. After `leader_suspicion_ms` of silence the other members are polled. The store claims
+the next epoch only if n-f members, itself included, have answered and fewer than f others still
+hear the leader, so a member that is only cut off from the leader claims nothing. Members that are
+earlier in the list claim first.
 """
 
 from collections.abc import Callable
@@ -19,7 +20,7 @@
 
 
 class _PollAnswer:
-    """A member's answer to a poll, and when it came, in milliseconds of this store's clock."""
+    """A member's response to a poll, received at `at_ms` of this store's clock."""
 
     __slots__ = ("at_ms", "response")
 
@@ -29,9 +30,18 @@
 
 
 class LeaderFailureDetector:
-    """What one member knows of the leader: how long it has been silent, and what the others say.
-
-    `own` is the member's identity, `silent_ms` the leader's silence in milliseconds.
+    """One member's view of the leader: its silence, and the other members' poll responses.
+
+    `silent_ms` is the counted silence of the leader.
+
+    Parameters
+    ----------
+    own_identity : str
+        The identity of this member.
+    settings : Settings
+        The settings of the process.
+    now : callable
+        Returns this store's clock in milliseconds.
     """
 
     __slots__ = (
@@ -39,14 +49,14 @@
         "_eligible_since_ms",
         "_last_tick_ms",
         "_now",
-        "_own",
+        "_own_identity",
         "_polled_ms",
         "_settings",
         "silent_ms",
     )
 
-    def __init__(self, own: str, settings: Settings, now: Callable[[], int]) -> None:
-        self._own, self._settings, self._now = own, settings, now
+    def __init__(self, own_identity: str, settings: Settings, now: Callable[[], int]) -> None:
+        self._own_identity, self._settings, self._now = own_identity, settings, now
         self._answers: dict[str, _PollAnswer] = {}
         self._polled_ms = _LONG_AGO_MS
         self._eligible_since_ms = _NOT_ELIGIBLE
@@ -54,21 +64,22 @@
         self.silent_ms = 0
 
     def reset(self) -> None:
-        """Start anew: the leader or the epoch has changed, or this store has just woken."""
+        """Forget the leader's silence and all poll responses.
+
+        Called when the leader or the epoch has changed or this store was frozen.
+        """
         self._answers.clear()
         self._eligible_since_ms = _NOT_ELIGIBLE
         self._last_tick_ms = self._now()
         self.silent_ms = 0
 
-    # -- the leader ----------------------------------------------------------------------------
-
     def handle_heartbeat(self) -> None:
-        """Record a heartbeat of the leader."""
+        """Record that the leader was heard."""
         self.silent_ms = 0
         self._eligible_since_ms = _NOT_ELIGIBLE
 
     def process_ended(self) -> None:
-        """Record that the leader's machine says that its process isn't running."""
+        """Record that the leader isn't active: a silence of at least `leader_failure_ms`."""
         self.silent_ms = max(self.silent_ms, self._settings.leader_failure_ms)
 
     @property
@@ -77,20 +88,19 @@
         return bool(self.silent_ms < self._settings.leader_suspicion_ms)
 
     def tick(self) -> None:
-        """Count the time since the last tick as silence.
+        """Add the time since the last tick to the silence.
 
-        At most half of `leader_heartbeat_ms` is counted a tick.
+        A tick adds at most half of `leader_heartbeat_ms`, so a freeze of this store hardly counts.
         """
         now_ms = self._now()
         self.silent_ms += min(now_ms - self._last_tick_ms, self._settings.leader_heartbeat_ms // 2)
         self._last_tick_ms = now_ms
 
-    # -- the other members ---------------------------------------------------------------------
-
     def should_poll(self, is_named: bool) -> bool:
-        """Whether to poll the other members now; at most once in `leader_heartbeat_ms`.
+        """Whether to poll the other members now, at most every `leader_heartbeat_ms`.
 
-        `is_named` says that this very store is named as the leader but isn't at work.
+        `is_named` means that the control key names this store as the leader; it then polls without
+        waiting for silence.
         """
         due = is_named or self.silent_ms >= self._settings.leader_suspicion_ms
         if not due or self._now() - self._polled_ms < self._settings.leader_heartbeat_ms:
@@ -99,15 +109,15 @@
         return True
 
     def handle_poll_response(self, response: LeaderPollResponse, leader: str) -> None:
-        """Take in a member's answer; that of a leader at work counts as a heartbeat."""
+        """Record a member's response; that of the active leader counts as a heartbeat."""
         self._answers[response.identity] = _PollAnswer(self._now(), response)
         if response.identity == leader and response.is_leader:
             self.handle_heartbeat()
 
     def unanswered(self, names: list[str]) -> list[str]:
-        """Return the members that haven't answered within twice `failure_timeout_ms`."""
+        """Return the other members without a poll response within 2 `failure_timeout_ms`."""
         answered = self._answers_since(self._now() - 2 * self._settings.failure_timeout_ms)
-        return [name for name in names if name != self._own and name not in answered]
+        return [name for name in names if name != self._own_identity and name not in answered]
 
     def _answers_since(self, floor_ms: int) -> dict[str, LeaderPollResponse]:
         return {
@@ -116,13 +126,20 @@
             if answer.at_ms >= floor_ms
         }
 
-    # -- claiming ------------------------------------------------------------------------------
-
     def should_claim(self, names: list[str], leader: str, epoch: int, retired: list[str]) -> bool:
         """Whether this store should claim the next epoch now.
 
-        `names` are the members in order, `leader` and `epoch` those of the control key. Members
-        that are being retired (`retired`) claim only if nobody else can.
+        Only poll responses of the last 2 `leader_heartbeat_ms` count. Each candidate waits
+        `leader_heartbeat_ms` longer than the one before it.
+
+        Parameters
+        ----------
+        names : list of str
+            The identities of the members, in their configured order.
+        leader, epoch : str, int
+            The leader and the epoch that the control key names.
+        retired : list of str
+            The stores that are being retired; they claim only if no other member can.
         """
         now_ms, leader_heartbeat_ms = self._now(), self._settings.leader_heartbeat_ms
         answers = {
@@ -136,27 +153,32 @@
         if self._eligible_since_ms == _NOT_ELIGIBLE:
             self._eligible_since_ms = now_ms
         candidates = self._candidates(answers, names, retired)
-        if self._own not in candidates:
+        if self._own_identity not in candidates:
             return False
         return bool(
-            now_ms - self._eligible_since_ms >= candidates.index(self._own) * leader_heartbeat_ms
+            now_ms - self._eligible_since_ms
+            >= candidates.index(self._own_identity) * leader_heartbeat_ms
         )
 
     def _candidates(
         self, answers: dict[str, LeaderPollResponse], names: list[str], retired: list[str]
     ) -> list[str]:
-        """Return the members that may claim, in the order in which they do."""
+        """Return the members that may claim, in the order in which they claim."""
         able = [
             name
             for name in names
-            if name == self._own or (name in answers and not answers[name].leaving)
+            if name == self._own_identity or (name in answers and not answers[name].leaving)
         ]
         return [name for name in able if name not in retired] or able
 
     def _is_vacant(
         self, answers: dict[str, LeaderPollResponse], names: list[str], leader: str, epoch: int
     ) -> bool:
-        """Whether enough members agree that the leader is no longer at work."""
+        """Whether enough members agree that the leader is no longer active.
+
+        The leader has to be silent for `leader_failure_ms`, unless it is this store or it has
+        answered, knowing the epoch, that it isn't active.
+        """
         faults = self._settings.store_faults
         if 1 + len(answers) < len(names) - faults:
             return False
@@ -168,5 +190,7 @@
         hearing = sum(answer.hears_leader for name, answer in answers.items() if name != leader)
         if hearing >= faults:
             return False
-        given_up = leader == self._own or (from_leader is not None and from_leader.epoch >= epoch)
+        given_up = leader == self._own_identity or (
+            from_leader is not None and from_leader.epoch >= epoch
+        )
         return bool(given_up or self.silent_ms >= self._settings.leader_failure_ms)
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -1,11 +1,12 @@
-"""A store's part in the replicated log.
-
-It answers a leader as a follower, watches the leader, becomes the leader itself when that fails,
-and then maintains the list of members. The roles are follower, claiming, recovering, adopting,
-announcing and serving; `become` makes every change of role. With unchanged members a new leader
-serves as soon as f others have adopted the recovered log, since any later recovery asks the same
-members, and the control key is updated afterwards. With changed members the control key is updated
-first.
+"""The replica of the log that runs in a store node.
+
+As a follower, the replica responds to the leader and monitors it. When the leader fails, the
+replica may become the leader itself and then maintains the list of members. The roles are follower,
+claiming, recovering, adopting, announcing and serving; every change of role goes through `become`.
+
+If the members are unchanged, a new leader serves as soon as f others have adopted the recovered
+log, since any later recovery asks the same members; the control key is updated afterwards. If the
+members have changed, the control key is updated first.
 """
 
 from collections.abc import Callable
@@ -44,11 +45,21 @@
 
 
 class LogReplica(Component):
-    """The log's part of a store node.
-
-    `client` changes the control key of the log, `fleet` knows the live stores. `on_role` gets the
-    Leader when this store begins to serve, and None when it stops. `leaving` says that the store is
-    to shut down, `changed_ms` is when its role last changed, in milliseconds of its clock.
+    """The component of a store node that replicates the log.
+
+    `leaving` is set once the store has been asked to shut down. `changed_ms` is the time of the
+    last change of role, in milliseconds of the node's clock.
+
+    Parameters
+    ----------
+    log : LocalLog
+        This replica's copy of the log.
+    client : KeyClient
+        Changes the control key of the log.
+    fleet : FleetView
+        Lists the live and the retired stores.
+    on_role : callable
+        Called with the Leader when this store begins to serve, and with None when it steps down.
     """
 
     __slots__ = (
@@ -101,32 +112,30 @@
         self._caught_up_reported = 0
 
     def attach(self, node: Node) -> None:
-        """Bind the component to its node."""
+        """Bind the component to its node, and start failure detection."""
         super().attach(node)
         self.failure_detector = LeaderFailureDetector(
             self.log.identity, node.settings, node.env.now
         )
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.log.settings = settings
         if self.leader is not None:
             self.leader.apply_settings(settings)
 
     @property
     def configuration(self) -> LogConfiguration:
-        """The configuration of the log that this store knows."""
+        """The latest configuration of the log that this store has received."""
         return self.key.configuration
 
     def _epoch_changed(self) -> None:
         self.failure_detector.reset()
 
-    # -- messages ------------------------------------------------------------------------------
-
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Handle a message of another store."""
-        raise TypeError(type(message).__name__)
+        """Handle a message from another store."""
+        raise TypeError(f"LogReplica cannot handle a {type(message).__name__} message")
 
     @receive.register
     def _(self, message: AppendResponse, origin: Origin) -> None:
@@ -147,7 +156,7 @@
             and message.epoch >= epoch
             and self.role is Role.FOLLOWER
         ):
-            # The leader itself asks, so it isn't at work.
+            # The named leader polls the members only while it isn't active.
             self.failure_detector.process_ended()
         self.node.reply(
             origin,
@@ -167,7 +176,7 @@
 
     @receive.register
     def _(self, message: AppendRequest | InstallSnapshot, origin: Origin) -> None:
-        """Handle what a leader sends; its responses aren't tied to one request."""
+        """Handle a leader's message; the responses are separate messages, not replies."""
         self._step_down_if_fenced(message.epoch)
         self._follower.receive(
             message, lambda response: self.node.send(origin.sender, response), origin.sender
@@ -175,7 +184,7 @@
 
     @receive.register
     def _(self, message: StartRecovery | FetchRecords | FetchTail, origin: Origin) -> None:
-        """Answer a store that recovers the log."""
+        """Reply to a store that is recovering the log."""
         self._step_down_if_fenced(message.epoch)
         self._follower.receive(
             message, lambda response: self.node.reply(origin, response), origin.sender
@@ -185,10 +194,8 @@
         if epoch > self.log.metadata.fence and self.role is not Role.FOLLOWER:
             self.step_down("fenced", epoch)
 
-    # -- connections ---------------------------------------------------------------------------
-
     def connection_closed(self, address: str) -> None:
-        """Poll the members at once if the connection that ended is the leader's."""
+        """Poll the other members at once if the closed connection is the leader's."""
         if (
             self.role is Role.FOLLOWER
             and address == self.configuration.leader_address
@@ -197,14 +204,12 @@
             self._election.poll()
 
     def connection_refused(self, address: str) -> None:
-        """Record that the leader's process has ended, if the address is the leader's."""
+        """Record that the leader's process has ended if the address is the leader's."""
         if self.role is Role.FOLLOWER and address == self.configuration.leader_address:
             self.failure_detector.process_ended()
 
-    # -- periodic work -------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Do the periodic work of the present role."""
+        """Perform the periodic work of the present role."""
         self.key.refresh()
         if self.role is not Role.FOLLOWER:
             self.step_down_if_superseded("superseded", self.configuration.epoch)
@@ -226,7 +231,7 @@
             self.takeover.give_up()
 
     def send_heartbeat(self) -> None:
-        """Send the leader's heartbeat to the other members, once in `leader_heartbeat_ms`."""
+        """Send the leader's heartbeat to the other members, at most every `leader_heartbeat_ms`."""
         now_ms = self.node.env.now()
         since_last_ms = now_ms - self._heartbeat_sent_ms
         if self.role is Role.CLAIMING or since_last_ms < self.node.settings.leader_heartbeat_ms:
@@ -245,24 +250,22 @@
                 )
 
     def _is_leading(self) -> bool:
-        """Whether this store is at work as the leader, or on its way there."""
+        """Whether this store serves with a responsive quorum, or is taking over the leadership."""
         if self.role is Role.SERVING:
             return self.leader is not None and self.leader.health.has_quorum()
         return self.role in LEADING_ROLES
 
-    # -- leaving -------------------------------------------------------------------------------
-
     def start_leaving(self) -> None:
-        """Prepare to leave: a serving leader hands over to another live member at once."""
+        """Prepare to shut down; a serving leader hands over to a responsive member at once."""
         self.leaving = True
         if self.role is Role.SERVING:
             self._membership.tick()
 
     def must_stay(self) -> bool:
-        """Whether this store, told to stop, is still needed.
+        """Whether this store is to shut down but is still needed.
 
-        It is needed while it is the leader or on its way there, and while a leader is at work and
-        fewer than f+1 members would have all that is committed without this store.
+        It is needed while its role isn't FOLLOWER. A member is also needed while it hears a leader
+        and, by the leader's last report, fewer than f+1 members would be caught up without it.
         """
         if not self.leaving or self.role is not Role.FOLLOWER:
             return self.leaving
@@ -270,37 +273,38 @@
         is_member = self.log.identity in self.configuration.names
         return is_member and needed and self.failure_detector.hears_leader
 
-    # -- changes of role -----------------------------------------------------------------------
-
     def claim(self, members: list[MemberRow], previous: list[MemberRow], leader: str) -> None:
-        """Claim the next epoch for a store; see LeaderElection.claim."""
+        """Claim the next epoch for the store `leader`; see LeaderElection.claim."""
         self._election.claim(members, previous, leader)
 
     def on_change_answered(self) -> None:
-        """Continue a change of members after the control key has answered."""
+        """Continue a change of members after the response to a change of the control key."""
         if self.role is Role.SERVING:
             self._membership.follow_change()
 
     def become(self, role: Role, epoch: int) -> None:
-        """Change the role, with a log line if it is a new one."""
+        """Set the role, and log it if it has changed."""
         if role is not self.role:
             self.node.env.log("log-role", "INFO", became=str(role), was=str(self.role), epoch=epoch)
         self.role = role
         self.changed_ms = self.node.env.now()
 
     def serve(self, epoch: int) -> None:
-        """Begin to serve as the leader of an epoch."""
+        """Begin to serve as the leader of `epoch`."""
         self.become(Role.SERVING, epoch)
         self._membership.start()
         self._on_role(self.leader)
 
     def step_down_if_superseded(self, reason: str, epoch: int) -> None:
-        """Go back to being a follower if the control key has a later epoch than this leader."""
+        """Step down if the control key has a later epoch than this store's leader."""
         if self.leader is not None and self.configuration.epoch > self.leader.epoch:
             self.step_down(reason, epoch)
 
     def step_down(self, reason: str, epoch: int) -> None:
-        """Go back to being a follower; waiting callers are told that their outcome is unknown."""
+        """Become a follower.
+
+        Pending appends end with the outcome UNKNOWN, and pending reads fail.
+        """
         self.takeover.stop()
         leader, self.leader = self.leader, None
         self.node.env.log("log-stepped-down", "INFO", reason=reason, epoch=epoch)
@@ -311,7 +315,7 @@
             leader.stop()
 
     def resumed(self, gap_ms: int) -> None:
-        """Step down after the process stood still, since its view of the others is old."""
+        """Step down after the process was frozen, since its view of the other stores is stale."""
         self.failure_detector.reset()
         if self.role is not Role.FOLLOWER:
             self.step_down("frozen", 0)
--- a/libs/replicated_log/src/replicated_log/recovery.py
+++ b/libs/replicated_log/src/replicated_log/recovery.py
@@ -1,11 +1,11 @@
 """Recovery of the log under a new epoch.
 
-The steps are: fence the members, wait for n-f answers, fetch, drop duplicates by stamp, order by
-stamp, write. Only answers of the highest log epoch count, since a store that missed the last
-recovery would bring back records that this recovery left out. Stores of one log epoch have the same
-log to different lengths, so what a store lacks follows the last record that both share, and a store
-that reaches no further than what is known already adds nothing. Every step may be interrupted and
-run again.
+The steps are: fence the members, wait for n-f responses, fetch the records, drop duplicates by
+stamp, order by stamp, write. Only replicas of the highest log epoch among the responses count,
+since a store that missed the last recovery would bring back records that that recovery left out.
+Replicas of the same log epoch have the same log up to different lengths. So the records that one
+lacks follow the last record that both have, and a replica whose log is no longer than what has been
+gathered need not be asked. A recovery may be interrupted at any step and run again.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 
 def recovery_response(log: LocalLog, ok: bool) -> StartRecoveryResponse:
-    """Build this replica's answer to StartRecovery."""
+    """Build this replica's response to StartRecovery."""
     return StartRecoveryResponse(
         identity=log.identity,
         ok=ok,
@@ -45,7 +45,7 @@
 
 
 def merge_records(replicas: list[list[Record]]) -> list[Record]:
-    """Return all records of the replicas in stamp order, each stamp once."""
+    """Return the records of all replicas in stamp order, without duplicates of a stamp."""
     by_stamp: dict[Stamp, Record] = {}
     for records in replicas:
         for record in records:
@@ -56,8 +56,23 @@
 class Recovery:
     """One recovery of the log by the store that is to become its leader.
 
-    `members` are those to recover from. `done` gets True once the recovered log is on this store's
-    disk under the new epoch, and False if the recovery failed.
+    Parameters
+    ----------
+    log : LocalLog
+        This store's copy of the log, which is replaced by the recovered log.
+    epoch : int
+        The new epoch.
+    members : list of ReplicaAddress
+        The members to recover from.
+    settings : Settings
+        The settings of the process.
+    request : callable
+        Sends a request to an address; see RequestCallback.
+    now : callable
+        Returns this store's clock in milliseconds.
+    done : callable
+        Called once: with True when the recovered log is on this store's disk under the new epoch,
+        with False if the recovery failed. Not called after `stop`.
     """
 
     __slots__ = (
@@ -93,18 +108,16 @@
         self._request, self._done, self._now = request, done, now
         self._answers: dict[str, StartRecoveryResponse] = {}
         self._fenced = False
-        # The records of each replica that counts, this one first.
+        # The records of each replica that counts, with those of this store first.
         self._gathered: list[list[Record]] = []
         self._sources: list[ReplicaAddress] = []
         self._started_ms = now()
         self.state = _State.FENCING
 
-    # -- fencing -------------------------------------------------------------------------------
-
     def start(self) -> None:
-        """Fence this store and ask the other members to do the same.
+        """Fence this store, and request the same of the other members.
 
-        Nothing is sent on under the new epoch before this store's own fence is on disk.
+        Nothing else is sent under the new epoch before this store's own fence is on disk.
         """
 
         def fenced(ok: bool) -> None:
@@ -150,13 +163,11 @@
             self._fetch()
 
     def unanswered(self) -> list[str]:
-        """Return the members that haven't answered, or none once enough have."""
+        """Return the members that haven't responded, or an empty list once enough have."""
         if self._sources or self._has_quorum():
             return []
         return [member.identity for member in self.members if member.identity not in self._answers]
 
-    # -- fetching ------------------------------------------------------------------------------
-
     def _fetch(self) -> None:
         self.state = _State.FETCHING
         top_epoch = max(answer.log_epoch for answer in self._answers.values())
@@ -169,23 +180,24 @@
         self._sources = [member for member in counting if member.identity != self._log.identity]
         self._sources.sort(key=lambda source: -self._answers[source.identity].last_seq)
         own_counts = any(member.identity == self._log.identity for member in counting)
-        self._gathered.append(list(self._log.records) if own_counts else self._committed_here())
+        self._gathered.append(list(self._log.records) if own_counts else self._committed_records())
         self._fetch_next()
 
-    def _committed_here(self) -> list[Record]:
+    def _committed_records(self) -> list[Record]:
         """Return the committed records of this store.
 
-        Every later log has them too, so they stand even if this copy doesn't count as an answer.
+        They are in every later log, so they are part of the recovered log even if this replica
+        missed the last recovery.
         """
         return [record for record in self._log.records if record.seq <= self._log.committed_seq]
 
     def _gathered_seq(self) -> int:
-        """Return the last sequence number of the log that has been gathered."""
+        """Return the last sequence number gathered so far."""
         ends = [records[-1].seq for records in self._gathered if records]
         return max([self._log.committed_seq, *ends])
 
     def _fetch_next(self) -> None:
-        """Fetch from the next source that has more than what has been gathered, or write."""
+        """Fetch from the next source whose log is longer than the one gathered; if none, write."""
         while self._sources:
             source = self._sources.pop(0)
             if self._answers[source.identity].last_seq > self._gathered_seq():
@@ -213,10 +225,12 @@
             fetched,
         ).start()
 
-    # -- writing -------------------------------------------------------------------------------
-
     def _write(self) -> None:
-        """Write the recovered log behind what this store shares with it."""
+        """Replace the part of this store's log that differs from the recovered log.
+
+        Fails if the gathered records have a gap, if they contradict a committed record of this
+        store, or if the disk is full.
+        """
         self.state = _State.WRITING
         log = self._log
         snapshot_seq = log.snapshot_seq
@@ -239,7 +253,7 @@
         log.ensure_flushed(self._flushed)
 
     def _shared_seq(self, records: list[Record]) -> int:
-        """Return the last of the records that this store has too."""
+        """Return the last of these records that this store has without a gap."""
         shared_seq = self._log.snapshot_seq
         for record in records:
             if self._log.stamp_at(record.seq) != record.stamp:
@@ -253,10 +267,8 @@
         else:
             self._finish(False)
 
-    # -- ending --------------------------------------------------------------------------------
-
     def stop(self) -> None:
-        """Abandon the recovery; `done` isn't called any more."""
+        """Abandon the recovery; `done` is no longer called."""
         if self.state not in (_State.DONE, _State.FAILED):
             self.state = _State.FAILED
 
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -1,9 +1,9 @@
-"""The takeover of the log by a new leader, from its claim to serving.
+"""The takeover of the log by a new leader, from its successful claim until it serves.
 
-The log is recovered from the old members, adopted by the new ones, announced in the control key if
-the members have changed, and then served. A takeover that fails logs which members were missing,
-and the next attempt is delayed with exponential backoff, so that a store whose peers are gone
-doesn't raise the epoch without end.
+The new leader recovers the log from the previous members, has the members adopt it, announces
+changed members in the control key, and then serves. A failed takeover is logged with the members
+that didn't respond. The next attempt is then delayed with exponential backoff, so that a store
+whose peers are gone doesn't raise the epoch without end.
 """
 
 from typing import TYPE_CHECKING
@@ -20,14 +20,14 @@
 
 __all__ = ["LeaderTakeover"]
 
-# The longest backoff, in units of `force_ms`, and the most doublings that are counted.
-_LONGEST_BACKOFF = 4
-_MOST_DOUBLINGS = 10
+# The longest backoff, as a multiple of `force_ms`.
+_MAX_BACKOFF_FACTOR = 4
+_MAX_BACKOFF_DOUBLINGS = 10
 _LONG_AGO_MS = -1 << 40
 
 
 class LeaderTakeover:
-    """The takeovers by one replica."""
+    """Runs the takeovers of one replica, one at a time."""
 
     __slots__ = ("_failures", "_not_before_ms", "_recovery", "_replica", "_warned_ms")
 
@@ -38,20 +38,18 @@
         self._not_before_ms = _LONG_AGO_MS
         self._warned_ms = _LONG_AGO_MS
 
-    # -- attempts ------------------------------------------------------------------------------
-
     def may_claim(self) -> bool:
-        """Whether the backoff after the last takeover that lacked answers has passed."""
+        """Whether the backoff after the last takeover that lacked responses has passed."""
         return self._replica.node.env.now() >= self._not_before_ms
 
     def stop(self) -> None:
-        """Abandon a recovery under way, because the store steps down."""
+        """Abandon the recovery in progress, if any, because the store steps down."""
         if self._recovery is not None:
             self._recovery.stop()
             self._recovery = None
 
     def give_up(self) -> None:
-        """Give up a takeover that has made no progress for too long."""
+        """Abandon a takeover that has made no progress for too long, and step down."""
         replica, missing = self._replica, []
         if self._recovery is not None:
             missing = self._recovery.unanswered()
@@ -62,19 +60,23 @@
         replica.step_down("stuck", 0)
 
     def _failed(self, event: str, missing: list[str], epoch: int) -> None:
-        """Log a failed takeover and delay the next one if members were missing."""
+        """Log a failed takeover, and delay the next one if members didn't respond."""
         node = self._replica.node
         node.env.log(event, "WARNING", lacks=missing, epoch=epoch)
         if missing:
             settings = node.settings
             backoff_ms = min(
-                settings.request_timeout_ms << self._failures, _LONGEST_BACKOFF * settings.force_ms
+                settings.request_timeout_ms << self._failures,
+                _MAX_BACKOFF_FACTOR * settings.force_ms,
             )
             self._not_before_ms = node.env.now() + backoff_ms
-            self._failures = min(self._failures + 1, _MOST_DOUBLINGS)
+            self._failures = min(self._failures + 1, _MAX_BACKOFF_DOUBLINGS)
 
     def warn_if_unserved(self, names: list[str], detector: LeaderFailureDetector) -> None:
-        """Log a warning while no leader is heard and too few members answer to elect one."""
+        """Log a warning if no leader is heard and too few members respond to elect one.
+
+        The silence has to last `force_ms`; the warning is repeated every `resume_ms`.
+        """
         node, settings = self._replica.node, self._replica.node.settings
         now_ms = node.env.now()
         missing = detector.unanswered(names)
@@ -87,10 +89,8 @@
             epoch = self._replica.configuration.epoch
             node.env.log("log-unserved", "WARNING", lacks=missing, epoch=epoch)
 
-    # -- steps ---------------------------------------------------------------------------------
-
     def start(self, epoch: int) -> None:
-        """Recover the log under an epoch that the control key assigns to this store."""
+        """Start to recover the log under an epoch that the control key assigns to this store."""
         replica = self._replica
         replica.become(Role.RECOVERING, epoch)
         replica.send_heartbeat()
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -135,8 +135,8 @@
     ),
     "only the first in order holds": (
         "replicated_log/src/replicated_log/failure_detector.py",
-        "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own) * leader_heartbeat_ms)",
-        "return self._own == names[0]",
+        "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own_identity) * leader_heartbeat_ms)",
+        "return self._own_identity == names[0]",
         _MEMBERS + "empty_one_at_a_new_address",
     ),
     "a blank disk answers for the store that was counted on": (
@@ -147,7 +147,7 @@
     ),
     "a recovery drops what is settled here": (
         "replicated_log/src/replicated_log/recovery.py",
-        "if own_counts else self._committed_here())",
+        "if own_counts else self._committed_records())",
         "if own_counts else [])",
         "tests/test_recovery.py -k missed_a_recovery",
     ),
