--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -31,7 +31,7 @@
         heartbeats. Of the selected stores, each waits `request_timeout_ms` longer than the one
         before it. A store whose blank disk was added after the first start of the fleet never
         bootstraps the log; see `LocalLog.may_bootstrap`. `changed_ms` is the time of this store's
-        last change of role, in milliseconds of its clock; it has to be a heartbeat ago.
+        last change of role, in milliseconds of its clock, which has to be a heartbeat ago or more.
         """
         settings, now_ms = node.settings, node.env.now()
         if not self._fleet.knows_fleet() or now_ms - changed_ms < settings.heartbeat_ms:
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -24,7 +24,7 @@
 __all__ = ["MembershipManager"]
 
 _LONG_AGO_MS = -1 << 40
-_NOT_WANTED = -1
+_NO_REPLACEMENT_WANTED = -1
 
 
 class MembershipManager:
@@ -38,8 +38,8 @@
         "_checked_ms",
         "_fleet",
         "_had_space_ms",
+        "_replacement_wanted_since_ms",
         "_replica",
-        "_wanted_since_ms",
     )
 
     def __init__(self, replica: "LogReplica", fleet: FleetView) -> None:
@@ -47,13 +47,13 @@
         self._fleet = fleet
         self._checked_ms = _LONG_AGO_MS
         self._had_space_ms = _LONG_AGO_MS
-        self._wanted_since_ms = _NOT_WANTED
+        self._replacement_wanted_since_ms = _NO_REPLACEMENT_WANTED
         self._change: MembershipChange | None = None
 
     def start(self) -> None:
         """Reset the state, because the replica has begun to serve."""
         self._change = None
-        self._wanted_since_ms = _NOT_WANTED
+        self._replacement_wanted_since_ms = _NO_REPLACEMENT_WANTED
 
     def tick(self) -> None:
         """Continue a change of members, or check the members every `leader_heartbeat_ms`.
@@ -100,7 +100,7 @@
         new = choose_replacement(members, ready, to_replace)
         old = None if new is None else self._choose_outgoing_member(to_replace, new)
         if new is None or old is None:
-            self._wanted_since_ms = _NOT_WANTED
+            self._replacement_wanted_since_ms = _NO_REPLACEMENT_WANTED
         elif self._may_replace_now(leader):
             self._replace(leader, old, new)
 
@@ -149,9 +149,9 @@
     def _may_replace_now(self, leader: Leader) -> bool:
         """Whether no append is pending, or the replacement has waited for `request_timeout_ms`."""
         now_ms = self._replica.node.env.now()
-        if self._wanted_since_ms == _NOT_WANTED:
-            self._wanted_since_ms = now_ms
-        waited_ms = now_ms - self._wanted_since_ms
+        if self._replacement_wanted_since_ms == _NO_REPLACEMENT_WANTED:
+            self._replacement_wanted_since_ms = now_ms
+        waited_ms = now_ms - self._replacement_wanted_since_ms
         return (
             not leader.has_pending_appends()
             or waited_ms >= self._replica.node.settings.request_timeout_ms
--- a/libs/replicated_log/src/replicated_log/replicator.py
+++ b/libs/replicated_log/src/replicated_log/replicator.py
@@ -113,8 +113,9 @@
     def send_due(self) -> None:
         """Resend to followers that are behind, and send heartbeats to all.
 
-        A follower that is behind is sent its unconfirmed records every 2 `delta_ms`; the others get
-        a heartbeat every `leader_heartbeat_ms`. Both times count from the latest request.
+        The unconfirmed records are sent again once the latest request is 2 `delta_ms` or
+        `leader_heartbeat_ms` old, whichever is shorter. Other followers get a heartbeat every
+        `leader_heartbeat_ms`.
         """
         now_ms = self._now()
         for follower in self.followers.values():
