--- a/tests/log_harness.py
+++ b/tests/log_harness.py
@@ -1,5 +1,6 @@
-"""Three replicas of the log without a fleet: messages take a millisecond, replicas can be cut off,
-disks can lose power, and time is set by the test.
+"""A harness of three log replicas without a fleet, on simulated disks and virtual time.
+
+Messages take 1 ms. A test can cut replicas off, cut the power of disks and set the time of day.
 """
 
 from batch_state import entries
@@ -26,20 +27,20 @@
 
 
 class Machine:
-    """What a simulated disk wants to know of its host."""
+    """A stub of the host of a simulated disk."""
 
     def __init__(self):
         self.up, self.frozen, self.incarnation = True, False, 1
 
-    def when_awake(self, what, incarnation):
+    def when_awake(self, callback, incarnation):
         if self.up:
-            what()
+            callback()
 
 
 class LogHarness:
-    """Three replicas, one of which may lead; `send` may be replaced by the test.
+    """Three replicas, one of which may lead; a test may replace `send` and `request`.
 
-    `cut` names the replicas that are cut off.
+    No messages pass to or from the replicas in `cut`.
     """
 
     def __init__(self, seed=1):
@@ -57,7 +58,7 @@
             self.open(name)
 
     def open(self, name, token=""):
-        """Start the store's process; on a blank disk, `token` makes another identity than its name."""
+        """Open the replica's log, as a restart does; a blank disk is named after `token`, or else `name`."""
         self.machines[name] = Machine()
         self.disks[name].bind(self.machines[name])
         self.logs[name] = LocalLog(self.disks[name], SETTINGS, self.now, lambda: token or name)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""When a member of the log claims its leadership: silence, the others' answers and their order."""
+"""Tests of when a member claims the leadership: silence, poll responses, order of the members."""
 
 from replicated_log.failure_detector import LeaderFailureDetector
 from replicated_log.messages import LeaderPollResponse
@@ -35,11 +35,11 @@
     )
 
 
-class ClaimOfLeadership(TestCase):
-    def make_detector(self, own="b", faults=1):
+class LeadershipClaims(TestCase):
+    def make_detector(self, own_identity="b", faults=1):
         self.now = Clock()
         return LeaderFailureDetector(
-            own, SETTINGS.model_copy(update={"store_faults": faults}), self.now
+            own_identity, SETTINGS.model_copy(update={"store_faults": faults}), self.now
         )
 
     def pass_silence(self, detector, for_ms, step_ms=25):
@@ -51,14 +51,14 @@
         self,
         answers,
         silent_ms=500,
-        own="b",
+        own_identity="b",
         names=("a", "b", "c"),
         leader="a",
         retired=(),
         faults=1,
         after_ms=0,
     ):
-        detector = self.make_detector(own, faults)
+        detector = self.make_detector(own_identity, faults)
         self.pass_silence(detector, silent_ms)
         for answer in answers:
             detector.handle_poll_response(answer, leader)
@@ -72,83 +72,88 @@
 
     def test_when_leadership_is_claimed(self):
         for wanted, why, answers, more in (
-            (True, "silence, and another agrees", [poll_response("c")], {}),
-            (False, "nobody answers", [], {}),
+            (True, "the leader is silent and another member agrees", [poll_response("c")], {}),
+            (False, "no member responds", [], {}),
             (False, "not silent for long enough", [poll_response("c")], {"silent_ms": 350}),
-            (False, "another hears the leader", [poll_response("c", hears_leader=True)], {}),
+            (False, "another member hears the leader", [poll_response("c", hears_leader=True)], {}),
             (
                 False,
-                "the leader answers that it is at work",
+                "the leader responds that it is active",
                 [poll_response("a", is_leader=True), poll_response("c")],
                 {},
             ),
             (
                 True,
-                "the leader answers that it isn't, though just heard",
+                "the leader responds that it isn't active, though just heard",
                 [poll_response("a"), poll_response("c")],
                 {"silent_ms": 50, "after_ms": 100},
             ),
             (
                 False,
-                "a leader that hasn't heard of its duty is waited for",
+                "the leader doesn't know its epoch yet",
                 [poll_response("a", epoch=6), poll_response("c")],
                 {"silent_ms": 50},
             ),
-            (False, "somebody knows of a later epoch", [poll_response("c", epoch=8)], {}),
-            (False, "the other one goes first", [poll_response("b")], {"own": "c"}),
+            (False, "another member knows a later epoch", [poll_response("c", epoch=8)], {}),
+            (False, "an earlier member claims first", [poll_response("b")], {"own_identity": "c"}),
             (
                 True,
-                "the other one went first, in vain",
+                "an earlier member has not succeeded in its turn",
                 [poll_response("b")],
-                {"own": "c", "after_ms": 100},
+                {"own_identity": "c", "after_ms": 100},
             ),
             (
                 True,
-                "the other one is on its way out",
+                "the earlier member is shutting down",
                 [poll_response("b", leaving=True)],
-                {"own": "c"},
+                {"own_identity": "c"},
             ),
             (
                 True,
-                "the other one is retired",
+                "the earlier member is retired",
                 [poll_response("b")],
-                {"own": "c", "retired": ["b"]},
+                {"own_identity": "c", "retired": ["b"]},
             ),
             (
                 False,
-                "a retired one stands back",
+                "a retired member leaves the claim to another",
                 [poll_response("c")],
                 {"retired": ["b"], "after_ms": 500},
             ),
             (
                 True,
-                "a retired one serves if there is no other",
+                "a retired member claims if no other can",
                 [poll_response("c", leaving=True)],
                 {"retired": ["b"]},
             ),
             (
                 True,
-                "named the leader and not at work",
+                "named as the leader and not active",
                 [poll_response("b")],
-                {"own": "a", "silent_ms": 25},
+                {"own_identity": "a", "silent_ms": 25},
+            ),
+            (False, "named as the leader, without responses", [], {"own_identity": "a"}),
+            (
+                False,
+                "two of five members are too few",
+                [poll_response("c")],
+                {"names": NAMES, "faults": 2},
             ),
-            (False, "named the leader, with nobody in touch", [], {"own": "a"}),
-            (False, "two of five are too few", [poll_response("c")], {"names": NAMES, "faults": 2}),
             (
                 True,
-                "three of five are enough",
+                "three of five members are enough",
                 [poll_response("c"), poll_response("d")],
                 {"names": NAMES, "faults": 2},
             ),
             (
                 True,
-                "one that hears the leader isn't enough for it",
+                "fewer than f members hear the leader",
                 [poll_response("c"), poll_response("d"), poll_response("e", hears_leader=True)],
                 {"names": NAMES, "faults": 2},
             ),
             (
                 False,
-                "two that hear the leader are",
+                "f members hear the leader",
                 [
                     poll_response("c"),
                     poll_response("d", hears_leader=True),
@@ -156,11 +161,16 @@
                 ],
                 {"names": NAMES, "faults": 2},
             ),
-            (False, "answers of strangers", [poll_response("x"), poll_response("y")], {}),
+            (
+                False,
+                "responses of stores that aren't members",
+                [poll_response("x"), poll_response("y")],
+                {},
+            ),
         ):
             self.assertThat((why, self.claims(answers, **more)), Equals((why, wanted)))
 
-    def test_a_store_that_stood_still_itself_suspects_nobody(self):
+    def test_a_frozen_store_does_not_suspect_the_leader(self):
         detector = self.make_detector()
         self.now.now_ms += 5000
         detector.tick()
@@ -183,17 +193,17 @@
         self.pass_silence(detector, 300)
         self.assertThat(detector.should_claim(["a", "b", "c"], "a", 7, []), Equals(False))
 
-    def test_an_ended_process_is_suspected_at_once(self):
+    def test_an_ended_leader_process_counts_as_failed_at_once(self):
         detector = self.make_detector()
         detector.process_ended()
         detector.handle_poll_response(poll_response("c"), "a")
         self.assertThat(detector.should_claim(["a", "b", "c"], "a", 7, []), Equals(True))
 
-    def test_polls_are_as_far_apart_as_heartbeats(self):
-        detector, asked = self.make_detector(), 0
+    def test_polls_are_sent_at_the_heartbeat_interval(self):
+        detector, polls = self.make_detector(), 0
         for _ in range(40):
             self.pass_silence(detector, 25)
-            asked += detector.should_poll(False)
+            polls += detector.should_poll(False)
         self.assertThat(
-            asked, Equals((1000 - SETTINGS.leader_suspicion_ms) // SETTINGS.leader_heartbeat_ms + 1)
+            polls, Equals((1000 - SETTINGS.leader_suspicion_ms) // SETTINGS.leader_heartbeat_ms + 1)
         )
--- a/tests/test_log_bootstrap.py
+++ b/tests/test_log_bootstrap.py
@@ -1,4 +1,4 @@
-"""Which stores become the first members of the log, and how members are spread over the zones."""
+"""Tests of the selection of the log's first members and of their spread over the zones."""
 
 from log_harness import Machine
 from replicated_log import LocalLog, LogReplica, spread
@@ -26,12 +26,12 @@
 
 
 class StubNode:
-    """What a store asks of the fleet, of control and of its node, set by the test."""
+    """A stub of a store's node, fleet view and control client, with live stores set by the test."""
 
     def __init__(self, zones, **settings):
         self.time = VirtualTime(1)
         self.settings = Settings(**{**BASE, "control_count": 0, **settings})
-        self.rows, self.asked, self.env = rows(zones), [], self
+        self.rows, self.requested_values, self.env = rows(zones), [], self
         self.address = "10.0.0.1:1"
 
     def now(self):
@@ -50,7 +50,7 @@
         return list(self.rows)
 
     def change(self, key, version, body, done):
-        self.asked.append(body)
+        self.requested_values.append(body)
 
     def store(self, name, disk=None):
         disk = disk or SimDisk(self.time, 1 << 20)
@@ -69,14 +69,16 @@
 
 
 class Spread(TestCase):
-    def test_one_of_each_zone_in_turn(self):
-        for zones, count, wanted in (
+    def test_members_are_taken_from_each_zone_in_turn(self):
+        for zones, count, expected in (
             ({"a": "x", "b": "x", "c": "y", "d": "z"}, 3, ["a", "c", "d"]),
             ({"a": "x", "b": "x", "c": "x"}, 3, ["a", "b", "c"]),
             ({"a": "z", "b": "y", "c": "y", "d": "x"}, 5, ["d", "b", "a", "c"]),
             ({"a": "x", "b": "y", "c": "x", "d": "y", "e": "x"}, 5, ["a", "b", "c", "d", "e"]),
         ):
-            self.assertThat([row["identity"] for row in spread(rows(zones), count)], Equals(wanted))
+            self.assertThat(
+                [row["identity"] for row in spread(rows(zones), count)], Equals(expected)
+            )
 
 
 class Bootstrap(TestCase):
@@ -86,45 +88,45 @@
         node = StubNode({"store-a": "x", "store-b": "y"}, first_start=True)
         store = node.store("a")
         node.run(store, 5000)
-        self.assertThat(node.asked, Equals([]))
+        self.assertThat(node.requested_values, Equals([]))
         node.rows = rows(self.THREE)
         node.run(store, 1000)
-        self.assertThat(len(node.asked), Equals(1))
+        self.assertThat(len(node.requested_values), Equals(1))
 
-    def test_waits_until_no_more_appear(self):
+    def test_waits_until_the_list_of_stores_is_stable(self):
         node = StubNode(self.THREE, first_start=True)
         store = node.store("a")
         node.run(store, 300)
         node.rows = rows({**self.THREE, "store-d": "zz"})
         node.run(store, 300)
-        self.assertThat(node.asked, Equals([]))
+        self.assertThat(node.requested_values, Equals([]))
         node.run(store, 200)
-        self.assertThat(len(node.asked), Equals(1))
+        self.assertThat(len(node.requested_values), Equals(1))
 
-    def test_the_first_asks_and_then_the_next(self):
-        for name, waits_ms in (("a", 600), ("b", 1100), ("c", 1600)):
+    def test_members_try_one_after_another(self):
+        for name, wait_ms in (("a", 600), ("b", 1100), ("c", 1600)):
             node = StubNode(self.THREE, first_start=True)
             store = node.store(name)
-            node.run(store, waits_ms - 50)
-            self.assertThat(node.asked, Equals([]))
+            node.run(store, wait_ms - 50)
+            self.assertThat(node.requested_values, Equals([]))
             node.run(store, 150)
-            self.assertThat(len(node.asked), Equals(1))
+            self.assertThat(len(node.requested_values), Equals(1))
 
-    def test_who_is_left_out_does_not_ask(self):
+    def test_a_store_that_is_not_selected_does_not_bootstrap(self):
         node = StubNode(
             {"store-a": "x", "store-b": "x", "store-c": "y", "store-d": "z"}, first_start=True
         )
         store = node.store("b")
         node.run(store, 5000)
-        self.assertThat(node.asked, Equals([]))
+        self.assertThat(node.requested_values, Equals([]))
 
-    def test_blank_after_the_first_start_never_bootstraps(self):
+    def test_a_blank_store_added_after_the_first_start_never_bootstraps(self):
         node = StubNode(self.THREE)
         store = node.store("a")
         node.run(store, 5000)
-        self.assertThat(node.asked, Equals([]))
+        self.assertThat(node.requested_values, Equals([]))
 
-    def test_there_at_the_first_start_and_restarted_bootstraps(self):
+    def test_a_store_of_the_first_start_bootstraps_after_a_restart(self):
         node = StubNode(self.THREE, first_start=True)
         disk = SimDisk(node.time, 1 << 20)
         store = node.store("a", disk)
@@ -134,9 +136,9 @@
         store = node.store("another", disk)
         self.assertThat(store.log.identity, Equals(identity))
         node.run(store, 1000)
-        self.assertThat(len(node.asked), Equals(1))
+        self.assertThat(len(node.requested_values), Equals(1))
 
-    def test_fenced_under_a_log_never_bootstraps(self):
+    def test_a_store_with_a_fence_never_bootstraps(self):
         node = StubNode(self.THREE)
         disk = SimDisk(node.time, 1 << 20)
         store = node.store("a", disk)
@@ -144,4 +146,4 @@
         node.run(store, 200)
         store = node.store("a", disk)
         node.run(store, 5000)
-        self.assertThat(node.asked, Equals([]))
+        self.assertThat(node.requested_values, Equals([]))
--- a/tests/test_log_conformance.py
+++ b/tests/test_log_conformance.py
@@ -1,5 +1,7 @@
-"""Conformance of the log to the design page, row by row, and beside each exception a row in which
-the source's own behaviour fails and ours holds. The cores run on simulated disks without a fleet.
+"""Conformance tests of the log against the design page, one test for each row of that page.
+
+For each deviation from the published scheme, a test shows a fault that the published behaviour
+doesn't tolerate and the implemented one does. The replicas run on simulated disks without a fleet.
 """
 
 from log_harness import MEMBERS, SETTINGS, LogHarness
@@ -90,7 +92,7 @@
         )
         self.assertThat(response.reception_ms, Equals(self.harness.logs["b"].buffer.received_ms[0]))
 
-    def test_after_two_delta_flush_here_and_at_a_follower(self):
+    def test_after_two_delta_the_leader_and_a_follower_flush(self):
         self.harness.cut.update(("b", "c"))
         outcomes = self.harness.append("k1")
         self.harness.run(2 * SETTINGS.delta_ms + 40)
@@ -144,7 +146,7 @@
 
 
 class RecoverySteps(TestCase):
-    def grown(self, keys=("k1", "k2", "k3")):
+    def harness_with_records(self, keys=("k1", "k2", "k3")):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -154,14 +156,14 @@
         return harness
 
     def test_waits_for_n_minus_f_answers(self):
-        harness = self.grown()
+        harness = self.harness_with_records()
         harness.cut.update(("a", "c"))
         self.assertThat(harness.recover("b", 2), Equals([False]))
         harness.cut.discard("c")
         self.assertThat(harness.recover("b", 3), Equals([True]))
 
-    def test_answers_count_and_fetches_all(self):
-        harness = self.grown()
+    def test_start_response_has_the_record_count_and_fetch_returns_all_records(self):
+        harness = self.harness_with_records()
         answers = []
         harness.followers["b"].receive(StartRecovery(epoch=2), answers.append)
         harness.run(20)
@@ -172,13 +174,13 @@
         self.assertThat([decode(row).seq for row in answers[1].records], Equals([1, 2, 3]))
 
     def test_duplicates_dropped_by_stamp_and_replayed_in_stamp_order(self):
-        records = self.grown().logs["a"].records
+        records = self.harness_with_records().logs["a"].records
         shuffled = [[records[2], records[0]], [records[1], records[0]], [records[2]]]
         self.assertThat([record.seq for record in merge_records(shuffled)], Equals([1, 2, 3]))
 
-    def test_recovery_cut_at_every_step_and_run_again(self):
+    def test_recovery_interrupted_at_any_step_can_be_repeated(self):
         for step_ms in range(1, 30):
-            harness = self.grown()
+            harness = self.harness_with_records()
             harness.machines["a"].up = False
             harness.cut.add("a")
             harness.disks["b"].lose_power() if step_ms % 2 else None
@@ -200,16 +202,16 @@
             harness.open("b")
             members = list(MEMBERS)
             self.assertThat(
-                harness.recover("b", 3, members), Equals([True]), f"cut after {step_ms} ms"
+                harness.recover("b", 3, members), Equals([True]), f"interrupted after {step_ms} ms"
             )
             self.assertThat(
-                harness.keys("b"), Equals(["k1", "k2", "k3"]), f"cut after {step_ms} ms"
+                harness.keys("b"), Equals(["k1", "k2", "k3"]), f"interrupted after {step_ms} ms"
             )
             self.assertThat(harness.recover("b", 4, members), Equals([True]))
             self.assertThat(harness.keys("b"), Equals(["k1", "k2", "k3"]))
 
-    def test_no_space_to_recover_is_no_recovery(self):
-        harness = self.grown()
+    def test_recovery_fails_on_a_full_disk_and_can_be_repeated(self):
+        harness = self.harness_with_records()
         harness.disks["b"].wipe()
         harness.open("b")
         disk = harness.disks["b"]
@@ -221,7 +223,7 @@
         self.assertThat(harness.keys("b"), Equals(["k1", "k2", "k3"]))
 
     def test_replay_of_a_record_changes_nothing(self):
-        harness = self.grown()
+        harness = self.harness_with_records()
         log = harness.logs["b"]
         before = harness.disks["b"].read(log.records[0].file)
         for record in log.records[1:]:
@@ -229,8 +231,8 @@
         self.assertThat(harness.disks["b"].read(log.records[0].file), Equals(before))
 
 
-class Exceptions(TestCase):
-    """Each row: what the source does goes wrong under the brief's faults, and what ours does holds."""
+class Deviations(TestCase):
+    """In each test the published scheme fails under a fault that the system has to tolerate."""
 
     def test_stamps_never_repeat_or_run_backward(self):
         harness = LogHarness()
@@ -240,8 +242,11 @@
             harness.wall_ms = wall_ms
             harness.append(f"k{len(stamps)}")
             stamps.append(harness.logs["a"].records[-1].stamp)
-        plain = [500, 500, 400, 100, 600]
-        self.assertThat(len(set(plain)) < len(plain) and sorted(plain) != plain, Equals(True))
+        wall_times_ms = [500, 500, 400, 100, 600]
+        self.assertThat(
+            len(set(wall_times_ms)) < len(wall_times_ms) and sorted(wall_times_ms) != wall_times_ms,
+            Equals(True),
+        )
         self.assertThat(stamps, Equals(sorted(set(stamps))))
 
     def test_stale_leader_is_refused_after_waking(self):
@@ -274,7 +279,7 @@
         )
 
     def test_many_messages_of_a_new_epoch_cost_one_fence(self):
-        """What waited in a frozen peer's buffers comes all at once, and the disk is slow."""
+        """Messages buffered for a frozen replica arrive all at once, and its disk is slow."""
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -298,7 +303,7 @@
         harness.run(1200)
         self.assertThat((harness.logs["b"].metadata.fence, len(responses)), Equals((2, 100)))
 
-    def test_follower_keeps_what_no_disk_has_yet(self):
+    def test_follower_keeps_records_that_no_disk_has(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -306,15 +311,15 @@
         harness.run(10)
         log = harness.logs["b"]
         log.buffer.received_ms = [-10 * SETTINGS.flush_ms]
-        by_the_source = [
+        kept_by_published_scheme = [
             seq
             for seq, at_ms in enumerate(log.buffer.received_ms)
             if at_ms >= harness.now() - SETTINGS.keep_factor * SETTINGS.flush_ms
         ]
         log.trim()
-        self.assertThat((by_the_source, harness.keys("b")), Equals(([], ["k1"])))
+        self.assertThat((kept_by_published_scheme, harness.keys("b")), Equals(([], ["k1"])))
 
-    def test_disk_gone_with_its_machine(self):
+    def test_a_durable_append_survives_a_lost_disk(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -329,15 +334,15 @@
         self.assertThat(harness.keys("c"), Equals(["k1"]))
 
     def test_all_three_cut_from_power_after_an_acknowledgement(self):
-        for settled in (False, True):
-            kept = 0
+        for is_durable in (False, True):
+            survived = 0
             for seed in range(20):
                 harness = LogHarness(seed)
                 harness.lead("a", 1)
                 harness.run(300)
                 for disk in harness.disks.values():
                     disk.flush_ms = 40.0
-                outcomes = harness.append("k1", settled)
+                outcomes = harness.append("k1", is_durable)
                 while not outcomes:
                     harness.run(1)
                 self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
@@ -347,13 +352,13 @@
                     harness.open(name)
                 members = list(MEMBERS)
                 self.assertThat(harness.recover("b", 2, members), Equals([True]))
-                kept += harness.keys("b") == ["k1"]
-            if settled:
-                self.assertThat(kept, Equals(20))
+                survived += harness.keys("b") == ["k1"]
+            if is_durable:
+                self.assertThat(survived, Equals(20))
             else:
-                self.assertThat(kept < 20, Equals(True))
+                self.assertThat(survived < 20, Equals(True))
 
-    def test_an_old_store_does_not_bring_back_what_a_recovery_left_out(self):
+    def test_a_store_that_missed_a_recovery_does_not_restore_dropped_records(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -372,7 +377,7 @@
         self.assertThat(len(both), Equals(2))
         self.assertThat(harness.keys("c"), Equals(["k2"]))
 
-    def test_a_blank_or_catching_up_disk_counts_for_nothing(self):
+    def test_a_standby_counts_in_no_quorum(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
