--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -143,7 +143,7 @@
         "replicated_log/src/replicated_log/tail_fetch.py",
         "if message.identity != self._source.identity:",
         "if False:",
-        "tests/test_recovery.py -k counted_on",
+        "tests/test_recovery.py -k replaced_by_a_blank_disk",
     ),
     "a recovery drops what is settled here": (
         "replicated_log/src/replicated_log/recovery.py",
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -1,5 +1,7 @@
-"""A change of members by the serving holder, step by step: what is acknowledged meanwhile, when it is asked for, how it is
-given back; and a takeover that cannot get its answers.
+"""Tests of a change of members by the serving leader, and of a takeover without responses.
+
+The tests cover what is acknowledged during the change, when the change is requested, and how it is
+abandoned.
 """
 
 from log_harness import SETTINGS, LogHarness
@@ -11,7 +13,7 @@
 
 
 class MemberLists(TestCase):
-    """A leader with two followers and a standby that is sent the log."""
+    """A leader with two followers, and a standby to which it replicates."""
 
     def leading(self):
         harness = LogHarness()
@@ -21,13 +23,13 @@
         harness.followers["x"] = harness.followers["b"]
         return harness
 
-    def following(self, harness):
+    def new_members(self, harness):
         return [harness.logs["a"].identity, harness.logs["b"].identity, "store-x"]
 
-    def test_during_a_change_both_lists_have_what_is_acknowledged(self):
+    def test_an_append_during_a_change_needs_a_quorum_of_both_lists(self):
         harness = self.leading()
         harness.cut.update(("b", "x"))
-        harness.leader.begin_change(self.following(harness))
+        harness.leader.begin_change(self.new_members(harness))
         outcomes = harness.append("k1", durable=True)
         harness.run(200)
         self.assertThat(outcomes, Equals([]))
@@ -35,27 +37,27 @@
         harness.run(300)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
-    def test_the_new_members_are_caught_up_before_the_change_is_asked_for(self):
+    def test_the_new_members_are_caught_up_before_the_change_is_requested(self):
         harness = self.leading()
         harness.cut.update(("b", "x"))
         harness.append("k1")
         harness.run(20)
-        harness.leader.begin_change(self.following(harness))
+        harness.leader.begin_change(self.new_members(harness))
         harness.run(200)
         self.assertThat(harness.leader.is_change_ready(), Equals(False))
         harness.cut.remove("b")
         harness.run(300)
         self.assertThat(harness.leader.is_change_ready(), Equals(True))
 
-    def test_a_change_that_is_given_back_leaves_the_old_list(self):
+    def test_an_abandoned_change_leaves_the_old_list(self):
         harness = self.leading()
         before = list(harness.leader.members)
-        harness.leader.begin_change(self.following(harness))
+        harness.leader.begin_change(self.new_members(harness))
         harness.leader.end_change(False)
         self.assertThat(harness.leader.members, Equals(before))
-        harness.leader.begin_change(self.following(harness))
+        harness.leader.begin_change(self.new_members(harness))
         harness.leader.end_change(True)
-        self.assertThat(harness.leader.members, Equals(self.following(harness)))
+        self.assertThat(harness.leader.members, Equals(self.new_members(harness)))
 
     def test_caught_up_members_are_counted(self):
         harness = self.leading()
@@ -69,13 +71,13 @@
 
 class ChangeRequest(TestCase):
     def test_the_new_members_are_caught_up_before_the_key_is_changed(self):
-        """The spare's disk is slow, and calls go on that each take records of the log."""
+        """Guards against a change requested too early: all disks are slow and appends continue."""
         run = Run(31, settings={"catch_up_ms": 4900})
         run.start()
         fleet = run.fleet
-        gone = next(host for host in fleet.with_role("store") if host is not fleet.leader())
-        gone.lose_disk()
-        fleet.hosts.pop(gone.name)
+        lost_host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
+        lost_host.lose_disk()
+        fleet.hosts.pop(lost_host.name)
         log = fleet.leader().node.log
         spare = fleet.add("store", "spare")
         for host in fleet.with_role("store"):
@@ -84,23 +86,23 @@
             fleet.time.after(
                 10 * number, lambda number=number: run.clients.live("moves", f"m{number}")
             )
-        asked, plain = [], ConfigurationKey.change
+        ready_at_request, original = [], ConfigurationKey.change
 
         def change(key, configuration, done):
-            asked.append(key is log.key and log.leader.is_change_ready())
-            plain(key, configuration, done)
+            ready_at_request.append(key is log.key and log.leader.is_change_ready())
+            original(key, configuration, done)
 
         ConfigurationKey.change = change
-        self.addCleanup(setattr, ConfigurationKey, "change", plain)
+        self.addCleanup(setattr, ConfigurationKey, "change", original)
         fleet.run_until_true(lambda: spare.node.log.log.identity in log.leader.members, 4900)
-        self.assertThat(asked[:1], Equals([True]))
+        self.assertThat(ready_at_request[:1], Equals([True]))
 
 
 class TakeoverWithoutAnswers(TestCase):
     def epoch(self, fleet):
         return fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
 
-    def test_a_store_whose_peers_do_not_answer_says_so_and_does_not_spin(self):
+    def test_a_store_without_responding_peers_logs_a_warning_and_does_not_spin(self):
         run = Run(33)
         run.start()
         fleet = run.fleet
@@ -112,32 +114,34 @@
         before = self.epoch(fleet)
         fleet.run_until_true(lambda: False, 25_000)
         names = sorted(host.node.log.log.identity for host in (other, third))
-        told = [row for row in fleet.events if row[2] == "log-unserved"]
-        self.assertThat([sorted(fields["lacks"]) for _, _, _, fields in told][:1], Equals([names]))
+        warnings = [row for row in fleet.events if row[2] == "log-unserved"]
+        self.assertThat(
+            [sorted(fields["lacks"]) for _, _, _, fields in warnings][:1], Equals([names])
+        )
         self.assertThat(self.epoch(fleet), Equals(before))
-        self.assertThat(len(told), LessThan(4))
+        self.assertThat(len(warnings), LessThan(4))
 
-    def test_a_takeover_that_gets_no_answers_names_them_and_does_not_spin(self):
-        """The others answer that they are there, but never the recovery itself."""
+    def test_a_takeover_without_responses_logs_the_missing_members_and_does_not_spin(self):
+        """The other stores respond to polls, but not to the recovery."""
         run = Run(34)
         run.start()
         fleet = run.fleet
         leader = fleet.leader()
         for host in fleet.with_role("store"):
             peer = host.node.log._follower
-            plain = peer.receive
-            host.node.log._follower = _Deaf(plain)
+            original = peer.receive
+            host.node.log._follower = _FollowerIgnoringRecovery(original)
         leader.lose_power()
         fleet.run_until_true(lambda: False, 25_000)
         before = self.epoch(fleet)
         fleet.run_until_true(lambda: False, 30_000)
-        told = [row for row in fleet.events if row[2] in ("recovery-failed", "takeover-stuck")]
-        self.assertThat(len(told) > 0 and bool(told[0][3]["lacks"]), Equals(True))
+        warnings = [row for row in fleet.events if row[2] in ("recovery-failed", "takeover-stuck")]
+        self.assertThat(len(warnings) > 0 and bool(warnings[0][3]["lacks"]), Equals(True))
         self.assertThat(self.epoch(fleet) - before, LessThan(10))
 
 
-class _Deaf:
-    """A follower that answers no recovery."""
+class _FollowerIgnoringRecovery:
+    """A follower that doesn't respond to StartRecovery."""
 
     def __init__(self, receive):
         self._receive = receive
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Rows about recovery beyond the design page's: what is fetched, what is cut, and the small files beside the log."""
+"""Tests of recovery beyond those of test_log_conformance: fetching, truncation and auxiliary files."""
 
 import itertools
 
@@ -24,7 +24,7 @@
 
 
 class Fetching(TestCase):
-    def grown(self, count=50):
+    def harness_with_records(self, count=50):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -34,12 +34,12 @@
         harness.run(50)
         return harness
 
-    def watched(self, harness):
-        """How many records come over the wire."""
-        fetched, plain = [], harness.request
+    def count_fetched_records(self, harness):
+        """Return a function that returns the number of records fetched from now on."""
+        fetched, original = [], harness.request
 
         def request(to, message, wait_ms, done):
-            plain(to, message, wait_ms, lambda answer: (fetched.append(answer), done(answer)))
+            original(to, message, wait_ms, lambda answer: (fetched.append(answer), done(answer)))
 
         harness.request = request
         return lambda: sum(
@@ -47,35 +47,35 @@
         )
 
     def test_stores_that_are_caught_up_fetch_nothing(self):
-        harness = self.grown()
+        harness = self.harness_with_records()
         harness.cut.add("a")
-        fetched = self.watched(harness)
+        fetched = self.count_fetched_records(harness)
         self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 0)))
 
-    def test_only_what_is_lacking_is_fetched(self):
-        harness = self.grown()
+    def test_only_missing_records_are_fetched(self):
+        harness = self.harness_with_records()
         harness.cut.add("b")
         for number in range(3):
             harness.append(f"more{number}", durable=True)
             harness.run(10)
         harness.cut = {"a"}
-        fetched = self.watched(harness)
+        fetched = self.count_fetched_records(harness)
         self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 3)))
         self.assertThat(harness.keys("b"), Equals(harness.keys("c")))
 
-    def test_after_a_restart_too(self):
-        """What is settled isn't known any more, but the last place that both hold is found."""
-        harness = self.grown()
+    def test_only_missing_records_are_fetched_after_a_restart(self):
+        """The restarted store doesn't know what is committed, but the last common record is found."""
+        harness = self.harness_with_records()
         harness.cut.add("b")
         harness.append("more", durable=True)
         harness.run(50)
         harness.open("b")
         harness.cut = {"a"}
-        fetched = self.watched(harness)
+        fetched = self.count_fetched_records(harness)
         self.assertThat((harness.recover("b", 2), fetched()), Equals(([True], 1)))
 
-    def test_an_old_tail_gives_way(self):
-        harness = self.grown(5)
+    def test_an_old_tail_is_replaced(self):
+        harness = self.harness_with_records(5)
         harness.cut.update(("b", "c"))
         harness.append("ghost")
         harness.append("ghost too")
@@ -91,50 +91,50 @@
         self.assertThat(harness.recover("a", 3), Equals([True]))
         self.assertThat(harness.keys("a"), Equals([f"k{number}" for number in range(5)] + ["real"]))
 
-    def test_a_store_that_missed_a_recovery_keeps_what_is_committed_though_nothing_is_fetched(self):
-        """Its own copy doesn't count as an answer, and whoever does count has no more than is settled here."""
-        harness = self.grown(5)
+    def test_a_store_that_missed_a_recovery_keeps_committed_records_without_a_fetch(self):
+        """Its own log doesn't count, and the logs that count are no longer than its committed part."""
+        harness = self.harness_with_records(5)
         harness.run(1000)
         harness.cut.add("b")
         self.assertThat(harness.recover("c", 2), Equals([True]))
         harness.cut = {"a"}
         self.assertThat(harness.recover("b", 3), Equals([True]))
-        wanted = [f"k{number}" for number in range(5)]
-        self.assertThat((harness.keys("b"), harness.keys("c")), Equals((wanted, wanted)))
+        expected = [f"k{number}" for number in range(5)]
+        self.assertThat((harness.keys("b"), harness.keys("c")), Equals((expected, expected)))
         log = harness.logs["b"]
         self.assertThat((log.last_seq, log.committed_seq), Equals((5, 5)))
 
-    def test_a_blank_disk_at_the_address_of_the_store_that_was_counted_on_ends_the_recovery(self):
-        """It would stand for an empty log, and what is settled on the lost disk and one more be cut off."""
+    def test_recovery_fails_if_a_source_is_replaced_by_a_blank_disk(self):
+        """Its log would be taken for empty, and what the lost disk and one other had committed be cut off."""
         for wiped_before in (FetchTail, FetchRecords):
-            harness = self.grown(2)
+            harness = self.harness_with_records(2)
             harness.cut.add("b")
             for number in range(40):
                 harness.append(f"settled{number}" + "x" * 8000, durable=True)
                 harness.run(10)
             harness.run(200)
             harness.cut = {"a"}
-            members, plain = harness.members(), harness.request
+            members, original = harness.members(), harness.request
 
             def request(
-                to, message, wait_ms, done, harness=harness, plain=plain, before=wiped_before
+                to, message, wait_ms, done, harness=harness, original=original, before=wiped_before
             ):
                 if isinstance(message, before) and harness.disks["c"].names():
                     harness.disks["c"] = SimDisk(harness.time, 1 << 20, 1.0)
                     harness.open("c", token="another")
-                plain(to, message, wait_ms, done)
+                original(to, message, wait_ms, done)
 
             harness.request = request
             self.assertThat(harness.recover("b", 2, members), Equals([False]), wiped_before)
 
-    def test_nothing_goes_out_under_an_epoch_before_its_own_fence(self):
-        harness = self.grown(2)
+    def test_nothing_is_fetched_before_the_own_fence_is_on_disk(self):
+        harness = self.harness_with_records(2)
         harness.disks["b"].flush_ms = 100.0
-        sent, plain = [], harness.request
+        sent, original = [], harness.request
 
         def request(to, message, wait_ms, done):
             sent.append((type(message), harness.logs["b"].metadata.fence))
-            plain(to, message, wait_ms, done)
+            original(to, message, wait_ms, done)
 
         harness.request = request
         harness.cut.add("a")
@@ -144,23 +144,23 @@
             [fence for kind, fence in sent if kind is not StartRecovery and fence < 2], Equals([])
         )
 
-    def test_a_snapshot_comes_in_parts_each_asked_for_by_the_one_before(self):
+    def test_a_snapshot_is_sent_in_consecutive_parts(self):
         import replicated_log.snapshot_sender as module
 
-        harness = self.grown(40)
+        harness = self.harness_with_records(40)
         for name in ("a", "b"):
             harness.logs[name].buffer.received_ms = [-(10**6)] * len(harness.logs[name].records)
             harness.logs[name].maintain_snapshot(force=True)
         harness.run(50)
         harness.logs["a"].trim()
-        whole, module._PART_BYTES = module._PART_BYTES, 500
-        self.addCleanup(setattr, module, "_PART_BYTES", whole)
-        parts, plain = [], harness.send
+        default_bytes, module._PART_BYTES = module._PART_BYTES, 500
+        self.addCleanup(setattr, module, "_PART_BYTES", default_bytes)
+        parts, original = [], harness.send
 
         def send(to, message):
             if isinstance(message, InstallSnapshot):
                 parts.append((message.offset, message.total))
-            plain(to, message)
+            original(to, message)
 
         harness.send = send
         harness.disks["c"].wipe()
@@ -173,8 +173,8 @@
         )
 
 
-class SmallFiles(TestCase):
-    def one(self):
+class AuxiliaryFiles(TestCase):
+    def harness_with_three_records(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -183,8 +183,8 @@
             harness.run(50)
         return harness
 
-    def test_a_watermark_says_nothing_after_a_cut_that_lost_its_own_new_watermark(self):
-        harness = self.one()
+    def test_a_watermark_of_an_earlier_fence_is_ignored(self):
+        harness = self.harness_with_three_records()
         log, disk = harness.logs["a"], harness.disks["a"]
         mark = disk.read("mark")
         log.save_metadata(lambda ok: None, fence=5)
@@ -198,56 +198,56 @@
             (harness.logs["a"].last_seq, harness.logs["a"].metadata.fence), Equals((1, 5))
         )
 
-    def test_a_watermark_of_the_present_fence_tells_of_damage(self):
-        harness = self.one()
+    def test_missing_records_below_the_watermark_are_reported_as_damage(self):
+        harness = self.harness_with_three_records()
         name = harness.logs["a"].records[0].file
         harness.disks["a"].truncate(name, harness.logs["a"].records[2].offset)
         self.assertRaises(DamageError, harness.open, "a")
 
-    def test_fences_stand_behind_each_other_and_the_highest_counts(self):
-        harness = self.one()
+    def test_fences_are_appended_and_the_highest_counts(self):
+        harness = self.harness_with_three_records()
         disk, log, sizes = harness.disks["a"], harness.logs["a"], []
         for fence in range(2, 122):
             log.save_metadata(lambda ok: None, fence=fence)
             harness.run(10)
             sizes.append(len(disk.read("meta")))
-        begun_anew = sum(size < before for before, size in itertools.pairwise(sizes))
-        self.assertThat((max(sizes) <= 4300, 0 < begun_anew < 3), Equals((True, True)))
+        rewrites = sum(size < before for before, size in itertools.pairwise(sizes))
+        self.assertThat((max(sizes) <= 4300, 0 < rewrites < 3), Equals((True, True)))
         harness.open("a")
         self.assertThat(
             (harness.logs["a"].metadata.fence, harness.logs["a"].metadata.log_epoch),
             Equals((121, 1)),
         )
 
-    def test_a_torn_or_damaged_fence_takes_none_with_it(self):
-        harness = self.one()
+    def test_a_torn_or_damaged_fence_leaves_the_others_intact(self):
+        harness = self.harness_with_three_records()
         disk = harness.disks["a"]
         harness.logs["a"].save_metadata(lambda ok: None, fence=7)
         harness.run(50)
         whole = disk.read("meta")
-        one = len(frame(encode(ReplicaMetadata(identity="store-a", fence=7, log_epoch=1))))
-        for keep, wanted in (
+        frame_bytes = len(frame(encode(ReplicaMetadata(identity="store-a", fence=7, log_epoch=1))))
+        for keep, expected in (
             (len(whole) - 1, 7),
-            (len(whole) - one - 1, 1),
-            (len(whole) - 2 * one, 1),
+            (len(whole) - frame_bytes - 1, 1),
+            (len(whole) - 2 * frame_bytes, 1),
         ):
             disk.replace("meta", whole[:keep], lambda ok: None)
             harness.run(50)
             harness.open("a")
-            self.assertThat(harness.logs["a"].metadata.fence, Equals(wanted))
+            self.assertThat(harness.logs["a"].metadata.fence, Equals(expected))
             harness.logs["a"].save_metadata(lambda ok: None, fence=9)
             harness.run(50)
             harness.open("a")
             self.assertThat(harness.logs["a"].metadata.fence, Equals(9))
-        for at in (12, len(whole) - one - 4, len(whole) - 4):
+        for at in (12, len(whole) - frame_bytes - 4, len(whole) - 4):
             disk.replace("meta", whole, lambda ok: None)
             harness.run(50)
             disk.damage("meta", at)
             harness.open("a")
             self.assertThat(harness.logs["a"].metadata.fence, Equals(7))
 
-    def test_what_was_flushed_is_not_flushed_again_to_adopt_it(self):
-        harness = self.one()
+    def test_adoption_does_not_flush_records_again(self):
+        harness = self.harness_with_three_records()
         harness.cut.add("a")
         harness.run(2 * SETTINGS.flush_ms)
         before = [harness.disks[name].flushes for name in ("b", "c")]
@@ -261,11 +261,11 @@
 
 
 class Snapshots(TestCase):
-    def test_made_in_steps_it_holds_what_was_committed_when_it_was_begun(self):
+    def test_a_snapshot_built_in_steps_holds_the_state_committed_at_its_start(self):
         import replicated_log.snapshots as module
 
-        whole, module._STEP_BYTES = module._STEP_BYTES, 60
-        self.addCleanup(setattr, module, "_STEP_BYTES", whole)
+        default_bytes, module._STEP_BYTES = module._STEP_BYTES, 60
+        self.addCleanup(setattr, module, "_STEP_BYTES", default_bytes)
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -274,7 +274,7 @@
             harness.run(10)
         harness.run(50)
         log = harness.logs["a"]
-        kept = log.committed_seq
+        committed_seq_at_start = log.committed_seq
         log.maintain_snapshot(force=True)
         close = entries.KeyClosed(
             key="k25", request_id="t", state="done", status=200, body="late", at_ms=0
@@ -288,7 +288,7 @@
         harness.run(8)
         self.assertThat(
             (log.committed_seq, log.snapshot_in_progress(), log.snapshot_seq),
-            Equals((kept + 3, True, 0)),
+            Equals((committed_seq_at_start + 3, True, 0)),
         )
         harness.run(1500)
         head, rows = read_snapshot(harness.disks["a"].read("snapshot"))
@@ -296,17 +296,19 @@
         for row in rows:
             state.apply(row)
         self.assertThat(
-            (head.seq, list(state.keys)), Equals((kept, [f"k{number}" for number in range(30)]))
+            (head.seq, list(state.keys)),
+            Equals((committed_seq_at_start, [f"k{number}" for number in range(30)])),
         )
         self.assertThat(
             (state.keys["k25"].state, log.state.keys["k25"].state), Equals(("open", "done"))
         )
         harness.open("a")
         self.assertThat(
-            (harness.logs["a"].snapshot_seq, harness.logs["a"].last_seq), Equals((kept, kept + 3))
+            (harness.logs["a"].snapshot_seq, harness.logs["a"].last_seq),
+            Equals((committed_seq_at_start, committed_seq_at_start + 3)),
         )
 
-    def test_one_that_finds_no_space_is_tried_again(self):
+    def test_a_snapshot_without_disk_space_is_retried(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -328,10 +330,10 @@
         self.assertThat(log.snapshot_seq, Equals(200))
 
 
-class TakingRecords(TestCase):
-    """What a peer that has not adopted the epoch does with an append."""
+class AppendsBeforeAdoption(TestCase):
+    """Appends to a follower that hasn't adopted the leader's epoch."""
 
-    def appended(self, harness, epoch, base_seq, prev_seq, records):
+    def append_to_follower(self, harness, epoch, base_seq, prev_seq, records):
         log, answers = harness.logs["b"], []
         prev_epoch, prev_ms = log.stamp_at(prev_seq)
         message = AppendRequest(
@@ -349,7 +351,7 @@
         harness.run(20)
         return answers[0]
 
-    def filled(self, count=8):
+    def harness_with_committed_records(self, count=8):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -360,27 +362,27 @@
         harness.leader = None
         return harness
 
-    def test_a_short_append_of_a_new_epoch_takes_away_no_copy_of_what_follows(self):
-        harness = self.filled()
+    def test_a_short_append_of_a_new_epoch_removes_no_later_records(self):
+        harness = self.harness_with_committed_records()
         log = harness.logs["b"]
-        answer = self.appended(harness, 2, 8, 0, log.records[:3])
+        answer = self.append_to_follower(harness, 2, 8, 0, log.records[:3])
         self.assertThat((answer.ok, answer.last_seq, answer.log_epoch), Equals((True, 3, 1)))
         harness.open("b")
         self.assertThat(harness.logs["b"].last_seq, Equals(8))
-        answer = self.appended(harness, 2, 8, 3, harness.logs["b"].records[3:])
+        answer = self.append_to_follower(harness, 2, 8, 3, harness.logs["b"].records[3:])
         self.assertThat((answer.ok, answer.last_seq, answer.log_epoch), Equals((True, 8, 2)))
 
-    def test_an_append_that_contradicts_what_is_committed_is_refused(self):
-        harness = self.filled()
+    def test_an_append_that_contradicts_committed_records_is_rejected(self):
+        harness = self.harness_with_committed_records()
         log = harness.logs["b"]
         other = log.next_record(Stamp(2, 5), encode(key_opened("other")))
         other.seq = 4
-        answer = self.appended(harness, 2, 8, 3, [other])
+        answer = self.append_to_follower(harness, 2, 8, 3, [other])
         self.assertThat((answer.ok, answer.reason, log.last_seq), Equals((False, "settled", 8)))
 
 
-class Waking(TestCase):
-    def test_an_append_under_an_old_epoch_is_refused_after_the_fence_alone(self):
+class StaleEpoch(TestCase):
+    def test_an_append_of_an_old_epoch_is_rejected_once_the_fence_is_raised(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
