--- a/libs/replicated_log/src/replicated_log/interfaces.py
+++ b/libs/replicated_log/src/replicated_log/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces that a store node implements for the replicated log."""
+"""Interfaces of the surrounding store node that the replicated log uses."""
 
 from collections.abc import Callable
 from typing import Protocol
--- a/libs/replicated_log/src/replicated_log/replicator.py
+++ b/libs/replicated_log/src/replicated_log/replicator.py
@@ -113,9 +113,9 @@
     def send_due(self) -> None:
         """Resend to followers that are behind, and send heartbeats to all.
 
-        The unconfirmed records are sent again once the latest request is 2 `delta_ms` or
-        `leader_heartbeat_ms` old, whichever is shorter. Other followers get a heartbeat every
-        `leader_heartbeat_ms`.
+        A follower that is behind is sent its unconfirmed records again once the latest request to
+        it is 2 `delta_ms` or `leader_heartbeat_ms` old, whichever is shorter. The others get a
+        heartbeat every `leader_heartbeat_ms`.
         """
         now_ms = self._now()
         for follower in self.followers.values():
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -49,7 +49,10 @@
             self._recovery = None
 
     def give_up(self) -> None:
-        """Abandon a takeover that has made no progress for too long, and step down."""
+        """Abandon a takeover that makes no progress, and step down.
+
+        The replica calls this after 2 `force_ms` in the same role.
+        """
         replica, missing = self._replica, []
         if self._recovery is not None:
             missing = self._recovery.unanswered()
