--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -135,19 +135,19 @@
     ),
     "only the first in order holds": (
         "replicated_log/src/replicated_log/failure_detector.py",
-        "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own) * leader_heartbeat_ms)",
-        "return self._own == names[0]",
+        "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own_identity) * leader_heartbeat_ms)",
+        "return self._own_identity == names[0]",
         _MEMBERS + "empty_one_at_a_new_address",
     ),
     "a blank disk answers for the store that was counted on": (
         "replicated_log/src/replicated_log/tail_fetch.py",
         "if message.identity != self._source.identity:",
         "if False:",
-        "tests/test_recovery.py -k counted_on",
+        "tests/test_recovery.py -k replaced_by_a_blank_disk",
     ),
     "a recovery drops what is settled here": (
         "replicated_log/src/replicated_log/recovery.py",
-        "if own_counts else self._committed_here())",
+        "if own_counts else self._committed_records())",
         "if own_counts else [])",
         "tests/test_recovery.py -k missed_a_recovery",
     ),
@@ -165,7 +165,7 @@
     ),
     "what one list alone has is acknowledged during a change": (
         "replicated_log/src/replicated_log/quorums.py",
-        "return [self.members] if self.following is None else [self.members, self.following]",
+        "return [self.members] if self.new_members is None else [self.members, self.new_members]",
         "return [self.members]",
         "tests/test_member_change.py -k both_lists",
     ),
