--- a/libs/membership/src/membership/__init__.py
+++ b/libs/membership/src/membership/__init__.py
@@ -1,13 +1,14 @@
-"""Membership: who is in the fleet, who is live, and which node has a singleton role.
+"""Membership: the nodes of the fleet, failure detection, and the assignment of singleton roles.
 
-- `messages`: node descriptions, heartbeats and view exchanges.
-- `partial_view`: the component that exchanges them and detects failures.
-- `known_nodes`: the records of other nodes that it keeps.
+- `messages`: node descriptions, heartbeats and the messages of view exchanges.
+- `partial_view`: the component that gossips node descriptions and detects failures.
+- `known_nodes`: the records of other nodes, which `partial_view` updates.
 - `role_assignment`: rendezvous hashing of keys to live nodes.
 
-Invariants: only a node itself raises its heartbeat counter; a forwarded description never makes a
-node count as heard directly. This package imports `messaging` and the settings that its node has.
-Another criterion of liveness goes to `partial_view`, never to its callers.
+Invariants: only a node itself increments its heartbeat counter; a forwarded description never
+counts as direct contact with the node that it describes. This package imports `messaging` and reads
+the settings of its node. Any further criterion of liveness belongs in `partial_view`, not in its
+callers.
 """
 
 from membership.messages import NodeInfo
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -1,9 +1,12 @@
 """Partial views of the fleet and failure detection.
 
-At each heartbeat a node exchanges part of its view with its oldest peer and sends heartbeats to the
-nodes of its own role and those with disks. A node counts as live if it was itself heard lately, or
-if its heartbeat counter rose in a forwarded description. Where the setting `fan_out` is on, views
-are exchanged less often, and heartbeats go to the own role only, a limited number at a time.
+Every `heartbeat_ms` a node exchanges part of its view with the peer at the head of its view and
+sends heartbeats to the nodes of its own role, to the control nodes and to `extra_addresses`; an
+edge sends them to `extra_addresses` only. A node is live if a message from it, or a forwarded
+description of it with a higher heartbeat counter, came within the failure timeout.
+
+With the setting `fan_out`, views are exchanged less often, heartbeats go to the own role and at
+times to `extra_addresses`, a limited number of them at once, and edges send none.
 
 The exchange of views is a shuffle as in CYCLON (Voulgaris, Gavidia and van Steen, 2005).
 """
@@ -19,21 +22,26 @@
 __all__ = ["Membership"]
 
 _SAMPLE_SIZE = 6
-_SMALL_VIEW = 3
+_MIN_VIEW_SIZE = 3
 _SEED_PROBABILITY = 0.1
-# With fan_out: heartbeats between view exchanges, between heartbeats to extra addresses, and how
-# many heartbeats are sent at once.
-_SHUFFLE_EVERY = 5
-_EXTRA_EVERY = 2
-_MAX_HEARTBEATS_AT_ONCE = 16
+# These apply only with fan_out.
+_ROUNDS_PER_SHUFFLE = 5
+_ROUNDS_PER_EXTRA_HEARTBEAT = 2
+_MAX_HEARTBEATS_PER_ROUND = 16
 
 
 class Membership(Component):
-    """The component of a node that knows other nodes and judges whether they are live.
+    """The component of a node that keeps track of the other nodes and detects their failures.
+
+    Times are milliseconds of the node's boot clock.
 
-    `identity` is this node's own. `is_ready` and `is_isolated` give what its description says of
-    it; `extra_addresses` gives further addresses to send heartbeats to, such as members that a
-    control key names. Times are milliseconds of the node's boot clock.
+    Attributes
+    ----------
+    identity: the identity of this node.
+    is_ready: returns the value of `NodeInfo.ready` for this node.
+    is_isolated: returns the value of `NodeInfo.isolated` for this node.
+    extra_addresses: returns further addresses to send heartbeats to, such as those of the members
+        listed in a control key.
     """
 
     __slots__ = (
@@ -76,14 +84,12 @@
             name=node.settings.node_name or node.address,
         )
 
-    # -- what is known -----------------------------------------------------------------------------
-
     def view(self) -> list[NodeInfo]:
-        """Return the nodes in the partial view, oldest peer first."""
+        """Return the nodes in the partial view, the next partner of a view exchange first."""
         return [self._known.info(identity) for identity in self._view if identity in self._known]
 
     def nodes_in_role(self, role: str, within_ms: int) -> list[NodeInfo]:
-        """Return the nodes of a role whose descriptions came within the time, in any way."""
+        """Return the nodes of a role described, directly or not, within the last `within_ms`."""
         since_ms = self.node.env.now() - within_ms
         return [
             record.info
@@ -92,7 +98,7 @@
         ]
 
     def nodes_heard_directly(self, within_ms: int) -> list[NodeInfo]:
-        """Return the nodes that were themselves heard within the time."""
+        """Return the nodes that sent this node a message within the time."""
         since_ms = self.node.env.now() - within_ms
         return [
             record.info
@@ -101,15 +107,16 @@
         ]
 
     def node_info(self, identity: str) -> NodeInfo | None:
-        """Return the newest description of a node, or None."""
+        """Return the newest description of a node, or None if it is not known."""
         record = self._known.get(identity)
         return None if record is None else record.info
 
     def is_live(self, identity: str, within_ms: int | None = None) -> bool:
-        """Return whether a node was heard of within the time, by default `failure_timeout_ms`.
+        """Return whether a node is live; this node itself always is.
 
-        Without a given time, a node whose address refused a connection is not live until it is
-        heard again. The node itself always is.
+        A node is live if a message from it or a newer description of it came within `within_ms`,
+        by default `failure_timeout_ms`. With the default, a node whose address refused a connection
+        is not live until another message from it arrives.
         """
         if identity == self.identity:
             return True
@@ -120,49 +127,48 @@
         return silent_ms <= (within_ms or self.node.settings.failure_timeout_ms)
 
     def is_heard_directly(self, identity: str, within_ms: int) -> bool:
-        """Return whether a node was heard directly within the time.
+        """Return whether a node sent this node a message within the time.
 
-        Forwarded descriptions don't count, since they may have come around a network partition.
+        Forwarded descriptions don't count: they may have come by way of a third node, across a
+        network partition between the two. This node itself always counts.
         """
         if identity == self.identity:
             return True
         return self.node.env.now() - self._known.heard_ms(identity) <= within_ms
 
     def hears_majority(self, identity: str) -> bool:
-        """Return whether a node says that it hears a majority of the voters; True if unknown."""
+        """Return whether a node reports contact with a majority of the voters; True if unknown."""
         if identity == self.identity:
             return not self.is_isolated()
         info = self.node_info(identity)
         return info is None or not info.isolated
 
     def connection_refused(self, address: str) -> None:
-        """Note that nothing listens at an address.
+        """Record that nothing listens at an address.
 
-        Its nodes are not live until they are heard again.
+        The nodes with this address are not live until another message from them arrives.
         """
         for record in self._known:
             if record.info.address == address:
                 record.has_refused = True
 
     def last_heard_ms(self, identity: str) -> int:
-        """Return when the last sign of life came, direct or forwarded."""
+        """Return when the last message or newer description of a node came, or NEVER_MS."""
         return max(self._known.updated_ms(identity), self._known.heard_ms(identity))
 
     def known_since_ms(self, identity: str) -> int:
-        """Return since when a node has been known without interruption; now if it isn't known."""
+        """Return since when a node has been known without interruption; now if it is unknown."""
         record = self._known.get(identity)
         return self.node.env.now() if record is None else record.known_since_ms
 
-    # -- heartbeats and view exchanges -------------------------------------------------------------
-
     def tick(self) -> None:
-        """Send heartbeats and exchange views, once each `heartbeat_ms`."""
+        """Drop silent nodes, send heartbeats and start view exchanges, every `heartbeat_ms`."""
         now_ms = self.node.env.now()
         if now_ms - self._sent_ms < self.node.settings.heartbeat_ms:
             return
         self._sent_ms = now_ms
         self._heartbeat = max(self._heartbeat + 1, self.node.env.wall())
-        self._forget_silent(now_ms)
+        self._drop_silent(now_ms)
         own_info = encode(self.own_info())
         for address in self._heartbeat_addresses():
             self.node.send(address, Heartbeat(sender=own_info))
@@ -174,8 +180,8 @@
     def _shuffles_now(self) -> bool:
         return (
             not self.node.settings.fan_out
-            or self._rounds % _SHUFFLE_EVERY == 0
-            or len(self._view) < _SMALL_VIEW
+            or self._rounds % _ROUNDS_PER_SHUFFLE == 0
+            or len(self._view) < _MIN_VIEW_SIZE
         )
 
     def _addresses_in_role(self, role: str) -> set[str]:
@@ -192,31 +198,34 @@
         return sorted(addresses - {self.node.address})
 
     def _heartbeat_addresses_with_fan_out(self, role: str) -> list[str]:
-        """Return the next of the addresses in turn, where there are many."""
+        """Return the addresses for this round; if there are too many, rounds take them in turn."""
         if role == "edge":
             return []
         addresses = self._addresses_in_role(role)
-        if role == "control" or self._rounds % _EXTRA_EVERY == 0:
+        if role == "control" or self._rounds % _ROUNDS_PER_EXTRA_HEARTBEAT == 0:
             addresses |= set(self.extra_addresses())
         ordered = sorted(addresses - {self.node.address})
-        if len(ordered) <= _MAX_HEARTBEATS_AT_ONCE:
+        if len(ordered) <= _MAX_HEARTBEATS_PER_ROUND:
             return ordered
-        start = self._rounds * _MAX_HEARTBEATS_AT_ONCE % len(ordered)
-        return [*ordered[start:], *ordered[:start]][:_MAX_HEARTBEATS_AT_ONCE]
+        start = self._rounds * _MAX_HEARTBEATS_PER_ROUND % len(ordered)
+        return [*ordered[start:], *ordered[:start]][:_MAX_HEARTBEATS_PER_ROUND]
 
     def _shuffle_partners(self) -> list[str]:
-        """Return the oldest peer's address, and sometimes or in a small view also a seed's."""
+        """Return the address at the head of the view, which moves to its end, and perhaps a seed's.
+
+        A seed is added at random, and always while the view is smaller than the minimum.
+        """
         rng = self.node.env.rng
         partners = set()
         if self._view:
             partners.add(self._known.info(self._view[0]).address)
             self._view.append(self._view.pop(0))
-        if len(self._view) < _SMALL_VIEW or rng.random() < _SEED_PROBABILITY:
+        if len(self._view) < _MIN_VIEW_SIZE or rng.random() < _SEED_PROBABILITY:
             partners.add(rng.choice(self.node.settings.seeds))
         return sorted(partners - {self.node.address})
 
     def _sample(self) -> list[bytes]:
-        """Return random descriptions of peers in the view and of nodes with disks."""
+        """Return encoded descriptions of random nodes in the view, control nodes and stores."""
         candidates = [
             record.info
             for record in self._known
@@ -227,8 +236,13 @@
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Take a heartbeat or one side of a view exchange; TypeError for any other message."""
-        raise TypeError(type(message).__name__)
+        """Process a heartbeat or a message of a view exchange.
+
+        Raises TypeError for any other message.
+        """
+        raise TypeError(
+            "expected ShuffleRequest, ShuffleResponse or Heartbeat, got " + type(message).__name__
+        )
 
     @receive.register
     def _(self, message: ShuffleRequest, origin: Origin) -> None:
@@ -245,10 +259,11 @@
         self._merge(message.sender, [])
 
     def _merge(self, sender: bytes, sample: list[bytes]) -> None:
-        """Take the sender's own description, then those that it forwards.
+        """Merge the sender's own description, then those that it forwards.
 
-        After a restart with its clock moved back, a sender's counter may be lower than the one
-        remembered; its own description is accepted all the same once the node had fallen silent.
+        If the sender restarted after its clock was moved back, its heartbeat counter may be lower
+        than the one recorded. Its own description is then accepted once no newer description of it
+        has come for longer than `failure_timeout_ms`.
         """
         now_ms = self.node.env.now()
         info = decode_as(NodeInfo, sender)
@@ -267,7 +282,7 @@
             self._merge_one(decode_as(NodeInfo, data))
 
     def _merge_one(self, info: NodeInfo) -> None:
-        """Accept a description if its counter rose, and if it is the latest of its address."""
+        """Store a description if its counter is higher and no newer live node has its address."""
         if info.identity == self.identity:
             return
         if self._known.counter(info.identity) >= info.heartbeat:
@@ -279,7 +294,7 @@
             self._add_to_view(info.identity)
 
     def _replace_others_at(self, info: NodeInfo) -> bool:
-        """Drop other nodes at the same address; return False if one of them is live and newer."""
+        """Drop other nodes with the same address; return False if one of them is live and newer."""
         now_ms = self.node.env.now()
         for identity in self._known.identities_at(info.address):
             if identity == info.identity:
@@ -293,12 +308,12 @@
         return True
 
     def _add_to_view(self, identity: str) -> None:
-        """Add a peer to the view; where it is full, a random other one leaves."""
+        """Add a node to the view; if the view is too large, remove a random other node from it."""
         self._view.append(identity)
         if len(self._view) > self.node.settings.view_size:
             self._view.pop(self.node.env.rng.randrange(len(self._view) - 1))
 
-    def _forget_silent(self, now_ms: int) -> None:
+    def _drop_silent(self, now_ms: int) -> None:
         silent = [
             record.info.identity
             for record in self._known
