--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -1,18 +1,19 @@
-"""Config feed: gossip of the control keys' newest versions to all nodes.
+"""Config feed: dissemination of the newest version of each control key to all nodes.
 
-Control publishes numbered versions of each key; nodes relay them and compare digests.
+Control nodes publish numbered versions of each key. Nodes relay new versions and exchange digests
+of the versions that they hold, by which missed versions are found.
 
 - `messages`: updates and digests.
-- `feed`: the component that relays and compares versions.
-- `versioned_keys`: the versions that a node has, their watchers, and the updates made from them.
-- `version_tracker`: which nodes have which version in force, by their digests.
-- `digest_targets`: which control nodes a node reports to, where the setting `fan_out` is on.
-- `patches`: JSON merge patches, in which changes of large bodies travel.
+- `feed`: the component that relays updates and exchanges digests.
+- `versioned_keys`: the versions held by a node, their watchers, and the updates made from them.
+- `version_tracker`: which versions other nodes hold, according to their digests.
+- `digest_targets`: which control nodes a node sends its digests to with the setting `fan_out`.
+- `patches`: the JSON merge patches by which changes of large bodies are sent.
 
-Invariants: the version of a key never goes back at a node; a patch is applied only to the
-version it was made for; a node without contact to a majority hands out no updates. This package
-imports `messaging` and `membership`. A key whose versions nodes confirm is added in
-`version_tracker`.
+Invariants: the version of a key never decreases while a node runs; a patch is applied only to the
+version that it was made from; a control node without contact with a majority of the voters sends no
+updates to edges and stores. This package imports `messaging` and `membership`. The keys whose
+versions the nodes have to confirm are listed in `version_tracker`.
 """
 
 from config_feed.digest_targets import candidates
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -1,13 +1,14 @@
-"""The config feed at one node: the newest body of each key with its version.
+"""The config feed of one node, which holds the newest version of each control key.
 
-A new version is relayed to all peers when it first arrives. Digests, exchanged every
-heartbeat_ms, find versions that were missed; a node that starts has none and is sent all, which
-serves as its snapshot. A change of a large body is sent as a merge patch on the version before it.
-Versions never go back.
+A new version is relayed to all peers when it first arrives. Versions that were missed are found by
+digests, which are exchanged every `heartbeat_ms`; a node that has just started holds no version and
+is sent the newest of each key as its snapshot. A change of a large body is sent as a merge patch on
+the version before it. The version of a key never decreases.
 
-With fan_out, digests and versions travel through the voters: a node that is not a voter reports to
-a few of them, at a longer interval, and each voter relays new versions to the nodes that report to
-it first and tells the other voters the lowest versions reported to it.
+With `fan_out`, digests and updates go through the voters. A node that is not a voter sends its
+digests to a few voters only, and less often. Each voter relays new versions to the nodes that have
+it as their preferred target, and sends the other voters its low watermarks: the lowest version of
+each key among the nodes that report to it.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,21 +24,33 @@
 
 __all__ = ["ConfigFeed"]
 
-# With fan_out: heartbeats between reports to the voters, and between digests to a peer.
-_REPORT_EVERY = 2
-_PEER_DIGEST_EVERY = 5
+# These apply only with fan_out, to nodes that are not voters; a round takes heartbeat_ms.
+_ROUNDS_PER_REPORT = 2
+_ROUNDS_PER_PEER_DIGEST = 5
 
 
 class ConfigFeed(VersionTracker):
-    """Holds, relays and compares the versions of all keys at one node.
-
-    `peer_addresses` returns the addresses to relay to, and `extra_addresses` further ones to
-    exchange digests with. `is_current` returns whether this node knows its versions to be the
-    newest: a control node in contact with a majority, or a ready edge. `serves_updates` returns
-    whether it answers digests of edges and stores with updates; a control node without a
-    majority does not, since they may be stale. Times are ms of the node's clock:
-    `control_quorum_heard_ms` and `current_edge_heard_ms` are when the last digest came from such a
-    control node or edge, and `digest_heard_ms` when the last came from each identity.
+    """The component of a node that holds the newest versions and exchanges them with other nodes.
+
+    Times are milliseconds of the node's clock.
+
+    Parameters
+    ----------
+    identity: the identity of this node.
+    peer_addresses: returns the addresses of the peers to relay to and exchange digests with.
+    extra_addresses: returns further such addresses; at a voter, those of all voters.
+    is_current: returns whether this node knows its versions to be the newest. True for a control
+        node in contact with a majority of the voters, and for a ready edge.
+
+    Attributes
+    ----------
+    serves_updates: returns whether this node answers digests of edges and stores with updates. A
+        control node without contact with a majority does not, since its versions may be stale.
+    target_candidates: returns the control nodes that may be selected as digest targets.
+    control_quorum_heard_ms: when the last digest came from a control node that is current.
+    current_edge_heard_ms: when the last digest came from an edge that is current.
+    digest_heard_ms: when the last digest came from each node, by identity.
+    sent_bytes: the total size of the updates sent.
     """
 
     __slots__ = (
@@ -87,52 +100,50 @@
         self._sent_watermarks: dict[str, int] = {}
 
     def attach(self, node: Any) -> None:
-        """Bind the feed to its node, whose settings choose the targets of digests."""
+        """Attach the feed to its node, whose settings also determine the digest targets."""
         super().attach(node)
         self._digest_targets = DigestTargets(node)
 
     def watch(self, watcher: VersionWatcher) -> None:
-        """Call `watcher` with key, version and body of each version that this node takes."""
+        """Register a function to call with each version that this node accepts."""
         self._keys.watch(watcher)
 
     def version(self, key: str) -> int:
-        """Return the version held of a key, 0 for none."""
+        """Return this node's version of a key, or 0 if it holds none."""
         return self._keys.version(key)
 
     def body(self, key: str) -> str:
-        """Return the body held of a key, empty for none."""
+        """Return this node's body of a key, or an empty string if it holds none."""
         return self._keys.body(key)
 
     def value(self, key: str) -> Any:
-        """Return the decoded JSON body held of a key, None for none."""
+        """Return this node's decoded JSON body of a key, or None if it holds none."""
         return self._keys.value(key)
 
     def versions(self) -> dict[str, int]:
-        """Return the version held of each key."""
+        """Return this node's version of each key."""
         return self._keys.versions()
 
     @property
     def position(self) -> int:
-        """The sum of all versions held, by which operators compare nodes."""
+        """The sum of the versions that this node holds; operators compare nodes by it."""
         return sum(self.versions().values())
 
-    # -- new versions --------------------------------------------------------------------------
-
     def publish(self, key: str, version: int, body: str) -> None:
-        """Take a version that control has decided and relay it; older ones change nothing."""
+        """Accept a version that the control nodes decided, and relay it; ignore it if not newer."""
         if version <= self.version(key):
             return
         self._keys.store(key, version, body, self._keys.make_patch(key, version, body))
         self._announce(key, version, body, "")
 
     def _announce(self, key: str, version: int, body: str, sender: str) -> None:
-        """Pass a version just stored to the watchers and on to other nodes."""
+        """Pass a newly stored version to the watchers and to other nodes, except its sender."""
         self._behind_since_ms.pop(key, None)
         self._keys.notify(key, version, body)
         self._relay(key, sender)
 
     def _relay(self, key: str, sender: str) -> None:
-        """Send a version just accepted on to others, but not to the node that sent it."""
+        """Send a newly stored version to other nodes, except the one that sent it."""
         updates = [encode(self._keys.latest_update(key))]
         if self.node.settings.fan_out:
             for address in self._relay_addresses(sender):
@@ -144,9 +155,10 @@
                 self._send_digest(address)
 
     def _relay_addresses(self, sender: str) -> list[str]:
-        """Return the addresses that a new version is relayed to at once, with fan_out.
+        """Return the addresses to which a new version is relayed at once, with `fan_out`.
 
-        A voter relays to its first reporters, and to the other voters unless one of them sent it.
+        A voter relays to the live nodes that have it as their preferred target, and to the other
+        voters unless one of them sent the version. Other nodes do not relay.
         """
         if not self.is_voter():
             return []
@@ -176,8 +188,8 @@
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Process another node's digest or updates."""
-        raise TypeError(type(message).__name__)
+        """Process another node's digest or updates. Raises TypeError for any other message."""
+        raise TypeError("expected VersionDigest or KeyUpdates, got " + type(message).__name__)
 
     @receive.register
     def _(self, message: KeyUpdates, origin: Origin) -> None:
@@ -200,8 +212,6 @@
             else:
                 self._send_digest(origin.sender)
 
-    # -- digests -------------------------------------------------------------------------------
-
     def _digest(self, rank: int = 0, edge_count: int = 0) -> VersionDigest:
         versions = self.versions()
         lows = self.low_watermarks() if self.node.settings.fan_out and self.is_voter() else {}
@@ -242,7 +252,7 @@
     def _record_report(
         self, message: VersionDigest, origin: Origin, their_versions: dict[str, int]
     ) -> bool:
-        """Record a digest; return whether its versions differ from the sender's previous one."""
+        """Record a digest; return whether its versions differ from those of the previous one."""
         now_ms = self.node.env.now()
         if now_ms >= self._ignore_digests_until_ms:
             self.digest_heard_ms[message.identity] = now_ms
@@ -257,7 +267,7 @@
         return previous is None or previous.versions != their_versions
 
     def _will_send_updates(self, message: VersionDigest) -> bool:
-        """Whether the sender answers a digest from here with the updates that this node lacks."""
+        """Whether the sender will answer a digest of this node with the updates that it lacks."""
         return (
             self.node.settings.role == "control" or message.role != "control" or message.is_current
         )
@@ -272,24 +282,22 @@
                 self._behind_since_ms.setdefault(key, now_ms)
 
     def behind_ms(self) -> int:
-        """Return for how long a control node has been known to have a newer version, in ms.
+        """Return for how many ms this node has known that a control node holds a newer version.
 
-        Only the confirmed keys count: the profiles and the list of workers. 0 if none is known.
+        Only the keys in CONFIRMING_ROLES count. Returns 0 if no newer version is known.
         """
         return self.node.env.now() - min(
             self._behind_since_ms.values(), default=self.node.env.now()
         )
 
     def _wants_digest(self, message: VersionDigest, origin: Origin) -> bool:
-        """Whether the sender reports to this voter, and so expects a digest as a heartbeat."""
+        """Whether the sender reports to this voter and needs a digest in reply, as a heartbeat."""
         return (
             bool(self.node.settings.fan_out)
             and self.is_voter()
             and (message.role != "control" or origin.sender not in self._voter_addresses())
         )
 
-    # -- reports to the voters (fan_out) -------------------------------------------------------
-
     def _note_report(self, message: VersionDigest, origin: Origin, changed: bool) -> None:
         self._ranks[message.identity] = message.rank
         if message.role == "control":
@@ -325,23 +333,23 @@
         self._rounds += 1
         if self.is_voter():
             self._send_watermarks()
-        elif self._rounds % _REPORT_EVERY == 0 or not self.versions():
+        elif self._rounds % _ROUNDS_PER_REPORT == 0 or not self.versions():
             self._report()
         peers = sorted(
             set(self._peer_addresses())
             - {self.node.address, *(node.address for node in self.target_candidates())}
         )
-        if peers and not self.is_voter() and self._rounds % _PEER_DIGEST_EVERY == 0:
-            self._send_digest(peers[self._rounds // _PEER_DIGEST_EVERY % len(peers)])
+        if peers and not self.is_voter() and self._rounds % _ROUNDS_PER_PEER_DIGEST == 0:
+            self._send_digest(peers[self._rounds // _ROUNDS_PER_PEER_DIGEST % len(peers)])
 
     def tick(self) -> None:
-        """Send digests every heartbeat_ms."""
+        """Drop silent nodes and send digests, every `heartbeat_ms`."""
         now_ms = self.node.env.now()
         if now_ms - self._sent_ms < self.node.settings.heartbeat_ms:
             return
         self._sent_ms = now_ms
-        self._since_ms = min(self._since_ms, now_ms)
-        for identity in self._forget_silent(now_ms):
+        self._running_since_ms = min(self._running_since_ms, now_ms)
+        for identity in self._drop_silent(now_ms):
             self.digest_heard_ms.pop(identity, None)
         if self.node.settings.fan_out:
             self._tick_with_fan_out()
@@ -351,12 +359,13 @@
             self.node.send(address, digest)
 
     def resumed(self, gap_ms: int) -> None:
-        """Disregard digests for heartbeat_ms after a pause of the process.
+        """Forget when digests came, and do not record such times for another `heartbeat_ms`.
 
-        Those that waited in buffers say nothing about the present.
+        Digests that arrived during the pause of the process wait in buffers and do not show that
+        their senders are still live.
         """
         self._ignore_digests_until_ms = self.node.env.now() + self.node.settings.heartbeat_ms
-        self._since_ms = self.node.env.now()
+        self._running_since_ms = self.node.env.now()
         self.control_quorum_heard_ms = self.current_edge_heard_ms = NEVER_MS
         self.digest_heard_ms = dict.fromkeys(self.digest_heard_ms, NEVER_MS)
         self._digest_targets.resumed()
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -1,6 +1,7 @@
 """Messages of the feed: new versions of control keys, and digests of the versions held.
 
-Each key has its own rising versions. A node's position in the feed is the sum of its versions.
+The versions of each key are numbered separately, in rising order. The position of a node in the
+feed is the sum of the versions that it holds.
 """
 
 from messaging import Message
@@ -11,7 +12,8 @@
 class KeyUpdate(Message, wire_name="NewsItem"):
     """One version of a key.
 
-    `body` is the whole JSON body if `base_version` is 0, otherwise a merge patch on that version.
+    `body` is the whole JSON body if `base_version` is 0, otherwise a JSON merge patch to apply to
+    `base_version`.
     """
 
     key: str
@@ -27,13 +29,18 @@
 
 
 class VersionDigest(Message, wire_name="Digest"):
-    """The versions that a node holds, which is also its heartbeat in the feed.
-
-    `keys` and `versions` are parallel, as are `low_keys` and `low_versions`: of each confirmed key
-    the lowest version among the nodes that report to the sender. `is_current` is whether the sender
-    knows its versions to be the newest. `rank` is 1 to the voter that is to relay updates at once,
-    2 to a further voter that the sender reports to, and 0 to all others. `edge_count` is how many
-    edges report to the sender first; in a digest to a node that reports, how many there are in all.
+    """The versions that a node holds; also serves as the node's heartbeat in the feed.
+
+    Attributes
+    ----------
+    is_current: whether the sender knows its versions to be the newest.
+    keys, versions: the keys held and, in the same order, their versions.
+    low_keys, low_versions: the confirmed keys and, in the same order, the lowest version of each
+        among the nodes that report to the sender.
+    rank: how the sender ranks the receiver as a target of its digests: 1 for the voter that has to
+        relay updates to it at once, 2 for any other target, 0 for all other nodes.
+    edge_count: in a digest to another voter, how many live edges report to the sender with rank 1;
+        in a voter's digest to any other node, how many edges are live in all; otherwise 0.
     """
 
     identity: str
--- a/libs/config_feed/src/config_feed/patches.py
+++ b/libs/config_feed/src/config_feed/patches.py
@@ -1,6 +1,6 @@
-"""JSON merge patches (RFC 7396): computed and applied.
+"""Computes and applies JSON merge patches (RFC 7396).
 
-A null value cannot be expressed in a patch, so a version that newly sets one is sent whole.
+A merge patch cannot set a value to null, so a version that does so is sent with its whole body.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 
 def apply_patch(target: Any, patch: Any) -> Any:
-    """Return `target` with the decoded merge patch applied; the arguments are not modified."""
+    """Return `target` with a decoded merge patch applied; neither argument is modified."""
     if not isinstance(patch, dict):
         return patch
     result = dict(target) if isinstance(target, dict) else {}
@@ -35,10 +35,10 @@
 
 
 def merge(old_body: str, patch_body: str) -> str:
-    """Return the JSON body that results from applying a JSON merge patch to a JSON body."""
+    """Return the JSON text that results from applying a merge patch; all are JSON texts."""
     return json.dumps(apply_patch(json.loads(old_body), json.loads(patch_body)), sort_keys=True)
 
 
 def merge_diff(old_body: str, new_body: str) -> str:
-    """Return the JSON merge patch that leads from one JSON body to another."""
+    """Return the JSON merge patch that changes one JSON text into another."""
     return json.dumps(_diff(json.loads(old_body), json.loads(new_body)), sort_keys=True)
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -1,8 +1,8 @@
-"""Which version of each key the nodes have in force, as the voters learn it from digests.
+"""Tracks which version of each key the other nodes hold, according to their digests.
 
-A control key's owner acknowledges a version by this. With fan_out a voter also counts what other
-voters report of the nodes that send their digests to them: the lowest versions among these, which
-are low watermarks of what all of them have.
+The owner of a control key acknowledges a change once the nodes have confirmed its version in this
+way. With `fan_out` a node reports to a few voters only; each voter then sends the other voters its
+low watermarks, which are the lowest versions among the nodes that report to it.
 """
 
 from collections.abc import Callable
@@ -21,10 +21,10 @@
 
 SERVING_SET_KEY = "fleet"
 MIN_SERVING_SET = 3
-"""The smallest serving set of which a majority is required."""
+"""The number of members from which a majority of the serving set is required."""
 
 CONFIRMING_ROLES = {"profiles": ("edge", "store"), "workers": ("edge",)}
-"""The keys whose versions nodes confirm, with the roles that do."""
+"""The keys whose versions have to be confirmed, with the roles that confirm each."""
 
 NEVER_MS = -1 << 40
 _NOT_STARTED_MS = 1 << 60
@@ -33,9 +33,10 @@
 
 
 class DigestReport:
-    """What the newest digest of a node said; `received_ms` is by the receiving node's clock.
+    """The content of the newest digest of a node.
 
-    `versions` has the version of each key that the node holds, `link` is its link address.
+    `received_ms` is the time of arrival by the receiver's clock, `versions` has the version of each
+    key that the node holds, and `link` is its link address.
     """
 
     __slots__ = ("link", "received_ms", "role", "versions")
@@ -48,19 +49,23 @@
 
 
 class VersionTracker(Component):
-    """The part of the feed that records and counts confirmations; a subclass holds the versions.
+    """The part of the feed that records digests and counts confirmations.
 
-    `is_voter` returns whether this node is a voter. `reports` has the newest digest of each node,
-    by its identity.
+    Subclasses hold this node's own versions.
+
+    Attributes
+    ----------
+    is_voter: returns whether this node is a voter.
+    reports: the newest digest of each node, by its identity.
     """
 
     __slots__ = (
         "_edge_counts",
         "_low_watermarks",
         "_ranks",
+        "_running_since_ms",
         "_serving_set",
         "_serving_set_version",
-        "_since_ms",
         "is_voter",
         "reports",
     )
@@ -68,7 +73,7 @@
     def __init__(self) -> None:
         self.is_voter: Callable[[], bool] = lambda: False
         self.reports: dict[str, DigestReport] = {}
-        self._since_ms = _NOT_STARTED_MS
+        self._running_since_ms = _NOT_STARTED_MS
         self._serving_set_version = 0
         self._serving_set: frozenset[str] = frozenset()
         self._ranks: dict[str, int] = {}
@@ -76,15 +81,15 @@
         self._edge_counts: dict[str, int] = {}
 
     def version(self, key: str) -> int:
-        """Return the version held of a key, 0 for none."""
+        """Return this node's version of a key, or 0 if it holds none."""
         raise NotImplementedError
 
     def value(self, key: str) -> Any:
-        """Return the decoded body held of a key, None for none."""
+        """Return this node's decoded value of a key, or None if it holds none."""
         raise NotImplementedError
 
-    def _forget_silent(self, now_ms: int) -> list[str]:
-        """Drop nodes that sent no digest for removal_timeout_ms, and return their identities."""
+    def _drop_silent(self, now_ms: int) -> list[str]:
+        """Drop nodes without a digest for `removal_timeout_ms`, and return their identities."""
         silent = [
             identity
             for identity, report in self.reports.items()
@@ -102,7 +107,7 @@
         return self.node.env.now() - failure_timeout_ms
 
     def low_watermarks(self) -> dict[str, int]:
-        """Return for each confirmed key the lowest version among the nodes that report here."""
+        """Return the lowest version of each confirmed key among the nodes that report here."""
         since_ms = self._live_since_ms()
         lows: dict[str, int] = {}
         for identity, report in self.reports.items():
@@ -114,7 +119,7 @@
         return lows
 
     def _own_edge_count(self) -> int:
-        """Return how many live edges send their digests to this node first."""
+        """Return how many live edges have this node as their preferred target."""
         since_ms = self._live_since_ms()
         return sum(
             1
@@ -125,9 +130,9 @@
         )
 
     def edge_count(self) -> int:
-        """Return how many edges are live.
+        """Return the number of live edges, as far as this node knows.
 
-        A voter adds up the counts of all voters; other nodes take the largest count reported.
+        A voter adds up the counts of all voters; any other node uses the largest count received.
         """
         since_ms = self._live_since_ms()
         counts = [
@@ -140,10 +145,10 @@
         return max(counts, default=0)
 
     def all_have(self, key: str, version: int, roles: tuple[str, ...], within_ms: int) -> bool:
-        """Whether every live node of these roles has this version of the key in force.
+        """Whether every live node of these roles reported this version of the key, or a newer one.
 
-        A node is live if its digest came within `within_ms`. With fan_out, nodes that report to
-        another voter are counted by that voter's digest.
+        A node is live if a digest of it came within the last `within_ms`. With `fan_out`, the low
+        watermarks of another voter stand for the nodes that report to that voter.
         """
         since_ms = self.node.env.now() - within_ms
         if any(
@@ -161,7 +166,7 @@
         )
 
     def serving_set(self) -> frozenset[str]:
-        """Return the link addresses of the edges and stores that are counted."""
+        """Return the link addresses of the edges and stores in the serving set."""
         version = self.version(SERVING_SET_KEY)
         if version != self._serving_set_version:
             self._serving_set_version = version
@@ -170,11 +175,11 @@
 
     @property
     def needs_majority(self) -> bool:
-        """Whether the serving set is large enough for its majority to be required."""
+        """Whether the serving set is so large that a majority of it is required."""
         return len(self.serving_set()) >= MIN_SERVING_SET
 
     def links_heard(self, within_ms: int) -> set[str]:
-        """Return the link addresses of edges and stores whose digests came within `within_ms`."""
+        """Return the link addresses of edges and stores that sent a digest within `within_ms`."""
         since_ms = self.node.env.now() - within_ms
         return {
             report.link
@@ -183,10 +188,10 @@
         }
 
     def majority_has(self, key: str, version: int, within_ms: int) -> bool:
-        """Whether a majority of the serving set reported this version within `within_ms`.
+        """Whether a majority of the serving set reported this version or a newer one in time.
 
-        Always true while the serving set has fewer than MIN_SERVING_SET members: no edge serves
-        without control by such a set.
+        Only digests of the last `within_ms` are counted. Always True while the serving set has
+        fewer than MIN_SERVING_SET members, since no edge then serves without control nodes.
         """
         since_ms = self.node.env.now() - within_ms
         have = {
@@ -198,5 +203,5 @@
         return not self.needs_majority or 2 * len(serving & have) > len(serving)
 
     def has_listened(self, for_ms: int) -> bool:
-        """Whether this node has been running without a pause for `for_ms`."""
-        return self.node.env.now() - self._since_ms > for_ms
+        """Whether this node has been running without a pause for longer than `for_ms`."""
+        return self.node.env.now() - self._running_since_ms > for_ms
--- a/libs/config_feed/src/config_feed/versioned_keys.py
+++ b/libs/config_feed/src/config_feed/versioned_keys.py
@@ -1,7 +1,7 @@
-"""The newest version of each control key at one node, with the patch that led to it.
+"""The newest version of each control key at one node, with the patch from the version before it.
 
-Versions of a key only rise; callers check this before they store. A change of a large body is also
-kept as a merge patch on the version before it, for nodes that have just that version.
+The versions of a key only increase; callers check this before they store one. A change of a large
+body is also kept as a merge patch, to be sent to nodes that hold the version before it.
 """
 
 import json
@@ -16,13 +16,13 @@
 __all__ = ["VersionWatcher", "VersionedKeys"]
 
 VersionWatcher = Callable[[str, int, str], None]
-"""Called with key, version and body of a version that this node has taken."""
+"""Called with the key, version and body of each version that this node accepts."""
 
 _MIN_PATCHED_CHARACTERS = 1024
 
 
 class _VersionedBody:
-    """A version of a key with its whole JSON body."""
+    """A version of a key and its whole JSON body."""
 
     __slots__ = ("body", "version")
 
@@ -35,7 +35,7 @@
 
 
 class VersionedKeys:
-    """Stores the newest version of each key and makes the updates that other nodes lack."""
+    """Stores the newest version of each key and builds updates for nodes with older versions."""
 
     __slots__ = ("_entries", "_patches", "_watchers")
 
@@ -45,24 +45,24 @@
         self._watchers: list[VersionWatcher] = []
 
     def watch(self, watcher: VersionWatcher) -> None:
-        """Call `watcher` at each `notify`."""
+        """Register a function that `notify` calls."""
         self._watchers.append(watcher)
 
     def notify(self, key: str, version: int, body: str) -> None:
-        """Call all watchers, in the order in which they were added."""
+        """Call all watchers, in the order in which they were registered."""
         for watcher in self._watchers:
             watcher(key, version, body)
 
     def version(self, key: str) -> int:
-        """Return the version of a key, 0 for none."""
+        """Return the version of a key, or 0 if none is stored."""
         return self._entries.get(key, _NO_ENTRY).version
 
     def body(self, key: str) -> str:
-        """Return the body of a key, empty for none."""
+        """Return the body of a key, or an empty string if none is stored."""
         return self._entries.get(key, _NO_ENTRY).body
 
     def value(self, key: str) -> Any:
-        """Return the decoded JSON body of a key, None for none."""
+        """Return the decoded JSON body of a key, or None if none is stored."""
         body = self.body(key)
         return json.loads(body) if body else None
 
@@ -71,10 +71,10 @@
         return {key: entry.version for key, entry in self._entries.items()}
 
     def make_patch(self, key: str, version: int, body: str) -> KeyUpdate | None:
-        """Return a patch from the stored version to the next one, or None.
+        """Return a patch from the stored version to the next one.
 
-        None if the body is small, the version isn't the next one, or a merge patch can't express
-        the change.
+        Returns None if the body is small, `version` is not the next one, or a merge patch cannot
+        express the change.
         """
         current = self._entries.get(key, _NO_ENTRY)
         is_next = current.version and version == current.version + 1
@@ -86,7 +86,7 @@
         return KeyUpdate(key=key, version=version, base_version=current.version, body=patch)
 
     def store(self, key: str, version: int, body: str, patch: KeyUpdate | None = None) -> None:
-        """Replace the stored version of a key and the patch that leads to it, if there is one."""
+        """Replace the stored version of a key, and its patch by the given one or by none."""
         if patch is None:
             self._patches.pop(key, None)
         else:
@@ -94,18 +94,18 @@
         self._entries[key] = _VersionedBody(version, body)
 
     def apply_patch(self, patch: KeyUpdate) -> None:
-        """Store the version that a patch on the stored one leads to."""
+        """Store the result of a patch; the stored version must be the base version of the patch."""
         self.store(patch.key, patch.version, merge(self.body(patch.key), patch.body), patch)
 
     def latest_update(self, key: str) -> KeyUpdate:
-        """Return the patch to the stored version, or else its whole body."""
+        """Return an update to the stored version: its patch if there is one, or the whole body."""
         patch = self._patches.get(key)
         if patch is not None and patch.version == self.version(key):
             return patch
         return self._full_update(key)
 
     def missing_updates(self, their_versions: dict[str, int]) -> list[bytes]:
-        """Return the encoded updates that a node with these versions lacks."""
+        """Return encoded updates for the keys of which a node holds an older version or none."""
         return [
             encode(self._update_from(key, their_versions.get(key, 0)))
             for key, version in self.versions().items()
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -120,7 +120,7 @@
     ),
     "reports go to a voter that is cut off": (
         "config_feed/src/config_feed/digest_targets.py",
-        "if address in self._chosen and len(self._preference) > len(self._chosen):",
+        "if address in self._targets and len(self._preference) > len(self._targets):",
         "if False:",
         _FAN + "leaves_voters",
     ),
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -204,7 +204,7 @@
     def test_contacts_that_died_are_replaced_and_come_back(self):
         fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
-        first = edge.node.config_feed._digest_targets._chosen[0]
+        first = edge.node.config_feed._digest_targets._targets[0]
         host = next(host for host in fleet.with_role("control") if host.address == first)
         host.kill()
         self.assertThat(
