--- a/libs/config_feed/src/config_feed/__init__.py
+++ b/libs/config_feed/src/config_feed/__init__.py
@@ -16,8 +16,8 @@
 versions the nodes have to confirm are listed in `version_tracker`.
 """
 
-from config_feed.digest_targets import candidates
+from config_feed.digest_targets import digest_target_candidates
 from config_feed.feed import ConfigFeed
 from config_feed.messages import KeyUpdate, KeyUpdates, VersionDigest
 
-__all__ = ["ConfigFeed", "KeyUpdate", "KeyUpdates", "VersionDigest", "candidates"]
+__all__ = ["ConfigFeed", "KeyUpdate", "KeyUpdates", "VersionDigest", "digest_target_candidates"]
--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -12,7 +12,7 @@
 
 from membership import Membership, rendezvous_weight
 
-__all__ = ["DigestTargets", "candidates", "nearness"]
+__all__ = ["DigestTargets", "digest_target_candidates", "nearness"]
 
 _NEVER_MS = -1 << 40
 _SAME_ZONE, _SAME_REGION, _ELSEWHERE = range(3)
@@ -34,7 +34,7 @@
     return _SAME_REGION if region == own_region else _ELSEWHERE
 
 
-def candidates(
+def digest_target_candidates(
     voter_list: dict[str, Any] | None, membership: Membership, within_ms: int
 ) -> list[Candidate]:
     """Return the control nodes that may be selected as targets.
@@ -89,20 +89,20 @@
         """Return 1 for the preferred target, 2 for any other target, 0 for any other address."""
         return 0 if address not in self._targets else 1 if address == self._targets[0] else 2
 
-    def choose(self, among: Iterable[Candidate]) -> list[str]:
+    def choose(self, candidates: Iterable[Candidate]) -> list[str]:
         """Update the targets and return the addresses to send a digest to, the preferred one first.
 
         The targets are followed by the candidate to probe, if one is due, and by the targets that
         were replaced since the last call, so that these learn of their new rank.
         """
         previous = set(self._previous)
-        self._preference = self._preferences(among)
+        self._preference = self._preferences(candidates)
         self._avoid_silent()
         self._fill_targets()
         self._previous = list(self._targets)
         return [*self._targets, *self._probe_nearer(), *sorted(previous - set(self._targets))]
 
-    def _preferences(self, among: Iterable[Candidate]) -> dict[str, tuple[int, int]]:
+    def _preferences(self, candidates: Iterable[Candidate]) -> dict[str, tuple[int, int]]:
         """Return the sort key of each candidate by address: nearness, then rendezvous weight."""
         node, settings = self._node, self._node.settings
         return {
@@ -110,7 +110,7 @@
                 nearness(zone, region, settings.zone, settings.region),
                 -rendezvous_weight(address, node.address),
             )
-            for address, zone, region in among
+            for address, zone, region in candidates
             if address != node.address
         }
 
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -202,6 +202,6 @@
         serving = self.serving_set()
         return not self.needs_majority or 2 * len(serving & have) > len(serving)
 
-    def has_listened(self, for_ms: int) -> bool:
-        """Whether this node has been running without a pause for longer than `for_ms`."""
-        return self.node.env.now() - self._running_since_ms > for_ms
+    def has_run_for(self, duration_ms: int) -> bool:
+        """Whether this node has been running without a pause for longer than `duration_ms`."""
+        return self.node.env.now() - self._running_since_ms > duration_ms
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from capacity_sharing import LOANS_KEY, LoanManager
-from config_feed import ConfigFeed, candidates
+from config_feed import ConfigFeed, digest_target_candidates
 from control_store import (
     Acceptor,
     KeyOwner,
@@ -82,7 +82,7 @@
             self._is_voter() and not self._hears(settings.contact_timeout_ms)
         )
         self.config_feed.is_voter = self._is_voter
-        self.config_feed.target_candidates = lambda: candidates(
+        self.config_feed.target_candidates = lambda: digest_target_candidates(
             self._voter_list(), self.membership, settings.removal_timeout_ms
         )
         self.config_feed.serves_updates = lambda: (
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -78,7 +78,7 @@
     def _first_lost(self, current: frozenset[str]) -> list[str]:
         """Return the first machine that has been silent for long, if there is one."""
         timeout_ms = self.node.settings.removal_timeout_ms
-        if not self._config_feed.has_listened(timeout_ms):
+        if not self._config_feed.has_run_for(timeout_ms):
             return []
         return sorted(current - self._config_feed.links_heard(timeout_ms))[:1]
 
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -1,6 +1,6 @@
 """What storage nodes and edges share: membership, the configuration feed, the profiles in force."""
 
-from config_feed import ConfigFeed, candidates
+from config_feed import ConfigFeed, digest_target_candidates
 from control_store import ProfileTree, profiles_digest
 from membership import Membership
 from messaging import Environment, Node
@@ -38,7 +38,7 @@
             self._control_addresses,
         )
         self.membership.extra_addresses = self._control_addresses
-        self.config_feed.target_candidates = lambda: candidates(
+        self.config_feed.target_candidates = lambda: digest_target_candidates(
             self.config_feed.value(CONTROL_KEY), self.membership, self.settings.removal_timeout_ms
         )
         self._profile_tree = ProfileTree({})
