--- a/libs/control_plane/src/control_plane/__init__.py
+++ b/libs/control_plane/src/control_plane/__init__.py
@@ -1,18 +1,18 @@
 """Control plane: the control node's process, its HTTP interface, and the operators' command line.
 
-Modules, from the inside out:
-
-- `nodes` assembles the control node from components. Two components of its own change control keys
-  for callers: `configuration_changes` and `retirement`, with
-  `retired_machines` and `capacity_sharing.pending_calls`.
-- `profiles_api`, `members_api`, `retirement_api`, `workers_api` and `loans_api` are the handlers of
-  the HTTP interface, one module for each concern; `request_bodies` validates what operators send,
-  `key_operations` turns results into responses, and `member_status` describes members.
-- `process` runs a node with its HTTP server; `cli` and `usage` are the operators' commands.
-
-It may import all libraries but `modelcheck`, `simulator` and `testbed`; only those and the platform
-import it. Nothing is decided here: decisions are made by `control_store` on a majority of the
-voters, and a handler answers with what it learns of them.
+Modules, each of which uses only those above it:
+
+- `nodes` assembles the control node from components. Two components in this package change control
+  keys for callers: `configuration_changes` and `retirement`; they use `retired_machines` and
+  `capacity_sharing.pending_calls`.
+- `profiles_api`, `members_api`, `retirement_api`, `workers_api` and `loans_api` contain the
+  handlers of the HTTP interface, one module per resource. `request_bodies` validates request
+  bodies, `key_operations` converts results to responses, and `member_status` describes members.
+- `process` runs a node with its HTTP server; `cli` and `usage` contain the operators' commands.
+
+This package may import all libraries but `modelcheck`, `simulator` and `testbed`; only those and
+the platform import it. It makes no decisions: `control_store` makes them by a majority of the
+voters, and the handlers report the results.
 """
 
 from typing import TYPE_CHECKING
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -1,15 +1,15 @@
-"""Changes of the configuration by callers who number its revisions themselves (`about.revision`).
+"""Changes of the configuration by callers that assign its revision numbers (`about.revision`).
 
-The configuration is the value of the control key `profiles`: the tree of profiles, and what the
-caller says about it. A change names the revision that it is based on, its base. The key is read
-through a quorum first. Invariants:
+The configuration is the value of the control key `profiles`: the tree of profiles, and under
+`about` the caller's metadata. A change names the revision that it is based on, its base. The key is
+first read through a quorum. Invariants:
 
-- A change of the revision in force is proposed under the key's own version, so that of two changes
-  of one base only one is decided.
-- A change of another base is never proposed. It is only looked up, since it may be a retry of a
+- A change based on the revision in force is proposed with the version of the key that was read, so
+  that only one of two changes with the same base is decided.
+- A change with any other base is never proposed. It is only looked up, since it may be a retry of a
   change that was decided before.
-- Every caller has its result within `control_call_timeout_ms`, if need be that the outcome is not
-  known.
+- Every caller gets a result within `control_call_timeout_ms`; the result may be that the outcome is
+  unknown.
 """
 
 import json
@@ -45,14 +45,14 @@
 
 
 class ConfigurationStatus(StrEnum):
-    """What became of a change or a read of the configuration.
+    """The result of a change or a read of the configuration.
 
     - APPLIED: the change is in force, or the configuration was read.
-    - REPLACED: another change was decided instead; this one never will be.
+    - REPLACED: another change was decided instead; this one will never be.
     - INVALID: the new configuration is not valid; nothing was changed.
-    - REFUSED: nothing was proposed here.
-    - DOUBT: not known; the change may still be decided.
-    - FORGOTTEN: not known; the change may have been decided longer ago than is remembered.
+    - REFUSED: this node proposed nothing.
+    - DOUBT: unknown; the change may still be decided.
+    - FORGOTTEN: unknown; the change may have been decided so long ago that no record of it is kept.
     """
 
     APPLIED = "taken"
@@ -64,12 +64,15 @@
 
 
 class ConfigurationChange:
-    """A change of the configuration as its caller requests it.
-
-    `base` is the revision that it is based on, and `revision` the one that it makes (NO_BASE if
-    that cannot be read). `change_id` identifies the change when it is sent again. `make` returns
-    the new configuration for the one in force, or the problems with what was sent; a problem has
-    the members `at` and `message`.
+    """A change of the configuration, as requested by a caller.
+
+    Parameters
+    ----------
+    base: the revision that the change is based on.
+    revision: the revision that the change creates; NO_BASE if the request has no readable one.
+    change_id: identifies the change when it is sent again.
+    make: returns the new configuration for the one in force, or the problems with the request; a
+        problem has the members `at` and `message`.
     """
 
     __slots__ = ("base", "change_id", "make", "revision")
@@ -82,7 +85,7 @@
 
 
 class ConfigurationResult:
-    """The result of a change or a read; `configuration` is None unless it was read."""
+    """The result of a change or a read; `configuration` is None unless a read succeeded."""
 
     __slots__ = ("configuration", "problems", "reason", "status")
 
@@ -99,7 +102,7 @@
         self.configuration = configuration
 
 
-Done = Callable[[ConfigurationResult], None]
+ResultCallback = Callable[[ConfigurationResult], None]
 
 
 class _ReadCall(PendingCall[ConfigurationResult]):
@@ -109,11 +112,11 @@
 
 
 class _ChangeCall(PendingCall[ConfigurationResult]):
-    """A change that waits for its result; `was_proposed` stays set while it is tried again."""
+    """A change that waits for its result; `was_proposed` remains set when it is retried."""
 
     __slots__ = ("change", "was_proposed")
 
-    def __init__(self, change: ConfigurationChange, due_ms: int, done: Done) -> None:
+    def __init__(self, change: ConfigurationChange, due_ms: int, done: ResultCallback) -> None:
         super().__init__(due_ms, done)
         self.change = change
         self.was_proposed = False
@@ -128,33 +131,33 @@
 
 
 def _finish_unknown(call: _Call, reason: str) -> None:
-    """Finish a call without a decision: in doubt once it was proposed, refused before that."""
+    """Finish a call without a decision: in doubt if it was proposed, refused if it was not."""
     proposed = isinstance(call, _ChangeCall) and call.was_proposed
     status = ConfigurationStatus.DOUBT if proposed else ConfigurationStatus.REFUSED
     call.finish(ConfigurationResult(status, reason))
 
 
 class ConfigurationChanges(Component):
-    """The component of a control node that reads, proposes and looks up configurations.
+    """The component of a control node that reads and changes the configuration for callers.
 
-    `in_contact` returns whether this node hears a majority of the voters.
+    Parameters
+    ----------
+    owner: executes the operations on the control key, or forwards them to the owner of the key.
+    in_contact: returns whether this node is in contact with a majority of the voters.
     """
 
     __slots__ = ("_calls", "_in_contact", "_owner")
 
     def __init__(self, owner: KeyOwner, in_contact: Callable[[], bool]) -> None:
-        """Create the component; `owner` executes its operations or forwards them."""
         self._owner = owner
         self._in_contact = in_contact
         self._calls: PendingCalls[_Call] = PendingCalls(_finish_unknown)
 
-    # -- calls ---------------------------------------------------------------------------------
-
-    def change(self, change: ConfigurationChange, done: Done) -> None:
-        """Make a change; `done` gets its result within `control_call_timeout_ms`."""
+    def change(self, change: ConfigurationChange, done: ResultCallback) -> None:
+        """Change the configuration; `done` gets the result within `control_call_timeout_ms`."""
         self._begin(_ChangeCall(change, self._due_ms(), done))
 
-    def read(self, done: Done) -> None:
+    def read(self, done: ResultCallback) -> None:
         """Read the configuration in force.
 
         `done` gets the result within `control_call_timeout_ms`.
@@ -167,20 +170,18 @@
 
     def _begin(self, call: _Call) -> None:
         if not self._in_contact():
-            _finish_unknown(call, "this node hears no majority of the voters")
+            _finish_unknown(call, "this node has no contact with a majority of the voters")
             return
         self._calls.add(call)
         self._read(call)
 
-    # -- reading -------------------------------------------------------------------------------
-
     def _read(self, call: _Call) -> None:
         call.state = CallState.READING
         self._owner.submit(
-            ReadKey(key=PROFILES_KEY, hops=0), lambda result: self._have_read(call, result)
+            ReadKey(key=PROFILES_KEY, hops=0), lambda result: self._on_read(call, result)
         )
 
-    def _have_read(self, call: _Call, result: ChangeResult) -> None:
+    def _on_read(self, call: _Call, result: ChangeResult) -> None:
         if not call.is_open:
             return
         if result.outcome != Outcome.OK:
@@ -196,11 +197,9 @@
         else:
             self._make(call, result.version, configuration)
 
-    # -- looking up ----------------------------------------------------------------------------
-
     def _look_up(self, call: _ChangeCall, in_force: Configuration) -> None:
         call.state = CallState.LOOKING_UP
-        question = FindChange(
+        query = FindChange(
             key=PROFILES_KEY,
             change_id=call.change.change_id,
             version=NO_BASE,
@@ -208,9 +207,11 @@
             number=call.change.revision,
             hops=0,
         )
-        self._owner.submit(question, lambda result: self._looked_up(call, in_force, result))
+        self._owner.submit(query, lambda result: self._on_looked_up(call, in_force, result))
 
-    def _looked_up(self, call: _ChangeCall, in_force: Configuration, result: ChangeResult) -> None:
+    def _on_looked_up(
+        self, call: _ChangeCall, in_force: Configuration, result: ChangeResult
+    ) -> None:
         if result.outcome == Outcome.OK:
             call.finish(ConfigurationResult(ConfigurationStatus.APPLIED))
         elif result.outcome == Outcome.LOST:
@@ -226,20 +227,18 @@
         else:
             _finish_unknown(call, result.reason)
 
-    # -- proposing -----------------------------------------------------------------------------
-
     def _make(self, call: _ChangeCall, version: int, in_force: Configuration) -> None:
         """Make the new configuration, and propose it if it is valid."""
         made = call.change.make(in_force)
         if made.is_ok():
             made = check_tree(made.ok, in_force.get("profiles"))
         if made.is_error():
-            reason = f"{len(made.error)} problems; nothing was changed"
+            reason = f"invalid configuration ({len(made.error)} problems); nothing was changed"
             call.finish(ConfigurationResult(ConfigurationStatus.INVALID, reason, made.error))
         elif _revision_of(made.ok) <= call.change.base:
             problem = {
                 "at": "about.revision",
-                "message": f"has to be above {call.change.base}, the one in force",
+                "message": f"must be greater than {call.change.base}, the revision in force",
             }
             call.finish(
                 ConfigurationResult(ConfigurationStatus.INVALID, "nothing was changed", [problem])
@@ -258,9 +257,9 @@
             hops=0,
             base=call.change.base,
         )
-        self._owner.submit(change, lambda result: self._proposed(call, result))
+        self._owner.submit(change, lambda result: self._on_proposed(call, result))
 
-    def _proposed(self, call: _ChangeCall, result: ChangeResult) -> None:
+    def _on_proposed(self, call: _ChangeCall, result: ChangeResult) -> None:
         if result.outcome == Outcome.OK:
             call.finish(ConfigurationResult(ConfigurationStatus.APPLIED))
         elif result.outcome == Outcome.LOST and call.is_open:
@@ -268,12 +267,10 @@
         else:
             _finish_unknown(call, result.reason)
 
-    # -- time ----------------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Finish the calls whose time is over."""
+        """Finish the calls that have reached their time limit."""
         self._calls.expire_due(self.node.env.now())
 
     def resumed(self, gap_ms: int) -> None:
-        """Finish all calls after a pause of the process."""
-        self._calls.expire_all("this node was frozen")
+        """Finish all calls after a pause of the process, since replies may have been missed."""
+        self._calls.expire_all("the process of this node was paused")
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -1,8 +1,9 @@
 """The control node, assembled from its components.
 
-These are an acceptor with its disk, the owner of keys, the bootstrap and the coordination of
-membership changes, the config feed, the failure detector of its peers, and the components that keep
-the workers, the loans, the profiles and the retired stores.
+The components are the membership with its failure detector, the config feed, an acceptor with its
+disk, the owner of control keys and its read barrier, the managers of the voter list and of the
+serving set, and the components for the list of workers, the configuration, the retirement of stores
+and the loans.
 """
 
 import json
@@ -33,7 +34,10 @@
 
 
 class ControlNode(Node):
-    """A control node; a damaged disk is set aside, and the node starts with a new identity."""
+    """A control node.
+
+    If its files are damaged, they are quarantined and the node starts with a new identity.
+    """
 
     __slots__ = (
         "_profiles",
@@ -62,10 +66,8 @@
         self._make_services()
         super().__init__(env, settings, self._components())
 
-    # -- assembly ------------------------------------------------------------------------------
-
     def _make_membership(self, settings: Settings) -> None:
-        """Make the failure detector and the config feed, which know of each other's nodes."""
+        """Create the membership and the config feed, and connect them with the voter list."""
         identity = self.acceptor.identity
         self.membership = Membership(identity)
         self.config_feed = ConfigFeed(
@@ -79,7 +81,7 @@
         )
         self.membership.is_ready = lambda: not self.why_unready()
         self.membership.is_isolated = lambda: (
-            self._is_voter() and not self._hears(settings.contact_timeout_ms)
+            self._is_voter() and not self._is_in_contact(settings.contact_timeout_ms)
         )
         self.config_feed.is_voter = self._is_voter
         self.config_feed.target_candidates = lambda: digest_target_candidates(
@@ -90,20 +92,20 @@
         )
 
     def _make_control_store(self, settings: Settings) -> None:
-        """Make the components that decide the control keys, their voters and the serving set."""
+        """Create the components for the control keys, the voter list and the serving set."""
         self.owner = KeyOwner(self.acceptor, self.membership, self.config_feed)
         self.read_barrier = ReadBarrier(
             self.owner,
             self.config_feed,
-            lambda: self._is_voter() and self._hears(settings.contact_timeout_ms),
+            lambda: self._is_voter() and self._is_in_contact(settings.contact_timeout_ms),
         )
         self.voter_list_manager = VoterListManager(
             self.acceptor, self.owner, self.membership, self.config_feed
         )
-        self.serving_set = ServingSet(self.owner, self.config_feed, self._is_steward)
+        self.serving_set = ServingSet(self.owner, self.config_feed, self._is_coordinator)
 
     def _make_services(self) -> None:
-        """Make the components that change the values of control keys for callers."""
+        """Create the components that change the values of control keys for callers."""
         self.worker_list = WorkerList(
             self.acceptor, self.owner, self.config_feed, in_contact=self.hears_majority
         )
@@ -123,7 +125,7 @@
         )
 
     def _components(self) -> list[Component]:
-        """Return the components in the order in which they get messages and ticks."""
+        """Return the components in the order in which they are ticked and notified."""
         return [
             self.membership,
             self.config_feed,
@@ -138,63 +140,63 @@
             self.loans,
         ]
 
-    # -- contact with the voters ---------------------------------------------------------------
-
     def _voter_list(self) -> dict[str, Any] | None:
-        """Return the list of voters as this node's disk has it, or None."""
+        """Return the voter list on this node's disk, or None if there is none."""
         body = self.acceptor.metadata.list_body
         return json.loads(body) if body else None
 
     def _is_voter(self) -> bool:
         return self.acceptor.identity in self.acceptor.voters
 
-    def _is_steward(self) -> bool:
-        """Whether this node coordinates the changes of the voters and the serving set."""
+    def _is_coordinator(self) -> bool:
+        """Whether this node coordinates changes of the voter list and the serving set."""
         return self.has_quorum() and self.voter_list_manager.steward() == self.acceptor.identity
 
     def _owns_loans(self) -> bool:
         has_voters = bool(self.acceptor.voters)
         return has_voters and self.owner.owner_of(LOANS_KEY) == self.acceptor.identity
 
-    def _hears(self, within_ms: int) -> bool:
-        """Whether a majority of the voters sent this node heartbeats within the time."""
+    def _is_in_contact(self, within_ms: int) -> bool:
+        """Whether a majority of the voters sent this node messages within the time."""
         voters = self.acceptor.voters
         heard = sum(1 for name in voters if self.membership.is_heard_directly(name, within_ms))
         return 2 * heard > len(voters)
 
     def hears_majority(self) -> bool:
-        """Whether a majority of the voters sent this node heartbeats within `failure_timeout_ms`.
+        """Whether a majority of the voters sent this node messages within `failure_timeout_ms`.
 
-        This node need not be a voter itself.
+        This node need not be a voter itself. False while there is no voter list.
         """
-        return bool(self.acceptor.voters) and self._hears(self.settings.failure_timeout_ms)
+        return bool(self.acceptor.voters) and self._is_in_contact(self.settings.failure_timeout_ms)
 
     def has_quorum(self) -> bool:
-        """Whether this node is a voter in contact with a majority and its configuration is fresh.
+        """Whether this node is a voter in contact with a majority, with a current configuration.
 
-        It has to have re-read the configuration from a majority since contact was last regained,
-        and must not have known of a newer version for longer than `failure_timeout_ms`.
+        The configuration is current if it was read anew through a majority since contact was last
+        regained, and if no newer version has been known for longer than `failure_timeout_ms`.
         """
         return (
             self._is_voter()
-            and self._hears(self.settings.contact_timeout_ms)
+            and self._is_in_contact(self.settings.contact_timeout_ms)
             and self.config_feed.version(CONTROL_KEY) > 0
             and self.read_barrier.passed()
             and self.config_feed.behind_ms() <= self.settings.failure_timeout_ms
         )
 
     def why_unready(self) -> str:
-        """Return why this node is not ready, for operators; empty if it is."""
+        """Return the reason for operators why this node is not ready; empty if it is ready."""
         if not self.acceptor.voters:
-            return "not founded"
+            return "not bootstrapped: no voter list yet"
         if not self._is_voter():
-            return "spare: not a voter"
-        return "" if self.has_quorum() else "hears no majority of the voters"
-
-    # -- configuration -------------------------------------------------------------------------
+            return "spare: not in the voter list"
+        return (
+            ""
+            if self.has_quorum()
+            else "no contact with a majority of the voters, or no current configuration"
+        )
 
     def profiles(self) -> ProfileTree:
-        """Return the profiles in force at this node."""
+        """Return the newest profiles that this node holds."""
         version = self.config_feed.version(PROFILES_KEY)
         if version != self._profiles_version:
             self._profiles_version = version
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -1,13 +1,14 @@
-"""Emptying a store that an operator names, so that it can be taken out of service.
+"""Retirement of stores: replacing a store at an operator's request, so that it can be stopped.
 
-A store is retired by a change of the control key `retired`, which has it by identity and by name;
-the replicated log then replaces it by a spare. Invariants:
+A store is retired by a change of the control key `retired`, which lists it by identity and by node
+name; the replicated log then replaces it by a spare. Invariants:
 
-- An empty disk that comes back under a retired name is retired too.
-- A retirement is finished once the decided list of the log's members no longer has the store and
-  the log serves again.
-- A request is refused only by a node that can have heard of all stores; otherwise the status is
-  DOUBT.
+- A store that returns under a retired name with an empty disk, and so with another identity, is
+  retired too.
+- A retirement is finished once the decided list of the log's members no longer contains the store
+  and the log is serving again.
+- A request is refused only by a node that has been in contact for long enough to know all stores;
+  otherwise the status is DOUBT.
 """
 
 import json
@@ -31,14 +32,14 @@
 
 
 class RetirementStatus(StrEnum):
-    """The status of a request to retire a store, or of a question about its progress.
+    """The result of a request to retire a store, or of a query about its progress.
 
     - OK: the request was accepted.
-    - UNKNOWN: no such store is known, or no such store was retired.
-    - TOO_FEW: too few stores would be left.
-    - DOUBT: the status is not known.
-    - ROLLING_OUT: the store is retired, and not yet replaced.
-    - FINISHED: the store is replaced and may be stopped.
+    - UNKNOWN: no store with this name is known or, for a query, was retired.
+    - TOO_FEW: fewer than the configured number of stores would remain.
+    - DOUBT: the result is unknown; the request may still take effect.
+    - ROLLING_OUT: the store is retired but not yet replaced.
+    - FINISHED: the store has been replaced and can be stopped.
     """
 
     OK = "ok"
@@ -49,20 +50,20 @@
     FINISHED = "finished"
 
 
-Done = Callable[[RetirementStatus], None]
+StatusCallback = Callable[[RetirementStatus], None]
 
 
 class _Call(PendingCall[RetirementStatus]):
-    """A call about the store with the node name `name`."""
+    """A request or query about the store with the node name `name`."""
 
     __slots__ = ("name",)
 
-    def __init__(self, name: str, due_ms: int, done: Done) -> None:
+    def __init__(self, name: str, due_ms: int, done: StatusCallback) -> None:
         super().__init__(due_ms, done)
         self.name = name
 
 
-HaveRead = Callable[[_Call, ChangeResult], None]
+ReadCallback = Callable[[_Call, ChangeResult], None]
 
 
 def _finish_in_doubt(call: _Call, reason: str) -> None:
@@ -72,19 +73,24 @@
 class Retirement(Component):
     """The component of a control node that retires stores and reports the progress.
 
-    `in_contact` returns whether this node hears a majority of the voters.
+    Parameters
+    ----------
+    owner: executes the operations on control keys, or forwards them to the owner of the key.
+    membership: provides the live stores with their names and identities.
+    config_feed: provides the retired machines that this node knows of.
+    in_contact: returns whether this node is in contact with a majority of the voters.
     """
 
     __slots__ = (
         "_calls",
         "_config_feed",
-        "_identities",
+        "_identities_by_name",
         "_in_contact",
+        "_in_contact_since_ms",
         "_is_retiring_again",
         "_membership",
-        "_next_ms",
+        "_next_check_ms",
         "_owner",
-        "_since_ms",
     )
 
     def __init__(
@@ -99,37 +105,36 @@
         self._config_feed = config_feed
         self._in_contact = in_contact
         self._calls: PendingCalls[_Call] = PendingCalls(_finish_in_doubt)
-        self._identities: dict[str, str] = {}  # of the stores, by node name, as last heard
+        # The identities of stores by node name, as last received.
+        self._identities_by_name: dict[str, str] = {}
         self._is_retiring_again = False
-        self._since_ms = _NEVER_MS  # in contact and without a pause since then
-        self._next_ms = _NEVER_MS
+        self._in_contact_since_ms = _NEVER_MS
+        self._next_check_ms = _NEVER_MS
 
-    # -- operators' calls ----------------------------------------------------------------------
-
-    def retire(self, name: str, done: Done) -> None:
-        """Retire the store of this name; idempotent.
+    def retire(self, name: str, done: StatusCallback) -> None:
+        """Retire the store with this node name; idempotent.
 
         `done` gets OK, UNKNOWN, TOO_FEW or DOUBT within `control_call_timeout_ms`.
         """
-        self._begin(name, done, self._have_orders)
+        self._begin(name, done, self._retire_if_allowed)
 
-    def progress(self, name: str, done: Done) -> None:
-        """Report the progress of a retirement by the store's name.
+    def progress(self, name: str, done: StatusCallback) -> None:
+        """Report the progress of the retirement of the store with this node name.
 
         `done` gets ROLLING_OUT, FINISHED, UNKNOWN or DOUBT within `control_call_timeout_ms`.
         """
-        self._begin(name, done, self._find_progress)
+        self._begin(name, done, self._look_up_progress)
 
-    def _begin(self, name: str, done: Done, have_read: HaveRead) -> None:
+    def _begin(self, name: str, done: StatusCallback, on_read: ReadCallback) -> None:
         call = _Call(name, self.node.env.now() + self.node.settings.control_call_timeout_ms, done)
         if not self._in_contact():
             call.finish(RetirementStatus.DOUBT)
             return
         self._calls.add(call)
-        self._read(RETIRED_KEY, call, have_read)
+        self._read(RETIRED_KEY, call, on_read)
 
-    def _read(self, key: str, call: _Call, have_read: HaveRead) -> None:
-        """Read a control key; `have_read` gets the result, unless the call is over by then."""
+    def _read(self, key: str, call: _Call, on_read: ReadCallback) -> None:
+        """Read a control key and pass the result to `on_read`, unless the call has finished."""
 
         def done(result: ChangeResult) -> None:
             if not call.is_open:
@@ -137,63 +142,60 @@
             if result.outcome != Outcome.OK:
                 call.finish(RetirementStatus.DOUBT)
             else:
-                have_read(call, result)
+                on_read(call, result)
 
         call.state = CallState.READING
         self._owner.submit(ReadKey(key=key, hops=0), done)
 
-    # -- progress ------------------------------------------------------------------------------
-
-    def _find_progress(self, call: _Call, result: ChangeResult) -> None:
+    def _look_up_progress(self, call: _Call, result: ChangeResult) -> None:
         identity = RetiredMachines.from_body(result.body).names.get(call.name)
         if identity is None:
             call.finish(RetirementStatus.UNKNOWN)
             return
 
-        def have_log(call: _Call, result: ChangeResult) -> None:
+        def on_log_read(call: _Call, result: ChangeResult) -> None:
             log = json.loads(result.body) if result.body else {}
             call.finish(self._progress(call.name, identity, log))
 
-        self._read(LOG_KEY, call, have_log)
+        self._read(LOG_KEY, call, on_log_read)
 
     def _progress(self, name: str, identity: str, log: dict[str, Any]) -> RetirementStatus:
-        """Return how far a retirement is.
+        """Return whether a retirement is finished or still rolling out.
 
-        While the log recovers, its new members may still need the records of the previous ones.
+        The members of the previous list count as well: while the log recovers, the new members may
+        still need the records of the previous ones.
         """
         members = {row["identity"] for row in (*log.get("members", ()), *log.get("prev", ()))}
-        is_replaced = members.isdisjoint({identity, self._identities.get(name, identity)})
+        is_replaced = members.isdisjoint({identity, self._identities_by_name.get(name, identity)})
         serves = log.get("phase") == _LOG_SERVING and self._membership.is_live(log["holder"])
         return RetirementStatus.FINISHED if is_replaced and serves else RetirementStatus.ROLLING_OUT
 
-    # -- retiring ------------------------------------------------------------------------------
-
-    def _have_orders(self, call: _Call, result: ChangeResult) -> None:
-        """Retire the store of the call, unless it is retired already or has to be refused."""
+    def _retire_if_allowed(self, call: _Call, result: ChangeResult) -> None:
+        """Retire the store of a call, unless it is already retired or the request is refused."""
         retired = RetiredMachines.from_body(result.body)
         status = self._status_without_change(call.name, retired)
         if status is not None:
             call.finish(status)
             return
-        identity = self._identities[call.name]
+        identity = self._identities_by_name[call.name]
         self.node.env.log("store-retires", "WARNING", name=call.name, identity=identity)
         call.state = CallState.PROPOSING
         self._propose(
             result.version,
             retired.with_names({call.name: identity}),
-            lambda result: self._proposed(call, result),
+            lambda result: self._on_proposed(call, result),
         )
 
     def _status_without_change(
         self, name: str, retired: RetiredMachines
     ) -> RetirementStatus | None:
-        """Return the status of a request that changes nothing; None if it retires the store."""
+        """Return the result of a request that changes nothing; None if it retires the store."""
         settings = self.node.settings
-        identity = self._identities.get(name)
+        identity = self._identities_by_name.get(name)
         if identity is None:
             if name in retired.names:
                 return RetirementStatus.OK
-            return self._certain(RetirementStatus.UNKNOWN, settings.removal_timeout_ms)
+            return self._refusal_or_doubt(RetirementStatus.UNKNOWN, settings.removal_timeout_ms)
         if identity in retired.identities and retired.names.get(name) == identity:
             return RetirementStatus.OK
         remaining = [
@@ -202,12 +204,12 @@
             if info.identity != identity and info.identity not in retired.identities
         ]
         if name not in retired.names and len(remaining) < settings.store_count:
-            return self._certain(RetirementStatus.TOO_FEW, settings.failure_timeout_ms)
+            return self._refusal_or_doubt(RetirementStatus.TOO_FEW, settings.failure_timeout_ms)
         return None
 
-    def _certain(self, refusal: RetirementStatus, after_ms: int) -> RetirementStatus:
-        """Return the refusal, or DOUBT unless this node has run without a pause for `after_ms`."""
-        is_recent = self.node.env.now() - self._since_ms < after_ms
+    def _refusal_or_doubt(self, refusal: RetirementStatus, after_ms: int) -> RetirementStatus:
+        """Return `refusal` once this node was in contact, unpaused, for `after_ms`; else DOUBT."""
+        is_recent = self.node.env.now() - self._in_contact_since_ms < after_ms
         return RetirementStatus.DOUBT if is_recent else refusal
 
     def _propose(
@@ -222,18 +224,16 @@
         )
         self._owner.submit(change, done)
 
-    def _proposed(self, call: _Call, result: ChangeResult) -> None:
+    def _on_proposed(self, call: _Call, result: ChangeResult) -> None:
         if result.outcome == Outcome.OK:
             call.finish(RetirementStatus.OK)
         elif result.outcome == Outcome.LOST and call.is_open:
-            self._read(RETIRED_KEY, call, self._have_orders)
+            self._read(RETIRED_KEY, call, self._retire_if_allowed)
         else:
             call.finish(RetirementStatus.DOUBT)
 
-    # -- stores that come back -----------------------------------------------------------------
-
     def _retire_returned(self) -> None:
-        """Retire stores that came back under a retired name with another identity, too."""
+        """Also retire stores that returned under a retired name with another identity."""
         if (
             self._is_retiring_again
             or not self._in_contact()
@@ -242,9 +242,9 @@
             return
         retired = RetiredMachines.from_value(self._config_feed.value(RETIRED_KEY))
         returned = {
-            name: self._identities[name]
+            name: self._identities_by_name[name]
             for name, identity in retired.names.items()
-            if self._identities.get(name, identity) != identity
+            if self._identities_by_name.get(name, identity) != identity
         }
         if not returned:
             return
@@ -255,22 +255,20 @@
 
         self._propose(self._config_feed.version(RETIRED_KEY), retired.with_names(returned), done)
 
-    # -- time ----------------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Note the stores' names, retire those that came back, and finish overdue calls."""
+        """Record the names of live stores, retire returned ones, and finish overdue calls."""
         now_ms = self.node.env.now()
-        if self._since_ms < 0 or not self._in_contact():
-            self._since_ms = now_ms
-        if now_ms >= self._next_ms:
-            self._next_ms = now_ms + self.node.settings.heartbeat_ms
+        if self._in_contact_since_ms < 0 or not self._in_contact():
+            self._in_contact_since_ms = now_ms
+        if now_ms >= self._next_check_ms:
+            self._next_check_ms = now_ms + self.node.settings.heartbeat_ms
             for info in self._membership.nodes_in_role(
                 "store", self.node.settings.failure_timeout_ms
             ):
-                self._identities[info.name] = info.identity
+                self._identities_by_name[info.name] = info.identity
             self._retire_returned()
         self._calls.expire_due(now_ms)
 
     def resumed(self, gap_ms: int) -> None:
-        """Restart the time that this node has been up without a pause."""
-        self._since_ms = self.node.env.now()
+        """Restart the time for which this node has been in contact without a pause."""
+        self._in_contact_since_ms = self.node.env.now()
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface for taking machines out of service at a control node: `/retired`, `/forgotten`.
+"""HTTP interface of a control node for taking machines out of service: `/retired`, `/forgotten`.
 
-A machine with a disk is retired, and leaves once a spare has taken its place. Machines that are
-lost for good are forgotten, so that nothing waits for them any longer.
+A control node or store is retired, and can be stopped once a spare has replaced it. Edges and
+stores that are permanently lost are removed from the serving set, so that no change waits for them.
 """
 
 import secrets
@@ -23,7 +23,7 @@
 
 
 class RetirementApi:
-    """The handlers of `/retired` and `/forgotten`, which are registered at `service`."""
+    """The handlers of `/retired` and `/forgotten`; the constructor registers them at `service`."""
 
     __slots__ = ("_node",)
 
@@ -32,8 +32,6 @@
         service.app.router.add_post("/retired", self._retire)
         service.app.router.add_post("/forgotten", self._forget)
 
-    # -- retiring ------------------------------------------------------------------------------
-
     async def _retire(self, request: web.Request) -> web.Response:
         body = await read_json_body(request, self._node.settings.max_body_bytes, RetirementBody)
         if isinstance(body, Refusal):
@@ -47,7 +45,7 @@
             return refusal_response(
                 refused(
                     "unknown-machine",
-                    f"no control or store machine is called {body.identity!r}",
+                    f"no control node or store has the identity or node name {body.identity!r}",
                     404,
                     field="identity",
                 )
@@ -83,7 +81,7 @@
         )
 
     def _identity_of(self, name: str) -> str:
-        """Return the identity of the machine with this node name, or the name if unknown."""
+        """Return the identity of the machine with this node name, or `name` if there is none."""
         infos = [
             info
             for role in ("control", "store")
@@ -94,7 +92,7 @@
         return next((info.identity for info in infos if info.name == name), name)
 
     def _may_retire(self, identity: str, retired: RetiredMachines) -> bool:
-        """Whether this is a machine with a disk, as far as this node knows, or retired already."""
+        """Whether this node knows the machine as a control node or store, or as retired."""
         node = self._node
         log = node.config_feed.value(LOG_KEY) or {"members": []}
         info = node.membership.node_info(identity)
@@ -107,29 +105,27 @@
         )
 
     def _role_of(self, identity: str) -> str:
-        """Return the role of a machine; that of one never heard of shows in its identity."""
+        """Return the role of a machine, judged by its identity if the machine is not known."""
         info = self._node.membership.node_info(identity)
         if info is not None:
             return info.role
         return "store" if identity.startswith("store") else "control"
 
-    # -- forgetting ----------------------------------------------------------------------------
-
     async def _forget(self, request: web.Request) -> web.Response:
-        """Remove machines that the operator declares lost from the serving set."""
+        """Remove machines that the operator declares lost from the serving set, unless live."""
         node = self._node
         body = await read_json_body(request, node.settings.max_body_bytes, ForgetMachinesBody)
         if isinstance(body, Refusal):
             return refusal_response(body)
         unknown = sorted(set(body.links) - node.config_feed.serving_set())
         if unknown:
-            reason = f"not on the roll: {', '.join(unknown)}"
+            reason = f"not in the serving set: {', '.join(unknown)}"
             return refusal_response(refused("unknown-machine", reason, 404, field="links"))
         live = sorted(
             set(body.links) & node.config_feed.links_heard(node.settings.removal_timeout_ms)
         )
         if live:
-            reason = f"heard lately: {', '.join(live)}"
+            reason = f"still sending digests: {', '.join(live)}"
             return refusal_response(refused("still-live", reason, 409, field="links"))
         result: ChangeResult = await awaited(
             lambda done: node.serving_set.remove_lost(body.links, done)
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -180,7 +180,7 @@
     ),
     "too few is told before all can be heard": (
         "control_plane/src/control_plane/retirement.py",
-        "is_recent = self.node.env.now() - self._since_ms < after_ms",
+        "is_recent = self.node.env.now() - self._in_contact_since_ms < after_ms",
         "is_recent = False",
         _OWN_ORDERS + "too_few",
     ),
