--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -1,6 +1,7 @@
-"""The control plane's command line: `serve`, and the operators' commands to any control node.
+"""The command line of the control plane: `serve`, and the operators' commands.
 
-The first line and the parameters of each command's docstring are its help text.
+An operators' command sends a request to a control node. The help text of a command is made from the
+first line and the parameters of its docstring.
 """
 
 import secrets
@@ -45,13 +46,13 @@
 
     Parameters
     ----------
-    settings: a TOML file; flags win over it, and SIGHUP reads it again.
-    link: address for the fleet's own messages, IP:PORT.
-    http: address for operators, IP:PORT.
-    zone: the zone this machine is in.
-    seed: link address of another process; up to three times.
-    data_folder: where files live.
-    control_count: how many control machines found the fleet.
+    settings: a TOML file; flags take precedence over it, and SIGHUP reloads it.
+    link: address for messages between the nodes of the fleet, IP:PORT.
+    http: address of the HTTP interface, IP:PORT.
+    zone: the zone of this machine.
+    seed: link address of another node to join through; up to three times.
+    data_folder: the folder for this node's files.
+    control_count: how many control nodes bootstrap the fleet.
     log_level: DEBUG, INFO, WARNING or ERROR.
     """
     flags = {
@@ -68,36 +69,38 @@
     out: Path,
     form: Annotated[Literal["parquet", "csv"], Parameter(name="--format")] = "parquet",
 ) -> None:
-    """Export what finished, once each, from edges' JSON logs.
+    """Export finished requests and batch items, each once, from the JSON logs of edges.
 
     Parameters
     ----------
-    logs: the logs of all edges.
+    logs: the log files of all edges.
     out: the file to write.
-    form: parquet or csv.
+    form: the file format, parquet or csv.
     """
     try:
         counts = export_usage(logs, out, form)
     except ModuleNotFoundError as error:
-        sys.stderr.write(f"{error}; install the extra: pip install 'control_plane[usage]'\n")
+        sys.stderr.write(
+            f"{error}; install the optional dependencies: pip install 'control_plane[usage]'\n"
+        )
         raise SystemExit(2) from error
     except OSError as error:
         sys.stderr.write(f"{error}\n")
         raise SystemExit(2) from error
     sys.stdout.write(
-        f"{counts.written} rows in {out}; {counts.unreadable} lines could not be read\n"
+        f"{counts.written} rows written to {out}; {counts.unreadable} log lines were unreadable\n"
     )
 
 
 @profiles.command(name="show")
 def show_profiles(*, server: Server) -> None:
-    """Show the tree and its version."""
+    """Show the tree of profiles and its version."""
     request_and_print("GET", server, "/profiles")
 
 
 @profiles.command
 def send(file: str, *, server: Server, version: int, change_id: str | None = None) -> None:
-    """Send a whole tree from a JSON file, naming the version it replaces (0 for the first)."""
+    """Replace the tree by that in a JSON file; `--version` is the version replaced, 0 if none."""
     request_and_print(
         "PUT",
         server,
@@ -112,7 +115,7 @@
 
 @profiles.command
 def patch(file: str, *, server: Server, version: int, change_id: str | None = None) -> None:
-    """Send a JSON merge patch on the tree, naming the version it replaces."""
+    """Change the tree by a JSON merge patch from a file; `--version` is the version replaced."""
     request_and_print(
         "PATCH",
         server,
@@ -133,19 +136,19 @@
 
 @app.command
 def members(*, server: Server) -> None:
-    """Show members, their status, duties and epochs, and their places in the feed."""
+    """Show the members with their status, their roles and epochs, and their feed positions."""
     request_and_print("GET", server, "/members")
 
 
 @app.command
 def workers(*, server: Server) -> None:
-    """Show the list of workers that control keeps, and the age of each one's last heartbeat."""
+    """Show the control plane's list of workers, with the age of each worker's last heartbeat."""
     request_and_print("GET", server, "/workers")
 
 
 @loans.command(name="show")
 def show_loans(*, server: Server) -> None:
-    """Show who is lent to whom, in which state, and under which epoch."""
+    """Show the loans: worker, borrower, state and epoch of each."""
     request_and_print("GET", server, "/loans")
 
 
@@ -159,16 +162,16 @@
     lease_ms: int = 60_000,
     recall_ms: int = 5000,
 ) -> None:
-    """Lend a whole worker, once every edge has let go of it; refused where live calls need it.
+    """Lend a worker once every edge has released it; refused if live requests need the worker.
 
     Parameters
     ----------
-    worker: its identity.
+    worker: the identity of the worker.
     server: a control node's HTTP address, IP:PORT.
-    borrower: who gets it.
-    weights: what it has to have when it comes back; anything if empty.
-    lease_ms: for how long; then it is recalled.
-    recall_ms: how long the borrower has to hand it back.
+    borrower: the name of the borrower.
+    weights: the weights that the worker must have when it is returned; any if empty.
+    lease_ms: the duration of the loan in ms, after which the worker is recalled.
+    recall_ms: the time in ms that the borrower has to return the worker after a recall.
     """
     request_and_print(
         "PUT",
@@ -180,15 +183,15 @@
 
 @loans.command
 def recall(worker: str, *, server: Server, reason: str = "an operator wants it back") -> None:
-    """Want a worker back; one that is only about to be lent serves again at once."""
+    """Recall a lent worker; if it has not been handed over yet, it serves again at once."""
     request_and_print("POST", server, f"/loans/{worker}/recalled", {"reason": reason})
 
 
 @app.command
 def retire(identity: str, *, server: Server, undo: bool = False) -> None:
-    """Empty and retire a store or control machine, by identity or node name.
+    """Retire a store or control node, given by identity or node name.
 
-    A spare takes its place; then it may be stopped.
+    It can be stopped once a spare has replaced it.
     """
     request_and_print(
         "POST",
@@ -200,7 +203,7 @@
 
 @app.command
 def forget(*links: str, server: Server) -> None:
-    """Declare edges or stores, by link address, down for good, so that they no longer count."""
+    """Remove permanently lost edges or stores, given by link address, from the serving set."""
     request_and_print("POST", server, "/forgotten", {"links": list(links)})
 
 
--- a/libs/control_plane/src/control_plane/key_operations.py
+++ b/libs/control_plane/src/control_plane/key_operations.py
@@ -1,4 +1,4 @@
-"""Operations on control keys for the HTTP handlers, and the responses to their results."""
+"""Operations on control keys for the HTTP handlers, and responses with their results."""
 
 from aiohttp import web
 from control_store import Change, ChangeResult, FindChange, KeyOwner, Outcome, ReadKey
@@ -12,22 +12,22 @@
 
 
 async def submit(owner: KeyOwner, operation: Change | FindChange | ReadKey) -> ChangeResult:
-    """Return the result of an operation on a control key."""
+    """Submit an operation on a control key and return its result."""
     result: ChangeResult = await awaited(lambda done: owner.submit(operation, done))
     return result
 
 
 async def read_key(owner: KeyOwner, key: str) -> ChangeResult | Refusal:
-    """Return the value of a key as read through a quorum, or a refusal without a majority."""
+    """Read a key through a quorum; return the result, or a refusal if there is no majority."""
     result = await submit(owner, ReadKey(key=key, hops=0))
     if result.outcome != Outcome.OK:
-        reason = result.reason or "no majority of the voters can be heard"
+        reason = result.reason or "no contact with a majority of the voters"
         return refused("no-majority", reason, 503, _RETRY_AFTER_MS)
     return result
 
 
 def change_response(result: ChangeResult, change_id: str) -> web.Response:
-    """Return the response to a change; `change_id` is the caller's identifier of it."""
+    """Return the response to a change; `change_id` is the identifier that the caller gave it."""
     if result.outcome == Outcome.OK:
         return json_response({"version": result.version, "change_id": change_id})
     return refusal_response(change_refusal(result, change_id))
@@ -47,11 +47,11 @@
     if result.outcome == Outcome.FORGOTTEN:
         return doubtful(
             "change-forgotten",
-            f"{result.reason}; read the profiles to see what is in place",
+            f"{result.reason}; read the configuration to see whether the change was applied",
             _RETRY_AFTER_MS,
         )
     return doubtful(
         "change-in-doubt",
-        f"{result.reason}; send the same with change_id {change_id} to learn what became of it",
+        f"{result.reason}; send the same request with change_id {change_id} to learn the outcome",
         _RETRY_AFTER_MS,
     )
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface of the loans of whole workers at a control node: `/loans`.
+"""HTTP interface of a control node for the loans of whole workers: `/loans`.
 
-Operators and borrowers list, grant and recall loans. A lent worker reports itself when it is free
-again, with the number of its loan and the weights that it has.
+Operators and borrowers list, grant and recall loans. A lent worker itself reports when it is free
+again, with the number of its loan and the weights that it has loaded.
 """
 
 from typing import Annotated
@@ -19,22 +19,22 @@
 
 Text = Annotated[str, Field(min_length=1, max_length=128)]
 Weights = Annotated[str, Field(max_length=128, pattern=r"^[\x21-\x7e]*$")]
-_LONGEST_MS = 24 * 3600 * 1000
+_MAX_DURATION_MS = 24 * 3600 * 1000
 _RETRY_AFTER_MS = 1000
 
 
 class _GrantBody(BaseModel):
-    """The body of a grant; `lease_ms` and `recall_ms` are milliseconds."""
+    """The body of a grant; the borrower has `recall_ms` to return the worker after a recall."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
     borrower: Text
     weights: Weights = ""
-    lease_ms: int = Field(60_000, ge=1000, le=_LONGEST_MS)
-    recall_ms: int = Field(5000, ge=100, le=_LONGEST_MS)
+    lease_ms: int = Field(60_000, ge=1000, le=_MAX_DURATION_MS)
+    recall_ms: int = Field(5000, ge=100, le=_MAX_DURATION_MS)
 
 
 class _RecallBody(BaseModel):
-    """The body of a rebody."""
+    """The body of a recall."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
     reason: str = Field("an operator wants it back", min_length=1, max_length=256)
@@ -49,7 +49,7 @@
 
 
 class LoansApi:
-    """The handlers of `/loans`, which are registered at `service`."""
+    """The handlers of `/loans`; the constructor registers them at `service`."""
 
     __slots__ = ("_node",)
 
@@ -112,6 +112,6 @@
             )
         )
     if outcome.loan is None:
-        reason = f"{outcome.reason}; look at the loans, and say it again"
+        reason = f"{outcome.reason}; read the loans, then send the request again"
         return refusal_response(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
     return json_response({"worker": worker, **outcome.loan.row()})
--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -1,4 +1,4 @@
-"""Descriptions of members for operators: whether each counts, and what it waits for."""
+"""Descriptions of members for operators: the status of each, and what it is waiting for."""
 
 from collections.abc import Iterable
 
@@ -11,9 +11,14 @@
 
 
 def describe(node: ControlNode, role: str, identity: str, link: str) -> str:
-    """Describe a member of the fleet as the control node `node` knows it.
+    """Describe a member of the fleet in one sentence, according to what a control node knows.
 
-    `link` is the member's link address; it is used for edges only.
+    Parameters
+    ----------
+    node: the control node.
+    role: the role of the member: control, store or edge.
+    identity: the identity of the member.
+    link: the link address of the member; used for edges only.
     """
     config_feed, settings = node.config_feed, node.settings
     if role == "edge":
@@ -44,30 +49,36 @@
 ) -> str:
     """Describe a control node or a store in one sentence.
 
-    `members` are the identities that count in its role: voters, or members of the log. `leader` is
-    the log's leader, or the coordinator of the voters, and `spares` are live nodes that are neither
-    members nor retired. `full_count` is the configured number of members.
+    Parameters
+    ----------
+    role: control or store.
+    identity: the identity of the node to describe.
+    members: the identities of the voters, or of the members of the log.
+    leader: the identity of the coordinator of the voters, or of the leader of the log.
+    retired: the identities of retired nodes.
+    spares: the identities of live nodes that are neither members nor retired.
+    full_count: the configured number of members.
     """
     members, spares = list(members), sorted(set(spares) - {identity})
     group = "the log" if role == "store" else "the voters"
-    counts = f"counts: a member of {group}"
+    standing = f"member of {group}"
     if identity == leader:
-        counts += ", and its holder" if role == "store" else ", and the steward"
+        standing += ", and its leader" if role == "store" else ", and the coordinator"
     if identity in retired:
         if identity not in members:
-            return "retired and out: may be stopped"
+            return "retired: replaced, can be stopped"
         if len(members) > full_count:
-            return f"{counts}; retired, is being dropped now"
+            return f"{standing}; retired: being removed"
         if not spares:
-            return f"{counts}; retired, waits for a spare: none is live, start one"
-        return f"{counts}; retired, waits until a spare has caught up: {', '.join(spares)}"
+            return f"{standing}; retired: waiting for a spare, but none is live; start one"
+        return f"{standing}; retired: waiting for a spare to catch up: {', '.join(spares)}"
     if identity in members:
-        return counts
-    return f"spare: catching up with {group}, counts for nothing until it takes a place"
+        return standing
+    return f"spare: catching up with {group}; not counted until it becomes a member"
 
 
 def describe_edge(link: str, serving_set: Iterable[str]) -> str:
-    """Describe an edge by whether its link address is in the serving set."""
+    """Describe an edge: whether its link address is in the serving set."""
     if link in set(serving_set):
-        return "counts: on the roll"
-    return "not on the roll yet: counts for nothing"
+        return "member of the serving set"
+    return "not in the serving set yet; not counted until it becomes a member"
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface of the members of the fleet at a control node: `/members`.
+"""HTTP interface of a control node for the members of the fleet: `/members`.
 
-It shows every node that this node has heard of lately, and the voters that it has not, with their
-status as this node knows it.
+It lists this node, every node described to it within `removal_timeout_ms`, and the remaining
+voters, each with its status according to this node.
 """
 
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class MembersApi:
-    """The handler of `/members`, which is registered at `service`."""
+    """The handler of `/members`; the constructor registers it at `service`."""
 
     __slots__ = ("_node",)
 
@@ -52,10 +52,10 @@
         )
 
     def _rows(self) -> list[dict[str, Any]]:
-        """Return the JSON rows of the nodes heard of, this node, and the voters not heard of."""
+        """Return the JSON rows of the known nodes, of this node, and of the remaining voters."""
         node = self._node
         rows = [
-            self._heard_row(role, info)
+            self._known_row(role, info)
             for role in _ROLES
             for info in sorted(
                 node.membership.nodes_in_role(role, node.settings.removal_timeout_ms),
@@ -63,15 +63,15 @@
             )
         ]
         rows.append(self._own_row())
-        heard = {row["identity"] for row in rows}
+        known = {row["identity"] for row in rows}
         rows += [
             _lost_voter_row(identity, address)
             for identity, address in node.acceptor.voters.items()
-            if identity not in heard
+            if identity not in known
         ]
         return rows
 
-    def _heard_row(self, role: str, info: NodeInfo) -> dict[str, Any]:
+    def _known_row(self, role: str, info: NodeInfo) -> dict[str, Any]:
         report = self._node.config_feed.reports.get(info.identity)
         return {
             "role": role,
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -1,4 +1,4 @@
-"""The control process: a control node, its disk, and the operators' HTTP interface."""
+"""The control process: a control node with its disk and HTTP interface."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 class ControlProcess(NodeProcess):
-    """Runs a control node and serves the operators', workers' and borrowers' calls over HTTP."""
+    """Runs a control node and serves requests of operators, workers and borrowers over HTTP."""
 
     async def make(self) -> None:
         """Create the node and the HTTP interface."""
@@ -38,11 +38,11 @@
         return "stopping" if self._stopping else self.node.why_unready()
 
     def start_draining(self) -> None:
-        """Report unready from now on, since the process is about to stop."""
+        """Report unready from now on, because the process is about to stop."""
         self._stopping = True
 
     def status(self) -> dict[str, Any]:
-        """Return the node's state for operators, as JSON values."""
+        """Return the state of the node, as JSON values for operators."""
         node = self.node
         return {
             "role": "control",
--- a/libs/control_plane/src/control_plane/profiles_api.py
+++ b/libs/control_plane/src/control_plane/profiles_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface of the configuration at a control node: `/profiles`.
+"""HTTP interface of a control node for the configuration: `/profiles`.
 
-Operators read the tree of profiles, replace it, change it by a merge patch, and learn where a
-profile's values come from. A change is always based on the version that it replaces.
+Operators read the tree of profiles, replace it, change it by a merge patch, and query where the
+values of a profile come from. Each change names the version that it replaces.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 class ProfilesApi:
-    """The handlers of `/profiles`, which are registered at `service`."""
+    """The handlers of `/profiles`; the constructor registers them at `service`."""
 
     __slots__ = ("_node",)
 
@@ -70,9 +70,9 @@
         return await self._propose(body, apply_patch(tree, body.patch))
 
     async def _look_up(self, body: ConfigurationPatchBody) -> web.Response:
-        """Look up a patch that is not based on the version in force: it may be a retry."""
+        """Look up a patch whose version is not the one in force, since it may be a retry."""
         change_id = body.change_id or secrets.token_hex(8)
-        question = FindChange(
+        query = FindChange(
             key=PROFILES_KEY,
             change_id=change_identity(change_id, body),
             version=body.version,
@@ -80,18 +80,18 @@
             number=NO_BASE,
             hops=0,
         )
-        return change_response(await submit(self._node.owner, question), change_id)
+        return change_response(await submit(self._node.owner, query), change_id)
 
     async def _propose(
         self, body: ConfigurationBody | ConfigurationPatchBody, tree: dict[str, Any]
     ) -> web.Response:
-        """Propose a tree as the successor of the version that the body names, if it is valid."""
+        """Propose a tree to replace the version that the body names, if the tree is valid."""
         checked = check_tree(tree)
         if checked.is_error():
             return refusal_response(
                 refused(
                     "bad-tree",
-                    f"{len(checked.error)} problems; nothing was changed",
+                    f"invalid tree ({len(checked.error)} problems); nothing was changed",
                     422,
                     field=checked.error[0]["at"],
                     problems=checked.error,
@@ -115,6 +115,11 @@
         explained = explain(ProfileTree.from_body(result.body), name)
         if not explained:
             return refusal_response(
-                refused("unknown-profile", f"no profile is called {name!r}", 404, field="name")
+                refused(
+                    "unknown-profile",
+                    f"there is no profile with the name {name!r}",
+                    404,
+                    field="name",
+                )
             )
         return json_response({"version": result.version, **explained})
--- a/libs/control_plane/src/control_plane/request_bodies.py
+++ b/libs/control_plane/src/control_plane/request_bodies.py
@@ -1,4 +1,4 @@
-"""The validated bodies of operators' requests to a control node, and the ids of changes."""
+"""Validation of operators' request bodies at a control node, and identifiers of changes."""
 
 import hashlib
 import json
@@ -20,10 +20,11 @@
 
 
 class ChangeBody(BaseModel):
-    """What the bodies of all changes have: the caller's identifier, chosen here if it is missing.
+    """The base of the bodies of all changes.
 
-    `KIND` is the name of the kind of change in its digest. It must not change, since a change may
-    be sent again to a node of another version.
+    `change_id` is the caller's identifier of the change; if it is missing, the handler generates
+    one. `KIND` is the kind of change as it enters the digest in `change_identity`. Its value must
+    stay the same in all versions, since a change may be sent again to a node of another version.
     """
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
@@ -40,7 +41,7 @@
 
 
 class ConfigurationPatchBody(ChangeBody):
-    """A merge patch (RFC 7386) of the configuration, based on the version that it replaces."""
+    """A merge patch (RFC 7396) of the configuration, based on the version that it replaces."""
 
     KIND: ClassVar[str] = "TreePatch"
     version: int = Field(ge=0)
@@ -48,7 +49,7 @@
 
 
 class RetirementBody(ChangeBody):
-    """A machine with a disk that is to be retired, or returned to service with `undo`."""
+    """A control node or store to retire, or with `undo` to return to service."""
 
     KIND: ClassVar[str] = "RetirementOrder"
     identity: str = Field(min_length=1, max_length=128)
@@ -56,7 +57,7 @@
 
 
 class ForgetMachinesBody(BaseModel):
-    """Link addresses of machines that are lost for good and are no longer to be counted."""
+    """Link addresses of permanently lost machines, to be removed from the serving set."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
     links: list[str] = Field(min_length=1, max_length=256)
@@ -65,8 +66,8 @@
 def change_identity(change_id: str, contents: ChangeBody) -> str:
     """Return the identifier by which a change is recognized when it is sent again.
 
-    It covers the caller's identifier and all content, since one identifier used for two contents
-    names two changes.
+    It is a digest of the caller's identifier, the kind of change and the content, since the same
+    caller's identifier with two contents means two changes.
     """
     sent = contents.model_dump(exclude={"change_id"})
     text = json.dumps([change_id, contents.KIND, sent], sort_keys=True)
--- a/libs/control_plane/src/control_plane/usage.py
+++ b/libs/control_plane/src/control_plane/usage.py
@@ -1,11 +1,11 @@
-"""Export of usage from edges' JSON logs to Parquet or CSV.
+"""Export of usage from the JSON logs of edges to Parquet or CSV.
 
-Each request and each batch item that finished is exported once; an item that ran again after a
-fault is counted by its first end. Lines that cannot be read are counted. Writing needs pyarrow,
-which is an optional extra.
+Each request and each batch item that finished is exported once. For an item that ran again after a
+fault, the first end is exported. Log lines that cannot be parsed are counted. Writing needs
+pyarrow, which is an optional extra.
 
-The names of the exported columns are an interface of their own (docs/operators.md). Log lines of
-earlier versions are read as well; `_FIELD_NAMES` has the names that a field has had.
+The names of the exported columns are a public interface (docs/operators.md). Log lines of earlier
+versions are read as well; `_FIELD_NAMES` has the names of a field in all versions.
 """
 
 import json
@@ -29,7 +29,7 @@
     ("took_ms", "int64"),
     ("bytes", "int64"),
 )
-"""The exported columns, with their types in Arrow's terms."""
+"""The exported columns and their Arrow types."""
 
 UsageRow = dict[str, Any]
 
@@ -44,23 +44,23 @@
 
 
 class Usage(NamedTuple):
-    """The rows of what finished, in the order of `ended_at`, and how many lines were unreadable."""
+    """The rows in the order of `ended_at`, and the number of log lines that were unreadable."""
 
     rows: list[UsageRow]
     unreadable: int
 
 
 class ExportCounts(NamedTuple):
-    """How many rows were written, and how many log lines could not be read."""
+    """The number of rows written, and the number of log lines that were unreadable."""
 
     written: int
     unreadable: int
 
 
 def read_usage(paths: Iterable[Path]) -> Usage:
-    """Return what finished according to the logs, each request and each item once.
+    """Return the usage recorded in log files, with one row per finished request or item.
 
-    Raises OSError if a log cannot be read.
+    Raises OSError if a log file cannot be read.
     """
     first_rows: dict[Any, UsageRow] = {}
     unreadable = 0
@@ -82,12 +82,12 @@
 def export_usage(
     paths: Iterable[Path], out: Path, file_format: Literal["parquet", "csv"]
 ) -> ExportCounts:
-    """Write the usage to the file `out`.
+    """Read log files and write the usage to the file `out`.
 
     Raises
     ------
     ModuleNotFoundError: pyarrow is not installed.
-    OSError: a log cannot be read, or the file cannot be written.
+    OSError: a log file cannot be read, or `out` cannot be written.
     """
     import pyarrow
     from pyarrow import csv, parquet
@@ -110,7 +110,7 @@
 
 
 def _row_of(logged: dict[str, Any]) -> UsageRow | None:
-    """Return the row of a log line; None if it is not about a request that finished here."""
+    """Return the row of a log line; None unless a request finished here and was not replayed."""
     if (
         logged.get("event") not in _REQUEST_ENDED_EVENTS
         or logged["state"] != _FINISHED
@@ -136,7 +136,10 @@
 
 
 def _field(logged: dict[str, Any], field: str, default: Any = None) -> Any:
-    """Return a field under any name that it has had; raises KeyError if there is no default."""
+    """Return a field of a log line by its present or an earlier name, or else `default`.
+
+    Raises KeyError if the field is missing and `default` is None.
+    """
     for name in _FIELD_NAMES[field]:
         if name in logged:
             return logged[name]
--- a/libs/control_plane/src/control_plane/workers_api.py
+++ b/libs/control_plane/src/control_plane/workers_api.py
@@ -1,7 +1,7 @@
-"""HTTP interface of the list of workers at a control node: `/workers`.
+"""HTTP interface of a control node for the list of workers: `/workers`.
 
-Workers send heartbeats and report that they leave; operators read the list. Workers send heartbeats
-to the edges as well, independently of this list.
+Workers send heartbeats and report when they leave; operators read the list. Workers also send
+heartbeats to the edges, independently of this list.
 """
 
 import json
@@ -19,8 +19,8 @@
 __all__ = ["WorkersApi"]
 
 Text = Annotated[str, Field(min_length=1, max_length=255)]
-_MOST_SLOTS = 1_000_000
-_MOST_MODELS = 256
+_MAX_SLOTS = 1_000_000
+_MAX_MODELS = 256
 _RETRY_AFTER_MS = 1000
 
 
@@ -40,14 +40,14 @@
     address: Text
     zone: Text
     label: Text
-    slots: int = Field(ge=0, le=_MOST_SLOTS)
+    slots: int = Field(ge=0, le=_MAX_SLOTS)
     state: Literal["serving", "draining"] = "serving"
     seq: int = Field(ge=0, le=1 << 53)
-    models: list[_Model] = Field(default_factory=list, max_length=_MOST_MODELS)
+    models: list[_Model] = Field(default_factory=list, max_length=_MAX_MODELS)
 
 
 class WorkersApi:
-    """The handlers of `/workers`, which are registered at `service`."""
+    """The handlers of `/workers`; the constructor registers them at `service`."""
 
     __slots__ = ("_node",)
 
@@ -100,8 +100,8 @@
             return refusal_response(
                 refused(
                     "not-in-touch",
-                    "this node hears no majority of the voters, or not the list's "
-                    "owner; ask another",
+                    "this node has no contact with a majority of the voters, or none with the "
+                    "owner of the list of workers; try another control node",
                     503,
                     _RETRY_AFTER_MS,
                 )
@@ -110,7 +110,7 @@
             return refusal_response(
                 doubtful(
                     "worker-in-doubt",
-                    "not known in time whether the edges have it; say it again",
+                    "not confirmed in time that the edges have received the report; send it again",
                     _RETRY_AFTER_MS,
                 )
             )
