--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -11,8 +11,8 @@
 _VOTER_FILES = "tests/test_voter_files.py -k "
 _MANY = "tests/test_many_changes.py -k "
 _ORDERS = "tests/test_orders.py -k "
-_OWN_ORDERS = "tests/test_orders_own.py -k "
-_CUT_OFF = "tests/test_cut_off.py -k "
+_PROFILES = "tests/test_profiles_and_retirements.py -k "
+_ISOLATED = "tests/test_isolated_control_node.py -k "
 _VOTER_LOSSES = "tests/test_voter_losses.py -k "
 
 BREAKS: dict[str, tuple[str, str, str, str]] = {
@@ -20,31 +20,31 @@
         "config_feed/src/config_feed/feed.py",
         'if message.role == "control" or self.serves_updates():',
         "if True:",
-        _CUT_OFF + "no_item",
+        _ISOLATED + "no_update",
     ),
     "a control node that is back vouches before it has read": (
         "control_plane/src/control_plane/nodes.py",
         "and self.read_barrier.passed()",
         "",
-        _CUT_OFF + "that_is_back",
+        _ISOLATED + "reconnected_control",
     ),
     "an edge begins by the word of a cut-off neighbour": (
         "data_plane/src/data_plane/edge_readiness.py",
         "and not self._hears_some_control()",
         "",
-        _CUT_OFF + "peer",
+        _ISOLATED + "peer",
     ),
     "a duty is left with a voter that is only heard of": (
         "control_store/src/control_store/forwarding.py",
         "first_live(direct, membership.hears_majority) or",
         "",
-        _CUT_OFF + "that_is_back",
+        _ISOLATED + "reconnected_control",
     ),
     "a retirement is refused by a node that knows too little": (
         "control_plane/src/control_plane/retirement.py",
         "RetirementStatus.DOUBT if is_recent else refusal",
         "refusal",
-        _CUT_OFF + "retirement",
+        _ISOLATED + "retirement",
     ),
     "a new steward gives up a replacement": (
         "control_store/src/control_store/voter_succession.py",
@@ -170,19 +170,19 @@
         "control_plane/src/control_plane/profiles_api.py",
         "if result.version != body.version:",
         "if False:",
-        _OWN_ORDERS + "only_looked_up",
+        _PROFILES + "only_looked_up",
     ),
     "an id names any contents": (
         "control_plane/src/control_plane/request_bodies.py",
         "text = json.dumps([change_id, contents.KIND, sent], sort_keys=True)",
         "text = change_id",
-        _OWN_ORDERS + "two_contents",
+        _PROFILES + "two_contents",
     ),
     "too few is told before all can be heard": (
         "control_plane/src/control_plane/retirement.py",
         "is_recent = self.node.env.now() - self._in_contact_since_ms < after_ms",
         "is_recent = False",
-        _OWN_ORDERS + "too_few",
+        _PROFILES + "too_few",
     ),
     "an old log takes a key back": (
         "control_store/src/control_store/register.py",
--- a/tests/test_fan_out.py
+++ b/tests/test_fan_out.py
@@ -1,5 +1,5 @@
-"""Digests and updates relayed by the voters, and edges that go on serving when they are cut off: simulated
-fleets without traffic.
+"""The config feed with `fan_out` and `cut_off` = "serve", in simulated fleets without traffic: digests and
+updates that the voters relay, and edges that continue to serve when they are disconnected.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class SendCounter:
-    """Stands before the network at one host and notes what it sends."""
+    """Wraps the network of one host and records the messages that the host sends to others."""
 
     def __init__(self, host):
         self._network, self.sent = host.network, []
@@ -34,7 +34,7 @@
             self.sent.append((to, message))
         self._network.send(sender, to, request_id, in_reply_to, message)
 
-    def of(self, kind):
+    def count_by_receiver(self, kind):
         return Counter(to for to, message in self.sent if isinstance(message, kind))
 
 
@@ -79,14 +79,14 @@
     def profile_versions(self, fleet, role="edge"):
         return {host.node.config_feed.version("profiles") for host in fleet.running(role)}
 
-    def test_a_node_reports_to_a_few_voters_of_its_zone_and_now_and_then_to_a_peer(self):
+    def test_a_node_reports_to_two_voters_one_of_its_zone_and_occasionally_to_a_peer(self):
         for edges in (6, 24):
             fleet = self.bootstrapped(edges=edges)
             edge = fleet.hosts["edge2"]
             control = {host.address: host.settings.zone for host in fleet.with_role("control")}
             counter, span_ms = SendCounter(edge), 10 * edge.settings.heartbeat_ms
             fleet.time.run_until(fleet.time.now_ms + span_ms)
-            digests_sent = counter.of(VersionDigest)
+            digests_sent = counter.count_by_receiver(VersionDigest)
             self.assertThat([control[to] for to in digests_sent if to in control], HasLength(2))
             self.assertThat(
                 edge.settings.zone in {control[to] for to in digests_sent if to in control},
@@ -96,21 +96,21 @@
                 sum(count for to, count in digests_sent.items() if to not in control) <= 4,
                 Equals(True),
             )
-            shuffles = sum(counter.of((ShuffleRequest, ShuffleResponse)).values())
+            shuffles = sum(counter.count_by_receiver((ShuffleRequest, ShuffleResponse)).values())
             self.assertThat(
                 (sum(digests_sent.values()) <= 14, shuffles <= 8),
                 Equals((True, True)),
                 (digests_sent, shuffles),
             )
 
-    def test_a_voter_relays_updates_to_those_who_report_to_it_first(self):
+    def test_a_voter_relays_updates_to_the_nodes_that_report_to_it_first(self):
         fleet = self.bootstrapped(edges=12)
         counters = {host.name: SendCounter(host) for host in fleet.with_role("control")}
         self.change(fleet, 1)
         received = Counter(
             to
             for counter in counters.values()
-            for to, number in counter.of(KeyUpdates).items()
+            for to, number in counter.count_by_receiver(KeyUpdates).items()
             for _ in range(number)
         )
         edges = [received[host.address] for host in fleet.with_role("edge")]
@@ -168,22 +168,22 @@
             Equals([True, False]),
         )
 
-    def test_an_edge_leaves_voters_that_hear_no_majority(self):
-        """The edge reaches everyone, but those to whom it reports are cut from the other voters."""
+    def test_an_edge_leaves_voters_without_contact_with_a_majority(self):
+        """The edge reaches all nodes, but the voters that it reports to are partitioned from the others."""
         fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
         counter = SendCounter(edge)
         fleet.time.run_until(fleet.time.now_ms + 2 * edge.settings.heartbeat_ms)
-        contacts = [
+        targets = [
             to
-            for to in counter.of(VersionDigest)
+            for to in counter.count_by_receiver(VersionDigest)
             if to in {host.address for host in fleet.with_role("control")}
         ]
-        self.assertThat(contacts, HasLength(2))
-        contact_hosts = [host for host in fleet.with_role("control") if host.address in contacts]
-        for host in contact_hosts:
+        self.assertThat(targets, HasLength(2))
+        target_hosts = [host for host in fleet.with_role("control") if host.address in targets]
+        for host in target_hosts:
             for other in fleet.with_role("control"):
-                if other not in contact_hosts:
+                if other not in target_hosts:
                     fleet.network.partition(host.address, other.address)
         fleet.time.run_until(fleet.time.now_ms + int(1.5 * edge.settings.force_ms))
         counter.sent.clear()
@@ -193,15 +193,15 @@
             for to, message in counter.sent
             if isinstance(message, VersionDigest) and message.rank
         }
-        self.assertThat((len(digests_sent), set(digests_sent) & set(contacts)), Equals((2, set())))
-        at = next(host.name for host in fleet.with_role("control") if host not in contact_hosts)
+        self.assertThat((len(digests_sent), set(digests_sent) & set(targets)), Equals((2, set())))
+        at = next(host.name for host in fleet.with_role("control") if host not in target_hosts)
         self.assertThat(self.change(fleet, 1, at=at)[0], Equals("ok"))
         self.assertThat(
             fleet.run_until_true(lambda: edge.node.config_feed.version("profiles") == 2, 300),
             Equals(True),
         )
 
-    def test_contacts_that_died_are_replaced_and_come_back(self):
+    def test_a_digest_target_that_stopped_is_replaced_and_selected_again(self):
         fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
         first = edge.node.config_feed._digest_targets._targets[0]
@@ -221,7 +221,7 @@
             Equals(True),
         )
 
-    def test_everyone_knows_how_many_edges_live(self):
+    def test_all_nodes_know_the_number_of_live_edges(self):
         fleet = self.bootstrapped(edges=9)
 
         def counts():
@@ -235,7 +235,7 @@
         fleet.hosts["edge3"].kill()
         self.assertThat(fleet.run_until_true(lambda: counts() == {8}, 4000), Equals(True), counts())
 
-    def test_a_cut_off_edge_serves_by_what_it_knows_and_never_goes_back(self):
+    def test_a_disconnected_edge_serves_with_its_last_version_and_catches_up(self):
         fleet = self.bootstrapped()
         edge = fleet.hosts["edge1"]
         fleet.network.isolate(edge.address)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The config feed, and when an edge considers itself connected: simulated fleets, without traffic."""
+"""The config feed and the readiness of edges, in simulated fleets without traffic."""
 
 from config_feed import KeyUpdate, KeyUpdates
 from messaging import encode
@@ -46,7 +46,7 @@
                 Equals(("ok", True)),
             )
 
-    def test_an_old_update_never_takes_a_node_back(self):
+    def test_an_old_update_does_not_replace_a_newer_version(self):
         run, fleet = self.bootstrapped()
         for _ in range(2):
             self.change(run)
@@ -59,7 +59,9 @@
             Equals((3, True)),
         )
 
-    def test_a_cut_off_edge_turns_unready_within_a_second_and_delays_no_longer_than_the_bound(self):
+    def test_a_disconnected_edge_turns_unready_within_a_second_and_delays_a_change_for_a_limited_time(
+        self,
+    ):
         run, fleet = self.bootstrapped()
         self.partition_nodes(fleet, "edge1")
         began_ms = fleet.time.now_ms
@@ -76,9 +78,9 @@
         )
         self.assertThat(fleet.hosts["edge1"].node.config_feed.version("profiles"), Equals(2))
 
-    def test_a_version_that_most_edges_cannot_get_is_doubt_until_they_can(self):
-        """Four of six edges and stores on the far side of a cut serve on among themselves, so what the near
-        side decides is not acknowledged; sent again after the cut, it is known.
+    def test_a_change_that_most_edges_cannot_receive_is_in_doubt_until_they_can(self):
+        """Four of the six edges and stores are partitioned from the control nodes and continue to serve,
+        so a change is decided but not acknowledged; sent again after the partition, it is.
         """
         run, fleet = self.bootstrapped()
         self.partition_nodes(fleet, "edge1", "edge2", "edge3", "store1")
@@ -113,7 +115,7 @@
         )
 
     def test_a_new_serving_set_is_not_blocked_by_machines_that_left(self):
-        """The first one or two that control ever heard are taken back before any other comes."""
+        """The first one or two members leave the fleet before any other edge or store joins."""
         for count in (1, 2):
             fleet = SimFleet(2, edges=3, stores=3, workers=0)
             firsts, others = (
@@ -153,7 +155,7 @@
             fleet.run_until_true(lambda: self.change(run)["outcome"] == "ok", 4000), Equals(True)
         )
 
-    def test_edges_serve_on_without_control_and_a_restarted_one_gets_the_newest(self):
+    def test_edges_keep_serving_without_control_and_a_restarted_one_gets_the_newest_version(self):
         run, fleet = self.bootstrapped()
         self.change(run)
         self.partition_nodes(fleet, *[host.name for host in fleet.with_role("control")])
--- a/tests/test_cut_off.py
+++ b/tests/test_isolated_control_node.py
@@ -1,6 +1,8 @@
-"""A control machine cut off from the others: simulated fleets whose edges serve on when they are cut off.
-Without a majority it hands out no configuration, vouches for none and confirms nothing; once it is
-back it reads the newest from a majority before it vouches again.
+"""A control node that is partitioned from the others, in simulated fleets with `cut_off` = "serve".
+
+Without contact with a majority of the voters it must not send updates, report itself as current or
+confirm a change. Once it is connected again, it must read the newest versions through a majority
+before it reports itself as current.
 """
 
 import json
@@ -20,10 +22,10 @@
     "fan_out": 2,
     "seeds": ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"],
 }
-CUT_MS = 20_000
+PARTITION_MS = 20_000
 
 
-class CutOff(TestCase):
+class IsolatedControlNode(TestCase):
     def bootstrapped(self, control=5, seed=4):
         fleet = SimFleet(seed, edges=3, stores=3, control=control, workers=0, settings=SETTINGS)
 
@@ -74,8 +76,11 @@
     def other(self, fleet, *names):
         return next(host.name for host in fleet.with_role("control") if host.name not in names)
 
-    def cut(self, fleet, name, way="both"):
-        """`way` is seen from the machine: out, in, or both; edges and stores still reach it, but for all."""
+    def partition_host(self, fleet, name, way="both"):
+        """Partition a node from the control nodes, or with `way` "all" from all nodes.
+
+        `way` is the direction of the blocked messages as seen from the node: out, in, or both.
+        """
         one = fleet.hosts[name].address
         for host in fleet.hosts.values() if way == "all" else fleet.with_role("control"):
             if host.name != name and way != "in":
@@ -84,7 +89,7 @@
                 fleet.network.partitioned_pairs.add((host.address, one))
 
     def start_at(self, fleet, role, name, seed):
-        """A machine that starts with this one as its only seed, and reaches no other machine."""
+        """Start a node with `seed` as its only seed, which can reach no other node."""
         fleet._settings["seeds"] = [fleet.hosts[seed].address]
         host = fleet.add(role, name)
         for other in fleet.hosts.values():
@@ -92,8 +97,11 @@
                 fleet.network.partition(host.address, other.address)
         return host
 
-    def test_a_node_started_at_a_cut_off_control_node_gets_no_settings(self):
-        """Whichever duty it had, and for as long as the cut lasts; afterwards it gets the newest."""
+    def test_a_node_started_with_an_isolated_control_node_as_seed_gets_no_configuration(self):
+        """Holds whatever role the control node had, for as long as the partition lasts.
+
+        Afterwards the started nodes get the newest version.
+        """
         for duty in ("profiles", "steward", "none"):
             fleet = self.bootstrapped()
             away = (
@@ -101,13 +109,13 @@
                 if duty != "none"
                 else self.other(fleet, *(self.owner(fleet, key) for key in ("profiles", "steward")))
             )
-            self.cut(fleet, away)
+            self.partition_host(fleet, away)
             self.wait(fleet, 2 * fleet.hosts[away].settings.failure_timeout_ms)
             self.change(fleet, self.other(fleet, away), 1)
             new_hosts = [
                 self.start_at(fleet, role, f"fresh-{role}", away) for role in ("edge", "store")
             ]
-            for _ in range(CUT_MS // 500):
+            for _ in range(PARTITION_MS // 500):
                 self.wait(fleet, 500)
                 for host in new_hosts:
                     self.assertThat(
@@ -123,10 +131,10 @@
 
             self.assertThat(fleet.run_until_true(have_the_newest, 2000), Equals(True), duty)
 
-    def test_an_edge_does_not_start_from_a_peer_that_is_cut_off_with_a_control_node(self):
+    def test_an_edge_does_not_start_from_a_peer_that_is_isolated_with_a_control_node(self):
         fleet = self.bootstrapped()
         away = self.owner(fleet, "profiles")
-        self.cut(fleet, away)
+        self.partition_host(fleet, away)
         together = {fleet.hosts[name].address for name in (away, "edge1")}
         rest = [host.address for host in fleet.hosts.values() if host.address not in together]
         fleet.network.split([sorted(together), rest])
@@ -144,24 +152,28 @@
         )
         self.assertThat(new_host.node.config_feed.version("profiles"), Equals(2))
 
-    def test_digests_of_nodes_that_get_nothing_go_at_the_heartbeat(self):
-        """A digest of a cut-off node that lists more than it serves was once answered at once, without end."""
+    def test_digests_to_an_isolated_control_node_are_sent_at_the_heartbeat_interval(self):
+        """Guards against an endless exchange of digests: an isolated node lists versions that it does not send,
+        and each of its digests was answered at once by another one that asked for them.
+        """
         fleet = self.bootstrapped()
         away = self.owner(fleet, "profiles")
-        self.cut(fleet, away)
+        self.partition_host(fleet, away)
         self.wait(fleet, 2 * fleet.hosts[away].settings.failure_timeout_ms)
         self.start_at(fleet, "edge", "fresh", away)
         before = fleet.network.sent
         self.wait(fleet, 1000)
         self.assertThat(fleet.network.sent - before < 10_000, Equals(True))
 
-    def test_a_control_node_that_is_back_confirms_nothing_old(self):
-        """Each way of the cut; an edge that hears only this node begins with the newest or not at all."""
+    def test_a_reconnected_control_node_confirms_no_old_version(self):
+        """For each direction of the partition, an edge that reaches only this node starts with the newest
+        version or not at all.
+        """
         for way in ("all", "both", "in", "out"):
             for seed in range(3):
                 fleet = self.bootstrapped(3, seed)
                 away = self.owner(fleet, "profiles")
-                self.cut(fleet, away, way)
+                self.partition_host(fleet, away, way)
                 self.wait(fleet, 3000)
                 other = self.other(fleet, away)
                 for version in (1, 2, 3):
@@ -190,13 +202,13 @@
                     self.wait(fleet, 0.5)
                 self.assertThat(in_order(), Equals(True), (way, seed))
 
-    def test_a_cut_off_node_confirms_nothing_and_refuses_nothing_for_certain(self):
-        """Orders and reads of settings, at once or within the time that a caller waits."""
+    def test_an_isolated_node_answers_changes_and_reads_only_with_refused_or_doubt(self):
+        """Changes and reads of the configuration are answered within the time that a caller waits."""
         for way in ("both", "in"):
             for duty in ("profiles",):
                 fleet = self.bootstrapped()
                 away = self.owner(fleet, duty)
-                self.cut(fleet, away, way)
+                self.partition_host(fleet, away, way)
                 node = fleet.hosts[away].node
                 for _ in range(4):
                     seen = []
@@ -217,14 +229,16 @@
                         Equals(True),
                         statuses,
                     )
-                    self.wait(fleet, CUT_MS // 10)
+                    self.wait(fleet, PARTITION_MS // 10)
                 self.assertThat(
                     self.submit_and_wait(fleet, away, ReadKey(key="profiles", hops=0)),
                     Equals("doubt"),
                 )
 
-    def test_a_retirement_is_not_refused_by_a_node_that_was_just_cut_off(self):
-        """It hears too few stores yet, and may not know the newest of them: that's no certain answer."""
+    def test_a_retirement_is_not_refused_by_a_node_that_has_just_reconnected(self):
+        """The node does not yet know all live stores, so it cannot tell that a store is unknown or that too
+        few would remain.
+        """
         fleet = self.bootstrapped()
         fleet.add("store", "store4")
         self.wait(fleet, 4000)
@@ -232,7 +246,7 @@
         fleet.network.isolate(fleet.hosts["control3"].address)
         self.wait(fleet, 5000)
         fleet.add("store", "store5")
-        self.wait(fleet, CUT_MS - 5000)
+        self.wait(fleet, PARTITION_MS - 5000)
         fleet.network.isolated_hosts.clear()
         named = {
             host.name: host.settings.node_name or host.address for host in fleet.with_role("store")
@@ -246,7 +260,7 @@
         self.wait(fleet, 1000)
         self.assertThat(set(answers) <= {"ok", "doubt"}, Equals(True), set(answers))
 
-    def test_a_resumed_node_neither_reads_nor_confirms_by_votes_from_before(self):
+    def test_a_resumed_node_does_not_use_votes_from_before_its_pause(self):
         for freeze_ms in (500, 3000, 6000):
             fleet = self.bootstrapped()
             away = self.owner(fleet, "profiles")
@@ -269,15 +283,15 @@
                 )
             self.assertThat(host.node.config_feed.version("profiles"), Equals(newest))
 
-    def test_no_item_reaches_an_edge_or_store_while_there_is_no_majority(self):
+    def test_no_update_reaches_an_edge_or_store_while_there_is_no_majority(self):
         fleet = self.bootstrapped(control=3)
         away = self.owner(fleet, "workers")
-        self.cut(fleet, away)
+        self.partition_host(fleet, away)
         self.wait(fleet, fleet.hosts[away].settings.failure_timeout_ms)
         host, sent = fleet.hosts[away], []
         network = host.network
 
-        class Watching:
+        class RecordingNetwork:
             def send(self, sender, to, request_id, in_reply_to, message):
                 if isinstance(message, KeyUpdates) or (
                     isinstance(message, VersionDigest) and message.is_current
@@ -285,12 +299,12 @@
                     sent.append(to)
                 network.send(sender, to, request_id, in_reply_to, message)
 
-        host.network = Watching()
+        host.network = RecordingNetwork()
         self.change(fleet, self.other(fleet, away), 1)
         edge = fleet.hosts["edge1"]
         edge.kill()
         edge.start()
-        self.wait(fleet, CUT_MS)
+        self.wait(fleet, PARTITION_MS)
         control = {other.address for other in fleet.with_role("control")}
         self.assertThat(set(sent) - control, Equals(set()))
         self.assertThat(edge.node.why_unready(), Equals(""))
--- a/tests/test_members_more.py
+++ b/tests/test_member_replacement.py
@@ -1,5 +1,6 @@
-"""Members that change, once more: retired with no standby, undone midway, swapped while others are down, spares
-that are lost, machines that come back with their old disks; and the description of each member.
+"""Replacement of members under traffic: retirement without a spare, a retirement that is undone, power failures
+and lost spares during a replacement, and retired nodes that return with their disks. Also the descriptions of
+members for operators.
 """
 
 import json
@@ -39,12 +40,12 @@
         (("store", "b", "acd", "a", "b", "", 3), "retired: replaced, can be stopped"),
     ]
 
-    def test_rows(self):
+    def test_the_description_of_each_kind_of_member(self):
         for arguments, description in self.ROWS:
             self.assertThat(describe_member(*arguments), Equals(description), str(arguments))
 
 
-class Changing(TestCase):
+class MemberReplacement(TestCase):
     def bootstrapped(self, seed=11):
         run = Run(seed)
         run.start()
@@ -78,7 +79,7 @@
         self.assertThat(seen[0].outcome, Equals("ok"))
 
     def check_nothing_lost(self, run):
-        """Traffic went on all the while; now it ends, everything is back, and the oracle judges."""
+        """End the traffic, which ran throughout, read all records and let the oracle judge the history."""
         run.stopped = True
         run.fleet.run_until_true(lambda: False, 1500)
         run.probe(3000)
@@ -87,7 +88,7 @@
             judge(run.fleet.history, ["kept-at-the-end", "service-resumes"]), Equals({})
         )
 
-    def test_a_retired_leader_serves_until_the_standby_comes(self):
+    def test_a_retired_leader_serves_until_a_spare_replaces_it(self):
         run, fleet = self.bootstrapped()
         old = fleet.leader().node.log.log.identity
         self.retire(fleet, [old])
@@ -105,7 +106,7 @@
         )
         self.check_nothing_lost(run)
 
-    def test_retired_and_undone_midway(self):
+    def test_a_retirement_can_be_undone_before_the_replacement(self):
         run, fleet = self.bootstrapped(12)
         old = next(
             host.node.log.log.identity
@@ -123,7 +124,7 @@
         )
         self.check_nothing_lost(run)
 
-    def test_a_replacement_while_the_power_of_the_others_fails(self):
+    def test_a_replacement_completes_after_a_power_failure_of_the_other_members(self):
         run, fleet = self.bootstrapped(13)
         lost = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(lost.name).lose_disk()
@@ -135,7 +136,7 @@
         self.until(fleet, lambda: new_host.node.log.log.identity in self.members(fleet), 25_000)
         self.check_nothing_lost(run)
 
-    def test_a_standby_lost_while_it_catches_up_and_another_comes(self):
+    def test_a_spare_lost_while_it_catches_up_is_replaced_by_another(self):
         run, fleet = self.bootstrapped(14)
         lost = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         fleet.hosts.pop(lost.name).lose_disk()
@@ -147,7 +148,7 @@
         self.assertThat(first.node.log.log.identity in self.members(fleet), Equals(False))
         self.check_nothing_lost(run)
 
-    def test_a_retired_machine_that_comes_back_with_its_disk_counts_for_nothing(self):
+    def test_a_retired_store_that_returns_with_its_disk_is_not_a_member(self):
         run, fleet = self.bootstrapped(15)
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         old = host.node.log.log.identity
@@ -165,7 +166,7 @@
         fleet.hosts.pop(host.name).kill()
         self.check_nothing_lost(run)
 
-    def test_control_nodes_replaced_while_two_operators_send(self):
+    def test_all_control_nodes_are_replaced_while_operators_send_changes(self):
         run, fleet = self.bootstrapped(16)
         for number in range(5):
             new_host = fleet.add("control", f"fresh{number + 1}")
--- a/tests/test_operator_wire.py
+++ b/tests/test_operator_wire.py
@@ -1,4 +1,4 @@
-"""Responses to operators on raw sockets: in the order of their requests, each on its connection."""
+"""Responses of the control API on raw sockets: on each connection in the order of its requests."""
 
 import asyncio
 import json
@@ -12,8 +12,8 @@
 from wire_helpers import reset, until
 
 
-class Changes:
-    """Takes changes, and finishes them when the test says so."""
+class FakeConfigurationChanges:
+    """Keeps changes pending until the test finishes them."""
 
     def __init__(self):
         self.pending = []
@@ -45,14 +45,14 @@
 
 
 class Responses(TestCase):
-    def test_each_operator_gets_the_responses_to_its_own_requests_in_their_order(self):
+    def test_each_connection_gets_its_own_responses_in_the_order_of_its_requests(self):
         async def case():
             (port,) = free_ports(1)
-            changes = Changes()
-            side = ControlApi(
+            changes = FakeConfigurationChanges()
+            api = ControlApi(
                 SimpleNamespace(configuration_changes=changes), f"127.0.0.1:{port}", 1 << 20
             )
-            await side.start()
+            await api.start()
             try:
                 one, two, lost = [
                     await asyncio.open_connection("127.0.0.1", port) for _ in range(3)
@@ -76,6 +76,6 @@
                 changes.finish(4, ConfigurationStatus.DOUBT)
                 self.assertThat(await statuses(two[0], 1), Equals([503]))
             finally:
-                await side.stop()
+                await api.stop()
 
         asyncio.run(asyncio.wait_for(case(), 20))
--- a/tests/test_orders_own.py
+++ b/tests/test_profiles_and_retirements.py
@@ -1,5 +1,7 @@
-"""Changes through the product's own interface, and retirements of stores: a change is identified by all that
-it says, and a retirement is never refused by what only one node has heard.
+"""Changes of the profiles over HTTP, and refusals of retirements.
+
+A change is identified by its identifier together with its content. A retirement must not be refused by a node
+that has not been in contact for long enough to know all stores.
 """
 
 import asyncio
@@ -23,7 +25,7 @@
 
 
 class RecordingKeyOwner:
-    """A key owner that records the operations and answers each with the same version and body."""
+    """A key owner that records all operations; reads succeed with a fixed value, changes are lost."""
 
     def __init__(self, version, body):
         self.version, self.body = version, body
@@ -36,7 +38,7 @@
 
 
 class ProfilesInterface(TestCase):
-    """The changes of the profiles through the product's own interface."""
+    """Changes of the profiles over HTTP (`/profiles`)."""
 
     def call(self, owner, handler, sent):
         async def run():
@@ -56,8 +58,8 @@
         return asyncio.run(run())
 
     def test_a_patch_of_another_version_is_only_looked_up(self):
-        """It once went to the key's owner with the tree as it was, to be applied, without the patch, if the version
-        that it named came into force meanwhile.
+        """Guards against a lost patch: the unpatched tree was proposed under the version that the request
+        named, and was applied if that version came into force in the meantime.
         """
         owner = RecordingKeyOwner(4, json.dumps({"profiles": {}}))
         sent = {"version": 5, "change_id": "c", "patch": {"profiles": {"a": {"abstract": True}}}}
@@ -75,7 +77,7 @@
         self.assertThat((first == again, len({first, second, older})), Equals((True, 3)))
 
     def test_the_id_of_a_change_is_the_same_in_all_versions(self):
-        """A change may be sent again to a node of another version; these are the ids of version 472a6a3."""
+        """A change may be sent again to a node of another version; the expected ids are those of commit 472a6a3."""
         for contents, identity in (
             (
                 ConfigurationBody(version=4, tree={"profiles": {}}),
@@ -92,7 +94,7 @@
 
 class Retirements(TestCase):
     def test_a_node_that_has_just_started_refuses_no_retirement(self):
-        """It has not heard of all stores yet: that too few would be left it cannot know."""
+        """The node does not know all stores yet, so it cannot tell whether too few would remain."""
 
         async def run(seed):
             platform = Platform(seed=seed, edges=0)
@@ -116,8 +118,8 @@
         for seed in range(1, 9):
             asyncio.run(run(seed))
 
-    def test_too_few_only_once_all_stores_can_have_been_heard(self):
-        """Just started or just awake, a node that has heard of one store only gives no clear answer."""
+    def test_too_few_stores_is_answered_only_once_all_stores_can_be_known(self):
+        """After a pause, a node that knows of one store only answers 503 until it has had time to learn of all."""
 
         async def run():
             platform = Platform(edges=0)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""The usage export: each finished transaction and item once, with the written schema."""
+"""The usage export: each finished request and item once, with the documented columns."""
 
 import json
 import tempfile
@@ -29,8 +29,8 @@
     )
 
 
-class Usage(TestCase):
-    def test_once_each(self):
+class UsageExport(TestCase):
+    def test_each_finished_request_and_item_is_exported_once(self):
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             (folder / "a.log").write_text(
