--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -38,7 +38,7 @@
     ----------
     identity: the identity of this node.
     peer_addresses: returns the addresses of the peers to relay to and exchange digests with.
-    extra_addresses: returns further such addresses: those of the voters.
+    extra_addresses: returns further such addresses: those of the voters or control nodes.
     is_current: returns whether this node knows its versions to be the newest. True for a control
         node in contact with a majority of the voters, and for a ready edge.
 
--- a/libs/control_plane/src/control_plane/__init__.py
+++ b/libs/control_plane/src/control_plane/__init__.py
@@ -1,6 +1,6 @@
 """Control plane: the control node's process, its HTTP interface, and the operators' command line.
 
-Modules, each of which uses only those above it:
+Modules, from the lowest layer to the highest:
 
 - `nodes` assembles the control node from components. Two components in this package change control
   keys for callers: `configuration_changes` and `retirement`; they use `retired_machines` and
