--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -178,7 +178,7 @@
         """Whether the serving set is so large that a majority of it is required."""
         return len(self.serving_set()) >= MIN_SERVING_SET
 
-    def links_heard(self, within_ms: int) -> set[str]:
+    def live_links(self, within_ms: int) -> set[str]:
         """Return the link addresses of edges and stores that sent a digest within `within_ms`."""
         since_ms = self.node.env.now() - within_ms
         return {
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -88,7 +88,7 @@
             self._voter_list(), self.membership, settings.removal_timeout_ms
         )
         self.config_feed.serves_updates = lambda: (
-            self.has_quorum() if self._is_voter() else self.hears_majority()
+            self.has_quorum() if self._is_voter() else self.has_majority_contact()
         )
 
     def _make_control_store(self, settings: Settings) -> None:
@@ -107,20 +107,20 @@
     def _make_services(self) -> None:
         """Create the components that change the values of control keys for callers."""
         self.worker_list = WorkerList(
-            self.acceptor, self.owner, self.config_feed, in_contact=self.hears_majority
+            self.acceptor, self.owner, self.config_feed, in_contact=self.has_majority_contact
         )
         self.configuration_changes = ConfigurationChanges(
-            self.owner, in_contact=self.hears_majority
+            self.owner, in_contact=self.has_majority_contact
         )
         self.retirement = Retirement(
-            self.owner, self.membership, self.config_feed, in_contact=self.hears_majority
+            self.owner, self.membership, self.config_feed, in_contact=self.has_majority_contact
         )
         self.loans = LoanManager(
             self.owner,
             self.membership,
             self.config_feed,
             self.profiles,
-            in_contact=self.hears_majority,
+            in_contact=self.has_majority_contact,
             is_owner=self._owns_loans,
         )
 
@@ -162,7 +162,7 @@
         heard = sum(1 for name in voters if self.membership.is_heard_directly(name, within_ms))
         return 2 * heard > len(voters)
 
-    def hears_majority(self) -> bool:
+    def has_majority_contact(self) -> bool:
         """Whether a majority of the voters sent this node messages within `failure_timeout_ms`.
 
         This node need not be a voter itself. False while there is no voter list.
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -122,7 +122,7 @@
             reason = f"not in the serving set: {', '.join(unknown)}"
             return refusal_response(refused("unknown-machine", reason, 404, field="links"))
         live = sorted(
-            set(body.links) & node.config_feed.links_heard(node.settings.removal_timeout_ms)
+            set(body.links) & node.config_feed.live_links(node.settings.removal_timeout_ms)
         )
         if live:
             reason = f"still sending digests: {', '.join(live)}"
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -130,8 +130,8 @@
         failure_timeout_ms = self._node.settings.failure_timeout_ms
         direct = [name for name in order if membership.is_heard_directly(name, failure_timeout_ms)]
         return (
-            first_live(direct, membership.hears_majority)
-            or first_live(order, membership.hears_majority)
+            first_live(direct, membership.has_majority_contact)
+            or first_live(order, membership.has_majority_contact)
             or next(iter(order), None)
         )
 
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -60,7 +60,7 @@
         """Return the addresses of the next serving set, or None without cause for a change."""
         settings, config_feed = self.node.settings, self._config_feed
         current = config_feed.serving_set()
-        live = config_feed.links_heard(settings.failure_timeout_ms)
+        live = config_feed.live_links(settings.failure_timeout_ms)
         if not current:
             return sorted(live) or None
         joining = sorted(live - current)[:1]
@@ -80,7 +80,7 @@
         timeout_ms = self.node.settings.removal_timeout_ms
         if not self._config_feed.has_run_for(timeout_ms):
             return []
-        return sorted(current - self._config_feed.links_heard(timeout_ms))[:1]
+        return sorted(current - self._config_feed.live_links(timeout_ms))[:1]
 
     def _next_set_unless_binding(
         self, current: frozenset[str], live: set[str], joining: list[str], lost: list[str]
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -136,7 +136,7 @@
             return True
         return self.node.env.now() - self._known.heard_ms(identity) <= within_ms
 
-    def hears_majority(self, identity: str) -> bool:
+    def has_majority_contact(self, identity: str) -> bool:
         """Return whether a node reports contact with a majority of the voters; True if unknown."""
         if identity == self.identity:
             return not self.is_isolated()
--- a/libs/modelcheck/src/modelcheck/control_stubs.py
+++ b/libs/modelcheck/src/modelcheck/control_stubs.py
@@ -17,7 +17,7 @@
         """Whether `name` is the one voter that is taken for live."""
         return name == self._name
 
-    def hears_majority(self, name: str) -> bool:
+    def has_majority_contact(self, name: str) -> bool:
         """Whether a node is in contact with a majority: always."""
         return True
 
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -36,7 +36,7 @@
     ),
     "a duty is left with a voter that is only heard of": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, membership.hears_majority) or",
+        "first_live(direct, membership.has_majority_contact) or",
         "",
         _ISOLATED + "reconnected_control",
     ),
@@ -126,7 +126,7 @@
     ),
     "a voter that hears nobody keeps its duties": (
         "control_store/src/control_store/forwarding.py",
-        "first_live(direct, membership.hears_majority) or first_live(order, membership.hears_majority) or",
+        "first_live(direct, membership.has_majority_contact) or first_live(order, membership.has_majority_contact) or",
         "",
         _BOOTSTRAP + "hears_nobody",
     ),
