--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -179,7 +179,7 @@
 
     def test_results_that_change_places_are_found(self):
         """Once a job is complete its first two results change places."""
-        with mock.patch.object(batch_state.jobs.Job, "row", row_moved):
+        with mock.patch.object(batch_state.jobs.Job, "encoded_result", row_moved):
             found = any(check_seed(seed, FAULTS, "small").violations for seed in SEEDS)
         self.assertThat(found, Equals(True))
 
@@ -203,7 +203,7 @@
     ORIGINAL_APPLY(self, key, round_)
 
 
-ORIGINAL_ROW = batch_state.jobs.Job.row
+ORIGINAL_ROW = batch_state.jobs.Job.encoded_result
 
 
 def row_moved(self, position):
