--- a/libs/request_routing/src/request_routing/stall_detection.py
+++ b/libs/request_routing/src/request_routing/stall_detection.py
@@ -65,7 +65,7 @@
             and not lifecycle.delivered
             and self._registry.is_silent(attempt.worker)
         ):
-            return failed(True, "no heartbeat from the worker")
+            return failed(True, "worker silent")
         return None
 
     def _forward_outcome(
@@ -88,12 +88,12 @@
             profile.name, attempt.started_streaming, settings.request_timeout_ms * _FLOOR_SHARE
         )
         if silent_ms > stall_ms:
-            return failed(True, "worker stalled", WorkerFault.DOWN)
+            return failed(True, "worker dark", WorkerFault.DOWN)
         event_timeout_ms = self.latency.event_timeout_ms(
             settings.force_ms, profile.target_ms, profile.token_gap_ms
         )
         if not request.call.job and waited_ms > event_timeout_ms:
-            return failed(True, "no event within the time-out")
+            return failed(True, "worker silent")
         return None
 
 
@@ -103,4 +103,4 @@
         and attempt.worker.silent_ms(now_ms) > settings.request_timeout_ms
     )
     fault = WorkerFault.DOWN if stalled else WorkerFault.NONE
-    return failed(not attempt.connecting, "deadline passed", fault)
+    return failed(not attempt.connecting, "deadline", fault)
