--- a/libs/request_routing/src/request_routing/__init__.py
+++ b/libs/request_routing/src/request_routing/__init__.py
@@ -1,22 +1,26 @@
-"""Request routing: how an edge sends one request to a worker and judges the answer.
+"""Request routing: how an edge sends a request to a worker and checks the response.
 
-None of it has a socket. The parts, and where a change goes:
+The package opens no sockets; the edge's transport does the I/O. The modules by topic:
 
-- `lifecycle`, `forward_lifecycle`, `steps`: the state machine of a request; `request_refusals`.
-- `request_router`: drives the requests in flight; `in_flight`, `attempt`.
+- Requests: `lifecycle`, `forward_lifecycle` and `steps` are the state machine of a request,
+  `request_refusals` its error responses; `request_router` drives the requests `in_flight` and each
+  `attempt` at a worker.
 - Decisions: `worker_selection` (with `prefix_placement` and `cost_placement`), `admission_control`
   and `admission_queue`, `item_queue`, `retry_budget`, `stall_detection`, `attempt_results`.
-- What goes to a worker and comes back: `attempt_requests`, `worker_exchange`, `forward_exchange`
-  with their checks of bodies and events, `attempt_outcome`, `header_names`.
-- What an edge knows of workers: `worker`, `worker_registry`, `prefix_affinity`, `prefill_tracker`,
+- Exchange with a worker: `attempt_requests` builds the request; `worker_exchange` and
+  `forward_exchange` check the response, with `stream_checks` and `event_check`; also
+  `attempt_outcome` and `header_names`.
+- State of the workers: `worker`, `worker_registry`, `prefix_affinity`, `prefill_tracker`,
   `latency_estimator`.
-- `idempotency`: keys of requests that may not be repeated, kept by the log's leader.
-- `batch_execution`: batch items at an edge and the leader's client; nothing else here imports it.
+- `idempotency`: keys of requests that must not run twice, stored by the log's leader.
+- `batch_execution`: runs batch items at an edge, and the client of the log's leader; no other
+  module of this package imports it.
 
-It imports `messaging`, `runtime`, `membership` and the messages of `batch_state`. Invariants: a
-request that may have run is retried only if it is idempotent and nothing of it was delivered, or
-its stream can be continued; no refusal says "not run" of what may have run; a stream is ended
-cleanly only if it is complete and of one run.
+The package imports `messaging`, `runtime`, `membership` and the messages of `batch_state`.
+
+Invariants: a request that may have run is retried only if it is idempotent and nothing of it was
+delivered, or if its stream can be continued. A refusal never says "not run" of a request that may
+have run. A client's stream ends normally only if it is complete and all of one run.
 """
 
 from typing import TYPE_CHECKING
--- a/libs/request_routing/src/request_routing/attempt.py
+++ b/libs/request_routing/src/request_routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt in flight at a worker, as the transport that has its connection reports to it."""
+"""An attempt in flight at a worker: handles what the transport receives on its connection."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
@@ -13,7 +13,7 @@
 
 
 class AttemptTransport(Protocol):
-    """The transport: begins an attempt, reports to it, and returns what aborts it."""
+    """Starts an attempt, and calls its methods as the worker's response arrives."""
 
     def __call__(
         self,
@@ -24,39 +24,82 @@
         body: Any,
         method: str = "POST",
     ) -> Callable[[], None]:
-        """Begin an attempt; `body` is a JSON object, or the bytes of a forwarded body."""
+        """Send the request of an attempt to a worker.
+
+        Parameters
+        ----------
+        attempt
+            The attempt that handles the response.
+        address, target
+            The worker's address, and the request target.
+        headers
+            A dict, or a list of name and value pairs for a forwarded request.
+        body
+            A JSON object, or the bytes of a forwarded body.
+        method
+            HTTP method; completions are always POST.
+
+        Returns
+        -------
+        Callable
+            Aborts the attempt.
+        """
         ...
 
 
 class AttemptObserver(Protocol):
-    """Whoever drives the request: it is told what an attempt's worker does."""
+    """The owner of attempts: handles responses, events and outcomes."""
 
     node: Any
 
     def response_received(self, attempt: "Attempt") -> None:
-        """Record that the worker of an attempt has answered something."""
+        """Record that the worker of an attempt has sent a part of a response."""
         ...
 
     def event_received(self, attempt: "Attempt") -> None:
-        """Record an event of a stream."""
+        """Record that events of a stream came; called before they are delivered."""
         ...
 
     def attempt_ended(self, attempt: "Attempt", outcome: AttemptOutcome) -> None:
-        """Take the outcome of an attempt."""
+        """Handle the outcome of an attempt."""
         ...
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
 
 
 class Attempt:
-    """One attempt in flight at one worker.
-
-    Reports that arrive after the attempt is over change nothing. `started_ms` and `last_event_ms`
-    are times of the node's clock in milliseconds; `unread_tokens` are the prompt's tokens that the
-    worker has probably not cached; `prefilling` is true, for a forwarded request, until the
-    worker's first event.
+    """An attempt in flight at a worker.
+
+    Anything received after the end of the attempt is ignored.
+
+    Parameters
+    ----------
+    observer
+        The owner of the attempt, which has the node and handles the outcome.
+    request
+        The request in flight.
+    worker
+        The worker that the attempt is sent to.
+    exchange
+        Checks the worker's response.
+
+    Attributes
+    ----------
+    abort
+        Aborts the attempt at the transport; does nothing once the connection has ended.
+    over
+        Whether the attempt has ended; set by its owner.
+    connecting
+        True until a connection is made; set by a transport that calls `connected`.
+    started_ms, last_event_ms
+        When the attempt started or its connection was made, and when its last event came, in
+        milliseconds of the node's clock.
+    unread_tokens
+        Number of the prompt's tokens that the worker has probably not cached.
+    prefilling
+        True for a forwarded request until the worker's first event.
     """
 
     __slots__ = (
@@ -82,7 +125,7 @@
     ) -> None:
         self._observer = observer
         self.request, self.worker, self.exchange = request, worker, exchange
-        self.abort: Callable[[], None] = _nothing
+        self.abort: Callable[[], None] = _no_op
         self.over = self.connecting = self.prefilling = False
         self.unread_tokens = 0
         self.started_ms: int = observer.node.env.now()
@@ -95,19 +138,19 @@
 
     @property
     def started_streaming(self) -> bool:
-        """Whether an event of the stream has come."""
+        """Whether an event has come since the attempt started."""
         return self.last_event_ms > self.started_ms
 
     def connected(self) -> None:
-        """Record that a connection is there: from here on the request may run.
+        """Record that a connection was made; from now on the request may run.
 
-        A transport that does not report this counts as connected from the start.
+        An attempt whose transport never calls this counts as connected from its start.
         """
         self.connecting = False
         self.started_ms = self.last_event_ms = self._observer.node.env.now()
 
     def head(self, status: int, headers: Iterable[tuple[str, str]], length: int | None) -> None:
-        """Take the answer's status, headers and announced length in bytes, None for no length."""
+        """Handle the response head; `length` is the announced length in bytes, or None."""
         if self.over:
             return
         self._observer.response_received(self)
@@ -118,7 +161,7 @@
             self.request.lifecycle.stream_started()
 
     def data(self, chunk: bytes) -> None:
-        """Take a chunk of the answer's body and deliver the events that it completes."""
+        """Handle a chunk of the response body: deliver the events that it completes."""
         if self.over:
             return
         self._observer.response_received(self)
@@ -137,23 +180,26 @@
         self.request.lifecycle.last_event_id = self.exchange.last_event_id
 
     def end(self) -> None:
-        """Take the end of the answer as HTTP has it."""
+        """Handle the end of the response at the HTTP level."""
         if not self.over:
-            self.abort = _nothing
+            self.abort = _no_op
             self._observer.attempt_ended(self, self.exchange.end())
 
     def connection_failed(self, reason: str, connected: bool) -> None:
-        """Take the failure of the connection; `connected` is false if it was never made."""
+        """Handle a failure of the connection; `connected` is false if it was never made."""
         if not self.over:
-            self.abort = _nothing
+            self.abort = _no_op
             self._observer.attempt_ended(self, self.exchange.connection_failed(reason, connected))
 
     @property
     def is_backpressured(self) -> bool:
-        """Whether the client reads more slowly than the worker writes, so reading has to pause."""
+        """Whether the client has more than `response_buffer_bytes` to read.
+
+        The transport then stops reading from the worker.
+        """
         limit_bytes: int = self._observer.node.settings.response_buffer_bytes
         return not self.over and self.request.unread_bytes > limit_bytes
 
     def when_drained(self, resume: Callable[[Any], None]) -> None:
-        """Have `resume` called once the client has caught up."""
+        """Call `resume` once the client has read enough for reading from the worker to resume."""
         self.request.when_drained = resume
--- a/libs/request_routing/src/request_routing/attempt_outcome.py
+++ b/libs/request_routing/src/request_routing/attempt_outcome.py
@@ -1,18 +1,18 @@
-"""The outcome of one attempt at a worker, and what a failure says of the worker."""
+"""The outcome of an attempt at a worker, and the fault of the worker that a failure shows."""
 
 from enum import StrEnum
 
 __all__ = ["NO_CONNECTION", "AttemptOutcome", "OutcomeKind", "WorkerFault", "failed"]
 
 NO_CONNECTION = "no connection"
-"""The reason of an attempt whose connection was never made."""
+"""The reason of a failed attempt whose connection was never made."""
 
 
 class OutcomeKind(StrEnum):
     """The kinds of outcome.
 
-    COMPLETE is a complete success, REJECTED the worker's final answer that the request is wrong,
-    WORKER_ERROR its answer that it failed at the request, FAILED anything else.
+    COMPLETE: a complete successful response. REJECTED: the worker's response that the request is
+    invalid, which is final. WORKER_ERROR: the worker's error response. FAILED: anything else.
     """
 
     COMPLETE = "complete"
@@ -22,10 +22,10 @@
 
 
 class WorkerFault(StrEnum):
-    """What a failed attempt says of its worker.
+    """The fault of a worker that a failed attempt shows; NONE if it shows none.
 
-    DOWN: its connection failed. MISMATCH: another worker answers at its address. OVERLOADED: it has
-    no free slot. PROTOCOL: its answer breaks the protocol.
+    DOWN: the connection failed, or the worker stalled. MISMATCH: another worker responds at its
+    address. OVERLOADED: it has no free slot. PROTOCOL: its response violates the protocol.
     """
 
     NONE = ""
@@ -38,8 +38,18 @@
 class AttemptOutcome:
     """The outcome of an attempt.
 
-    `status` and `body` are those of an answer; of a failure, `may_have_run` says whether the worker
-    may have run the request, `reason` what happened, and `fault` what that says of the worker.
+    Parameters
+    ----------
+    kind
+        The kind of outcome.
+    status, body
+        HTTP status and body of the response; 0 and empty if the attempt failed.
+    may_have_run
+        False only if the worker certainly did not run the request.
+    reason
+        Why the attempt did not succeed; it appears in refusals and log lines.
+    fault
+        The worker's fault that the failure shows.
     """
 
     __slots__ = ("body", "fault", "kind", "may_have_run", "reason", "status")
@@ -60,5 +70,5 @@
 def failed(
     may_have_run: bool, reason: str, fault: WorkerFault = WorkerFault.NONE
 ) -> AttemptOutcome:
-    """Return the outcome of a failed attempt."""
+    """Return an outcome of kind FAILED; `may_have_run` as in `AttemptOutcome`."""
     return AttemptOutcome(OutcomeKind.FAILED, may_have_run=may_have_run, reason=reason, fault=fault)
--- a/libs/request_routing/src/request_routing/attempt_requests.py
+++ b/libs/request_routing/src/request_routing/attempt_requests.py
@@ -1,6 +1,7 @@
-"""What is written to a worker for an attempt, and how its answer is judged, by the kind of call.
+"""Builds the request to a worker, and the exchange that checks its response, by type of call.
 
-One function each, dispatched by the call's type. `capacity_sharing.sampling` adds samples.
+`worker_request` and `new_exchange` dispatch on the type of the call; `capacity_sharing.sampling`
+registers the calls of rollout samples.
 """
 
 from functools import singledispatch
@@ -22,10 +23,10 @@
 
 
 class WorkerRequest(NamedTuple):
-    """The transport's arguments after the address.
+    """The HTTP request of an attempt: the arguments of `AttemptTransport` after the address.
 
-    `headers` is a dict with a JSON object as `body`, or the list of a forwarded request's headers
-    with its bytes.
+    For a completion `headers` is a dict and `body` a JSON object; for a forwarded request they are
+    a list of name and value pairs, and bytes.
     """
 
     target: str
@@ -36,8 +37,11 @@
 
 @singledispatch
 def new_exchange(call: Any, router: RoutingContext, lifecycle: Any, worker: Worker) -> Any:
-    """Return what judges the answer to this attempt; raises NotImplementedError for other calls."""
-    raise NotImplementedError(type(call).__name__)
+    """Return the exchange that checks the response of an attempt.
+
+    Raises NotImplementedError if no function is registered for the type of the call.
+    """
+    raise NotImplementedError(f"no exchange is registered for {type(call).__name__}")
 
 
 @new_exchange.register
@@ -65,13 +69,16 @@
 
 @singledispatch
 def worker_request(call: Any, router: RoutingContext, lifecycle: Any, worker: Worker) -> Any:
-    """Return the `WorkerRequest` of an attempt; raises NotImplementedError for other calls."""
-    raise NotImplementedError(type(call).__name__)
+    """Return the `WorkerRequest` of an attempt.
+
+    Raises NotImplementedError if no function is registered for the type of the call.
+    """
+    raise NotImplementedError(f"no worker request is registered for {type(call).__name__}")
 
 
 @worker_request.register
 def _(call: Call, router: RoutingContext, lifecycle: Any, worker: Worker) -> WorkerRequest:
-    """Build the completion's path, headers and body."""
+    """Build a completion request; its `model` is the profile's path."""
     target = _CHAT_PATH if call.body.get("messages") is not None else _COMPLETION_PATH
     headers = {_WORKER_HEADER: worker.instance_id, _REQUEST_HEADER: lifecycle.edge_request_id}
     body = {**call.body, "model": lifecycle.profile.path, "stream": call.stream}
@@ -80,31 +87,31 @@
 
 @worker_request.register
 def _(call: ForwardCall, router: RoutingContext, lifecycle: Any, worker: Worker) -> WorkerRequest:
-    """Keep the request's own headers, with ours in the place of any of the same name."""
+    """Forward the client's headers, replaced where the edge sets one of the same name."""
     names = _header_names(router)
     left_ms = max(1, lifecycle.due_ms - router.node.env.now())
-    ours = [
+    edge_headers = [
         (names.worker, worker.identity),
         (names.urgency, str(call.urgency)),
         (names.deadline_ms, str(left_ms)),
     ]
     resume_after = _resume_after(call, lifecycle)
     if resume_after is not None:
-        ours.append((names.last_event_id, str(resume_after)))
-    ours = [(name, value) for name, value in ours if name]
-    replaced = {name.lower() for name, _ in ours} | {names.request_id.lower(), "host"}
+        edge_headers.append((names.last_event_id, str(resume_after)))
+    edge_headers = [(name, value) for name, value in edge_headers if name]
+    replaced = {name.lower() for name, _ in edge_headers} | {names.request_id.lower(), "host"}
     kept = [(name, value) for name, value in call.headers if name.lower() not in replaced]
-    headers = [("Host", call.host), (names.request_id, call.request_id), *kept, *ours]
+    headers = [("Host", call.host), (names.request_id, call.request_id), *kept, *edge_headers]
     return WorkerRequest(call.target, headers, call.body, call.method)
 
 
 def _resume_after(call: ForwardCall, lifecycle: Any) -> int | None:
-    """Return the id of the event after which the stream is to be continued, or None."""
+    """Return the id of the event after which the worker has to resume the stream, or None."""
     last_event_id: int | None = lifecycle.last_event_id
     return last_event_id if last_event_id is not None else call.last_event_id
 
 
 def _header_names(router: RoutingContext) -> WorkerHeaderNames:
     if router.header_names is None:
-        raise ValueError("this edge has no header names for the workers of forwarded requests")
+        raise ValueError("no header names are configured for the workers of forwarded requests")
     return router.header_names
--- a/libs/request_routing/src/request_routing/attempt_results.py
+++ b/libs/request_routing/src/request_routing/attempt_results.py
@@ -1,7 +1,7 @@
-"""What an attempt's outcome means for its stream and its worker, and what is logged of it.
+"""Processes the outcomes of attempts: checks continued streams, records and logs failures.
 
-A failure changes the registry's view of the worker; each failure and each end of a request has one
-log line.
+A failure updates the worker's state in the registry. Each failure of an attempt and each end of a
+request is logged once.
 """
 
 from typing import Any
@@ -20,10 +20,11 @@
 
 
 def checked_outcome(attempt: Attempt, outcome: AttemptOutcome) -> AttemptOutcome:
-    """Return the outcome of an attempt whose stream may have begun at another worker.
+    """Return the outcome, or a failure if the response does not continue a stream that has begun.
 
-    Only a stream continues a stream: any other complete answer is then a failure and never passes
-    for the stream's end. A worker's answer that a batch item can't be done stays.
+    Once a stream has begun at another worker, only a stream continues it. Any other complete
+    response is then a failure, as it would pass for the end of the stream. A worker's rejection of
+    a batch item is kept.
     """
     call = attempt.request.call
     begun = attempt.request.lifecycle.delivered
@@ -40,7 +41,7 @@
 def record_failure(
     env: Any, registry: WorkerRegistry, attempt: Attempt, outcome: AttemptOutcome
 ) -> None:
-    """Tell the registry what the failure says of the worker, and log it."""
+    """Update the registry with the worker's fault, if any, and log the failure."""
     worker = attempt.worker
     if outcome.fault is WorkerFault.DOWN:
         registry.record_connection_failure(worker)
@@ -59,7 +60,7 @@
 
 
 def log_end(env: Any, request: InFlightRequest, step: Step) -> None:
-    """Log how a request ended: its state, its attempts and the verdict of a refusal."""
+    """Log the end of a request, with its state, its attempts and its refusal if there is one."""
     lifecycle, refusal = request.lifecycle, step.refusal
     item = {"job": lifecycle.job.job_id, "index": lifecycle.job.item_index} if lifecycle.job else {}
     env.log(
