--- a/libs/request_routing/src/request_routing/event_check.py
+++ b/libs/request_routing/src/request_routing/event_check.py
@@ -1,4 +1,4 @@
-"""Checks the events of a forwarded stream, whose ids have to go up by one."""
+"""Checks that the event ids of a forwarded stream are consecutive."""
 
 import re
 
@@ -9,10 +9,27 @@
 
 
 class EventCheck:
-    """Splits a stream into complete events, and checks that their ids go up by one.
+    """Splits a stream of server-sent events, and checks that their ids are consecutive.
 
-    The first id has to follow the last one of the attempt before. Events without an id are let
-    through, but then the stream can't be continued at another worker.
+    Events without an id pass. If one of them has data, the stream can't be continued at another
+    worker.
+
+    Parameters
+    ----------
+    last_event_id
+        Id of the last event of the earlier attempts, which the first id has to follow; None if any
+        first id is right.
+    limit_bytes
+        Maximum size of an incomplete event.
+
+    Attributes
+    ----------
+    last_event_id
+        Id of the last event that passed, or None.
+    unnumbered
+        Whether an event with data had no id.
+    fault
+        What is wrong with the stream, or an empty string.
     """
 
     __slots__ = ("_buffer", "_limit_bytes", "fault", "last_event_id", "unnumbered")
@@ -25,7 +42,7 @@
         self.fault = ""
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Take a chunk and return the events now complete; after a fault, none."""
+        """Add a chunk, and return the events that it completes, up to the first fault."""
         buffer = self._buffer + chunk if self._buffer else chunk
         events: list[bytes] = []
         start = 0
@@ -51,5 +68,5 @@
         return True
 
     def close(self) -> str:
-        """Take the end of the stream; return what is wrong, or an empty string."""
+        """Handle the end of the stream, and return its fault, or an empty string."""
         return self.fault or ("cut in an event" if self._buffer.strip() else "")
--- a/libs/request_routing/src/request_routing/forward_exchange.py
+++ b/libs/request_routing/src/request_routing/forward_exchange.py
@@ -1,8 +1,8 @@
-"""Judges one attempt of a forwarded request as the worker's answer comes back.
+"""Checks the response to one attempt of a forwarded request.
 
-An answer counts only with the request's id; a success only with the worker's signature, unencoded
-and complete by the length or chunks that its framing announced. That a request has not run is known
-only from the worker's own answer or a connection never made.
+A response is accepted only with the request's id. A success also needs the worker's signature and
+has to be unencoded, and complete by its announced length or by its chunks. A request counts as not
+run only if the worker's response says so or no connection was made.
 """
 
 from collections.abc import Iterable
@@ -22,20 +22,42 @@
 __all__ = ["ForwardExchange"]
 
 _MISDIRECTED = 421
-_STATUS_OF_UNRUN = (408, 429, 503)
+_NOT_RUN_STATUS = (408, 429, 503)
 _STATUS_WITHOUT_BODY = (204, 304)
-_UNKNOWN_END = -1
+_UNKNOWN_LENGTH = -1
 _EVENT_STREAM = "text/event-stream"
 _UNENCODED = ("", "identity")
 
 
 class ForwardExchange:
-    """The answer to one attempt of a forwarded request.
-
-    `good` says that the head is that of a success for this very request; `streams` that its events
-    are delivered as they come, too. An answer without the request's id promises nothing, not even
-    as the first on its connection: it may have been written before the request was read.
-    `limit_bytes` bounds the body or one event.
+    """The response to one attempt of a forwarded request.
+
+    A response without the request's id proves nothing about the request, even if it is the first
+    on its connection: the worker may have written it before it read the request.
+
+    Parameters
+    ----------
+    header_names
+        The header names of the worker.
+    worker
+        Identity of the worker, which tells whether a misdirected request reached another one.
+    request_id
+        Id of the request, which the response has to repeat.
+    method
+        HTTP method of the request.
+    stream
+        Whether a success may be a stream of server-sent events.
+    limit_bytes
+        Maximum size of the body, or of an event of a stream.
+    last_event_id
+        Id of the event after which the stream resumes, or None.
+
+    Attributes
+    ----------
+    good
+        Whether the head is that of an acceptable successful response to this request.
+    streams
+        Whether it is also an event stream, whose events are delivered as they come.
     """
 
     __slots__ = (
@@ -80,13 +102,11 @@
         self._status = 0
         self._size_bytes = 0
         self._announced_bytes: int | None = None
-        self._expected_bytes: int | None = _UNKNOWN_END
+        self._expected_bytes: int | None = _UNKNOWN_LENGTH
         self.good = self.streams = False
 
-    # -- the head ------------------------------------------------------------------------------
-
     def head(self, status: int, headers: Iterable[tuple[str, str]], length: int | None) -> None:
-        """Take the answer's head; `length` is the announced length in bytes, or None."""
+        """Handle the head; `length` is the announced length in bytes, or None."""
         self._headers = list(headers)
         self._values = {}
         for name, value in self._headers:
@@ -103,15 +123,15 @@
         self.streams = self._stream and self.good and content_type.startswith(_EVENT_STREAM)
 
     def _body_bytes(self) -> int | None:
-        """Return the body's length by its framing: None for chunks, -1 if nothing tells the end."""
+        """Return the body's length: None if it is chunked, -1 if only a close would end it."""
         if self._method == "HEAD" or self._status in _STATUS_WITHOUT_BODY:
             return 0
         if self._single_value("transfer-encoding").lower() == "chunked":
             return None
-        return _UNKNOWN_END if self._announced_bytes is None else self._announced_bytes
+        return _UNKNOWN_LENGTH if self._announced_bytes is None else self._announced_bytes
 
     def _single_value(self, name: str) -> str:
-        """Return the header's value, empty if it is missing or there are several."""
+        """Return the header's value; empty if the header is missing or repeated."""
         values = self._values.get(name.lower(), [])
         return values[0] if len(values) == 1 else ""
 
@@ -126,7 +146,7 @@
 
     @property
     def trusted(self) -> bool:
-        """Whether nothing odd came: the connection may be reused once the answer is complete."""
+        """Whether the head has the request's id, without which the connection is not reused."""
         return self._matches
 
     @property
@@ -153,13 +173,11 @@
 
     @property
     def last_event_id(self) -> int | None:
-        """The id of the last event that came; None if the stream can't be continued after it."""
+        """The id of the last event; None if another worker can't continue the stream after it."""
         return None if self._check.unnumbered else self._check.last_event_id
 
-    # -- the body ------------------------------------------------------------------------------
-
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
-        """Return the events that may be delivered now, and the outcome if it is known already."""
+        """Return the events of a chunk to deliver, and the outcome if the response is faulty."""
         if self.streams:
             events = self._check.feed(chunk)
             fault = self._check.fault
@@ -171,31 +189,29 @@
         return [], None
 
     def end(self) -> AttemptOutcome:
-        """Return the outcome of an answer that ended as HTTP has it."""
-        if self._expected_bytes == _UNKNOWN_END:
-            return self._unsuccessful(failed(True, "an end that nothing announced"))
+        """Return the outcome of a response that ended at the HTTP level."""
+        if self._expected_bytes == _UNKNOWN_LENGTH:
+            return self._unsuccessful_outcome(failed(True, "an end that nothing announced"))
         if self.streams:
             if fault := self._check.close():
                 return failed(True, f"stream not whole: {fault}")
             return AttemptOutcome(OutcomeKind.COMPLETE, self._status, b"")
         if self._expected_bytes is not None and self._expected_bytes != len(self._data):
-            return self._unsuccessful(failed(True, "body not whole"))
+            return self._unsuccessful_outcome(failed(True, "body not whole"))
         if self.good:
             return AttemptOutcome(OutcomeKind.COMPLETE, self._status, bytes(self._data))
-        return self._unsuccessful(self._verdict())
+        return self._unsuccessful_outcome(self._complete_outcome())
 
     def connection_failed(self, reason: str, connected: bool) -> AttemptOutcome:
-        """Return the outcome of a failed connection, which was never made or was lost later."""
+        """Return the outcome of a failed connection; `connected` is false if it was never made."""
         if not connected:
             return failed(False, NO_CONNECTION, WorkerFault.DOWN)
-        return self._unsuccessful(failed(True, reason, WorkerFault.DOWN))
-
-    # -- answers without success -------------------------------------------------------------------
+        return self._unsuccessful_outcome(failed(True, reason, WorkerFault.DOWN))
 
-    def _unsuccessful(self, otherwise: AttemptOutcome) -> AttemptOutcome:
-        """Return what the head alone tells of an answer without success, else `otherwise`.
+    def _unsuccessful_outcome(self, otherwise: AttemptOutcome) -> AttemptOutcome:
+        """Return the outcome that the head alone determines, else `otherwise`.
 
-        A head that says that the request has not run counts whatever becomes of the body after it.
+        A head that says that the request has not run is enough, even if the body is incomplete.
         """
         if not self._matches:
             return self._unmatched(otherwise)
@@ -206,27 +222,28 @@
         return otherwise
 
     def _unmatched(self, otherwise: AttemptOutcome) -> AttemptOutcome:
-        """Return the outcome of an answer without the request's id, which promises nothing."""
+        """Return the outcome of a response without the request's id: it may have run."""
         if otherwise.fault:
             return otherwise
         reason = "ids do not match" if self._values else otherwise.reason
         return failed(True, reason, WorkerFault.PROTOCOL)
 
     def _misdirection_fault(self) -> WorkerFault:
-        """Return what a misdirected request says of the worker.
+        """Return the fault that a response with status 421 shows.
 
-        Nothing if the worker at the address is the right one and says that the request is not for
-        it.
+        It shows none if the right worker responded, and MISMATCH if another one did. If the
+        response does not name the worker, the fault is DOWN.
         """
         names = self._values.get(self._header_names.answered_by.lower(), [])
         if not names:
             return WorkerFault.DOWN
         return WorkerFault.NONE if names == [self._worker] else WorkerFault.MISMATCH
 
-    def _verdict(self) -> AttemptOutcome:
-        """Return the outcome of a complete answer that is no success.
+    def _complete_outcome(self) -> AttemptOutcome:
+        """Return the outcome of a complete response that is not an acceptable success.
 
-        An answer that would promise that nothing ran is not passed on unproven.
+        A status that tells clients that the request has not run fails the attempt here, as the
+        worker did not confirm it; the response is not passed to the client.
         """
         status = self._status
         if 200 <= status < 300:
@@ -234,7 +251,7 @@
             return failed(True, reason, WorkerFault.PROTOCOL)
         if not self._matches:
             return failed(True, "no id", WorkerFault.PROTOCOL)
-        if status in _STATUS_OF_UNRUN or status < 200:
+        if status in _NOT_RUN_STATUS or status < 200:
             return failed(True, f"status {status}")
         kind = OutcomeKind.WORKER_ERROR if status >= 500 else OutcomeKind.REJECTED
         return AttemptOutcome(kind, status, bytes(self._data), reason=f"status {status}")
--- a/libs/request_routing/src/request_routing/header_names.py
+++ b/libs/request_routing/src/request_routing/header_names.py
@@ -1,4 +1,4 @@
-"""The headers of forwarded requests: the workers' own names, and which headers are end-to-end."""
+"""Headers of forwarded requests: the names that workers use, and which ones are end-to-end."""
 
 from collections.abc import Iterable
 
@@ -16,15 +16,32 @@
         "proxy-connection",
     }
 )
-_OWN_FRAMING = frozenset({"host", "content-length"})
+_SET_PER_CONNECTION = frozenset({"host", "content-length"})
 
 
 class WorkerHeaderNames:
     """The header names of one kind of worker; an empty name means that it has no such header.
 
-    To the worker: `request_id`, `worker` (the identity it is meant for), `deadline_ms` (the time
-    left), `urgency` and `last_event_id`. From it: `request_id`, `signature` (which only the worker
-    itself adds to a success), `not_run`, `load` and `answered_by`.
+    Parameters
+    ----------
+    request_id
+        Id of the request, which the worker repeats in its response.
+    worker
+        To the worker: identity of the worker that the request is meant for.
+    signature
+        From the worker: present in its successful responses; nothing but the worker itself adds it.
+    not_run
+        From the worker: present in an error response if the request has not run.
+    load
+        From the worker: its load as `running,waiting,slots`.
+    deadline_ms
+        To the worker: milliseconds left until the deadline.
+    urgency
+        To the worker: priority of the request.
+    answered_by
+        From the worker: identity of the worker that responded.
+    last_event_id
+        To the worker: id of the event after which the stream has to resume.
     """
 
     __slots__ = (
@@ -63,9 +80,9 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers without the hop-by-hop ones and without the framing.
+    """Return the headers without hop-by-hop ones, `Host` and `Content-Length`.
 
-    The framing is left out because each connection makes its own.
+    Those two are set anew for each connection.
     """
     rows = list(headers)
     named = {
@@ -74,7 +91,7 @@
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    dropped = _HOP_BY_HOP | _OWN_FRAMING | named
+    dropped = _HOP_BY_HOP | _SET_PER_CONNECTION | named
     return [
         (name, value)
         for name, value in rows
--- a/libs/request_routing/src/request_routing/stream_checks.py
+++ b/libs/request_routing/src/request_routing/stream_checks.py
@@ -1,8 +1,9 @@
-"""Checks that a worker's answer is complete and all of one run.
+"""Checks that a completion's response is complete and comes from one run of the request.
 
-A body has to have the announced length and be a JSON object. A stream's events are numbered from 0,
-all have one id, and end with the explicit end mark. Anything else is cut off, and a cut-off stream
-is never ended cleanly.
+A body has to have the announced length and be a JSON object. The events of a stream have the ids 0,
+1, 2 and so on; the `id` in their data is that of the run, the same in all; an end mark follows the
+last one. An event that breaks these rules is not delivered, and neither is any after it; the
+attempt then fails, so that the client's stream never ends as if it were complete.
 """
 
 import json
@@ -10,11 +11,11 @@
 
 __all__ = ["StreamCheck", "check_body"]
 
-END = "[DONE]"
+END_MARK = "[DONE]"
 
 
 def check_body(data: bytes, announced_bytes: int | None) -> str:
-    """Return what is wrong with a body, or an empty string; `announced_bytes` is its length."""
+    """Return the fault of a body, or an empty string; without an announced length it has one."""
     if announced_bytes is None or announced_bytes != len(data):
         return "length"
     try:
@@ -25,26 +26,37 @@
 
 
 class StreamCheck:
-    """Splits a stream into server-sent events, and says which may be delivered."""
+    """Splits a stream into server-sent events, and checks their ids and the end mark.
 
-    __slots__ = ("_buffer", "_next", "_run", "ended", "fault")
+    Attributes
+    ----------
+    ended
+        Whether the end mark has come.
+    fault
+        What is wrong with the stream, or an empty string.
+    """
+
+    __slots__ = ("_buffer", "_next_event_id", "_run_id", "ended", "fault")
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._next = 0
-        self._run = ""
+        self._next_event_id = 0
+        self._run_id = ""
         self.ended = False
         self.fault = ""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take a chunk and return the events now complete and in order; after a fault, none."""
+        """Add a chunk, and return the events that it completes, up to the first fault.
+
+        The event of the end mark is included.
+        """
         self._buffer += data
-        good: list[bytes] = []
+        events: list[bytes] = []
         while not self.fault and (at := self._buffer.find(b"\n\n")) >= 0:
             event, self._buffer = self._buffer[: at + 2], self._buffer[at + 2 :]
             if self._check(event):
-                good.append(event)
-        return good
+                events.append(event)
+        return events
 
     def _check(self, event: bytes) -> bool:
         fields: dict[str, str] = {}
@@ -56,28 +68,28 @@
             return False
         if self.ended:
             self.fault = "after the end"
-        elif fields.get("data") == END:
+        elif fields.get("data") == END_MARK:
             self.ended = True
-        elif fields.get("id") != str(self._next):
-            self.fault = f"event {fields.get('id')} where {self._next} was due"
+        elif fields.get("id") != str(self._next_event_id):
+            self.fault = f"event {fields.get('id')} where {self._next_event_id} was due"
         else:
-            self._next += 1
-            self._same_run(fields.get("data", ""))
+            self._next_event_id += 1
+            self._check_run_id(fields.get("data", ""))
         return not self.fault
 
-    def _same_run(self, data: str) -> None:
+    def _check_run_id(self, data: str) -> None:
         try:
             value: Any = json.loads(data)
-            run = str(value["id"])
+            run_id = str(value["id"])
         except (ValueError, KeyError, TypeError):
             self.fault = "an event without an id"
             return
-        if self._run and run != self._run:
+        if self._run_id and run_id != self._run_id:
             self.fault = "another run"
-        self._run = run
+        self._run_id = run_id
 
     def close(self) -> str:
-        """Take the end of the worker's side; return what is wrong, or an empty string."""
+        """Handle the end of the response, and return its fault, or an empty string."""
         if not self.fault and (not self.ended or self._buffer.strip()):
             self.fault = "cut"
         return self.fault
--- a/libs/request_routing/src/request_routing/worker_exchange.py
+++ b/libs/request_routing/src/request_routing/worker_exchange.py
@@ -1,8 +1,9 @@
-"""Judges one attempt of our own interface as the worker's answer comes back.
+"""Checks the response to one attempt of a completion request.
 
-The head's ids have to match; then come the body or the events, and the end or the break. It has no
-socket; the transport reports what came. An attempt counts as not run only if the connection was
-refused or the worker says so under the right ids.
+The transport passes the head, the chunks of the body, and then the end of the response or a failure
+of the connection. The head has to repeat the ids of the worker and of the request. An attempt
+counts as not run only if no connection was made, if the worker says so with these ids, or if
+another worker rejects the request as `wrong-worker`.
 """
 
 import json
@@ -11,7 +12,7 @@
 
 from request_routing.attempt_outcome import AttemptOutcome, OutcomeKind, WorkerFault, failed
 from request_routing.response_head import ResponseHead, WorkerLoad
-from request_routing.stream_checks import END, StreamCheck, check_body
+from request_routing.stream_checks import END_MARK, StreamCheck, check_body
 
 __all__ = ["WorkerExchange"]
 
@@ -21,14 +22,20 @@
 _NOT_RUN_STATUS = (_CONFLICT, 429, 503)
 _NOT_RUN = "not_run"
 _WRONG_WORKER = "wrong-worker"
-_END_EVENT = f"data: {END}\n\n".encode()
+_END_EVENT = f"data: {END_MARK}\n\n".encode()
 
 
 class WorkerExchange:
-    """The answer to one attempt at a worker of our own interface.
-
-    `worker` and `edge_request_id` are the ids that the head has to repeat; `limit_bytes` bounds the
-    answer.
+    """The response to one attempt of a completion request.
+
+    Parameters
+    ----------
+    worker, edge_request_id
+        The worker's instance id and the edge's id of the request, which the head has to repeat.
+    stream
+        Whether a success is a stream of server-sent events.
+    limit_bytes
+        Maximum size of the response body.
     """
 
     last_event_id: int | None = None
@@ -59,25 +66,25 @@
 
     @property
     def good(self) -> bool:
-        """Whether the head is that of a success for this very request."""
+        """Whether the head is that of a successful response with the right ids."""
         return self._status == _OK and self._matches
 
     @property
     def streams(self) -> bool:
-        """Whether events are delivered as they come."""
+        """Whether the response is a stream whose events are delivered as they come."""
         return self.good and self._stream
 
     @property
     def load(self) -> WorkerLoad | None:
-        """None: these workers report their load in heartbeats."""
+        """None, as these workers report their load in heartbeats."""
         return None
 
     def response_head(self) -> ResponseHead | None:
-        """Return None: the client of our own interface is not given the worker's head."""
+        """Return None, as the edge writes the response head for the client itself."""
         return None
 
     def head(self, status: int, headers: Iterable[tuple[str, str]], length: int | None) -> None:
-        """Take the answer's head and check its ids; `length` is in bytes."""
+        """Handle the head and check its ids; `length` is the announced length in bytes, or None."""
         found: dict[str, list[str]] = {WORKER_HEADER: [], REQUEST_HEADER: []}
         for name, value in headers:
             if name.lower() in found:
@@ -88,7 +95,7 @@
         ]
 
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
-        """Return the events that may be delivered now, and the outcome if it is known already."""
+        """Return the events of a chunk to deliver, and the outcome if the response is faulty."""
         self._size_bytes += len(chunk)
         if self._size_bytes > self._limit_bytes:
             return [], failed(True, "too large")
@@ -97,15 +104,15 @@
             return [], None
         events = [event for event in self._check.feed(chunk) if event != _END_EVENT]
         self._events += events
-        return events, _stream_failed(self._check.fault)
+        return events, _stream_failure(self._check.fault)
 
     def end(self) -> AttemptOutcome:
-        """Return the outcome of an answer that ended as HTTP has it."""
+        """Return the outcome of a response that ended at the HTTP level."""
         if not self.good:
-            return self._unsuccessful()
+            return self._unsuccessful_outcome()
         if self._stream:
             body = b"".join(self._events)
-            failure = _stream_failed(self._check.close())
+            failure = _stream_failure(self._check.close())
         else:
             body = bytes(self._data)
             fault = check_body(body, self._announced_bytes)
@@ -113,12 +120,12 @@
         return failure or AttemptOutcome(OutcomeKind.COMPLETE, _OK, body.decode())
 
     def connection_failed(self, reason: str, connected: bool) -> AttemptOutcome:
-        """Return the outcome of a failed connection, which was never made or was lost later."""
+        """Return the outcome of a failed connection; `connected` is false if it was never made."""
         return failed(connected, reason, WorkerFault.DOWN)
 
-    def _unsuccessful(self) -> AttemptOutcome:
+    def _unsuccessful_outcome(self) -> AttemptOutcome:
         text = self._data.decode(errors="replace")
-        error = _error_of(text)
+        error = _parse_error(text)
         not_run = error.verdict == _NOT_RUN
         if self._status == _CONFLICT and error.code == _WRONG_WORKER and not_run:
             return failed(False, "another worker answered", WorkerFault.MISMATCH)
@@ -136,8 +143,8 @@
     code: str
 
 
-def _error_of(text: str) -> _WorkerError:
-    """Return the verdict and the code of an error's body, empty where it has none."""
+def _parse_error(text: str) -> _WorkerError:
+    """Return the verdict and the code of an error body; empty if it is malformed."""
     try:
         error: Any = json.loads(text)["error"]
         return _WorkerError(str(error.get("verdict", "")), str(error.get("code", "")))
@@ -145,5 +152,5 @@
         return _WorkerError("", "")
 
 
-def _stream_failed(fault: str) -> AttemptOutcome | None:
+def _stream_failure(fault: str) -> AttemptOutcome | None:
     return failed(True, f"stream not whole: {fault}") if fault else None
