--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -73,7 +73,7 @@
     @property
     def has_other_weights(self) -> bool:
         """Whether a good answer comes from other weights than the call wants."""
-        return self.good and self._call.weights not in ("", self._call.reported_weights)
+        return self.is_success and self._call.weights not in ("", self._call.reported_weights)
 
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Take a chunk of the answer; fails if it comes from other weights."""
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -132,7 +132,7 @@
                 read_bufsize=_READ_BYTES,
             ) as response:
                 attempt.head(response.status, response.headers.items(), response.content_length)
-                if not cast(ForwardExchange, attempt.exchange).trusted:
+                if not cast(ForwardExchange, attempt.exchange).connection_is_reusable:
                     cast(WorkerResponse, response).close_connection_after()
                 async for chunk in response.content.iter_any():
                     attempt.data(chunk)
--- a/libs/request_routing/src/request_routing/attempt.py
+++ b/libs/request_routing/src/request_routing/attempt.py
@@ -157,7 +157,7 @@
         self.exchange.head(status, headers, length)
         if (load := self.exchange.load) is not None:
             self.worker.report_load(load, self._observer.node.env.now())
-        if self.exchange.good and self.request.call.stream:
+        if self.exchange.is_success and self.request.call.stream:
             self.request.lifecycle.stream_started()
 
     def data(self, chunk: bytes) -> None:
--- a/libs/request_routing/src/request_routing/attempt_results.py
+++ b/libs/request_routing/src/request_routing/attempt_results.py
@@ -33,7 +33,7 @@
     ends = outcome.kind is OutcomeKind.COMPLETE or (
         outcome.kind is OutcomeKind.REJECTED and not call.job
     )
-    if begun and ends and not attempt.exchange.streams:
+    if begun and ends and not attempt.exchange.is_event_stream:
         return failed(True, "no continuation of the stream")
     return outcome
 
--- a/libs/request_routing/src/request_routing/forward_exchange.py
+++ b/libs/request_routing/src/request_routing/forward_exchange.py
@@ -54,9 +54,9 @@
 
     Attributes
     ----------
-    good
+    is_success
         Whether the head is that of an acceptable successful response to this request.
-    streams
+    is_event_stream
         Whether it is also an event stream, whose events are delivered as they come.
     """
 
@@ -75,8 +75,8 @@
         "_stream",
         "_values",
         "_worker",
-        "good",
-        "streams",
+        "is_event_stream",
+        "is_success",
     )
 
     def __init__(
@@ -103,7 +103,7 @@
         self._size_bytes = 0
         self._announced_bytes: int | None = None
         self._expected_bytes: int | None = _UNKNOWN_LENGTH
-        self.good = self.streams = False
+        self.is_success = self.is_event_stream = False
 
     def head(self, status: int, headers: Iterable[tuple[str, str]], length: int | None) -> None:
         """Handle the head; `length` is the announced length in bytes, or None."""
@@ -113,14 +113,16 @@
             self._values.setdefault(name.lower(), []).append(value.strip())
         self._status, self._announced_bytes = status, length
         self._expected_bytes = self._body_bytes()
-        self.good = (
+        self.is_success = (
             200 <= status < 300
             and self._matches
             and bool(self._single_value(self._header_names.signature))
             and self._unencoded
         )
         content_type = self._single_value("content-type").lower()
-        self.streams = self._stream and self.good and content_type.startswith(_EVENT_STREAM)
+        self.is_event_stream = (
+            self._stream and self.is_success and content_type.startswith(_EVENT_STREAM)
+        )
 
     def _body_bytes(self) -> int | None:
         """Return the body's length: None if it is chunked, -1 if only a close would end it."""
@@ -145,7 +147,7 @@
         return all(value.lower() in _UNENCODED for value in encodings)
 
     @property
-    def trusted(self) -> bool:
+    def connection_is_reusable(self) -> bool:
         """Whether the head has the request's id, without which the connection is not reused."""
         return self._matches
 
@@ -178,7 +180,7 @@
 
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
         """Return the events of a chunk to deliver, and the outcome if the response is faulty."""
-        if self.streams:
+        if self.is_event_stream:
             events = self._check.feed(chunk)
             fault = self._check.fault
             return events, failed(True, f"stream not whole: {fault}") if fault else None
@@ -192,13 +194,13 @@
         """Return the outcome of a response that ended at the HTTP level."""
         if self._expected_bytes == _UNKNOWN_LENGTH:
             return self._unsuccessful_outcome(failed(True, "an end that nothing announced"))
-        if self.streams:
+        if self.is_event_stream:
             if fault := self._check.close():
                 return failed(True, f"stream not whole: {fault}")
             return AttemptOutcome(OutcomeKind.COMPLETE, self._status, b"")
         if self._expected_bytes is not None and self._expected_bytes != len(self._data):
             return self._unsuccessful_outcome(failed(True, "body not whole"))
-        if self.good:
+        if self.is_success:
             return AttemptOutcome(OutcomeKind.COMPLETE, self._status, bytes(self._data))
         return self._unsuccessful_outcome(self._complete_outcome())
 
--- a/libs/request_routing/src/request_routing/worker_exchange.py
+++ b/libs/request_routing/src/request_routing/worker_exchange.py
@@ -65,14 +65,14 @@
         self._size_bytes = 0
 
     @property
-    def good(self) -> bool:
+    def is_success(self) -> bool:
         """Whether the head is that of a successful response with the right ids."""
         return self._status == _OK and self._matches
 
     @property
-    def streams(self) -> bool:
+    def is_event_stream(self) -> bool:
         """Whether the response is a stream whose events are delivered as they come."""
-        return self.good and self._stream
+        return self.is_success and self._stream
 
     @property
     def load(self) -> WorkerLoad | None:
@@ -99,7 +99,7 @@
         self._size_bytes += len(chunk)
         if self._size_bytes > self._limit_bytes:
             return [], failed(True, "too large")
-        if not self.streams:
+        if not self.is_event_stream:
             self._data += chunk
             return [], None
         events = [event for event in self._check.feed(chunk) if event != _END_EVENT]
@@ -108,7 +108,7 @@
 
     def end(self) -> AttemptOutcome:
         """Return the outcome of a response that ended at the HTTP level."""
-        if not self.good:
+        if not self.is_success:
             return self._unsuccessful_outcome()
         if self._stream:
             body = b"".join(self._events)
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -194,7 +194,7 @@
     ),
     "a sample of other weights counts": (
         "capacity_sharing/src/capacity_sharing/sampling.py",
-        'return self.good and self._call.weights not in ("", self._call.reported_weights)',
+        'return self.is_success and self._call.weights not in ("", self._call.reported_weights)',
         "return False",
         "tests/test_capacity_sharing.py -k wanted_weights",
     ),
@@ -287,7 +287,7 @@
     ),
     "any answer ends a begun stream": (
         "request_routing/src/request_routing/attempt_results.py",
-        "if begun and ends and not attempt.exchange.streams:",
+        "if begun and ends and not attempt.exchange.is_event_stream:",
         "if False:",
         _WIRE + "continues_no_stream",
     ),
