--- a/libs/request_routing/src/request_routing/batch_execution/item_executor.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_executor.py
@@ -1,7 +1,7 @@
-"""Runs the batch items that this edge was assigned, each as a request of its own.
+"""Runs the batch items that are assigned to this edge, each as a request of its own.
 
-The claim in the log stands for the opening of an idempotency key, so nothing more is asked of the
-stores. It also computes how many items this edge has capacity for. `item_run` runs forwarded items.
+The log's claim of an item takes the place of an idempotency key, so that no key is opened. The
+module also computes how many items this edge has capacity for. `item_run` runs forwarded items.
 """
 
 import json
@@ -26,15 +26,26 @@
 
 __all__ = ["ItemExecutor"]
 
+# A listed worker with queued requests gets no items while this fraction of its slots is loaded.
 _BUSY_SHARE = 0.5
 _OK = 200
 
 
 class ItemExecutor(Component):
-    """Starts batch items in the slots that live traffic leaves.
-
-    `profiles` gives the profiles in force; `why_unready` why the edge is not ready, or an empty
-    string; `edge_count` how many edges share the workers, itself included.
+    """Runs batch items in the slots that live requests leave free.
+
+    Parameters
+    ----------
+    router
+        Runs the items as requests.
+    registry
+        The workers.
+    profiles
+        Returns the tree of the profiles in force.
+    why_unready
+        Returns why the edge is not ready, or an empty string if it is.
+    edge_count
+        Returns the number of edges that share the workers, this one included.
     """
 
     __slots__ = (
@@ -64,12 +75,11 @@
         self._running = 0
         self._min_start_ms = 0
 
-    # -- capacity ------------------------------------------------------------------------------
-
     def capacity(self) -> tuple[int, frozenset[str]]:
-        """Return how many items may start now, and the routes that this edge's workers serve.
+        """Return how many items may start now, and the routes that the workers serve.
 
-        The free slots that batch jobs may use are shared evenly among the known edges.
+        The free slots that batch items may use are shared evenly among the edges. Even without a
+        free slot, one item may start per `heartbeat_ms` while none is running.
         """
         if self._why_unready():
             return 0, frozenset()
@@ -82,10 +92,14 @@
         if free_slots >= 1:
             own_share = math.ceil(free_slots / self._edge_count())
             capacity = max(0, own_share - self._router.items_waiting())
-        return capacity or self._minimum(workers), routes
+        return capacity or self._minimum_capacity(workers), routes
 
     def _free_slots(self, worker: Worker) -> float:
-        """Return how many slots of a worker items may take; none where live requests wait."""
+        """Return how many slots of a worker batch items may take.
+
+        The fraction `live_share` of its slots stays free for live requests. A worker with queued
+        requests has no free slots, except a listed one whose load is below `_BUSY_SHARE`.
+        """
         live_share: float = self.node.settings.live_share
         if not worker.listed:
             if worker.waiting:
@@ -98,23 +112,21 @@
             return 0.0
         return max(0.0, math.floor(worker.slots * (1 - live_share)) - load)
 
-    def _minimum(self, workers: list[Worker]) -> int:
-        """Allow one item now and then even where live traffic takes every slot."""
+    def _minimum_capacity(self, workers: list[Worker]) -> int:
+        """Return 1 at most once per `heartbeat_ms` while no item runs, so that items progress."""
         now_ms, period_ms = self.node.env.now(), self.node.settings.heartbeat_ms
         if not workers or self._running or now_ms - self._min_start_ms < period_ms:
             return 0
         self._min_start_ms = now_ms
         return 1
 
-    # -- running -------------------------------------------------------------------------------
-
     def start(
         self, assignment: messages.ItemAssignment | messages.ForwardAssignment, done: ItemDone
     ) -> Callable[[], None]:
-        """Run an item; `done` gets outcome, text and worker. Return what cancels it."""
+        """Run an item, call `done` with its outcome, and return a function that cancels it."""
         if isinstance(assignment, messages.ForwardAssignment):
             return self._start_forward(assignment, done)
-        return self._start_own(assignment, done)
+        return self._start_completion(assignment, done)
 
     def _start_forward(
         self, assignment: messages.ForwardAssignment, done: ItemDone
@@ -132,7 +144,9 @@
         run.begin()
         return cancel
 
-    def _start_own(self, assignment: messages.ItemAssignment, done: ItemDone) -> Callable[[], None]:
+    def _start_completion(
+        self, assignment: messages.ItemAssignment, done: ItemDone
+    ) -> Callable[[], None]:
         profile = self._profiles().usable(assignment.path)
         if profile is None:
             done(ItemOutcome.AGAIN, "", "")
@@ -143,7 +157,7 @@
         self._running += 1
         over = False
 
-        def end_once() -> bool:
+        def mark_over() -> bool:
             nonlocal over
             was_over, over = over, True
             if not was_over:
@@ -151,13 +165,13 @@
             return not was_over
 
         def on_finished(step: Step) -> None:
-            if end_once():
+            if mark_over():
                 self._report(assignment, lifecycle, step, done)
 
         request = self._router.start(lifecycle, call, None, on_finished)
 
         def cancel() -> None:
-            if end_once():
+            if mark_over():
                 request.cancel()
 
         return cancel
@@ -198,13 +212,11 @@
         else:
             done(ItemOutcome.MAY_HAVE_RUN, json.dumps(refusal.body()), worker)
 
-    # -- time ----------------------------------------------------------------------------------
-
     def _call_later(self, wait_ms: int, callback: Callable[[], None]) -> None:
         self._scheduled.append((self.node.env.now() + wait_ms, callback))
 
     def tick(self) -> None:
-        """Call what is due now."""
+        """Call the scheduled callbacks that are due."""
         now_ms = self.node.env.now()
         due = [callback for at_ms, callback in self._scheduled if at_ms <= now_ms]
         self._scheduled = [row for row in self._scheduled if row[0] > now_ms]
--- a/libs/request_routing/src/request_routing/batch_execution/item_outcome.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of one item's run at an edge, as it is reported to the log's leader."""
+"""The outcome of a batch item at an edge, as it is reported to the log's leader."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -8,11 +8,11 @@
 
 
 class ItemOutcome(StrEnum):
-    """The outcomes; the values are those of the log.
+    """The outcomes of an item; the values are stored in the log.
 
-    Of items of our own interface: RAN, REFUSED (the worker says that the request is wrong) and
-    MAY_HAVE_RUN. Of forwarded items: FINISHED, FAILED (by the worker's own answer) and DEAD (it
-    can't be done). Of both: AGAIN, which gives the item back.
+    Completions: RAN, REFUSED (the worker rejected the request as invalid) and MAY_HAVE_RUN.
+    Forwarded items: FINISHED, FAILED (the worker's error response) and DEAD (no worker can run it).
+    Both: AGAIN, which returns the item to be assigned again.
     """
 
     RAN = "ran"
@@ -25,4 +25,4 @@
 
 
 ItemDone = Callable[[str, Any, str], None]
-"""Called once with an item's outcome, its text (str, or bytes of a forwarded item), its worker."""
+"""Called once with an item's outcome, text (bytes if it is forwarded, else str) and worker."""
--- a/libs/request_routing/src/request_routing/batch_execution/item_reports.py
+++ b/libs/request_routing/src/request_routing/batch_execution/item_reports.py
@@ -1,7 +1,7 @@
-"""Reports the ends of items to the log's leader until they are acknowledged.
+"""Reports the outcomes of items to the log's leader until they are acknowledged.
 
-The ends of forwarded items are reported together, as many as there are while the report before is
-in flight; those of our own interface and of rollouts each for itself.
+Outcomes of forwarded items are batched: those that arrive while a report is in flight go into the
+next one. Outcomes of completions and of rollout samples are reported one by one.
 """
 
 from collections.abc import Callable
@@ -14,15 +14,19 @@
 
 __all__ = ["Assignment", "ItemClaim", "ItemReports", "RunningItem"]
 
+# No more outcomes are added to a report that has reached this size.
 _REPORT_BYTES = 1 << 20
 
 Assignment = messages.ItemAssignment | messages.ForwardAssignment | messages.RolloutAssignment
 ItemClaim = tuple[str, int]
-"""An item that this edge has claimed: the job's id and the item's index."""
+"""Identifies an item that this edge has claimed: the job's id and the item's index."""
 
 
 class RunningItem:
-    """An item that runs here, or has ended and is not acknowledged yet (`reported`)."""
+    """An item that runs at this edge, or whose outcome is not acknowledged yet.
+
+    `cancel` stops it; `reported` is true once it has ended and its outcome is to be reported.
+    """
 
     __slots__ = ("assignment", "cancel", "reported")
 
@@ -33,32 +37,42 @@
 
     @property
     def claim(self) -> ItemClaim:
-        """The item's job and index."""
+        """The item's key: the job's id and the item's index."""
         return self.assignment.job_id, self.assignment.index
 
 
 class ReportListener(Protocol):
-    """Whoever runs the items: it is told what the leader says to their reports."""
+    """The owner of the items, which handles the leader's responses to reports."""
 
     def is_current(self, item: RunningItem) -> bool:
-        """Whether the item was neither stopped nor acknowledged meanwhile."""
+        """Whether the item was neither stopped nor acknowledged."""
         ...
 
     def acknowledged(self, items: list[RunningItem]) -> None:
-        """Forget items whose ends the leader has."""
+        """Remove items whose outcomes the leader has acknowledged."""
         ...
 
     def listing_granted(self, job_id: str, epoch: int, up_to: int) -> None:
-        """List a job's results up to an index, by a listing lease of this epoch."""
+        """List a job's results up to an index, under the listing lease of this epoch."""
         ...
 
     def reports_sent(self) -> None:
-        """Send a heartbeat, as there may be capacity again."""
+        """Send a heartbeat, as the reported items no longer take up capacity."""
         ...
 
 
 class ItemReports:
-    """The reports of the edge of this identity, to the leader."""
+    """Sends the outcomes of an edge's items to the leader.
+
+    Parameters
+    ----------
+    edge
+        Identity of the edge.
+    leader
+        Client of the log's leader.
+    listener
+        The owner of the items.
+    """
 
     __slots__ = ("_edge", "_in_flight", "_leader", "_listener", "_unreported")
 
@@ -70,17 +84,18 @@
         self._in_flight = False
 
     def add(self, item: RunningItem, outcome: str, body: Any, worker: str, timeout_ms: int) -> None:
-        """Report an item's end; a report without a response in `timeout_ms` is sent again."""
+        """Report an item's outcome until it is acknowledged.
+
+        A report without a response within `timeout_ms` milliseconds is sent again.
+        """
         if isinstance(item.assignment, messages.ForwardAssignment):
             self._unreported.append((item, _encoded(item.assignment, outcome, body, worker)))
             self.send(timeout_ms)
         else:
             self._report(item, outcome, body, worker, timeout_ms)
 
-    # -- forwarded items -----------------------------------------------------------------------
-
     def send(self, timeout_ms: int) -> None:
-        """Report the ends of forwarded items that wait, unless a report is in flight."""
+        """Report pending outcomes of forwarded items, unless a report is in flight."""
         if self._in_flight:
             return
         rows = self._next_rows()
@@ -101,7 +116,7 @@
         self._listener.reports_sent()
 
     def _next_rows(self) -> list[tuple[RunningItem, bytes]]:
-        """Take the ends of one report, those of items stopped meanwhile left out."""
+        """Remove and return the outcomes of the next report, without those of stopped items."""
         rows: list[tuple[RunningItem, bytes]] = []
         size_bytes = 0
         while self._unreported and size_bytes < _REPORT_BYTES:
@@ -111,8 +126,6 @@
                 size_bytes += len(data)
         return rows
 
-    # -- other items ---------------------------------------------------------------------------
-
     def _report(
         self, item: RunningItem, outcome: str, body: str, worker: str, timeout_ms: int
     ) -> None:
--- a/libs/request_routing/src/request_routing/batch_execution/leader_client.py
+++ b/libs/request_routing/src/request_routing/batch_execution/leader_client.py
@@ -1,10 +1,13 @@
-"""The client of the log's leader: finds it, asks it, and retries until a response comes.
+"""The client of the log's leader: finds the leader, sends it requests, and retries them.
 
-The configuration feed tells where the leader is, and a store that is not the leader may know newer.
-A request that may run something later is stamped with the leader's own time as last heard. For our
-own interface the last stretch of the time is only waited for, so that a doubtful answer is given
-when nothing of the request can be in flight any more. An update that another store leads has all
-requests in flight sent again at once.
+The configuration feed names the leader; a store that is not the leader responds with the leader
+that it knows, which may be a newer one. Once a leader of a higher epoch is known, all requests in
+flight are sent again at once.
+
+A request that causes work later is stamped with the leader's epoch and its time as last heard, so
+that the leader can reject it if it arrives too late. For those in `_WAITED_FOR` the response is
+waited for, after the time for retries, for as long as a stamp is valid: if there is none, the
+outcome is unknown, but no copy of the request that is still in flight can be accepted any more.
 """
 
 import json
@@ -24,16 +27,37 @@
     messages.SubmitRollout,
 )
 _WAITED_FOR = (messages.SubmitJob, messages.OpenKey, messages.SubmitRollout)
+# Outcomes after which a request is sent again.
 _RETRIED = ("stale", "unknown")
+# Outcomes that refuse a request.
 _REFUSED = ("full", "no_path", "no_room")
 
 
 class LeaderRequest:
-    """A request to the leader until its response comes; `attempts` counts how often it was sent.
-
-    `due_ms` is when it is given up, `last_send_ms` after when it is not sent again, and
-    `next_send_ms` when it is sent next, by the node's clock. `epoch` is the leader epoch at which
-    it was sent last.
+    """A request to the leader that is waiting for its response.
+
+    Parameters
+    ----------
+    message
+        The request.
+    now_ms
+        Current time of the node's clock.
+    wait_ms
+        How long the request may be sent, in milliseconds.
+    final_wait_ms
+        How long its response is still waited for after that, in milliseconds.
+    done
+        Called with the response, or with None if there was none in time.
+
+    Attributes
+    ----------
+    due_ms, last_send_ms, next_send_ms
+        When the request fails, after which time it is not sent again, and when it is sent next, in
+        milliseconds of the node's clock.
+    attempts
+        How many times it was sent.
+    epoch
+        The leader epoch that was known when it was last sent.
     """
 
     __slots__ = (
@@ -51,11 +75,11 @@
         message: Message,
         now_ms: int,
         wait_ms: int,
-        quiet_ms: int,
+        final_wait_ms: int,
         done: Callable[[Any], None],
     ) -> None:
         self.message = message
-        self.due_ms = now_ms + wait_ms + quiet_ms
+        self.due_ms = now_ms + wait_ms + final_wait_ms
         self.last_send_ms = now_ms + wait_ms
         self.next_send_ms = now_ms
         self.done: Callable[[Any], None] | None = done
@@ -64,10 +88,21 @@
 
 
 class LeaderClient(Component):
-    """Asks the leader of the log; `log_key` gives the feed's body, `stores` addresses to try first.
-
-    `heartbeat_answered_ms` is when the last answered heartbeat was sent, by this node's clock;
-    `leader_ms` the leader's own time as last heard; both in milliseconds.
+    """Sends requests to the log's leader.
+
+    Parameters
+    ----------
+    log_key
+        Returns the value of the feed's key that names the leader, as JSON, or an empty string.
+    stores
+        Returns the addresses of the stores, one of which is asked while the leader is unknown.
+
+    Attributes
+    ----------
+    heartbeat_answered_ms
+        When the last answered heartbeat was sent, in milliseconds of this node's clock.
+    leader_ms
+        The leader's time as last heard, in milliseconds of the leader's clock.
     """
 
     __slots__ = (
@@ -91,15 +126,13 @@
         self.heartbeat_answered_ms = _NEVER_MS
         self.leader_ms = 0
 
-    # -- where the leader is -------------------------------------------------------------------
-
     @property
     def epoch(self) -> int:
-        """The highest leader epoch heard of."""
+        """The highest known leader epoch."""
         return self._epoch
 
     def address(self) -> str:
-        """Return the leader's address, else that of any store, else an empty string."""
+        """Return the leader's address, or a random store's, or an empty string if none is known."""
         self._read_key()
         if self._address:
             return self._address
@@ -127,32 +160,40 @@
         response: messages.EdgeHeartbeatResponse | messages.RolloutHeartbeatResponse,
         sent_ms: int,
     ) -> None:
-        """Take the leader's response to a heartbeat; the lease runs from `sent_ms`."""
+        """Handle the leader's response to a heartbeat, which renews the lease from `sent_ms` on.
+
+        A response of an earlier epoch is ignored.
+        """
         if response.epoch >= self._epoch:
             self._epoch = response.epoch
             self.heartbeat_answered_ms = sent_ms
             self.leader_ms = response.leader_ms
 
     def redirected(self, response: messages.NotLeader) -> bool:
-        """Take a store's response that another one leads; true if that is newer than known."""
+        """Handle the response of a store that is not the leader.
+
+        Returns true if the leader that it names is newer than the known one, or none was known.
+        """
         newer = bool(response.address) and self._is_newer(response.epoch)
         if newer:
             self._epoch, self._address = response.epoch, response.address
         return newer
 
-    # -- requests ------------------------------------------------------------------------------
-
     def request(self, message: Message, wait_ms: int, done: Callable[[Any], None]) -> LeaderRequest:
-        """Ask the leader, with retries, for at most `wait_ms` milliseconds.
+        """Send a request to the leader, with retries, for at most `wait_ms` milliseconds.
+
+        A request in `_WAITED_FOR` is not sent again after that, but its response is waited for
+        `max_submission_age_ms` longer, which is how long its stamp is valid.
 
-        `done` gets the response, or None if there was none in time; while the returned request's
-        `attempts` is 0 nothing of it was sent. A stamped request of our own interface is waited for
-        longer, by as long as its stamp may live, and is not sent again in that time.
+        Returns
+        -------
+        LeaderRequest
+            The request; while its `attempts` is 0, nothing has been sent.
         """
-        quiet_ms = (
+        final_wait_ms = (
             self.node.settings.max_submission_age_ms if isinstance(message, _WAITED_FOR) else 0
         )
-        request = LeaderRequest(message, self.node.env.now(), wait_ms, quiet_ms, done)
+        request = LeaderRequest(message, self.node.env.now(), wait_ms, final_wait_ms, done)
         self._requests.append(request)
         self._send(request)
         return request
@@ -178,14 +219,15 @@
         )
 
     def _stamped(self, message: Message) -> Message:
-        """Return the message with the leader's epoch and its own time as last heard."""
+        """Return the message stamped with the leader's epoch and its time as last heard."""
         stamp = {"epoch": self._epoch, "leader_ms": self.leader_ms}
         return type(message)(**{**message.as_dict(), **stamp})
 
     def _answered(self, request: LeaderRequest, number: int, response: Message | None) -> None:
-        """Take a response to one attempt of a request.
+        """Handle the response to attempt `number` of a request.
 
-        A refusal counts only of the last attempt, as a later one may have been taken meanwhile.
+        A refusal is final only if it responds to the last attempt, as a later attempt may have been
+        accepted.
         """
         if request.done is None or response is None:
             return
@@ -204,7 +246,7 @@
             self._finish(request, response)
 
     def _retry(self, request: LeaderRequest, at_ms: int) -> None:
-        """Send again at `at_ms`, or at once if that has come."""
+        """Send the request again at `at_ms` or earlier, and at once if that time has come."""
         request.next_send_ms = min(request.next_send_ms, at_ms)
         now_ms = self.node.env.now()
         if request.next_send_ms <= now_ms < request.last_send_ms:
@@ -218,7 +260,7 @@
             done(response)
 
     def tick(self) -> None:
-        """Send again what is due, and end what is out of time."""
+        """Send the requests that are due again, and fail those that are past their deadline."""
         now_ms = self.node.env.now()
         if self._requests:
             self._read_key()
--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -16,7 +16,7 @@
     WorkerHeaderNames,
     WorkerRegistry,
 )
-from request_routing.batch_execution.item_run import data_of
+from request_routing.batch_execution.item_run import event_data
 from request_routing.batch_execution.leader_client import LeaderClient
 from runtime import Settings
 from testtools import TestCase
@@ -373,4 +373,4 @@
             (b"database: 1\n\n", None),
         ]
         for event, data in rows:
-            self.assertThat(data_of(event), Equals(data), event)
+            self.assertThat(event_data(event), Equals(data), event)
