--- a/tests/test_item_runs.py
+++ b/tests/test_item_runs.py
@@ -1,5 +1,7 @@
-"""Items of forwarded lots at an edge: taken to their end as streams, taken up elsewhere after the last event,
-and what each ending is reported as. Workers are played by hand, on a clock of the test's own.
+"""Items of forwarded jobs at an edge: an interrupted stream is continued at another worker after its last event,
+without missing or repeated data, and each item is reported to the leader with the right outcome.
+
+The tests send the workers' and the leader's responses themselves, on a simulated clock.
 """
 
 import json
@@ -22,7 +24,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-DIALECT = WorkerHeaderNames(
+HEADER_NAMES = WorkerHeaderNames(
     request_id="Id",
     worker="Worker",
     signature="Stamp",
@@ -49,20 +51,20 @@
 ]
 
 
-class Stage:
-    """An edge's carrier and items with its runner; sends are kept, posts to the holder too."""
+class EdgeHarness:
+    """An edge's request router, item executor and job runner; keeps attempts and messages to the leader."""
 
     def __init__(self, workers=3):
         self.now_ms = 10_000
-        self.sends, self.posts = [], []
+        self.sent, self.messages = [], []
         env = SimpleNamespace(
             now=lambda: self.now_ms,
             wall=lambda: self.now_ms,
-            token=lambda: f"t{len(self.sends)}",
+            token=lambda: f"t{len(self.sent)}",
             address="edge:1",
             rng=random.Random(3),
             log=lambda event, level="INFO", **fields: None,
-            send=lambda to, request_id, in_reply_to, message: self.posts.append(
+            send=lambda to, request_id, in_reply_to, message: self.messages.append(
                 (to, request_id, message)
             ),
         )
@@ -95,36 +97,45 @@
         self.router = RequestRouter(
             "edge", self.leader_client, registry, lambda: self.tree, self._send
         )
-        self.router.header_names = DIALECT
-        self.items = ItemExecutor(self.router, registry, lambda: self.tree, lambda: "", lambda: 1)
-        self.runner = JobRunner("edge", self.leader_client, self.items.capacity, self.items.start)
+        self.router.header_names = HEADER_NAMES
+        self.executor = ItemExecutor(
+            self.router, registry, lambda: self.tree, lambda: "", lambda: 1
+        )
+        self.runner = JobRunner(
+            "edge", self.leader_client, self.executor.capacity, self.executor.start
+        )
         self.node = Node(
-            env, settings, [self.leader_client, registry, self.router, self.items, self.runner]
+            env, settings, [self.leader_client, registry, self.router, self.executor, self.runner]
         )
-        self.after(25)
+        self.advance(25)
 
-    def _send(self, send, address, target, headers, body, method="POST"):
+    def _send(self, attempt, address, target, headers, body, method="POST"):
         row = SimpleNamespace(
-            send=send, address=address, target=target, headers=dict(headers), body=body, open=True
+            attempt=attempt,
+            address=address,
+            target=target,
+            headers=dict(headers),
+            body=body,
+            open=True,
         )
-        self.sends.append(row)
+        self.sent.append(row)
         return lambda: setattr(row, "open", False)
 
-    def after(self, wait_ms):
+    def advance(self, wait_ms):
         end_ms = self.now_ms + wait_ms
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + 25)
             self.node.tick()
 
-    def asked(self, kind):
+    def messages_of(self, kind):
         return [
             (request_id, message)
-            for _, request_id, message in self.posts
+            for _, request_id, message in self.messages
             if isinstance(message, kind)
         ]
 
-    def deal(self, count=1, left_ms=30_000, avoid=()):
-        """Answers the beat under way with work."""
+    def assign(self, count=1, left_ms=30_000, avoid=()):
+        """Responds to the heartbeat in flight with assignments."""
         call = encode(
             m.ForwardItem(
                 item_id="i0",
@@ -138,7 +149,7 @@
                 tokens_out=50,
             )
         )
-        work = [
+        assignments = [
             encode(
                 m.ForwardAssignment(
                     job_id="lot",
@@ -152,12 +163,12 @@
             )
             for index in range(count)
         ]
-        self.answer(
+        self.respond(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
                 epoch=4,
                 leader_ms=1,
-                work=work,
+                work=assignments,
                 listing_leases=[],
                 closed_jobs=[],
                 waiting=0,
@@ -165,28 +176,30 @@
             ),
         )
 
-    def answer(self, kind, receipt):
-        self.node.receive("store:1", 0, self.asked(kind)[-1][0], receipt)
+    def respond(self, kind, response):
+        self.node.receive("store:1", 0, self.messages_of(kind)[-1][0], response)
 
-    def events(self, row, *numbers, head=HEAD):
+    def send_events(self, row, *numbers, head=HEAD):
         if head:
-            row.send.head(200, head, None)
+            row.attempt.head(200, head, None)
         for number in numbers:
-            row.send.data(b"id: %d\ndata: word%d\n\n" % (number, number))
+            row.attempt.data(b"id: %d\ndata: word%d\n\n" % (number, number))
 
-    def told(self):
-        """What was reported, as it would be acknowledged."""
+    def reported(self):
+        """Returns the reported outcomes and texts, those of repeated reports included."""
         rows = [
-            decode(data) for _, message in self.asked(m.ReportItemOutcomes) for data in message.rows
+            decode(data)
+            for _, message in self.messages_of(m.ReportItemOutcomes)
+            for data in message.rows
         ]
         return [(row.outcome, row.text) for row in rows]
 
 
-class Runs(TestCase):
-    def test_an_item_reaches_the_worker_as_it_was_handed_in(self):
-        stage = Stage()
-        stage.deal()
-        row = stage.sends[0]
+class ItemRuns(TestCase):
+    def test_item_is_forwarded_unchanged_with_control_headers(self):
+        edge = EdgeHarness()
+        edge.assign()
+        row = edge.sent[0]
         self.assertThat(
             (
                 row.target,
@@ -207,79 +220,81 @@
             Equals((True, False, False)),
         )
 
-    def test_the_text_is_the_data_of_all_events(self):
-        stage = Stage()
-        stage.deal()
-        row = stage.sends[0]
-        self.events_of(
-            stage, row, b"id: 0\ndata: one\ndata: more\n\n: note\n\nversion: 3\nid: 1\ndata:two\n\n"
+    def test_result_is_the_data_of_all_events(self):
+        edge = EdgeHarness()
+        edge.assign()
+        row = edge.sent[0]
+        self.send_data(
+            edge, row, b"id: 0\ndata: one\ndata: more\n\n: note\n\nversion: 3\nid: 1\ndata:two\n\n"
         )
-        row.send.end()
-        self.assertThat(stage.told(), Equals([("finished", b"one\nmore\ntwo")]))
+        row.attempt.end()
+        self.assertThat(edge.reported(), Equals([("finished", b"one\nmore\ntwo")]))
 
-    def events_of(self, stage, row, data):
-        stage.events(row)
-        row.send.data(data)
+    def send_data(self, edge, row, data):
+        edge.send_events(row)
+        row.attempt.data(data)
 
-    def test_a_broken_run_goes_on_after_its_last_event(self):
-        stage = Stage()
-        stage.deal()
+    def test_interrupted_stream_continues_after_last_event(self):
+        edge = EdgeHarness()
+        edge.assign()
         for number, ends in enumerate(("lost", "lost", "end")):
-            row = stage.sends[number]
+            row = edge.sent[number]
             self.assertThat(
                 row.headers.get("Last-Event-Id"), Equals(str(2 * number - 1) if number else None)
             )
-            stage.events(row, 2 * number, 2 * number + 1)
-            row.send.end() if ends == "end" else row.send.connection_failed("connection lost", True)
+            edge.send_events(row, 2 * number, 2 * number + 1)
+            row.attempt.end() if ends == "end" else row.attempt.connection_failed(
+                "connection lost", True
+            )
         self.assertThat(
-            stage.told(),
+            edge.reported(),
             Equals([("finished", b"\n".join(b"word%d" % number for number in range(6)))]),
         )
-        self.assertThat(len({row.address for row in stage.sends}), Equals(3))
+        self.assertThat(len({row.address for row in edge.sent}), Equals(3))
 
-    def test_an_event_missing_or_twice_is_not_taken(self):
+    def test_missing_or_repeated_event_fails_the_attempt(self):
         for first in (0, 1, 3):
-            stage = Stage()
-            stage.deal()
-            stage.events(stage.sends[0], 0, 1)
-            stage.sends[0].send.connection_failed("connection lost", True)
-            stage.events(stage.sends[1], first)
-            stage.events(stage.sends[2], 2)
-            stage.sends[2].send.end()
-            self.assertThat(stage.told(), Equals([("finished", b"word0\nword1\nword2")]), first)
+            edge = EdgeHarness()
+            edge.assign()
+            edge.send_events(edge.sent[0], 0, 1)
+            edge.sent[0].attempt.connection_failed("connection lost", True)
+            edge.send_events(edge.sent[1], first)
+            edge.send_events(edge.sent[2], 2)
+            edge.sent[2].attempt.end()
+            self.assertThat(edge.reported(), Equals([("finished", b"word0\nword1\nword2")]), first)
 
-    def test_a_plain_answer_is_no_end_of_a_run_that_has_begun(self):
+    def test_plain_response_does_not_end_a_begun_stream(self):
         plain = [
             pair for pair in HEAD if pair[0].lower() not in ("content-type", "transfer-encoding")
         ]
         for body in (b"{}", b""):
-            stage = Stage()
-            stage.deal()
-            stage.events(stage.sends[0], 0, 1)
-            stage.sends[0].send.connection_failed("connection lost", True)
-            stage.sends[1].send.head(200, plain, len(body))
-            stage.sends[1].send.data(body)
-            stage.sends[1].send.end()
-            self.assertThat(stage.told(), Equals([]), body)
-            stage.events(stage.sends[2], 2)
-            stage.sends[2].send.end()
-            self.assertThat(stage.told(), Equals([("finished", b"word0\nword1\nword2")]), body)
+            edge = EdgeHarness()
+            edge.assign()
+            edge.send_events(edge.sent[0], 0, 1)
+            edge.sent[0].attempt.connection_failed("connection lost", True)
+            edge.sent[1].attempt.head(200, plain, len(body))
+            edge.sent[1].attempt.data(body)
+            edge.sent[1].attempt.end()
+            self.assertThat(edge.reported(), Equals([]), body)
+            edge.send_events(edge.sent[2], 2)
+            edge.sent[2].attempt.end()
+            self.assertThat(edge.reported(), Equals([("finished", b"word0\nword1\nword2")]), body)
 
-    def test_what_came_is_gone_on_with_here_when_no_worker_is_left(self):
-        stage = Stage(workers=1)
-        stage.deal()
-        stage.events(stage.sends[0], 0, 1)
-        stage.sends[0].send.connection_failed("no connection", False)
+    def test_stream_continues_after_pause_when_no_worker_is_left(self):
+        edge = EdgeHarness(workers=1)
+        edge.assign()
+        edge.send_events(edge.sent[0], 0, 1)
+        edge.sent[0].attempt.connection_failed("no connection", False)
         for _ in range(60):
-            stage.after(100)
-            if len(stage.sends) > 1 and not stage.sends[-1].send.over:
+            edge.advance(100)
+            if len(edge.sent) > 1 and not edge.sent[-1].attempt.over:
                 break
-        self.assertThat(stage.sends[-1].headers["Last-Event-Id"], Equals("1"))
-        stage.events(stage.sends[-1], 2)
-        stage.sends[-1].send.end()
-        self.assertThat(stage.told(), Equals([("finished", b"word0\nword1\nword2")]))
+        self.assertThat(edge.sent[-1].headers["Last-Event-Id"], Equals("1"))
+        edge.send_events(edge.sent[-1], 2)
+        edge.sent[-1].attempt.end()
+        self.assertThat(edge.reported(), Equals([("finished", b"word0\nword1\nword2")]))
 
-    def test_how_a_workers_word_is_reported(self):
+    def test_outcomes_of_error_responses(self):
         rows = [
             (500, HEAD, "failed", 1),
             (422, HEAD, "dead", 1),
@@ -288,28 +303,28 @@
             (503, [*HEAD, ("Refused", "1")], "again", 8),
             (500, HEAD[1:], "again", 8),
         ]
-        for status, head, outcome, sends in rows:
-            stage = Stage(workers=9)
-            stage.deal()
+        for status, head, outcome, attempts in rows:
+            edge = EdgeHarness(workers=9)
+            edge.assign()
             for _ in range(20):
-                row = next((row for row in stage.sends if not row.send.over), None)
+                row = next((row for row in edge.sent if not row.attempt.over), None)
                 if row is None:
                     break
-                row.send.head(status, [*head[:1], ("Content-Length", "2"), *head[4:]], 2)
-                row.send.data(b"no")
-                row.send.end()
-            stage.after(stage.node.settings.heartbeat_ms + 50)
-            told = [name for name, _ in stage.told()]
+                row.attempt.head(status, [*head[:1], ("Content-Length", "2"), *head[4:]], 2)
+                row.attempt.data(b"no")
+                row.attempt.end()
+            edge.advance(edge.node.settings.heartbeat_ms + 50)
+            outcomes = [name for name, _ in edge.reported()]
             self.assertThat(
-                (told[:1], len({row.address for row in stage.sends})),
-                Equals(([outcome], sends)),
+                (outcomes[:1], len({row.address for row in edge.sent})),
+                Equals(([outcome], attempts)),
                 status,
             )
 
-    def test_stopped_when_the_lot_is_over_and_when_the_holder_is_silent(self):
-        stage = Stage()
-        stage.deal(2)
-        stage.answer(
+    def test_items_stop_when_job_is_closed_or_lease_expires(self):
+        edge = EdgeHarness()
+        edge.assign(2)
+        edge.respond(
             m.EdgeHeartbeat,
             m.EdgeHeartbeatResponse(
                 epoch=4,
@@ -322,50 +337,52 @@
             ),
         )
         self.assertThat(
-            ([row.open for row in stage.sends], stage.told()), Equals(([False, False], []))
+            ([row.open for row in edge.sent], edge.reported()), Equals(([False, False], []))
         )
-        stage = Stage()
-        stage.deal()
-        stage.after(stage.node.settings.claim_timeout_ms + 50)
+        edge = EdgeHarness()
+        edge.assign()
+        edge.advance(edge.node.settings.claim_timeout_ms + 50)
         self.assertThat(
-            (stage.sends[0].open, [name for name, _ in stage.told()]), Equals((False, ["again"]))
+            (edge.sent[0].open, [name for name, _ in edge.reported()]), Equals((False, ["again"]))
         )
 
-    def test_reports_go_together_until_they_are_acknowledged(self):
-        stage = Stage()
-        stage.deal(4)
-        for row in stage.sends:
-            stage.events(row, 0)
-        stage.sends[0].send.end()
-        for row in stage.sends[1:]:
-            row.send.end()
+    def test_outcomes_are_batched_and_reported_until_acknowledged(self):
+        edge = EdgeHarness()
+        edge.assign(4)
+        for row in edge.sent:
+            edge.send_events(row, 0)
+        edge.sent[0].attempt.end()
+        for row in edge.sent[1:]:
+            row.attempt.end()
         self.assertThat(
-            [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)], Equals([1])
+            [len(message.rows) for _, message in edge.messages_of(m.ReportItemOutcomes)],
+            Equals([1]),
         )
-        self.assertThat(len(stage.asked(m.EdgeHeartbeat)[-1][1].running), Equals(4))
-        stage.answer(
+        self.assertThat(len(edge.messages_of(m.EdgeHeartbeat)[-1][1].running), Equals(4))
+        edge.respond(
             m.ReportItemOutcomes, m.ReportResultResponse(ok=True, listing_epoch=0, up_to=0)
         )
         self.assertThat(
-            [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)], Equals([1, 3])
+            [len(message.rows) for _, message in edge.messages_of(m.ReportItemOutcomes)],
+            Equals([1, 3]),
         )
-        stage.answer(
+        edge.respond(
             m.ReportItemOutcomes, m.ReportResultResponse(ok=False, listing_epoch=0, up_to=0)
         )
-        stage.after(25)
+        edge.advance(25)
         self.assertThat(
-            [len(message.rows) for _, message in stage.asked(m.ReportItemOutcomes)],
+            [len(message.rows) for _, message in edge.messages_of(m.ReportItemOutcomes)],
             Equals([1, 3, 3]),
         )
 
-    def test_profiles_of_the_moment(self):
-        stage = Stage()
-        stage.tree = ProfileTree({})
-        stage.deal()
-        stage.after(stage.node.settings.heartbeat_ms + 50)
-        self.assertThat((stage.sends, [name for name, _ in stage.told()]), Equals(([], ["again"])))
+    def test_item_without_route_in_force_is_returned(self):
+        edge = EdgeHarness()
+        edge.tree = ProfileTree({})
+        edge.assign()
+        edge.advance(edge.node.settings.heartbeat_ms + 50)
+        self.assertThat((edge.sent, [name for name, _ in edge.reported()]), Equals(([], ["again"])))
 
-    def test_data_of_an_event(self):
+    def test_event_data(self):
         rows = [
             (b"id: 1\ndata: a b\n\n", b"a b"),
             (b"data:  a\r\ndata:\r\ndata\r\n\r\n", b" a\n\n"),
