--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,6 +1,8 @@
-"""The exchange with a worker, attacked by a table: a stand-in that misbehaves once on real sockets, against
-the edge's own carrier and sender. For each way: what the visitor got, what he was told, how often
-it was sent. A second send, to another worker, is always well answered.
+"""Faulty responses of a worker to completions, over real sockets, through the edge's request router and HTTP sender.
+
+Guards against delivering a truncated, malformed or misrouted response as a success, and against sending a request
+again that may have run and is not idempotent. In each row the first attempt gets the response of the row; a second
+one, at the other worker, always gets a good response.
 """
 
 import asyncio
@@ -31,25 +33,26 @@
     return f"HTTP/1.1 {status}\r\n{ids}Content-Length: {size}\r\n\r\n" + body
 
 
-def event(place, lifecycle="{tx}"):
-    return f'id: {place}\ndata: {{{{"id": "{lifecycle}", "choices": []}}}}\n\n'
+def event(number, run_id="{tx}"):
+    return f'id: {number}\ndata: {{{{"id": "{run_id}", "choices": []}}}}\n\n'
 
 
-def chunk(text, lifecycle="t" * 12):
-    return f"{len(text.replace('{{', '{').replace('}}', '}').replace('{tx}', lifecycle)):x}\r\n{text}\r\n"
+def chunk(text, request_id="t" * 12):
+    return f"{len(text.replace('{{', '{').replace('}}', '}').replace('{tx}', request_id)):x}\r\n{text}\r\n"
 
 
 END = "data: [DONE]\n\n"
-GOOD = '{{"id": "{tx}"}}'
+GOOD_BODY = '{{"id": "{tx}"}}'
 NOT_RUN = '{{"error": {{"verdict": "not_run", "code": "busy"}}}}'
-WRONG = '{{"error": {{"verdict": "not_run", "code": "wrong-worker"}}}}'
+WRONG_WORKER = '{{"error": {{"verdict": "not_run", "code": "wrong-worker"}}}}'
 GOOD_STREAM = SSE + event(0) + event(1) + END
 
-# name, streamed, what the first worker writes, then for safe and unsafe: last step, verdict, sends, pieces
-DOUBT = "refuse may_have_run 1 0"
-AGAIN, AGAIN_STREAM, CUT = "finish ran 2 0", "finish ran 2 2", "cut may_have_run 1 {}"
+# Columns: name; whether the response is a stream; the first worker's response, in which None stands for no further
+# data; and for an idempotent request and one that is not: last step, verdict or "ran", attempts, delivered events.
+MAY_HAVE_RUN = "refuse may_have_run 1 0"
+RETRIED, RETRIED_STREAM, CUT = "finish ran 2 0", "finish ran 2 2", "cut may_have_run 1 {}"
 ROWS = [
-    ("good", False, plain(GOOD), "finish ran 1 0", "finish ran 1 0"),
+    ("good", False, plain(GOOD_BODY), "finish ran 1 0", "finish ran 1 0"),
     ("good stream", True, GOOD_STREAM, "finish ran 1 2", "finish ran 1 2"),
     (
         "good chunked stream",
@@ -58,10 +61,10 @@
         "finish ran 1 2",
         "finish ran 1 2",
     ),
-    ("closed without a word", False, "", AGAIN, DOUBT),
-    ("cut in the head", False, "HTTP/1.1 200 OK\r\nContent-Le", AGAIN, DOUBT),
-    ("cut after the head", True, SSE, AGAIN_STREAM, DOUBT),
-    ("cut in an event", True, SSE + event(0)[:20], AGAIN_STREAM, DOUBT),
+    ("closed without a response", False, "", RETRIED, MAY_HAVE_RUN),
+    ("cut in the head", False, "HTTP/1.1 200 OK\r\nContent-Le", RETRIED, MAY_HAVE_RUN),
+    ("cut after the head", True, SSE, RETRIED_STREAM, MAY_HAVE_RUN),
+    ("cut in an event", True, SSE + event(0)[:20], RETRIED_STREAM, MAY_HAVE_RUN),
     ("cut in the second event", True, SSE + event(0) + event(1)[:9], CUT.format(1), CUT.format(1)),
     ("cut between events", True, SSE + event(0) + event(1), CUT.format(2), CUT.format(2)),
     (
@@ -71,52 +74,64 @@
         CUT.format(2),
         CUT.format(2),
     ),
-    ("short body", False, plain(GOOD, 90), AGAIN, DOUBT),
-    ("long body", False, plain(GOOD + "more", len('{"id": ""}') + 12), AGAIN, DOUBT),
+    ("short body", False, plain(GOOD_BODY, 90), RETRIED, MAY_HAVE_RUN),
+    ("long body", False, plain(GOOD_BODY + "more", len('{"id": ""}') + 12), RETRIED, MAY_HAVE_RUN),
     (
         "body without a length",
         False,
-        plain(GOOD).replace("Content-Length: 22\r\n", ""),
-        AGAIN,
-        DOUBT,
+        plain(GOOD_BODY).replace("Content-Length: 22\r\n", ""),
+        RETRIED,
+        MAY_HAVE_RUN,
     ),
-    ("body that is no JSON", False, plain("hello"), AGAIN, DOUBT),
-    ("body that is a list", False, plain("[1]"), AGAIN, DOUBT),
+    ("body that is no JSON", False, plain("hello"), RETRIED, MAY_HAVE_RUN),
+    ("body that is a list", False, plain("[1]"), RETRIED, MAY_HAVE_RUN),
     (
         "ids of another worker",
         False,
-        plain(GOOD, ids=IDS.replace("{worker}", "w-9/1")),
-        AGAIN,
-        DOUBT,
+        plain(GOOD_BODY, ids=IDS.replace("{worker}", "w-9/1")),
+        RETRIED,
+        MAY_HAVE_RUN,
     ),
     (
-        "ids of another transaction",
+        "ids of another request",
         False,
-        plain(GOOD, ids=IDS.replace("{tx}", "other")),
-        AGAIN,
-        DOUBT,
+        plain(GOOD_BODY, ids=IDS.replace("{tx}", "other")),
+        RETRIED,
+        MAY_HAVE_RUN,
     ),
-    ("no ids", False, plain(GOOD, ids=""), AGAIN, DOUBT),
-    ("ids doubled", False, plain(GOOD, ids=IDS + IDS), AGAIN, DOUBT),
-    ("stream without ids", True, "HTTP/1.1 200 OK\r\n\r\n" + event(0) + END, AGAIN_STREAM, DOUBT),
-    ("a piece repeated", True, SSE + event(0) + event(0) + END, CUT.format(1), CUT.format(1)),
-    ("a piece skipped", True, SSE + event(0) + event(2) + END, CUT.format(1), CUT.format(1)),
-    ("pieces out of order", True, SSE + event(1) + event(0) + END, AGAIN_STREAM, DOUBT),
+    ("no ids", False, plain(GOOD_BODY, ids=""), RETRIED, MAY_HAVE_RUN),
+    ("ids repeated", False, plain(GOOD_BODY, ids=IDS + IDS), RETRIED, MAY_HAVE_RUN),
     (
-        "a piece of another run",
+        "stream without ids",
+        True,
+        "HTTP/1.1 200 OK\r\n\r\n" + event(0) + END,
+        RETRIED_STREAM,
+        MAY_HAVE_RUN,
+    ),
+    ("an event repeated", True, SSE + event(0) + event(0) + END, CUT.format(1), CUT.format(1)),
+    ("an event skipped", True, SSE + event(0) + event(2) + END, CUT.format(1), CUT.format(1)),
+    ("events out of order", True, SSE + event(1) + event(0) + END, RETRIED_STREAM, MAY_HAVE_RUN),
+    (
+        "an event of another run",
         True,
         SSE + event(0) + event(1, "other") + END,
         CUT.format(1),
         CUT.format(1),
     ),
     (
-        "a stream under the worker's own id",
+        "a run id chosen by the worker",
         True,
         SSE + event(0, "own") + event(1, "own") + END,
         "finish ran 1 2",
         "finish ran 1 2",
     ),
-    ("an event without an id", True, SSE + "id: 0\ndata: hello\n\n" + END, AGAIN_STREAM, DOUBT),
+    (
+        "an event without a run id",
+        True,
+        SSE + "id: 0\ndata: hello\n\n" + END,
+        RETRIED_STREAM,
+        MAY_HAVE_RUN,
+    ),
     (
         "end mark too early",
         True,
@@ -134,9 +149,9 @@
     ("no end mark", True, SSE + event(0), CUT.format(1), CUT.format(1)),
     ("nothing but the end mark", True, SSE + END, "finish ran 1 0", "finish ran 1 0"),
     (
-        "continue, then good",
+        "100 Continue, then good",
         False,
-        "HTTP/1.1 100 Continue\r\n\r\n" + plain(GOOD),
+        "HTTP/1.1 100 Continue\r\n\r\n" + plain(GOOD_BODY),
         "finish ran 1 0",
         "finish ran 1 0",
     ),
@@ -144,17 +159,23 @@
         "redirect",
         False,
         plain("", status="302 Found\r\nLocation: http://127.0.0.1:1/"),
-        AGAIN,
-        DOUBT,
+        RETRIED,
+        MAY_HAVE_RUN,
     ),
-    ("500 without a verdict", False, plain("oh", status="500 No"), AGAIN, DOUBT),
-    ("503 not run", False, plain(NOT_RUN, status="503 No"), AGAIN, AGAIN),
-    ("429 not run", True, plain(NOT_RUN, status="429 No"), AGAIN_STREAM, AGAIN_STREAM),
-    ("503 not run without ids", False, plain(NOT_RUN, status="503 No", ids=""), AGAIN, DOUBT),
-    ("500 not run", False, plain(NOT_RUN, status="500 No"), AGAIN, DOUBT),
-    ("503 not run, cut short", False, plain(NOT_RUN, 200, status="503 No"), AGAIN, DOUBT),
-    ("409 wrong worker", False, plain(WRONG, status="409 No", ids=""), AGAIN, AGAIN),
-    ("200 wrong worker", False, plain(WRONG, ids=""), AGAIN, DOUBT),
+    ("500 without a verdict", False, plain("oh", status="500 No"), RETRIED, MAY_HAVE_RUN),
+    ("503 not run", False, plain(NOT_RUN, status="503 No"), RETRIED, RETRIED),
+    ("429 not run", True, plain(NOT_RUN, status="429 No"), RETRIED_STREAM, RETRIED_STREAM),
+    (
+        "503 not run without ids",
+        False,
+        plain(NOT_RUN, status="503 No", ids=""),
+        RETRIED,
+        MAY_HAVE_RUN,
+    ),
+    ("500 not run", False, plain(NOT_RUN, status="500 No"), RETRIED, MAY_HAVE_RUN),
+    ("503 not run, cut short", False, plain(NOT_RUN, 200, status="503 No"), RETRIED, MAY_HAVE_RUN),
+    ("409 wrong worker", False, plain(WRONG_WORKER, status="409 No", ids=""), RETRIED, RETRIED),
+    ("200 wrong worker", False, plain(WRONG_WORKER, ids=""), RETRIED, MAY_HAVE_RUN),
     (
         "400 from the worker",
         False,
@@ -162,33 +183,45 @@
         "finish ran 1 0",
         "finish ran 1 0",
     ),
-    ("400 cut short", False, plain('{{"error": "prompt"}}', 99, status="400 No"), AGAIN, DOUBT),
-    ("garbage", False, "\x00\x01 hello\r\n\r\n", AGAIN, DOUBT),
-    ("a head too long", False, "HTTP/1.1 200 OK\r\nA: " + "a" * 200_000, AGAIN, DOUBT),
     (
-        "an endless stream",
+        "400 cut short",
+        False,
+        plain('{{"error": "prompt"}}', 99, status="400 No"),
+        RETRIED,
+        MAY_HAVE_RUN,
+    ),
+    ("bytes that are not HTTP", False, "\x00\x01 hello\r\n\r\n", RETRIED, MAY_HAVE_RUN),
+    (
+        "a head over the size limit",
+        False,
+        "HTTP/1.1 200 OK\r\nA: " + "a" * 200_000,
+        RETRIED,
+        MAY_HAVE_RUN,
+    ),
+    (
+        "an event over the size limit",
         True,
         SSE + event(0) + "id: 1\ndata: " + "x" * 6_000_000,
         CUT.format(1),
         CUT.format(1),
     ),
     (
-        "a body beyond all bounds",
+        "a body over the size limit",
         False,
         plain('{{"id": "{tx}", "pad": "' + "x" * 6_000_000 + '"}}'),
-        AGAIN,
-        DOUBT,
+        RETRIED,
+        MAY_HAVE_RUN,
     ),
-    ("silence", False, None, "refuse may_have_run 1 0", DOUBT),
+    ("silence", False, None, "refuse may_have_run 1 0", MAY_HAVE_RUN),
     ("silence after the head", True, (SSE + event(0), None), CUT.format(1), CUT.format(1)),
 ]
 
 
-class Rogue:
-    """Two addresses, one behaviour: the first request that comes is answered as told, later ones well."""
+class FaultyWorkers:
+    """Both workers: responds to the first request with `response`, and to later ones with a good response."""
 
     def __init__(self):
-        self.script, self.held = "", []
+        self.response, self.open_writers = "", []
         self.count = 0
 
     async def serve(self, reader, writer):
@@ -196,11 +229,17 @@
         fields = dict(line.split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
         body = json.loads(await reader.readexactly(int(fields["Content-Length"])))
         self.count += 1
-        script = self.script if self.count == 1 else GOOD_STREAM if body["stream"] else plain(GOOD)
-        parts = script if isinstance(script, tuple) else (script,)
+        response = (
+            self.response
+            if self.count == 1
+            else GOOD_STREAM
+            if body["stream"]
+            else plain(GOOD_BODY)
+        )
+        parts = response if isinstance(response, tuple) else (response,)
         for part in parts:
             if part is None:
-                self.held.append(writer)
+                self.open_writers.append(writer)
                 return
             text = part.replace("{worker}", fields["X-Vaneledge-Worker"]).replace(
                 "{tx}", fields["X-Vaneledge-Transaction"]
@@ -211,15 +250,16 @@
         writer.close()
 
 
-class Exchanges(TestCase):
-    def test_rows(self):
+class WorkerExchanges(TestCase):
+    def test_faulty_responses(self):
         set_up_logs("ERROR")
-        asyncio.run(self.rows())
+        asyncio.run(self.run_rows())
 
-    async def rows(self):
-        rogue = Rogue()
+    async def run_rows(self):
+        workers = FaultyWorkers()
         servers = [
-            await asyncio.start_server(rogue.serve, "127.0.0.1", PORT + place) for place in (2, 3)
+            await asyncio.start_server(workers.serve, "127.0.0.1", PORT + number)
+            for number in (2, 3)
         ]
         settings = Settings(
             role="edge",
@@ -230,34 +270,36 @@
             max_body_bytes=1 << 20,
         )
         sender = HttpSender(settings.request_timeout_ms)
-        wrong = []
-        for place, (name, streamed, script, *wanted) in enumerate(ROWS):
-            for safe, expected in zip((True, False), wanted, strict=True):
-                rogue.script, rogue.count = script, 0
-                seen = await self.one(
-                    settings, sender, f"{place:06d}", streamed, safe, "silence" in name
+        failures = []
+        for number, (name, streamed, response, *results) in enumerate(ROWS):
+            for idempotent, expected in zip((True, False), results, strict=True):
+                workers.response, workers.count = response, 0
+                actual = await self.run_row(
+                    settings, sender, f"{number:06d}", streamed, idempotent, "silence" in name
                 )
-                if seen != expected:
-                    wrong.append((name, "safe" if safe else "unsafe", seen, expected))
+                if actual != expected:
+                    failures.append(
+                        (name, "idempotent" if idempotent else "not idempotent", actual, expected)
+                    )
         await sender.close()
         for server in servers:
             server.close()
-        for writer in rogue.held:
+        for writer in workers.open_writers:
             writer.close()
-        self.assertThat(wrong, Equals([]))
+        self.assertThat(failures, Equals([]))
 
-    async def one(self, settings, sender, name, streamed, safe, short):
+    async def run_row(self, settings, sender, name, streamed, idempotent, short_deadline):
         env = ProcessEnvironment(settings.link)
         node = EdgeNode(env, settings, sender)
-        shell = NodeRunner(node, env)
-        await shell.start()
+        runner = NodeRunner(node, env)
+        await runner.start()
         node.config_feed.publish("profiles", 1, TREE)
-        for place in (2, 3):
+        for number in (2, 3):
             node.registry.apply_update(
                 WorkerUpdate(
-                    identity=f"w{place}",
+                    identity=f"w{number}",
                     incarnation=1,
-                    address=f"127.0.0.1:{PORT + place}",
+                    address=f"127.0.0.1:{PORT + number}",
                     zone="z",
                     labels=["gpu"],
                     beat=1,
@@ -269,23 +311,23 @@
                 )
             )
         lifecycle = RequestLifecycle(
-            f"tx{safe:d}{'s' if streamed else 'p'}00{name}",
+            f"tx{idempotent:d}{'s' if streamed else 'p'}00{name}",
             node.profile_tree().usable("p"),
             "",
             boot_ms(),
             RetryBudget(),
-            boot_ms() + (250 if short else 4000),
+            boot_ms() + (250 if short_deadline else 4000),
             claimed=True,
         )
-        lifecycle.idempotent = safe
-        pieces, done = [], asyncio.get_running_loop().create_future()
+        lifecycle.idempotent = idempotent
+        events, done = [], asyncio.get_running_loop().create_future()
         node.router.start(
             lifecycle,
             Call({"prompt": "x"}, "", "x", False, streamed),
-            pieces.append,
+            events.append,
             done.set_result,
         )
         step = await done
         self.assertThat(sum(worker.in_flight for worker in node.registry.all()), Equals(0))
-        await shell.stop()
-        return f"{step.kind} {step.refusal.verdict if step.refusal else 'ran'} {len(lifecycle.attempts)} {len(pieces)}"
+        await runner.stop()
+        return f"{step.kind} {step.refusal.verdict if step.refusal else 'ran'} {len(lifecycle.attempts)} {len(events)}"
