--- a/libs/request_routing/src/request_routing/batch_execution/leader_client.py
+++ b/libs/request_routing/src/request_routing/batch_execution/leader_client.py
@@ -172,7 +172,7 @@
     def redirected(self, response: messages.NotLeader) -> bool:
         """Handle the response of a store that is not the leader.
 
-        Returns true if the leader that it names is newer than the known one, or none was known.
+        Returns true if it names a leader of a higher epoch, or the address that was not known yet.
         """
         newer = bool(response.address) and self._is_newer(response.epoch)
         if newer:
--- a/libs/request_routing/src/request_routing/forward_exchange.py
+++ b/libs/request_routing/src/request_routing/forward_exchange.py
@@ -22,6 +22,7 @@
 __all__ = ["ForwardExchange"]
 
 _MISDIRECTED = 421
+# Statuses that tell a client that its request has not run.
 _NOT_RUN_STATUS = (408, 429, 503)
 _STATUS_WITHOUT_BODY = (204, 304)
 _UNKNOWN_LENGTH = -1
@@ -224,7 +225,7 @@
         return otherwise
 
     def _unmatched(self, otherwise: AttemptOutcome) -> AttemptOutcome:
-        """Return the outcome of a response without the request's id: it may have run."""
+        """Return the failure for a response without the request's id; the request may have run."""
         if otherwise.fault:
             return otherwise
         reason = "ids do not match" if self._values else otherwise.reason
