--- a/libs/data_plane/src/data_plane/__init__.py
+++ b/libs/data_plane/src/data_plane/__init__.py
@@ -1,16 +1,17 @@
 """Data plane: edges serve clients and workers, storage nodes keep the replicated log.
 
-The nodes (`EdgeNode`, `StoreNode`) put together the components of the packages below and have no
-sockets, so that the simulator runs the same code. `EdgeProcess` and `StoreProcess` give them HTTP
-servers, connections to workers, disks and signals; `cli` is the program `vaneledge-data`.
-
-It may import runtime, messaging, storage, membership, config_feed, control_store, replicated_log,
-batch_state, request_routing and capacity_sharing; of these packages none imports it.
-
-Invariants: whoever can't be told the outcome of a request gets a verdict that says so (doubtful);
-the HTTP modules decide nothing, they read, call a service and write its response. A change of what
-clients are told goes into `responses` and its kin, one of HTTP into the `..._api` and `..._server`
-modules, one of the assembly into `edge_node` or `store_node`.
+The nodes (`EdgeNode`, `StoreNode`) assemble components of the packages named below and open no
+sockets, so that the simulator runs the same code. `EdgeProcess` and `StoreProcess` add the HTTP
+servers, connections to workers, disks and signal handling; `cli` is the program `vaneledge-data`.
+
+The package may import runtime, messaging, storage, membership, config_feed, control_store,
+replicated_log, batch_state, request_routing and capacity_sharing; none of these imports it.
+
+Invariants: a client whose request has an unknown outcome gets the verdict `may_have_run`, never
+`not_run`. The HTTP modules make no decisions: they parse a request, call a service and write its
+response. The content of responses is changed in `responses`, `job_responses` and
+`forward_job_responses`, HTTP handling in the `..._api` and `..._server` modules, and the assembly
+of a node in `edge_node` or `store_node`.
 """
 
 from typing import TYPE_CHECKING
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -149,7 +149,7 @@
             self.edge_service, self.leader_client, self.profile_tree
         )
         self.forward_service = ForwardService(
-            self.router, self.profile_tree, self._readiness.why_unsure
+            self.router, self.profile_tree, self._readiness.why_profiles_uncertain
         )
         self.forward_job_service = ForwardJobService(
             self.leader_client,
@@ -194,5 +194,5 @@
         )
 
     def why_unready(self) -> str:
-        """Return why it is not ready, or an empty string."""
-        return "stopping" if self.stopping else self._readiness.why_unsure()
+        """Return why the edge is not ready, or an empty string."""
+        return "stopping" if self.stopping else self._readiness.why_profiles_uncertain()
--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -26,8 +26,8 @@
         self._caught_up = False
         self._was_quorate = False
 
-    def why_unsure(self) -> str:
-        """Return why the edge can't know that its profiles are in force, or an empty string."""
+    def why_profiles_uncertain(self) -> str:
+        """Return why the edge's profiles may not be those in force, or an empty string."""
         now_ms = self._node.env.now()
         settings = self._node.settings
         if settings.cut_off == "serve":
--- a/libs/data_plane/src/data_plane/forward_connections.py
+++ b/libs/data_plane/src/data_plane/forward_connections.py
@@ -1,7 +1,9 @@
-"""Clients' connections for forwarded requests: the library's HTTP server with limits of our own.
+"""Clients' connections for forwarded requests: aiohttp's HTTP server with configurable limits.
 
-The limits come with the configuration; each connection keeps those that were in force when it
-began. A draining server closes a connection only once what was read from it is answered.
+The limits come with the configuration. A connection keeps the idle timeout and the limit of its
+header lines that were in force when it was opened; a request's body has the limit in force when its
+handling begins. A draining server answers each request that it has read before it closes the
+connection.
 """
 
 import asyncio
@@ -23,15 +25,15 @@
 
 
 class ClientConnection(RequestHandler):
-    """One connection of a client."""
+    """A client's connection."""
 
     __slots__ = ()
 
     def close_when_idle(self) -> None:
-        """Close now if no request has been read, else with the response.
+        """Close now if no request has been read, else after the response.
 
-        A request that was taken off the queue and isn't handled yet shows only in that nothing
-        waits for the next one.
+        A request that aiohttp has taken off its queue and not begun to handle is neither queued nor
+        in progress; the only sign of it is that nothing waits for the next request.
         """
         waiting = self._waiter is not None and not self._waiter.done()
         if self._request_in_progress or self._messages or (self._request_count and not waiting):
@@ -41,14 +43,14 @@
 
 
 class ConnectionServer(web.Server):
-    """The HTTP server; new connections get the limits that are in force when they come."""
+    """The HTTP server; `limits` are those in force, by the keys of `DEFAULT_LIMITS`."""
 
     limits: dict[str, int] = DEFAULT_LIMITS
 
     def __call__(self) -> RequestHandler:
-        """Return the protocol of a new connection."""
+        """Return the protocol of a new connection, with the limits in force."""
         limits = self.limits
-        # The library takes None as no access log, though its annotation says otherwise.
+        # aiohttp accepts None for no access log, although its type annotation excludes it.
         no_access_log: Any = None
         return ClientConnection(
             self,
@@ -75,14 +77,14 @@
         )
 
     def close_idle_connections(self) -> None:
-        """Close each connection now or with the response to what was read from it."""
+        """Close each connection now, or after the response to a request that it has read."""
         for connection in self.connections:
             if isinstance(connection, ClientConnection):
                 connection.close_when_idle()
 
 
 async def listen(loop: asyncio.AbstractEventLoop, factory: Any, address: str) -> asyncio.Server:
-    """Listen at IP:PORT; raises OSError if that can't be done."""
+    """Listen at `address`, IP:PORT; raises OSError if it can't be bound."""
     host, _, port = address.rpartition(":")
     return await loop.create_server(
         factory, host.strip("[]"), int(port), backlog=_LISTEN_BACKLOG, reuse_address=True
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -1,9 +1,9 @@
 """The HTTP server of an edge for forwarded requests.
 
-A request is read as a whole, its route is found, and the worker's response is written as it comes:
-complete events, and never the end of what is not complete. A client that reads slowly holds back
-the worker (backpressure); one that disconnects releases it. How requests are read is given by a
-`RequestReader`.
+A request is read completely before it is routed. The worker's response is written as it arrives, in
+complete events; a response that breaks off is never terminated, so that the client can't take it
+for complete. A client that reads slowly slows the worker down (backpressure); a disconnect cancels
+the request. A `RequestReader` parses the requests of the platform that the edge serves.
 """
 
 import asyncio
@@ -21,9 +21,10 @@
 
 __all__ = ["ForwardServer", "RequestReader", "forward_refusal_response"]
 
-# shares of grace_ms and of the idle time that a kept connection is announced with
-_LINGER_SHARE = 0.45
-_ANNOUNCED_SHARE = 0.8
+# Share of grace_ms during which a draining edge still accepts clients.
+_DRAIN_ACCEPT_SHARE = 0.45
+# Share of the idle timeout that the Keep-Alive header announces.
+_ANNOUNCED_IDLE_SHARE = 0.8
 _SHUTDOWN_S = 0.05
 _NO_JOBS_RETRY_MS = 1000
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -33,27 +34,30 @@
 
 
 class RequestReader(Protocol):
-    """What differs by the platform: the names of headers, of paths and of limits."""
+    """Parses requests by a platform's names of headers, paths and limits."""
 
     def call(self, request: web.BaseRequest, profile: Any, body: bytes) -> ForwardCall | Refusal:
         """Return the request to forward, or why it is refused."""
         ...
 
     def client_ms(self, request: web.BaseRequest) -> int | None:
-        """Return how many milliseconds the client waits, None if it doesn't say."""
+        """Return the client's deadline in milliseconds from now, or None if it sets none."""
         ...
 
     def limits(self, about: dict[str, Any]) -> dict[str, int]:
-        """Return the limits for clients that the configuration gives."""
+        """Return the limits that the configuration sets, by the keys of `DEFAULT_LIMITS`.
+
+        `about` is the part of the configuration beside the profiles.
+        """
         ...
 
     def is_job(self, path: str) -> bool:
-        """Whether the path belongs to the batch interface."""
+        """Whether the path belongs to the API of batch jobs."""
         ...
 
 
 def forward_refusal_response(refusal: Refusal) -> web.Response:
-    """Return the response of a refusal; Retry-After is in seconds with three decimals."""
+    """Return the HTTP response of a refusal; Retry-After is in seconds with three decimals."""
     headers = (
         {"Retry-After": f"{refusal.retry_after_ms / 1000:.3f}"} if refusal.retry_after_ms else None
     )
@@ -66,10 +70,22 @@
 
 
 class ForwardServer(Service):
-    """Listens for clients, and answers readiness probes on an address of its own.
-
-    `readiness` is that address and the path. `job_routes`, if there is one, is given the requests
-    of batch jobs. `live_now` counts the requests in progress, `counts` the refusals by code.
+    """Serves forwarded requests, and readiness probes on a separate address.
+
+    `job_routes` handles the requests of batch jobs; while it is None they are refused. `live_now`
+    is the number of requests in progress, and `counts` the number of refusals by code, in which
+    "cut" is the number of responses that were broken off.
+
+    Parameters
+    ----------
+    node
+        The edge.
+    address
+        The clients' address, IP:PORT.
+    readiness
+        The address of readiness probes, IP:PORT, and their path.
+    reader
+        Parses the clients' requests.
     """
 
     def __init__(
@@ -87,7 +103,7 @@
         self._listeners: list[asyncio.Server] = []
 
     async def on_start(self) -> None:
-        """Listen at both addresses; raises OSError if that can't be done."""
+        """Listen at both addresses; raises OSError if either can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = ConnectionServer(self._handle, handler_cancellation=True)
         readiness_server = web.Server(self._handle_readiness, access_log=None)
@@ -97,39 +113,36 @@
         ]
 
     async def on_stop(self) -> None:
-        """Stop listening and close the connections."""
+        """Stop listening, and close the clients' connections."""
         for listener in self._listeners:
             listener.close()
         await self._server.shutdown(_SHUTDOWN_S)
 
-    # -- draining ------------------------------------------------------------------------------
-
-    def _linger_ms(self) -> float:
-        """Return for how long a draining edge takes new clients, in milliseconds."""
-        return float(self._node.settings.grace_ms * _LINGER_SHARE)
+    def _drain_accept_ms(self) -> float:
+        """Return for how long a draining edge accepts new clients, in milliseconds."""
+        return float(self._node.settings.grace_ms * _DRAIN_ACCEPT_SHARE)
 
     def start_draining(self) -> None:
-        """Begin to drain; connections are closed after a part of the grace time.
+        """Begin to drain; after a share of `grace_ms`, stop accepting and close connections.
 
-        New clients may come until the platform has noticed; each response closes its connection,
-        which sends the client elsewhere.
+        Until then new clients are served, as the platform sends some until it has noticed that the
+        edge is not ready. Each response closes its connection, so that the client's next request
+        goes to another edge.
         """
         loop = asyncio.get_running_loop()
         self._draining_since_s = loop.time()
-        loop.call_later(self._linger_ms() / 1000, self._stop_accepting)
+        loop.call_later(self._drain_accept_ms() / 1000, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
         self._listeners[0].close()
         self._server.close_idle_connections()
 
     def busy(self) -> bool:
-        """Whether a client is being served, or may still come."""
+        """Whether requests are in progress, or a draining edge still accepts clients."""
         if self._draining_since_s is None:
             return self.live_now > 0
         drained_ms = (asyncio.get_running_loop().time() - self._draining_since_s) * 1000
-        return self.live_now > 0 or drained_ms < self._linger_ms()
-
-    # -- requests ------------------------------------------------------------------------------
+        return self.live_now > 0 or drained_ms < self._drain_accept_ms()
 
     async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path != self._readiness_path:
@@ -153,11 +166,14 @@
         return response
 
     def _set_keep_alive(self, response: web.StreamResponse) -> None:
-        """Announce how long the connection is kept, with a margin; a draining edge keeps none."""
+        """Announce a Keep-Alive timeout below the idle timeout; close when draining.
+
+        With the margin a client doesn't reuse a connection that is about to be closed.
+        """
         if self._draining_since_s is not None:
             response.force_close()
         else:
-            idle_s = int(self._server.limits["idle_ms"] * _ANNOUNCED_SHARE / 1000)
+            idle_s = int(self._server.limits["idle_ms"] * _ANNOUNCED_IDLE_SHARE / 1000)
             if idle_s > 0:
                 response.headers["Keep-Alive"] = f"timeout={idle_s}"
 
@@ -189,8 +205,6 @@
     def _count(self, code: str) -> None:
         self.counts[code] = self.counts.get(code, 0) + 1
 
-    # -- responses of workers ------------------------------------------------------------------
-
     async def _forward(
         self, request: web.BaseRequest, profile: Any, call: ForwardCall
     ) -> web.StreamResponse:
@@ -207,7 +221,7 @@
     async def _write(
         self, request: web.BaseRequest, queue: EventQueue, in_flight: InFlightRequest
     ) -> web.StreamResponse:
-        """Write the response as it comes, until the request's last step."""
+        """Write the worker's response as it arrives, until the request's last step."""
         response: web.StreamResponse | None = None
         last: Step | None = None
         while last is None:
@@ -220,7 +234,7 @@
                 in_flight.acknowledge(len(data))
         if last.kind is StepKind.FINISH:
             return await self._finish(request, response, in_flight, last)
-        assert last.refusal is not None, "a last step that is no finish has a refusal"
+        assert last.refusal is not None, f"last step {last.kind} without a refusal"
         if response is None:
             return self._refuse(last.refusal)
         self._cut(request, last.refusal)
@@ -229,7 +243,7 @@
     async def _start_response(
         self, request: web.BaseRequest, in_flight: InFlightRequest
     ) -> web.StreamResponse:
-        assert in_flight.head is not None, "a response that has begun has a head"
+        assert in_flight.head is not None, "response data came before the response head"
         status, headers, _ = in_flight.head
         response = web.StreamResponse(status=status, headers=headers)
         self._set_keep_alive(response)
@@ -243,20 +257,20 @@
         in_flight: InFlightRequest,
         last: Step,
     ) -> web.StreamResponse:
-        """End a complete response; one that wasn't begun is written as a whole."""
-        assert last.response is not None, "a finish has a response"
+        """End a complete response; if none of it was written yet, return it with its body."""
+        assert last.response is not None, "FINISH step without a response"
         status, body = last.response
         if response is not None:
             await response.write_eof()
             return response
-        assert in_flight.head is not None, "a finished response has a head"
+        assert in_flight.head is not None, "FINISH step without a response head"
         _, headers, length = in_flight.head
         if request.method == "HEAD":
             return _head_response(status, headers, length)
         return web.Response(status=status, headers=headers, body=body)
 
     def _cut(self, request: web.BaseRequest, refusal: Refusal) -> None:
-        """Drop the connection of a response that can't be completed, without ending it."""
+        """Abort the connection of a response that can't be completed, without terminating it."""
         self._count("cut")
         log("response-cut", "WARNING", code=refusal.code, reason=refusal.message)
         if request.transport is not None:
@@ -266,20 +280,20 @@
 def _head_response(
     status: int, headers: list[tuple[str, str]], length: int | None
 ) -> web.StreamResponse:
-    """Return the response to HEAD: its length, in bytes, is that of a body which isn't sent."""
+    """Return the response to HEAD, which has no body; `length` is its Content-Length in bytes."""
     response = web.StreamResponse(status=status, headers=headers)
     response.content_length = length
     return response
 
 
 def _expects_continue(request: web.BaseRequest) -> bool:
-    """Whether the client waits before its body; one of HTTP/1.0 knows no interim responses."""
+    """Whether the client waits for 100 Continue; HTTP/1.0 has no interim responses."""
     expects = request.headers.get("Expect", "").lower() == "100-continue"
     return expects and request.version >= HttpVersion11
 
 
 def _take_queued(first: bytes | Step, queue: EventQueue) -> tuple[list[bytes], Step | None]:
-    """Return all that is queued by now, so that it is written at once, and the last step."""
+    """Return all chunks queued so far, to be written at once, and the last step or None."""
     chunks: list[bytes] = []
     item: bytes | Step = first
     while not isinstance(item, Step):
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -1,7 +1,7 @@
-"""Begins forwarded requests: the route that one falls to, how long it has, and its life cycle.
+"""Routes forwarded requests and starts them with their deadline; it opens no socket.
 
-It has no socket. A draining edge still serves what comes; only an edge that may not know the
-profiles in force refuses.
+A draining edge still serves requests; an edge refuses them only while its profiles may not be those
+in force.
 """
 
 from collections.abc import Callable
@@ -14,40 +14,46 @@
 
 __all__ = ["ForwardService"]
 
-_MAX_CLIENT_MS = 600_000
+_DEFAULT_CLIENT_MS = 600_000
 
 
 class ForwardService(Component):
-    """Finds the route of forwarded requests and begins them.
-
-    `profile_tree` gives the profiles in force; `why_unsure` why the edge can't know that they still
-    are, or an empty string.
+    """Finds the route of forwarded requests and starts them.
+
+    Parameters
+    ----------
+    router
+        Sends the requests to workers.
+    profile_tree
+        Returns the edge's profiles.
+    why_profiles_uncertain
+        Returns why these may not be the profiles in force, or an empty string if they are.
     """
 
-    __slots__ = ("_profile_tree", "_router", "_why_unready")
+    __slots__ = ("_profile_tree", "_router", "_why_profiles_uncertain")
 
     def __init__(
         self,
         router: RequestRouter,
         profile_tree: Callable[[], ProfileTree],
-        why_unsure: Callable[[], str],
+        why_profiles_uncertain: Callable[[], str],
     ) -> None:
         self._router = router
         self._profile_tree = profile_tree
-        self._why_unready = why_unsure
+        self._why_profiles_uncertain = why_profiles_uncertain
 
     def about(self) -> dict[str, Any]:
-        """Return what the configuration has beside the profiles, such as limits for clients."""
+        """Return the part of the configuration beside the profiles, such as clients' limits."""
         return self._profile_tree().about
 
     def route(self, host: str, target: str) -> Any:
-        """Return the profile of a host and a request target, or a Refusal.
+        """Return the profile for a host and a request target, or a Refusal.
 
-        An edge without any profiles can't know that there is no route, and says that it is not
-        ready.
+        While the edge's profiles may not be those in force, the refusal is `not-ready`, since
+        `no-route` could be wrong.
         """
         profile_tree = self._profile_tree()
-        if reason := self._why_unready():
+        if reason := self._why_profiles_uncertain():
             return refused("not-ready", reason, 503, self.node.settings.failure_timeout_ms)
         profile = profile_tree.route(host, target.partition("?")[0])
         return _no_route() if profile is None else profile
@@ -60,13 +66,28 @@
         on_data: Callable[[bytes], None],
         on_end: Callable[[Step], None],
     ) -> InFlightRequest:
-        """Begin a request and return it in flight.
-
-        `client_ms` is how many milliseconds the client says it waits; `on_data` gets the body of
-        the response, and `on_end` the last step, unless the client disconnected.
+        """Start a request, and return it in flight.
+
+        Its deadline is the client's or the profile's `give_up_ms`, whichever is earlier; a client
+        without a deadline counts as waiting for ten minutes.
+
+        Parameters
+        ----------
+        profile
+            The profile of its route.
+        call
+            The request.
+        client_ms
+            The client's deadline in milliseconds from now, or None.
+        on_data
+            Receives the chunks of the response's body.
+        on_end
+            Receives the last step, unless the client disconnected.
         """
         now_ms = self.node.env.now()
-        allowed_ms = min(profile.give_up_ms, client_ms if client_ms is not None else _MAX_CLIENT_MS)
+        allowed_ms = min(
+            profile.give_up_ms, client_ms if client_ms is not None else _DEFAULT_CLIENT_MS
+        )
         lifecycle = ForwardLifecycle(
             self.node.env.token(), profile, now_ms, now_ms + allowed_ms, resumable=call.resumable
         )
--- a/tests/forward_stage.py
+++ b/tests/forward_stage.py
@@ -194,7 +194,7 @@
         self.sender = HttpSender(node_settings.request_timeout_ms)
         self.node = EdgeNode(env, node_settings, self.sender)
         self.node.router.header_names = platform_names.WORKER_HEADERS
-        self.node.forward_service._why_unready = lambda: "" if self.ready else "unsure"
+        self.node.forward_service._why_profiles_uncertain = lambda: "" if self.ready else "unsure"
         self.runner = NodeRunner(self.node, env)
         await self.runner.start()
         self.node.config_feed.publish("profiles", 1, json.dumps(TREE))
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -353,7 +353,8 @@
             self.assertThat(edge.server.busy(), Equals(False))
             self.assertThat(edge.server.live_now, Equals(0))
 
-    def test_the_linger_outlasts_two_missed_seconds_of_eight(self):
+    def test_a_draining_edge_accepts_clients_for_over_three_of_eight_seconds(self):
+        """With a grace time of 8 s; the time has to outlast two missed seconds."""
         from data_plane import forward_server
 
-        self.assertThat(forward_server._LINGER_SHARE * 8, GreaterThan(3.0))
+        self.assertThat(forward_server._DRAIN_ACCEPT_SHARE * 8, GreaterThan(3.0))
