--- a/libs/data_plane/src/data_plane/connection_pool.py
+++ b/libs/data_plane/src/data_plane/connection_pool.py
@@ -1,9 +1,10 @@
-"""Connections to workers, kept alive and used again.
+"""The pool of keep-alive connections to workers.
 
-A worker says how long it keeps an idle one, and nobody knows whether one that has been idle is
-about to be closed; so what is not safe to repeat uses only one that was used a moment ago. One that
-saw anything odd, or has unexpected bytes, is never used again. Nor is one used for two attempts
-of the same id in a row: a late copy of the first response would pass for the second.
+A worker announces for how long it keeps an idle connection, and may be closing one that the pool
+still has. So a request that is not idempotent uses only a connection that was idle for a short
+time. A connection whose response was invalid, or on which unexpected bytes arrived, is never
+reused. Nor does a connection carry two attempts with the same request id in a row, as a late copy
+of the first response could be taken for the second.
 """
 
 import socket
@@ -20,20 +21,27 @@
 
 __all__ = ["CURRENT_REQUEST", "OutgoingRequest", "WorkerPool", "pooled_session"]
 
-# shares of the worker's idle time within which a connection is good for requests that may not run
-# twice, and for those that may
-_UNSAFE_SHARE = 0.5
-_SAFE_SHARE = 0.8
-# how long a worker that doesn't say is taken to keep an idle connection, and the most believed
+# Shares of the worker's idle timeout during which an idle connection is reused.
+_NON_IDEMPOTENT_IDLE_SHARE = 0.5
+_IDEMPOTENT_IDLE_SHARE = 0.8
+# The idle timeout of a worker that announces none, and the upper bound of an announced one.
 _DEFAULT_IDLE_S = 1.0
 _MAX_IDLE_S = 30.0
 
 
 class OutgoingRequest:
-    """What a request's task knows and the HTTP library does not pass on.
-
-    That is the target as it came, the request's id, whether it may run twice, and what to call once
-    there is a connection.
+    """Parameters of a request that aiohttp does not pass on to connections.
+
+    Parameters
+    ----------
+    target
+        The request target, byte for byte as the client sent it.
+    request_id
+        The request's id.
+    idempotent
+        Whether the request may safely be sent more than once.
+    on_connected
+        Called once there is a connection.
     """
 
     __slots__ = ("idempotent", "on_connected", "request_id", "target")
@@ -48,10 +56,11 @@
 
 
 CURRENT_REQUEST: ContextVar[OutgoingRequest] = ContextVar("current")
+"""The request of the current task."""
 
 
 def _announced_idle_s(headers: Any) -> float:
-    """Return how many seconds the worker says that it keeps an idle connection."""
+    """Return the idle timeout of the Keep-Alive header in seconds, bounded, or the default."""
     for part in headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -62,9 +71,8 @@
 class WorkerProtocol(ResponseHandler):
     """One connection to a worker.
 
-    Bytes count as a response only between a request and the end of its response; any others mark
-    the connection, which is then never used again. `idle_s` is how many seconds the worker keeps it
-    idle.
+    Bytes that arrive while no response is awaited mark the connection, which is then never reused.
+    `idle_s` is the worker's idle timeout in seconds, and `request_id` the id of the last request.
     """
 
     def __init__(self, loop: Any) -> None:
@@ -82,15 +90,15 @@
         self._awaiting_response = False
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; unexpected ones mark the connection as not to be used again."""
+        """Receive bytes; unexpected ones mark the connection as not to be reused."""
         if data and not self._awaiting_response:
             self.force_close()
         super().data_received(data)
 
     def has_surplus(self) -> bool:
-        """Whether the parser has begun on something after the last response.
+        """Whether the parser holds the beginning of another response after the last one.
 
-        It ends the parser, as a new one is made for each request.
+        The parser is discarded; a new one is made for each request.
         """
         parser, self._parser = self._parser, None
         if parser is None:
@@ -101,22 +109,22 @@
 
 
 class WorkerResponse(aiohttp.ClientResponse):
-    """A response that keeps its connection's protocol, which the library drops at the end."""
+    """A response that keeps its connection's protocol, which aiohttp drops at the end."""
 
     async def start(self, connection: Any) -> "WorkerResponse":
-        """Read the head, and take from it how long the worker keeps an idle connection."""
+        """Read the response head, and record the idle timeout that it announces."""
         self.protocol = connection.protocol
         await super().start(connection)
         self.protocol.idle_s = _announced_idle_s(self.headers)
         return self
 
     def close_connection_after(self) -> None:
-        """Have the connection closed after this response: whatever else comes on it is ignored."""
+        """Have the connection closed after this response instead of reused."""
         self.protocol.force_close()
 
 
 class _VerbatimUrl:
-    """A URL in all but its path and query, which are written as they came."""
+    """A URL whose path and query are sent byte for byte as the client sent them."""
 
     __slots__ = ("_url", "raw_path_qs")
 
@@ -128,13 +136,13 @@
 
 
 class RawRequest(aiohttp.ClientRequest):
-    """A request whose line has the target as it came.
+    """A request that is sent with the client's request target unchanged.
 
-    A URL alone would lose a question mark at its end.
+    yarl's URL would drop a question mark with no query after it.
     """
 
     async def send(self, conn: Any) -> Any:
-        """Write the request, with the target and the id of the task's `OutgoingRequest`."""
+        """Send the request with the target of `CURRENT_REQUEST`, and record its id."""
         target = CURRENT_REQUEST.get().target
         if target != self.url.raw_path_qs:
             verbatim: Any = _VerbatimUrl(self.url, target)
@@ -144,9 +152,10 @@
 
 
 class WorkerPool(aiohttp.TCPConnector):
-    """The connector of forwarded requests; `opened` counts the connections made.
+    """The connector of forwarded requests; `opened` counts the sockets that it made.
 
-    `user_timeout_ms` is after how many milliseconds the kernel gives up on unacknowledged bytes.
+    `user_timeout_ms` is TCP_USER_TIMEOUT: after so many milliseconds the kernel closes a connection
+    whose bytes stay unacknowledged.
     """
 
     def __init__(self, user_timeout_ms: int) -> None:
@@ -164,7 +173,7 @@
         self.opened = 0
 
     async def connect(self, req: Any, traces: Any, timeout: Any) -> Any:
-        """Return a connection, kept or new, and tell the request's task that there is one."""
+        """Return a pooled or a new connection, after calling the request's `on_connected`."""
         connection = await super().connect(req, traces, timeout)
         CURRENT_REQUEST.get().on_connected()
         return connection
@@ -180,9 +189,9 @@
         super()._release(key, protocol, should_close=should_close)
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """Return the connection used last, if it is good for this request.
+        """Return the most recently used connection that this request may reuse, or None.
 
-        Those that are good for nothing are closed.
+        Connections that no request may reuse any more are closed.
         """
         found = self._take_reusable(self._conns.get(key, []))
         if not self._conns.get(key):
@@ -192,17 +201,19 @@
         self._acquired.add(found)
         return aiohttp.connector.Connection(self, key, found, self._loop)
 
-    def _take_reusable(self, rows: MutableSequence[tuple[Any, float]]) -> WorkerProtocol | None:
+    def _take_reusable(
+        self, idle_connections: MutableSequence[tuple[Any, float]]
+    ) -> WorkerProtocol | None:
         outgoing, now = CURRENT_REQUEST.get(), monotonic()
-        share = _SAFE_SHARE if outgoing.idempotent else _UNSAFE_SHARE
+        share = _IDEMPOTENT_IDLE_SHARE if outgoing.idempotent else _NON_IDEMPOTENT_IDLE_SHARE
         skipped: list[tuple[WorkerProtocol, float]] = []
         found = None
-        while rows and found is None:
-            protocol, idle_since = rows.pop()
-            if _is_spent(protocol, now - idle_since):
+        while idle_connections and found is None:
+            protocol, idle_since = idle_connections.pop()
+            if _is_unusable(protocol, now - idle_since):
                 protocol.close()
             elif now - idle_since > protocol.idle_s * share:
-                rows.append((protocol, idle_since))
+                idle_connections.append((protocol, idle_since))
                 break
             elif protocol.request_id == outgoing.request_id:
                 skipped.append((protocol, idle_since))
@@ -210,24 +221,33 @@
                 protocol.close()
             else:
                 found = protocol
-        rows.extend(reversed(skipped))
+        idle_connections.extend(reversed(skipped))
         return found
 
 
-def _is_spent(protocol: WorkerProtocol, idle_s: float) -> bool:
-    """Whether a connection is good for no request any more."""
+def _is_unusable(protocol: WorkerProtocol, idle_s: float) -> bool:
+    """Whether a connection that was idle for `idle_s` seconds can't serve any request."""
     return (
         not protocol.is_connected()
         or protocol.should_close
-        or idle_s > protocol.idle_s * _SAFE_SHARE
+        or idle_s > protocol.idle_s * _IDEMPOTENT_IDLE_SHARE
     )
 
 
 def pooled_session(pool: WorkerPool, connect_ms: int, head_bytes: int) -> aiohttp.ClientSession:
-    """Return a session over the pool that does nothing on its own account.
-
-    It never sends twice, follows redirects, decodes bodies or adds headers. `connect_ms` bounds the
-    time for a connection; `head_bytes` each line of the response's head.
+    """Return a session over the pool with aiohttp's automatic behaviour switched off.
+
+    It doesn't resend requests, store cookies, decode bodies or add headers such as User-Agent.
+    Redirects can be switched off only for each request.
+
+    Parameters
+    ----------
+    pool
+        The connector.
+    connect_ms
+        The longest time for connecting, in milliseconds.
+    head_bytes
+        The largest status line or header of a response, in bytes.
     """
     session = aiohttp.ClientSession(
         connector=pool,
--- a/libs/data_plane/src/data_plane/forward_job_responses.py
+++ b/libs/data_plane/src/data_plane/forward_job_responses.py
@@ -1,7 +1,8 @@
-"""Responses about jobs of forwarded requests, from the leader's messages.
+"""Responses about jobs of forwarded requests, made from the leader's messages.
 
-The values are typed; the platform's adapter writes them out. A refusal that promises that nothing
-was accepted is the leader's own, or nothing had been sent to it.
+Their values are typed; the platform's adapter serializes them. A refusal states that nothing was
+accepted only if the leader refused, or if nothing was sent to it. Codes and texts of refusals are
+part of the interface.
 """
 
 from collections.abc import Callable
@@ -28,16 +29,16 @@
 ]
 
 _LEADER_UNKNOWN_RETRY_MS = 500
-_BACKLOG_RETRY_MS = 1000
+_BACKLOG_FULL_RETRY_MS = 1000
 _STORES_FULL_RETRY_MS = 2000
-_DOUBT_RETRY_MS = 200
+_OUTCOME_UNKNOWN_RETRY_MS = 200
 
 _SUBMISSION_REFUSALS: dict[str, Callable[[], Refusal]] = {
     JobOutcome.CONFLICT: lambda: refused(
         "lot-reused", "this id came before with other content; this content has not run", 409
     ),
     JobOutcome.BACKLOG_FULL: lambda: refused(
-        "waiting-room-full", "the waiting room of this route is full", 429, _BACKLOG_RETRY_MS
+        "waiting-room-full", "the waiting room of this route is full", 429, _BACKLOG_FULL_RETRY_MS
     ),
     JobOutcome.UNKNOWN_PATH: lambda: refused("unknown-route", "no such route is in force", 404),
     JobOutcome.FULL: lambda: refused(
@@ -47,7 +48,7 @@
 
 
 class ForwardResultsPage:
-    """A page of results; the next page begins at `next_position`, the job has `total` items."""
+    """A page of results; `next_position` starts the next page, `total` counts the job's items."""
 
     __slots__ = ("next_position", "results", "total")
 
@@ -60,7 +61,7 @@
 def forward_submission_response(
     job_id: str, message: JobResponse | None, sent: bool
 ) -> ServiceResponse[JobResponse]:
-    """Return the response to a submission; `sent` says that the leader was asked at all."""
+    """Return the response to a submission; `sent` is false if nothing was sent to any store."""
     if message is None and not sent:
         return ServiceResponse.refuse(
             refused(
@@ -79,18 +80,18 @@
         doubtful(
             "lot-in-doubt",
             f"lot {job_id} may have been accepted; hand the same in again",
-            _DOUBT_RETRY_MS,
+            _OUTCOME_UNKNOWN_RETRY_MS,
             504,
         )
     )
 
 
 def _leader_silent() -> Refusal:
-    return doubtful("stores-silent", "the stores did not answer", _DOUBT_RETRY_MS, 503)
+    return doubtful("stores-silent", "the stores did not answer", _OUTCOME_UNKNOWN_RETRY_MS, 503)
 
 
 def _lookup_refusal(job_id: str, outcome: str) -> Refusal | None:
-    """Return why there is nothing to show of a job, or None if it is known."""
+    """Return the refusal of a lookup that failed, or None if the leader's response is usable."""
     if outcome in (JobOutcome.UNKNOWN, JobOutcome.FULL):
         return _leader_silent()
     if outcome == JobOutcome.MISSING:
@@ -101,7 +102,7 @@
 def forward_results_response(
     job_id: str, from_position: int, message: ListForwardResultsResponse | None
 ) -> ServiceResponse[ForwardResultsPage]:
-    """Return a page of a job's results from a position on, or why there is none."""
+    """Return the page of a job's results that starts at `from_position`, or a refusal."""
     if message is None:
         return ServiceResponse.refuse(_leader_silent())
     if (refusal := _lookup_refusal(job_id, message.outcome)) is not None:
@@ -115,7 +116,7 @@
 def forward_item_response(
     job_id: str, message: GetItemResponse | None
 ) -> ServiceResponse[ForwardItem]:
-    """Return the request that an item makes of a worker, or why there is none."""
+    """Return the request that an item sends to a worker, or a refusal."""
     if message is None:
         return ServiceResponse.refuse(_leader_silent())
     if (refusal := _lookup_refusal(job_id, message.outcome)) is not None:
@@ -126,7 +127,7 @@
 def forward_cancellation_response(
     job_id: str, message: JobResponse | None
 ) -> ServiceResponse[JobResponse]:
-    """Return the response to a cancellation: the job's last state, or why there is none."""
+    """Return the response to a cancellation: the job's final state, or a refusal."""
     if message is None:
         return ServiceResponse.refuse(_leader_silent())
     if (refusal := _lookup_refusal(job_id, message.outcome)) is not None:
--- a/libs/data_plane/src/data_plane/forward_job_service.py
+++ b/libs/data_plane/src/data_plane/forward_job_service.py
@@ -1,8 +1,8 @@
-"""Jobs of forwarded requests: clients' submissions, reads and cancellations, sent to the leader.
+"""Jobs of forwarded requests: sends clients' submissions, reads and cancellations to the leader.
 
-While the leader changes the edge goes on asking for as long as the client gives; what it can't know
-by then it says at once. It promises that nothing was accepted only where nothing was sent, or where
-the leader itself said so.
+While the leader changes, requests are retried within the client's time, a share of `force_ms`, or
+both; when that has passed, an unknown outcome is reported at once. A response states that nothing
+was accepted only if nothing was sent, or if the leader refused.
 """
 
 import hashlib
@@ -36,9 +36,9 @@
 
 _PAGE_BYTES = 1 << 19
 _DIGEST_BYTES = 16
-# the part of force_ms for which the leader is asked beyond the time that a client waits anyway
+# Share of force_ms added to a request's time so that it outlasts a change of the leader.
 _LEADER_CHANGE_SHARE = 0.55
-# the part of a client's time that is used here; the rest is for a retry at another edge
+# Share of a client's time spent at this edge; the rest is for a retry at another edge.
 _CLIENT_TIME_SHARE = 0.6
 
 
@@ -51,10 +51,16 @@
 
 
 class ForwardJobService(Component):
-    """Serves jobs of forwarded requests.
-
-    `profiles` gives the number and the tree of the profiles in force here. Responses are given to
-    callbacks on the node's thread.
+    """Serves jobs of forwarded requests; callbacks are called on the node's thread.
+
+    Parameters
+    ----------
+    leader_client
+        Sends requests to the leader.
+    jobs
+        Runs items at this edge.
+    profiles
+        Returns the version and the tree of the profiles in force at this edge.
     """
 
     __slots__ = ("_jobs", "_leader_client", "_profiles")
@@ -69,8 +75,8 @@
         self._jobs = jobs
         self._profiles = profiles
 
-    def _patience_ms(self) -> int:
-        """Return how long a client may be kept waiting for the leader, beyond what it asked for."""
+    def _leader_change_ms(self) -> int:
+        """Return for how long a request is retried beyond the time that the client asked for."""
         return int(self.node.settings.force_ms * _LEADER_CHANGE_SHARE)
 
     def submit(
@@ -84,8 +90,21 @@
     ) -> None:
         """Submit a job to the leader.
 
-        `client_ms` is how many milliseconds the client waits; it is left enough of that to try at
-        another edge. `tokens` are the expected tokens of each item.
+        Parameters
+        ----------
+        job_id
+            The job's id.
+        path
+            The name of a profile that isn't abstract.
+        items
+            The job's items.
+        tokens
+            The expected tokens of each item.
+        client_ms
+            How long the client waits, in milliseconds. The response comes early enough for a retry
+            at another edge.
+        on_response
+            Receives the response.
         """
 
         def on_leader_response(message: JobResponse | None) -> None:
@@ -111,7 +130,7 @@
     ) -> SubmitForwardJob:
         number, profile_tree = self._profiles()
         profile = profile_tree.usable(path)
-        assert profile is not None, "the path was checked"
+        assert profile is not None, f"no usable profile is called {path!r}"
         calls = [encode(item) for item in items]
         return SubmitForwardJob(
             job_id=job_id,
@@ -135,10 +154,10 @@
         wait_ms: int,
         on_response: Callable[[ServiceResponse[ForwardResultsPage]], None],
     ) -> None:
-        """Give a page of results, waiting up to `wait_ms` milliseconds for the first.
+        """Request a page of results, waiting up to `wait_ms` milliseconds for the first.
 
-        The leader waits with each request for a part of that time, so that another leader is found
-        soon.
+        The leader holds each request for at most `request_timeout_ms`, so that a change of the
+        leader is noticed soon.
         """
         end_ms = self.node.env.now() + wait_ms
 
@@ -153,7 +172,7 @@
                     limit_bytes=_PAGE_BYTES,
                     wait_ms=min(remaining_ms(), self.node.settings.request_timeout_ms),
                 ),
-                remaining_ms() + self._patience_ms(),
+                remaining_ms() + self._leader_change_ms(),
                 on_page,
             )
 
@@ -171,34 +190,34 @@
         item_id: str,
         on_response: Callable[[ServiceResponse[ForwardItem]], None],
     ) -> None:
-        """Give the request that one item makes of a worker."""
+        """Look up the request that one item sends to a worker."""
 
         def on_item(message: GetItemResponse | None) -> None:
             on_response(forward_item_response(job_id, message))
 
         self._leader_client.request(
-            GetItem(job_id=job_id, item_id=item_id), self._patience_ms(), on_item
+            GetItem(job_id=job_id, item_id=item_id), self._leader_change_ms(), on_item
         )
 
     def cancel(
         self, job_id: str, on_response: Callable[[ServiceResponse[JobResponse]], None]
     ) -> None:
-        """Cancel a job, and stop its items that run at this edge."""
+        """Cancel a job; once the leader has confirmed it, stop its items at this edge."""
 
         def on_leader_response(message: JobResponse | None) -> None:
             outcome = message.outcome if message is not None else JobOutcome.UNKNOWN
             if outcome == JobOutcome.KNOWN:
-                self._jobs.stop(job_id, "ended here")
+                self._jobs.stop(job_id, "job cancelled")
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(forward_cancellation_response(job_id, message))
 
         self._leader_client.request(
-            CancelJob(job_id=job_id), self._patience_ms(), on_leader_response
+            CancelJob(job_id=job_id), self._leader_change_ms(), on_leader_response
         )
 
 
 def _more_may_come(message: ListForwardResultsResponse | None) -> bool:
-    """Whether a page is empty though further results may still be listed."""
+    """Whether a page is empty although further results may still follow."""
     return (
         message is not None
         and message.outcome == JobOutcome.KNOWN
--- a/libs/data_plane/src/data_plane/sender.py
+++ b/libs/data_plane/src/data_plane/sender.py
@@ -1,8 +1,9 @@
 """The transport of requests to workers, over aiohttp.
 
-One task owns the connection of one attempt and reports to it what comes back. A connection that was
-refused or never made is told apart from one that broke, since only then it is certain that nothing
-ran. Our own completions have a connection each; forwarded requests use pooled ones.
+Each attempt has a task that sends the request and reports the response to it. Failing to connect is
+reported separately from a connection that broke, since only in the first case the request has
+certainly not run. Each completion of vaneledge's own HTTP API uses a new connection; forwarded
+requests use pooled connections.
 """
 
 import asyncio
@@ -27,18 +28,22 @@
 
 _HEAD_BYTES = 1 << 16
 _READ_BYTES = 1 << 14
-# of request_timeout_ms: the time for a pooled connection, and for bytes to be acknowledged
+# Multiples of request_timeout_ms: the time to connect for the pool, and its TCP_USER_TIMEOUT.
 _CONNECT_SHARE = 0.5
-_UNACKNOWLEDGED_TIMES = 4
+_USER_TIMEOUT_FACTOR = 4
 _NO_CONNECTION_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _BROKEN_CONNECTION_ERRORS = (aiohttp.ClientError, OSError, ValueError)
 
 
 class HttpSender:
-    """Sends attempts; `pool` has the connections of forwarded requests once there was one.
+    """Sends attempts to workers.
 
-    `request_timeout_ms` is the time for a connection, in milliseconds; forwarded requests have a
-    share of it.
+    `pool` is the connection pool of forwarded requests, None before the first of them.
+
+    Parameters
+    ----------
+    request_timeout_ms
+        The longest time for connecting, in milliseconds; forwarded requests get a share of it.
     """
 
     __slots__ = ("_pooled_session", "_request_timeout_ms", "_session", "pool")
@@ -55,7 +60,7 @@
         self.pool: WorkerPool | None = None
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close all connections to workers."""
         await self._session.close()
         if self._pooled_session is not None:
             await self._pooled_session.close()
@@ -69,9 +74,9 @@
         body: Any,
         method: str = "POST",
     ) -> Callable[[], object]:
-        """Begin an attempt in a task of its own, and return what cancels it.
+        """Start an attempt in a new task, and return the function that cancels it.
 
-        A `body` that is a JSON object goes out on a connection of its own; bytes use a pooled one.
+        A dict as `body` is sent as JSON on a new connection, bytes on a pooled connection.
         """
         run = (
             self._complete(attempt, address, target, headers, body)
@@ -101,9 +106,9 @@
         except Exception as error:
             _report_failure(attempt, error)
 
-    def _pooled(self) -> aiohttp.ClientSession:
+    def _forward_session(self) -> aiohttp.ClientSession:
         if self._pooled_session is None:
-            self.pool = WorkerPool(self._request_timeout_ms * _UNACKNOWLEDGED_TIMES)
+            self.pool = WorkerPool(self._request_timeout_ms * _USER_TIMEOUT_FACTOR)
             connect_ms = int(self._request_timeout_ms * _CONNECT_SHARE)
             self._pooled_session = pooled_session(self.pool, connect_ms, _HEAD_BYTES)
         return self._pooled_session
@@ -123,7 +128,7 @@
             OutgoingRequest(target, request_id, attempt.idempotent, attempt.connected)
         )
         try:
-            async with self._pooled().request(
+            async with self._forward_session().request(
                 method,
                 URL(f"http://{address}{target}", encoded=True),
                 data=body or None,
@@ -144,7 +149,7 @@
 
 
 def _report_failure(attempt: Attempt, error: Exception) -> None:
-    """Report that an attempt broke, and whether the worker may have seen it."""
+    """Report to an attempt that it failed, and whether a connection had been made."""
     if isinstance(error, _NO_CONNECTION_ERRORS):
         attempt.connection_failed("no connection", False)
         return
