--- a/libs/data_plane/src/data_plane/completion_api.py
+++ b/libs/data_plane/src/data_plane/completion_api.py
@@ -1,8 +1,8 @@
-"""The HTTP routes of live completions, of our own interface.
+"""The HTTP routes of live completions of vaneledge's own HTTP API.
 
-Calls are read and checked, passed to the `EdgeService`, and the responses are written out. A
-stream's events wait in a queue of their own, so a client that reads slowly holds no worker's slot;
-the request in flight learns at once of one that disconnects.
+Requests are validated and passed to the `EdgeService`, whose responses are written to the client.
+Events of a stream are queued for each client without a bound, so that a client that reads slowly
+does not occupy a worker's slot. A disconnect is reported to the request in flight at once.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 
 class _End:
-    """The last step of a completion, and the response that goes with it."""
+    """The last step of a completion and its response."""
 
     __slots__ = ("response", "step")
 
@@ -69,7 +69,7 @@
     async def _run(
         self, request: web.Request, key: str, body: CompletionBody
     ) -> web.StreamResponse:
-        """Begin the completion, and write its events and its end as they come."""
+        """Start the completion, and write its events and its end as they arrive."""
         queue: asyncio.Queue[bytes | _End] = asyncio.Queue()
         began_ms = boot_ms()
 
@@ -122,7 +122,10 @@
 
 
 async def _start_stream(request: web.Request, request_id: str) -> web.StreamResponse:
-    """Start a stream with its first event, so that a refusal before it can still be an error."""
+    """Write the head of a stream.
+
+    It is called for the first event or the end, so that a failure before has an error status.
+    """
     started = web.StreamResponse(
         headers={
             "Content-Type": "text/event-stream",
@@ -137,7 +140,7 @@
 async def _end_stream(
     request: web.Request, started: web.StreamResponse | None, end: _End, request_id: str
 ) -> web.StreamResponse:
-    """Write a stream's end mark, only now that the response is known to be complete."""
+    """Write the end marker of a stream whose response is complete; first the body of a replay."""
     if started is None:
         started = await _start_stream(request, request_id)
     if end.step.kind == "replay":
@@ -150,7 +153,7 @@
 async def _cut_stream(
     request: web.Request, started: web.StreamResponse, response: ServiceResponse[None]
 ) -> web.StreamResponse:
-    """End a stream with an error event and without the end mark, and drop the connection."""
+    """Write an error event without the end marker, and abort the connection."""
     request["verdict"], request["code"] = response.verdict, response.code
     with contextlib.suppress(ConnectionError):
         await started.write(b"event: error\ndata: " + response.body.encode() + b"\n\n")
@@ -160,7 +163,7 @@
 
 
 def _body_refusal(body: CompletionBody, request: web.Request) -> Refusal | None:
-    """Return why a completion can't be asked at this address, or None."""
+    """Return the refusal of a body or key that this path does not accept, or None."""
     chat = request.path.endswith("/chat/completions")
     wanted, other = ("messages", "prompt") if chat else ("prompt", "messages")
     if getattr(body, wanted) is None:
--- a/libs/data_plane/src/data_plane/edge_node.py
+++ b/libs/data_plane/src/data_plane/edge_node.py
@@ -1,7 +1,7 @@
-"""The edge node: it serves clients, and routes their requests to the workers it knows.
+"""The edge node: assembles the components that serve clients and route requests to workers.
 
-It runs alike in a process and in the simulator; only the environment and the transport of requests
-are passed in. Its components are made by concern, in the order in which they depend on each other.
+The same code runs in a process and in the simulator, which pass in the environment and the
+transport of requests. Each component is made after those that it depends on.
 """
 
 from collections.abc import Callable
@@ -30,14 +30,23 @@
 
 __all__ = ["EdgeNode"]
 
+# Up to this many other edges, prefill updates go to all of them; above, to those of the zone.
 _SMALL_FLEET_EDGES = 12
 
 
 class EdgeNode(DataNode):
-    """An edge: it serves clients, and knows the workers.
-
-    `sender` transports requests to workers (`data_plane.sender.HttpSender`). `stopping` is set when
-    the process drains.
+    """An edge: serves clients, and routes their requests to workers.
+
+    `stopping` is set when the process drains; the edge is then not ready.
+
+    Parameters
+    ----------
+    env
+        The clock, random numbers, network and log.
+    settings
+        The node's settings.
+    sender
+        The transport of requests to workers, such as `data_plane.sender.HttpSender`.
     """
 
     __slots__ = (
@@ -49,7 +58,7 @@
         "job_runner",
         "leader_client",
         "lent_workers",
-        "readings",
+        "prefill_tracker",
         "registry",
         "rollout_service",
         "router",
@@ -76,7 +85,7 @@
                 self.leader_client,
                 self.registry,
                 self.router,
-                self.readings,
+                self.prefill_tracker,
                 self.item_executor,
                 self.job_runner,
                 self.edge_service,
@@ -88,10 +97,8 @@
             ],
         )
 
-    # -- components by concern -----------------------------------------------------------------
-
     def _make_routing(self, identity: str, sender: Any) -> None:
-        """Make what sends single requests to workers."""
+        """Make the components that send requests to workers."""
         self.leader_client = LeaderClient(
             lambda: self.config_feed.body(LOG_KEY),
             lambda: [
@@ -107,10 +114,10 @@
         self.router = RequestRouter(
             identity, self.leader_client, self.registry, self.profile_tree, sender, self._edge_count
         )
-        self.readings = self.router.prefill = PrefillTracker(self._prefill_peers)
+        self.prefill_tracker = self.router.prefill = PrefillTracker(self._prefill_peers)
 
     def _make_batch_work(self, identity: str) -> None:
-        """Make what runs items of batch jobs and samples of rollouts."""
+        """Make the components that run items of batch jobs and samples of rollouts."""
         self.item_executor = ItemExecutor(
             self.router, self.registry, self.profile_tree, self.why_unready, self._edge_count
         )
@@ -128,7 +135,7 @@
         self.job_runner.samples = self.sample_runner
 
     def _make_capacity_sharing(self, identity: str) -> None:
-        """Make what leases whole workers to training."""
+        """Make the component that lends whole workers to training."""
         self.lent_workers = LentWorkers(
             identity,
             self.config_feed,
@@ -141,7 +148,7 @@
         self.sample_runner.live_peak = self.lent_workers.live_peak
 
     def _make_services(self) -> None:
-        """Make what answers clients; the HTTP servers call these."""
+        """Make the services that the HTTP servers call."""
         self.edge_service = EdgeService(
             self.router, self.leader_client, self.job_runner, self.profile_tree, self.why_unready
         )
@@ -158,15 +165,13 @@
         )
 
     def _start_assignment(self, assignment: Any, done: Callable[..., None]) -> Any:
-        """Start an item or a sample that the leader has assigned to this edge."""
+        """Start a batch item or a rollout sample that the leader has assigned to this edge."""
         is_rollout = isinstance(assignment, RolloutAssignment)
         executor = self.sample_runner if is_rollout else self.item_executor
         return executor.start(assignment, done)
 
-    # -- what the components ask about the fleet -----------------------------------------------
-
     def _worker_list(self) -> tuple[int, str]:
-        """Return the number and the body of control's worker list, as the feed has it."""
+        """Return the version and the body of the control plane's worker list in the feed."""
         return self.config_feed.version(WORKERS_KEY), self.config_feed.body(WORKERS_KEY)
 
     def _live_edges(self) -> list[tuple[str, str]]:
@@ -177,10 +182,10 @@
         ]
 
     def _prefill_peers(self) -> list[str]:
-        """Return the edges that hear of each prompt that is read.
+        """Return the addresses of the edges that receive prefill updates.
 
-        Those are all of a small fleet, else those of this zone, which chooses workers near it
-        first.
+        In a small fleet those are all other edges, else only those of this zone, as edges prefer
+        workers of their own zone.
         """
         cards = self.membership.nodes_in_role("edge", self.settings.removal_timeout_ms)
         if len(cards) > _SMALL_FLEET_EDGES:
@@ -188,7 +193,11 @@
         return [card.address for card in cards]
 
     def _edge_count(self) -> int:
-        """Return the number of edges: by the serving set, else those that are heard, and itself."""
+        """Return the number of live edges.
+
+        It is the number that the configuration feed's digests report. Where they report none, it is
+        the number of edges heard of within `failure_timeout_ms`, plus this one.
+        """
         return self.config_feed.edge_count() or 1 + len(
             self.membership.nodes_in_role("edge", self.settings.failure_timeout_ms)
         )
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -1,4 +1,4 @@
-"""The process of an edge: its HTTP servers, its connections to workers, its status and metrics."""
+"""The process of an edge: HTTP servers, connections to workers, status and metrics."""
 
 from typing import Any
 
@@ -19,13 +19,13 @@
 
 
 class EdgeProcess(NodeProcess):
-    """An edge with its clients, workers and batch items.
+    """Runs an edge node with its HTTP servers and its connections to workers.
 
-    `forward_servers` are those for forwarded requests, which the platform's adapter adds.
+    `forward_servers` are the servers of forwarded requests; the platform's adapter adds them.
     """
 
     async def make(self) -> None:
-        """Make the edge and its HTTP server."""
+        """Make the edge node, its HTTP server and the routes of the HTTP APIs."""
         self._sender = self.make_sender()
         self.node = EdgeNode(self.env, self.settings, self._sender)
         self._recorder = self._make_recorder()
@@ -60,14 +60,14 @@
         )
 
     def start_draining(self) -> None:
-        """Become unready, and take no more batch items."""
+        """Make the edge unready, accept no more batch items, and drain the forward servers."""
         self.node.stopping = True
         self.node.job_runner.paused = True
         for server in self.forward_servers:
             server.start_draining()
 
     def busy(self) -> bool:
-        """Whether live requests or batch items are in flight."""
+        """Whether requests or batch items are in flight, or a forward server is still draining."""
         return (
             any(server.busy() for server in self.forward_servers)
             or self.node.router.count_in_flight(False) > 0
@@ -76,7 +76,7 @@
         )
 
     def wind_down(self) -> None:
-        """Stop the batch items that still run; their outcomes are reported."""
+        """Stop the batch items that still run, and report their outcomes to the leader."""
         self.node.job_runner.stop_all("stopping")
 
     async def on_stop(self) -> None:
@@ -87,7 +87,7 @@
         await super().on_stop()
 
     def status(self) -> dict[str, Any]:
-        """Return the edge's state for operators, as `/status` shows it."""
+        """Return the edge's state for operators, the body of `/status`."""
         node = self.node
         node.profile_tree()
         return {
@@ -120,7 +120,7 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """Return the edge's numbers by name; `data_plane.metrics.HELP` explains them."""
+        """Return the edge's metrics by name; `data_plane.metrics.HELP` describes them."""
         node = self.node
         rows = {f"edge_{name}_total": count for name, count in node.router.counts.items()}
         for server in self.forward_servers:
--- a/libs/data_plane/src/data_plane/edge_service.py
+++ b/libs/data_plane/src/data_plane/edge_service.py
@@ -1,6 +1,6 @@
-"""What an edge does for clients of our own interface, once a request has been read and checked.
+"""Serves completions and batch jobs of vaneledge's own HTTP API, after a request was validated.
 
-It has no socket; the HTTP side and the simulator's clients use the same object.
+It opens no socket; the HTTP modules and the simulator's clients call the same service.
 """
 
 import hashlib
@@ -42,10 +42,20 @@
 
 
 class EdgeService(Component):
-    """Serves completions and batch jobs of our own interface.
-
-    `profile_tree` gives the profiles in force; `why_unready` why the edge is not ready, or an empty
-    string. Responses are given to callbacks on the node's thread.
+    """Serves completions and batch jobs; callbacks are called on the node's thread.
+
+    Parameters
+    ----------
+    router
+        Sends completions to workers.
+    leader_client
+        Sends requests about jobs to the leader.
+    jobs
+        Runs items at this edge.
+    profile_tree
+        Returns the profiles in force.
+    why_unready
+        Returns why the edge is not ready, or an empty string if it is.
     """
 
     __slots__ = (
@@ -72,21 +82,22 @@
         self._why_unready = why_unready
         self._retry_budgets: dict[str, RetryBudget] = {}
 
-    def unready_response(self, named: bool) -> ServiceResponse[None] | None:
-        """Return the refusal of an edge that is not ready; `named` as for `not_ready`."""
+    def unready_response(self, has_id: bool) -> ServiceResponse[None] | None:
+        """Return a refusal if the edge is not ready, else None; `has_id` as for `not_ready`."""
         reason = self._why_unready()
-        return ServiceResponse.refuse(not_ready(reason, named)) if reason else None
+        return ServiceResponse.refuse(not_ready(reason, has_id)) if reason else None
 
     def _unknown_path_response(self, path: str, field: str) -> ServiceResponse[None] | None:
-        """Return the refusal of a path that no profile has; `field` names it in the request."""
+        """Return a refusal if no usable profile is called `path`, else None.
+
+        `field` is the request's field that the refusal names.
+        """
         if self._profile_tree().usable(path) is not None:
             return None
         return ServiceResponse.refuse(
             refused("unknown-path", f"{field}: no profile is called {path!r}", 404, field=field)
         )
 
-    # -- completions ---------------------------------------------------------------------------
-
     def complete(
         self,
         path: str,
@@ -96,10 +107,22 @@
         on_event: Callable[[bytes], None],
         on_end: Callable[[Step, ServiceResponse[None]], None],
     ) -> InFlightRequest | ServiceResponse[None]:
-        """Begin a completion; return the request in flight, or a response given at once.
-
-        `key` is the idempotency key or empty. `on_event` gets a stream's events; `on_end` the last
-        step and the response, unless the client disconnected.
+        """Start a completion; return the request in flight, or a refusal if it can't be started.
+
+        Parameters
+        ----------
+        path
+            The name of its profile.
+        key
+            The idempotency key, or an empty string.
+        body
+            The request for the worker.
+        stream
+            Whether the response is streamed.
+        on_event
+            Receives the events of a stream.
+        on_end
+            Receives the last step and the response, unless the client disconnected.
         """
         refusal = self.unready_response(bool(key)) or self._unknown_path_response(path, "model")
         if refusal is not None:
@@ -120,8 +143,6 @@
 
         return self._router.start(lifecycle, call, on_event if stream else None, on_last_step)
 
-    # -- batch jobs ----------------------------------------------------------------------------
-
     def submit(
         self,
         job_id: str,
@@ -130,7 +151,7 @@
         due_ms: int,
         on_response: OnResponse,
     ) -> None:
-        """Submit a job to the leader; `due_ms` is the time it is given, in milliseconds."""
+        """Submit a job to the leader; `due_ms` is its deadline in milliseconds from now."""
         refusal = self.unready_response(True) or self._unknown_path_response(path, "path")
         if refusal is not None:
             on_response(refusal)
@@ -149,7 +170,7 @@
             on_response(response)
 
         profile = self._profile_tree().usable(path)
-        assert profile is not None, "the path was checked"
+        assert profile is not None, f"no usable profile is called {path!r}"
         self._leader_client.request(
             SubmitJob(
                 job_id=job_id,
@@ -166,7 +187,7 @@
         )
 
     def progress(self, job_id: str, on_response: OnResponse) -> None:
-        """Give a job's progress."""
+        """Look up a job's progress."""
         self._leader_client.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
@@ -174,7 +195,7 @@
         )
 
     def results(self, job_id: str, from_index: int, limit: int, on_response: OnResponse) -> None:
-        """Give a page of at most `limit` results, from index `from_index` on."""
+        """Request a page of at most `limit` results that starts at index `from_index`."""
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
         self._leader_client.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
@@ -183,12 +204,12 @@
         )
 
     def cancel(self, job_id: str, on_response: OnResponse) -> None:
-        """Cancel a job, and stop its items that run at this edge."""
+        """Cancel a job; once the leader has confirmed it, stop its items at this edge."""
 
         def on_leader_response(message: JobResponse | None) -> None:
             outcome = message.outcome if message is not None else JobOutcome.UNKNOWN
             if outcome == JobOutcome.KNOWN:
-                self._jobs.stop(job_id, "ended here")
+                self._jobs.stop(job_id, "job cancelled")
             self.node.env.log("job-cancelled", job=job_id, outcome=outcome)
             on_response(job_response(job_id, message))
 
--- a/libs/data_plane/src/data_plane/job_api.py
+++ b/libs/data_plane/src/data_plane/job_api.py
@@ -1,4 +1,4 @@
-"""The HTTP routes of batch jobs: read and check, call the service, write its response."""
+"""The HTTP routes of batch jobs: parse the request, call the service, write its response."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class JobApi:
-    """Adds the routes of batch jobs to `server`; `node` is the edge that has the settings."""
+    """Adds the routes of batch jobs to `server`; `node` is the edge."""
 
     __slots__ = ("_node", "_service")
 
--- a/libs/data_plane/src/data_plane/job_responses.py
+++ b/libs/data_plane/src/data_plane/job_responses.py
@@ -1,7 +1,8 @@
-"""Responses of our own interface about batch jobs, from the leader's messages.
+"""Responses of vaneledge's own HTTP API about batch jobs, made from the leader's messages.
 
-Without a message from the leader, or if it doesn't know itself, nobody can tell whether a request
-had an effect, and the response says so (verdict `may_have_run`).
+If the leader did not respond, or doesn't know the outcome itself, a request may have had an effect,
+and the response has the verdict `may_have_run`. Codes and texts of refusals are part of the
+interface.
 """
 
 import json
@@ -17,9 +18,9 @@
 
 __all__ = ["job_response", "results_response", "submission_response"]
 
-_BACKLOG_RETRY_MS = 2000
+_BACKLOG_FULL_RETRY_MS = 2000
 _STORES_FULL_RETRY_MS = 5000
-_DOUBT_RETRY_MS = 1000
+_OUTCOME_UNKNOWN_RETRY_MS = 1000
 
 
 def _stores_full() -> Refusal:
@@ -27,7 +28,7 @@
 
 
 def _leader_silent() -> Refusal:
-    return doubtful("stores-silent", "the stores did not answer", _DOUBT_RETRY_MS)
+    return doubtful("stores-silent", "the stores did not answer", _OUTCOME_UNKNOWN_RETRY_MS)
 
 
 _SUBMISSION_REFUSALS: dict[str, Callable[[], Refusal]] = {
@@ -38,7 +39,7 @@
         field="lot_id",
     ),
     JobOutcome.BACKLOG_FULL: lambda: refused(
-        "waiting-room-full", "the waiting room of this path is full", 429, _BACKLOG_RETRY_MS
+        "waiting-room-full", "the waiting room of this path is full", 429, _BACKLOG_FULL_RETRY_MS
     ),
     JobOutcome.UNKNOWN_PATH: lambda: refused(
         "unknown-path", "path: no such profile is in force at the stores", 404, field="path"
@@ -48,7 +49,7 @@
 
 
 def submission_response(job_id: str, message: JobResponse | None) -> ServiceResponse[None]:
-    """Return the response to a submitted job; without the leader's message it may be accepted."""
+    """Return the response to a submission; without a response of the leader it is doubtful."""
     outcome = message.outcome if message is not None else JobOutcome.UNKNOWN
     if message is not None and outcome in (JobOutcome.ADMITTED, JobOutcome.KNOWN):
         status = 201 if outcome == JobOutcome.ADMITTED else 200
@@ -59,13 +60,13 @@
         doubtful(
             "lot-in-doubt",
             f"lot {job_id} may have been accepted; hand the same in again to learn which",
-            _DOUBT_RETRY_MS,
+            _OUTCOME_UNKNOWN_RETRY_MS,
         )
     )
 
 
 def _lookup_refusal(job_id: str, outcome: str) -> Refusal | None:
-    """Return why there is nothing to show of a job, or None if it is known."""
+    """Return the refusal of a lookup that failed, or None if the leader's response is usable."""
     if outcome == JobOutcome.UNKNOWN:
         return _leader_silent()
     if outcome == JobOutcome.MISSING:
@@ -76,7 +77,7 @@
 
 
 def job_response(job_id: str, message: JobResponse | None) -> ServiceResponse[None]:
-    """Return a job's progress, or why there is none."""
+    """Return a job's progress, or a refusal."""
     if message is None:
         return ServiceResponse.refuse(_leader_silent())
     if (refusal := _lookup_refusal(job_id, message.outcome)) is not None:
@@ -87,7 +88,7 @@
 def results_response(
     job_id: str, from_index: int, message: ListResultsResponse | None
 ) -> ServiceResponse[None]:
-    """Return a page of a job's results, from index `from_index` on."""
+    """Return the page of a job's results that starts at index `from_index`, or a refusal."""
     if message is None:
         return ServiceResponse.refuse(_leader_silent())
     if message.outcome == JobOutcome.BEYOND_END:
@@ -126,7 +127,7 @@
 
 
 def _result_row(row: ResultRow) -> dict[str, Any]:
-    """Return a result as JSON; a body that is JSON is shown as that, any other as text."""
+    """Return a result as JSON; a body that is not JSON itself becomes a string."""
     shown: dict[str, Any] = {
         "index": row.index,
         "verdict": row.outcome if row.outcome != "refused" else "not_run",
--- a/libs/data_plane/src/data_plane/request_bodies.py
+++ b/libs/data_plane/src/data_plane/request_bodies.py
@@ -1,6 +1,6 @@
-"""The bodies that clients and workers send, checked with pydantic.
+"""Bodies of requests from clients and workers, validated with pydantic.
 
-Every problem becomes a refusal that names the field; unknown fields are refused, not ignored.
+A refusal lists the first invalid fields; unknown fields are refused, not ignored.
 """
 
 import json
@@ -39,7 +39,7 @@
 
 
 class PromptBody(_StrictBody):
-    """The part of OpenAI's completion calls that is forwarded to workers."""
+    """The fields of OpenAI's completion requests that are forwarded to workers."""
 
     prompt: str | None = None
     messages: list[ChatMessage] | None = Field(None, min_length=1)
@@ -56,24 +56,24 @@
 
 
 class CompletionBody(PromptBody):
-    """A live completion; `model` names the profile."""
+    """A live completion; `model` is the name of a profile."""
 
     model: Name
     stream: bool = False
 
 
 class JobItemBody(PromptBody):
-    """One item of a job: either a prompt or messages."""
+    """One item of a batch job; it has either a prompt or messages."""
 
     @model_validator(mode="after")
-    def _one_kind(self) -> "JobItemBody":
+    def _check_prompt_or_messages(self) -> "JobItemBody":
         if (self.prompt is None) == (self.messages is None):
             raise ValueError("an item has either a prompt or messages")
         return self
 
 
 class SubmitJobBody(_StrictBody):
-    """A job as it is submitted; `due_ms` is the time it is given, in milliseconds from now."""
+    """A submitted batch job; `due_ms` is its deadline in milliseconds from now."""
 
     path: Name
     items: list[JobItemBody] = Field(min_length=1, max_length=10_000)
@@ -81,7 +81,7 @@
 
 
 class HeartbeatBody(_StrictBody):
-    """A worker's heartbeat; `cache_use` is a share from 0 to 1."""
+    """A worker's heartbeat; `cache_use` is the fraction of its cache in use, from 0 to 1."""
 
     identity: Name
     incarnation: int = Field(ge=0)
@@ -96,14 +96,14 @@
 
 
 class LeaveBody(_StrictBody):
-    """A worker's notice that it leaves; final for its incarnation."""
+    """A worker's notice that it leaves, which it can't revoke for this incarnation."""
 
     identity: Name
     incarnation: int = Field(ge=0)
 
 
 def parse(model: type[BodyT], data: bytes) -> Result[BodyT, Refusal]:
-    """Return the body as the model says, or a refusal that names the fields that are wrong."""
+    """Return the body parsed by `model`, or a refusal that lists the invalid fields."""
     try:
         value: Any = json.loads(data)
     except (ValueError, RecursionError) as error:
--- a/libs/data_plane/src/data_plane/request_paths.py
+++ b/libs/data_plane/src/data_plane/request_paths.py
@@ -1,4 +1,4 @@
-"""What the API modules read from a request's path and query: ids, and the bounds of a page."""
+"""Parses ids in the path of a request, and the bounds of a page in its query."""
 
 import re
 
@@ -14,7 +14,7 @@
 
 
 class PageBounds:
-    """A page of at most `limit` results, from index `from_index` on."""
+    """The bounds of a page: at most `limit` results that start at index `from_index`."""
 
     __slots__ = ("from_index", "limit")
 
@@ -24,7 +24,7 @@
 
 
 def read_id(request: web.Request, name: str) -> str | Refusal:
-    """Return the id that the path has under `name`, such as lot_id, or why it can't be one."""
+    """Return the path parameter `name`, such as lot_id, or a refusal if it is not a valid id."""
     value = request.match_info[name]
     if re.match(JOB_ID_PATTERN, value):
         return value
@@ -34,7 +34,10 @@
 
 
 def read_page_bounds(request: web.Request) -> PageBounds | Refusal:
-    """Return the bounds that the query's `from` and `limit` name, or what is wrong with them."""
+    """Return the page that `from` and `limit` select, or a refusal.
+
+    Other query parameters and values that are not numbers of at most nine digits are refused.
+    """
     numbers = {"from": 0, "limit": _DEFAULT_LIMIT}
     for name, value in request.query.items():
         if name not in numbers or not _WHOLE_NUMBER.match(value):
--- a/libs/data_plane/src/data_plane/responses.py
+++ b/libs/data_plane/src/data_plane/responses.py
@@ -1,8 +1,8 @@
-"""What a client is answered: a status with its body, or a refusal with its verdict.
+"""Responses of services to clients: a status with a body, or a refusal with its verdict.
 
-A service gives each client a `ServiceResponse`; the HTTP side writes it out, and the simulator's
-clients read it as it is. How the leader's messages become responses is in `job_responses` (our own
-interface) and `forward_job_responses`.
+The HTTP modules write a `ServiceResponse` to the client; the simulator's clients read it directly.
+Responses are made from the leader's messages in `job_responses` (vaneledge's own HTTP API) and
+`forward_job_responses`.
 """
 
 import json
@@ -22,8 +22,18 @@
 class ServiceResponse(Generic[ContentT]):
     """A status with its body, or a refusal.
 
-    `value` is the content of a positive response that is not written out yet; `replayed` says that
-    the response was recorded under the idempotency key before.
+    Parameters
+    ----------
+    status
+        The HTTP status.
+    body
+        The body, or an empty string if `value` has the content.
+    refusal
+        The refusal, or None.
+    replayed
+        Whether this is the recorded response of an earlier request with the same idempotency key.
+    value
+        The content of a successful response that the HTTP module serializes, or None.
     """
 
     __slots__ = ("body", "refusal", "replayed", "status", "value")
@@ -49,12 +59,12 @@
 
     @classmethod
     def of_json(cls, content: Any, status: int = 200) -> "ServiceResponse[ContentT]":
-        """Return a positive response with a JSON body."""
+        """Return a successful response with a JSON body."""
         return cls(status, json.dumps(content))
 
     @classmethod
     def of_value(cls, value: ContentT, status: int = 200) -> "ServiceResponse[ContentT]":
-        """Return a positive response whose content the HTTP side writes out."""
+        """Return a successful response whose content the HTTP module serializes."""
         return cls(status, "", value=value)
 
     @property
@@ -68,21 +78,21 @@
         return self.refusal.code if self.refusal is not None else ""
 
 
-def not_ready(reason: str, named: bool) -> Refusal:
-    """Return the refusal of an edge that is not ready; nothing was forwarded.
+def not_ready(reason: str, has_id: bool) -> Refusal:
+    """Return the refusal of a request to an edge that is not ready; nothing was forwarded.
 
-    `named` says that the request has a key or an id, under which it may have come through another
-    edge before; the verdict is then doubtful.
+    `has_id` is true if the request has an idempotency key or an id. It may then be a retry of a
+    request that ran through another edge, so the verdict is `may_have_run`.
     """
-    make = doubtful if named else refused
+    make = doubtful if has_id else refused
     return make("not-ready", reason, retry_after_ms=_NOT_READY_RETRY_MS, status=503)
 
 
 def completion_response(step: Step) -> ServiceResponse[None]:
     """Return the response of a live completion, from the last step of its life cycle."""
     if step.kind in (StepKind.FINISH, StepKind.REPLAY):
-        assert step.response is not None, "a finish and a replay have a response"
+        assert step.response is not None, f"{step.kind} step without a response"
         body = cast(str, step.response.body)
         return ServiceResponse(step.response.status, body, replayed=step.kind is StepKind.REPLAY)
-    assert step.refusal is not None, "a last step that is no finish has a refusal"
+    assert step.refusal is not None, f"last step {step.kind} without a refusal"
     return ServiceResponse.refuse(step.refusal)
