--- a/tests/fake_jobs.py
+++ b/tests/fake_jobs.py
@@ -1,4 +1,4 @@
-"""The fake platform's side of lots: handing in, working the items off, results and ends, out of memory."""
+"""Batch jobs ("lots") of the fake platform, kept in memory: submission, items, results and cancellation."""
 
 import asyncio
 import base64
@@ -10,14 +10,17 @@
 
 
 class FakeJobApi:
-    """Part of `FakeFleet`, which has the workers, the settings and the session."""
+    """Mixin of `FakeFleet`, which has the workers, the settings and the session.
 
-    async def _hand_in(self, route, request, body):
+    `broken` names the fault that the fake platform is to show, or is empty.
+    """
+
+    async def _submit_job(self, route, request, body):
         name = request.headers["Request-Id"]
         if name in self.jobs:
             return web.Response(status=202)
         items = {row["serverId"]: row for row in json.loads(body)["requests"]}
-        waiting = sum(
+        backlog_tokens = sum(
             item["tokens"]
             for job in self.jobs.values()
             if not job["ended"]
@@ -26,7 +29,7 @@
         )
         tokens = sum(item["tokens"] for item in items.values())
         refused = self.broken == "refuses-lots" or (
-            waiting + tokens > route["queueCap"] and self.broken != "no-quota"
+            backlog_tokens + tokens > route["queueCap"] and self.broken != "no-quota"
         )
         if refused and self.broken != "refuses-lots":
             return web.Response(status=429)
@@ -41,16 +44,16 @@
         if not refused:
             self.jobs[name] = job
         for key in items:
-            asyncio.ensure_future(self._item(job, key))
+            asyncio.ensure_future(self._run_item(job, key))
         return web.Response(status=429 if refused else 202)
 
-    async def _item(self, job, key):
+    async def _run_item(self, job, key):
         if self.broken == "kills-items":
             job["results"].append({"serverId": key, "state": "dead_letter", "message": ""})
             return
-        progress = SimpleNamespace(pieces=[], last=None, errors=0)
+        progress = SimpleNamespace(event_data=[], last=None, errors=0)
         while not job["ended"] or self.broken == "goes-on":
-            if self._waits_for_the_end(job, progress.pieces):
+            if self._awaits_cancellation(job, progress.event_data):
                 await asyncio.sleep(0.05)
                 continue
             if self.broken == "goes-on" and job["ended"]:
@@ -68,18 +71,21 @@
                 job["results"].append({"serverId": key, "state": "dead_letter", "message": ""})
                 return
             await asyncio.sleep(0.03)
-        self._list_result(job, key, progress.pieces)
+        self._list_result(job, key, progress.event_data)
 
-    def _waits_for_the_end(self, job, pieces):
+    def _awaits_cancellation(self, job, event_data):
         return (
             self.broken == "goes-on"
-            and len(pieces) == 0
+            and len(event_data) == 0
             and not job["ended"]
             and self.clock() < job["at_ms"] + 2500
         )
 
     async def _attempt(self, job, key, worker, progress):
-        """The status, or None for a connection that failed; pieces and the last event's number go into `progress`."""
+        """Return the status, or None if the connection failed.
+
+        The data of the events and the id of the last one are stored in `progress`.
+        """
         item, last = job["items"][key], progress.last
         more = {"Host": job["host"], "Work-Urgency": "9"} | (
             {"Last-Event-Id": str(last)} if last is not None else {}
@@ -93,27 +99,27 @@
                 if answer.status == 200:
                     async for block in self._blocks(answer):
                         progress.last = int(block.split(b"\n")[0][3:])
-                        progress.pieces.append(block.split(b"data: ")[1].decode())
+                        progress.event_data.append(block.split(b"data: ")[1].decode())
                 return answer.status
         except (aiohttp.ClientError, OSError):
             return None
 
-    def _list_result(self, job, key, pieces):
-        if self.broken == "loses-piece" and len(pieces) > 2:
-            del pieces[1]
+    def _list_result(self, job, key, event_data):
+        if self.broken == "loses-piece" and len(event_data) > 2:
+            del event_data[1]
         if self.broken == "twists-pieces":
-            pieces[1:3] = reversed(pieces[1:3])
-        if len(pieces):
+            event_data[1:3] = reversed(event_data[1:3])
+        if len(event_data):
             job["done"].add(key)
             job["results"].append(
-                {"serverId": key, "state": "finished", "message": "\n".join(pieces)}
+                {"serverId": key, "state": "finished", "message": "\n".join(event_data)}
             )
             if self.broken == "lists-twice":
                 job["results"].append(job["results"][-1])
             if self.broken == "moves-results":
                 self.rng.shuffle(job["results"])
 
-    async def _job_call(self, request):
+    async def _job_request(self, request):
         job = self.jobs.get(request.path.rpartition("/")[2])
         if job is None or (self.broken == "forgets-lots" and self.rng.random() < 0.3):
             return web.Response(status=404)
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -178,13 +178,13 @@
             settings = next(iter(self.taken.values()))
         host = request.headers["Host"]
         if request.path.startswith("/vaneledge/"):
-            return await self._job_call(request)
+            return await self._job_request(request)
         route = route_of(settings, host, request.path)
         if route is None or (self.broken == "denies" and self.rng.random() < 0.3):
             return web.Response(status=404)
         body = await request.read()
         if route["routeType"] == "bulk":
-            return await self._hand_in(route, request, body)
+            return await self._submit_job(route, request, body)
         return await self._forward(settings, route, request, body)
 
     def _sent(self, headers, name, worker, **more):
--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -1,4 +1,4 @@
-"""The platform's calls for lots: every call, every answer, as its pages have them."""
+"""The platform's API for batch jobs ("lots"): each request and each response, as the platform documents them."""
 
 import asyncio
 import base64
@@ -43,7 +43,7 @@
 
 
 class RecordingService:
-    """Gives each call the same response, and records the calls."""
+    """Responds to each call with the same response, and records the calls."""
 
     def __init__(self, answer):
         self.calls = []
@@ -100,7 +100,7 @@
         )
 
     def test_a_job_has_one_id(self):
-        """With two ids nobody could say which lot was taken."""
+        """With two ids it would be ambiguous under which of them the job was accepted."""
         ok = forward_submission_response("7c", job_message("admitted"), True)
         for ids in ([], ["7c", "7d"], ["7c", "7c"]):
             headers = CIMultiDict([("Request-Id", name) for name in ids])
@@ -121,16 +121,16 @@
             (None, False, 503, True),
             (job_message("unknown"), True, 504, False),
         ]
-        for message, sent, status, back in rows:
+        for message, sent, status, has_retry_after in rows:
             response, calls = self.submit(forward_submission_response("7c", message, sent))
             self.assertThat(
                 (response.status, "Retry-After" in response.headers),
-                Equals((status, back)),
+                Equals((status, has_retry_after)),
                 message,
             )
             self.assertThat(calls, Equals([("7c", "route/x", ["e5"], [940], 4000)]))
 
-    def test_how_long_a_submission_is_worked_on(self):
+    def test_a_submission_waits_until_the_clients_or_the_routes_deadline(self):
         for deadline, wait_ms in (
             ("1500", 1500),
             ("9000", 4000),
@@ -144,9 +144,9 @@
             )
             self.assertThat(calls[0][-1], Equals(wait_ms), deadline)
 
-    def test_what_is_no_job_never_reaches_the_leader(self):
+    def test_invalid_submissions_never_reach_the_leader(self):
         ok = forward_submission_response("7c", job_message("admitted"), True)
-        twice, bare = [ITEM, ITEM], [{"path": "/x"}]
+        repeated, incomplete = [ITEM, ITEM], [{"path": "/x"}]
         for body in (
             b"",
             b"[]",
@@ -158,8 +158,8 @@
             response, calls = self.submit(ok, body=body)
             self.assertThat((response.status, calls), Equals((400, [])), body)
         for rows in (
-            twice,
-            bare,
+            repeated,
+            incomplete,
             [{**ITEM, "body": "%%"}],
             [{**ITEM, "serverId": str(n)} for n in range(201)],
             [{**ITEM, "tokens": "x"}],
