--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -214,13 +214,13 @@
         "data_plane/src/data_plane/connection_pool.py",
         "if data and not self._awaiting_response:",
         "if False:",
-        _KEPT + "nobody_asked",
+        _KEPT + "unexpected_bytes",
     ),
     "a begun surplus answer is overlooked": (
         "data_plane/src/data_plane/connection_pool.py",
         "elif protocol.has_surplus():",
         "elif False:",
-        _KEPT + "nobody_asked",
+        _KEPT + "unexpected_bytes",
     ),
     "the library sends again on its own": (
         "data_plane/src/data_plane/connection_pool.py",
@@ -232,7 +232,7 @@
         "request_routing/src/request_routing/forward_exchange.py",
         "if not self._matches:\n    return self._unmatched(otherwise)",
         "if not self._matches and self._header_names.request_id.lower() in self._values:\n    return self._unmatched(otherwise)",
-        _KEPT + "before_anything",
+        _KEPT + "before_the_request",
     ),
     "draining drops a request just read": (
         "data_plane/src/data_plane/forward_connections.py",
@@ -289,6 +289,6 @@
         "request_routing/src/request_routing/attempt_results.py",
         "if begun and ends and not attempt.exchange.streams:",
         "if False:",
-        _WIRE + "continues_no_stream",
+        _WIRE + "no_continuation",
     ),
 }
--- a/tests/forward_stage.py
+++ b/tests/forward_fixture.py
@@ -1,5 +1,5 @@
-"""What the tests of the edge's forwarding over real sockets share: a worker that gives set responses, a client
-that writes and reads bytes, and an edge with its forward server on free ports.
+"""Fixtures for tests of forwarded requests over real sockets: a worker with scripted responses, a client that
+writes and reads raw bytes, and an edge with its forward server on free ports.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from runtime import Settings, set_up_logs
 
 ROUTE = {"parent": "service", "attempts": 2, "give_up_ms": 15_000, "target_ms": 400}
-TREE = {
+PROFILES = {
     "profiles": {
         "service": {"abstract": True, "workers": {"labels": ["s"]}, "connections": 100},
         "plain": {
@@ -66,11 +66,14 @@
 
 
 class Worker:
-    """Answers by a function of its own; keeps what came and on which connection."""
+    """A worker that responds by the coroutine function `respond`, which closes the connection by returning False.
 
-    def __init__(self, identity, answer):
-        self.identity, self.answer = identity, answer
-        self.requests, self.connections, self.lost = [], 0, asyncio.Event()
+    `requests` has a row for each request: its request line, headers, body and the number of its connection.
+    """
+
+    def __init__(self, identity, respond):
+        self.identity, self.respond = identity, respond
+        self.requests, self.connections, self.disconnected = [], 0, asyncio.Event()
 
     async def start(self, port):
         self.port = port
@@ -78,7 +81,7 @@
 
     async def serve(self, reader, writer):
         self.connections += 1
-        mine = self.connections
+        connection = self.connections
         try:
             while True:
                 text = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -86,37 +89,37 @@
                     line.split(": ", 1) for line in text.split("\r\n")[1:] if ": " in line
                 )
                 body = await reader.readexactly(int(fields.get("Content-Length", 0)))
-                self.requests.append((text.split("\r\n")[0], fields, body, mine))
-                if await self.answer(self, fields, writer) is False:
+                self.requests.append((text.split("\r\n")[0], fields, body, connection))
+                if await self.respond(self, fields, writer) is False:
                     break
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.lost.set()
+            self.disconnected.set()
         writer.close()
 
-    def say(self, writer, text):
+    def write_text(self, writer, text):
         writer.write(text.replace("{seal}", f"seal-{self.identity}").encode())
 
 
-async def good(worker, fields, writer):
-    worker.say(writer, head(fields, "Keep-Alive: timeout=5\r\n", "yes"))
+async def respond_ok(worker, fields, writer):
+    worker.write_text(writer, head(fields, "Keep-Alive: timeout=5\r\n", "yes"))
 
 
-def made(answer, extra="", after=""):
+def respond_with(answer, extra="", after=""):
     async def answers(worker, fields, writer):
-        worker.say(writer, head(fields, extra, answer) + after)
+        worker.write_text(writer, head(fields, extra, answer) + after)
 
     return answers
 
 
-async def three_events(worker, fields, writer):
-    worker.say(writer, head(fields))
+async def respond_three_events(worker, fields, writer):
+    worker.write_text(writer, head(fields))
     for number in range(1 + int(fields.get("Last-Event-Id", 0)), 4):
-        worker.say(writer, chunk(event(number)))
-    worker.say(writer, "0\r\n\r\n")
+        worker.write_text(writer, chunk(event(number)))
+    worker.write_text(writer, "0\r\n\r\n")
 
 
 class Client:
-    """One connection, without a library, so that every byte is seen."""
+    """One client connection over a raw socket, so that a test sees every byte."""
 
     def __init__(self, port):
         self.port = port
@@ -127,7 +130,7 @@
         )
         return self
 
-    def ask(
+    def send(
         self,
         target,
         method="POST",
@@ -144,7 +147,7 @@
             + body
         )
 
-    async def answer(self):
+    async def read_response(self):
         text = (await self.reader.readuntil(b"\r\n\r\n")).decode()
         lines = text.split("\r\n")
         fields = {
@@ -163,8 +166,8 @@
         await self.reader.readline()
         return int(lines[0].split()[1]), fields, body
 
-    async def ended(self):
-        """What still came until the connection ended."""
+    async def read_to_end(self):
+        """Return the bytes that arrive until the connection ends; none if it is reset."""
         try:
             return await self.reader.read()
         except ConnectionError:
@@ -197,7 +200,7 @@
         self.node.forward_service._why_profiles_uncertain = lambda: "" if self.ready else "unsure"
         self.runner = NodeRunner(self.node, env)
         await self.runner.start()
-        self.node.config_feed.publish("profiles", 1, json.dumps(TREE))
+        self.node.config_feed.publish("profiles", 1, json.dumps(PROFILES))
         self.node.config_feed.publish(
             "workers",
             1,
@@ -235,14 +238,14 @@
             if isinstance(worker, Worker):
                 worker.server.close()
 
-    async def one(self, target, **how):
+    async def request(self, target, **how):
         client = await Client(self.port).open()
-        client.ask(target, **how)
-        answer = await asyncio.wait_for(client.answer(), 5)
+        client.send(target, **how)
+        answer = await asyncio.wait_for(client.read_response(), 5)
         client.writer.close()
         return answer
 
 
-def run(case):
-    """A test case of coroutines."""
+def async_test(case):
+    """Run a coroutine method as a test, with a time limit of 20 s."""
     return lambda self: asyncio.run(asyncio.wait_for(case(self), 20))
--- a/tests/test_operator_wire.py
+++ b/tests/test_operator_wire.py
@@ -9,7 +9,7 @@
 from ports import free_ports
 from testtools import TestCase
 from testtools.matchers import Equals
-from wire_helpers import reset, until
+from wire_helpers import reset, wait_until
 
 
 class Changes:
@@ -60,18 +60,18 @@
                 lost[1].write(put_request(9))
                 one[1].write(put_request(1) + put_request(2))
                 two[1].write(put_request(3))
-                await until(lambda: {base for base, _ in changes.pending} >= {1, 3, 9})
+                await wait_until(lambda: {base for base, _ in changes.pending} >= {1, 3, 9})
                 reset(lost[1])
                 changes.finish(3, ConfigurationStatus.APPLIED)
                 self.assertThat(await statuses(two[0], 1), Equals([200]))
                 changes.finish(9, ConfigurationStatus.APPLIED)
                 changes.finish(1, ConfigurationStatus.REPLACED)
-                await until(lambda: 2 in {base for base, _ in changes.pending})
+                await wait_until(lambda: 2 in {base for base, _ in changes.pending})
                 changes.finish(1, ConfigurationStatus.APPLIED)
                 changes.finish(2, ConfigurationStatus.APPLIED)
                 self.assertThat(await statuses(one[0], 2), Equals([412, 200]))
                 two[1].write(put_request(4))
-                await until(lambda: 4 in {base for base, _ in changes.pending})
+                await wait_until(lambda: 4 in {base for base, _ in changes.pending})
                 changes.finish(3, ConfigurationStatus.REPLACED)
                 changes.finish(4, ConfigurationStatus.DOUBT)
                 self.assertThat(await statuses(two[0], 1), Equals([503]))
--- a/tests/wire_helpers.py
+++ b/tests/wire_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of troubles on the wire share: what a client was written, what reached a worker, and resets."""
+"""Helpers for tests of protocol faults on raw sockets: what a client and a worker received, and TCP resets."""
 
 import asyncio
 import re
@@ -6,8 +6,8 @@
 import struct
 
 
-def statuses(data):
-    """The final statuses in what a client was written, in order, with the id that each bears."""
+def final_statuses(data):
+    """Return the status and the request id of each response in `data`, in order; 100 Continue is left out."""
     found = []
     for text in re.split(r"HTTP/1\.[01] ", data.decode())[1:]:
         ids = [line[12:] for line in text.split("\r\n") if line.lower().startswith("request-id: ")]
@@ -16,13 +16,13 @@
     return found
 
 
-def ids(worker):
-    """The ids of the requests that reached a worker, in order."""
+def request_ids(worker):
+    """Return the ids of the requests that a worker received, in order."""
     return [fields["Request-Id"] for _, fields, _, _ in worker.requests]
 
 
-async def heard(client):
-    """All that a client is written until the connection ends or rests."""
+async def read_all(client):
+    """Return what a client receives until the connection ends or is idle for 0.3 s."""
     data = b""
     try:
         while piece := await asyncio.wait_for(client.reader.read(1 << 16), 0.3):
@@ -33,16 +33,16 @@
     return data
 
 
-async def until(check):
+async def wait_until(check):
     for _ in range(200):
         if check():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("not within a second")
+    raise AssertionError("the condition did not become true within a second")
 
 
 def reset(writer):
-    """End the connection with a reset instead of an end."""
+    """Close the connection with a TCP reset (RST) instead of FIN."""
     linger = struct.pack("ii", 1, 0)
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
