--- a/libs/data_plane/src/data_plane/edge_readiness.py
+++ b/libs/data_plane/src/data_plane/edge_readiness.py
@@ -1,4 +1,4 @@
-"""Readiness of an edge: whether its profiles are certain enough to be in force.
+"""Readiness of an edge: whether it can be sure that its profiles are still in force.
 
 An edge serves while it hears from a control node that has a majority or, with the control plane
 down, from most nodes of the serving set. With the setting `cut_off` = "serve" it only has to start
@@ -43,10 +43,10 @@
         """Return why serving can't start yet, with `cut_off` = "serve", or an empty string.
 
         Serving starts once the edge has profiles and no node heard within `failure_timeout_ms`
-        reports newer ones, provided that a control node with a majority is heard or, once that time
-        has passed since the edge's start, no control node at all. From then on the edge serves with
-        the profiles it has. A control node that is heard without a majority is cut off, and the
-        neighbours may be too, so their profiles may be old.
+        reports a newer version of any key, provided that a control node with a majority is heard
+        or, once that time has passed since the edge's start, no control node at all. From then on
+        the edge serves with the profiles it has. A control node that is heard without a majority is
+        cut off, and the neighbours may be too, so their profiles may be old.
         """
         if not self._caught_up:
             failure_timeout_ms = self._node.settings.failure_timeout_ms
@@ -114,7 +114,7 @@
         }
 
     def _has_newest_profiles(self, floor_ms: int) -> bool:
-        """Whether there are profiles, and no node heard since `floor_ms` has a newer key."""
+        """Whether the edge has profiles, and no node heard since `floor_ms` has any key newer."""
         feed = self._node.config_feed
         return feed.version(PROFILES_KEY) > 0 and all(
             feed.version(key) >= version
--- a/libs/data_plane/src/data_plane/forward_server.py
+++ b/libs/data_plane/src/data_plane/forward_server.py
@@ -1,7 +1,7 @@
 """The HTTP server of an edge for forwarded requests.
 
-A request is read completely before it is routed. The worker's response is written as it arrives, in
-complete events; a response that breaks off is never terminated, so that the client can't take it
+A request is read completely before it is forwarded. The worker's response is written as it arrives,
+in complete events; a response that breaks off is never terminated, so that the client can't take it
 for complete. A client that reads slowly slows the worker down (backpressure); a disconnect cancels
 the request. A `RequestReader` parses the requests of the platform that the edge serves.
 """
--- a/libs/data_plane/src/data_plane/forward_service.py
+++ b/libs/data_plane/src/data_plane/forward_service.py
@@ -49,8 +49,8 @@
     def route(self, host: str, target: str) -> Any:
         """Return the profile for a host and a request target, or a Refusal.
 
-        While the edge's profiles may not be those in force, the refusal is `not-ready`, since
-        `no-route` could be wrong.
+        While the edge's profiles may not be those in force, the refusal is `not-ready`: an edge
+        without any profiles, for instance, can't know that there is no route.
         """
         profile_tree = self._profile_tree()
         if reason := self._why_profiles_uncertain():
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -116,8 +116,8 @@
 
     @async_test
     async def test_a_reset_on_a_kept_connection_sends_nothing_twice(self):
-        """The worker resets a kept connection before, within or after its response, or closes it; the request, which
-        may not be repeated, reaches a worker once.
+        """The worker resets a kept connection before its response, within the head or before its last byte, or closes
+        it without a response. The request, which may not be repeated, reaches a worker once.
         """
 
         async def before(worker, fields, writer):
