--- a/libs/control_store/src/control_store/messages.py
+++ b/libs/control_store/src/control_store/messages.py
@@ -1,8 +1,8 @@
-"""Messages between proposers and acceptors, and of the operations on keys.
+"""Messages of the consensus protocol and of client operations on keys.
 
 A proposal number is an epoch and the proposer's identity (`control_store.proposal_number`); the
-messages carry it as two fields. Every request to an acceptor carries the number of the list of
-voters that it counts under; acceptors reject numbers other than their own.
+messages carry it as two fields. Prepare, Accept, Confirm and ListKeys also carry the number of the
+sender's voter list. An acceptor rejects them if its own voter list has another number.
 """
 
 from enum import StrEnum
@@ -34,16 +34,18 @@
     "VoterListDecided",
 ]
 
-NO_BASE = -1
+NO_BASE = -1  # the caller doesn't know the version, or doesn't number versions itself
 
 
 class RejectReason(StrEnum):
     """Why an acceptor rejected a request.
 
-    - EPOCH: a higher proposal number was promised.
-    - LIST: the proposer's list of voters is old, or the acceptor is not on the list.
-    - BEHIND: the acceptor's own list of voters is old.
-    - DISK: the write failed.
+    - EPOCH: the proposal is not the highest that the acceptor has promised, or an Accept has an
+      older version than the one accepted under the same proposal, or the write of a promise failed.
+    - LIST: the proposer's voter list is older than the acceptor's, or the acceptor has none or is
+      not on it.
+    - BEHIND: the acceptor's voter list is older than the proposer's.
+    - DISK: the write of an accepted value failed.
     """
 
     EPOCH = "epoch"
@@ -53,14 +55,14 @@
 
 
 class Outcome(StrEnum):
-    """What became of an operation at the key's owner.
+    """Outcome of an operation on a key.
 
     - OK: the change was decided, or the value was read.
     - LOST: the change was not decided and never will be.
-    - FORGOTTEN: the change is not among those remembered, and too old for its absence to be
-      conclusive.
-    - DOUBT: the outcome is not known; the change may still be decided.
-    - REFUSED: nothing was attempted, since there is no list of voters yet.
+    - FORGOTTEN: the change is not among those that the key's value remembers, and it is so old that
+      it may have been decided and dropped from them since.
+    - DOUBT: the outcome is unknown; the change may have been decided or may still be.
+    - REFUSED: nothing was attempted, because the node has no voter list yet.
     """
 
     OK = "ok"
@@ -71,11 +73,11 @@
 
 
 class Value(Message):
-    """A version of a key, with the identifiers of the recent changes that led to it.
+    """A version of a key's value, with a record of the recent changes that produced it.
 
-    The three lists are parallel, oldest first: each change's identifier, the version that it made,
-    and the caller's own number of the version that it was based on (NO_BASE where the caller has
-    none). `change_bases` defaults to NO_BASE for each change.
+    The three lists run in parallel, oldest change first. They hold each change's identifier, the
+    version that it produced, and the version that it was based on in the caller's own numbering
+    (NO_BASE if the caller has none). `change_bases` defaults to NO_BASE for each change.
     """
 
     version: int
@@ -90,7 +92,7 @@
 
 
 class Prepare(Message):
-    """Phase 1 of a proposal: asks an acceptor to promise to accept nothing below it."""
+    """Phase 1 of a proposal: asks an acceptor to promise to accept no lower-numbered proposal."""
 
     key: str
     epoch: int
@@ -104,7 +106,7 @@
 
 
 class Confirm(Message):
-    """Asks whether a proposal is still an acceptor's highest promise; writes nothing to disk."""
+    """Asks whether a proposal is still the acceptor's highest promise; nothing is written."""
 
     key: str
     epoch: int
@@ -118,7 +120,7 @@
 
 
 class Accept(Message):
-    """Phase 2 of a proposal: asks an acceptor to accept an encoded `Value` under it."""
+    """Phase 2 of a proposal: asks an acceptor to accept an encoded `Value`."""
 
     key: str
     epoch: int
@@ -135,9 +137,10 @@
 class Vote(Message, wire_name="Voted"):
     """An acceptor's reply to Prepare, Accept or Confirm.
 
-    `reason` is empty if `ok`, otherwise a value of `RejectReason`; with LIST, `list_body` has the
-    acceptor's list. In the reply to a Prepare that was written to disk, `value` is the accepted
-    `Value` with its body; otherwise it has only the newest flushed version, without a body.
+    `reason` is empty if `ok`, otherwise a value of `RejectReason`; with LIST, `list_body` is the
+    acceptor's voter list. In the reply to a Prepare that the acceptor tried to write, `value` is
+    the accepted `Value` with its body. In every other reply it is a `Value` without a body, of the
+    newest version flushed to disk. It is empty if there is no such version.
     """
 
     identity: str
@@ -152,7 +155,7 @@
 
     @property
     def promised(self) -> ProposalNumber:
-        """The highest proposal number promised."""
+        """The highest proposal number that the acceptor has promised."""
         return ProposalNumber(self.promised_epoch, self.promised_proposer)
 
     @property
@@ -162,10 +165,10 @@
 
 
 class RegisterRecord(Message, wire_name="KeyRow"):
-    """One record of an acceptor's log: the register of a key after a vote.
+    """One record of an acceptor's log or snapshot: the register of a key after a vote.
 
-    `flushed_bytes` is the length of the log known to be flushed when the record was written; 0 in a
-    snapshot.
+    `flushed_bytes` is how many bytes of the log were known to be flushed when the record was
+    written; 0 in a snapshot.
     """
 
     key: str
@@ -178,7 +181,7 @@
 
     @property
     def promised(self) -> ProposalNumber:
-        """The highest proposal number promised."""
+        """The highest proposal number that the acceptor has promised."""
         return ProposalNumber(self.promised_epoch, self.promised_proposer)
 
     @property
@@ -188,13 +191,13 @@
 
 
 class ListKeys(Message):
-    """Asks an acceptor for the names of all keys that it has a register of."""
+    """Asks an acceptor for the names of all keys that it has a register for."""
 
     list_number: int
 
 
 class ListKeysResponse(Message, wire_name="KeyList"):
-    """Reply to ListKeys; `ok` only if both sides use the same list of voters."""
+    """Reply to ListKeys; `ok` only if both sides have the same voter list."""
 
     identity: str
     ok: bool
@@ -202,9 +205,9 @@
 
 
 class AcceptorMetadata(Message, wire_name="VoterMeta"):
-    """An acceptor's identity, its vote for the first list of voters, and its present list.
+    """An acceptor's identity, its vote for the first voter list, and its current voter list.
 
-    `bootstrap_vote` and `list_body` are JSON, empty for none.
+    `bootstrap_vote` and `list_body` are JSON, empty if there is none.
     """
 
     identity: str
@@ -213,13 +216,13 @@
 
 
 class BootstrapRequest(Message, wire_name="Found"):
-    """Asks a blank node to vote for `members` (JSON rows) as the first list of voters."""
+    """Asks a control node to vote for `members`, a JSON array of voters, as the first list."""
 
     members: str
 
 
 class BootstrapVote(Message, wire_name="FoundVote"):
-    """Reply to BootstrapRequest; `list_body` is the node's list of voters if it already has one."""
+    """Reply to BootstrapRequest; `list_body` is the node's voter list, empty if it has none."""
 
     identity: str
     ok: bool
@@ -227,17 +230,17 @@
 
 
 class VoterListDecided(Message, wire_name="Founded"):
-    """Announces a list of voters, as JSON, to a node on it."""
+    """Announces a decided voter list, as JSON, to a control node."""
 
     list_body: str
 
 
 class Change(Message):
-    """Asks the key's owner to replace `version` of the key by a new version with `body`.
+    """Asks the key's owner to replace the value at `version` by a new version with `body`.
 
-    `change_id` identifies the change when it is sent again. `base` is the caller's own number for
-    the version replaced, for callers that number versions themselves; it is only remembered and
-    defaults to NO_BASE. `hops` counts how often the message was forwarded.
+    `change_id` identifies the change across retries. `base` is the replaced version in the caller's
+    own numbering, for callers that number versions themselves; it is stored with the change but not
+    checked, and defaults to NO_BASE. `hops` counts how often the message has been forwarded.
     """
 
     key: str
@@ -255,9 +258,9 @@
 class FindChange(Message):
     """Asks whether a change was decided, without proposing it.
 
-    The version that it was based on is given as the key's version (`version`) or in the caller's
-    own numbers (`base`, with `number` for the version that it would have made). Those that the
-    caller does not know are NO_BASE.
+    `version` is the key's version that the change was based on. `base` is the same version in the
+    caller's own numbering, and `number` the version that the change would have produced in that
+    numbering. Fields that the caller doesn't know are NO_BASE.
     """
 
     key: str
@@ -269,7 +272,7 @@
 
 
 class ReadKey(Message):
-    """Asks the key's owner for the newest value, confirmed by a majority of the voters."""
+    """Asks the key's owner for the newest value, after a majority confirms its ownership."""
 
     key: str
     hops: int
@@ -289,5 +292,5 @@
 
     @classmethod
     def without_value(cls, outcome: Outcome, reason: str) -> "ChangeResult":
-        """Return the result of an operation of which no version is known."""
+        """Return a result without a version and a body."""
         return cls(outcome=outcome, version=0, body="", reason=reason)
--- a/libs/control_store/src/control_store/proposal_number.py
+++ b/libs/control_store/src/control_store/proposal_number.py
@@ -1,4 +1,4 @@
-"""Proposal numbers, by which proposers compete for a key (Lamport: Paxos Made Simple, 2001)."""
+"""Proposal numbers of the consensus protocol (Lamport: Paxos Made Simple, 2001)."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 class ProposalNumber(NamedTuple):
     """The number of a proposal; numbers are ordered by epoch, then by proposer.
 
-    `proposer` is the identity of the process that proposes, so that no two processes ever use the
+    `proposer` is the identity of the proposing process. It keeps two processes from ever using the
     same number.
     """
 
--- a/libs/control_store/src/control_store/quorum_round.py
+++ b/libs/control_store/src/control_store/quorum_round.py
@@ -1,7 +1,7 @@
-"""One round of requests to all voters, with a count of their replies.
+"""One round of requests to all voters, which succeeds if a majority of them agrees.
 
-A round ends as soon as a majority has agreed, as soon as that can no longer happen, or when its
-time is up. A round that waits for all ends only once all have replied or its time is up.
+A round ends as soon as a majority has agreed or can no longer be reached; a request that times out
+counts as not agreed. With `wait_for_all` it ends only once every voter has replied or timed out.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class QuorumReply(Protocol):
-    """What a voter's reply says: who replied, and whether it agrees."""
+    """The fields that every voter's reply has: the voter's identity, and whether it agrees."""
 
     identity: str
     ok: bool
@@ -23,10 +23,21 @@
 
 
 class QuorumRound(Generic[Reply]):
-    """Sends `message` to all `voters` (identity to address) and calls `done` with the result once.
-
-    `timeout_ms` is how long each voter's reply is waited for. `agreed` has the replies that agreed
-    and `replies` all of them, by identity; both may grow after the round has ended.
+    """Sends a request to all voters and calls back once, with whether a majority agreed.
+
+    `agreed` has the positive replies and `replies` all replies, by identity. Both may grow after
+    the round has ended. A reply from another identity than the one addressed is ignored.
+
+    Parameters
+    ----------
+    voters
+        Link address of each voter, by identity.
+    timeout_ms
+        Timeout of each request.
+    done
+        Called when the round ends, with the round and whether a majority agreed.
+    wait_for_all
+        Continue after the result is certain, until every voter has replied or timed out.
     """
 
     __slots__ = ("_done", "_majority", "_outstanding", "_wait_for_all", "agreed", "replies")
@@ -50,15 +61,15 @@
             node.request(address, message, timeout_ms, self._reply_handler(identity))
 
     def _reply_handler(self, identity: str) -> Callable[[Message | None], None]:
-        return lambda reply: self._take(identity, reply)
+        return lambda reply: self._handle_reply(identity, reply)
 
-    def _take(self, identity: str, message: Message | None) -> None:
-        """Count the reply of the voter that `identity` was expected of; None if it timed out."""
+    def _handle_reply(self, identity: str, message: Message | None) -> None:
+        """Record the reply to the request sent to `identity`, or its timeout if it is None."""
         if identity not in self._outstanding:
             return
         self._outstanding.discard(identity)
         if message is not None:
-            self._count(identity, cast(Reply, message))
+            self._record(identity, cast(Reply, message))
         if self._done is None or (self._wait_for_all and self._outstanding):
             return
         if len(self.agreed) >= self._majority:
@@ -66,7 +77,7 @@
         elif len(self.agreed) + len(self._outstanding) < self._majority:
             self._end(self._done, False)
 
-    def _count(self, identity: str, reply: Reply) -> None:
+    def _record(self, identity: str, reply: Reply) -> None:
         if reply.identity != identity:
             return
         self.replies[identity] = reply
