--- a/libs/control_store/src/control_store/acceptor.py
+++ b/libs/control_store/src/control_store/acceptor.py
@@ -1,9 +1,9 @@
 """The acceptor at a control node: it votes on proposals for each key.
 
-Every vote is on disk before it is sent. Prepare promises a proposal number, Accept accepts a value
-under it, and Confirm only reports whether the promise still holds. A damaged disk is refused, so
-that the node becomes a new, blank identity. A request counts only under the list of voters that
-the acceptor has itself.
+A promise or an accepted value is on disk before the positive reply is sent. Prepare asks for the
+promise of a proposal number, Accept for the acceptance of a value under it, and Confirm only
+whether the promise still holds. Requests made under another voter list than the acceptor's are
+rejected. Damaged files are refused on opening; the node then starts with a new, blank identity.
 """
 
 from collections.abc import Callable
@@ -30,13 +30,18 @@
 
 __all__ = ["CONTROL_KEY", "Acceptor"]
 
-CONTROL_KEY = "control"
+CONTROL_KEY = "control"  # its value is the voter list
 
 
 class Acceptor(Component):
-    """The acceptor at one control node, with its files on `disk`.
-
-    `new_token` gives the random part of a new identity. Opening a damaged disk raises DamageError.
+    """The acceptor of one control node; raises DamageError if its files are damaged.
+
+    Parameters
+    ----------
+    disk
+        Holds the metadata, the logs and the snapshot.
+    new_token
+        Returns the random part of a new identity, used if the disk has none.
     """
 
     __slots__ = ("_metadata_file", "_store")
@@ -48,12 +53,12 @@
         self._store.recover()
 
     def attach(self, node: Node) -> None:
-        """Attach the node, and flush the records that were recovered."""
+        """Attach the node, and flush the records read during recovery."""
         super().attach(node)
         self._store.attach(node)
 
     def tick(self) -> None:
-        """Let the disk write, and replace a long log by a snapshot."""
+        """Start writeback, and replace the log by a snapshot if it is too long."""
         self._store.tick()
 
     @property
@@ -61,8 +66,6 @@
         """The register of each key."""
         return self._store.registers
 
-    # -- metadata ------------------------------------------------------------------------------
-
     @property
     def metadata(self) -> AcceptorMetadata:
         """The durable metadata of this node."""
@@ -75,31 +78,36 @@
 
     @property
     def voters(self) -> dict[str, str]:
-        """The present voters, identity to link address; empty before the first list."""
+        """Link address of each current voter, by identity; empty before the first list."""
         return self._metadata_file.voters
 
     @property
     def list_number(self) -> int:
-        """The number of the present list of voters; 0 before the first."""
+        """The number of the current voter list; 0 before the first."""
         return self._metadata_file.list_number
 
     def adopt_list(self, body: str, done: WriteCallback) -> None:
-        """Adopt a list of voters if it is newer; it counts once it is on disk."""
+        """Adopt a voter list if it is newer than the current one.
+
+        It takes effect once it is on disk. `done` gets whether the write succeeded, or True at once
+        for a list that is not newer.
+        """
         self._metadata_file.adopt_list(body, done)
 
     def save_bootstrap_vote(self, members: str, done: WriteCallback) -> None:
-        """Record the vote for `members` (JSON rows) as the first list of voters."""
+        """Store the vote for `members`, a JSON array of voters, as the first voter list.
+
+        `done` gets whether the vote is on disk.
+        """
         self._metadata_file.save(
             AcceptorMetadata(identity=self.identity, bootstrap_vote=members, list_body=""), done
         )
 
-    # -- requests ------------------------------------------------------------------------------
-
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Answer a proposer's request, if it counts under this node's list of voters."""
+        """Vote on a proposer's request, or reject it if it was made under another voter list."""
         request = cast(Prepare | Accept | Confirm, message)
-        reason = self._reject_list(request.list_number)
+        reason = self._list_mismatch(request.list_number)
         if reason is not None:
             self._reject(request, origin, reason)
         else:
@@ -120,8 +128,8 @@
             ),
         )
 
-    def _reject_list(self, list_number: int) -> RejectReason | None:
-        """Return why a request under a list of voters does not count, or None if it does."""
+    def _list_mismatch(self, list_number: int) -> RejectReason | None:
+        """Return the reason to reject a request made under a voter list, or None to accept it."""
         if (
             not self.metadata.list_body
             or list_number < self.list_number
@@ -132,7 +140,7 @@
 
     @singledispatchmethod
     def _vote_on(self, message: Message, origin: Origin) -> None:
-        raise TypeError(type(message).__name__)
+        raise TypeError(f"expected Prepare, Accept or Confirm, got {type(message).__name__}")
 
     @_vote_on.register
     def _(self, message: Prepare, origin: Origin) -> None:
@@ -143,7 +151,7 @@
             return
 
         def written(ok: bool) -> None:
-            # A higher proposal may have been promised while this promise was written.
+            # A higher proposal may have been promised while this promise was being written.
             promised = ok and self.registers[key].promised == proposal
             vote = self._vote(key, None if promised else RejectReason.EPOCH, with_body=True)
             self.node.reply(origin, vote)
@@ -159,7 +167,7 @@
     def _(self, message: Accept, origin: Origin) -> None:
         key, proposal = message.key, message.proposal
         register = self.registers.setdefault(key, Register())
-        # Accepts of one epoch may be delayed or duplicated: an accepted version is never undone.
+        # A delayed or duplicated Accept of the same proposal must not undo a newer version.
         version = encoded_version(message.value)
         if proposal < register.promised or (
             proposal == register.accepted and version < register.version
@@ -172,17 +180,16 @@
 
         self._store.write(key, register.with_value(proposal, message.value), written)
 
-    # -- votes ---------------------------------------------------------------------------------
-
     def _reject(
         self, request: Prepare | Accept | Confirm, origin: Origin, reason: RejectReason
     ) -> None:
         self.node.reply(origin, self._vote(request.key, reason))
 
     def _vote(self, key: str, reason: RejectReason | None, with_body: bool = False) -> Vote:
-        """Return a vote, positive without a `reason`.
+        """Return a vote, which is positive if `reason` is None.
 
-        Unless the accepted value is sent with its body, only what has been flushed is reported.
+        With `with_body` it has the accepted value, otherwise only the newest version that is known
+        to be flushed to disk.
         """
         register = self._store.get(key)
         accepted, version = (register.accepted, register.version) if with_body else register.flushed
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -1,8 +1,8 @@
-"""The bootstrap of the voters: the decision of the first list.
+"""Bootstrap of the control nodes: the decision of the first voter list.
 
-The first list needs the durable vote of every one of control_count blank nodes for the same list
-or, where no count is configured, of every node at a seed's address on a first start. The lists that
-follow are changed by the steward (`control_store.steward`).
+The first list is decided once every node on it has durably voted for it. It has control_count nodes
+without a voter list or, if control_count is 0, the nodes at all seed addresses on a first start.
+Later lists are proposed by the steward (`control_store.steward`).
 """
 
 import json
@@ -23,9 +23,12 @@
 
 
 class Bootstrap:
-    """Votes for a first list of voters, and proposes it if this node is the first on it.
+    """Votes on the first voter list, and proposes it if this node is the first on it.
 
-    `run_again_in` asks for the next run after some ms.
+    Parameters
+    ----------
+    run_again_in
+        Sets the delay until the next call of `run`, in ms.
     """
 
     __slots__ = ("_acceptor", "_membership", "_node", "_proposed", "_run_again_in", "_votes")
@@ -41,13 +44,14 @@
         self._votes: set[str] = set()
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the clock, the settings and the messages."""
+        """Set the node that provides the clock, the settings and messaging."""
         self._node = node
 
-    # -- voting --------------------------------------------------------------------------------
-
     def receive(self, message: BootstrapRequest, origin: Origin) -> None:
-        """Vote for a proposed first list; the vote is on disk before the reply is sent."""
+        """Vote on a proposed first list; a positive vote is on disk before the reply is sent.
+
+        A node votes for one list only, and no longer votes when it has a voter list.
+        """
         metadata = self._acceptor.metadata
         if metadata.list_body or metadata.bootstrap_vote not in ("", message.members):
             self._reply(origin, False)
@@ -61,8 +65,8 @@
     def _may_bootstrap(self) -> bool:
         """Whether this node may vote for a first list.
 
-        Where no count is configured, a blank disk may also be one that was lost after the
-        bootstrap.
+        If control_count is 0, it may vote only on a first start: at any other start an empty disk
+        may mean that the node's files were lost after the bootstrap.
         """
         settings = self._node.settings
         return bool(settings.control_count > 0 or settings.first_start)
@@ -77,10 +81,11 @@
             ),
         )
 
-    # -- proposing -----------------------------------------------------------------------------
-
     def run(self) -> None:
-        """Propose the list that this node has voted for, or one that it is the first on."""
+        """Propose the list that this node has voted for, or else one that it is the first on.
+
+        Every voter on the list is asked on each run until a list is decided.
+        """
         members = self._acceptor.metadata.bootstrap_vote or self._members_to_propose()
         if not members:
             return
@@ -107,14 +112,14 @@
                 self._announce(VoterList(FIRST_LIST_NUMBER, voters))
 
     def _announce(self, voter_list: VoterList) -> None:
-        """Send the decided list to all that are on it."""
+        """Send the decided list to every voter on it."""
         body = json.dumps(voter_list.to_json())
         self._node.env.log("founded", voters=sorted(voter_list.identities()))
         for voter in voter_list.voters:
             self._node.send(voter.address, VoterListDecided(list_body=body))
 
     def _members_to_propose(self) -> str:
-        """Return the first voters as JSON if this node is to propose them; otherwise empty."""
+        """Return the first voters as JSON if this node has to propose them, otherwise ""."""
         if not self._may_bootstrap():
             return ""
         settings, membership = self._node.settings, self._membership
--- a/libs/control_store/src/control_store/change_memory.py
+++ b/libs/control_store/src/control_store/change_memory.py
@@ -1,9 +1,9 @@
-"""The recent changes that a key's value remembers, for idempotent retries.
+"""The recent changes remembered in a key's value, which make retries idempotent.
 
-The last changes are stored in the value itself, so they are as durable as it is and move with it
-from owner to owner; their number is bounded. A change that is not among them was certainly never
-decided only if it would have to be among them: if the version that it was based on, or the number
-that it would have made, is not older than what is remembered.
+A bounded number of changes is stored in the value itself, so they are as durable as the value and
+move with it from owner to owner. If a change is not among them, that proves that it was never
+decided only if it is recent enough: the version that it was based on, or the one that it would have
+produced in the caller's numbering, must not be older than the changes remembered.
 """
 
 from control_store.messages import NO_BASE, Change, FindChange, Value
@@ -22,14 +22,14 @@
 
 
 def decided_version(value: Value, change_id: str) -> int | None:
-    """Return the version that a change made, or None if it is not remembered."""
+    """Return the version that a change produced, or None if the change is not remembered."""
     if change_id not in value.change_ids:
         return None
     return value.change_versions[value.change_ids.index(change_id)]
 
 
 def add_change(value: Value, change: Change) -> Value:
-    """Return the value that results from applying the change to this one."""
+    """Return the next version of a value, which has the change's body and remembers the change."""
     limit = REMEMBERED_PROFILE_CHANGES if change.key == PROFILES_KEY else REMEMBERED_CHANGES
     version = value.version + 1
     return Value(
@@ -44,8 +44,8 @@
 def surely_undecided(value: Value, change: Change | FindChange) -> bool:
     """Whether a change that is not remembered was certainly never decided.
 
-    The `version` and `base` of decided changes rise from one to the next, and each one's base is
-    the number that the one before made.
+    Both `version` and `base` increase from each decided change to the next, and the base of each is
+    the number that the previous one produced in the caller's numbering.
     """
     first_version = value.change_versions[0] if value.change_versions else value.version + 1
     if first_version == 1 or change.version >= first_version - 1:
