--- a/libs/control_store/src/control_store/client.py
+++ b/libs/control_store/src/control_store/client.py
@@ -1,8 +1,9 @@
-"""Client for nodes that are not voters: changes and reads keys through the control nodes.
+"""Client with which nodes other than control nodes change and read keys.
 
-It asks the control node that probably owns the key, then the others in turn. A change carries one
-identifier in all attempts, so that a retry after silence learns what became of the first one. The
-next node is asked while the one before may still reply; the first conclusive reply counts.
+It sends a request to the control node that probably owns the key, then to the others in turn. A
+change has the same identifier in all attempts, so that a retry gets the result of an attempt whose
+reply was lost. The next node is tried while earlier ones may still reply; the first conclusive
+reply is used.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,11 +16,14 @@
 __all__ = ["ClientCallback", "ControlClient"]
 
 ClientCallback = Callable[[str, int, str], None]
-"""Gets the outcome (a value of `Outcome`), the version and the body."""
+"""Called with the outcome (a value of `Outcome`), the version and the body."""
 
 
 class _PendingRequest:
-    """A change or read in progress, and the control nodes that are asked in turn."""
+    """A change or read in progress, and the addresses of the control nodes to try in turn.
+
+    It is given up at `due_ms` and sent to the next node at `retry_ms`, both on the node's clock.
+    """
 
     __slots__ = ("addresses", "attempts", "done", "due_ms", "make_message", "retry_ms")
 
@@ -38,17 +42,21 @@
         self.retry_ms = 0
 
     def next_address(self) -> str:
-        """Return the control node that the next attempt goes to, and count the attempt."""
+        """Return the address for the next attempt, and count the attempt."""
         address = self.addresses[self.attempts % len(self.addresses)]
         self.attempts += 1
         return address
 
 
 class ControlClient(Component):
-    """Changes and reads control keys on behalf of a node that is not a voter.
-
-    `addresses` gives the link addresses of all known control nodes. `likely` gives addresses for a
-    key, the first of which is most likely its owner's.
+    """Changes and reads control keys on behalf of a node that is not a control node.
+
+    Parameters
+    ----------
+    addresses
+        Returns the link addresses of all known control nodes.
+    likely
+        Returns the link addresses to try first for a key, most probable owner first.
     """
 
     __slots__ = ("_addresses", "_likely", "_pending")
@@ -63,9 +71,10 @@
         self._pending: list[_PendingRequest] = []
 
     def change(self, key: str, version: int, body: str, done: ClientCallback) -> None:
-        """Replace `version` of a key by `body`; `done` gets the outcome, the version and the body.
+        """Replace the value of a key at `version` by `body`.
 
-        The outcome is DOUBT after twice force_ms without a conclusive reply.
+        `done` gets the outcome, the version and the body. The outcome is DOUBT if no control node
+        is known, or after twice force_ms without a conclusive reply.
         """
         change_id = self.node.env.token()
         self._submit(
@@ -75,7 +84,7 @@
         )
 
     def read(self, key: str, done: ClientCallback) -> None:
-        """Read a key; `done` gets the outcome, the version and the body, as for `change`."""
+        """Read a key; `done` is called as for `change`."""
         self._submit(key, lambda: ReadKey(key=key, hops=0), done)
 
     def _submit(
@@ -119,7 +128,7 @@
         request.done(outcome, version, body)
 
     def tick(self) -> None:
-        """Give up overdue requests, and send the others to the next control node if due."""
+        """Give up overdue requests, and send the others to the next control node when due."""
         now_ms = self.node.env.now()
         for request in list(self._pending):
             if now_ms >= request.due_ms:
--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of operations to the owners of their keys, with retries after silence."""
+"""Forwarding of operations to the owners of their keys, with retries if an owner is silent."""
 
 from collections.abc import Callable
 from typing import cast
@@ -16,7 +16,7 @@
 
 
 class _Retry:
-    """An operation whose owner did not reply, to be tried again until `due_ms`."""
+    """An operation without a conclusive result, retried until `due_ms` on the node's clock."""
 
     __slots__ = ("done", "due_ms", "operation")
 
@@ -29,7 +29,11 @@
 class OperationForwarder:
     """Routes operations to the owners of their keys.
 
-    `enqueue` queues an operation at this node until a time in ms of the node's clock.
+    Parameters
+    ----------
+    enqueue
+        Queues an operation on a key that this node owns. Its arguments are the operation, when it
+        is given up (ms on the node's clock) and the callback for the result.
     """
 
     __slots__ = ("_acceptor", "_enqueue", "_membership", "_node", "_retries")
@@ -47,14 +51,15 @@
         self._retries: list[_Retry] = []
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the clock, the settings and the messages."""
+        """Set the node that provides the clock, the settings and messaging."""
         self._node = node
 
     def submit(self, operation: ClientOperation, done: ResultCallback) -> None:
         """Execute an operation here, or forward it to the key's owner; `done` gets the result.
 
-        The node that first submits it retries after silence, since ownership may have moved; a
-        change is recognized by its identifier. The outcome is DOUBT if no reply comes at all.
+        If the owner does not reply, the node where the operation was first submitted retries, since
+        ownership may have moved; a change is recognized by its identifier. The outcome is DOUBT if
+        there is no reply at all, and REFUSED if this node has no voter list yet.
         """
         if not self._acceptor.voters:
             done(ChangeResult.without_value(Outcome.REFUSED, "not founded"))
@@ -84,7 +89,7 @@
             self._forward(operation, self._acceptor.voters[owner], due_ms, replied)
 
     def _is_unanswered(self, result: ChangeResult | None) -> bool:
-        """Whether an attempt is to be repeated: without a reply, or in doubt where edges serve on.
+        """Whether to repeat an attempt: there was no reply, or it was DOUBT and cut_off is "serve".
 
         With cut_off = "serve" another owner may still give a conclusive reply in time.
         """
@@ -93,7 +98,7 @@
         return result.outcome == Outcome.DOUBT and bool(self._node.settings.cut_off == "serve")
 
     def _queue_due_ms(self, hops: int, due_ms: int) -> int:
-        """Return until when an operation may wait in this node's own queue."""
+        """Return when an operation in this node's own queue is given up, in ms."""
         queue_due_ms: int = self._node.env.now() + self._node.settings.request_timeout_ms * 2
         return min(queue_due_ms, due_ms) if hops == 0 else queue_due_ms
 
@@ -117,9 +122,9 @@
     def owner_of(self, key: str) -> str | None:
         """Return the identity of the node responsible for a key, or None if no voter is live.
 
-        It is the first live voter that is itself in contact with a majority, or the first live one.
-        Voters with direct heartbeats come first: one that only others report as live may be
-        unreachable from here.
+        It is the first live voter, in the key's rendezvous order, that reports contact with a
+        majority; if there is none, the first live voter. Voters whose heartbeats reach this node
+        directly are preferred: one that only others report as live may be unreachable from here.
         """
         membership = self._membership
         order = [
@@ -136,7 +141,7 @@
         )
 
     def tick(self) -> None:
-        """Retry the operations whose owner did not reply."""
+        """Retry the operations that have no conclusive result yet."""
         retries, self._retries = self._retries, []
         for retry in retries:
             self._attempt(retry.operation, 0, retry.due_ms, retry.done)
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -1,10 +1,11 @@
-"""The owner of keys: it executes the operations on them, one at a time for each key.
-
-A key's owner is the first live voter in the key's own order. It takes the key over by preparing a
-higher epoch on a majority, completes the proposal that it finds there, and then proposes changes
-under that epoch; each is on a majority of disks before it is acknowledged. An owner that is
-rejected prepares again, which settles what became of its last change; only when time runs out
-before that is the outcome DOUBT. `control_store.proposer` has the rounds of requests.
+"""The owner of keys, which executes the operations on each key one at a time.
+
+A key's owner is the first live voter in the key's rendezvous order (`control_store.forwarding`). It
+takes the key over by preparing a higher epoch on a majority, proposes the newest value found there
+again, and then proposes changes under that epoch. Each change is on the disks of a majority before
+it is acknowledged. An owner whose proposal is rejected prepares again, which shows whether its last
+change was decided; the outcome is DOUBT only if the operation times out before that. The rounds of
+requests are in `control_store.proposer`.
 """
 
 from collections.abc import Callable
@@ -43,10 +44,7 @@
 
 
 class KeyOwner(Component):
-    """Executes operations on the keys that this node owns.
-
-    Operations on other nodes' keys are forwarded to their owners.
-    """
+    """Executes operations on the keys that this node owns, and forwards others to their owners."""
 
     __slots__ = (
         "_acceptor",
@@ -67,16 +65,14 @@
         self._acknowledgements = PendingAcknowledgements(acceptor, config_feed)
 
     def attach(self, node: Node) -> None:
-        """Attach the node to this component and its parts."""
+        """Attach the node to this component and the objects that it consists of."""
         super().attach(node)
         self._forwarder.attach(node)
         self._acknowledgements.attach(node)
         self._proposer.attach(node)
 
-    # -- submitting operations -----------------------------------------------------------------
-
     def receive(self, message: Message, origin: Origin) -> None:
-        """Execute an operation that another node sent, and reply to it."""
+        """Execute an operation sent by another node, and reply with the result."""
         operation = cast(ClientOperation, message)
         self.submit(operation, lambda result: self.node.reply(origin, result))
 
@@ -87,14 +83,14 @@
     def owner_of(self, key: str) -> str | None:
         """Return the identity of the node responsible for a key, or None if no voter is live.
 
-        It is the first live voter that is itself in contact with a majority, or the first live one.
+        It is the first live voter that reports contact with a majority, or the first live one.
         """
         return self._forwarder.owner_of(key)
 
     def ensure_replicated(self, key: str, done: Callable[[bool], None]) -> None:
-        """Make sure that a majority of the present voters has the key's newest value.
+        """Make sure that a majority of the current voters has the key's newest value.
 
-        `done` gets whether that was achieved within twice request_timeout_ms.
+        `done` gets whether that succeeded; it is given up after twice request_timeout_ms.
         """
         self._ensure_replicated(
             EnsureReplicated(key), lambda result: done(result.outcome == Outcome.OK)
@@ -105,10 +101,10 @@
         self._enqueue(operation, due_ms, done)
 
     def repair(self, name: str) -> None:
-        """Repair replicas of a key that are out of date, without anybody waiting for it.
+        """Bring outdated replicas of a key up to date in the background.
 
-        Every voter is asked for its version; the newest value is sent to all again only if one that
-        replied lacks it.
+        If this node owns the key, every voter is asked for its version, and the newest value is
+        sent to all again only if a voter that replied lacks it.
         """
         key = self._keys.get(name)
         if key is None or key.state is not OwnershipState.OWNED:
@@ -129,7 +125,7 @@
         self._proposer.query_versions(key, queried)
 
     def ownership(self) -> dict[str, dict[str, Any]]:
-        """Return for each key that was worked on here its state, epoch and owner, for operators."""
+        """Return state, epoch and owner of each key that this node has operated on."""
         return {
             key.name: {
                 "state": str(key.state),
@@ -139,8 +135,6 @@
             for key in self._keys.values()
         }
 
-    # -- the queue of a key --------------------------------------------------------------------
-
     def _enqueue(self, operation: KeyOperation, due_ms: int, done: ResultCallback) -> None:
         key = self._keys.setdefault(operation.key, KeyState(operation.key))
         key.operations.append(PendingOperation(operation, due_ms, done))
@@ -148,9 +142,9 @@
             self._start_next(key)
 
     def _start_next(self, key: KeyState) -> None:
-        """Start the first operation of a key, unless a round of the key is still under way.
+        """Start the first operation in a key's queue, unless a round is still in progress.
 
-        A caller may submit again from within its callback, before a round has been processed.
+        A callback that submitted another operation may already have started the round for it.
         """
         while key.operations and self.node.env.now() >= key.operations[0].due_ms:
             self._reply(key, Outcome.DOUBT, "no majority of voters answered in time")
@@ -171,7 +165,7 @@
     def _reply(
         self, key: KeyState, outcome: Outcome, reason: str, version: int | None = None
     ) -> None:
-        """Reply to the first operation; `version` is the one that it made, if not the newest."""
+        """Reply to the first operation; `version` is what it produced, by default the newest."""
         operation = key.operations.pop(0)
         value = key.value
         known = outcome in (Outcome.OK, Outcome.LOST)
@@ -190,8 +184,6 @@
         else:
             operation.done(result)
 
-    # -- taking a key over ---------------------------------------------------------------------
-
     def _prepared(self, key: KeyState, round_: VoteRound, ok: bool) -> None:
         self._proposer.observe(key, round_)
         if not ok:
@@ -230,7 +222,7 @@
     def _give_up_ownership(self, key: KeyState) -> None:
         """Give up ownership after a rejection or a timeout.
 
-        What the last round achieved is found out by preparing again shortly.
+        The outcome of the last round becomes known when the key is prepared again (`tick`).
         """
         if key.state is not OwnershipState.UNOWNED:
             self.node.env.log(
@@ -238,10 +230,8 @@
             )
         key.state = OwnershipState.UNOWNED
 
-    # -- executing an operation ----------------------------------------------------------------
-
     def _execute(self, key: KeyState, round_: VoteRound) -> None:
-        """Execute the first operation, now that ownership was confirmed after it was submitted."""
+        """Execute the first operation; ownership has been confirmed since it was submitted."""
         if not key.operations:
             return
         message = key.operations[0].message
@@ -306,10 +296,11 @@
         key.published_ms = self.node.env.now()
         self._config_feed.publish(key.name, key.value.version, key.value.body)
 
-    # -- timers --------------------------------------------------------------------------------
-
     def tick(self) -> None:
-        """Check acknowledgements and retries, and prepare unowned keys again at random."""
+        """Check acknowledgements and retries, and prepare unowned keys that have operations.
+
+        A key is prepared with RETRY_PROBABILITY on each tick.
+        """
         self._acknowledgements.check()
         self._forwarder.tick()
         for key in self._keys.values():
@@ -321,7 +312,7 @@
                 self._start_next(key)
 
     def resumed(self, gap_ms: int) -> None:
-        """Give up all keys after a pause, and answer queued operations with DOUBT."""
+        """Give up all keys after a pause of the process, and end all operations with DOUBT."""
         for key in self._keys.values():
             key.epoch += 1
             key.round_in_progress = False
@@ -332,7 +323,7 @@
 
 
 def _outcome_unless_decided(value: Value, message: Change | FindChange) -> tuple[Outcome, str]:
-    """Return outcome and reason for a change that can neither be found nor be applied."""
+    """Return outcome and reason for a change that is not remembered and cannot be applied."""
     if surely_undecided(value, message):
         return Outcome.LOST, f"version {value.version} is in place; this change is not"
     return Outcome.FORGOTTEN, "older than the changes that are remembered"
--- a/libs/control_store/src/control_store/key_state.py
+++ b/libs/control_store/src/control_store/key_state.py
@@ -1,4 +1,4 @@
-"""The state of a key at its owner: its epoch, its newest value and the queue of operations."""
+"""The state of a key at its owner: the epoch, the newest value and the queue of operations."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -12,10 +12,10 @@
 
 
 class OwnershipState(StrEnum):
-    """The owner's progress towards owning a key.
+    """State of a key's ownership at this node.
 
-    - UNOWNED: there is no promise from a majority.
-    - PREPARING: phase 1 of a proposal, or the proposal of the value found in it, is under way.
+    - UNOWNED: no majority's promise is known to hold.
+    - PREPARING: phase 1 of a proposal, or phase 2 with the value found in it, is in progress.
     - OWNED: a majority has promised the epoch, and the newest value is known.
     - CHANGING: a new version is being proposed.
     """
@@ -27,11 +27,12 @@
 
 
 class KeyState:
-    """What the owner knows of one key, and the operations that wait.
+    """An owner's state for one key.
 
-    `epoch` is the owner's own, and `highest_epoch` the highest that any voter reported.
-    `published_ms` is when the owner last published a value, in ms of the node's clock.
-    `round_in_progress` is set while a round of the key is under way.
+    `epoch` is the epoch that the owner uses, `highest_epoch` the highest that a voter has reported.
+    `published_ms` is when the owner last published a value, on the node's clock.
+    `round_in_progress` is set during any round except queries for versions. `operations` is the
+    queue; its first operation is the one being executed.
     """
 
     __slots__ = (
@@ -57,9 +58,9 @@
 
 
 def newest_accepted(votes: Iterable[Vote]) -> Value:
-    """Return the value of the highest proposal among votes, or the blank value if there is none.
+    """Return the value of the highest proposal among votes, or a blank value if there is none.
 
-    One epoch accepts one version after another, so within a proposal the highest version counts.
+    Several versions may be accepted under one proposal number, of which the highest is returned.
     """
     accepted = [(vote.accepted, decode_as(Value, vote.value)) for vote in votes if vote.value]
     if not accepted:
@@ -68,5 +69,5 @@
 
 
 def blank_value() -> Value:
-    """Return the value of a key that nobody has written."""
+    """Return the value of a key that has never been changed."""
     return Value(version=0, body="", change_ids=[], change_versions=[])
