--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -1,8 +1,8 @@
-"""Sweeps over all keys: outdated replicas are repaired, and unknown values are read.
+"""Sweeps over all keys, which repair outdated replicas and read unknown values.
 
-Before each change of the list of voters every key is decided anew under the present list. So the
-majorities of two consecutive lists always intersect, and no value is left only on disks that no
-longer vote.
+Before each change of the voter list, every key's newest value is replicated to a majority of the
+current list. That way the majorities of two consecutive lists always intersect, and no value is
+left only on disks that no longer vote.
 """
 
 from collections.abc import Callable
@@ -20,12 +20,12 @@
 
 RETIRED_KEY = "retired"
 LOG_KEY = "log"
-NOT_FORWARDED_HOPS = 9
+NOT_FORWARDED_HOPS = 9  # above the forwarder's MAX_HOPS, so that the operation stays at this node
 LONG_AGO_MS = -1 << 40
 
 
 class KeySweep:
-    """Repairs and reads the keys that this node owns, and all keys before a change of voters."""
+    """Repairs and reads the keys that this node owns; replicates all keys before a list change."""
 
     __slots__ = ("_acceptor", "_config_feed", "_node", "_owner", "_read_ms", "_swept_ms")
     _node: Node
@@ -38,15 +38,14 @@
         self._read_ms: dict[str, int] = {}
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the clock, the settings and the messages."""
+        """Set the node that provides the clock, the settings and messaging."""
         self._node = node
 
-    # -- unknown values ------------------------------------------------------------------------
-
     def read_unknown(self) -> None:
-        """Read the keys of this node of which no value is known.
+        """Read the keys that this node owns and has no value for.
 
-        That is done as soon as it owns them, and then every removal_timeout_ms.
+        A key is read once this node owns it, and again after removal_timeout_ms if it still has no
+        value, or on the next call if the read failed.
         """
         for key in self._known_keys():
             if not self._owns(key):
@@ -73,10 +72,8 @@
     def _owns(self, key: str) -> bool:
         return self._owner.owner_of(key) == self._acceptor.identity
 
-    # -- replicas ------------------------------------------------------------------------------
-
     def repair_owned(self) -> None:
-        """Find and repair outdated replicas of the keys that this node owns, now and then."""
+        """Repair outdated replicas of the keys that this node owns, at most every resume_ms / 2."""
         now_ms, settings = self._node.env.now(), self._node.settings
         if now_ms - self._swept_ms < settings.resume_ms // 2:
             return
@@ -89,14 +86,18 @@
                 self._owner.repair(key)
 
     def ensure_all_replicated(self, done: Callable[[bool], None]) -> None:
-        """Make sure every key is on a majority of the present list, or decide it anew under it."""
+        """Make sure that a majority of the current voters has every key's newest value.
+
+        Keys without such a majority are proposed again. `done` gets whether all keys succeeded
+        while the voter list stayed the same.
+        """
         number = self._acceptor.list_number
         self._list_keys(
             lambda keys: self._ensure_replicated(keys, number, done), lambda: done(False)
         )
 
     def _list_keys(self, listed: Callable[[list[str]], None], failed: Callable[[], None]) -> None:
-        """Ask the voters for the names of all keys; a majority has every key that was decided."""
+        """Ask the voters for the names of all keys; any majority knows every decided key."""
 
         def ended(round_: "QuorumRound[ListKeysResponse]", ok: bool) -> None:
             if ok:
@@ -115,7 +116,7 @@
     def _ensure_replicated(
         self, keys: list[str], number: int, done: Callable[[bool], None]
     ) -> None:
-        """Work on all keys at once: with a voter lost, each may take a whole round's timeout."""
+        """Replicate all keys concurrently: if a voter is lost, each may take a full timeout."""
         outstanding = set(keys)
 
         def replicated(key: str, ok: bool) -> None:
--- a/libs/control_store/src/control_store/metadata_file.py
+++ b/libs/control_store/src/control_store/metadata_file.py
@@ -1,6 +1,6 @@
-"""The metadata of an acceptor on disk: its identity, its bootstrap vote and its list of voters.
+"""The metadata of an acceptor on disk: its identity, its bootstrap vote and its voter list.
 
-A folder that has logs but no metadata has lost votes that this node gave, so it is refused as
+A disk that has logs but no metadata has lost part of this node's votes, so it is treated as
 damaged.
 """
 
@@ -19,10 +19,14 @@
 
 
 class MetadataFile:
-    """The metadata of an acceptor, kept in one file that is replaced atomically.
+    """The metadata of an acceptor, stored in one file that is replaced atomically.
 
-    `new_token` gives the random part of a new identity. Opening raises DamageError if the metadata
-    is damaged or missing.
+    Raises DamageError on opening if the file is damaged, or missing beside existing logs.
+
+    Parameters
+    ----------
+    new_token
+        Returns the random part of a new identity, used if the disk has none.
     """
 
     __slots__ = ("_addresses", "_disk", "_number", "_parsed_body", "metadata")
@@ -49,13 +53,13 @@
 
     @property
     def voters(self) -> dict[str, str]:
-        """The present voters, identity to link address; empty before the first list."""
+        """Link address of each current voter, by identity; empty before the first list."""
         self._parse_list()
         return self._addresses
 
     @property
     def list_number(self) -> int:
-        """The number of the present list of voters; 0 before the first."""
+        """The number of the current voter list; 0 before the first."""
         self._parse_list()
         return self._number
 
@@ -66,7 +70,11 @@
             self._number, self._addresses = voter_list.number, voter_list.addresses()
 
     def adopt_list(self, body: str, done: WriteCallback) -> None:
-        """Adopt a list of voters if it is newer; it counts once it is on disk."""
+        """Adopt a voter list if it is newer than the current one.
+
+        It takes effect once it is on disk. `done` gets whether the write succeeded, or True at once
+        for a list that is not newer.
+        """
         if VoterList.from_body(body).number <= self.list_number:
             done(True)
             return
@@ -80,7 +88,10 @@
         )
 
     def save(self, metadata: AcceptorMetadata, done: WriteCallback) -> None:
-        """Write metadata to disk and adopt it, unless a newer list was adopted meanwhile."""
+        """Write metadata to disk, then adopt it unless a newer list has been adopted meanwhile.
+
+        `done` gets whether the write succeeded.
+        """
 
         def replaced(ok: bool) -> None:
             if ok and self._is_current(metadata):
--- a/libs/control_store/src/control_store/operations.py
+++ b/libs/control_store/src/control_store/operations.py
@@ -1,4 +1,4 @@
-"""The operations on a key that wait at its owner."""
+"""Operations on keys, and the entries of a key's queue at its owner."""
 
 from collections.abc import Callable
 
@@ -16,10 +16,10 @@
 
 
 class EnsureReplicated:
-    """An operation of the owner itself that restores the replication of a key's newest value.
+    """An internal operation that replicates a key's newest value to a majority of the voters.
 
-    Afterwards a majority of the present list of voters has the value under the owner's epoch. With
-    `unconditional` the value is sent to all voters even if a majority already has it.
+    If it succeeds, a majority of the current voter list has accepted the value under the owner's
+    epoch. With `unconditional` the value is sent to all voters even if a majority already has it.
     """
 
     __slots__ = ("key", "unconditional")
@@ -34,7 +34,7 @@
 
 
 class PendingOperation:
-    """One queued operation on a key; given up at `due_ms` on the node's clock."""
+    """A queued operation on a key, which is given up at `due_ms` on the node's clock."""
 
     __slots__ = ("done", "due_ms", "message")
 
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -1,7 +1,7 @@
-"""Delayed acknowledgement of changes until the nodes that serve have applied them.
+"""Acknowledgement of decided changes, delayed until the serving nodes have applied them.
 
-A change that is on a majority of the voters' disks is only acknowledged once no node still serves
-under an older version.
+A change that is on the disks of a majority of the voters is acknowledged only once no node still
+serves an older version.
 """
 
 from config_feed import ConfigFeed
@@ -18,7 +18,7 @@
 
 
 class _DecidedChange:
-    """A change that was decided and is not yet acknowledged."""
+    """A change that has been decided but not acknowledged; overdue at `due_ms` (node's clock)."""
 
     __slots__ = ("done", "due_ms", "key", "result")
 
@@ -30,11 +30,11 @@
 
     @property
     def version(self) -> int:
-        """The version that has to be in force."""
+        """The version that has to be in force before the change is acknowledged."""
         return self.result.version
 
     def answer_in_doubt(self) -> None:
-        """Answer that the version may not be in force everywhere."""
+        """Answer with DOUBT: the change is decided, but it may not be in force everywhere."""
         reason = (
             f"kept as version {self.version}, but not known to be in force at most edges and stores"
         )
@@ -42,7 +42,7 @@
 
 
 class PendingAcknowledgements:
-    """Delays the results of changes until their versions are in force."""
+    """Delays the results of decided changes until their versions are in force."""
 
     __slots__ = ("_acceptor", "_changes", "_config_feed", "_node")
     _node: Node
@@ -53,14 +53,13 @@
         self._changes: list[_DecidedChange] = []
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the clock and the settings."""
+        """Set the node that provides the clock and the settings."""
         self._node = node
 
     def add(self, key: str, result: ChangeResult, published_ms: int, done: ResultCallback) -> None:
         """Call `done` with `result` once its version is in force, or with DOUBT after a timeout.
 
-        `published_ms` is when the owner published the key's newest value, in ms of the node's
-        clock.
+        `published_ms` is when the owner published the key's newest value, on the node's clock.
         """
         settings = self._node.settings
         due_ms = (
@@ -74,14 +73,15 @@
     def check(self) -> None:
         """Acknowledge the versions that are in force, and answer overdue ones with DOUBT.
 
-        A version is in force once a majority of the serving set reports it and every live node does
-        too, or those that do not have had to become unready. Without a majority of the serving set
-        the other side of a network partition may still serve under an older version, so the outcome
-        is DOUBT.
+        A version is in force once a majority of the serving set reports it and, in addition, every
+        live node does or the others have had time to become unready. Without a majority of the
+        serving set, the other side of a network partition may still serve an older version, so the
+        outcome is DOUBT.
 
-        With cut_off = "serve" there is no serving set. A majority of the voters has to publish the
-        version, and nodes that have not learned it from them in time count as disconnected. A
-        version that is only on the voters' disks is published after the next proposal.
+        With cut_off = "serve" there is no serving set. Instead, a majority of the voters has to
+        publish the version, and nodes that have not received it from them in time are considered
+        disconnected. A version that is only on the voters' disks is published after the next
+        proposal.
         """
         now_ms, settings = self._node.env.now(), self._node.settings
         changes, self._changes = self._changes, []
@@ -110,7 +110,7 @@
         )
 
     def _is_published_by_majority(self, key: str, version: int) -> bool:
-        """Whether a majority of the voters publishes the version, this node counted if it votes."""
+        """Whether a majority of the voters, including this node, publishes the version."""
         config_feed, voters = self._config_feed, self._acceptor.voters
         oldest_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
         publishing = {
