--- a/libs/control_store/src/control_store/proposer.py
+++ b/libs/control_store/src/control_store/proposer.py
@@ -1,7 +1,7 @@
-"""The proposer's side of the protocol: its rounds of requests to the acceptors of all voters.
+"""The proposer's side of the consensus protocol: rounds of requests to the acceptors.
 
-A key has at most one round at a time, besides queries for versions. The outcome of a round counts
-only if the key's epoch is still the one that the round began with.
+A key has at most one round in progress, apart from queries for versions. The result of any other
+round is ignored if the key's epoch has changed since the round began.
 """
 
 from collections.abc import Callable
@@ -33,8 +33,12 @@
 class Proposer:
     """Runs the rounds of the keys that a node owns.
 
-    `identity` is the one under which this process proposes. `acceptor` is the node's own; it has
-    the list of voters.
+    `identity` is the proposer's identity in proposal numbers; it is empty until `attach`.
+
+    Parameters
+    ----------
+    acceptor
+        The acceptor of the same node, which has the voter list.
     """
 
     __slots__ = ("_acceptor", "_node", "identity")
@@ -45,14 +49,12 @@
         self.identity = ""
 
     def attach(self, node: Node) -> None:
-        """Set the node; each process proposes under an identity of its own."""
+        """Set the node, and generate the proposer's identity, which is unique to this process."""
         self._node = node
         self.identity = f"{self._acceptor.identity}/{node.env.token()}"
 
-    # -- rounds --------------------------------------------------------------------------------
-
     def prepare(self, key: KeyState, done: RoundCallback) -> None:
-        """Begin to take a key over under an epoch that is higher than all known ones."""
+        """Start phase 1 under an epoch that is higher than all known ones."""
         key.state = OwnershipState.PREPARING
         own = self._acceptor.registers.get(key.name)
         key.epoch = max(key.epoch, key.highest_epoch, own.promised.epoch if own else 0) + 1
@@ -65,11 +67,11 @@
         self._start(key, request, done)
 
     def confirm(self, key: KeyState, done: RoundCallback) -> None:
-        """Find out whether a majority's promises for the key's epoch still hold."""
+        """Check whether a majority's promises for the key's epoch still hold."""
         self._start(key, self._confirmation(key), done)
 
     def accept(self, key: KeyState, value: Value, done: RoundCallback) -> None:
-        """Propose a value under the key's epoch."""
+        """Start phase 2: propose a value under the key's epoch."""
         request = Accept(
             key=key.name,
             epoch=key.epoch,
@@ -80,7 +82,7 @@
         self._start(key, request, done)
 
     def query_versions(self, key: KeyState, done: RoundCallback) -> None:
-        """Ask all voters for their versions of a key, beside the key's other rounds."""
+        """Ask all voters for their versions of a key, concurrently with the key's other rounds."""
         QuorumRound(
             self._node,
             self._acceptor.voters,
@@ -116,10 +118,11 @@
             ended,
         )
 
-    # -- replies -------------------------------------------------------------------------------
-
     def observe(self, key: KeyState, round_: VoteRound) -> None:
-        """Note the epochs that voters reported, and bring outdated lists of voters up to date."""
+        """Record the epochs that voters reported, and update outdated voter lists.
+
+        A newer list in a reply is adopted; a voter with an older list is sent this node's list.
+        """
         for vote in round_.replies.values():
             key.highest_epoch = max(key.highest_epoch, vote.promised_epoch)
             if vote.list_body and self._is_newer_list(vote.list_body):
@@ -136,7 +139,7 @@
             self._node.send(address, VoterListDecided(list_body=self._acceptor.metadata.list_body))
 
     def replica_count(self, key: KeyState, round_: VoteRound) -> int:
-        """Count the voters that reported the key's newest value under its epoch in a round."""
+        """Return how many voters agreed in a round and have the newest value under its epoch."""
         proposal = ProposalNumber(key.epoch, self.identity)
         return sum(
             1
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -1,8 +1,9 @@
-"""The read barrier of a control node, for reads that must not be stale.
+"""The read barrier of a control node, which prevents stale reads.
 
 After a start, a pause of the process, or a time without contact with a majority of the voters, the
-node's copy of the configuration may be old. Before the node serves it as current, it reads each key
-anew through the key's owner, whose reply a majority of the voters has confirmed.
+node's copy of the configuration may be outdated. Before the node serves it as current, it re-reads
+each key through the key's owner, which replies after a majority of the voters confirmed its
+ownership.
 """
 
 from collections.abc import Callable
@@ -22,7 +23,10 @@
 class ReadBarrier(Component):
     """Tracks whether every key has been re-read since contact with a majority was regained.
 
-    `hears_majority` returns whether the node is in contact with a majority of the voters.
+    Parameters
+    ----------
+    hears_majority
+        Returns whether the node is in contact with a majority of the voters.
     """
 
     __slots__ = (
@@ -51,9 +55,9 @@
         return self._passed
 
     def tick(self) -> None:
-        """Read the keys, again every request_timeout_ms until all are read.
+        """Read all keys every request_timeout_ms until each has been read in one attempt.
 
-        Without a majority, start over.
+        Without contact with a majority, the barrier is reset.
         """
         if not self._hears_majority():
             self._reset()
@@ -62,11 +66,11 @@
             self._read_all()
 
     def resumed(self, gap_ms: int) -> None:
-        """Reset after a pause of the process of `gap_ms`."""
+        """Reset the barrier after the process was paused for `gap_ms`."""
         self._reset()
 
     def _reset(self) -> None:
-        """Start over; replies to reads of an older attempt no longer count."""
+        """Require all keys to be read again; replies to earlier attempts are ignored."""
         self._passed = False
         self._attempt += 1
         self._retry_at_ms = LONG_AGO_MS
@@ -82,11 +86,11 @@
     def _read(self, key: str, attempt: int) -> None:
         def replied(result: ChangeResult) -> None:
             if attempt == self._attempt and result.outcome == Outcome.OK:
-                self._take(key, result)
+                self._apply(key, result)
 
         self._owner.submit(ReadKey(key=key, hops=0), replied)
 
-    def _take(self, key: str, result: ChangeResult) -> None:
+    def _apply(self, key: str, result: ChangeResult) -> None:
         if result.version:
             self._config_feed.publish(key, result.version, result.body)
         self._missing.discard(key)
--- a/libs/control_store/src/control_store/register.py
+++ b/libs/control_store/src/control_store/register.py
@@ -1,4 +1,4 @@
-"""The register of one key at an acceptor, and the form in which it is stored."""
+"""The register of one key at an acceptor, and its conversion to and from stored records."""
 
 from typing import NamedTuple
 
@@ -20,8 +20,8 @@
 class Register:
     """An acceptor's promise and accepted value for one key.
 
-    `value` is an encoded `Value`, empty for none, and `version` its version. `flushed` is the
-    newest version that is known to be flushed to disk; a later one may be lost.
+    `value` is an encoded `Value`, empty if none was accepted, and `version` its version. `flushed`
+    is the newest version known to be flushed to disk; a later one may be lost in a power failure.
     """
 
     __slots__ = ("accepted", "flushed", "promised", "value", "version")
@@ -34,7 +34,7 @@
         self.flushed = AcceptedVersion(NO_PROPOSAL, 0)
 
     def with_promise(self, proposal: ProposalNumber) -> "Register":
-        """Return a copy that promises to accept nothing below `proposal`."""
+        """Return a copy that promises to accept no lower proposal than `proposal`."""
         register = Register()
         register.promised = proposal
         register.accepted = self.accepted
@@ -44,7 +44,7 @@
         return register
 
     def with_value(self, proposal: ProposalNumber, value: bytes) -> "Register":
-        """Return a copy that has promised `proposal` and accepted a `Value` under it."""
+        """Return a copy that has promised `proposal` and accepted an encoded `Value` under it."""
         register = self.with_promise(proposal)
         register.accepted = proposal
         register.value = value
@@ -52,11 +52,11 @@
         return register
 
     def sort_key(self) -> tuple[ProposalNumber, ProposalNumber, int]:
-        """Return a key that rises with each record that an acceptor writes of a register."""
+        """Return a sort key that never decreases from one record of a register to the next."""
         return self.promised, self.accepted, self.version
 
     def to_record(self, key: str, flushed_bytes: int = 0) -> RegisterRecord:
-        """Return the register as a record of the log; `flushed_bytes` as in `RegisterRecord`."""
+        """Return the register as a record; `flushed_bytes` is described in `RegisterRecord`."""
         return RegisterRecord(
             key=key,
             promised_epoch=self.promised.epoch,
@@ -69,7 +69,7 @@
 
     @classmethod
     def from_record(cls, record: RegisterRecord) -> "Register":
-        """Return the register that a record describes, with nothing known to be flushed."""
+        """Return the register stored in a record, with no version known to be flushed."""
         register = cls()
         register.promised = record.promised
         register.accepted = record.accepted
@@ -84,7 +84,7 @@
 
 
 def version_without_body(version: int) -> bytes:
-    """Return an encoded `Value` with the version but without the body; empty for version 0."""
+    """Return an encoded `Value` with a version and no body, or empty bytes for version 0."""
     if not version:
         return b""
     return encode(Value(version=version, body="", change_ids=[], change_versions=[]))
--- a/libs/control_store/src/control_store/register_store.py
+++ b/libs/control_store/src/control_store/register_store.py
@@ -1,12 +1,12 @@
-"""The registers of an acceptor and the files that they are kept in.
+"""The registers of an acceptor, with the log and the snapshot that they are stored in.
 
-Each change of a register is appended as a framed record to a log, and counts once the log has been
-flushed. A log longer than segment_bytes is replaced by a snapshot of all registers. Recovery reads
-the snapshot and then all logs that are left; since the records of a key are ordered, an old log
-that is there again after a loss of power takes no register back.
+Each change of a register is appended to a log as a framed record, and is confirmed once the log has
+been flushed. A log longer than segment_bytes is replaced by a snapshot of all registers. Recovery
+reads the snapshot and then all remaining logs. The records of a key are ordered, so an old log
+whose removal was undone by a power failure cannot revert a register.
 
-A record notes how much of its log was known to be flushed when it was written. So a torn tail,
-which is normal after a crash, can be told from damage to records that were acknowledged.
+Each record contains how much of its log was known to be flushed when it was written. This
+distinguishes a torn tail, which is normal after a crash, from damage to acknowledged records.
 """
 
 from collections.abc import Callable
@@ -27,9 +27,9 @@
 
 
 class RegisterStore:
-    """The registers by key, and their snapshot and logs on `disk`.
+    """The registers by key, stored in a snapshot and logs on a disk.
 
-    `recover` has to be called first.
+    `recover` has to be called before any other method.
     """
 
     __slots__ = (
@@ -56,10 +56,8 @@
         self._log_name = f"{LOG_PREFIX}-{0:012d}"
         self.registers: dict[str, Register] = {}
 
-    # -- recovery ------------------------------------------------------------------------------
-
     def recover(self) -> None:
-        """Read all registers. Raises DamageError if records that were flushed are damaged."""
+        """Read all registers. Raises DamageError if flushed records are damaged."""
         names = self._disk.names()
         if SNAPSHOT_FILE in names:
             self._read_snapshot()
@@ -77,10 +75,10 @@
         self._apply_records(frames)
 
     def _read_log(self, name: str) -> None:
-        """Read a log, which becomes the one that is appended to, and cut off its torn tail."""
+        """Read a log, truncate its torn tail, and make it the log that is appended to."""
         data = self._disk.read(name)
         frames, end, next_frame = scan_frames(data)
-        if next_frame is not None and _flushed_bytes_noted(data[next_frame:]) > end:
+        if next_frame is not None and _highest_flushed_bytes(data[next_frame:]) > end:
             raise DamageError(name, end)
         self._apply_records(frames)
         self._disk.truncate(name, end)
@@ -95,22 +93,23 @@
                 self.registers[record.key] = register
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the settings, and flush the records that were recovered.
+        """Set the node that provides the settings, and flush the recovered records.
 
-        A process that was killed may not have flushed them.
+        The previous process may have been killed before it flushed them.
         """
         self._node = node
         if self._unflushed:
             self._flush()
 
-    # -- writing -------------------------------------------------------------------------------
-
     def get(self, key: str) -> Register:
-        """Return the register of a key; a blank one that isn't stored if there is none."""
+        """Return the register of a key, or a new blank one, which is not stored."""
         return self.registers.get(key, Register())
 
     def write(self, key: str, register: Register, done: WriteCallback) -> None:
-        """Replace the register of a key; `done` gets whether the new one has been flushed."""
+        """Replace the register of a key; `done` gets whether the new one has been flushed.
+
+        If the disk is full, the register stays as it was, and `done` gets False at once.
+        """
         record = frame(encode(register.to_record(key, self._flushed_bytes)))
         urgent = len(record) < LARGEST_URGENT_RECORD_BYTES
         try:
@@ -134,7 +133,7 @@
         def flushed(ok: bool) -> None:
             self._flushing = False
             if ok:
-                self._note_flushed(written, names, log_bytes)
+                self._mark_flushed(written, names, log_bytes)
             for done in waiting:
                 done(ok)
             if self._flushing:
@@ -146,7 +145,7 @@
 
         self._disk.flush(names, flushed)
 
-    def _note_flushed(
+    def _mark_flushed(
         self, written: list[tuple[str, Register]], names: list[str], log_bytes: int
     ) -> None:
         if names[-1] == self._log_name:
@@ -158,15 +157,16 @@
             current.flushed = max(current.flushed, version)
 
     def tick(self) -> None:
-        """Let the disk write, and start a snapshot if the log is longer than segment_bytes."""
+        """Start writeback, and write a snapshot if the log is longer than segment_bytes."""
         self._disk.start_writeback()
         if self._log_bytes > self._node.settings.segment_bytes and not self._flushing:
             self._write_snapshot()
 
     def _write_snapshot(self) -> None:
-        """Replace the snapshot by all registers atomically, then remove the logs that led to it.
+        """Write a new snapshot atomically, then remove the logs that it replaces.
 
-        Records that aren't flushed yet are also in the older log, which the next flush includes.
+        The snapshot may include records that are not flushed yet. These are also in the older log,
+        which the next flush includes.
         """
         older_log = self._log_name
         self._older_logs.append(older_log)
@@ -189,8 +189,8 @@
                 self._disk.remove(name)
 
 
-def _flushed_bytes_noted(data: bytes) -> int:
-    """Return the furthest offset that any intact record in a damaged tail notes as flushed."""
+def _highest_flushed_bytes(data: bytes) -> int:
+    """Return the highest flushed length in the intact records of a damaged log tail, in bytes."""
     offsets = [0]
     while data:
         frames, _, next_frame = scan_frames(data)
