--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control keys: ballots, owners, versions, changes of voters; and the profiles that they hold."""
+"""Tests of control keys (votes, owners, versions, changes of the voter list) and of the profiles stored in them."""
 
 import json
 
@@ -50,7 +50,7 @@
     def change(self, version, change_id, body="{}"):
         return Change(key="profiles", version=version, change_id=change_id, body=body, hops=0)
 
-    def test_newest_takes_the_highest_version_of_the_highest_epoch(self):
+    def test_newest_accepted_is_the_highest_version_of_the_highest_proposal(self):
         rows = [
             ((1, "a", 3), (1, "a", 2), 3),
             ((2, "a", 2), (1, "b", 7), 2),
@@ -64,11 +64,11 @@
                 )
         self.assertThat(newest_accepted([vote(0, "", 0)]).version, Equals(0))
 
-    def test_late_accept_of_an_older_version_is_refused(self):
+    def test_late_accept_of_an_older_version_is_rejected(self):
         fleet = self.bootstrapped()
         voter = fleet.hosts["control1"].node.acceptor
-        asker = fleet.hosts["store1"]
-        sent = []
+        sender = fleet.hosts["store1"]
+        replies = []
         for message in (
             Prepare(key="k", epoch=5, proposer="me", list_number=1),
             *[
@@ -76,12 +76,12 @@
                 for version in (1, 2, 1)
             ],
         ):
-            asker.node.request(fleet.hosts["control1"].address, message, 400, sent.append)
-        fleet.run_until_true(lambda: len(sent) == 4, 500)
-        self.assertThat(sorted(result.ok for result in sent), Equals([False, True, True, True]))
+            sender.node.request(fleet.hosts["control1"].address, message, 400, replies.append)
+        fleet.run_until_true(lambda: len(replies) == 4, 500)
+        self.assertThat(sorted(result.ok for result in replies), Equals([False, True, True, True]))
         self.assertThat(voter.registers["k"].value, Equals(encode(value(2))))
 
-    def test_two_changes_at_once_one_wins(self):
+    def test_of_two_changes_at_once_one_is_decided(self):
         fleet = self.bootstrapped()
         seen = []
         for host, name in (("control1", "one"), ("control4", "two")):
@@ -94,7 +94,7 @@
         winner = next(result for result in seen if result.outcome == "ok")
         self.assertThat((read.version, read.body), Equals((1, winner.body)))
 
-    def test_resend_with_its_change_id_learns_what_happened(self):
+    def test_a_resend_with_the_same_change_id_gets_the_first_result(self):
         fleet = self.bootstrapped()
         self.assertThat(
             self.submit_and_wait(fleet, "control1", self.change(0, "a")).outcome, Equals("ok")
@@ -106,7 +106,9 @@
         self.assertThat((again.outcome, again.version), Equals(("ok", 1)))
 
     def test_a_callback_may_submit_again_at_once(self):
-        """Asking from within an answer once began two rounds for one operation, whose second end answered another."""
+        """Submitting from within a callback used to start two rounds for one operation; the end of the second one
+        answered another operation.
+        """
         fleet = self.bootstrapped()
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
         owner = names[fleet.hosts["control1"].node.owner.owner_of("profiles")].node.owner
@@ -126,7 +128,7 @@
             [(result.outcome, result.version) for result in seen], Equals([("ok", 1), ("ok", 2)])
         )
 
-    def test_a_minority_answers_neither_old_nor_new(self):
+    def test_a_minority_answers_reads_and_changes_with_doubt(self):
         fleet = self.bootstrapped()
         self.submit_and_wait(fleet, "control1", self.change(0, "a"))
         names = sorted(fleet.hosts[name].address for name in ("control1", "control2"))
@@ -137,7 +139,7 @@
             result = self.submit_and_wait(fleet, "control1", message, 6000)
             self.assertThat(result.outcome, Equals("doubt"))
 
-    def test_owner_killed_its_key_goes_on_under_a_higher_epoch(self):
+    def test_a_killed_owners_key_is_taken_over_under_a_higher_epoch(self):
         fleet = self.bootstrapped()
         self.submit_and_wait(fleet, "control1", self.change(0, "a"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
@@ -155,7 +157,7 @@
         ]
         self.assertThat(max(epochs) > before, Equals(True))
 
-    def test_all_control_machines_replaced_one_after_another(self):
+    def test_a_value_survives_the_replacement_of_all_control_nodes(self):
         fleet = self.bootstrapped()
         self.assertThat(
             self.submit_and_wait(fleet, "control1", self.change(0, "a", '{"kept": 1}')).outcome,
@@ -174,10 +176,9 @@
         read = self.submit_and_wait(fleet, "fresh2", ReadKey(key="profiles", hops=0))
         self.assertThat((read.version, read.body), Equals((1, '{"kept": 1}')))
 
-    def test_keys_are_swept_before_the_voters_change(self):
-        """A version that only three of five disks have: once one of the three is dropped, a majority without
-        the other two could be formed. What mends this in time is the sweep before each change of
-        the list.
+    def test_keys_are_swept_before_the_voter_list_changes(self):
+        """Only three of five disks have a version. Once one of the three voters is dropped, a majority without the
+        other two could be formed. The sweep before each change of the list prevents this.
         """
         fleet = self.bootstrapped(edges=1)
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,5 +1,5 @@
-"""Power and disks lost right after an acknowledgement, one after another, and around a retirement: simulated fleets
-with no more lost at once than store_faults, after which everything acknowledged is read back.
+"""Tests of stores that lose power or their disks right after an acknowledgement, one after another, and around a
+retirement. At most store_faults disks of a simulated fleet are lost at once, and all acknowledged data is read back.
 """
 
 from control_store import Change
@@ -22,7 +22,7 @@
         return run, run.fleet
 
     def jobs(self, run, count, then=None):
-        """Handed in one by one; `then` strikes in the very moment in which the last one is acknowledged."""
+        """Submit jobs one by one; `then` is called at the moment when the last one is acknowledged."""
         for number in range(count):
             seen = []
 
@@ -39,7 +39,7 @@
         fleet.run_until_true(lambda: False, wait_ms)
 
     def check_nothing_lost(self, run, delayed=False):
-        """`delayed`: more was lost at once than is to be borne, so lots were late."""
+        """Read everything back; with `delayed`, more was lost at once than is tolerated, so late lots are accepted."""
         fleet = run.fleet
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() is not None, 12_000), Equals(True)
@@ -79,11 +79,11 @@
         rows = {
             "the leader's power": lambda leader, peers: ([], [leader]),
             "a peer's power": lambda leader, peers: ([], peers[:1]),
-            "everybody's power": lambda leader, peers: ([], [leader, *peers]),
+            "the power of all stores": lambda leader, peers: ([], [leader, *peers]),
             "the leader's disk": lambda leader, peers: ([leader], []),
             "a peer's disk": lambda leader, peers: (peers[1:], []),
-            "the leader's disk, the others' power": lambda leader, peers: ([leader], peers),
-            "a peer's disk, the others' power": lambda leader, peers: (
+            "the leader's disk, the power of the others": lambda leader, peers: ([leader], peers),
+            "a peer's disk, the power of the others": lambda leader, peers: (
                 peers[:1],
                 [leader, *peers[1:]],
             ),
@@ -104,7 +104,7 @@
             self.wait(fleet, 3000)
             self.check_nothing_lost(run)
 
-    def test_two_of_five_disks_lost_and_the_others_cut_from_power(self):
+    def test_two_of_five_disks_lost_and_power_of_the_others(self):
         run, fleet = self.bootstrapped(4, stores=5, settings={"store_faults": 2})
         for _ in range(2):
             stores = fleet.with_role("store")
@@ -128,7 +128,7 @@
                 self.assertThat(self.is_member(fleet, host), Equals(True))
         self.check_nothing_lost(run)
 
-    def test_a_machine_replaced_at_another_address_and_then_another_disk_lost(self):
+    def test_a_store_replaced_at_another_address_and_then_another_disk_lost(self):
         run, fleet = self.bootstrapped(6)
         for number in range(2):
             lost = fleet.leader() if number else self.peers(fleet)[0]
@@ -155,13 +155,13 @@
             lambda result: None,
         )
 
-    def test_a_retired_machine_removed_at_the_end_and_another_disk_lost_at_once(self):
-        for seed, of_holder in enumerate((True, False, True, False)):
+    def test_a_retired_store_removed_and_another_disk_lost_at_once(self):
+        for seed, leader_retires in enumerate((True, False, True, False)):
             run, fleet = self.bootstrapped(20 + seed)
             fleet.add("store", "fresh")
             self.wait(fleet, 1000)
             self.jobs(run, 1)
-            host = fleet.leader() if of_holder else self.peers(fleet)[0]
+            host = fleet.leader() if leader_retires else self.peers(fleet)[0]
             old, began_ms = host.node.log.log.identity, fleet.time.now_ms
             self.retire(fleet, host)
             finished = fleet.run_until_true(
@@ -177,7 +177,7 @@
             self.jobs(run, 1)
             self.check_nothing_lost(run)
 
-    def test_a_wiped_machine_comes_back_while_another_is_frozen(self):
+    def test_a_wiped_store_returns_while_another_is_frozen(self):
         run, fleet = self.bootstrapped(8)
         leader, (one, _) = fleet.leader(), self.peers(fleet)
         self.jobs(run, 1, lambda: self.inject_fault(fleet, [leader], [], 400))
@@ -189,7 +189,7 @@
         self.jobs(run, 1)
         self.check_nothing_lost(run, delayed=True)
 
-    def test_the_first_one_back_neither_recovers_alone_nor_bootstraps(self):
+    def test_the_first_store_back_neither_recovers_alone_nor_bootstraps(self):
         run, fleet = self.bootstrapped(9)
         leader, peers = fleet.leader(), self.peers(fleet)
         number = fleet.with_role("control")[0].node.config_feed.value("log")["epoch"]
--- a/tests/test_voter_bootstrap.py
+++ b/tests/test_voter_bootstrap.py
@@ -1,5 +1,5 @@
-"""Bootstrap where no count of control nodes is configured, and the lists of voters that follow: tables for the
-rules, simulated fleets for how long it takes and what is acknowledged meanwhile.
+"""Tests of the bootstrap with control_count = 0 and of the voter lists that follow: tables of cases for the rules,
+simulated fleets for the time that a change of the list takes and for the changes acknowledged meanwhile.
 """
 
 import json
@@ -32,7 +32,7 @@
 
 
 def observations(silent="", settled=True, all_heard=True):
-    """What the steward has observed: who is silent, and the rest the same for every node."""
+    """Observations of the steward: the identities in `silent` are silent; the rest is the same for every node."""
     return SimpleNamespace(
         is_silent=lambda identity: identity in silent,
         is_stable=lambda node: settled,
@@ -42,7 +42,7 @@
 
 
 class SuccessionRulesTest(TestCase):
-    def test_who_votes_first(self):
+    def test_first_voters(self):
         nodes = [node_info("c", "1"), node_info("a", "2"), node_info("b", "3"), node_info("d", "4")]
         rows = [
             (nodes, 3, {"9"}, ["a", "b", "c"]),
@@ -58,8 +58,10 @@
                 identities(first_voters(known, count, seeds)), Equals(wanted), (count, seeds)
             )
 
-    def test_which_list_follows(self):
-        """Standbys are (identity, address); then who is silent, retired, and whether all were heard since."""
+    def test_next_list(self):
+        """Columns: voters, leaving voter, standbys (identity, address), silent and retired identities, whether every
+        voter was heard since a standby was first known, and the expected list with its leaving voter.
+        """
         rows = [
             ("abc", "", [], "c", "", True, None),
             ("abc", "", [], "bc", "", True, None),
@@ -138,7 +140,7 @@
         fleet.run_until_true(lambda: seen, limit_ms)
         return (seen[0].outcome if seen else "none"), fleet.time.now_ms - began_ms
 
-    def test_the_seeds_bootstrap_and_all_nodes_join(self):
+    def test_the_seeds_bootstrap_and_all_other_nodes_become_voters(self):
         for control, seeds in (
             (5, SEEDS),
             (9, SEEDS),
@@ -175,7 +177,9 @@
             Equals(False),
         )
 
-    def test_a_seed_wiped_before_it_voted_delays_the_bootstrap_and_one_that_voted_goes_on(self):
+    def test_a_seed_wiped_before_it_voted_delays_the_bootstrap_and_seeds_restarted_after_their_vote_finish_it(
+        self,
+    ):
         fleet = self.fleet(3)
         self.assertThat(
             fleet.run_until_true(
@@ -217,7 +221,7 @@
 
             self.assertThat(fleet.run_until_true(replaced, 2500), Equals(True), name)
 
-    def test_each_in_turn_wiped_and_brought_up_to_date_loses_nothing(self):
+    def test_each_voter_wiped_and_caught_up_in_turn_loses_nothing(self):
         fleet = self.wait_until_all_vote(self.fleet(3), 3)
         self.assertThat(self.change(fleet, "control2", 0)[0], Equals("ok"))
         for name in ("control1", "control2", "control3", "control1"):
@@ -246,7 +250,7 @@
 
             self.assertThat(fleet.run_until_true(replaced, 4000), Equals(True), gap_ms)
 
-    def test_nobody_is_dropped_without_a_standby(self):
+    def test_no_voter_is_dropped_without_a_standby(self):
         fleet = self.wait_until_all_vote(self.fleet(), 5)
         for name in ("control1", "control2"):
             fleet.hosts[name].kill()
@@ -277,8 +281,8 @@
             fleet.network.heal()
             fleet.time.run_until(fleet.time.now_ms + 3000)
 
-    def test_a_change_outlives_its_owner(self):
-        """Submitted just as the owner dies: sent to another control node, it is acknowledged within the bound."""
+    def test_a_change_is_acknowledged_after_its_owner_is_killed(self):
+        """A change submitted to another control node just after the owner was killed is acknowledged within 3 s."""
         fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
@@ -301,7 +305,7 @@
         outcome, took_ms = self.change(fleet, at, 1)
         self.assertThat((outcome, took_ms < 1000), Equals(("ok", True)), took_ms)
 
-    def test_a_killed_owners_keys_pass_on_once_nothing_listens_there(self):
+    def test_a_killed_owners_keys_are_taken_over_once_its_connections_are_refused(self):
         fleet = self.wait_until_all_vote(self.fleet(), 5)
         self.assertThat(self.change(fleet, "control1", 0)[0], Equals("ok"))
         names = {host.node.acceptor.identity: host for host in fleet.with_role("control")}
--- a/tests/test_voter_files.py
+++ b/tests/test_voter_files.py
@@ -1,4 +1,6 @@
-"""A voter's files over thousands of changes, losses of power, full and slow disks: bounded, and never back."""
+"""Tests of a voter's files over thousands of changes, power failures, full and slow disks: their size stays bounded,
+and no register reverts to an older version.
+"""
 
 import errno
 import json
@@ -21,7 +23,7 @@
 
 
 class _Disk(SimDisk):
-    """Refuses flushes or replacements on request, as a full disk does."""
+    """Fails flushes or file replacements on request, as a full disk does."""
 
     def __init__(self, *values):
         super().__init__(*values)
@@ -41,7 +43,7 @@
 
 
 class _Machine:
-    """One voter on a simulated disk, without a network: replies are gathered in `replies`."""
+    """One voter on a simulated disk and without a network; its replies are collected in `replies`."""
 
     def __init__(self, seed, capacity_bytes=1 << 20, flush_ms=3.0):
         self.time = VirtualTime(seed)
@@ -112,8 +114,8 @@
         machine.start()
         self.assertThat((machine.version(), machine.used_bytes() == largest), Equals((2000, False)))
 
-    def test_the_log_is_truncated_also_when_the_disk_is_never_idle(self):
-        """Votes come faster than a slow disk flushes, so that one flush follows the other."""
+    def test_the_log_is_replaced_by_a_snapshot_even_if_the_disk_is_never_idle(self):
+        """Votes arrive faster than a slow disk flushes, so that each flush starts as the previous one ends."""
         machine, largest = _Machine(2, flush_ms=60.0), 0
         for version in range(1, 1001):
             machine.accept(version, body="x" * 700)
@@ -126,8 +128,8 @@
         self.assertThat(machine.version(), Equals(1000))
 
     def test_an_old_log_that_reappears_restores_no_old_value(self):
-        """Two logs were let go behind one snapshot, without a sync of their folder between; the older one is
-        there again after a loss of power, the newer one isn't.
+        """Two logs are removed after one snapshot, without a sync of their folder in between. After a power failure the
+        older log exists again, but the newer one doesn't.
         """
         machine = _Machine(3)
         machine.disk.replaces_fail = True
@@ -149,7 +151,7 @@
             machine.accept(version, body="x" * 900)
             machine.run(20)
 
-    def test_power_lost_at_any_moment_keeps_what_was_voted(self):
+    def test_acknowledged_votes_survive_a_power_failure_at_any_moment(self):
         for seed in range(60):
             rng, machine = random.Random(seed), _Machine(seed)
             sent = dict.fromkeys(("profiles", "workers"), 0)
@@ -188,7 +190,7 @@
         machine.send(Confirm(key="profiles", epoch=1, proposer="o", list_number=1))
         self.assertThat(decode(machine.replies[-1].value).version, Equals(2))
 
-    def test_what_a_killed_process_wrote_is_flushed_before_it_is_reported_as_flushed(self):
+    def test_records_of_a_killed_process_are_flushed_before_they_are_reported_as_flushed(self):
         machine = _Machine(8, flush_ms=40.0)
         machine.accept(1)
         machine.start()
@@ -215,7 +217,7 @@
 
 
 class VoterOnFullDevice(TestCase):
-    """A voter on a real folder whose device takes no more bytes for a while."""
+    """Tests of a voter on a real folder whose device is full for a while."""
 
     def setUp(self):
         super().setUp()
@@ -244,7 +246,7 @@
         self.replies.append(message.ok)
 
     def finish_disk_work(self):
-        """Lets the disk's thread finish, and takes what it says."""
+        """Wait until the disk's thread has finished its work, and run the callbacks that it has queued."""
         self.acceptor.tick()
         for _ in range(3):
             self.disk._worker.submit(lambda: None).result()
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -1,5 +1,5 @@
-"""Voters lost one after another: simulated fleets, in which every replacement ends with no lost voter on
-the list, and a further loss at any step leaves a majority.
+"""Tests of voters lost one after another, on simulated fleets: after every replacement no lost voter is on the list,
+and a further loss at any step leaves a majority.
 """
 
 import json
@@ -36,14 +36,14 @@
 
         self.assertThat(fleet.run_until_true(all_vote, 8000), Equals(True))
         fleet._settings["first_start"] = False
-        self.changed(fleet, 0)
+        self.check_change(fleet, 0)
         return fleet
 
     def wait(self, fleet, wait_ms):
         fleet.time.run_until(fleet.time.now_ms + wait_ms)
 
-    def changed(self, fleet, version):
-        """A change asked of any running control node is acknowledged."""
+    def check_change(self, fleet, version):
+        """Submit a change of the profiles to a running control node, and check that it is acknowledged."""
         seen = []
         fleet.running("control")[0].node.owner.submit(
             Change(
@@ -65,7 +65,7 @@
         return fleet.add("control", fresh_name)
 
     def settled(self, fleet):
-        """All running control nodes, and no others, vote, by the lists on all of their disks."""
+        """Whether the voters are exactly the running control nodes, according to the lists of all of them."""
         running = fleet.running("control")
         names = {host.node.acceptor.identity for host in running}
         return all(
@@ -73,7 +73,7 @@
         )
 
     def test_a_replacement_leaves_no_lost_voter_on_the_list(self):
-        """Whoever is the steward meanwhile, also the replacement itself, which has heard little yet."""
+        """Any node may be the steward meanwhile, even the replacement, which has received few heartbeats yet."""
         for control in (3, 5):
             for seed in range(6):
                 for gap_ms in (0, 1000, 3000):
@@ -91,11 +91,11 @@
                         (control, seed, gap_ms, fleet.time.now_ms - began_ms),
                     )
 
-    def test_a_new_steward_gives_up_no_replacement_before_it_knows_more(self):
+    def test_a_new_steward_gives_up_no_replacement_before_it_can_have_heard_the_voter(self):
         voters = [Voter(name, name, None, None) for name in "abcd"]
         current = VoterList(4, voters, leaving="b")
         rows = [
-            # has returned, the list that follows
+            # (has_returned, expected next list)
             (None, None),
             (False, ["a", "c", "d"]),
             (True, ["a", "b", "c", "d"]),
@@ -110,8 +110,8 @@
             next_list = next_list_of_all_nodes(current, [], set(), observations)
             self.assertThat(next_list and next_list.identities(), Equals(wanted), returned)
 
-    def test_a_replacement_that_comes_before_the_loss_leaves_no_lost_voter(self):
-        """Planned: the new machine is a voter first, then the old one goes for good."""
+    def test_a_replacement_added_before_the_loss_leaves_no_lost_voter(self):
+        """A planned replacement: the new node becomes a voter first, then the old one is removed for good."""
         for control in (3, 5):
             for seed in range(4):
                 fleet = self.bootstrapped(control, seed)
@@ -130,42 +130,42 @@
                 )
                 fleet.hosts["control2"].kill()
                 self.wait(fleet, 1500)
-                self.changed(fleet, 1)
+                self.check_change(fleet, 1)
 
     def test_a_second_loss_after_a_replacement_leaves_a_majority(self):
-        """Of three voters one is replaced; once that has had its time, another loses its disk."""
+        """One of three voters is replaced; after the time to catch up, the voters lose their disks in turn."""
         for seed in range(4):
             fleet = self.bootstrapped(3, seed)
             self.replace(fleet, "control2", 1000, "fresh")
             self.wait(fleet, CATCH_UP_MS)
             for version, name in enumerate(("control1", "fresh", "control3"), 1):
                 fleet.hosts[name].lose_disk()
-                self.changed(fleet, version)
+                self.check_change(fleet, version)
                 fleet.hosts[name].start()
                 self.wait(fleet, CATCH_UP_MS)
                 self.assertThat(self.settled(fleet), Equals(True), (seed, name))
 
     def test_a_second_loss_at_any_step_of_a_replacement_loses_nothing(self):
-        """Five voters bear two losses: the second comes at each of these times after the first."""
+        """Five voters tolerate two losses; the second one happens at each of several times after the first."""
         for after_ms in range(0, 4000, 400):
-            for strike in ("kill", "lose_power", "lose_disk"):
+            for fault in ("kill", "lose_power", "lose_disk"):
                 fleet = self.bootstrapped(5, 1 + after_ms // 400)
                 lost = fleet.hosts["control2"]
                 lost.lose_disk()
                 fleet.time.after(600, lost.start)
                 self.wait(fleet, after_ms)
                 other = fleet.hosts["control4"]
-                getattr(other, strike)()
+                getattr(other, fault)()
                 fleet.time.after(900, other.start)
                 self.wait(fleet, 300)
-                self.changed(fleet, 1)
+                self.check_change(fleet, 1)
                 self.assertThat(
                     fleet.run_until_true(lambda fleet=fleet: self.settled(fleet), 2 * CATCH_UP_MS),
                     Equals(True),
-                    (after_ms, strike),
+                    (after_ms, fault),
                 )
-                self.changed(fleet, 2)
+                self.check_change(fleet, 2)
                 versions = {
                     host.node.config_feed.version("profiles") for host in fleet.with_role("control")
                 }
-                self.assertThat(versions, Equals({3}), (after_ms, strike))
+                self.assertThat(versions, Equals({3}), (after_ms, fault))
