--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -1,5 +1,5 @@
-"""Many changes: the list of workers and the feed stay bounded over thousands of them, and a node that was away
-for any number of them comes level without ever going back.
+"""Tests with thousands of changes: the worker list and the configuration feed stay bounded, and a node that missed
+any number of changes catches up without ever going back to an older version.
 """
 
 import json
@@ -36,7 +36,9 @@
 
 class ManyWorkers(TestCase):
     def test_a_late_heartbeat_of_a_worker_removed_as_silent_does_not_end_its_successor(self):
-        """It crashed and was silent; its address went to another; a beat of it was still on its way."""
+        """A worker crashed and was removed as silent, another one got its address, and a delayed heartbeat of the first
+        arrives.
+        """
         records = _after(
             WorkerRecords(),
             _report("old"),
@@ -48,13 +50,13 @@
         records = _after(records, _report("new", seq=2), _report("old", seq=10))
         self.assertThat(list(records.workers), Equals(["new"]))
 
-    def test_silence_alone_lets_a_worker_come_back(self):
+    def test_a_worker_removed_as_silent_may_return(self):
         records = _after(WorkerRecords(), _report("a"), _report("a", "silent"), _report("a", seq=5))
         self.assertThat(list(records.workers), Equals(["a"]))
         records = _after(records, _report("a", "silent", seq=5), _report("a", seq=8))
         self.assertThat(list(records.workers), Equals(["a"]))
 
-    def test_two_thousand_started_and_ended_leave_a_bounded_list_and_small_changes(self):
+    def test_two_thousand_workers_started_and_ended_leave_a_bounded_list_and_small_patches(self):
         records, sizes, patches = WorkerRecords(), [], []
         for index in range(2000):
             address = f"10.1.{index % 8}.1:80"
@@ -75,14 +77,14 @@
             (max(sizes[300:]) < 1.3 * sizes[300], max(patches) < 400), Equals((True, True))
         )
 
-    def test_a_list_kept_by_an_earlier_version_is_read(self):
+    def test_a_list_stored_by_an_earlier_version_is_read(self):
         stored = {"workers": {}, "ended": ["b", "a"]}
         records = _after(WorkerRecords.from_json(stored), _report("a"), _report("c", "gone"))
         wanted = {"workers": {}, "ended": {"b": 1, "a": 2, "c": 3}, "silent": {}}
         self.assertThat(records.to_json(), Equals(wanted))
 
-    def test_ended_ones_are_remembered_until_the_list_has_turned_over_twice(self):
-        """A large fleet is exchanged at once: a late beat of the first that ended revives nobody."""
+    def test_ended_workers_are_remembered_until_the_list_has_turned_over_twice(self):
+        """All workers of a large fleet are replaced; a late heartbeat of the first one that ended does not add it again."""
         records = WorkerRecords()
         joins = [_report(f"w{index}", address=f"10.1.{index}.1:80") for index in range(700)]
         records, _ = apply_reports(records, joins)
@@ -97,7 +99,7 @@
 
 
 class _MeteredNetwork(Network):
-    """Counts the bytes that are sent to each address."""
+    """A network that counts the bytes sent to each address."""
 
     __slots__ = ("bytes_to",)
 
@@ -115,8 +117,8 @@
     NETWORK = _MeteredNetwork
 
 
-_REFUSE = {"control_count": 5}
-_SERVE = {
+_REFUSING_SETTINGS = {"control_count": 5}
+_SERVING_SETTINGS = {
     "control_count": 0,
     "first_start": True,
     "cut_off": "serve",
@@ -126,8 +128,11 @@
 }
 
 
-class _Watched:
-    """A founded fleet; each node's versions of a key are noted as they come into force there."""
+class _ObservedFleet:
+    """A bootstrapped fleet that records each node's versions of a key as they come into force there.
+
+    `violations` lists two bodies under one version, and versions that went back on a running node.
+    """
 
     def __init__(self, seed, settings, control=6, routes=40):
         self.fleet = _Fleet(
@@ -139,7 +144,7 @@
         self._seen: dict[tuple[str, int], int] = {}
         self._nodes: set[int] = set()
         self.watch()
-        assert self.fleet.run_until_true(self._bootstrapped, 15000), "not founded"
+        assert self.fleet.run_until_true(self._bootstrapped, 15000), "not bootstrapped"
         self.change("profiles", 2)
         assert self.fleet.run_until_true(self._all_up_to_date, 8000), "not up to date"
 
@@ -178,14 +183,14 @@
         return max((number for body_key, number in self.bodies if body_key == key), default=0)
 
     def value_bytes(self, key):
-        """The size of a key's value, with the changes that it remembers, at the voter that has most."""
+        """Return the largest size of a key's stored value, including its remembered changes, among the voters."""
         registers = [
             host.node.acceptor.registers.get(key) for host in self.fleet.with_role("control")
         ]
         return max(len(register.value) for register in registers if register is not None)
 
     def change(self, key, count, through="control1"):
-        """So many changes, one after another, each as soon as the one before it is decided."""
+        """Submit `count` changes, each as soon as the one before it is decided; again after 700 ms without a decision."""
         goal, submitted_ms = self.newest(key) + count, -1 << 40
         while self.newest(key) < goal:
             newest, now_ms = self.newest(key), self.fleet.time.now_ms
@@ -238,30 +243,32 @@
     host.disk.fill()
 
 
-class Away(TestCase):
-    """Nodes are away while the configuration changes 1, 70, 300 or 2,000 times."""
+class ReturningNodes(TestCase):
+    """Tests of nodes that are away while the configuration changes 1, 70, 300 or 2,000 times."""
+
+    CATCH_UP_LIMIT_MS = 2500
+    OTHER_SENT_BYTES = 25_000  # besides the value: digests, node cards, other keys
+    MAX_SENT_VALUES = 12  # how many times the value of the key may be sent to a returning node
+    REMEMBERED_CHANGE_BYTES = 20  # size of one remembered change; its id is short in these tests
 
-    LEVEL_MS = 2500
-    SENT_BYTES = 25_000  # besides the value: digests, cards, other keys
-    SENT_VALUES = 12  # how many times the value of the key may be sent to one that returns
-    REMEMBERED_BYTES = 20  # of one remembered change, whose id is short here
+    def check_catch_up(self, watched, faults, count):
+        """Check that nodes catch up after they miss `count` changes.
 
-    def away(self, watched, leaving, count):
-        """How long each takes to come level once back, and the bytes that are sent to it in that time. One
-        more change follows on their return, whose patch is on a base that they don't have.
+        Returns for each node the time that it took after its return, in ms, and the bytes sent to it in that time.
+        One more change is made on the return, as a patch against a version that the nodes don't have.
         """
-        fleet, names = watched.fleet, {host.name for host, _ in leaving}
+        fleet, names = watched.fleet, {host.name for host, _ in faults}
         through = next(
             host.name
             for host in fleet.with_role("control")
             if host.name not in names and host.node.has_quorum()
         )
-        for host, leave in leaving:
-            leave(fleet, host)
+        for host, inject in faults:
+            inject(fleet, host)
         watched.change("profiles", count, through)
         fleet.time.run_until(fleet.time.now_ms + 300)
         fleet.network.heal()
-        for host, _ in leaving:
+        for host, _ in faults:
             if host.disk is not None:
                 host.disk.restore_capacity()
             host.start()
@@ -273,34 +280,38 @@
 
         def up_to_date():
             watched.watch()
-            for host, _ in leaving:
+            for host, _ in faults:
                 if host.node.config_feed.version("profiles") >= watched.newest("profiles"):
                     sent = fleet.network.bytes_to[host.address] - before[host.address]
                     rows.setdefault(host.name, (fleet.time.now_ms - begun_ms, sent))
-            return len(rows) == len(leaving)
+            return len(rows) == len(faults)
 
-        self.assertThat(fleet.run_until_true(up_to_date, 6000), Equals(True), f"{rows} of {names}")
+        self.assertThat(
+            fleet.run_until_true(up_to_date, 6000),
+            Equals(True),
+            f"caught up: {rows}, expected: {names}",
+        )
         fleet.time.run_until(fleet.time.now_ms + 3000)
         self.assertThat({row[0] for row in results if row[0] != "doubt"} <= {"ok"}, Equals(True))
         old = [row for row in results if row[0] == "ok" and row[1] < watched.newest("profiles")]
         self.assertThat((old, watched.violations), Equals(([], [])))
         value_bytes = watched.value_bytes("profiles")
-        most_bytes = self.SENT_BYTES + self.SENT_VALUES * value_bytes
+        most_bytes = self.OTHER_SENT_BYTES + self.MAX_SENT_VALUES * value_bytes
         for took_ms, sent_bytes in rows.values():
             self.assertThat(
-                (took_ms <= self.LEVEL_MS, sent_bytes <= most_bytes),
+                (took_ms <= self.CATCH_UP_LIMIT_MS, sent_bytes <= most_bytes),
                 Equals((True, True)),
-                f"{count} changes, a value of {value_bytes} bytes: {rows}",
+                f"{count} changes, value of {value_bytes} bytes; (ms, bytes sent) by node: {rows}",
             )
         body = watched.bodies["profiles", watched.newest("profiles")]
         memory_bytes = value_bytes - len(body)
         self.assertThat(
-            memory_bytes <= REMEMBERED_PROFILE_CHANGES * self.REMEMBERED_BYTES, Equals(True)
+            memory_bytes <= REMEMBERED_PROFILE_CHANGES * self.REMEMBERED_CHANGE_BYTES, Equals(True)
         )
         return rows
 
     def reads(self, watched, names, results):
-        """What is read through those that have just come back; it may be doubt, and is never old."""
+        """Read through the voters that have just returned; the result may be DOUBT but never an old version."""
         for name in names:
             host = watched.fleet.hosts[name]
             if host.role == "control" and host.node.acceptor.voters:
@@ -309,43 +320,45 @@
                     lambda result: results.append((result.outcome, result.version)),
                 )
 
-    def test_up_to_date_again_in_the_same_time_after_any_number(self):
-        watched = _Watched(5, _SERVE, 5)
+    def test_catching_up_takes_the_same_time_after_any_number_of_changes(self):
+        watched = _ObservedFleet(5, _SERVING_SETTINGS, 5)
         hosts = watched.fleet.hosts
         other = next(
             host for host in watched.fleet.with_role("control")[1:] if host is not watched.owner()
         )
-        leaving = [(hosts["edge2"], _kill), (hosts["store2"], _cut), (other, _kill)]
-        rows = [self.away(watched, leaving, count) for count in (1, 70, 300, 2000)]
+        faults = [(hosts["edge2"], _kill), (hosts["store2"], _cut), (other, _kill)]
+        rows = [self.check_catch_up(watched, faults, count) for count in (1, 70, 300, 2000)]
         for name in rows[0]:
             sent = [row[name][1] for row in rows[1:]]
             self.assertThat(max(sent) <= 2 * min(sent) + 4000, Equals(True), str(rows))
         self.check_registers(watched)
 
-    def test_with_a_standby_and_where_nodes_that_are_cut_off_refuse(self):
-        watched = _Watched(7, _REFUSE, 6)
+    def test_catching_up_with_a_standby_where_nodes_that_are_cut_off_refuse(self):
+        watched = _ObservedFleet(7, _REFUSING_SETTINGS, 6)
         hosts = watched.fleet.hosts
         spare = next(
             host
             for host in watched.fleet.with_role("control")
             if host.node.why_unready().startswith("spare")
         )
-        leaving = [(hosts["edge2"], _cut), (hosts["store2"], _kill), (spare, _kill)]
+        faults = [(hosts["edge2"], _cut), (hosts["store2"], _kill), (spare, _kill)]
         for count in (1, 70, 300):
-            self.away(watched, leaving, count)
+            self.check_catch_up(watched, faults, count)
 
-    def test_a_voter_and_the_owner(self):
-        """However they go, and whatever becomes of their disk; in the end all five have the newest value."""
-        watched = _Watched(6, _SERVE, 5)
-        for leave in (_cut, _kill, _lose_power, _lose_disk, _fill):
+    def test_a_voter_and_the_owner_catch_up(self):
+        """The voter or the owner is cut off, killed, or loses power or its disk, or its disk is full; in the end all five
+        voters have the newest value.
+        """
+        watched = _ObservedFleet(6, _SERVING_SETTINGS, 5)
+        for fault in (_cut, _kill, _lose_power, _lose_disk, _fill):
             owner = watched.owner()
             other = next(host for host in watched.fleet.with_role("control") if host is not owner)
             for host in (other, owner):
-                self.away(watched, [(host, leave)], 70)
+                self.check_catch_up(watched, [(host, fault)], 70)
                 self.check_registers(watched)
 
     def check_registers(self, watched):
-        def held():
+        def flushed_versions():
             watched.watch()
             return [
                 host.node.acceptor.registers["profiles"].flushed.version
@@ -355,11 +368,11 @@
             ]
 
         wanted = [watched.newest("profiles")] * 5
-        watched.fleet.run_until_true(lambda: held() == wanted, 15000)
-        self.assertThat(held(), Equals(wanted))
+        watched.fleet.run_until_true(lambda: flushed_versions() == wanted, 15000)
+        self.assertThat(flushed_versions(), Equals(wanted))
 
-    def test_a_change_of_a_large_tree_travels_as_a_small_patch(self):
-        watched = _Watched(8, _SERVE, 5, routes=200)
+    def test_a_change_of_a_large_tree_is_sent_as_a_small_patch(self):
+        watched = _ObservedFleet(8, _SERVING_SETTINGS, 5, routes=200)
         edge = watched.fleet.hosts["edge1"].address
         before = watched.fleet.network.bytes_to[edge]
         watched.change("profiles", 60)
