--- a/libs/control_store/src/control_store/forwarding.py
+++ b/libs/control_store/src/control_store/forwarding.py
@@ -12,7 +12,7 @@
 
 __all__ = ["OperationForwarder"]
 
-MAX_HOPS = 2
+MAX_HOPS = 2  # an operation that was forwarded this often is executed where it arrives
 
 
 class _Retry:
@@ -32,8 +32,8 @@
     Parameters
     ----------
     enqueue
-        Queues an operation on a key that this node owns. Its arguments are the operation, when it
-        is given up (ms on the node's clock) and the callback for the result.
+        Queues an operation at this node. Its arguments are the operation, the time at which it is
+        given up (ms on the node's clock) and the callback for the result.
     """
 
     __slots__ = ("_acceptor", "_enqueue", "_membership", "_node", "_retries")
@@ -76,7 +76,7 @@
         self, operation: ClientOperation, hops: int, due_ms: int, done: ResultCallback
     ) -> None:
         def replied(result: ChangeResult | None) -> None:
-            if hops == 0 and self._node.env.now() < due_ms and self._is_unanswered(result):
+            if hops == 0 and self._node.env.now() < due_ms and self._should_retry(result):
                 self._retries.append(_Retry(operation, due_ms, done))
             else:
                 done(result or _no_reply())
@@ -88,7 +88,7 @@
         else:
             self._forward(operation, self._acceptor.voters[owner], due_ms, replied)
 
-    def _is_unanswered(self, result: ChangeResult | None) -> bool:
+    def _should_retry(self, result: ChangeResult | None) -> bool:
         """Whether to repeat an attempt: there was no reply, or it was DOUBT and cut_off is "serve".
 
         With cut_off = "serve" another owner may still give a conclusive reply in time.
@@ -122,8 +122,8 @@
     def owner_of(self, key: str) -> str | None:
         """Return the identity of the node responsible for a key, or None if no voter is live.
 
-        It is the first live voter, in the key's rendezvous order, that reports contact with a
-        majority; if there is none, the first live voter. Voters whose heartbeats reach this node
+        It is the first live voter, in the key's rendezvous order, that is not reported as cut off
+        from a majority; if all are, the first live voter. Voters whose heartbeats reach this node
         directly are preferred: one that only others report as live may be unreachable from here.
         """
         membership = self._membership
--- a/libs/control_store/src/control_store/key_owner.py
+++ b/libs/control_store/src/control_store/key_owner.py
@@ -65,7 +65,7 @@
         self._acknowledgements = PendingAcknowledgements(acceptor, config_feed)
 
     def attach(self, node: Node) -> None:
-        """Attach the node to this component and the objects that it consists of."""
+        """Attach the node to this component and its parts."""
         super().attach(node)
         self._forwarder.attach(node)
         self._acknowledgements.attach(node)
@@ -83,7 +83,8 @@
     def owner_of(self, key: str) -> str | None:
         """Return the identity of the node responsible for a key, or None if no voter is live.
 
-        It is the first live voter that reports contact with a majority, or the first live one.
+        It is the first live voter that is not reported as cut off from a majority or, if all are,
+        the first live voter (`control_store.forwarding`).
         """
         return self._forwarder.owner_of(key)
 
--- a/libs/control_store/src/control_store/key_state.py
+++ b/libs/control_store/src/control_store/key_state.py
@@ -32,7 +32,7 @@
     `epoch` is the epoch that the owner uses, `highest_epoch` the highest that a voter has reported.
     `published_ms` is when the owner last published a value, on the node's clock.
     `round_in_progress` is set during any round except queries for versions. `operations` is the
-    queue; its first operation is the one being executed.
+    queue; its first operation is executed next or already in progress.
     """
 
     __slots__ = (
--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps over all keys, which repair outdated replicas and read unknown values.
+"""Sweeps over all keys, which repair outdated replicas and read missing values.
 
 Before each change of the voter list, every key's newest value is replicated to a majority of the
 current list. That way the majorities of two consecutive lists always intersect, and no value is
@@ -41,19 +41,19 @@
         """Set the node that provides the clock, the settings and messaging."""
         self._node = node
 
-    def read_unknown(self) -> None:
+    def read_missing_values(self) -> None:
         """Read the keys that this node owns and has no value for.
 
         A key is read once this node owns it, and again after removal_timeout_ms if it still has no
         value, or on the next call if the read failed.
         """
-        for key in self._known_keys():
+        for key in self._well_known_keys():
             if not self._owns(key):
                 self._read_ms.pop(key, None)
             elif self._config_feed.version(key) == 0 and self._is_read_due(key):
                 self._read(key)
 
-    def _known_keys(self) -> tuple[str, ...]:
+    def _well_known_keys(self) -> tuple[str, ...]:
         serving_set = () if self._node.settings.cut_off == "serve" else (SERVING_SET_KEY,)
         return (CONTROL_KEY, *CONFIRMING_ROLES, RETIRED_KEY, LOG_KEY, *serving_set)
 
--- a/libs/control_store/src/control_store/pending_acknowledgements.py
+++ b/libs/control_store/src/control_store/pending_acknowledgements.py
@@ -18,7 +18,11 @@
 
 
 class _DecidedChange:
-    """A change that has been decided but not acknowledged; overdue at `due_ms` (node's clock)."""
+    """A change that has been decided but not acknowledged.
+
+    From `due_ms` on, in ms on the node's clock, the acknowledgement no longer waits for every live
+    node to confirm the version.
+    """
 
     __slots__ = ("done", "due_ms", "key", "result")
 
@@ -110,7 +114,7 @@
         )
 
     def _is_published_by_majority(self, key: str, version: int) -> bool:
-        """Whether a majority of the voters, including this node, publishes the version."""
+        """Whether a majority of the voters publishes the version; a voter counts itself."""
         config_feed, voters = self._config_feed, self._acceptor.voters
         oldest_ms = self._node.env.now() - self._node.settings.confirmation_timeout_ms
         publishing = {
--- a/libs/control_store/src/control_store/register_store.py
+++ b/libs/control_store/src/control_store/register_store.py
@@ -21,7 +21,7 @@
 
 SNAPSHOT_FILE = "keys-snapshot"
 LOG_PREFIX = "keys-log"
-LARGEST_URGENT_RECORD_BYTES = 4096
+LARGEST_URGENT_RECORD_BYTES = 4096  # smaller records may use the space reserved on the disk
 
 WriteCallback = Callable[[bool], None]
 
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/steward.py
@@ -127,7 +127,7 @@
 
     def run(self) -> None:
         """Maintain the keys that this node owns and, as the steward, the list of voters."""
-        self._key_sweep.read_unknown()
+        self._key_sweep.read_missing_values()
         if self.identity() != self._acceptor.identity:
             self._key_sweep.repair_owned()
             return
