--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -1,22 +1,23 @@
-"""A replicated, durable log after the Salius scheme.
+"""A replicated, durable log based on the published Salius scheme.
 
-In each epoch one leader writes its queue file lazily and lets followers keep each record in memory.
-Recovery under a new epoch gathers what they have. docs/design.md says what was kept of the
-published scheme and what was changed; docs/consistency.md has the invariants.
+In each epoch, one leader appends records to its queue files without flushing each of them, and
+followers keep copies of the records in memory. Recovery under a new epoch gathers the records of
+the replicas. docs/design.md compares the log with the published scheme; docs/consistency.md lists
+the invariants.
 
-Three layers, each of which knows only those above it in this list:
+The modules form three layers, each of which uses only itself and the layers before it in this list:
 
-- a replica's own copy: `local_log` with `queue_files`, `record_buffer`, `log_flusher`, `snapshots`,
-  `snapshot_writer`, `metadata_file`, `flush_watermark`, `archive`, `archive_blocks`;
+- the local copy of a replica: `local_log` with `queue_files`, `record_buffer`, `log_flusher`,
+  `snapshots`, `snapshot_writer`, `metadata_file`, `flush_watermark`, `archive`, `archive_blocks`;
 - the protocol between replicas: `messages`, `follower`; `leader` with `replicator`, `quorums`,
   `replica_health`, `pending_appends`, `pending_reads`; `recovery` with `tail_fetch`;
-- the part of a store node: `log_replica` with `election`, `failure_detector`, `takeover`,
-  `membership_manager`, `configuration`; `archive_repair` beside it.
+- the components of a store node: `log_replica` with `election`, `failure_detector`, `takeover`,
+  `membership_manager`, `configuration`; and `archive_repair`.
 
-The package may import `messaging`, `storage`, `batch_state` and `runtime`; it does no I/O but
-through the Disk and the node that it is given. Invariants: a record that is committed or
-acknowledged is in every later log; a replica never goes behind a fence that it has answered with.
-Fields and formats of messages and files are fixed (tests/test_compatibility.py).
+The package may import `messaging`, `storage`, `batch_state` and `runtime`. All its I/O goes through
+a Disk and a node that its callers pass in. Invariants: a committed or acknowledged record is in
+every later log; a replica never returns to a lower fence than one that it has reported. Fields and
+formats of messages and files are fixed (tests/test_compatibility.py).
 """
 
 from typing import TYPE_CHECKING
