--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -1,9 +1,8 @@
-"""Archive files for finished jobs and keys.
+"""Archive files for the results of closed jobs and the final responses of idempotency keys.
 
-They hold the results of jobs that are over and the final answers of keys that are done, so that
-memory has only an index of them. A file is written once and flushed; only then do references to it
-replace the contents in memory, and only a later snapshot refers to it. A file that no job or key
-refers to is removed after the next snapshot.
+Memory holds only the location of archived contents. An archive file is written once and flushed.
+Only after the flush are the contents in memory replaced by references to the file, so only later
+snapshots refer to it. A file to which no job or key refers is removed after the next snapshot.
 """
 
 from collections.abc import Callable, Iterable
@@ -36,8 +35,14 @@
 class ArchiveStore:
     """The archive files of one replica.
 
-    `log` is the log beside which they lie, `token` makes unique parts of file names. `on_archived`
-    gets the entries whose contents have left memory.
+    `on_archived` is called with the entries whose contents are no longer in memory.
+
+    Parameters
+    ----------
+    log : LocalLog
+        The log of the replica; its archive files are on the same disk.
+    token : callable
+        Returns a new unique string, which becomes a part of a file name.
     """
 
     __slots__ = ("_busy", "_checked_file", "_log", "_token", "on_archived")
@@ -49,8 +54,6 @@
         self._checked_file = ""
         self.on_archived: Callable[[list[ArchivedEntry]], None] = lambda entries: None
 
-    # -- files ---------------------------------------------------------------------------------
-
     def names(self) -> list[str]:
         """Return the names of all archive files on this disk."""
         return [name for name in self._log.disk.names() if name.startswith(ARCHIVE_PREFIX)]
@@ -63,7 +66,11 @@
         }
 
     def remove_unreferenced(self) -> None:
-        """Remove files that neither memory nor, by now, the snapshot refers to."""
+        """Remove the files to which the state in memory doesn't refer.
+
+        Called on opening and once a new snapshot is on disk, since the snapshot before it may refer
+        to more files. Does nothing while contents are being archived.
+        """
         if not self._busy:
             referenced = self.referenced()
             for name in self.names():
@@ -71,18 +78,20 @@
                     self._log.disk.remove(name)
 
     def _new_file(self) -> ArchiveFile:
-        """Return a file with a name that no store has used, since copies keep their names."""
+        """Return an empty file whose name is unique among all stores.
+
+        Other replicas store their copies under the same name.
+        """
         log = self._log
         return ArchiveFile(
             f"{ARCHIVE_PREFIX}{log.identity}-{log.committed_seq:012d}-{self._token()}"
         )
 
-    # -- archiving -----------------------------------------------------------------------------
-
     def archive_finished(self, done: Callable[[], None]) -> None:
-        """Archive everything that is over, one file at a time, then call `done`.
+        """Archive the contents of all closed jobs and keys, one file at a time, then call `done`.
 
-        The event loop is free between files. A failed or refused write leaves the rest in memory.
+        Returns to the event loop during the flush of each file. If a write or flush fails, the
+        contents that aren't archived yet stay in memory.
         """
         state = self._log.state
         if self._busy or not state.unarchived:
@@ -115,23 +124,23 @@
         self._log.disk.flush([file.name], flushed)
 
     def _release(self, entries: list[ArchivedEntry], state: BatchState) -> None:
-        """Replace the contents in memory by references, where they haven't expired meanwhile."""
+        """Replace the contents in memory by references, except for expired jobs and keys."""
         for entry in entries:
             kind, name = _item_of(entry)
             if name in (state.jobs if kind is ArchivedKind.JOB else state.keys):
                 state.apply(entry)
         self.on_archived(entries)
 
-    # -- reading -------------------------------------------------------------------------------
-
     def _read_block(self, name: str, file: str, offset: int, size: int) -> list[bytes] | None:
         data = self._log.disk.read_at(file, offset, size)
         return decode_block(data, name) if len(data) == size else None
 
     def read_results(self, job: Job, from_index: int, limit: int) -> list[bytes] | None:
-        """Return results of a job from an index on, at most `limit` and from one block only.
+        """Return at most `limit` archived results of a job, starting at `from_index`.
 
-        None is returned if the block is damaged or isn't here.
+        All of them come from one block, so there may be fewer. The list is empty after the last
+        result. Returns None if the block is damaged or missing on this disk, or if the job isn't
+        archived.
         """
         archived = job.archived
         if archived is None:
@@ -154,7 +163,10 @@
         )
 
     def read_answer(self, key: IdempotencyKey) -> str | None:
-        """Return the archived final answer of a key, or None if it is damaged or isn't here."""
+        """Return the archived final response of a key.
+
+        Returns None if it is damaged or missing on this disk, or if the key isn't archived.
+        """
         archived = key.archived
         if archived is None:
             return None
@@ -163,10 +175,11 @@
         )
         return None if rows is None else rows[0].decode()
 
-    # -- checking and repair -------------------------------------------------------------------
-
     def check_next_file(self) -> list[ArchivedItem]:
-        """Read the next file through and return the jobs and keys with damaged blocks in it."""
+        """Check the next archive file and return the jobs and keys with damaged blocks in it.
+
+        Successive calls go through the files in the order of their names, then start again.
+        """
         names = self.names()
         if not names:
             return []
@@ -197,10 +210,11 @@
         ]
 
     def rewrite(self, item: ArchivedItem, rows: list[bytes], done: Callable[[bool], None]) -> None:
-        """Write rows that another replica had intact into a new file here.
+        """Write intact rows from another replica to a new archive file on this disk.
 
-        `done` gets False if the job or key isn't archived here, a snapshot is being written, or the
-        disk refuses.
+        `done` is called with True once the rows are on disk and the job or key refers to them. It
+        is called with False if the job or key isn't archived on this replica, a snapshot is being
+        written, the disk is full or the flush fails.
         """
         log = self._log
         if log.snapshot_in_progress() or not _is_archived(log.state, item):
@@ -230,7 +244,10 @@
 
 
 def _fill(file: ArchiveFile, state: BatchState) -> list[ArchivedEntry]:
-    """Move what is over and not archived yet into a file, as far as there is room in it."""
+    """Add unarchived jobs and keys to a file until it has `_FILE_BYTES` or none are left.
+
+    They are removed from `unarchived`. Returns the entries that refer to them.
+    """
     entries: list[ArchivedEntry] = []
     for kind, name in list(state.unarchived):
         del state.unarchived[(kind, name)]
@@ -245,7 +262,7 @@
 def _add_finished(
     file: ArchiveFile, state: BatchState, kind: str, name: str
 ) -> ArchivedEntry | None:
-    """Add a job or key to a file, unless it has expired or is in another file already."""
+    """Add a job or key to a file, unless it has expired or is already archived."""
     if kind == ArchivedKind.JOB:
         job = state.jobs.get(name)
         if job is None or job.archived is not None:
@@ -268,7 +285,7 @@
 def _add_rows(
     file: ArchiveFile, state: BatchState, item: ArchivedItem, rows: list[bytes]
 ) -> ArchivedEntry:
-    """Add rows of an archived job or key to a new file and return the entry that refers to them."""
+    """Add the rows of an archived job or key to a new file and return the new reference."""
     if item.kind is ArchivedKind.JOB:
         return file.add_job(state.jobs[item.name], rows)
     archived = state.keys[item.name].archived
--- a/libs/replicated_log/src/replicated_log/archive_blocks.py
+++ b/libs/replicated_log/src/replicated_log/archive_blocks.py
@@ -1,4 +1,4 @@
-"""The contents of archive files: blocks of rows, each a compressed frame with a checksum."""
+"""The format of archive files: blocks of rows, each stored as a compressed, checksummed frame."""
 
 import zlib
 from enum import StrEnum
@@ -17,7 +17,7 @@
 
 
 class ArchivedKind(StrEnum):
-    """What a block's rows belong to; the text is that of messages and of the batch state."""
+    """Whether rows belong to a job or a key; the values are those of messages and RecordKind."""
 
     JOB = "lot"
     KEY = "key"
@@ -33,7 +33,7 @@
 class ArchiveBlock(Message, wire_name="Leaf"):
     """A group of archived rows of one job or key.
 
-    `name` is the job or key, so that a block found in another's place is recognised.
+    `name` is the job or key, by which a block read from a wrong location is detected.
     """
 
     name: str
@@ -50,7 +50,7 @@
 
 
 class ArchiveFile:
-    """An archive file that is being filled; `content` is what it has so far."""
+    """An archive file being built; `content` has the blocks added so far."""
 
     __slots__ = ("content", "name")
 
@@ -65,7 +65,7 @@
         return len(data)
 
     def add_job(self, job: Job, rows: list[bytes]) -> JobArchived:
-        """Add the rows of a job's results and return the entry that refers to them."""
+        """Add a job's results, one row each, and return the entry that refers to them."""
         offsets, sizes, first_indexes = [], [], []
         first = 0
         while first < len(rows):
@@ -93,7 +93,7 @@
         )
 
     def add_key(self, name: str, key: IdempotencyKey) -> KeyArchived:
-        """Add the final answer of a key and return the entry that refers to it."""
+        """Add the final response of a key and return the entry that refers to it."""
         offset = len(self.content)
         size_bytes = self._add_block(name, [key.body.encode()])
         return KeyArchived(
@@ -109,7 +109,10 @@
         )
 
     def add_key_again(self, archived: KeyArchived, rows: list[bytes]) -> KeyArchived:
-        """Add the rows of a key that is archived in another file and return the new entry."""
+        """Add the rows of a key that another file has and return an entry that refers to this one.
+
+        The other fields of the entry are those of `archived`.
+        """
         offset = len(self.content)
         size_bytes = self._add_block(archived.key, rows)
         moved = {"file": self.name, "block_offset": offset, "block_size": size_bytes}
@@ -117,7 +120,10 @@
 
 
 def _end_of_block(rows: list[bytes], first: int) -> int:
-    """Return the index after the last row that fits into the block that begins with `first`."""
+    """Return the index after the last row of the block that begins with row `first`.
+
+    A block has at most `_BLOCK_BYTES` of rows, unless its first row alone is larger.
+    """
     end, size_bytes = first, 0
     while end < len(rows) and (end == first or size_bytes + len(rows[end]) <= _BLOCK_BYTES):
         size_bytes += len(rows[end])
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -1,8 +1,9 @@
-"""Repair of archive files that a replica lacks or that are damaged.
+"""Repair of missing or damaged archive files.
 
-The archive files that a snapshot refers to are fetched from the sender of the snapshot before it is
-taken over. A damaged block, found by a read or by the periodic check, is fetched from another
-member and written anew.
+Before a replica installs a snapshot, it fetches the archive files to which the snapshot refers and
+that it lacks, from the sender of the snapshot. A damaged block, detected by a read or by the
+periodic check, is replaced: its job's or key's rows are fetched from another member and written to
+a new file.
 """
 
 from collections.abc import Callable
@@ -24,14 +25,17 @@
 
 
 class FetchArchive(Message, wire_name="FetchShelf"):
-    """Ask for an archive file from the byte `offset` on."""
+    """Requests an archive file from the byte `offset` on."""
 
     file: str
     offset: int
 
 
 class ArchiveChunk(Message, wire_name="ShelfPart"):
-    """The answer to FetchArchive: a chunk of the file and its whole size in bytes."""
+    """The response to FetchArchive: a chunk of the file; `total` is the file's size in bytes.
+
+    `ok` is false if the sender has no such file.
+    """
 
     ok: bool
     data: bytes
@@ -39,7 +43,10 @@
 
 
 class ReadArchived(Message, wire_name="GetKept"):
-    """Ask for the archived rows of a job or a key (`kind`: ArchivedKind), from an index on."""
+    """Requests the rows of an archived job or key, from row `from_index` on.
+
+    `kind` is an ArchivedKind, `name` the job or key.
+    """
 
     kind: str
     name: str
@@ -47,9 +54,9 @@
 
 
 class ArchivedRows(Message, wire_name="Kept"):
-    """The answer to ReadArchived: rows, and `listed`, how many there are in all.
+    """The response to ReadArchived: some of the rows; `listed` is the number of all rows.
 
-    `ok` is false if the answering replica has no intact copy.
+    `ok` is false if the sender has no intact copy.
     """
 
     ok: bool
@@ -58,12 +65,17 @@
 
 
 class ArchiveRepair(Component):
-    """Serves archive files to other replicas and repairs damaged ones here.
-
-    `others` returns the addresses of the other members of the log.
+    """Serves archive files to other replicas and repairs those of this replica.
+
+    Parameters
+    ----------
+    log : LocalLog
+        The log of this replica; its `fetch_archives` is set to `fetch`.
+    others : callable
+        Returns the addresses of the other members of the log.
     """
 
-    __slots__ = ("_log", "_next_check_ms", "_open_file", "_others", "_repairing")
+    __slots__ = ("_cached_file", "_log", "_next_check_ms", "_others", "_repairing")
     HANDLES = (FetchArchive, ReadArchived)
 
     def __init__(self, log: LocalLog, others: Callable[[], list[str]]) -> None:
@@ -71,31 +83,31 @@
         self._others = others
         self._repairing: set[ArchivedItem] = set()
         self._next_check_ms = 0
-        # The name and contents of the file that was last asked for, as chunks follow each other.
-        self._open_file = _NO_FILE
+        # The name and contents of the last requested file, since requests for its next chunks
+        # usually follow.
+        self._cached_file = _NO_FILE
         log.fetch_archives = self.fetch
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Answer a request of another replica."""
-        raise TypeError(type(message).__name__)
-
-    # -- files that a snapshot needs -----------------------------------------------------------
+        """Respond to a request of another replica."""
+        raise TypeError(f"ArchiveRepair cannot handle a {type(message).__name__} message")
 
     @receive.register
     def _(self, message: FetchArchive, origin: Origin) -> None:
         disk = self._log.disk
         ok = message.file.startswith(ARCHIVE_PREFIX) and message.file in disk.names()
-        if ok and self._open_file[0] != message.file:
-            self._open_file = (message.file, disk.read(message.file))
-        data = self._open_file[1] if ok else b""
+        if ok and self._cached_file[0] != message.file:
+            self._cached_file = (message.file, disk.read(message.file))
+        data = self._cached_file[1] if ok else b""
         chunk = data[message.offset : message.offset + _CHUNK_BYTES]
         self.node.reply(origin, ArchiveChunk(ok=ok, data=chunk, total=len(data)))
 
     def fetch(self, files: list[str], source: str, done: Callable[[bool], None]) -> None:
-        """Fetch archive files from the address `source` one after another, flushing each.
+        """Fetch archive files one after another from the replica at the address `source`.
 
-        `done` gets False at the first failure; the caller then begins again.
+        Each file is on disk before the next one is requested. `done` is called with True once all
+        of them are, and with False at the first failure; the caller has to start again.
         """
         if not files:
             done(True)
@@ -126,8 +138,6 @@
             chunk_received,
         )
 
-    # -- damaged blocks ------------------------------------------------------------------------
-
     @receive.register
     def _(self, message: ReadArchived, origin: Origin) -> None:
         if message.kind == ArchivedKind.KEY:
@@ -160,7 +170,10 @@
         return ArchivedRows(ok=rows is not None, rows=rows or [], listed=job.listed)
 
     def repair(self, kind: str, name: str) -> None:
-        """Start to repair the rows of a job or a key, unless this is under way already."""
+        """Start to repair the rows of a job or key, unless a repair of them is in progress.
+
+        A failed repair isn't retried; it is started again by the next read or check.
+        """
         item = ArchivedItem(ArchivedKind(kind), name)
         if item not in self._repairing:
             self._repairing.add(item)
@@ -168,7 +181,10 @@
             self._request_rows(item, list(self._others()), [])
 
     def _request_rows(self, item: ArchivedItem, others: list[str], received: list[bytes]) -> None:
-        """Ask the first of `others` for the rows after those received; on failure ask the next."""
+        """Request the rows after those received from the first of `others`.
+
+        If that fails, the received rows are dropped and all rows requested from the next one.
+        """
         if not others:
             self._repairing.discard(item)
             return
@@ -196,10 +212,10 @@
             self.node.env.log("shelf-mended", kind=str(item.kind), what=item.name)
 
     def tick(self) -> None:
-        """Check the next archive file for damage, once in `removal_timeout_ms`."""
+        """Check one archive file for damage every `removal_timeout_ms`."""
         now_ms = self.node.env.now()
         if now_ms >= self._next_check_ms:
             self._next_check_ms = now_ms + self.node.settings.removal_timeout_ms
-            self._open_file = _NO_FILE
+            self._cached_file = _NO_FILE
             for item in self._log.archive.check_next_file():
                 self.repair(item.kind, item.name)
