--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -1,8 +1,9 @@
-"""One replica's own copy of the log.
+"""The local copy of the log on one replica.
 
 It consists of queue files, the latest records in memory, the state after the last committed record,
-and snapshots of that state. Opening cuts off a tail that was never flushed; a hole in what was
-flushed raises DamageError. Files of a later epoch replace earlier ones.
+and snapshots of that state. Opening the log cuts off a torn tail that was never flushed, but raises
+DamageError if flushed records are missing. Records in files of a later epoch replace those of
+earlier epochs.
 """
 
 from collections.abc import Callable
@@ -25,15 +26,27 @@
 
 __all__ = ["LocalLog"]
 
-# Fetches archive files (names, address of their source) and reports whether all of them are here.
+# Fetches archive files (their names, the address of the replica to fetch them from) and reports
+# whether all of them are on this disk now.
 ArchiveFetcher = Callable[[list[str], str, Callable[[bool], None]], None]
 
 
 class LocalLog:
-    """The log of one replica; sequence numbers start at 1, times are in milliseconds.
-
-    `state` is the state after the record `committed_seq`. `token` makes unique names. Raises
-    DamageError on opening if flushed data is missing or damaged.
+    """The log of one replica; sequence numbers start at 1.
+
+    `state` is the batch state after the record `committed_seq`. The constructor opens the log from
+    the disk and raises DamageError if flushed data is missing or damaged.
+
+    Parameters
+    ----------
+    disk : Disk
+        The disk with the files of this replica.
+    settings : Settings
+        The settings of the process.
+    now : callable
+        Returns the replica's clock in milliseconds.
+    token : callable
+        Returns a new unique string, for the replica's identity and the names of archive files.
     """
 
     __slots__ = (
@@ -68,10 +81,13 @@
         self._queue_files = QueueFiles(disk)
         self._open(token)
 
-    # -- opening -------------------------------------------------------------------------------
-
     def _open(self, token: Callable[[], str]) -> None:
-        """Read back what is on the disk; records behind the snapshot aren't known as committed."""
+        """Read the log from the disk.
+
+        Records after the snapshot aren't known to be committed, so they aren't applied to the
+        state. They count as unflushed, so the next flush covers their files too. Raises DamageError
+        if the log ends before the flush watermark, or if the snapshot or the metadata is damaged.
+        """
         self._metadata_file = MetadataFile(self.disk, token)
         watermark = FlushWatermark(self.disk, self._metadata_file)
         self.flusher = LogFlusher(self.disk, self._queue_files, self.buffer, watermark, self._now)
@@ -89,7 +105,12 @@
         self._queue_files.dirty.update(record.file for record in self.records)
 
     def may_bootstrap(self) -> bool:
-        """Whether this replica may found a log: its disk was blank when the fleet began."""
+        """Whether this replica may take part in the bootstrap of a new log.
+
+        Its disk must hold no log yet (its log epoch is 0). If there are no control nodes, its fence
+        must be 0 too, and its disk must date from the first start of the fleet: either
+        `first_start` is set or the disk already had a metadata file when the log was opened.
+        """
         has_control = self.settings.control_count > 0
         began_with_fleet = (
             has_control or self.settings.first_start or not self._metadata_file.is_new
@@ -97,8 +118,6 @@
         is_blank = self.metadata.log_epoch == 0 and (has_control or self.metadata.fence == 0)
         return began_with_fleet and is_blank
 
-    # -- metadata ------------------------------------------------------------------------------
-
     @property
     def metadata(self) -> ReplicaMetadata:
         """The durable metadata: identity, fence and log epoch."""
@@ -112,11 +131,9 @@
     def save_metadata(
         self, done: Callable[[bool], None], fence: int = 0, log_epoch: int = 0
     ) -> None:
-        """Raise the fence and the log epoch durably; see MetadataFile.save."""
+        """Durably raise the fence and the log epoch; see MetadataFile.save."""
         self._metadata_file.save(done, fence, log_epoch)
 
-    # -- records -------------------------------------------------------------------------------
-
     @property
     def records(self) -> list[Record]:
         """The records in memory."""
@@ -124,7 +141,7 @@
 
     @property
     def first_seq(self) -> int:
-        """The sequence number of the first record in memory, or of the next one to come."""
+        """The sequence number of the first record in memory, or of the next record if none is."""
         return self.buffer.first_seq
 
     @property
@@ -153,26 +170,31 @@
         return self.stamp_at(self.committed_seq) or NO_STAMP
 
     def stamp_at(self, seq: int) -> Stamp | None:
-        """Return the stamp of a record, or None if it isn't known here."""
+        """Return the stamp of a record, or None if this replica doesn't know it."""
         return self.buffer.stamp_at(seq)
 
     def records_from(self, seq: int, limit_bytes: int) -> list[Record]:
-        """Return records from `seq` on, about `limit_bytes` of them but at least one."""
+        """Return the records in memory from `seq` on; see RecordBuffer.records_from."""
         return self.buffer.records_from(seq, limit_bytes)
 
-    # -- writing and flushing ------------------------------------------------------------------
-
     def next_record(self, stamp: Stamp, body: bytes) -> Record:
-        """Build the leader's next record from an encoded entry."""
+        """Build the leader's next record from an encoded entry, without writing it."""
         entry = StoredEntry(
             epoch=stamp.epoch, stamp_ms=stamp.time_ms, seq=self.last_seq + 1, body=body
         )
         return self._queue_files.place_record(entry, encode(entry), self.settings.segment_bytes)
 
     def append(self, record: Record, urgent: bool = False, entry: Message | None = None) -> None:
-        """Write the next record lazily; `entry`, if known, needn't be decoded at its commit.
-
-        Raises DiskFullError. An `urgent` record may use the reserved part of the disk.
+        """Append the next record without flushing it. Raises DiskFullError.
+
+        Parameters
+        ----------
+        record : Record
+            The record after the last one.
+        urgent : bool
+            Whether the record may use the reserved part of the disk.
+        entry : Message or None
+            The decoded entry of the record, if known; `commit` then needn't decode it again.
         """
         self._queue_files.write(record, urgent)
         self._snapshot_writer.record_written(record.size_bytes)
@@ -181,7 +203,7 @@
             self._entries[record.seq] = entry
 
     def truncate_after(self, seq: int) -> None:
-        """Remove all records after `seq`, in memory and in the files."""
+        """Remove all records after `seq` from memory and from the files, without a flush."""
         removed = self.buffer.records_after(seq)
         if removed:
             self.flusher.lower_watermark(seq)
@@ -195,15 +217,18 @@
         self.flusher.flush(done)
 
     def ensure_flushed(self, done: FlushCallback) -> None:
-        """Flush, unless everything here has been flushed already."""
+        """Flush all records, unless nothing is unflushed; see LogFlusher.ensure_flushed."""
         self.flusher.ensure_flushed(done)
 
     def is_flush_due(self) -> bool:
-        """Whether unflushed records have waited for `flush_ms`."""
+        """Whether there are unflushed records and the last flush began `flush_ms` ago or more."""
         return self.flusher.is_due(self.settings.flush_ms)
 
     def commit(self, seq: int) -> None:
-        """Apply the records up to `seq`, which are now durable on f+1 disks, to the state."""
+        """Apply the records up to `seq`, which are durable on f+1 disks, to the state.
+
+        Records that this replica doesn't have yet are left for a later call.
+        """
         while self.committed_seq < min(seq, self.last_seq):
             self.committed_seq += 1
             known = self._entries.pop(self.committed_seq, None)
@@ -211,18 +236,20 @@
             self._snapshot_writer.before_apply(entry)
             self.state.apply(entry)
 
-    # -- snapshots -----------------------------------------------------------------------------
-
     def snapshot_in_progress(self) -> bool:
         """Whether a snapshot is being written."""
         return self._snapshot_writer.in_progress
 
     def maintain_snapshot(self, force: bool = False) -> None:
-        """Take a snapshot when a segment's worth was written, or at once if `force` is set."""
+        """Continue the snapshot in progress, or start one if it is due.
+
+        A snapshot is due after `segment_bytes` of records, or at once if `force` is set. None is
+        started if no record has been committed since the last one.
+        """
         self._snapshot_writer.maintain(force)
 
     def snapshot_written(self, seq: int, stamp: Stamp) -> None:
-        """Take note of a snapshot on disk, and drop what it makes superfluous."""
+        """Register a snapshot that is on disk; remove the records and files that it replaces."""
         if seq <= self.snapshot_seq:
             return
         self.buffer.snapshot_seq, self.buffer.snapshot_stamp = seq, stamp
@@ -230,24 +257,27 @@
         self.archive.remove_unreferenced()
 
     def trim(self) -> None:
-        """Drop records that are both in the snapshot and older than `keep_factor` * `flush_ms`."""
+        """Remove old records that the snapshot covers from memory, and files of covered records.
+
+        A record is old if it was received more than `keep_factor` * `flush_ms` before the last one.
+        """
         self.buffer.trim(self.settings.keep_factor * self.settings.flush_ms)
         self._queue_files.remove_unneeded(
             [record for record in self.records if record.seq > self.snapshot_seq]
         )
 
     def snapshot(self) -> bytes:
-        """Return a snapshot built now from all that is committed."""
+        """Build and return a snapshot of the committed state."""
         return build_snapshot(self.state, self.committed_seq, self.committed_stamp)
 
     def stored_snapshot(self) -> bytes:
-        """Return the snapshot on disk, or a new one if there is none or one is being written."""
+        """Return the snapshot on disk; build one if there is none or one is being written."""
         if self.snapshot_in_progress() or SNAPSHOT_FILE not in self.disk.names():
             return self.snapshot()
         return self.disk.read(SNAPSHOT_FILE)
 
     def _load_snapshot(self, data: bytes) -> None:
-        """Replace the state by a snapshot's. Raises DamageError if it isn't intact."""
+        """Replace the state by that of a snapshot. Raises DamageError if it isn't intact."""
         header, entries = read_whole_snapshot(data)
         self.state = BatchState()
         for entry in entries:
@@ -262,10 +292,23 @@
         source: str = "",
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Replace this log by a snapshot from another replica, at the address `source`.
-
-        The archive files that it refers to are fetched first; after that `is_wanted` is asked
-        whether to go on. Raises DamageError if the snapshot isn't intact.
+        """Replace this log by a snapshot from another replica.
+
+        Archive files to which the snapshot refers and that this disk lacks are fetched first.
+        Raises DamageError if the snapshot isn't intact.
+
+        Parameters
+        ----------
+        data : bytes
+            The snapshot.
+        done : callable
+            Called with True once the snapshot is on disk, and with False if an archive file could
+            not be fetched, if the snapshot is no longer wanted, or if it could not be written.
+        source : str
+            The address from which to fetch archive files.
+        is_wanted : callable
+            Called once archive files have been fetched; the log is replaced only if it returns
+            True.
         """
         missing = self._missing_archives(data)
         if not missing:
@@ -280,7 +323,7 @@
             )
 
     def _missing_archives(self, data: bytes) -> list[str]:
-        """Return the archive files that a snapshot refers to and that aren't here."""
+        """Return the archive files to which a snapshot refers and that this disk lacks."""
         return sorted(referenced_files(read_whole_snapshot(data)[1]) - set(self.disk.names()))
 
     def _replace_log(self, data: bytes, done: Callable[[bool], None]) -> None:
--- a/libs/replicated_log/src/replicated_log/log_flusher.py
+++ b/libs/replicated_log/src/replicated_log/log_flusher.py
@@ -1,4 +1,4 @@
-"""Flushes of a log: one at a time, shared by all who wait for one."""
+"""Flushes of a log: one at a time, each shared by all callers that wait for it."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 class LogFlusher:
     """Flushes the queue files of one replica.
 
-    `flushed_seq` is the last record known to be on disk, with all records before it. Times are
+    `flushed_seq` is the last record known to be on disk, with all records before it. Times are in
     milliseconds of the replica's clock.
     """
 
@@ -51,23 +51,23 @@
         self.flushed_seq = 0
 
     def flush(self, done: FlushCallback) -> None:
-        """Flush all records; requests during a flush share the next one.
+        """Flush all records; calls during a flush share the next one.
 
-        `done` gets True once they are on disk, and False if the flush failed.
+        `done` is called with True once the records are on disk, and with False if the flush failed.
         """
         self._waiting.append(done)
         if not self._flushing:
             self._start()
 
     def ensure_flushed(self, done: FlushCallback) -> None:
-        """Flush, unless everything here has been flushed already."""
+        """Flush all records; call `done` at once if nothing is unflushed or being flushed."""
         if self._queue_files.dirty or self._flushing or self._has_unflushed():
             self.flush(done)
         else:
             done(True)
 
     def is_due(self, flush_ms: int) -> bool:
-        """Whether unflushed records have waited for `flush_ms`."""
+        """Whether there are unflushed records and the last flush began `flush_ms` ago or more."""
         return (
             self._has_unflushed()
             and not self._flushing
@@ -86,7 +86,7 @@
 
         def flushed(ok: bool) -> None:
             self._flushing = False
-            # The record may have been truncated meanwhile and another be in its place.
+            # During the flush, the last record may have been truncated and replaced by another one.
             if ok and self._buffer.stamp_at(last_seq) == last_stamp and last_seq > self.flushed_seq:
                 self.flushed_seq = last_seq
                 self._watermark.write(last_seq)
@@ -100,17 +100,20 @@
         self._disk.flush(names, flushed)
 
     def lower_watermark(self, seq: int) -> None:
-        """Write the watermark before the records after `seq` are removed from the files."""
+        """Lower the flush watermark, before the records after `seq` are removed from the files.
+
+        Otherwise the missing records would be taken for damage when the log is next opened.
+        """
         self._watermark.write(min(self.flushed_seq, seq))
 
     def limit_to_end(self) -> None:
-        """Forget flushes of records that have been removed."""
+        """Lower `flushed_seq` to the last record, after records have been removed."""
         self.flushed_seq = min(self.flushed_seq, self._buffer.last_seq)
 
     def reset(self) -> None:
-        """Start anew, because a snapshot replaces all records."""
+        """Set `flushed_seq` to 0, because a snapshot that isn't on disk yet replaces the log."""
         self.flushed_seq = 0
 
     def snapshot_flushed(self, seq: int) -> None:
-        """Record that a snapshot that covers `seq` is on disk."""
+        """Raise `flushed_seq` to `seq`, the last record covered by a snapshot that is on disk."""
         self.flushed_seq = max(self.flushed_seq, seq)
--- a/libs/replicated_log/src/replicated_log/metadata_file.py
+++ b/libs/replicated_log/src/replicated_log/metadata_file.py
@@ -1,9 +1,10 @@
 """The metadata file of a replica: its identity, its fence and its log epoch.
 
-Each state is appended twice behind the states before it and needs one flush. A torn write leaves
-the last state whose flush was reported, and one damaged frame hides no state. Requests that arrive
-during a write share the next one; a request that the running write already covers waits for that
-write.
+Each new state of the metadata is appended to the file as two equal frames, which need one flush.
+After a torn write, the last state whose flush was reported is still intact, and since each
+state is there twice, no state is lost if one frame is damaged. Save requests that arrive during
+a write are combined in the next write; a request that the current write already covers completes
+with it.
 """
 
 from collections.abc import Callable
@@ -21,7 +22,7 @@
 
 
 class _SaveRequest:
-    """The metadata that a caller wants on disk, and what it is called back with."""
+    """The metadata that a caller wants on disk, and its callback."""
 
     __slots__ = ("done", "metadata")
 
@@ -31,16 +32,16 @@
 
 
 def _covers(metadata: ReplicaMetadata, wanted: ReplicaMetadata) -> bool:
-    """Whether `metadata` is at least as high as `wanted` in both numbers."""
+    """Whether the fence and the log epoch of `metadata` are at least those of `wanted`."""
     return metadata.fence >= wanted.fence and metadata.log_epoch >= wanted.log_epoch
 
 
 class MetadataFile:
     """The metadata of a replica in memory and on disk.
 
-    `metadata` is the last state known to be on disk; `is_new` says that the disk held no metadata
-    file, so that a new identity was made from `token`. Raises DamageError on opening if the file
-    exists but has no intact frame.
+    `metadata` is the last state known to be on disk. `is_new` means that the disk had no metadata
+    file, so the identity is new, made with `token`, and not on disk before the first save. The
+    constructor raises DamageError if the file exists but has no intact frame.
     """
 
     __slots__ = ("_disk", "_end_bytes", "_requests", "_waiting", "_writing", "is_new", "metadata")
@@ -58,7 +59,7 @@
             self.metadata = self._read(disk.read(_FILE))
 
     def _read(self, data: bytes) -> ReplicaMetadata:
-        """Read the file back: the highest of each number stands.
+        """Return the highest fence and the highest log epoch of all intact frames.
 
         A file that isn't intact up to its end is replaced as a whole by the next write.
         """
@@ -74,10 +75,10 @@
         return _highest(states[-1].identity, states)
 
     def save(self, done: SaveCallback, fence: int, log_epoch: int) -> None:
-        """Raise the fence and the log epoch to at least these values, durably.
+        """Durably raise the fence and the log epoch to at least these values.
 
-        `done` gets True once the new values are on disk, which is when they begin to count, and
-        False if the write failed. Neither number is ever lowered.
+        `metadata` changes once the new values are on disk; `done` is then called with True, or with
+        False if the write failed. Neither value is ever lowered.
         """
         wanted = ReplicaMetadata(
             identity=self.metadata.identity,
@@ -92,6 +93,11 @@
             self._write()
 
     def _write(self) -> None:
+        """Write the combined values of all waiting requests.
+
+        The file is replaced as a whole if it isn't intact, if it has more than
+        `_MAX_APPENDED_BYTES`, or if the disk has no space for the appended frames.
+        """
         requests, self._requests = self._requests, []
         states = [self.metadata, *[request.metadata for request in requests]]
         metadata = self._writing = _highest(self.metadata.identity, states)
@@ -120,7 +126,7 @@
 
 
 def _highest(identity: str, states: list[ReplicaMetadata]) -> ReplicaMetadata:
-    """Return the metadata with the highest fence and the highest log epoch of the states."""
+    """Return metadata with the highest fence and the highest log epoch of `states`."""
     return ReplicaMetadata(
         identity=identity,
         fence=max(state.fence for state in states),
