--- a/libs/replicated_log/src/replicated_log/queue_files.py
+++ b/libs/replicated_log/src/replicated_log/queue_files.py
@@ -1,7 +1,8 @@
-"""The queue files of a log: frames of stored entries, each at its absolute offset.
+"""The queue files of a log: frames of stored entries, each at a fixed offset in its file.
 
-A file is named for the epoch whose leader began it and for its first sequence number. Files of a
-later epoch replace the records of earlier ones. Replicas write the same bytes at the same offsets.
+The name of a file has the epoch of the leader that started it and the sequence number of its first
+record. Records in files of a later epoch replace those of earlier epochs. All replicas write a
+record with the same bytes to the same file and offset.
 """
 
 from typing import NamedTuple
@@ -19,7 +20,7 @@
 
 
 class _FilePosition(NamedTuple):
-    """A place in a queue file, in bytes from its start."""
+    """A position in a queue file; `offset` is in bytes from the start of the file."""
 
     file: str
     offset: int
@@ -31,7 +32,7 @@
 class QueueFiles:
     """The queue files on one disk.
 
-    `dirty` has the names of the files that were changed after the last flush began.
+    `dirty` has the names of the files that were changed since the last flush began.
     """
 
     __slots__ = ("_disk", "_end", "dirty")
@@ -44,12 +45,12 @@
     def _names(self) -> list[str]:
         return [name for name in self._disk.names() if name.startswith(QUEUE_PREFIX)]
 
-    # -- opening -------------------------------------------------------------------------------
-
     def read_into(self, buffer: RecordBuffer) -> None:
-        """Read all files in order into an empty buffer whose snapshot is known.
+        """Read the records of all files into `buffer`, in the order of the file names.
 
-        A tail that was torn off, or that doesn't continue the log, is cut from its file.
+        The buffer must be empty, with `snapshot_seq` set; records that the snapshot covers are
+        skipped. A torn tail, and records that don't continue the log, are cut from their file; a
+        file with no records left is removed.
         """
         for name in self._names():
             self._read_file(name, buffer)
@@ -73,13 +74,11 @@
             self._disk.remove(name)
             self.dirty.discard(name)
 
-    # -- writing -------------------------------------------------------------------------------
-
     def place_record(self, entry: StoredEntry, payload: bytes, segment_bytes: int) -> Record:
-        """Build the record of an entry behind the last one written.
+        """Build the record of an entry, with the file and offset after the last record written.
 
-        A new file is begun for a new epoch, after a truncation, and once the present file has
-        `segment_bytes`; the first record of each file has the flag TRUNCATE.
+        A new file is started for a new epoch, after the log was opened or truncated, and once the
+        current file has `segment_bytes` bytes. The first record of each file has the flag TRUNCATE.
         """
         name, offset = self._end
         own_prefix = f"{QUEUE_PREFIX}{entry.epoch:08d}-"
@@ -88,7 +87,11 @@
         return make_record(entry, payload, f"{own_prefix}{entry.seq:012d}", 0, TRUNCATE)
 
     def write(self, record: Record, urgent: bool) -> None:
-        """Write a record lazily and idempotently at its offset. Raises DiskFullError."""
+        """Write a record at its offset, without a flush. Raises DiskFullError.
+
+        Writing the same record again gives the same file contents. An `urgent` record may use the
+        reserved part of the disk.
+        """
         if record.flags & TRUNCATE:
             self._disk.truncate(record.file, 0)
         self._disk.write(record.file, record.offset, record.frame, urgent)
@@ -96,15 +99,13 @@
         self._end = _FilePosition(record.file, record.offset + record.size_bytes)
 
     def remove_records(self, records: list[Record]) -> None:
-        """Cut the last records, given in order, from their files."""
+        """Cut records from their files; `records` are the last ones of the log, in order."""
         for record in reversed(records):
             self._disk.truncate(record.file, record.offset)
             self.dirty.add(record.file)
         if records:
             self._end = _NOWHERE
 
-    # -- removing files ------------------------------------------------------------------------
-
     def remove_all(self) -> None:
         """Remove all files."""
         for name in self._names():
@@ -113,7 +114,7 @@
         self._end = _NOWHERE
 
     def remove_unneeded(self, records: list[Record]) -> None:
-        """Remove the files that hold none of these records, except for the one being written."""
+        """Remove the files that hold none of these records, except for the last one written."""
         needed = {record.file for record in records} | {self._end.file}
         for name in self._names():
             if name not in needed:
@@ -122,7 +123,10 @@
 
 
 def _frames(data: bytes) -> list[tuple[int, bytes]]:
-    """Return the frames of a file; holes of zeros are records that came by a snapshot instead."""
+    """Return the frames of a file as (offset, payload), including those after holes of zeros.
+
+    A hole stands for records that the replica received as part of a snapshot instead.
+    """
     frames, stop = read_frames(data)
     while (at := find_frame_after_hole(data, stop)) is not None:
         more, stop = read_frames(data, at)
--- a/libs/replicated_log/src/replicated_log/record_buffer.py
+++ b/libs/replicated_log/src/replicated_log/record_buffer.py
@@ -1,4 +1,4 @@
-"""The latest records of a log in memory, in sequence behind the last snapshot."""
+"""The latest records of a log, in memory."""
 
 from replicated_log.messages import NO_STAMP, Record, Stamp
 from replicated_log.records import limit_records
@@ -9,9 +9,14 @@
 class RecordBuffer:
     """The records that a replica has in memory, without gaps.
 
-    Sequence numbers start at 1. `received_ms` has the time at which each of the `records` arrived,
-    in milliseconds of the replica's clock. `snapshot_seq` and `snapshot_stamp` are those of the
-    last record that the snapshot on disk covers; some records before it may still be in memory.
+    Attributes
+    ----------
+    records : list of Record
+        The records in sequence. Some of them may be covered by the snapshot on disk too.
+    received_ms : list of int
+        The time at which each of the records arrived, in milliseconds of the replica's clock.
+    snapshot_seq, snapshot_stamp : int, Stamp
+        The last record that the snapshot on disk covers, or 0 and NO_STAMP.
     """
 
     __slots__ = ("received_ms", "records", "snapshot_seq", "snapshot_stamp")
@@ -24,32 +29,35 @@
 
     @property
     def first_seq(self) -> int:
-        """The sequence number of the first record in memory, or of the next one to come."""
+        """The sequence number of the first record in memory, or of the next record if none is."""
         return self.records[0].seq if self.records else self.snapshot_seq + 1
 
     @property
     def last_seq(self) -> int:
-        """The sequence number of the last record."""
+        """The sequence number of the last record, in memory or covered by the snapshot."""
         return self.records[-1].seq if self.records else self.snapshot_seq
 
     @property
     def last_stamp(self) -> Stamp:
-        """The stamp of the last record."""
+        """The stamp of the last record, in memory or covered by the snapshot."""
         return self.records[-1].stamp if self.records else self.snapshot_stamp
 
     def record_at(self, seq: int) -> Record:
-        """Return a record that is in memory."""
+        """Return the record with a sequence number, which must be in memory."""
         return self.records[seq - self.first_seq]
 
     def stamp_at(self, seq: int) -> Stamp | None:
-        """Return the stamp of a record, or None if it isn't known here."""
+        """Return the stamp of a record; None if it isn't in memory or the snapshot's last one."""
         if seq == self.snapshot_seq:
             return self.snapshot_stamp
         index = seq - self.first_seq
         return self.records[index].stamp if 0 <= index < len(self.records) else None
 
     def records_from(self, seq: int, limit_bytes: int) -> list[Record]:
-        """Return records from `seq` on, about `limit_bytes` of them but at least one."""
+        """Return the records in memory from `seq` on, up to `limit_bytes` in total.
+
+        At least one record is returned if there is one, even if it is larger.
+        """
         return limit_records(self.records[max(0, seq - self.first_seq) :], limit_bytes)
 
     def append(self, record: Record, received_ms: int) -> None:
@@ -58,11 +66,11 @@
         self.received_ms.append(received_ms)
 
     def records_after(self, seq: int) -> list[Record]:
-        """Return the records after `seq`."""
+        """Return the records in memory after `seq`."""
         return self.records[self._index_after(seq) :]
 
     def truncate_after(self, seq: int) -> None:
-        """Forget the records after `seq`."""
+        """Remove the records after `seq`."""
         index = self._index_after(seq)
         del self.records[index:]
         del self.received_ms[index:]
@@ -71,13 +79,13 @@
         return max(0, seq - self.first_seq + 1)
 
     def clear(self) -> None:
-        """Forget all records."""
+        """Remove all records."""
         self.records, self.received_ms = [], []
 
     def trim(self, keep_ms: float) -> None:
-        """Forget records that are in the snapshot and `keep_ms` older than the last one.
+        """Remove records that the snapshot covers and that are older than `keep_ms`.
 
-        The last record stays, whatever its age.
+        The age of a record is measured at the arrival of the last record, which always stays.
         """
         if not self.received_ms:
             return
--- a/libs/replicated_log/src/replicated_log/records.py
+++ b/libs/replicated_log/src/replicated_log/records.py
@@ -1,4 +1,4 @@
-"""Conversions between a record of the log and the entry that it carries."""
+"""Conversion between records of the log and the entries in them, and selection by size."""
 
 from messaging import Message, decode, decode_as
 from storage import frame
@@ -7,21 +7,30 @@
 
 __all__ = ["decode_entry", "limit_records", "make_record"]
 
-# The length and the checksum that a frame has before its payload.
+# The size of the length and the checksum before the payload of a frame.
 _FRAME_HEADER_BYTES = 8
 
 
 def decode_entry(record: Record) -> Message:
-    """Decode the entry of the batch state that a record carries."""
+    """Decode the batch-state entry in a record."""
     return decode(decode_as(StoredEntry, record.frame[_FRAME_HEADER_BYTES:]).body)
 
 
 def make_record(
     entry: StoredEntry, payload: bytes, file: str, offset: int, flags: int = 0
 ) -> Record:
-    """Build the record of a stored entry at its absolute offset, in bytes, in a queue file.
-
-    `payload` is the encoded entry.
+    """Build the record of a stored entry.
+
+    Parameters
+    ----------
+    entry : StoredEntry
+        The entry.
+    payload : bytes
+        The encoded entry, which becomes the payload of the record's frame.
+    file, offset : str, int
+        The queue file and the absolute byte offset in it at which the frame is stored.
+    flags : int
+        TRUNCATE for the first record of a file, otherwise 0.
     """
     data = frame(payload)
     return Record(
@@ -37,7 +46,7 @@
 
 
 def limit_records(records: list[Record], limit_bytes: int) -> list[Record]:
-    """Return the first records up to a size in bytes, but at least one if there is one."""
+    """Return the first records, up to `limit_bytes` of frames, but at least one if there is one."""
     limited: list[Record] = []
     size_bytes = 0
     for record in records:
