--- a/libs/replicated_log/src/replicated_log/replica_health.py
+++ b/libs/replicated_log/src/replicated_log/replica_health.py
@@ -1,4 +1,4 @@
-"""What a leader knows about its followers' health: who answers, who is caught up, who has space."""
+"""The leader's view of its followers: which respond, are caught up and have disk space."""
 
 from collections.abc import Callable
 
@@ -12,9 +12,10 @@
 
 
 class _CommitHistory:
-    """What was committed one heartbeat ago, which replicas that are caught up have on disk.
+    """The last record that was committed one heartbeat ago, as `required_seq`.
 
-    Under load the committed end is always a little ahead of the reports of slower disks.
+    A replica that has it on disk counts as caught up. The last committed record itself would be too
+    strict: under load it is always slightly ahead of what slower disks have reported.
     """
 
     __slots__ = ("_latest_ms", "_latest_seq", "required_seq")
@@ -25,17 +26,29 @@
         self._latest_ms = now_ms
 
     def update(self, committed_seq: int, now_ms: int, interval_ms: int) -> None:
-        """Take note of what is committed, once in an interval."""
+        """Register the last committed record, at most once per `interval_ms`."""
         if now_ms - self._latest_ms >= interval_ms:
             self.required_seq = self._latest_seq
             self._latest_seq, self._latest_ms = committed_seq, now_ms
 
 
 class ReplicaHealth:
-    """Judges the followers of one leader by their latest responses.
-
-    A follower counts only if it has adopted the leader's epoch. Times are milliseconds of the
-    leader's clock.
+    """Evaluates the latest responses of the followers of one leader.
+
+    A follower that hasn't responded yet is treated as if it had responded when it was added.
+
+    Parameters
+    ----------
+    log : LocalLog
+        The leader's copy of the log.
+    followers : dict
+        The followers by identity, both members and standby replicas.
+    quorums : Quorums
+        The members of the log.
+    settings : Settings
+        The settings of the process.
+    now : callable
+        Returns the leader's clock in milliseconds.
     """
 
     __slots__ = ("_followers", "_history", "_log", "_now", "_quorums", "settings")
@@ -56,17 +69,20 @@
         self.settings = settings
 
     def tick(self) -> None:
-        """Take note of what is committed."""
+        """Register the last committed record, once per `leader_heartbeat_ms`."""
         self._history.update(
             self._log.committed_seq, self._now(), self.settings.leader_heartbeat_ms
         )
 
     def is_responsive(self, identity: str) -> bool:
-        """Whether a follower has adopted this epoch and was heard within `leader_suspicion_ms`."""
+        """Whether a follower has adopted the epoch and responded within `leader_suspicion_ms`."""
         return self._is_heard(self._followers.get(identity), self.settings.leader_suspicion_ms)
 
     def is_caught_up(self, identity: str) -> bool:
-        """Whether a store was heard, and has on disk what was committed a heartbeat ago."""
+        """Whether a follower has on disk what was committed one heartbeat ago.
+
+        It must also have adopted the epoch and have responded within `failure_timeout_ms`.
+        """
         follower = self._followers.get(identity)
         return (
             follower is not None
@@ -82,12 +98,15 @@
         )
 
     def count_caught_up(self) -> int:
-        """Return how many members, this store among them, are caught up."""
+        """Return the number of members that are caught up, including the leader."""
         own = self._log.flushed_seq >= self._history.required_seq
         return own + sum(self.is_caught_up(name) for name in self._quorums.members)
 
     def has_quorum(self) -> bool:
-        """Whether f members have answered within `leader_suspicion_ms`."""
+        """Whether at least f followers that are members responded within `leader_suspicion_ms`.
+
+        They need not have adopted the epoch.
+        """
         floor_ms = self._now() - self.settings.leader_suspicion_ms
         heard = sum(
             follower.last_heard_ms >= floor_ms for follower in self._quorums.voting_followers()
@@ -95,12 +114,16 @@
         return bool(heard >= self.settings.store_faults)
 
     def has_space(self) -> bool:
-        """Whether the disks of f members have space."""
+        """Whether at least f followers that are members have space on their disks."""
         count = sum(not follower.disk_full for follower in self._quorums.voting_followers())
         return bool(count >= self.settings.store_faults)
 
     def member_with_disk_space(self) -> str | None:
-        """Return a member in touch with space on its disk if this store has none, else None."""
+        """Return a member with disk space if the leader's disk has none left.
+
+        The member must have adopted the epoch and have responded within `failure_timeout_ms`.
+        Returns None if there is no such member, or if the leader's disk has space.
+        """
         if self._log.disk.has_room(0):
             return None
         floor_ms = self._now() - self.settings.failure_timeout_ms
--- a/libs/replicated_log/src/replicated_log/replica_placement.py
+++ b/libs/replicated_log/src/replicated_log/replica_placement.py
@@ -1,6 +1,7 @@
-"""Placement of the log's members over the zones.
+"""Placement of the members of the log across zones.
 
-Zones take turns, so that the loss of one zone takes as few members as possible.
+Members are taken from the zones in turn, so that the loss of one zone loses as few members as
+possible.
 """
 
 from collections.abc import Iterable
@@ -13,10 +14,10 @@
 
 
 def spread(rows: Iterable[MemberRow], count: int) -> list[MemberRow]:
-    """Choose `count` of the stores, zone by zone in turn.
+    """Select up to `count` stores from the zones in turn.
 
-    Each round takes the lowest remaining identity of every zone, with zones in the order of their
-    names. Fewer stores are returned if there are no more.
+    Each round takes the store with the lowest remaining identity of every zone, in the order of the
+    zone names. All stores are returned if there are fewer than `count`.
     """
     zones: dict[str, list[MemberRow]] = groupby(
         lambda row: row["zone"], sorted(rows, key=lambda row: row["identity"])
