--- a/libs/replicated_log/src/replicated_log/snapshot_sender.py
+++ b/libs/replicated_log/src/replicated_log/snapshot_sender.py
@@ -1,4 +1,4 @@
-"""The transfer of snapshots from the leader to its followers."""
+"""Transfer of snapshots from the leader to its followers."""
 
 from collections.abc import Callable
 
@@ -15,10 +15,11 @@
 
 
 class SnapshotSender:
-    """Sends snapshots part by part, each after the part before was taken.
+    """Sends snapshots in parts, each once the follower has acknowledged the part before it.
 
-    So a slow link isn't overloaded. A transfer that makes no progress within `force_ms` is started
-    again.
+    A slow link is therefore not overloaded. A transfer starts again with the current snapshot if
+    `force_ms` have passed since a part was last sent or the follower last responded that it is busy
+    installing.
     """
 
     __slots__ = ("_epoch", "_log", "_now", "_send", "_settings")
@@ -35,7 +36,11 @@
         self._now, self._send = now, send
 
     def send(self, follower: FollowerProgress, probe: int) -> None:
-        """Begin a snapshot, begin it again, or repeat its last part when that is due."""
+        """Start or restart the transfer to a follower, or resend its latest part, if that is due.
+
+        A part that isn't acknowledged is resent after `request_timeout_ms`. `probe` is returned in
+        the follower's response.
+        """
         waited_ms = self._now() - follower.snapshot_sent_ms
         if not follower.snapshot or waited_ms >= self._settings.force_ms:
             follower.snapshot = self._log.stored_snapshot()
@@ -61,7 +66,11 @@
     def handle_response(
         self, follower: FollowerProgress, message: AppendResponse, probe: int
     ) -> None:
-        """Take in that a follower is installing the snapshot, or how much of it has arrived."""
+        """Process a follower's response during a transfer, and send the next part if there is one.
+
+        A follower that is busy installing the snapshot has all of it. Otherwise `position` is the
+        number of bytes that it has received.
+        """
         if message.reason == ResponseReason.BUSY:
             follower.snapshot_sent_ms = self._now()
             follower.snapshot_acknowledged_bytes = len(follower.snapshot)
--- a/libs/replicated_log/src/replicated_log/snapshot_writer.py
+++ b/libs/replicated_log/src/replicated_log/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Periodic snapshots of a log on its own disk."""
+"""Periodic snapshots of the log on the replica's own disk."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -17,9 +17,11 @@
 
 
 class SnapshotWriter:
-    """Writes a snapshot once enough has been written to the log since the last one.
+    """Writes a snapshot after every `segment_bytes` of records.
 
-    Finished jobs and keys are archived first. Times are milliseconds of the replica's clock.
+    Closed jobs and keys are archived first. A snapshot that could not be written is tried again
+    after `request_timeout_ms`. `in_progress` is set from the start of archiving until the snapshot
+    is written, has failed or is abandoned. Times are in milliseconds of the replica's clock.
     """
 
     __slots__ = ("_builder", "_log", "_not_before_ms", "_now", "_written_bytes", "in_progress")
@@ -33,22 +35,25 @@
         self.in_progress = False
 
     def record_written(self, size_bytes: int) -> None:
-        """Count what is written to the queue files since the last snapshot."""
+        """Add to the number of bytes written to the queue files since the last snapshot."""
         self._written_bytes += size_bytes
 
     def before_apply(self, entry: Message) -> None:
-        """Let a snapshot being built encode what a committed entry is about to change."""
+        """Prepare a snapshot that is being built for an entry that is about to be applied."""
         if self._builder is not None:
             self._builder.before_apply(entry)
 
     def abandon(self) -> None:
-        """Drop a snapshot being built, because another one replaces the log."""
+        """Drop a snapshot that is being built, because another one replaces the log."""
         if self._builder is not None:
             self._builder = None
             self.in_progress = False
 
     def maintain(self, force: bool) -> None:
-        """Take the next step of a snapshot, or begin one if it is due or `force` is set."""
+        """Continue the snapshot in progress, or start one if it is due or `force` is set.
+
+        None is started if no record has been committed since the last one.
+        """
         if self._builder is not None:
             self._step(self._builder)
         if self.in_progress or self._log.committed_seq <= self._log.snapshot_seq:
--- a/libs/replicated_log/src/replicated_log/snapshots.py
+++ b/libs/replicated_log/src/replicated_log/snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots of the committed state: a header, then the entries that add up to that state.
+"""Snapshots of the committed state: a header, then the entries that recreate the state.
 
-A snapshot is built in steps, so that the event loop is never blocked for long. Whatever a newly
-committed entry is about to change is encoded beforehand, so the snapshot shows the state as it was
-when it was begun.
+A snapshot is built in steps, so that the event loop isn't blocked for long. A job or key that isn't
+in the snapshot yet is encoded before a committed entry changes it, so the snapshot has the state at
+the time when it was started.
 """
 
 from batch_state.state import BatchState
@@ -33,14 +33,14 @@
         self._rows: dict[_ItemName, list[bytes]] = {name: [] for name in names}
 
     def step(self) -> bool:
-        """Encode some more of the state and return whether that was all."""
+        """Encode about `_STEP_BYTES` of the state; return whether all of it is encoded."""
         size_bytes = 0
         while self._pending and size_bytes < _STEP_BYTES:
             size_bytes += self._encode(next(iter(self._pending)))
         return not self._pending
 
     def before_apply(self, entry: Message) -> None:
-        """Encode what a committed entry is about to change."""
+        """Encode the job or key that a committed entry is about to change, if it isn't yet."""
         name = _changed_item(entry)
         if name in self._pending:
             self._encode(name)
@@ -68,7 +68,7 @@
 
 
 def build_snapshot(state: BatchState, seq: int, stamp: Stamp) -> bytes:
-    """Build a snapshot in one go."""
+    """Build a snapshot in one step; the arguments are those of SnapshotBuilder."""
     builder = SnapshotBuilder(state, seq, stamp)
     while not builder.step():
         pass
@@ -76,7 +76,7 @@
 
 
 def read_snapshot(data: bytes) -> tuple[SnapshotHeader | None, list[Message]]:
-    """Return the header and the entries; the header is None if the bytes are no whole snapshot."""
+    """Return the header and the entries; the header is None if the snapshot isn't complete."""
     frames, end, _ = scan_frames(data)
     header = decode(frames[0][1]) if frames else None
     if not isinstance(header, SnapshotHeader):
@@ -87,7 +87,7 @@
 
 
 def read_whole_snapshot(data: bytes) -> tuple[SnapshotHeader, list[Message]]:
-    """Return the header and the entries. Raises DamageError if the bytes are no whole snapshot."""
+    """Return the header and the entries. Raises DamageError if the snapshot isn't complete."""
     header, entries = read_snapshot(data)
     if header is None:
         raise DamageError("snapshot", 0)
--- a/libs/replicated_log/src/replicated_log/tail_fetch.py
+++ b/libs/replicated_log/src/replicated_log/tail_fetch.py
@@ -1,4 +1,4 @@
-"""Fetching what one replica has of the log beyond what this one shares with it."""
+"""Fetches the records of another replica that follow the last record common to both replicas."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,16 +13,39 @@
 
 __all__ = ["RequestCallback", "TailFetch"]
 
-# Sends a request to an address; the last argument gets the answer, or None after a time in ms.
+# Sends a request: the address, the message, a timeout in milliseconds, and a callback that is
+# called with the response, or with None after the timeout.
 RequestCallback = Callable[[str, Message, int, Callable[[Any], None]], None]
 
 
 class TailFetch:
-    """Fetches the log of one source, record by record or by its snapshot.
-
-    `is_wanted` is asked before each step; once it says no, nothing more happens. A request without
-    an answer is repeated until `force_ms` after `started_ms`. `done` gets the source's records
-    after the snapshot of this store, or None if they couldn't be had.
+    """Fetches the part of one source's log that this store lacks.
+
+    The source sends records or, if it no longer has the first of them, its snapshot and the records
+    after it. A request that fails or times out is repeated until `force_ms` after `started_ms`.
+
+    Parameters
+    ----------
+    log : LocalLog
+        This store's copy of the log. Only a snapshot of the source changes it.
+    epoch : int
+        The epoch of the recovery, with which all requests are sent.
+    source : ReplicaAddress
+        The replica to fetch from.
+    settings : Settings
+        The settings of the process.
+    request : callable
+        Sends a request to an address; see RequestCallback.
+    now : callable
+        Returns this store's clock in milliseconds.
+    started_ms : int
+        The time from which `force_ms` counts.
+    is_wanted : callable
+        Called with each response and before a snapshot whose archive files had to be fetched is
+        installed. Once it returns False the fetch stops.
+    done : callable
+        Called with all of the source's records after this store's snapshot, or with None if the
+        fetch failed. After `is_wanted` has returned False, it isn't called or is called with None.
     """
 
     __slots__ = (
@@ -62,7 +85,7 @@
         self._records: list[Record] = []
 
     def start(self) -> None:
-        """Fetch what follows the last record that both replicas have."""
+        """Request the records after the last one that both replicas have."""
         seqs = _compared_seqs(self._log)
         stamps = [self._log.stamp_at(seq) or NO_STAMP for seq in seqs]
         self._request(
@@ -87,7 +110,7 @@
         self._take(response, 1, b"")
 
     def _accept(self, message: Message | None, retry: Callable[[], None]) -> FetchResponse | None:
-        """Return a response that can be used; otherwise try again, or give up."""
+        """Return a usable response; otherwise return None and retry the request or give up."""
         if not self._is_wanted():
             return None
         if not isinstance(message, FetchResponse) or not message.ok:
@@ -97,13 +120,17 @@
                 retry()
             return None
         if message.identity != self._source.identity:
-            # Another disk than the one whose answer was counted.
+            # Another replica responds at this address. The log that the recovery counted on was
+            # that of the source.
             self._done(None)
             return None
         return message
 
     def _fetch_from(self, from_seq: int, snapshot: bytes = b"") -> None:
-        """Fetch records, or the snapshot behind the part of it that is here."""
+        """Request the records from `from_seq` on, or the rest of the snapshot.
+
+        `snapshot` is the part of the snapshot that has been received so far.
+        """
 
         def fetched(message: Message | None) -> None:
             response = self._accept(message, lambda: self._fetch_from(from_seq, snapshot))
@@ -133,9 +160,9 @@
             self._done(self._records)
 
     def _install(self, snapshot: bytes) -> None:
-        """Install the source's snapshot, because the source has trimmed what this store lacks.
+        """Install the source's snapshot, because the source has trimmed records that are needed.
 
-        A snapshot covers committed records only, so it may replace what is here.
+        A snapshot covers only committed records, so it may replace this store's log.
         """
 
         def installed(ok: bool) -> None:
@@ -153,16 +180,17 @@
 
 
 def _first_seq(response: FetchResponse) -> int:
-    """Return the sequence number of the first record of a response, or the one after its log."""
+    """Return the first sequence number of a response, or the one after the source's last record."""
     if response.records:
         return decode_as(Record, response.records[0]).seq
     return response.last_seq + 1
 
 
 def _compared_seqs(log: LocalLog) -> list[int]:
-    """Return the records by which two replicas find the last one that both have.
+    """Return the records to compare in order to find the last one that both replicas have.
 
-    They lie close together near the end of the log and ever further apart before.
+    These are the last record and those 1, 2, 4, 8, ... records before it, as far as they aren't
+    committed, and the last committed record.
     """
     seqs = []
     step = 0
