--- a/libs/storage/src/storage/__init__.py
+++ b/libs/storage/src/storage/__init__.py
@@ -1,12 +1,13 @@
-"""Files under one data folder.
+"""Durable storage of files in one data folder.
 
 - `disk`: lazy writes, atomic replacement, flushes whose completion is reported, and a limit on the
   space used.
 - `frames`: frames with checksums, and detection of torn or damaged files.
 
-Invariants: a callback reports True only once the data is durable; after an input/output error other
-than a full device nothing is reported as durable any more. This package imports none of the fleet's
-packages. What files contain is up to the packages that write them.
+Invariants: a callback is called with True only once the data is durable; after a failed flush, or
+an I/O error in lazy work other than a full device, no data is reported as durable any more. This
+package imports no other package of the project. The contents of files are defined by the packages
+that write them.
 """
 
 from storage.disk import Disk, DiskFullError, FolderDisk
--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -1,12 +1,12 @@
-"""The disk as the sans-I/O cores see it, and its implementation on a data folder.
-
-A write is lazy: it is durable only once a flush that began after it has been reported done. One
-thread does all work on the device in order, so a slow device delays only callers that wait for a
-flush. A fifth of the space is reserved for urgent writes, so that ending lots, trimming and
-snapshots still work on a disk that refuses everything else. A failed flush breaks the disk for
-good, since what the kernel still holds is then unknown; after a full device the work is tried
-again. Small files that are replaced whole (identities, fences) are written whatever the accounting
-of space says.
+"""The disk interface of the sans-I/O components, and its implementation on a data folder.
+
+Writes are lazy: a write is durable only once a flush requested after it has completed. One worker
+thread does all work on the device, in order, so a slow device delays only callers that wait for a
+flush, or that read a file with unfinished work. A fifth of the space is reserved for urgent writes,
+so that jobs can still be ended, the log trimmed and snapshots written on a disk that refuses all
+other writes. After a failed flush the disk is broken for good, since it is unknown which data the
+kernel still holds; lazy work that a full device refused is tried again. Replacing a small file
+(identity or fence) is never refused for lack of capacity.
 """
 
 import errno
@@ -20,17 +20,17 @@
 __all__ = ["RESERVED_SHARE", "Disk", "DiskFullError", "FolderDisk"]
 
 RESERVED_SHARE = 0.2
-"""The share of the space that only urgent writes may use."""
+"""The share of the capacity that only urgent writes may use."""
 
 SMALL_BYTES = 4096
-"""Up to this size a file is replaced even where there is no space left."""
+"""Replacing a file with at most this many bytes is allowed even if no capacity is left."""
 
 _WRITEBACK_BYTES = 1 << 18
 _DEVICE_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
 
 class _StepKind(Enum):
-    """What a lazy step does to its file."""
+    """The kind of work that a step does on its file."""
 
     WRITE = auto()
     TRUNCATE = auto()
@@ -38,9 +38,9 @@
 
 
 class _Step(NamedTuple):
-    """Lazy work on one file; steps are numbered in the order in which they were submitted.
+    """One piece of lazy work on a file; steps are numbered in the order of their submission.
 
-    `offset` is where `data` is written, or the size to truncate to.
+    `offset` is the byte offset at which `data` is written, or the size to truncate to.
     """
 
     number: int
@@ -51,22 +51,26 @@
 
 
 class DiskFullError(Exception):
-    """A write was refused because it would exceed the space allowed; its argument is the file."""
+    """A write was refused because the disk has no space for it or is broken.
+
+    The argument is the name of the file.
+    """
 
 
 class Disk(Protocol):
-    """What the cores need of a disk; sizes and offsets are in bytes.
+    """The disk interface of the sans-I/O components; sizes and offsets are in bytes.
 
-    Callbacks are called on the caller's event loop, with True once the data is durable and False if
-    it isn't.
+    Writes, truncations and removals are lazy: reads see them at once, but they are durable only
+    after a flush. Callbacks are called on the caller's event loop, with True once the data is
+    durable and with False if it could not be made durable.
     """
 
     def names(self) -> list[str]:
-        """Return the names of all files in order."""
+        """Return the names of all files, sorted."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Return a file's contents, including lazy writes."""
+        """Return the contents of a file, including lazy writes."""
         ...
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
@@ -74,14 +78,14 @@
         ...
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
-        """Write lazily. Raises DiskFullError.
+        """Write lazily. Raises DiskFullError if there is no space.
 
-        Without `urgent` it is raised once the part that isn't reserved is used up.
+        Only `urgent` writes may use the reserved share of the space.
         """
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size, lazily."""
+        """Truncate a file to a size, lazily."""
         ...
 
     def remove(self, name: str) -> None:
@@ -89,27 +93,37 @@
         ...
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """Make all earlier work on these files durable."""
+        """Make all earlier work on these files durable, then call `done`."""
         ...
 
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
-        """Replace a file as a whole, atomically and durably."""
+        """Replace a file as a whole, atomically and durably, then call `done`."""
         ...
 
     def has_room(self, size: int, urgent: bool = False) -> bool:
-        """Whether so many more bytes may be written."""
+        """Whether `size` more bytes may be written, as an urgent write or another one."""
         ...
 
     def start_writeback(self) -> None:
-        """Start writing lazy work to the device, without a flush."""
+        """Start the lazy work on the device, without a flush."""
         ...
 
 
 class FolderDisk:
-    """A Disk on the files of one folder.
-
-    `capacity_bytes` limits the space used. `call` runs a function on the caller's event loop; it
-    runs all callbacks, and `on_broken` after an input/output error other than a full device.
+    """A Disk whose files are in one folder.
+
+    Parameters
+    ----------
+    folder : str
+        The path of the folder, which is created if it doesn't exist. Temporary files of
+        interrupted replacements are removed from it.
+    capacity_bytes : int
+        The limit on the space used.
+    call : callable
+        Runs a function on the caller's event loop. Callbacks are called through it.
+    on_broken : callable
+        Called once when the disk breaks: after a failed flush, or after an I/O error in lazy work
+        other than a full device.
     """
 
     def __init__(
@@ -141,19 +155,22 @@
         for name in [name for name in self._sizes if name.endswith(".tmp")]:
             self.remove(name)
 
-    # -- on the caller's thread --------------------------------------------------------------------
+    # The methods from here to `_wait` run on the caller's thread.
 
     def names(self) -> list[str]:
-        """Return the names of all files in order."""
+        """Return the names of all files, sorted."""
         return sorted(self._sizes)
 
     def read(self, name: str) -> bytes:
-        """Return a file's contents, after the lazy work on it is done."""
+        """Return the contents of a file; waits for the lazy work on it."""
         self._catch_up(name)
         return (self._folder / name).read_bytes()
 
     def read_at(self, name: str, offset: int, size: int) -> bytes:
-        """Return up to `size` bytes at an offset, or nothing if there is no such file."""
+        """Return up to `size` bytes at an offset, or nothing if there is no such file.
+
+        Waits for the lazy work on the file.
+        """
         if name not in self._sizes:
             return b""
         self._catch_up(name)
@@ -163,12 +180,15 @@
         return os.pread(handle, size, offset)
 
     def has_room(self, size: int, urgent: bool = False) -> bool:
-        """Whether so many more bytes may be written; False once the device is full or broken."""
+        """Whether `size` more bytes may be written; False while the device is full or broken."""
         limit = self.capacity_bytes if urgent else self.capacity_bytes * (1 - RESERVED_SHARE)
         return not self._broken and not self._full and self._used_bytes + size <= limit
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
-        """Write lazily. Raises DiskFullError if it exceeds the capacity; see `has_room`."""
+        """Write lazily. Raises DiskFullError if there is no room for the growth; see `has_room`.
+
+        The work on the device is started once more than `_WRITEBACK_BYTES` are waiting.
+        """
         if not self.has_room(max(0, offset + len(data) - self._sizes.get(name, 0)), urgent):
             raise DiskFullError(name)
         self._resize(name, max(self._sizes.get(name, 0), offset + len(data)))
@@ -177,7 +197,7 @@
             self.start_writeback()
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size, lazily; a file that doesn't exist is left alone."""
+        """Truncate a file to a size, lazily; a file that doesn't exist isn't created."""
         if name in self._sizes:
             self._resize(name, size)
             self._submit(_StepKind.TRUNCATE, name, size, b"")
@@ -188,12 +208,18 @@
         self._submit(_StepKind.REMOVE, name, 0, b"")
 
     def start_writeback(self) -> None:
-        """Start the lazy work on the device without a flush, with what it refused when full."""
+        """Start the lazy work on the device, without a flush.
+
+        Work that the device refused when it was full is tried again.
+        """
         if self._steps or self._full:
             self._worker.submit(self._apply, self._take_steps())
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """Make all earlier work on these files durable, then call `done`."""
+        """Make all earlier work on these files durable, then call `done`.
+
+        `done` is called with False if some of the work could not be done or the disk is broken.
+        """
         self._worker.submit(
             self._flush, self._take_steps(), [name for name in names if name in self._sizes], done
         )
@@ -201,8 +227,9 @@
     def replace(self, name: str, data: bytes, done: Callable[[bool], None]) -> None:
         """Replace a file as a whole, atomically and durably, then call `done`.
 
-        The new contents go to a temporary file that is flushed and renamed. A file of more than
-        SMALL_BYTES is refused where there is no capacity left, and `done` gets False.
+        The new contents are written to a temporary file, which is flushed and renamed. If there is
+        no capacity for more than SMALL_BYTES of contents, the file isn't changed and `done` is
+        called with False.
         """
         if len(data) > SMALL_BYTES and not self.has_room(len(data), True):
             self._call(lambda: done(False))
@@ -225,7 +252,7 @@
         self._readers.clear()
 
     def quarantine(self) -> None:
-        """Move all files into a new subfolder, where they are kept for inspection."""
+        """Move all files to a new subfolder, in which they are kept for inspection."""
         self._wait()
         count = sum(1 for path in self._folder.iterdir() if path.is_dir())
         quarantine = self._folder / f"set-aside-{count + 1}"
@@ -260,7 +287,7 @@
         return steps
 
     def _catch_up(self, name: str) -> None:
-        """Wait for lazy work on a file that is about to be read."""
+        """Wait for the lazy work on a file that is about to be read."""
         if self._last_step.get(name, 0) > self._last_completed:
             self._wait()
 
@@ -268,12 +295,13 @@
         self.start_writeback()
         self._worker.submit(lambda: None).result()
 
-    # -- on the worker's thread --------------------------------------------------------------------
+    # The methods below run on the worker thread.
 
     def _apply(self, steps: list[_Step]) -> bool:
-        """Do the steps in order; return False if some are left.
+        """Do the steps in order, after those left from earlier calls; return False if some fail.
 
-        What a full device refuses is kept for the next time.
+        The first step that fails and all steps after it are kept for the next call. An error other
+        than a full device breaks the disk.
         """
         steps = self._unapplied = self._unapplied + steps
         while steps:
--- a/libs/storage/src/storage/frames.py
+++ b/libs/storage/src/storage/frames.py
@@ -1,8 +1,8 @@
 """Frames in a file: a length, a CRC-32 checksum, and the payload.
 
-`scan_frames` returns the intact frames from the start of a file and says what follows them: either
-a torn tail, which may be cut off, or damage, because intact frames that were flushed lie behind it
-and cutting would lose them.
+`scan_frames` returns the intact frames from the start of a file and whether an intact frame follows
+after other bytes. If none does, the rest is a torn tail, which may be cut off. Otherwise the file
+is damaged, and cutting it would lose frames that may have been flushed.
 """
 
 import struct
@@ -15,7 +15,7 @@
 
 
 class DamageError(Exception):
-    """A file is damaged at a byte offset; `name` is the file."""
+    """The file `name` is damaged at the byte `offset`."""
 
     def __init__(self, name: str, offset: int) -> None:
         super().__init__(f"{name}: damaged at byte {offset}")
@@ -29,7 +29,7 @@
 
 
 def _payload_at(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the frame at an offset, or None if there is no intact frame."""
+    """Return the payload of the frame at an offset, or None if no intact frame starts there."""
     if offset + _HEADER.size > len(data):
         return None
     size, checksum = _HEADER.unpack_from(data, offset)
@@ -41,9 +41,11 @@
 
 
 def find_frame_after_hole(data: bytes, offset: int) -> int | None:
-    """Return where an intact frame begins right behind a run of zeros, or None.
+    """Return the offset of an intact frame right after a run of zeros, or None.
 
-    Zeros are bytes that were never written, since later frames were written at their own offsets.
+    `offset` is where the run starts. The zeros are bytes that were never written, because the later
+    frames were written at their own offsets. The last zeros may be the first bytes of the frame's
+    length.
     """
     first = len(data) - len(data[offset:].lstrip(b"\0"))
     return next(
@@ -57,7 +59,7 @@
 
 
 def read_frames(data: bytes, offset: int = 0) -> tuple[list[tuple[int, bytes]], int]:
-    """Return the intact frames from an offset on as (offset, payload), and where they end."""
+    """Return the intact frames from an offset on, as (offset, payload), and where they end."""
     frames = []
     while (payload := _payload_at(data, offset)) is not None:
         frames.append((offset, payload))
@@ -66,9 +68,10 @@
 
 
 def scan_frames(data: bytes) -> tuple[list[tuple[int, bytes]], int, int | None]:
-    """Return what `read_frames` returns, and where an intact frame lies behind the end, or None.
+    """Return what `read_frames` returns, and the offset of the next intact frame, or None.
 
-    The search goes byte by byte. A frame is shorter than 64 MiB, so its first byte is below 4.
+    The next frame is searched for byte by byte. A frame has less than 64 MiB, so its first byte is
+    below 4.
     """
     frames, offset = read_frames(data)
     if offset < len(data):
