--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -83,7 +83,7 @@
         "replicated_log/src/replicated_log/archive_blocks.py",
         "return block.rows if block.name == name else None",
         "return block.rows",
-        "tests/test_archive.py -k anothers_place",
+        "tests/test_archive.py -k block_of_another_job",
     ),
     "a snapshot before its files": (
         "replicated_log/src/replicated_log/local_log.py",
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -1,4 +1,6 @@
-"""Lots that are over leave memory for files with checksums: read back, moved to a spare, damaged and mended."""
+"""Archive files of finished jobs and keys: reading them after a restart and from a new leader, transfer to a new store,
+detection and repair of damage, and removal.
+"""
 
 from replicated_log.archive import ARCHIVE_PREFIX
 from simulator import judge
@@ -42,20 +44,20 @@
     def archive_files(self, host):
         return [name for name in host.disk.names() if name.startswith(ARCHIVE_PREFIX)]
 
-    def results(self, run, job_id):
+    def count_results(self, run, job_id):
         seen = []
         run.clients.read(job_id, seen.append, 0)
         run.fleet.run_until_true(lambda: seen, 4000)
         return seen[0]["listed"] if seen else None
 
-    def kept(self, run):
+    def check_nothing_lost(self, run):
         run.read_all()
         self.assertThat(
             judge(run.fleet.history, ["kept-at-the-end", "bodies-are-whole"]), Equals({})
         )
         self.assertThat(len(run.fleet.history.rows_of("final")), Equals(len(run.clients.jobs)))
 
-    def test_read_back_after_power_and_by_a_new_leader(self):
+    def test_archived_contents_are_read_after_power_loss_and_by_a_new_leader(self):
         run, fleet = self.fleet_with_archives()
         for host in fleet.with_role("store"):
             host.lose_power()
@@ -63,16 +65,16 @@
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() is not None, 8000), Equals(True)
         )
-        self.assertThat(self.results(run, "lot1"), Equals(30))
+        self.assertThat(self.count_results(run, "lot1"), Equals(30))
         fleet.leader().kill()
         fleet.run_until_true(lambda: False, 3000)
         again = []
         run.clients.live("moves", "kept", 5, done=again.append)
         fleet.run_until_true(lambda: again and again[-1]["outcome"] == "replay", 8000)
         self.assertThat(again[-1]["outcome"], Equals("replay"))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
-    def test_a_standby_has_the_files_before_it_counts(self):
+    def test_a_standby_has_the_archive_files_before_it_is_a_member(self):
         run, fleet = self.fleet_with_archives()
         for number in range(3):
             fleet.hosts.pop(f"store{number + 1}").lose_disk()
@@ -89,19 +91,20 @@
                 fresh.node.log.log.archive.referenced() <= set(self.archive_files(fresh)),
                 Equals(True),
             )
-        self.kept(run)
+        self.check_nothing_lost(run)
 
-    def test_a_damaged_block_is_never_listed_and_a_read_repairs_it(self):
+    def test_a_damaged_block_is_not_returned_and_a_read_repairs_it(self):
         run, fleet = self.fleet_with_archives()
         leader = fleet.leader()
         job = leader.node.log.log.state.jobs["lot2"]
         leader.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
         self.assertThat(leader.node.log.log.archive.read_results(job, 0, 10), Equals(None))
-        self.assertThat(self.results(run, "lot2"), Equals(30))
+        self.assertThat(self.count_results(run, "lot2"), Equals(30))
         self.assertThat(len(leader.node.log.log.archive.read_results(job, 0, 10)), Equals(10))
-        self.kept(run)
+        self.check_nothing_lost(run)
 
-    def test_a_block_in_anothers_place_is_not_taken_for_it(self):
+    def test_a_block_of_another_job_is_not_returned(self):
+        """The reference to a job's results leads to an intact block, but of another job."""
         run, fleet = self.fleet_with_archives()
         log = fleet.leader().node.log.log
         one, other = log.state.jobs["lot1"], log.state.jobs["lot3"]
@@ -111,28 +114,28 @@
             other.archived.block_sizes,
         )
         self.assertThat(log.archive.read_results(one, 0, 10), Equals(None))
-        self.assertThat(self.results(run, "lot1"), Equals(30))
-        self.kept(run)
+        self.assertThat(self.count_results(run, "lot1"), Equals(30))
+        self.check_nothing_lost(run)
 
-    def test_a_sweep_repairs_what_nobody_reads(self):
+    def test_the_periodic_check_repairs_a_block_that_is_not_read(self):
         run, fleet = self.fleet_with_archives()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
         job, key = log.state.jobs["lot1"], log.state.keys["kept"]
         host.disk.damage(job.archived.file, job.archived.block_offsets[0] + 40)
 
-        def whole():
+        def is_intact():
             results = log.archive.read_results(job, 0, 9) or []
             return len(results) == 9 and (key.archived is None or log.archive.read_answer(key))
 
-        self.assertThat(bool(whole()), Equals(False))
+        self.assertThat(bool(is_intact()), Equals(False))
         files = len(self.archive_files(host))
         self.assertThat(
-            bool(fleet.run_until_true(whole, (files + 1) * host.settings.removal_timeout_ms)),
+            bool(fleet.run_until_true(is_intact, (files + 1) * host.settings.removal_timeout_ms)),
             Equals(True),
         )
 
-    def test_a_check_repairs_a_damaged_answer(self):
+    def test_the_periodic_check_repairs_a_damaged_response_of_a_key(self):
         run, fleet = self.fleet_with_archives()
         host = next(host for host in fleet.with_role("store") if host is not fleet.leader())
         log = host.node.log.log
@@ -148,7 +151,7 @@
         )
         self.assertThat(log.archive.read_answer(log.state.keys["kept"]), Equals(answer))
 
-    def test_files_of_forgotten_lots_are_removed(self):
+    def test_archive_files_of_expired_jobs_are_removed(self):
         run = Run(6, settings={"keep_ms": 2000, "segment_bytes": 4096})
         run.start()
         fleet = run.fleet
