--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a data folder: its capacity, the reserved share, and a flush that fails."""
+"""The disk on a data folder: capacity and reserved share, order of work, failed flushes and full devices."""
 
 import errno
 import os
@@ -71,7 +71,7 @@
         self.drain(disk)
         self.assertThat((disk.read_at("a", 0, 9), self.done), Equals((b"anewer", [True, True])))
 
-    def test_nothing_waits_for_a_slow_flush(self):
+    def test_writes_do_not_wait_for_a_slow_flush(self):
         disk, worker_gate = self.disk(), threading.Event()
         disk._worker.submit(worker_gate.wait)
         disk.write("a", 0, b"x")
@@ -83,7 +83,7 @@
         self.drain(disk)
         self.assertThat((self.done, disk.read("a")), Equals(([True], b"xy")))
 
-    def test_a_full_device_refuses_and_is_tried_again(self):
+    def test_work_that_a_full_device_refused_is_tried_again(self):
         disk = self.disk()
         original_pwrite, is_full = os.pwrite, [True]
 
@@ -107,7 +107,7 @@
             (self.done, disk.read("a"), self.broken), Equals(([False, True], b"kept!", []))
         )
 
-    def test_names_that_change_are_flushed_once_with_their_folder(self):
+    def test_the_folder_is_flushed_once_after_a_file_is_created_or_removed(self):
         disk, folder_changes = self.disk(), []
         flush_folder = disk._flush_folder
         disk._flush_folder = lambda: (folder_changes.append(disk._folder_changed), flush_folder())
--- a/tests/test_log_disks.py
+++ b/tests/test_log_disks.py
@@ -1,4 +1,6 @@
-"""Conformance of the log to the design page where disks fail: torn tails, damage, full disks, snapshots ahead or behind."""
+"""The log on disks that fail: torn tails, damage, full disks, and replicas whose snapshot is ahead of the leader's or
+that need the leader's snapshot.
+"""
 
 from batch_state import entries
 from log_harness import LogHarness
@@ -10,7 +12,7 @@
 
 
 class Disks(TestCase):
-    def one(self):
+    def log_with_three_records(self):
         harness = LogHarness()
         harness.lead("a", 1)
         harness.run(300)
@@ -20,7 +22,7 @@
         return harness, harness.logs["a"].records[0].file
 
     def test_torn_tail_is_cut_at_the_last_good_checksum(self):
-        harness, name = self.one()
+        harness, name = self.log_with_three_records()
         data = harness.disks["a"].read(name)
         harness.append("k4")
         harness.disks["a"].truncate(name, len(harness.disks["a"].read(name)) - 3)
@@ -28,22 +30,22 @@
         self.assertThat(harness.keys("a"), Equals(["k1", "k2", "k3"]))
         self.assertThat(harness.disks["a"].read(name), Equals(data))
 
-    def test_damage_in_what_was_flushed_is_refused(self):
-        harness, name = self.one()
+    def test_damage_in_flushed_records_is_refused(self):
+        harness, name = self.log_with_three_records()
         harness.disks["a"].damage(name, 12)
         self.assertRaises(DamageError, harness.open, "a")
 
     def test_damaged_snapshot_is_refused(self):
-        harness, _ = self.one()
+        harness, _ = self.log_with_three_records()
         harness.logs["a"].maintain_snapshot(force=True)
         harness.run(50)
         harness.disks["a"].damage("snapshot", 20)
         self.assertRaises(DamageError, harness.open, "a")
 
-    def test_full_disk_refuses_and_recovers_with_space_kept_back(self):
-        harness, _ = self.one()
-        for place in range(20):
-            harness.append(f"more{place}", durable=True)
+    def test_full_disk_refuses_records_that_are_not_urgent_and_recovers(self):
+        harness, _ = self.log_with_three_records()
+        for index in range(20):
+            harness.append(f"more{index}", durable=True)
         harness.run(100)
         disk = harness.disks["a"]
         used = sum(len(disk.read(name)) for name in disk.names())
@@ -63,16 +65,17 @@
         harness.run(50)
         self.assertThat(outcomes, Equals([Outcome.ACKNOWLEDGED]))
 
-    def test_follower_with_a_snapshot_ahead_of_the_leaders_is_met_at_it(self):
-        harness, _ = self.one()
+    def test_follower_with_a_snapshot_ahead_of_the_leaders_is_sent_the_records_after_it(self):
+        """The leader's requests start before the follower's snapshot, where the follower knows no stamps."""
+        harness, _ = self.log_with_three_records()
         harness.logs["b"].maintain_snapshot(force=True)
         harness.run(50)
         harness.logs["b"].buffer.received_ms = [-(10**6)] * 3
         harness.open("b")
         harness.leader.followers["store-b"].next_seq = 2
         sent = []
-        plain = harness.send
-        harness.send = lambda to, message: (sent.append(to), plain(to, message))
+        original_send = harness.send
+        harness.send = lambda to, message: (sent.append(to), original_send(to, message))
         outcomes = harness.append("k4", durable=True)
         harness.run(200)
         self.assertThat(
@@ -81,7 +84,7 @@
         )
 
     def test_trimmed_log_is_repaired_by_a_snapshot(self):
-        harness, _ = self.one()
+        harness, _ = self.log_with_three_records()
         for name in ("a", "b"):
             harness.logs[name].buffer.received_ms = [-(10**6)] * 3
             harness.logs[name].maintain_snapshot(force=True)
