--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -1,6 +1,7 @@
-"""A second loss at every step of a change of members: a store's disk is gone for good, an empty store takes its place,
-and before, while and after the new list is agreed another store is killed, cut from power or loses
-its disk.
+"""A second failure at each step of a change of members.
+
+A store is lost with its disk and an empty store replaces it. Before, during or after the decision on the new list of
+members, another store is killed, loses power or loses its disk.
 """
 
 import json
@@ -27,7 +28,7 @@
 
 
 def is_decided(fleet, host):
-    """A majority of the voters has the key's new value on disk, whether or not any node has learned it."""
+    """Whether any control node has learned a value of the log's control key that contains the store."""
     learned = [
         host.node.log.log.identity in json.dumps(control.node.config_feed.value("log"))
         for control in fleet.with_role("control")
@@ -71,10 +72,10 @@
         run = Run(seed, settings=SETTINGS)
         run.start()
         run.fleet.run_until_true(lambda: False, 800)
-        self.jobs(run, 2)
+        self.submit_jobs(run, 2)
         return run, run.fleet
 
-    def jobs(self, run, count):
+    def submit_jobs(self, run, count):
         seen = []
         for _ in range(count):
             run.clients.submit("summaries", 5, 6, done=seen.append)
@@ -85,7 +86,7 @@
         return [host for host in fleet.with_role("store") if host is not fleet.leader()]
 
     def until(self, fleet, check, limit_ms=CATCH_UP_MS):
-        """To the millisecond, so that each step of a change is met."""
+        """Runs the fleet in steps of a millisecond, so that no step of a change is missed."""
         end_ms = fleet.time.now_ms + limit_ms
         while fleet.time.now_ms < end_ms:
             if check():
@@ -108,44 +109,44 @@
             Equals(sum(job.acknowledged for job in run.clients.jobs.values())),
         )
 
-    def lose_one_for_good(self, fleet):
+    def lose_follower_for_good(self, fleet):
         lost = self.followers(fleet)[0]
         lost.lose_disk()
         fleet.hosts.pop(lost.name)
 
-    def check_replacement(self, seed, step, how, of):
+    def check_replacement(self, seed, step, inject_fault, target):
         run, fleet = self.bootstrapped(seed)
-        self.lose_one_for_good(fleet)
+        self.lose_follower_for_good(fleet)
         fleet.run_until_true(lambda: False, 200)
         other, leader = self.followers(fleet)[0], fleet.leader()
         standby = fleet.add("store", "spare")
         self.assertThat(self.until(fleet, lambda: STEPS[step](fleet, standby)), Equals(True))
-        failing_host = {"leader": leader, "other": other, "standby": standby}[of]
-        how(failing_host)
+        failing_host = {"leader": leader, "other": other, "standby": standby}[target]
+        inject_fault(failing_host)
         fleet.time.after(DOWN_MS, failing_host.start)
         has_all_members = fleet.run_until_true(
             lambda: self.all_members(fleet), DOWN_MS + 2 * CATCH_UP_MS
         )
         self.assertThat(has_all_members, Equals(True))
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         self.check_nothing_lost(run)
 
-    def test_while_a_member_is_replaced(self):
+    def test_a_second_failure_while_a_member_is_replaced(self):
         seed = 40
         for step in STEPS:
             rows = [(kill, "leader"), (lose_power, "other"), (lose_disk, "other")]
             rows += [(lose_disk, "leader")] if step in DECIDED_STEPS else [(lose_disk, "standby")]
-            for how, of in rows:
+            for inject_fault, target in rows:
                 seed += 1
-                self.check_replacement(seed, step, how, of)
+                self.check_replacement(seed, step, inject_fault, target)
 
-    def test_a_leader_left_alone_with_the_log_takes_in_whoever_comes(self):
-        """Of the old members only the leader is left, so nothing can be recovered from a majority of them."""
+    def test_a_leader_left_alone_with_the_log_replaces_both_other_members(self):
+        """Only the leader is left of the old members, so no recovery from a majority of them is possible."""
         run, fleet = self.bootstrapped(7)
         leader = fleet.leader()
         epoch = leader.node.log.leader.epoch
         for _ in range(2):
-            self.lose_one_for_good(fleet)
+            self.lose_follower_for_good(fleet)
         fleet.run_until_true(lambda: False, 1000)
         for number in range(2):
             fleet.add("store", f"fresh{number}")
@@ -155,16 +156,16 @@
         self.assertThat(
             (fleet.leader() is leader, leader.node.log.leader.epoch), Equals((True, epoch))
         )
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         self.check_nothing_lost(run)
 
-    def test_a_leaving_member_stays_until_the_others_have_all_it_has(self):
-        """One member's disk is lost and not replaced yet: the leaving one's copy is needed until a standby has caught up."""
-        for seed, of_leader in ((70, False), (71, True)):
+    def test_a_leaving_member_stays_until_enough_others_have_caught_up(self):
+        """One member's disk is lost and not yet replaced, so the leaving member's copy is needed until a standby has caught up."""
+        for seed, leader_leaves in ((70, False), (71, True)):
             run, fleet = self.bootstrapped(seed)
-            self.lose_one_for_good(fleet)
+            self.lose_follower_for_good(fleet)
             fleet.run_until_true(lambda: False, 300)
-            leaving = fleet.leader() if of_leader else self.followers(fleet)[0]
+            leaving = fleet.leader() if leader_leaves else self.followers(fleet)[0]
             log = leaving.node.log
             log.start_leaving()
             fleet.run_until_true(lambda: False, 500)
@@ -179,12 +180,12 @@
                 lambda fleet=fleet: self.all_members(fleet), 2 * CATCH_UP_MS
             )
             self.assertThat(has_all_members, Equals(True))
-            self.jobs(run, 1)
+            self.submit_jobs(run, 1)
             self.check_nothing_lost(run)
 
-    def test_time_to_full_tolerance_idle_and_under_a_burst(self):
-        """The snapshot that the empty machine is sent has several parts, and calls go on; it answers the appends that
-        are still sent to the identity that lived at its address before.
+    def test_a_store_with_a_new_disk_is_a_member_in_time_idle_and_under_a_burst(self):
+        """The store is sent a snapshot in several parts while calls continue. Meanwhile it responds to appends for its
+        former identity, which are still sent to its address; these responses must not end the snapshot transfer.
         """
         part_bytes, snapshot_sender._PART_BYTES = snapshot_sender._PART_BYTES, 4096
         self.addCleanup(setattr, snapshot_sender, "_PART_BYTES", part_bytes)
@@ -204,7 +205,7 @@
             self.assertThat(fleet.time.now_ms - began_ms, LessThan(CATCH_UP_MS // 2))
 
     def burst(self, run, jobs):
-        """Lots, and calls that aren't safe to repeat, each of which takes records of the log."""
+        """Starts jobs, and calls that aren't safe to repeat; each of them needs records of the log."""
         after, clients = run.fleet.time.after, run.clients
         for number in range(jobs):
             after(50 * number, lambda: clients.submit("summaries", 50, 20))
