--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -98,7 +98,7 @@
             done()
             return
         file = self._new_file()
-        entries = _fill(file, state)
+        entries = _add_unarchived(file, state)
         if not entries:
             done()
             return
@@ -118,12 +118,12 @@
             if not ok or self._log.state is not state:
                 done()
                 return
-            self._release(entries, state)
+            self._drop_contents(entries, state)
             self.archive_finished(done)
 
         self._log.disk.flush([file.name], flushed)
 
-    def _release(self, entries: list[ArchivedEntry], state: BatchState) -> None:
+    def _drop_contents(self, entries: list[ArchivedEntry], state: BatchState) -> None:
         """Replace the contents in memory by references, except for expired jobs and keys."""
         for entry in entries:
             kind, name = _item_of(entry)
@@ -243,7 +243,7 @@
     return ArchivedItem(ArchivedKind.KEY, entry.key)
 
 
-def _fill(file: ArchiveFile, state: BatchState) -> list[ArchivedEntry]:
+def _add_unarchived(file: ArchiveFile, state: BatchState) -> list[ArchivedEntry]:
     """Add unarchived jobs and keys to a file until it has `_FILE_BYTES` or none are left.
 
     They are removed from `unarchived`. Returns the entries that refer to them.
@@ -290,4 +290,4 @@
         return file.add_job(state.jobs[item.name], rows)
     archived = state.keys[item.name].archived
     assert archived is not None, "the key is archived"
-    return file.add_key_again(archived, rows)
+    return file.add_archived_key(archived, rows)
--- a/libs/replicated_log/src/replicated_log/archive_blocks.py
+++ b/libs/replicated_log/src/replicated_log/archive_blocks.py
@@ -108,7 +108,7 @@
             block_size=size_bytes,
         )
 
-    def add_key_again(self, archived: KeyArchived, rows: list[bytes]) -> KeyArchived:
+    def add_archived_key(self, archived: KeyArchived, rows: list[bytes]) -> KeyArchived:
         """Add the rows of a key that another file has and return an entry that refers to this one.
 
         The other fields of the entry are those of `archived`.
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -210,7 +210,7 @@
         self._queue_files.remove_records(removed)
         self.buffer.truncate_after(seq)
         self._entries.clear()
-        self.flusher.limit_to_end()
+        self.flusher.limit_flushed_seq()
 
     def flush(self, done: FlushCallback) -> None:
         """Flush all records; see LogFlusher.flush."""
--- a/libs/replicated_log/src/replicated_log/log_flusher.py
+++ b/libs/replicated_log/src/replicated_log/log_flusher.py
@@ -106,7 +106,7 @@
         """
         self._watermark.write(min(self.flushed_seq, seq))
 
-    def limit_to_end(self) -> None:
+    def limit_flushed_seq(self) -> None:
         """Lower `flushed_seq` to the last record, after records have been removed."""
         self.flushed_seq = min(self.flushed_seq, self._buffer.last_seq)
 
--- a/libs/replicated_log/src/replicated_log/queue_files.py
+++ b/libs/replicated_log/src/replicated_log/queue_files.py
@@ -26,7 +26,7 @@
     offset: int
 
 
-_NOWHERE = _FilePosition("", 0)
+_NO_POSITION = _FilePosition("", 0)
 
 
 class QueueFiles:
@@ -39,7 +39,7 @@
 
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
-        self._end = _NOWHERE
+        self._end = _NO_POSITION
         self.dirty: set[str] = set()
 
     def _names(self) -> list[str]:
@@ -104,14 +104,14 @@
             self._disk.truncate(record.file, record.offset)
             self.dirty.add(record.file)
         if records:
-            self._end = _NOWHERE
+            self._end = _NO_POSITION
 
     def remove_all(self) -> None:
         """Remove all files."""
         for name in self._names():
             self._disk.remove(name)
         self.dirty.clear()
-        self._end = _NOWHERE
+        self._end = _NO_POSITION
 
     def remove_unneeded(self, records: list[Record]) -> None:
         """Remove the files that hold none of these records, except for the last one written."""
--- a/libs/replicated_log/src/replicated_log/tail_fetch.py
+++ b/libs/replicated_log/src/replicated_log/tail_fetch.py
@@ -107,7 +107,7 @@
         if not response.snapshot:
             shared_seq = _first_seq(response) - 1
             self._records = [record for record in self._log.records if record.seq <= shared_seq]
-        self._take(response, 1, b"")
+        self._process(response, 1, b"")
 
     def _accept(self, message: Message | None, retry: Callable[[], None]) -> FetchResponse | None:
         """Return a usable response; otherwise return None and retry the request or give up."""
@@ -135,7 +135,7 @@
         def fetched(message: Message | None) -> None:
             response = self._accept(message, lambda: self._fetch_from(from_seq, snapshot))
             if response is not None:
-                self._take(response, from_seq, snapshot)
+                self._process(response, from_seq, snapshot)
 
         self._request(
             self._source.address,
@@ -144,7 +144,7 @@
             fetched,
         )
 
-    def _take(self, response: FetchResponse, from_seq: int, snapshot: bytes) -> None:
+    def _process(self, response: FetchResponse, from_seq: int, snapshot: bytes) -> None:
         if response.snapshot:
             data = snapshot + response.snapshot
             if len(data) < response.total:
