--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -48,7 +48,7 @@
         Recovery,
         merge_records,
     )
-    from replicated_log.replica_placement import spread
+    from replicated_log.replica_placement import select_across_zones
 
 __all__ = [
     "AppendRequest",
@@ -70,7 +70,7 @@
     "StartRecoveryResponse",
     "StoredEntry",
     "merge_records",
-    "spread",
+    "select_across_zones",
 ]
 
 __getattr__ = lazy_exports(
@@ -96,6 +96,6 @@
         ),
         "pending_appends": ("Outcome",),
         "recovery": ("Recovery", "merge_records"),
-        "replica_placement": ("spread",),
+        "replica_placement": ("select_across_zones",),
     },
 )
--- a/libs/replicated_log/src/replicated_log/bootstrap.py
+++ b/libs/replicated_log/src/replicated_log/bootstrap.py
@@ -5,7 +5,7 @@
 from replicated_log.configuration import MemberRow
 from replicated_log.interfaces import FleetView
 from replicated_log.local_log import LocalLog
-from replicated_log.replica_placement import spread
+from replicated_log.replica_placement import select_across_zones
 
 __all__ = ["LogBootstrap"]
 
@@ -39,7 +39,7 @@
         candidates = self._fleet.store_rows()
         if candidates != self._candidates:
             self._candidates, self._stable_since_ms = candidates, now_ms
-        members = spread(candidates, settings.store_count)
+        members = select_across_zones(candidates, settings.store_count)
         names = [row["identity"] for row in members]
         if (
             len(members) < settings.store_count
--- a/libs/replicated_log/src/replicated_log/replica_placement.py
+++ b/libs/replicated_log/src/replicated_log/replica_placement.py
@@ -10,10 +10,10 @@
 
 from replicated_log.configuration import MemberRow
 
-__all__ = ["spread"]
+__all__ = ["select_across_zones"]
 
 
-def spread(rows: Iterable[MemberRow], count: int) -> list[MemberRow]:
+def select_across_zones(rows: Iterable[MemberRow], count: int) -> list[MemberRow]:
     """Select up to `count` stores from the zones in turn.
 
     Each round takes the store with the lowest remaining identity of every zone, in the order of the
--- a/tests/test_log_bootstrap.py
+++ b/tests/test_log_bootstrap.py
@@ -1,7 +1,7 @@
 """Tests of the selection of the log's first members and of their spread over the zones."""
 
 from log_harness import Machine
-from replicated_log import LocalLog, LogReplica, spread
+from replicated_log import LocalLog, LogReplica, select_across_zones
 from runtime import Settings
 from simulator.disks import SimDisk
 from simulator.virtual import VirtualTime
@@ -77,7 +77,8 @@
             ({"a": "x", "b": "y", "c": "x", "d": "y", "e": "x"}, 5, ["a", "b", "c", "d", "e"]),
         ):
             self.assertThat(
-                [row["identity"] for row in spread(rows(zones), count)], Equals(expected)
+                [row["identity"] for row in select_across_zones(rows(zones), count)],
+                Equals(expected),
             )
 
 
