--- a/libs/replicated_log/src/replicated_log/__init__.py
+++ b/libs/replicated_log/src/replicated_log/__init__.py
@@ -5,14 +5,18 @@
 the replicas. docs/design.md compares the log with the published scheme; docs/consistency.md lists
 the invariants.
 
-The modules form three layers, each of which uses only itself and the layers before it in this list:
+All modules may use the data types in `messages` and `configuration`. The others form three layers,
+each of which uses only itself and the layers before it in this list:
 
-- the local copy of a replica: `local_log` with `queue_files`, `record_buffer`, `log_flusher`,
-  `snapshots`, `snapshot_writer`, `metadata_file`, `flush_watermark`, `archive`, `archive_blocks`;
-- the protocol between replicas: `messages`, `follower`; `leader` with `replicator`, `quorums`,
-  `replica_health`, `pending_appends`, `pending_reads`; `recovery` with `tail_fetch`;
-- the components of a store node: `log_replica` with `election`, `failure_detector`, `takeover`,
-  `membership_manager`, `configuration`; and `archive_repair`.
+- the local copy of a replica: `local_log` with `queue_files`, `records`, `record_buffer`,
+  `log_flusher`, `snapshots`, `snapshot_writer`, `metadata_file`, `flush_watermark`, `archive`,
+  `archive_blocks`;
+- the protocol between replicas: `follower`; `leader` with `follower_progress`, `replicator`,
+  `snapshot_sender`, `quorums`, `replica_health`, `pending_appends`, `pending_reads`; `recovery`
+  with `tail_fetch`;
+- the components of a store node: `log_replica` with `role`, `interfaces`, `election`, `bootstrap`,
+  `replica_placement`, `failure_detector`, `takeover`, `membership_manager`, `member_selection`,
+  `membership_change`, `configuration_key`; and `archive_repair`.
 
 The package may import `messaging`, `storage`, `batch_state` and `runtime`. All its I/O goes through
 a Disk and a node that its callers pass in. Invariants: a committed or acknowledged record is in
--- a/libs/replicated_log/src/replicated_log/metadata_file.py
+++ b/libs/replicated_log/src/replicated_log/metadata_file.py
@@ -1,10 +1,9 @@
 """The metadata file of a replica: its identity, its fence and its log epoch.
 
 Each new state of the metadata is appended to the file as two equal frames, which need one flush.
-After a torn write, the last state whose flush was reported is still intact, and since each
-state is there twice, no state is lost if one frame is damaged. Save requests that arrive during
-a write are combined in the next write; a request that the current write already covers completes
-with it.
+After a torn write, the last state whose flush was reported is still intact. No state is lost if one
+frame is damaged, since each state has two. Save requests that arrive during a write are combined in
+the next write; a request that the current write already covers completes with it.
 """
 
 from collections.abc import Callable
--- a/libs/replicated_log/src/replicated_log/replica_placement.py
+++ b/libs/replicated_log/src/replicated_log/replica_placement.py
@@ -1,6 +1,6 @@
 """Placement of the members of the log across zones.
 
-Members are taken from the zones in turn, so that the loss of one zone loses as few members as
+Members are taken from the zones in turn, so that the loss of one zone affects as few members as
 possible.
 """
 
--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -155,7 +155,7 @@
         for name in [name for name in self._sizes if name.endswith(".tmp")]:
             self.remove(name)
 
-    # The methods from here to `_wait` run on the caller's thread.
+    # Methods that run on the caller's thread:
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -295,7 +295,7 @@
         self.start_writeback()
         self._worker.submit(lambda: None).result()
 
-    # The methods below run on the worker thread.
+    # Methods that run on the worker thread:
 
     def _apply(self, steps: list[_Step]) -> bool:
         """Do the steps in order, after those left from earlier calls; return False if some fail.
