--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -54,7 +54,7 @@
     role: control or store.
     identity: the identity of the node to describe.
     members: the identities of the voters, or of the members of the log.
-    leader: the identity of the coordinator of the voters, or of the leader of the log.
+    leader: the identity of the steward of the voters, or of the leader of the log.
     retired: the identities of retired nodes.
     spares: the identities of live nodes that are neither members nor retired.
     full_count: the configured number of members.
@@ -63,7 +63,7 @@
     group = "the log" if role == "store" else "the voters"
     standing = f"member of {group}"
     if identity == leader:
-        standing += ", and its leader" if role == "store" else ", and the coordinator"
+        standing += ", and its leader" if role == "store" else ", and the steward"
     if identity in retired:
         if identity not in members:
             return "retired: replaced, can be stopped"
--- a/tests/test_member_replacement.py
+++ b/tests/test_member_replacement.py
@@ -19,7 +19,7 @@
         (("store", "b", "abc", "a", "", "d", 3), "member of the log"),
         (
             ("control", "a", "abc", "a", "", "", 3),
-            "member of the voters, and the coordinator",
+            "member of the voters, and the steward",
         ),
         (
             ("store", "d", "abc", "a", "", "d", 3),
