--- a/libs/messaging/src/messaging/components.py
+++ b/libs/messaging/src/messaging/components.py
@@ -1,11 +1,11 @@
-"""The framework in which sans-I/O cores run.
+"""Nodes and their components: the framework that runs protocol code without I/O.
 
-A node is a set of components, each of which handles its own types of messages. All of them share
-the node's clock, its address and its table of open requests. A request is a message with a number
-that the reply repeats.
+A node is a set of components, each of which handles its own message types. All components share the
+node's clock, its address and its table of open requests. A request is a message with a number that
+the reply repeats.
 
-Invariants: each open request is answered exactly once, by the reply or by None after its time-out,
-and never by a reply to a request of an earlier start of the node.
+Invariants: the callback of each request is called exactly once, with the reply or, after the
+time-out, with None; it never gets a reply to a request that an earlier start of the node sent.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class Origin:
-    """Where a message came from: its sender's address, and the number of the request or 0."""
+    """The sender's address of a message, and its request number, or 0 if it is no request."""
 
     __slots__ = ("request_id", "sender")
 
@@ -32,7 +32,7 @@
 
 
 class OpenRequest:
-    """A request that waits for its reply until `deadline_ms` of the node's clock."""
+    """A request that waits for its reply until the node's clock reads `deadline_ms`."""
 
     __slots__ = ("deadline_ms", "on_reply")
 
@@ -42,46 +42,48 @@
 
 
 class Component:
-    """One concern of a node.
+    """Base class of a node's components.
 
-    HANDLES has the types of messages that `receive` takes. All methods run on one thread and must
-    not block.
+    HANDLES lists the message types that are passed to `receive`. All methods run on one thread and
+    must not block.
     """
 
     __slots__ = ("node",)
     HANDLES: tuple[type, ...] = ()
 
     def attach(self, node: "Node") -> None:
-        """Bind the component to its node; called once, before anything else."""
+        """Bind the component to its node; called once, before all other methods."""
         self.node = node
 
     def receive(self, message: Message, origin: Origin) -> None:
         """Handle a message of one of the types in HANDLES."""
-        raise NotImplementedError(type(message).__name__)
+        raise NotImplementedError(
+            f"{type(self).__name__} has no handler for {type(message).__name__} messages"
+        )
 
     def tick(self) -> None:
         """Do periodic work; called every few milliseconds."""
         return
 
     def connection_closed(self, address: str) -> None:
-        """Take note that the connection from an address has ended, perhaps with its process."""
+        """Handle the end of the connection from an address; its process may have ended too."""
 
     def connection_refused(self, address: str) -> None:
-        """Take note that nothing listens at an address: its process has ended."""
+        """Handle a refused connection to an address: the process there has ended."""
 
     def resumed(self, gap_ms: int) -> None:
-        """Drop claims held in memory, because the process was frozen for `gap_ms`.
+        """Drop claims and observations held in memory, after a freeze of the process of `gap_ms`.
 
-        Called before any other work.
+        Called before the node does any other work.
         """
 
 
 class Node:
     """A set of components with one clock, one address and one table of open requests.
 
-    `settings` are those of the process (`runtime.settings.Settings`); `open_requests` are the
-    requests that wait for a reply, by request number. Numbers start at a random place, so that a
-    late reply to an earlier start of the node meets no open request.
+    `open_requests` maps request numbers to the requests that wait for a reply. The numbers of each
+    start of the node begin after a random 40-bit value, so that a late reply to a request of an
+    earlier start matches no open request.
     """
 
     __slots__ = (
@@ -124,19 +126,23 @@
     def request(
         self, to: str, message: Message, timeout_ms: int, on_reply: Callable[[Any], None]
     ) -> None:
-        """Send a request; `on_reply` gets the reply, or None after `timeout_ms`."""
+        """Send a request; `on_reply` is called with the reply or, after `timeout_ms`, with None."""
         self._last_request_id += 1
         request_id = self._last_request_id
         self.open_requests[request_id] = OpenRequest(on_reply, self.env.now() + timeout_ms)
         self.env.send(to, request_id, 0, message)
 
     def reply(self, origin: Origin, message: Message) -> None:
-        """Reply to a request; a message that was no request gets nothing."""
+        """Reply to a request; does nothing if the message of `origin` was not a request."""
         if origin.request_id:
             self.env.send(origin.sender, 0, origin.request_id, message)
 
     def receive(self, sender: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        """Pass a reply to its requester, or a message to the component that handles its type."""
+        """Pass a reply to its requester, or a message to the component that handles its type.
+
+        The requester of a reply that arrives after the deadline gets None. Replies to no open
+        request and messages of a type that no component handles are dropped.
+        """
         self._check_frozen()
         if in_reply_to:
             request = self.open_requests.pop(in_reply_to, None)
@@ -149,7 +155,7 @@
             component.receive(message, Origin(sender, request_id))
 
     def tick(self) -> None:
-        """Time out open requests and let each component do its periodic work."""
+        """Time out overdue requests, then call `tick` of each component."""
         self._check_frozen()
         self._time_out_requests()
         for component in self.components:
--- a/libs/messaging/src/messaging/envelope.py
+++ b/libs/messaging/src/messaging/envelope.py
@@ -1,7 +1,7 @@
-"""The envelope in which messages travel between processes, and its frames on a connection.
+"""The envelope around each message between processes, and its framing on a connection.
 
-A frame is the envelope's length as 4 bytes, most significant first, then the envelope in Avro. The
-envelope's field names are part of its schema only; on the wire the fields follow one another.
+A frame is the length of the envelope as 4 bytes in big-endian order, followed by the envelope in
+Avro encoding: the values of its fields in order, without their names.
 """
 
 import io
@@ -31,23 +31,24 @@
 
 
 class FrameTooLongError(ValueError):
-    """The length of a frame is beyond what any sender writes."""
+    """The announced length of a frame exceeds the limit."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"a frame of {size_bytes} bytes")
+        super().__init__(f"frame of {size_bytes} bytes exceeds the limit of {_MAX_FRAME_BYTES}")
         self.size_bytes = size_bytes
 
 
 class Envelope:
-    """A received message, still encoded, with its sender's address and its request numbers.
+    """A received message with its sender's address and its request numbers.
 
-    See `messaging.Environment.send` for `request_id` and `in_reply_to`.
+    `body` is the encoded message. See `messaging.Environment.send` for `request_id` and
+    `in_reply_to`.
     """
 
     __slots__ = ("body", "in_reply_to", "request_id", "sender")
 
     def __init__(self, frame: bytes) -> None:
-        """Take an envelope apart; raises the decoder's errors if the bytes are none."""
+        """Decode the envelope; the Avro decoder's errors are raised if the bytes are not one."""
         values = cast("dict[str, Any]", schemaless_reader(io.BytesIO(frame), _SCHEMA, None))
         self.sender: str = values["sender"]
         self.request_id: int = values["ref"]
@@ -55,12 +56,12 @@
         self.body: bytes = values["body"]
 
     def message(self) -> Message:
-        """Return the message inside. Raises BadMessageError."""
+        """Decode and return the message. Raises BadMessageError."""
         return decode(self.body)
 
 
 def pack_frame(sender: str, request_id: int, in_reply_to: int, message: Message) -> bytes:
-    """Return a message in its envelope, as a frame."""
+    """Return the frame of a message: its envelope, preceded by the length."""
     buffer = io.BytesIO()
     schemaless_writer(
         buffer,
@@ -74,7 +75,7 @@
 def take_frames(received: bytearray) -> list[bytes]:
     """Remove the complete frames from the front of the buffer; return them without their lengths.
 
-    Raises FrameTooLongError.
+    Raises FrameTooLongError if a frame announces a length beyond the limit.
     """
     frames, start = [], 0
     while len(received) - start >= _LENGTH.size:
--- a/libs/messaging/src/messaging/environment.py
+++ b/libs/messaging/src/messaging/environment.py
@@ -1,7 +1,7 @@
-"""What a node needs of its surroundings: clocks, randomness, a way to send, and a log.
+"""The interface through which a node gets clocks, randomness, sending and logging.
 
-A process provides it with `messaging.node_runner.ProcessEnvironment`; the simulator and the model
-checker have environments of their own.
+Processes use `messaging.node_runner.ProcessEnvironment`; the simulator and the model checker have
+implementations of their own.
 """
 
 import random
@@ -22,25 +22,29 @@
     rng: random.Random
 
     def now(self) -> int:
-        """Return the monotonic clock."""
+        """Return the time of a monotonic clock."""
         ...
 
     def wall(self) -> int:
-        """Return the time of day since the Unix epoch, which may jump."""
+        """Return the wall-clock time since the Unix epoch, which may step."""
         ...
 
     def token(self) -> str:
-        """Return a short random text that is unique in practice."""
+        """Return a short random string, unique with high probability."""
         ...
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        """Send a message, without any promise of delivery.
-
-        `request_id` numbers a request; `in_reply_to` is the number of the request that the message
-        answers. Each is 0 where it does not apply.
+        """Send a message; delivery is not guaranteed.
+
+        Parameters
+        ----------
+        to: the address of the receiver, IP:PORT.
+        request_id: the number of the request that the message makes, or 0 if it is no request.
+        in_reply_to: the number of the request that the message answers, or 0 if it is no reply.
+        message: the message.
         """
         ...
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
-        """Write a log line."""
+        """Write one log line for `event`, with `fields` as its further members."""
         ...
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -1,8 +1,8 @@
 """Links between processes: TCP connections that carry framed envelopes.
 
-There is one queue and one outgoing connection for each address. Only the order of messages on one
-connection is guaranteed; whoever needs a lost message repeats the request. Ended connections and
-addresses where nothing listens are reported to the owner.
+Each address has one send queue and one outgoing connection. Messages on one connection arrive in
+order; delivery is not guaranteed, so a sender that needs a reply has to repeat its request. The
+owner is notified when an incoming connection ends and when an address refuses a connection.
 """
 
 import asyncio
@@ -19,13 +19,17 @@
 __all__ = ["Deliver", "LinkTransport"]
 
 Deliver = Callable[[str, int, int, Message], None]
-"""Takes (sender, request_id, in_reply_to, message) of one received message."""
+"""Called with (sender, request_id, in_reply_to, message) for each received message."""
 
 _READ_BYTES = 1 << 18
 _LISTEN_BACKLOG = 512
-_UNACKNOWLEDGED_SHARE = 2
-_CONNECT_SHARE = 0.5
-_RETRY_SHARE = 0.1
+
+# Multiples of `timeout_ms`.
+_UNACKNOWLEDGED_FACTOR = 2
+_CONNECT_FACTOR = 0.5
+_RETRY_FACTOR = 0.1
+
+# Errors that decoding a frame or a message may raise if the bytes are not valid.
 _BAD_FRAME_ERRORS = (ValueError, EOFError, IndexError, KeyError, TypeError)
 
 
@@ -40,16 +44,22 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether neither side has closed it, as far as is known here."""
+        """Whether this side has not closed the connection, nor seen the other side close it."""
         return not self.writer.is_closing() and not self._reader.at_eof()
 
 
 class LinkTransport(Service):
     """The service that owns all connections of a process.
 
-    `address` is IP:PORT, `timeout_ms` the longest that a message waits or a connection may stall;
-    further time-outs are shares of it. `deliver` gets each received message. `on_closed` and
-    `on_refused` get an address.
+    `on_refused` is called with an address that refused a connection; `on_closed` is called with the
+    sender's address when an incoming connection ends.
+
+    Parameters
+    ----------
+    address: the process's own address, IP:PORT.
+    timeout_ms: the longest time that a message waits in its queue, and that an outgoing connection
+        may go without progress; the other time-outs are multiples of it.
+    deliver: called with each received message.
     """
 
     def __init__(self, address: str, timeout_ms: int, deliver: Deliver) -> None:
@@ -66,7 +76,7 @@
         self.on_closed: Callable[[str], None] = lambda address: None
 
     async def on_start(self) -> None:
-        """Listen at the own address."""
+        """Listen on the process's own address."""
         host, port = _host_and_port(self._address)
         self._server = await asyncio.start_server(self._read, host, port, backlog=_LISTEN_BACKLOG)
 
@@ -77,12 +87,11 @@
         for writer in list(self._incoming):
             writer.close()
 
-    # -- sending -----------------------------------------------------------------------------------
-
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        """Queue a message for an address; one to the own address is delivered in the next turn.
+        """Queue a message for an address.
 
-        Must be called on the event loop. Messages beyond the queue's limits are dropped.
+        Must be called on the event loop. A message to the process itself is delivered in the next
+        iteration of the loop. Messages beyond the queue's limits are dropped.
         """
         loop = asyncio.get_running_loop()
         if to == self._address:
@@ -95,7 +104,11 @@
         queue.put(loop.time(), self._pack(request_id, in_reply_to, message))
 
     def _pack(self, request_id: int, in_reply_to: int, message: Message) -> bytes:
-        """Encode a message; one sent to many addresses in turn is encoded once."""
+        """Return the frame of a message.
+
+        A message without request numbers has the same frame for all addresses; if it is sent to
+        several in succession it is encoded once.
+        """
         if request_id or in_reply_to:
             return pack_frame(self._address, request_id, in_reply_to, message)
         if self._last_packed is not message:
@@ -104,9 +117,10 @@
         return self._last_frame
 
     async def _write(self, to: str, queue: SendQueue) -> None:
-        """Send the queue of one address, all that waits in one write.
+        """Send the queued messages of one address, all waiting ones in one write.
 
-        A connection that fails loses what was queued meanwhile.
+        If connecting or writing fails, all messages not yet sent are dropped, including those
+        queued meanwhile, and the next attempt is delayed.
         """
         connection: _Connection | None = None
         loop, timeout_s = asyncio.get_running_loop(), self._timeout_ms / 1000
@@ -126,10 +140,13 @@
                     connection.writer.transport.abort()
                 connection = None
                 queue.take(loop.time())
-                await asyncio.sleep(timeout_s * _RETRY_SHARE)
+                await asyncio.sleep(timeout_s * _RETRY_FACTOR)
 
     async def _drain(self, writer: asyncio.StreamWriter) -> None:
-        """Wait until the data is sent; a slow link may take long, as long as it makes progress."""
+        """Wait for the write buffer to drain, however long that takes while bytes are being sent.
+
+        Raises TimeoutError if no bytes were sent within `timeout_ms`.
+        """
         unsent_bytes = writer.transport.get_write_buffer_size()
         while unsent_bytes:
             try:
@@ -144,17 +161,15 @@
     async def _connect(self, to: str) -> _Connection:
         host, port = _host_and_port(to)
         reader, writer = await asyncio.wait_for(
-            asyncio.open_connection(host, port), self._timeout_ms * _CONNECT_SHARE / 1000
+            asyncio.open_connection(host, port), self._timeout_ms * _CONNECT_FACTOR / 1000
         )
         _set_socket_options(
-            writer.get_extra_info("socket"), self._timeout_ms * _UNACKNOWLEDGED_SHARE
+            writer.get_extra_info("socket"), self._timeout_ms * _UNACKNOWLEDGED_FACTOR
         )
         return _Connection(reader, writer)
 
-    # -- receiving ---------------------------------------------------------------------------------
-
     async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Deliver the messages of one incoming connection; bytes that are none end it."""
+        """Deliver the messages of one incoming connection; close it on invalid frames."""
         self._incoming.add(writer)
         sender, received = "", bytearray()
         try:
@@ -175,9 +190,9 @@
                 self.on_closed(sender)
 
     async def _receive(self, envelope: Envelope, message: Message) -> None:
-        """Deliver a message; any error but a bad message ends the process.
+        """Deliver a message; an error other than BadMessageError crashes the service.
 
-        The error may have left the node's state inconsistent.
+        Such an error may have left the node's state inconsistent.
         """
         try:
             self._deliver(envelope.sender, envelope.request_id, envelope.in_reply_to, message)
@@ -194,9 +209,9 @@
 
 
 def _set_socket_options(sock: socket.socket, unacknowledged_ms: int) -> None:
-    """Send at once, and break the connection if data stays unacknowledged for so long.
+    """Disable Nagle's algorithm, and limit how long sent data may stay unacknowledged.
 
-    The kernel's own limit would be many minutes.
+    The kernel then ends the connection; its default limit is many minutes.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
--- a/libs/messaging/src/messaging/message.py
+++ b/libs/messaging/src/messaging/message.py
@@ -1,8 +1,8 @@
 """Typed messages in Avro encoding.
 
-A message type is a class whose annotations are its fields. The class statement derives the Avro
-schema from them and registers the type. On the wire and on disk a message is the wire name of its
-type, followed by its record; the fields are written in order, without their names.
+A message type is a subclass of Message whose annotations are its fields. Defining the class derives
+the Avro schema from the annotations and registers the type under its wire name. An encoded message
+is the wire name of its type, followed by the values of its fields in order, without their names.
 """
 
 import io
@@ -26,7 +26,7 @@
 _MessageT = typing.TypeVar("_MessageT", bound="Message")
 _WIRE_NAME_SCHEMA = parse_schema({"type": "string"})
 
-# What reading bytes that are no message may raise in the Avro decoder.
+# Errors that decoding may raise if the bytes are not a valid message of a known type.
 _DECODING_ERRORS = (
     ValueError,
     EOFError,
@@ -52,7 +52,7 @@
         return {"type": "array", "items": _avro_schema(arguments[0])}
     if isinstance(annotation, types.UnionType) and arguments[1:] == (types.NoneType,):
         return ["null", _avro_schema(arguments[0])]
-    raise TypeError(f"{annotation!r} is not a type that a message's field may have")
+    raise TypeError(f"message field of unsupported type {annotation!r}")
 
 
 @typing.dataclass_transform(kw_only_default=True)
@@ -81,7 +81,7 @@
 
     def _register(cls, wire_name: str, fields: dict[str, Any]) -> None:
         if wire_name in _TYPES:
-            raise TypeError(f"two message types have the wire name {wire_name}")
+            raise TypeError(f"wire name {wire_name} is already used by another message type")
         cls.SCHEMA = parse_schema(
             {
                 "type": "record",
@@ -101,9 +101,9 @@
 class Message(metaclass=_MessageType):
     """Base class of all messages.
 
-    All fields are given by keyword. A missing field raises KeyError, an unknown one TypeError. A
-    type keeps the wire name that it first had; one that was renamed since gives it in its class
-    statement: `class Submit(Message, wire_name="HandIn")`.
+    The constructor takes all fields by keyword; it raises KeyError for a missing field and
+    TypeError for an unknown one. The wire name of a type is its class name and never changes; a
+    renamed class states its original name: `class Submit(Message, wire_name="HandIn")`.
     """
 
     FIELDS: ClassVar[tuple[str, ...]]
@@ -117,7 +117,7 @@
             raise TypeError(f"{type(self).__name__} has no field {', '.join(values)}")
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the fields by name."""
+        """Return the values of the fields by name."""
         return {field: getattr(self, field) for field in self.FIELDS}
 
     def __eq__(self, other: object) -> bool:
@@ -136,7 +136,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Return the encoded message, which starts with the wire name of its type."""
     buffer = io.BytesIO()
     message_type = type(message)
     buffer.write(message_type.WIRE_PREFIX)
@@ -167,7 +167,7 @@
 def decode_as(message_type: type[_MessageT], data: bytes) -> _MessageT:
     """Return the message of type `message_type` that the bytes encode.
 
-    Raises BadMessageError, also if they encode a message of another type.
+    Raises BadMessageError if they encode no message or one of another type.
     """
     message = decode(data)
     if not isinstance(message, message_type):
--- a/libs/messaging/src/messaging/node_runner.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -1,7 +1,7 @@
 """The service that runs one node in a process, with its connections and its clock.
 
-Nothing in a node blocks. Code that needs an answer passes a callback; `awaited` turns that into a
-future.
+Components never block: functions that take time report their result to a callback. Coroutines wait
+for such a result with `awaited`.
 """
 
 import asyncio
@@ -47,17 +47,20 @@
         return secrets.token_hex(_TOKEN_BYTES)
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        """Send a message; one sent before the connections are set up is dropped."""
+        """Send a message; it is dropped if no transport is set yet."""
         if self.transport is not None:
             self.transport.send(to, request_id, in_reply_to, message)
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
-        """Write a log line as JSON."""
+        """Write one log line as a JSON object."""
         log(event, level, **fields)
 
 
 def awaited(start: Callable[[Callable[[Any], None]], Any]) -> asyncio.Future[Any]:
-    """Return a future for the value with which `start` calls its callback first."""
+    """Return a future for the result of a function that reports it to a callback.
+
+    `start` is called with the callback. Calls of the callback after the first are ignored.
+    """
     future = asyncio.get_running_loop().create_future()
 
     def done(value: Any) -> None:
@@ -69,9 +72,10 @@
 
 
 class NodeRunner(Service):
-    """Runs a node: delivers its messages and ticks it.
+    """Runs a node: delivers its messages and calls its `tick` at regular intervals.
 
-    `worst_tick_ms` is the longest tick so far, in milliseconds.
+    `worst_tick_ms` is the longest duration of a tick so far. An error in a tick is logged and ends
+    the service.
     """
 
     def __init__(
@@ -97,7 +101,7 @@
             component.connection_closed(address)
 
     async def on_start(self) -> None:
-        """Open the connections and start ticking."""
+        """Start the transport and the periodic ticks."""
         await self.add_runtime_dependency(self._transport)
         self.add_future(self._run())
 
@@ -115,7 +119,11 @@
 
 
 def _tick_interval_ms(settings: Settings) -> int:
-    """Return the pause between ticks: several ticks in each delta and in each heartbeat."""
+    """Return the interval between the starts of two ticks.
+
+    There are at least two ticks in `delta_ms` and eight in `heartbeat_ms`, unless the interval
+    would be shorter than 5 ms.
+    """
     of_delta_ms: int = settings.delta_ms // _TICKS_PER_DELTA
     of_heartbeat_ms: int = settings.heartbeat_ms // _TICKS_PER_HEARTBEAT
     return max(_MIN_TICK_MS, min(of_delta_ms, of_heartbeat_ms))
--- a/libs/messaging/src/messaging/send_queue.py
+++ b/libs/messaging/src/messaging/send_queue.py
@@ -1,4 +1,4 @@
-"""Frames that wait to be written to one address, limited by count, by size and by age."""
+"""The queue of frames to be sent to one address, limited in count, size and age."""
 
 import asyncio
 from collections import deque
@@ -10,7 +10,7 @@
 
 
 class _QueuedFrame:
-    """A frame and the time at which it was queued, in seconds of the event loop's clock."""
+    """A frame and the time of the event loop's clock at which it was queued, in seconds."""
 
     __slots__ = ("data", "queued_s")
 
@@ -20,9 +20,9 @@
 
 
 class SendQueue:
-    """The queue of one address; times are seconds of the event loop's clock.
+    """The send queue of one address; times are in seconds of the event loop's clock.
 
-    A frame beyond the limits is dropped, except that an empty queue takes one of any size.
+    Frames beyond 4096 frames or 32 MiB are dropped; an empty queue accepts a frame of any size.
     """
 
     __slots__ = ("_frames", "_has_frames", "_size_bytes")
@@ -42,11 +42,11 @@
             self._has_frames.set()
 
     async def wait_for_frames(self) -> None:
-        """Return once a frame is queued."""
+        """Wait until the queue is not empty."""
         await self._has_frames.wait()
 
     def take(self, since_s: float) -> bytes:
-        """Empty the queue; return the frames queued since a time, joined, and drop older ones."""
+        """Empty the queue; return the frames queued since `since_s` joined, and drop older ones."""
         data = b"".join(frame.data for frame in self._frames if frame.queued_s >= since_s)
         self._frames.clear()
         self._size_bytes = 0
