--- a/libs/runtime/src/runtime/__init__.py
+++ b/libs/runtime/src/runtime/__init__.py
@@ -1,15 +1,15 @@
-"""Settings, logs, request verdicts and clocks shared by every process of the fleet.
+"""Settings, logs, request verdicts and clocks, shared by all processes of a fleet.
 
-- `settings`: the operators' settings, checked before anything starts, and the time-outs that follow
-  from them. A new setting goes here, into docs/operators.md, and into RELOADABLE if it may change
+- `settings`: the operators' settings, checked before anything starts, and the time-outs derived
+  from them. A new setting is added here, to docs/operators.md, and to RELOADABLE if it may change
   while the process runs.
 - `logs`: log lines as JSON objects.
-- `verdicts`: whether a request may have run, and the refusals that say so.
+- `verdicts`: whether a request may have run, and the refusals that report it.
 - `clock`: the boot clock, on which time-outs run, and the wall clock.
 - `lazy_exports`: package exports that are imported on first access.
 
 Invariants: settings are immutable, and no time-out runs on the wall clock. This package imports no
-other of the fleet's packages.
+other package of the project.
 """
 
 from runtime.clock import boot_ms, wall_ms
--- a/libs/runtime/src/runtime/clock.py
+++ b/libs/runtime/src/runtime/clock.py
@@ -1,8 +1,9 @@
 """The two clocks of a process.
 
-Leases, timeouts and failure detection run on the boot clock, which neither an operator nor a time
-daemon can step. Only the stamps of the log start from the wall clock, and the log makes them
-strictly increasing.
+Leases, time-outs and failure detection use the boot clock, which neither an operator nor a time
+daemon can step. The wall clock only gives the times in recordings, a lower bound of the heartbeat
+counters, which strictly increase, and the start of the replicated log's own time, which advances
+with the boot clock.
 """
 
 import time
@@ -13,10 +14,10 @@
 
 
 def boot_ms() -> int:
-    """Return the milliseconds since the machine booted, suspend included; never steps back."""
+    """Return the milliseconds since the machine booted, suspend included; never decreases."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // _NS_PER_MS
 
 
 def wall_ms() -> int:
-    """Return the milliseconds since the Unix epoch by the wall clock, which may be stepped."""
+    """Return the wall-clock milliseconds since the Unix epoch; the clock may be stepped."""
     return time.time_ns() // _NS_PER_MS
--- a/libs/runtime/src/runtime/logs.py
+++ b/libs/runtime/src/runtime/logs.py
@@ -1,7 +1,7 @@
 """Log lines in JSON, written with loguru to standard error.
 
-Each line is one object with the time, the level, the event's name and the identifiers by which a
-request, a batch job or a change can be followed through the logs of a fleet.
+Each line is one object with the time, the level, the event's name and the identifiers with which a
+request, a batch job or a change can be traced through the logs of a fleet.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 def _write_json(message: Any) -> None:
-    """Write a record of loguru as one line; later fields replace earlier ones of the same name."""
+    """Write a loguru record as one line; its fields override node fields of the same name."""
     record = message.record
     line = {
         "at": record["time"].isoformat(),
@@ -33,7 +33,7 @@
 def set_up_logs(level: str = "INFO", **node: Any) -> None:
     """Replace all log sinks by one on standard error.
 
-    `level` is the lowest level that is written; the fields of `node` go into every line.
+    `level` is the lowest level that is written; the fields of `node` are added to every line.
     """
     logger.remove()
     _NODE_FIELDS.clear()
@@ -42,5 +42,5 @@
 
 
 def log(event: str, level: str = "INFO", **fields: Any) -> None:
-    """Write one line for `event` at `level`, with `fields` as further members of the object."""
+    """Write one line for `event` at `level`, with `fields` as further members of its object."""
     logger.bind(**fields).log(level, event)
--- a/libs/runtime/src/runtime/settings.py
+++ b/libs/runtime/src/runtime/settings.py
@@ -1,7 +1,8 @@
-"""Settings of one process, read from a TOML file and from flags, where flags win.
+"""Settings of one process, read from a TOML file and from flags, which take precedence.
 
-All problems are found before anything starts. The time-outs that the code uses are properties here:
-fixed shares of the few bounds that operators set. The settings' names are the operators' interface.
+All settings are checked before anything starts. The time-outs that the code uses are properties of
+Settings, derived from the few bounds that operators set. The names of settings are a public
+interface.
 """
 
 import ipaddress
@@ -16,7 +17,7 @@
 
 _MAX_PORT = 65535
 
-# The settings that take effect when the file is read again, without a restart.
+# Settings that take effect without a restart when the file is read again.
 RELOADABLE = frozenset(
     {
         "log_level",
@@ -32,10 +33,10 @@
 
 
 def _check_address(value: str) -> str:
-    """Return a valid address as it is. Raises ValueError."""
+    """Return the address. Raises ValueError if it is not IP:PORT."""
     host, colon, port = value.rpartition(":")
     if not colon or not port.isdigit() or not 0 < int(port) <= _MAX_PORT:
-        raise ValueError("an address is IP:PORT")
+        raise ValueError(f"invalid address {value!r}: expected IP:PORT")
     ipaddress.ip_address(host.strip("[]"))
     return value
 
@@ -43,8 +44,8 @@
 class Settings(BaseModel):
     """The checked, immutable settings of one process.
 
-    Names that end in `_ms` are milliseconds, those in `_bytes` bytes. Construction raises
-    pydantic's ValidationError, which lists every problem at once.
+    Settings whose names end in `_ms` are in milliseconds, those in `_bytes` in bytes. The
+    constructor raises pydantic's ValidationError, which lists all problems at once.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -54,130 +55,142 @@
     http: str = Field(description="address for clients, workers and operators, IP:PORT")
     zone: str = Field(min_length=1)
     node_name: str = Field(
-        "", description="what operators call this node; its link address if empty"
+        "", description="name of this node for operators; its link address if empty"
     )
     seeds: list[str] = Field(min_length=1, max_length=3)
     data_folder: str = ""
-    region: str = Field(
-        "", description="the region that the zone lies in; empty where there is only one"
-    )
+    region: str = Field("", description="region of the zone; empty if there is only one region")
     first_start: bool = Field(
         False, description="the fleet starts for the first time, with empty disks"
     )
-    counted: bool = Field(True, description="this machine is among those whose loss is to be borne")
+    counted: bool = Field(
+        True, description="this machine is one of those whose loss has to be tolerated"
+    )
     control_count: int = Field(
         5,
         ge=0,
         le=15,
-        description="how many control nodes found the fleet; 0 where that isn't told",
+        description="number of control nodes that vote; 0 if no number is configured",
     )
     store_count: int = Field(3, ge=2, le=9)
     store_faults: int = Field(1, ge=1, le=4)
     delta_ms: int = Field(50, ge=1, le=5000)
     flush_ms: int = Field(
-        30000, ge=50, description="tau: the longest a record waits for the background flush"
+        30000, ge=50, description="tau: the longest time a record waits for the background flush"
     )
     keep_factor: float = Field(
-        2.0, ge=1.0, description="k: peers keep records for k times flush_ms"
+        2.0, ge=1.0, description="k: stores keep records for their peers for k times flush_ms"
     )
     force_ms: int = Field(
-        2000, ge=200, description="a version is in force, a drained worker left alone"
+        2000,
+        ge=200,
+        description="time within which a version is in force and a drained worker gets no requests",
+    )
+    end_ms: int = Field(
+        3000, ge=300, description="time within which an ended job has stopped everywhere"
+    )
+    resume_ms: int = Field(
+        12000, ge=1000, description="time from the machines' return until service is available"
     )
-    end_ms: int = Field(3000, ge=300, description="an ended lot has stopped everywhere")
-    resume_ms: int = Field(12000, ge=1000, description="service is back after the machines")
     catch_up_ms: int = Field(
         0,
         ge=0,
-        description="within this time of an empty machine's arrival it stands in for the "
-        "one that it replaces; 0 where there is no such bound",
+        description="time within which a new machine with an empty disk takes the place of "
+        "the one that it replaces; 0 if there is no such bound",
     )
     worker_beat_ms: int = Field(
-        1000, ge=50, description="about how often a worker tells control that it is there"
+        1000, ge=50, description="approximate interval of a worker's heartbeats to control nodes"
     )
     cut_off: Literal["refuse", "serve"] = Field(
-        "refuse", description="what a node does that is cut off from control"
+        "refuse", description="what a node does while it is cut off from the control nodes"
     )
     fan_out: int = Field(
         0,
         ge=0,
         le=16,
-        description="to how many control nodes a node that doesn't vote sends its "
-        "digests; 0 for all of them, and for its whole view",
+        description="number of control nodes to which a node that does not vote sends its "
+        "digests; 0 for all of them and all nodes in its view",
+    )
+    grace_ms: int = Field(
+        5000, ge=100, description="time between SIGTERM and the end of the process"
     )
-    grace_ms: int = Field(5000, ge=100, description="between SIGTERM and the process's end")
     view_size: int = Field(12, ge=2, le=64)
     disk_bytes: int = Field(1 << 30, ge=1 << 16)
     segment_bytes: int = Field(1 << 22, ge=1 << 12)
     max_body_bytes: int = Field(1 << 22, ge=1 << 10)
     keep_ms: int = Field(
-        86_400_000, ge=1000, description="how long used keys are kept; lots seven times that"
+        86_400_000,
+        ge=1000,
+        description="how long used idempotency keys are kept; jobs are kept seven times as long",
     )
     live_share: float = Field(
-        0.25, ge=0.0, le=1.0, description="part of a worker's slots that lots leave free"
+        0.25,
+        ge=0.0,
+        le=1.0,
+        description="fraction of a worker's slots that batch jobs leave free",
     )
     load_window_ms: int = Field(
         60_000,
         ge=1000,
-        description="for how long the live load is watched before a worker is "
-        "lent whole; its peak in that time, with a margin, is kept",
+        description="how long the live load is observed before a whole worker is lent; "
+        "capacity for its peak in that time, with a margin, is kept",
     )
     record_folder: str = Field(
-        "", description="edges: where clients' calls are recorded; empty for not at all"
+        "", description="folder in which edges record clients' calls; empty for no recording"
     )
     record_bodies: bool = Field(
-        False, description="record prompts whole rather than by size and digest"
+        False, description="record prompts in full rather than as size and digest"
     )
-    record_rows: int = Field(10_000, ge=1, description="calls in one file of a recording")
+    record_rows: int = Field(10_000, ge=1, description="number of calls per recording file")
     log_level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
 
     @field_validator("link", "http")
     @classmethod
-    def _own_address(cls, value: str) -> str:
+    def _validate_address(cls, value: str) -> str:
         return _check_address(value)
 
     @field_validator("seeds")
     @classmethod
-    def _seed_addresses(cls, value: list[str]) -> list[str]:
+    def _validate_seeds(cls, value: list[str]) -> list[str]:
         return [_check_address(seed) for seed in value]
 
     @model_validator(mode="after")
-    def _check_together(self) -> "Settings":
-        """Check what settings have to fulfil together."""
+    def _validate_combination(self) -> "Settings":
+        """Check the conditions that involve several settings."""
         if self.role in ("store", "control") and not self.data_folder:
             raise ValueError(
-                f"data_folder: a {self.role} keeps its state on disk and needs a folder"
+                f"data_folder: required, since a {self.role} node keeps its state on disk"
             )
         if self.store_faults >= self.store_count or self.store_count < 2 * self.store_faults + 1:
             raise ValueError("store_faults: store_count has to be at least 2 * store_faults + 1")
         if self.fan_out and self.cut_off != "serve":
             raise ValueError(
-                'fan_out: needs cut_off = "serve", since the roll is counted by digests '
-                "that all control nodes hear"
+                'fan_out: requires cut_off = "serve", since a majority of the serving set is '
+                "counted from digests that all control nodes receive"
             )
         if self.link == self.http:
             raise ValueError("http: has to differ from link")
         return self
 
-    # -- derived intervals, time-outs and sizes ----------------------------------------------------
-    #
-    # Operators set a few bounds; these shares of them are internal and may change between versions.
+    # Intervals, time-outs and sizes derived from the settings. Their factors are internal and may
+    # change between versions.
 
     @property
     def heartbeat_ms(self) -> int:
-        """How often a node sends heartbeats and digests and does its periodic work."""
+        """Interval at which a node sends heartbeats and digests and does its periodic work."""
         return max(10, int(self.force_ms * 0.1))
 
     @property
     def failure_timeout_ms(self) -> int:
         """Silence after which a node counts as failed, and its roles pass to the next node.
 
-        Its load reports and digests no longer count either.
+        Its load reports and digests are ignored from then on.
         """
         return int(self.force_ms * 0.5)
 
     @property
     def leader_heartbeat_ms(self) -> int:
-        """How often the log's leader sends its heartbeat to the other members."""
+        """Interval at which the log's leader sends heartbeats to the other members."""
         return max(10, int(self.force_ms * 0.05))
 
     @property
@@ -227,7 +240,10 @@
 
     @property
     def removal_timeout_ms(self) -> int:
-        """Silence after which a node is forgotten; a standby replaces a member with a disk."""
+        """Silence after which a node is forgotten.
+
+        A standby then replaces it as a voter or as a member of the log.
+        """
         return int(min(self.resume_ms, self.catch_up_ms or self.resume_ms) * 0.5)
 
     @property
@@ -237,7 +253,7 @@
 
     @property
     def claim_revocation_ms(self) -> int:
-        """Silence of an edge after which the leader takes back its claims.
+        """Silence of an edge after which the leader revokes its claims to batch items.
 
         It is longer than `claim_timeout_ms`, so that the edge has stopped the items by then.
         """
@@ -250,22 +266,22 @@
 
     @property
     def max_submission_age_ms(self) -> int:
-        """How old the leader's stamp on a submission may be when it reaches the leader."""
+        """Maximum age of a request's leader time stamp when the request reaches the leader."""
         return int(self.force_ms * 0.5)
 
     @property
     def max_response_bytes(self) -> int:
-        """The longest response accepted from a worker."""
+        """The size of the longest response accepted from a worker."""
         return 4 * self.max_body_bytes
 
     @property
     def response_buffer_bytes(self) -> int:
-        """How much of a response waits for a slow client before reading from the worker pauses."""
+        """Response data buffered for a slow client before reading from the worker is paused."""
         return max(1 << 14, self.max_body_bytes // 64)
 
     @property
     def freeze_threshold_ms(self) -> int:
-        """The gap between two ticks from which a process counts as having been frozen."""
+        """The gap in a node's activity above which its process counts as having been frozen."""
         return int(self.force_ms * 0.4)
 
 
@@ -298,8 +314,8 @@
 def changed_settings(old: Settings, new: Settings) -> tuple[Settings, list[str], list[str]]:
     """Compare the settings in force with those of a file that was read again.
 
-    Return the settings to go on with, the names that were applied, and the names that differ but
-    need a restart (those outside RELOADABLE).
+    Return the settings to use from now on, the names of those that changed, and the names of those
+    that differ but need a restart (those outside RELOADABLE).
     """
     differing = [name for name in Settings.model_fields if getattr(old, name) != getattr(new, name)]
     applied = [name for name in differing if name in RELOADABLE]
--- a/libs/runtime/src/runtime/verdicts.py
+++ b/libs/runtime/src/runtime/verdicts.py
@@ -1,6 +1,6 @@
-"""Verdicts, which say whether a request may have run, and the refusals that carry them.
+"""Verdicts on whether a request may have run, and the refusals that report them to clients.
 
-A refusal is an error value in expression's Result; it becomes the body of every error response.
+A refusal is the error value of an `expression.Result`, and makes up the body of an error response.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Verdict(StrEnum):
-    """Whether a request had an effect: it did not run, it may have run, or it ran."""
+    """Whether a request ran, and so may have had an effect."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -18,11 +18,17 @@
 
 
 class Refusal:
-    """An error value with its verdict and what the client's response needs.
-
-    `status` is the HTTP status, `code` a stable name for programs, `message` text for people,
-    `field` the offending member of the request, `problems` a list where there are several.
-    `retry_after_ms` is 0 where no time for a retry is suggested.
+    """The refusal of a request, from which the response to the client is made.
+
+    Parameters
+    ----------
+    verdict: whether the request may have run.
+    code: the kind of error, a stable name for programs.
+    message: the description of the error for people.
+    status: the HTTP status.
+    retry_after_ms: when to retry, in milliseconds from now; 0 to suggest no time.
+    field: the member of the request that is invalid, or empty.
+    problems: the problems found, where there may be several.
     """
 
     __slots__ = ("code", "field", "message", "problems", "retry_after_ms", "status", "verdict")
@@ -46,7 +52,7 @@
         self.problems = problems or []
 
     def body(self) -> dict[str, Any]:
-        """Return the JSON object of the error response; empty optional members are left out."""
+        """Return the JSON object of the error response, without empty optional members."""
         error: dict[str, Any] = {
             "verdict": str(self.verdict),
             "code": self.code,
