--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -4,7 +4,7 @@
 
 import json
 
-from config_display import shown_settings
+from config_display import sent_configuration
 from config_json import change_digest, parse_object
 from config_names import encoded_name, service_name
 from config_patch import apply_patch
@@ -133,7 +133,7 @@
         ]
         sent = settings(routes, services)
         tree = taken(sent)
-        self.assertThat(json.loads(shown_settings(tree)), Equals(sent))
+        self.assertThat(json.loads(sent_configuration(tree)), Equals(sent))
         for index, name in enumerate(names):
             found = ProfileTree(tree["profiles"]).route("nony24.example", f"/{index}/")
             self.assertThat(found.labels, Equals({service_name(name)}))
@@ -159,7 +159,7 @@
                 [route(name=f"r{index}", pathStart=f"/{index}/") for index in (3, 1, 2, 10, 0)]
             ),
         ):
-            self.assertThat(json.loads(shown_settings(taken(sent))), Equals(sent))
+            self.assertThat(json.loads(sent_configuration(taken(sent))), Equals(sent))
 
     def test_limits(self):
         self.assertThat(
@@ -282,7 +282,7 @@
 class Patching(TestCase):
     def patched(self, sent, tree=SETTINGS):
         found = apply_patch(taken(tree), sent).bind(check_tree)
-        return json.loads(shown_settings(found.ok)) if found.is_ok() else found.error
+        return json.loads(sent_configuration(found.ok)) if found.is_ok() else found.error
 
     def test_rows_are_replaced_in_their_place_added_at_the_end_and_removed(self):
         first, second = SETTINGS["routes"]
@@ -329,7 +329,7 @@
     def test_patches_on_nothing(self):
         found = apply_patch({}, {"revision": 1, "upsert": {"backends": [SERVICE]}}).bind(check_tree)
         self.assertThat(
-            json.loads(shown_settings(found.ok)),
+            json.loads(sent_configuration(found.ok)),
             Equals({"revision": 1, "routes": [], "backends": [SERVICE]}),
         )
 
