--- a/tests/test_job_api.py
+++ b/tests/test_job_api.py
@@ -13,7 +13,7 @@
     forward_submission_response,
 )
 from job_api import JobApi
-from job_bodies import prompt_of, read_submission
+from job_bodies import read_prompt_headers, read_submission
 from messaging import encode
 from multidict import CIMultiDict
 from runtime import refused
@@ -204,7 +204,7 @@
             ({"token-counts": "x,3", "prompt-prefix": "a:1,b,:2,c:x"}, ((0, 3), [("a", 1)])),
         ]
         for headers, wanted in rows:
-            self.assertThat(prompt_of(headers), Equals(wanted))
+            self.assertThat(read_prompt_headers(headers), Equals(wanted))
 
     def test_pages_of_results(self):
         page = m.ListForwardResultsResponse(
