--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -250,13 +250,13 @@
         "messaging/src/messaging/components.py",
         "request.on_reply(message if is_in_time else None)",
         "request.on_reply(message)",
-        "tests/test_node_requests.py -k stood_still",
+        "tests/test_node_requests.py -k freeze",
     ),
     "lives of a node number their asks alike": (
         "messaging/src/messaging/components.py",
         "env.rng.getrandbits(_REQUEST_ID_BITS) + 1",
         "1",
-        "tests/test_node_requests.py -k life",
+        "tests/test_node_requests.py -k start",
     ),
     "a claim is handed back under an old number": (
         "batch_state/src/batch_state/result_reports.py",
--- a/tests/test_messaging.py
+++ b/tests/test_messaging.py
@@ -1,4 +1,8 @@
-"""Messages there and back, and bytes that are none: a node on a real link refuses them and lives."""
+"""Encoding of messages, and links between processes.
+
+A node must survive invalid bytes from any peer: a message is refused with BadMessageError only, and
+a link closes the connection and goes on.
+"""
 
 import asyncio
 import contextlib
@@ -25,7 +29,7 @@
 
 
 class Messages(TestCase):
-    def test_there_and_back(self):
+    def test_decoding_returns_the_encoded_message(self):
         message = Everything(
             text="ä",
             number=-1 << 60,
@@ -38,13 +42,13 @@
         self.assertThat(decode(encode(message)), Equals(message))
         self.assertRaises(TypeError, Everything, **message.as_dict(), colour=1)
 
-    def test_another_type_than_expected_is_a_bad_message(self):
+    def test_decode_as_refuses_messages_of_another_type(self):
         data = encode(Heartbeat(sender=b"x"))
         self.assertThat(decode_as(Heartbeat, data), Equals(Heartbeat(sender=b"x")))
         self.assertRaises(BadMessageError, decode_as, ShuffleRequest, data)
         self.assertRaises(BadMessageError, decode_as, Heartbeat, data[:-1])
 
-    def test_bytes_that_are_no_message(self):
+    def test_decoding_damaged_bytes_raises_only_bad_message_error(self):
         rng = random.Random(1)
         good = encode(
             Everything(text="a", number=1, share=0.5, yes=True, blob=b"x", rows=["a"], perhaps=1)
@@ -56,12 +60,12 @@
             with contextlib.suppress(BadMessageError):
                 decode(bytes(data[: rng.randrange(len(data) + 1)]))
 
-    def test_a_link_refuses_them_and_goes_on(self):
+    def test_a_link_closes_connections_with_invalid_bytes_and_goes_on(self):
         async def run():
-            taken = []
+            delivered = []
 
             def deliver(sender, request_id, in_reply_to, message):
-                taken.append(decode(message.sender))
+                delivered.append(decode(message.sender))
 
             transport = LinkTransport("127.0.0.1:23990", 500, deliver)
             await transport.start()
@@ -77,51 +81,51 @@
                 await writer.drain()
                 if data is not good:
                     self.assertThat(await asyncio.wait_for(reader.read(), 5), Equals(b""))
-            while not taken:
+            while not delivered:
                 await asyncio.wait_for(asyncio.sleep(0), 5)
-            crashed = transport.crash_reason
+            crash_reason = transport.crash_reason
             await transport.stop()
-            return taken, crashed
+            return delivered, crash_reason
 
-        taken, crashed = asyncio.run(run())
-        self.assertThat(taken, HasLength(1))
-        self.assertThat(crashed, Equals(None))
+        delivered, crash_reason = asyncio.run(run())
+        self.assertThat(delivered, HasLength(1))
+        self.assertThat(crash_reason, Equals(None))
 
 
 class Links(TestCase):
-    def test_frames_are_taken_off_whole_however_they_arrive(self):
+    def test_frames_are_complete_however_the_data_is_split(self):
         frames = [
             pack_frame("x:1", request_id, 0, Heartbeat(sender=b"c" * size))
             for request_id, size in enumerate((0, 5, 3000, 1))
         ]
         data = b"".join(frames)
         for step in (1, 2, 7, 1000, len(data)):
-            received, got = bytearray(), []
+            received, complete = bytearray(), []
             for start in range(0, len(data), step):
                 received += data[start : start + step]
-                got += take_frames(received)
+                complete += take_frames(received)
             self.assertThat(
-                (got, received), Equals(([frame[4:] for frame in frames], bytearray())), step
+                (complete, received), Equals(([frame[4:] for frame in frames], bytearray())), step
             )
 
-    def test_a_queue_to_a_dark_peer_is_bounded_and_lets_old_frames_go(self):
+    def test_the_queue_to_an_unreachable_peer_is_bounded_and_drops_old_frames(self):
         async def run():
             queue = SendQueue()
-            for at in range(6000):
-                queue.put(float(at), b"x" * 10)
-            taken = queue.take(4000.0)
-            big = [queue.put(9.0, b"y" * (20 << 20)) for _ in range(3)]
-            return len(taken), len(queue.take(0.0)), len(big), queue.take(0.0)
+            for now_s in range(6000):
+                queue.put(float(now_s), b"x" * 10)
+            data = queue.take(4000.0)
+            large = [queue.put(9.0, b"y" * (20 << 20)) for _ in range(3)]
+            return len(data), len(queue.take(0.0)), len(large), queue.take(0.0)
 
         self.assertThat(asyncio.run(run()), Equals((96 * 10, 20 << 20, 3, b"")))
 
-    def test_a_peer_that_comes_back_is_reached_and_one_that_does_not_listen_is_told(self):
+    def test_a_restarted_peer_is_reached_and_refused_connections_are_reported(self):
         async def run():
-            taken, refused = [], []
+            delivered, refused = [], []
             arrived = asyncio.Event()
 
             def deliver(*row):
-                taken.append(row)
+                delivered.append(row)
                 arrived.set()
 
             here = LinkTransport("127.0.0.1:23991", 500, deliver)
@@ -141,8 +145,8 @@
                     await asyncio.sleep(0)
                 await there.stop()
             await here.stop()
-            return refused, {row[3].sender for row in taken}
+            return refused, {row[3].sender for row in delivered}
 
-        refused, cards = asyncio.run(asyncio.wait_for(run(), 10))
+        refused, senders = asyncio.run(asyncio.wait_for(run(), 10))
         self.assertThat(set(refused), Equals({"127.0.0.1:23992"}))
-        self.assertThat(b"there" in cards, Equals(True))
+        self.assertThat(b"there" in senders, Equals(True))
