--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -1,5 +1,6 @@
-"""The platform's calls at the control nodes of a simulated fleet: each is handled as it would be from a
-socket, while virtual time goes on.
+"""Runs the platform's calls on the control nodes of a simulated fleet.
+
+Each call is handled as if it had arrived on a socket, while simulated time advances.
 """
 
 import asyncio
@@ -77,13 +78,13 @@
 
 
 class Platform:
-    """A founded fleet whose control nodes are called in the platform's way."""
+    """A simulated fleet that has started, and the platform's calls to its control nodes."""
 
     def __init__(self, seed=1, edges=2, settings=None, **sizes):
         self.fleet = SimFleet(
             seed, edges=edges, workers=0, settings={**SERVE, **(settings or {})}, **sizes
         )
-        assert self.fleet.run_until_true(self.ready, 12000), "not founded"
+        assert self.fleet.run_until_true(self.ready, 12000), "the control nodes did not get ready"
 
     def ready(self):
         return all(host.node.has_quorum() for host in self.fleet.with_role("control")) and all(
@@ -91,45 +92,51 @@
         )
 
     def start(self, name, method, path, body=None, headers=None):
-        """The call's task; it goes on as the fleet's time does."""
-        side = ControlApi(self.fleet.hosts[name].node, "127.0.0.1:1", 1 << 20)
-        side._app.freeze()
+        """Start a call to a control node, and return its task; `finish` runs it."""
+        api = ControlApi(self.fleet.hosts[name].node, "127.0.0.1:1", 1 << 20)
+        api._app.freeze()
         data = (
             body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         )
         payload = streams.StreamReader(Mock(_reading_paused=False), 1 << 16, loop=self.loop)
         payload.feed_data(data)
         payload.feed_eof()
-        request = make_mocked_request(method, path, headers=headers, app=side._app, payload=payload)
+        request = make_mocked_request(method, path, headers=headers, app=api._app, payload=payload)
         request._client_max_size = 1 << 20
-        return self.loop.create_task(side._app._handle(request))
+        return self.loop.create_task(api._app._handle(request))
 
     @property
     def loop(self):
         return asyncio.get_running_loop()
 
     async def finish(self, *tasks, wait_ms=2000):
-        """(status, value, after how long) of each; None for one that has no answer by then."""
-        begun_ms = self.fleet.time.now_ms
-        took: dict = {}
-        while len(took) < len(tasks) and self.fleet.time.now_ms < begun_ms + wait_ms:
+        """Run the fleet until the calls have their responses, for at most `wait_ms`.
+
+        Return (status, JSON value, duration in ms) of each call, or None without a response.
+        """
+        started_ms = self.fleet.time.now_ms
+        durations_ms: dict = {}
+        while len(durations_ms) < len(tasks) and self.fleet.time.now_ms < started_ms + wait_ms:
             for _ in range(6):
                 await asyncio.sleep(0)
-            took.update(
+            durations_ms.update(
                 {
-                    task: self.fleet.time.now_ms - begun_ms
+                    task: self.fleet.time.now_ms - started_ms
                     for task in tasks
-                    if task.done() and task not in took
+                    if task.done() and task not in durations_ms
                 }
             )
-            if len(took) < len(tasks):
+            if len(durations_ms) < len(tasks):
                 self.fleet.time.run_until(self.fleet.time.now_ms + 5)
-        return [self._told(task, took[task]) if task in took else None for task in tasks]
+        return [
+            self._result(task, durations_ms[task]) if task in durations_ms else None
+            for task in tasks
+        ]
 
     @staticmethod
-    def _told(task, took_ms):
+    def _result(task, duration_ms):
         response: web.Response = task.result()
-        return response.status, json.loads(response.text) if response.text else None, took_ms
+        return response.status, json.loads(response.text) if response.text else None, duration_ms
 
     async def ask(self, name, method, path, body=None, headers=None, wait_ms=2000):
         return (await self.finish(self.start(name, method, path, body, headers), wait_ms=wait_ms))[
--- a/tests/test_config_format.py
+++ b/tests/test_config_format.py
@@ -1,5 +1,7 @@
-"""The platform's configuration into our tree and back: exactly as it was sent, row by row when patched, and
-refused whole whatever is wrong with it.
+"""Translation of the platform's configuration into the profile tree and back.
+
+The configuration has to be restored exactly as it was sent; a patch changes single items; an invalid
+configuration is refused as a whole.
 """
 
 import json
@@ -23,14 +25,14 @@
     return {"revision": 3, "routes": list(routes), "backends": list(backends), **more}
 
 
-def taken(sent):
-    """The tree as the product keeps it, by way of its JSON text."""
+def stored_tree(sent):
+    """The profile tree of a configuration after a round trip through JSON, or the problems with it."""
     parsed = parse_object(sent if isinstance(sent, bytes) else json.dumps(sent).encode())
     found = parsed.bind(parse_settings).bind(check_tree)
     return json.loads(json.dumps(found.ok, sort_keys=True)) if found.is_ok() else found.error
 
 
-class Reading(TestCase):
+class Translation(TestCase):
     def test_a_route_as_a_profile(self):
         rows = [
             (
@@ -89,11 +91,11 @@
             (route(hostname="N.example", pathStart="/"), {"host": "N.example", "prefix": "/"}),
         ]
         for row, wanted in rows:
-            profile = ProfileTree(taken(settings([row]))["profiles"]).get("route/r-a")
+            profile = ProfileTree(stored_tree(settings([row]))["profiles"]).get("route/r-a")
             self.assertThat({name: getattr(profile, name) for name in wanted}, Equals(wanted))
 
     def test_shares_go_to_services(self):
-        tree = ProfileTree(taken(SETTINGS)["profiles"])
+        tree = ProfileTree(stored_tree(SETTINGS)["profiles"])
         found = tree.route("nony24.example", "/lohu930/x")
         self.assertThat(
             [found.choose_labels(number) for number in (0.1, 0.95)],
@@ -103,10 +105,10 @@
         zero_first = route(
             shares=[{"backend": "jo", "share": 0}, {"backend": "huvo11a", "share": 5}]
         )
-        tree = ProfileTree(taken(settings([zero_first], SETTINGS["backends"]))["profiles"])
+        tree = ProfileTree(stored_tree(settings([zero_first], SETTINGS["backends"]))["profiles"])
         self.assertThat(tree.ancestry("route/r-a"), Equals(["route/r-a", "service/huvo11a"]))
 
-    def test_names_of_any_kind_stay_apart(self):
+    def test_different_names_stay_different(self):
         names = [
             "a",
             "A",
@@ -132,14 +134,14 @@
             for index, name in enumerate(names)
         ]
         sent = settings(routes, services)
-        tree = taken(sent)
+        tree = stored_tree(sent)
         self.assertThat(json.loads(sent_configuration(tree)), Equals(sent))
         for index, name in enumerate(names):
             found = ProfileTree(tree["profiles"]).route("nony24.example", f"/{index}/")
             self.assertThat(found.labels, Equals({service_name(name)}))
 
-    def test_shown_as_it_was_sent(self):
-        odd = {
+    def test_restored_as_it_was_sent(self):
+        unusual = {
             **SETTINGS,
             "extra": {"deep": [1, None, 1.5, "ä", {"x": None}]},
             "note": None,
@@ -150,7 +152,7 @@
         }
         for sent in (
             SETTINGS,
-            odd,
+            unusual,
             settings(),
             settings(backends=[]),
             settings(limits={}),
@@ -159,11 +161,11 @@
                 [route(name=f"r{index}", pathStart=f"/{index}/") for index in (3, 1, 2, 10, 0)]
             ),
         ):
-            self.assertThat(json.loads(sent_configuration(taken(sent))), Equals(sent))
+            self.assertThat(json.loads(sent_configuration(stored_tree(sent))), Equals(sent))
 
     def test_limits(self):
         self.assertThat(
-            taken(SETTINGS)["about"]["limits"],
+            stored_tree(SETTINGS)["about"]["limits"],
             Equals(
                 {
                     "header_bytes": 16384,
@@ -175,11 +177,11 @@
         )
 
     def test_every_kind_of_invalid_configuration(self):
-        whole = json.dumps(SETTINGS).encode()
+        complete = json.dumps(SETTINGS).encode()
         two = [route(), route(name="other")]
         rows = [
-            ("cut_short", whole[:-1]),
-            ("cut_short", whole[: len(whole) // 2]),
+            ("cut_short", complete[:-1]),
+            ("cut_short", complete[: len(complete) // 2]),
             ("cut_short", b""),
             ("cut_short", b"[]"),
             ("cut_short", b"\xff\xfe"),
@@ -274,20 +276,20 @@
             ("shared_key", settings(backends=[SERVICE, SERVICE])),
         ]
         for kind, sent in rows:
-            found = taken(sent)
+            found = stored_tree(sent)
             self.assertThat(found, IsInstance(list), (kind, str(sent)[:200]))
             self.assertThat(sorted(found[0]), Equals(["at", "message"]))
 
 
 class Patching(TestCase):
     def patched(self, sent, tree=SETTINGS):
-        found = apply_patch(taken(tree), sent).bind(check_tree)
+        found = apply_patch(stored_tree(tree), sent).bind(check_tree)
         return json.loads(sent_configuration(found.ok)) if found.is_ok() else found.error
 
-    def test_rows_are_replaced_in_their_place_added_at_the_end_and_removed(self):
+    def test_items_are_replaced_in_place_appended_and_removed(self):
         first, second = SETTINGS["routes"]
-        fresh = {**second, "name": "new", "pathStart": "/new/"}
-        slow = {**SERVICE, "maxConns": 3}
+        added = {**second, "name": "new", "pathStart": "/new/"}
+        replaced = {**SERVICE, "maxConns": 3}
         rows = [
             (
                 {"revision": 9, "upsert": {"routes": [{**first, "tries": 5}]}},
@@ -296,10 +298,10 @@
             (
                 {
                     "revision": 9,
-                    "upsert": {"routes": [fresh, {**second, "tries": 1}]},
+                    "upsert": {"routes": [added, {**second, "tries": 1}]},
                     "remove": {"routes": ["r-a", "none"]},
                 },
-                {"routes": [{**second, "tries": 1}, fresh]},
+                {"routes": [{**second, "tries": 1}, added]},
             ),
             (
                 {
@@ -309,8 +311,8 @@
                 {"routes": [], "backends": []},
             ),
             (
-                {"revision": 9, "upsert": {"backends": [slow]}},
-                {"backends": [slow, SETTINGS["backends"][1]]},
+                {"revision": 9, "upsert": {"backends": [replaced]}},
+                {"backends": [replaced, SETTINGS["backends"][1]]},
             ),
             (
                 {"revision": 9, "limits": {"idleMs": 1}, "upsert": None, "remove": {}},
@@ -326,7 +328,7 @@
             Equals(settings(revision=1)),
         )
 
-    def test_patches_on_nothing(self):
+    def test_a_patch_of_an_empty_configuration(self):
         found = apply_patch({}, {"revision": 1, "upsert": {"backends": [SERVICE]}}).bind(check_tree)
         self.assertThat(
             json.loads(sent_configuration(found.ok)),
@@ -353,7 +355,7 @@
 
 
 class Digests(TestCase):
-    def test_same_content_same_name(self):
+    def test_equal_changes_have_equal_digests(self):
         shuffled = dict(reversed(SETTINGS.items()))
         rows = [
             ("PUT", 0, shuffled, True),
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -1,5 +1,8 @@
-"""The platform's operator at a simulated fleet: configurations taken once, races, doubt, cuts, full restarts,
-and stores that are to be emptied.
+"""The platform's calls for operators, on a simulated fleet.
+
+Two changes based on the same revision must never both be acknowledged, whatever nodes crash, freeze or are
+cut off meanwhile. An acknowledged change is in force on the live edges, and survives the loss of power
+on all machines. A retired store leaves the log, and stays retired when it returns with an empty disk.
 """
 
 import asyncio
@@ -29,7 +32,7 @@
         )
 
     def test_every_call_and_its_response(self):
-        """(method, base, what, its status); each on the state that the rows before it left."""
+        """The rows are (method, base revision, body, status); each follows on the state of those before."""
         patch = {"revision": 12, "upsert": {"routes": [{**ROUTE, "tries": 9}]}}
         rows = [
             ("GET", None, None, 404),
@@ -82,7 +85,7 @@
 
         self.run_test(body)
 
-    def test_acknowledged_once_the_edges_have_it(self):
+    def test_a_change_is_acknowledged_once_the_edges_have_it(self):
         async def body(platform):
             for base, revision in ((0, 3), (3, 8), (8, 9)):
                 response = await platform.put("control2", base, revised(revision))
@@ -92,42 +95,50 @@
 
         self.run_test(body)
 
-    def test_two_on_one_base_one_wins_and_the_other_never_takes_effect(self):
+    def test_of_two_changes_with_one_base_revision_only_one_ever_takes_effect(self):
         async def body(platform):
             rng = random.Random(5)
             base = 0
-            for turn in range(12):
+            for round_number in range(12):
                 names = rng.sample(["control1", "control2", "control3", "control4", "control5"], 2)
-                sent = [revised(base + 2 + index, note=f"{turn}-{index}") for index in range(2)]
+                sent = [
+                    revised(base + 2 + index, note=f"{round_number}-{index}") for index in range(2)
+                ]
                 tasks = [
-                    platform.start(name, "PUT", "/vaneledge/settings", one, {"If-Match": str(base)})
-                    for name, one in zip(names, sent, strict=True)
+                    platform.start(
+                        name, "PUT", "/vaneledge/settings", settings, {"If-Match": str(base)}
+                    )
+                    for name, settings in zip(names, sent, strict=True)
                 ]
                 responses = await platform.finish(*tasks)
                 self.assertThat(
                     sorted(row[0] for row in responses), Equals([200, 412]), str(responses)
                 )
                 won = [row[0] for row in responses].index(200)
-                again = [await platform.put(rng.choice(names), base, one) for one in sent]
-                self.assertThat([row[0] for row in again], Equals([row[0] for row in responses]))
+                retries = [
+                    await platform.put(rng.choice(names), base, settings) for settings in sent
+                ]
+                self.assertThat([row[0] for row in retries], Equals([row[0] for row in responses]))
                 self.assertThat((await platform.shown(names[0]))[1], Equals(sent[won]))
                 base = sent[won]["revision"]
 
         self.run_test(body)
 
-    def test_races_under_faults_never_acknowledge_both(self):
-        """Owners are killed, cut off and frozen while two send at once; each repeats until it has a clear answer."""
+    def test_concurrent_changes_under_faults_are_never_both_acknowledged(self):
+        """Control nodes are killed, frozen or cut off while two callers each retry until the result is known."""
 
-        async def one(seed):
+        async def race(seed):
             platform = Platform(seed=seed)
             rng = random.Random(seed)
             base, hosts = 0, platform.fleet.with_role("control")
-            for turn in range(3):
-                sent = [revised(base + 3 + index, note=f"{turn}-{index}") for index in range(2)]
-                clear: dict[int, int] = {}
-                struck = rng.choice(hosts)
+            for round_number in range(3):
+                sent = [
+                    revised(base + 3 + index, note=f"{round_number}-{index}") for index in range(2)
+                ]
+                known: dict[int, int] = {}
+                faulty = rng.choice(hosts)
                 for attempt in range(14):
-                    open_calls = [index for index in range(2) if index not in clear]
+                    open_calls = [index for index in range(2) if index not in known]
                     tasks = [
                         platform.start(
                             rng.choice(
@@ -142,23 +153,23 @@
                     ]
                     if attempt == 0:
                         platform.run(rng.randrange(30))
-                        blow = rng.choice(("kill", "freeze", "cut"))
+                        fault = rng.choice(("kill", "freeze", "cut"))
                         {
-                            "kill": struck.kill,
-                            "freeze": struck.freeze,
-                            "cut": partial(platform.fleet.network.isolate, struck.address),
-                        }[blow]()
+                            "kill": faulty.kill,
+                            "freeze": faulty.freeze,
+                            "cut": partial(platform.fleet.network.isolate, faulty.address),
+                        }[fault]()
                     for index, response in zip(
                         open_calls, await platform.finish(*tasks, wait_ms=1000), strict=True
                     ):
                         if response is not None and response[0] != 503:
-                            clear[index] = response[0]
+                            known[index] = response[0]
                     if attempt == 5:
                         platform.fleet.network.heal()
-                        struck.wake() if struck.frozen else None if struck.up else struck.start()
+                        faulty.wake() if faulty.frozen else None if faulty.up else faulty.start()
                     platform.run(300)
-                self.assertThat(sorted(clear.values()), Equals([200, 412]), f"seed {seed}: {clear}")
-                won = next(index for index, status in clear.items() if status == 200)
+                self.assertThat(sorted(known.values()), Equals([200, 412]), f"seed {seed}: {known}")
+                won = next(index for index, status in known.items() if status == 200)
                 platform.run(1500)
                 for host in hosts:
                     self.assertThat(
@@ -169,19 +180,19 @@
                 base = sent[won]["revision"]
 
         for seed in range(1, 5):
-            asyncio.run(one(seed))
+            asyncio.run(race(seed))
 
-    def test_a_minority_answers_at_once_and_changes_nothing(self):
+    def test_a_minority_refuses_calls_and_its_changes_never_take_effect(self):
         async def body(platform):
             self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
-            cut = [platform.fleet.hosts[name].address for name in ("control1", "control2")]
+            minority = [platform.fleet.hosts[name].address for name in ("control1", "control2")]
             platform.fleet.network.split(
                 [
-                    cut,
+                    minority,
                     [
                         host.address
                         for host in platform.fleet.hosts.values()
-                        if host.address not in cut
+                        if host.address not in minority
                     ],
                 ]
             )
@@ -212,7 +223,7 @@
 
         self.run_test(body)
 
-    def test_settings_survive_power_loss_everywhere(self):
+    def test_settings_survive_a_power_loss_of_all_machines(self):
         async def body(platform):
             self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
             hosts = list(platform.fleet.hosts.values())
@@ -255,15 +266,16 @@
     async def call(self, platform, method, host, name, **more):
         return await platform.ask(host, method, f"/vaneledge/retire/{name}", {"overS": 10}, **more)
 
-    def settled(self, platform):
+    def log_is_complete(self, platform):
         log = platform.fleet.hosts["control1"].node.config_feed.value("log")
         return bool(log) and len(log["members"]) == 3 and platform.fleet.leader() is not None
 
-    def test_a_store_is_retired_once_it_is_out_of_the_log(self):
+    def test_a_store_is_retired_once_it_has_left_the_log(self):
         async def run():
             platform = Platform(edges=1)
             self.assertThat(
-                platform.fleet.run_until_true(lambda: self.settled(platform), 20000), Equals(True)
+                platform.fleet.run_until_true(lambda: self.log_is_complete(platform), 20000),
+                Equals(True),
             )
             name = platform.fleet.leader().address
             for method, asked, status in (
@@ -314,7 +326,8 @@
         async def run():
             platform = Platform(edges=0)
             self.assertThat(
-                platform.fleet.run_until_true(lambda: self.settled(platform), 20000), Equals(True)
+                platform.fleet.run_until_true(lambda: self.log_is_complete(platform), 20000),
+                Equals(True),
             )
             platform.fleet.add("store", "fresh")
             platform.run(1000)
--- a/tests/test_settings_file.py
+++ b/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file in our settings' words: a table of what is said and what comes of it."""
+"""Translation of the platform's settings file into vaneledge's settings, and reports of its problems."""
 
 import tempfile
 import textwrap
@@ -41,12 +41,12 @@
 
 class TestSettingsFile(testtools.TestCase):
     def _load(self, text: str, role: str = "store"):
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as page:
-            page.write(text)
-            page.flush()
-            return load_node_config(role, page.name)
+        with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
+            file.write(text)
+            file.flush()
+            return load_node_config(role, file.name)
 
-    def test_the_settings_of_the_product(self) -> None:
+    def test_values_are_translated(self) -> None:
         config = self._load(_FILE).ok
         for name, value in {
             "link": "10.1.0.12:7720",
@@ -70,16 +70,16 @@
         self.assertThat(config.node_name, Equals("storage-a-1"))
 
     def test_every_problem_is_reported(self) -> None:
-        for text, told in (
+        for text, reported in (
             ("nodeName = 3 [", "line"),
             (_FILE.replace("seedNodes", "other"), "seedNodes is missing"),
             (_FILE.replace('ip = "10.1.0.12"', 'ip = "here"'), "link"),
         ):
             loaded = self._load(text)
-            self.assertThat(loaded.is_error(), Equals(True), told)
-            self.assertThat(" ".join(loaded.error), Contains(told))
+            self.assertThat(loaded.is_error(), Equals(True), reported)
+            self.assertThat(" ".join(loaded.error), Contains(reported))
 
-    def test_no_file(self) -> None:
+    def test_a_missing_file_is_an_error(self) -> None:
         self.assertThat(
             load_node_config("edge", str(Path("/nowhere/at/all.toml"))).is_error(), Equals(True)
         )
