--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,8 @@
-"""docs/architecture.md kept true: every package has a row, and imports only packages of rows above its own."""
+"""Checks docs/architecture.md against the code.
+
+Every package has a row in the table and imports only packages in the rows above its own, and the
+modules that the page names exist.
+"""
 
 import ast
 import re
@@ -11,7 +15,7 @@
 
 
 def layers():
-    """Packages in the order of the table under `## Packages`."""
+    """The packages in the order of the table under `## Packages`."""
     table = (ROOT / "docs" / "architecture.md").read_text().split("## Packages")[1]
     return re.findall(r"^\| `(\w+)` \|", table, re.MULTILINE)
 
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""The deploy file's list of system packages against what the build, CI and the README call."""
+"""The deploy file's list of system packages covers the programs that the build and the README call."""
 
 import re
 import tomllib
@@ -8,8 +8,8 @@
 from testtools.matchers import Contains, Equals
 
 ROOT = Path(__file__).parent.parent
-# Debian packages that bring a program or a module of `python3 -m`. Programs of essential
-# packages (bash, coreutils) are on every machine.
+# Debian packages that provide a program or a module of `python3 -m`. Programs of essential packages
+# (bash, coreutils) are installed on every machine.
 PROVIDED_BY = {
     "python3": "python3",
     "python3 -m pip": "python3-pip",
@@ -19,7 +19,7 @@
 
 
 def programs_called(script: str) -> set[str]:
-    """Names of programs at the start of a command in a shell script, with the module for python."""
+    """The programs that a shell script calls; for python3 -m also the module."""
     called = set()
     for command in re.split(r"\|\||&&|[;{}\n]", script):
         words = command.split()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Runs the worked examples of docs/interfaces.md, and checks that the README's commands exist."""
+"""Runs the examples in docs/interfaces.md, and checks that the commands in the README and docs exist."""
 
 import asyncio
 import json
@@ -16,37 +16,41 @@
 
 
 def examples():
+    """The examples: method, role, path, headers, JSON body, and the expected status and JSON value."""
     text = (ROOT / "docs" / "interfaces.md").read_text()
     for block in re.findall(r"```example\n(.*?)```", text, re.DOTALL):
-        asked, _, answer = block.partition("=> ")
-        lines = asked.strip().splitlines()
-        method, role, address = lines[0].split()
+        request, _, response = block.partition("=> ")
+        lines = request.strip().splitlines()
+        method, role, path = lines[0].split()
         headers = dict(
             line.split(": ", 1) for line in lines[1:] if re.match(r"^[A-Z][A-Za-z-]+: ", line)
         )
         body = "\n".join(lines[1 + len(headers) :])
-        status, _, wanted = answer.strip().partition(" ")
+        status, _, expected = response.strip().partition(" ")
         yield (
             method,
             role,
-            address,
+            path,
             headers,
             json.loads(body) if body else None,
             int(status),
-            json.loads(wanted),
+            json.loads(expected),
         )
 
 
-def lacks(seen, wanted):
-    if isinstance(wanted, dict):
+def differences(actual, expected):
+    """The differences of a JSON value from the expected one; further members of objects are allowed."""
+    if isinstance(expected, dict):
         return [
             f"{key}.{rest}"
-            for key, value in wanted.items()
+            for key, value in expected.items()
             for rest in (
-                lacks(seen[key], value) if isinstance(seen, dict) and key in seen else ["missing"]
+                differences(actual[key], value)
+                if isinstance(actual, dict) and key in actual
+                else ["missing"]
             )
         ]
-    return [] if seen == wanted else [f"{seen!r} is not {wanted!r}"]
+    return [] if actual == expected else [f"{actual!r} is not {expected!r}"]
 
 
 MODULES = {
@@ -69,19 +73,19 @@
                         "control and stores are ready",
                     )
                     count = 0
-                    for method, role, address, headers, body, status, wanted in examples():
+                    for method, role, path, headers, body, status, expected in examples():
                         if role == "edge":
                             await until(
                                 lambda: fleet.all_ready(("edge",)), 10000, "the edge is ready"
                             )
                             await fleet.workers_known(1)
-                        seen, answer = await fleet.ask(
-                            method, fleet.with_role(role)[0].http, address, body, headers
+                        actual_status, value = await fleet.ask(
+                            method, fleet.with_role(role)[0].http, path, body, headers
                         )
                         self.assertThat(
-                            (seen, lacks(answer, wanted)),
+                            (actual_status, differences(value, expected)),
                             Equals((status, [])),
-                            f"{method} {address}: {answer}",
+                            f"{method} {path}: {value}",
                         )
                         count += 1
                     self.assertThat(count > 20, Equals(True))
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,7 +1,8 @@
-"""docs/glossary.md held against the code: withdrawn words are found in no public name of the packages that are whole.
+"""Checks the code against docs/glossary.md: no public name of a finished package has a withdrawn word.
 
-A public name is that of a module, class, function, method, property, constant or public attribute. Names that the outside sees
-(settings, fields of pydantic bodies) keep their form and stand in KEPT with their reason.
+Public names are those of modules, classes, functions, methods, properties, constants and public
+attributes. Names that leave the process (settings, fields of pydantic bodies) may not change; they are
+listed in KEPT with the reason.
 """
 
 import ast
@@ -54,7 +55,7 @@
     ]
 )
 
-# Packages that still use some of these words, for a later session; this set only gets smaller.
+# Packages that still use some of these words. No package may be added.
 NOT_YET = frozenset({"platform_testbed", "testbed"})
 
 KEPT = {
