--- a/libs/messaging/src/messaging/envelope.py
+++ b/libs/messaging/src/messaging/envelope.py
@@ -31,10 +31,12 @@
 
 
 class FrameTooLongError(ValueError):
-    """The announced length of a frame exceeds the limit."""
+    """The announced length of a frame exceeds the limit; no node sends frames that long."""
 
     def __init__(self, size_bytes: int) -> None:
-        super().__init__(f"frame of {size_bytes} bytes exceeds the limit of {_MAX_FRAME_BYTES}")
+        super().__init__(
+            f"frame of {size_bytes} bytes is over the limit of {_MAX_FRAME_BYTES} bytes"
+        )
         self.size_bytes = size_bytes
 
 
--- a/libs/messaging/src/messaging/node_runner.py
+++ b/libs/messaging/src/messaging/node_runner.py
@@ -39,7 +39,7 @@
         return boot_ms()
 
     def wall(self) -> int:
-        """Return the time of day in milliseconds since the Unix epoch."""
+        """Return the wall-clock time in milliseconds since the Unix epoch."""
         return wall_ms()
 
     def token(self) -> str:
@@ -74,8 +74,8 @@
 class NodeRunner(Service):
     """Runs a node: delivers its messages and calls its `tick` at regular intervals.
 
-    `worst_tick_ms` is the longest duration of a tick so far. An error in a tick is logged and ends
-    the service.
+    `worst_tick_ms` is the longest duration of a tick so far. An error in a tick is logged and
+    crashes the service.
     """
 
     def __init__(
