--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -1,7 +1,7 @@
-"""The data plane's command line: serve, and a client's commands.
+"""The data plane's command line: run a node, or make a client's requests.
 
-Responses go to standard output as JSON, refusals to standard error with exit code 1, wrong
-settings with exit code 2.
+The body of a successful response goes to standard output. Refusals and connection errors go to
+standard error with exit code 1; invalid settings and unreadable input files give exit code 2.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 
 app = App(
     name="vaneledge-data",
-    help="vaneledge's data plane: edges, stores and a client's commands.",
+    help="vaneledge's data plane: run an edge or a store, or make requests as a client.",
 )
-job = App(name="lot", help="Hand in, follow, read and end lots.")
-rollout = App(name="rollout", help="Hand in, follow, read and end training rollouts.")
+job = App(name="lot", help="Submit, follow, read and cancel batch jobs (lots).")
+rollout = App(name="rollout", help="Submit, follow, read and cancel training rollouts.")
 app.command(job)
 app.command(rollout)
 
@@ -45,7 +45,7 @@
     control_count: int | None,
     log_level: str | None,
 ) -> dict[str, Any]:
-    """Return the flags of serve under the names of their settings; None is a flag not given."""
+    """Return the flags of `serve` by the names of their settings; None for a flag not given."""
     return {
         "link": link,
         "http": http,
@@ -74,15 +74,24 @@
 
     Parameters
     ----------
-    role: edge or store.
-    settings: a TOML file; flags win over it, and SIGHUP reads it again.
-    link: address for the fleet's own messages, IP:PORT.
-    http: address for clients, workers and operators, IP:PORT.
-    zone: the zone this machine is in.
-    seed: link address of another process; up to three times.
-    data_folder: where files live.
-    control_count: how many control machines found the fleet.
-    log_level: DEBUG, INFO, WARNING or ERROR.
+    role
+        edge or store.
+    settings
+        a TOML file; flags take precedence over it, and SIGHUP rereads it.
+    link
+        address for messages between the fleet's nodes, IP:PORT.
+    http
+        address for clients, workers and operators, IP:PORT.
+    zone
+        the zone of this machine.
+    seed
+        link address of another node to join through; may be given up to three times.
+    data_folder
+        folder of the node's files.
+    control_count
+        how many control nodes bootstrap the fleet.
+    log_level
+        DEBUG, INFO, WARNING or ERROR.
     """
     flags = {
         **serve_flags(link, http, zone, seed, data_folder, control_count, log_level),
@@ -109,7 +118,10 @@
 def request_and_print(
     method: str, server: str, address: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> None:
-    """Make one request of an edge and print the response; raises SystemExit(1) for a refusal."""
+    """Send one request to a server and print the response.
+
+    Raises SystemExit(1) for a response with status 400 or above, and if the request fails.
+    """
     try:
         exit_code = asyncio.run(_request(method, f"http://{server}{address}", body, headers))
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
@@ -120,7 +132,10 @@
 
 
 def read_json(path: str) -> Any:
-    """Return the JSON value of a file, or of standard input for "-"; raises SystemExit(2)."""
+    """Return the JSON value of a file, or of standard input for "-".
+
+    Raises SystemExit(2), with the error on standard error, if it can't be read or parsed.
+    """
     try:
         return json.loads(sys.stdin.read() if path == "-" else Path(path).read_text())
     except (OSError, ValueError) as error:
@@ -132,14 +147,18 @@
 def complete(
     prompt: str, *, server: Server, profile: str, stream: bool = False, key: str = ""
 ) -> None:
-    """Ask for one live completion.
+    """Request one live completion.
 
     Parameters
     ----------
-    prompt: the prompt's text.
-    profile: the profile that names the path.
-    stream: show the answer's events as they come.
-    key: an Idempotency-Key, for paths that are not safe to repeat.
+    prompt
+        text of the prompt.
+    profile
+        profile to use, sent as the request's model.
+    stream
+        print the events of the response as they arrive.
+    key
+        Idempotency-Key, for profiles whose requests are not safe to repeat.
     """
     request_and_print(
         "POST",
@@ -158,20 +177,25 @@
     seed: int = 1,
     check: bool = False,
 ) -> None:
-    """Play recorded days against a fleet and compare outcomes and times.
+    """Replay recorded calls against a fleet and compare outcomes and durations.
 
-    Exit code 1: some differ; 2: a bad recording.
+    Exit code 1: some outcomes differ; 2: a recording is damaged or incomplete.
 
     Parameters
     ----------
-    files: recordings, as edges with the setting record_folder write them.
-    server: an edge's HTTP address; may be given several times.
-    pace: 2 plays a day in half the time.
-    seed: names the run; keys and lot ids carry it, so each run needs its own.
-    check: only look whether the recordings are whole.
+    files
+        recordings, written by edges that have the setting record_folder.
+    server
+        HTTP address of an edge; may be given several times, one is drawn for each call.
+    pace
+        replay speed; 2 replays a recording in half its time.
+    seed
+        seed of the draws, also a suffix of keys and lot ids; use a new one for each run.
+    check
+        only check that the recordings are complete, without making calls.
     """
     calls: list[dict[str, Any]] = []
-    problems = [] if files and pace > 0 else ["wanted: files, and a pace above nought"]
+    problems = [] if files and pace > 0 else ["replay needs at least one file and a pace above 0"]
     for path in files:
         recording = load_recording(path)
         calls += recording.calls
@@ -181,7 +205,7 @@
     if problems:
         raise SystemExit(2)
     if check or not calls:
-        sys.stdout.write(f"{len(calls)} calls, all whole\n")
+        sys.stdout.write(f"{len(calls)} calls; the recordings are complete\n")
         return
     report, differing = compare(asyncio.run(play(calls, server, pace, seed)))
     sys.stdout.write(report + "\n")
@@ -191,52 +215,52 @@
 
 @job.command(name="hand-in")
 def submit_job(job_id: str, file: str, *, server: Server) -> None:
-    """Hand in a lot from a JSON file with path, items and due_ms; - reads standard input."""
+    """Submit a lot from a JSON file with path, items and due_ms; - reads standard input."""
     request_and_print("PUT", server, f"/lots/{job_id}", read_json(file))
 
 
 @job.command(name="show")
 def show_job(job_id: str, *, server: Server) -> None:
-    """Show how far a lot is."""
+    """Show a lot's progress."""
     request_and_print("GET", server, f"/lots/{job_id}")
 
 
 @job.command(name="results")
 def list_results(job_id: str, *, server: Server, start: int = 0) -> None:
-    """List a lot's results from a place on."""
+    """List a lot's results, from index START on."""
     request_and_print("GET", server, f"/lots/{job_id}/results?from={start}")
 
 
 @job.command(name="end")
 def cancel_job(job_id: str, *, server: Server) -> None:
-    """End a lot: nothing of it runs any more within about three seconds."""
+    """Cancel a lot; its items stop running within about three seconds."""
     request_and_print("DELETE", server, f"/lots/{job_id}")
 
 
 @rollout.command(name="hand-in")
 def submit_rollout(rollout_id: str, file: str, *, server: Server) -> None:
-    """Hand in a rollout from a JSON file; - reads standard input.
+    """Submit a rollout from a JSON file; - reads standard input.
 
-    The file has path, weights, samples, prompts and perhaps due_ms.
+    The file has path and prompts, and optionally weights, samples and due_ms.
     """
     request_and_print("PUT", server, f"/rollouts/{rollout_id}", read_json(file))
 
 
 @rollout.command(name="show")
 def show_rollout(rollout_id: str, *, server: Server) -> None:
-    """Show how far a rollout is."""
+    """Show a rollout's progress."""
     request_and_print("GET", server, f"/rollouts/{rollout_id}")
 
 
 @rollout.command(name="results")
 def list_rollout_samples(rollout_id: str, *, server: Server, start: int = 0) -> None:
-    """List a rollout's samples from a place on."""
+    """List a rollout's samples, from index START on."""
     request_and_print("GET", server, f"/rollouts/{rollout_id}/results?from={start}")
 
 
 @rollout.command(name="end")
 def cancel_rollout(rollout_id: str, *, server: Server) -> None:
-    """End a rollout: what is listed stays, nothing more of it runs."""
+    """Cancel a rollout; samples already listed stay readable, and no more of it runs."""
     request_and_print("DELETE", server, f"/rollouts/{rollout_id}")
 
 
