--- a/libs/data_plane/src/data_plane/control_keys.py
+++ b/libs/data_plane/src/data_plane/control_keys.py
@@ -1,4 +1,4 @@
-"""The names of the control keys, whose values the configuration feed carries to all nodes."""
+"""Names of the control keys, whose values the configuration feed distributes to all nodes."""
 
 __all__ = ["CONTROL_KEY", "LOG_KEY", "PROFILES_KEY", "RETIRED_KEY", "WORKERS_KEY"]
 
--- a/libs/data_plane/src/data_plane/data_folder.py
+++ b/libs/data_plane/src/data_plane/data_folder.py
@@ -1,4 +1,4 @@
-"""Opening a node's data folder, which may be damaged."""
+"""Opens a node's data folder, and quarantines damaged files."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -14,12 +14,18 @@
 def open_or_quarantine(
     env: Environment, disk: Any, open_content: Callable[[], ContentT]
 ) -> ContentT:
-    """Return what `open_content` reads from the disk; a damaged folder is quarantined first.
-
-    `disk` is a Disk that can quarantine its files (`quarantine`).
-
-    The node then goes on as a new, empty identity, which the others bring up to date before it
-    counts for anything.
+    """Return the content that `open_content` reads from the disk.
+
+    If it raises DamageError, all files are moved into quarantine and it is called again on the
+    empty disk. The node then has a new identity without content; the other nodes bring it up to
+    date before it counts as a member.
+
+    Parameters
+    ----------
+    disk
+        The disk that `open_content` reads; its `quarantine` method moves the files aside.
+    open_content
+        Opens the content, or creates it on an empty disk.
     """
     try:
         return open_content()
--- a/libs/data_plane/src/data_plane/data_node.py
+++ b/libs/data_plane/src/data_plane/data_node.py
@@ -1,4 +1,4 @@
-"""What storage nodes and edges share: membership, the configuration feed, the profiles in force."""
+"""Base class of edges and storage nodes: membership, configuration feed, profiles in force."""
 
 from config_feed import ConfigFeed, digest_target_candidates
 from control_store import ProfileTree, profiles_digest
@@ -12,10 +12,10 @@
 
 
 class DataNode(Node):
-    """A node of the data plane before its own components.
+    """A node of the data plane, with the components that edges and storage nodes share.
 
-    `profile_tree_digest` is the digest of the profiles in force, as of the last call of
-    `profile_tree`.
+    `profile_tree_digest` is the digest of the profiles that the last call of `profile_tree`
+    returned; it is empty before the feed has any.
     """
 
     __slots__ = (
@@ -28,7 +28,10 @@
     )
 
     def _make_shared_components(self, env: Environment, settings: Settings, identity: str) -> None:
-        """Make the components that all data-plane nodes have; called first in `__init__`."""
+        """Create the shared components.
+
+        A subclass calls it in `__init__` before it creates its own components.
+        """
         self.env, self.settings = env, settings
         self._started_ms = env.now()
         self.membership = Membership(identity)
@@ -46,7 +49,10 @@
         self.profile_tree_digest = ""
 
     def _control_addresses(self) -> list[str]:
-        """Return the voters' addresses, or while they aren't known those of all control nodes."""
+        """Return the addresses of the voters.
+
+        While the feed has no list of voters, these are the addresses of the known control nodes.
+        """
         value = self.config_feed.value(CONTROL_KEY)
         if value:
             return [row["address"] for row in value["voters"]]
@@ -56,7 +62,7 @@
         ]
 
     def profile_tree(self) -> ProfileTree:
-        """Return the profiles in force, parsed again when the feed has newer ones."""
+        """Return the profiles in force; parses them again when the feed has a new version."""
         version = self.config_feed.version(PROFILES_KEY)
         if version != self._profile_tree_version:
             self._profile_tree = ProfileTree.from_body(self.config_feed.body(PROFILES_KEY))
--- a/libs/data_plane/src/data_plane/http_service.py
+++ b/libs/data_plane/src/data_plane/http_service.py
@@ -1,7 +1,8 @@
-"""What the HTTP servers of both programs share.
+"""HTTP server of the data plane's and the control plane's processes.
 
-Every error becomes a body with a verdict. There are the four paths that the platform and operators
-poll (ready, live, status, metrics), and the service that owns the listening socket.
+`HttpService` owns the listening socket and serves the four paths that the platform and operators
+poll: `/ready`, `/live`, `/status` and `/metrics`. Errors are answered with a JSON body that has a
+verdict.
 """
 
 import json
@@ -46,7 +47,7 @@
 
 
 def http_response(response: ServiceResponse[Any], request_id: str = "") -> web.Response:
-    """Return the HTTP response of a service's, with the request's id in a header if it has one."""
+    """Return a service's response as an HTTP response; a header has the request's id, if any."""
     if response.refusal is not None:
         return refusal_response(response.refusal, request_id)
     headers = {
@@ -62,7 +63,7 @@
 
 
 def refusal_response(refusal: Refusal, request_id: str = "") -> web.Response:
-    """Return the response of a refusal; Retry-After is in whole seconds, rounded up."""
+    """Return a refusal as an HTTP response; Retry-After is in whole seconds, rounded up."""
     headers = {TRANSACTION_HEADER: request_id} if request_id else {}
     if refusal.retry_after_ms:
         headers["Retry-After"] = str(max(1, math.ceil(refusal.retry_after_ms / 1000)))
@@ -76,7 +77,7 @@
 async def read_json_body(
     request: web.Request, limit_bytes: int, model: type[BodyT]
 ) -> BodyT | Refusal:
-    """Return the body as the model says, or a refusal that names what is wrong."""
+    """Return the body, parsed and validated by `model`, or a refusal that names the error."""
     data = await _read_body(request, limit_bytes)
     if isinstance(data, Refusal):
         return data
@@ -96,7 +97,11 @@
 
 @web.middleware
 async def _errors_as_refusals(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Give every error a body with a verdict; one of the program itself is doubtful."""
+    """Answer errors with a refusal, which has a JSON body with a verdict.
+
+    An unexpected exception is logged and answered as doubtful, since the request may have taken
+    effect. Connection errors and time-outs are raised again.
+    """
     try:
         return await handler(request)
     except web.HTTPRequestEntityTooLarge:
@@ -116,10 +121,22 @@
 
 
 class HttpService(Service):
-    """The HTTP server of a process.
-
-    `why_unready`, `status` and `metrics` come from the process; others add their routes to `app`.
-    `limit_bytes` bounds a request's body.
+    """The HTTP server of a process; other modules add their routes to `app`.
+
+    Parameters
+    ----------
+    address
+        The address to listen at, IP:PORT.
+    limit_bytes
+        The largest request body that is accepted.
+    why_unready
+        Returns why the process is not ready, or an empty string; `/ready` answers with it.
+    status
+        Returns the body of `/status`.
+    metrics
+        Returns the process's metrics by name, which `/metrics` shows.
+    middlewares
+        aiohttp middlewares that wrap the error handling.
     """
 
     def __init__(
@@ -145,7 +162,7 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Listen at the address; raises OSError if that can't be done."""
+        """Listen at the address; raises OSError if it can't be bound."""
         self._runner = web.AppRunner(
             self.app, access_log=None, shutdown_timeout=_SHUTDOWN_S, handler_cancellation=True
         )
