--- a/libs/data_plane/src/data_plane/metrics.py
+++ b/libs/data_plane/src/data_plane/metrics.py
@@ -1,7 +1,7 @@
-"""A process's metrics, in the standard text format of Prometheus.
+"""A process's metrics in the Prometheus text format.
 
-They are the numbers that its role gives, with their type and a line of help, and histograms of how
-long clients' calls took by route.
+They are the counters and gauges of the process's role, each with a line of help, and a histogram of
+the durations of live completions by path and verdict.
 """
 
 from collections.abc import Callable, Iterator
@@ -12,38 +12,38 @@
 CONTENT_TYPE = "text/plain; version=0.0.4"
 _BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 10.0)
 HELP = {
-    "edge_sends": "sends to workers by kind, and those that failed",
-    "edge_steps": "last steps of requests by name",
-    "edge_ready": "1 while this edge takes clients",
-    "edge_live_now": "live calls in progress",
-    "edge_told": "responses that an edge itself gave clients of forwarded requests, by code",
-    "edge_connections_opened": "connections made to workers",
-    "edge_waiting_now": "live calls that wait for a slot",
-    "edge_items_now": "items of jobs in progress",
-    "edge_items_finished": "items of jobs that ran here",
-    "edge_samples_now": "slots in which samples of rollouts run",
-    "edge_samples_finished": "samples that ran here to their end",
-    "edge_samples_given_up": "samples cancelled in favour of something else",
-    "edge_loans_recalled": "times that all samples were cancelled since a job might have been late",
-    "edge_workers_lent": "workers that get no requests since they are leased to training",
-    "control_loans": "loans of whole workers by outcome",
-    "edge_workers": "workers that may be used now",
-    "store_asked": "requests of edges to the leader, by kind",
-    "store_last_seq": "the log's last record here",
-    "store_settled_seq": "the last record that is committed: flushed on enough disks",
-    "store_flushed_seq": "the last record that is flushed to this disk",
-    "store_epoch": "the highest epoch that this store has been fenced with",
-    "store_holds": "1 while this store leads the log",
-    "store_members_level": "members that have all committed records on disk, as the leader knows",
-    "store_copies_at_risk": "replicas of the log that are lacking until every member has caught up",
-    "store_open_lots": "jobs that are open",
-    "store_shelves": "archive files, with the results of jobs that have ended",
-    "control_epoch": "the epoch under which a control key was last owned here",
-    "control_quorate": "1 while a majority of voters is heard",
-    "control_voters_number": "the version of the list of voters",
-    "feed_place": "this node's position in the feed",
-    "feed_sent_bytes": "updates sent by this node",
-    "worst_tick_ms": "the longest that the node's own work held up its loop",
+    "edge_sends": "requests sent to workers, by kind, and those that failed",
+    "edge_steps": "requests that ended, by the kind of their last step",
+    "edge_ready": "1 while this edge is ready to serve clients, else 0",
+    "edge_live_now": "live completions in progress",
+    "edge_told": "responses to forwarded requests that the edge made itself, by code",
+    "edge_connections_opened": "connections opened to workers",
+    "edge_waiting_now": "live requests queued for a slot",
+    "edge_items_now": "batch items in progress",
+    "edge_items_finished": "batch items that ran here successfully",
+    "edge_samples_now": "rollout samples in progress, each in a slot of a worker",
+    "edge_samples_finished": "rollout samples that ran here to their end",
+    "edge_samples_given_up": "rollout samples preempted in favour of other work",
+    "edge_loans_recalled": "times that all samples were stopped because a job might have been late",
+    "edge_workers_lent": "workers that get no requests because they are leased to training",
+    "control_loans": "loans of whole workers, by the state that they came into",
+    "edge_workers": "usable workers that a profile in force allows",
+    "store_asked": "requests from edges to the log's leader, by kind",
+    "store_last_seq": "sequence number of the last record of the log on this store",
+    "store_settled_seq": "sequence number of the last committed record: flushed on enough disks",
+    "store_flushed_seq": "sequence number of the last record flushed to this store's disk",
+    "store_epoch": "highest epoch that this store has been fenced with",
+    "store_holds": "1 while this store leads the log, else 0",
+    "store_members_level": "caught-up members: all committed records on disk, as the leader knows",
+    "store_copies_at_risk": "members not caught up: replicas that the log lacks until they are",
+    "store_open_lots": "open batch jobs",
+    "store_shelves": "archive files, which hold the results of ended jobs",
+    "control_epoch": "epoch under which this control node last owned a control key",
+    "control_quorate": "1 while this voter hears a majority and is up to date, else 0",
+    "control_voters_number": "version of the list of voters",
+    "feed_place": "this node's position in the configuration feed: the sum of its versions",
+    "feed_sent_bytes": "bytes of configuration updates that this node sent",
+    "worst_tick_ms": "longest tick of the node since its start, in milliseconds",
 }
 
 
@@ -53,9 +53,15 @@
 
 
 class Metrics:
-    """Collects the numbers that `read` gives and the times of calls.
+    """Collects a process's metrics and the durations of its live completions.
 
-    The collecting library is imported when it is first needed, not at a process's start.
+    `prometheus_client` is imported at the first use, not at a process's start.
+
+    Parameters
+    ----------
+    read
+        Returns the present values by name, without the prefix `vaneledge_`. Names that end in
+        `_total` are counters, all others are gauges.
     """
 
     __slots__ = ("_durations", "_read", "_registry")
@@ -73,14 +79,14 @@
             self._registry.register(self)
             self._durations = Histogram(
                 "vaneledge_live_seconds",
-                "how long clients' live calls took, by path and verdict",
+                "durations of live completions in seconds, by path and verdict",
                 ["path", "verdict"],
                 registry=self._registry,
                 buckets=_BUCKETS_S,
             )
 
     def collect(self) -> Iterator[Any]:
-        """Yield the metric families, as the library's registry asks; `_total` marks a counter."""
+        """Yield the metric families; called by the registry of `prometheus_client`."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         for name, value in sorted(self._read().items()):
@@ -92,12 +98,12 @@
             )
 
     def observe_completion(self, path: str, verdict: str, seconds: float) -> None:
-        """Record how many seconds a live completion of this path took."""
+        """Record the duration of a live completion of this path."""
         self._ensure_registry()
         self._durations.labels(path, verdict).observe(seconds)
 
     def text(self) -> str:
-        """Return all metrics as text."""
+        """Return all metrics in the text format."""
         from prometheus_client import generate_latest
 
         self._ensure_registry()
