--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -1,7 +1,8 @@
-"""One process: settings, logs, signals, and the service that owns the node and its HTTP server.
+"""Runs a node in a process: settings, logs, signals, and the service that owns the node.
 
-SIGTERM makes it unready at once and lets it finish or hand over within the grace time. SIGHUP reads
-the settings again, applies what may change and logs what may not.
+On SIGTERM or SIGINT the process becomes unready at once, and finishes or hands over its work within
+`grace_ms`. On SIGHUP it rereads its settings, applies those that may change while it runs, and logs
+the names of the others that changed.
 """
 
 import asyncio
@@ -23,18 +24,18 @@
 
 Load = Callable[[], Result[Settings, list[str]]]
 
-# shares of grace_ms: the most that draining takes, and how often it looks
+# Shares of `grace_ms`: the longest that draining waits, and the interval between its checks.
 _DRAIN_SHARE = 0.8
 _POLL_SHARE = 0.02
-# the share of resume_ms after which the settings file is looked at again
+# The share of `resume_ms` after which the settings file is checked for changes again.
 _WATCH_SHARE = 0.1
 
 
 class NodeProcess(Service):
-    """What the programs' processes share; a role overrides make, busy, wind_down and apply.
+    """Base class of the processes of all roles.
 
-    `make_extra_services` returns services that are run beside the role's own; it is called once
-    they are made.
+    A role overrides `make`, and where it needs them `start_draining`, `busy`, `wind_down` and
+    `apply`. `make_extra_services` returns further services to run; it is called after `make`.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -51,11 +52,11 @@
         return ProcessEnvironment(self.settings.link)
 
     def make_transport(self, deliver: Any) -> LinkTransport:
-        """Return what sends and receives the fleet's messages; `deliver` gets them."""
+        """Return the transport of messages between nodes; received ones are passed to `deliver`."""
         return LinkTransport(self.settings.link, self.settings.request_timeout_ms, deliver)
 
     def open_disk(self) -> FolderDisk:
-        """Open the data folder; if a flush fails the process crashes."""
+        """Open the data folder; the process crashes after an input/output error on it."""
         loop = asyncio.get_running_loop()
 
         def run_on_loop(callback: Callable[[], None]) -> None:
@@ -67,19 +68,19 @@
         return self.disk
 
     def _disk_broken(self) -> None:
-        """Crash, as it is not known what the kernel still holds.
+        """Crash, since it is unknown which writes the kernel still holds after a failed one.
 
-        Others take over, and a restart reads the files anew.
+        Other nodes take over; after a restart the node reads what the files contain.
         """
         log("disk-broken", "ERROR", folder=self.settings.data_folder)
-        self.add_future(self.crash(OSError("a flush failed")))
+        self.add_future(self.crash(OSError("a write or flush to the data folder failed")))
 
     async def make(self) -> None:
-        """Make the node and its services; raises NotImplementedError unless a role overrides it."""
+        """Create the node and its services; each role overrides it."""
         raise NotImplementedError
 
     async def on_start(self) -> None:
-        """Make the node, and start its loop."""
+        """Create the node and its services, and start them."""
         await self.make()
         for service in self.make_extra_services():
             await self.add_runtime_dependency(service)
@@ -92,15 +93,15 @@
             self.disk.close()
 
     def busy(self) -> bool:
-        """Whether draining has to wait for something."""
+        """Whether draining has to wait for work in progress; a role overrides it."""
         return False
 
     def start_draining(self) -> None:
-        """Begin to drain; a role overrides it."""
+        """Become unready and begin to hand over; a role overrides it."""
         return
 
     def wind_down(self) -> None:
-        """Stop what draining has not finished; a role overrides it."""
+        """Stop the work that was not finished while draining; a role overrides it."""
         return
 
     def apply(self, settings: Settings) -> None:
@@ -110,7 +111,10 @@
             self.disk.capacity_bytes = settings.disk_bytes
 
     async def drain(self) -> None:
-        """Drain: wait while the process is busy, for at most a share of `grace_ms`."""
+        """Start draining, and wait until the process is no longer busy.
+
+        The wait is limited to a share of `grace_ms`; what still runs then is stopped.
+        """
         self.start_draining()
         end_at = asyncio.get_running_loop().time() + self.settings.grace_ms * _DRAIN_SHARE / 1000
         while self.busy() and asyncio.get_running_loop().time() < end_at:
@@ -120,7 +124,7 @@
 
 
 def settings_or_exit(loaded: Result[Any, list[str]]) -> Any:
-    """Return the settings; raises SystemExit(2) after printing what is wrong with them."""
+    """Return the settings; if they are invalid, print the problems and raise SystemExit(2)."""
     if loaded.is_error():
         for problem in loaded.error:
             sys.stderr.write(f"settings: {problem}\n")
@@ -129,9 +133,10 @@
 
 
 class _Supervisor:
-    """Runs a process until a signal or a crash; rereads its settings meanwhile.
+    """Runs a process until a signal or a crash, and rereads its settings meanwhile.
 
-    `load` reads the settings; `watched` is a file that may change without a signal, or empty.
+    `load` reads the settings. `watched` is the path of a file whose changes cause a reread without
+    a signal, or empty.
     """
 
     __slots__ = ("_load", "_process", "_stopping", "_watched")
@@ -151,7 +156,7 @@
         await self._process.start()
         settings = self._process.settings
         log("started", zone=settings.zone, http=settings.http)
-        await self._wait_for_the_end()
+        await self._wait_for_signal_or_crash()
         if self._stopping.is_set():
             log("draining")
             await self._process.drain()
@@ -161,8 +166,8 @@
         if failure is not None:
             raise SystemExit(1)
 
-    async def _wait_for_the_end(self) -> None:
-        """Wait for a signal to stop or a crash, and watch the settings meanwhile."""
+    async def _wait_for_signal_or_crash(self) -> None:
+        """Wait for SIGTERM, SIGINT or a crash, and watch the settings file meanwhile."""
         crashed = asyncio.ensure_future(self._process.wait_until_stopped())
         stopped = asyncio.ensure_future(self._stopping.wait())
         watching = asyncio.ensure_future(self._watch_settings()) if self._watched else None
@@ -171,7 +176,10 @@
             watching.cancel()
 
     def _reread_settings(self) -> None:
-        """Read the settings again, apply those that may change, and log those that may not."""
+        """Read the settings again, and apply the changed ones that don't need a restart.
+
+        If any setting is invalid, all are left as they were and the problems are logged.
+        """
         loaded = self._load()
         if loaded.is_error():
             log("settings-refused", "ERROR", problems=loaded.error)
@@ -182,7 +190,7 @@
         log("settings-reread", applied=applied, need_restart=need_restart)
 
     async def _watch_settings(self) -> None:
-        """Reread the settings whenever the file's time or size has changed."""
+        """Reread the settings whenever the file's modification time or size has changed."""
         interval_s = _WATCH_SHARE * self._process.settings.resume_ms / 1000
         seen = _file_stamp(self._watched)
         while True:
@@ -194,7 +202,7 @@
 
 
 def _file_stamp(path: str) -> tuple[int, int] | None:
-    """Return a file's time of change in nanoseconds and its size, or None if there is none."""
+    """Return a file's modification time in nanoseconds and its size, or None if it is missing."""
     try:
         status = os.stat(path)
     except OSError:
@@ -214,16 +222,30 @@
     path: str | None,
     flags: dict[str, Any],
 ) -> None:
-    """Run a process until SIGTERM, with settings from a TOML file and flags."""
+    """Run a process until SIGTERM or SIGINT; see `run_loaded` for its failures.
+
+    When the settings are reread, they come from the TOML file at `path`, if any, and from `flags`.
+    """
     run_loaded(make, settings, lambda: load_settings(path, flags))
 
 
 def run_loaded(
     make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str = ""
 ) -> None:
-    """Run a process until SIGTERM; raises SystemExit(1) if it can't start or has crashed.
-
-    `load` reads the settings again; `watched` is a file that may change without a signal.
+    """Run a process until SIGTERM or SIGINT.
+
+    Raises SystemExit(1) if the process can't start or has crashed.
+
+    Parameters
+    ----------
+    make
+        Returns the process for its settings.
+    settings
+        The settings to start with.
+    load
+        Reads the settings again.
+    watched
+        The path of a file whose changes cause a reread without SIGHUP; empty for none.
     """
     set_up_logs(settings.log_level, role=settings.role, node=settings.link)
     try:
