--- a/libs/data_plane/src/data_plane/recorder.py
+++ b/libs/data_plane/src/data_plane/recorder.py
@@ -1,9 +1,10 @@
-"""Records an edge's day: one JSON line for each call of a client and its outcome.
+"""Records the calls that clients make to an edge: one JSON line for each call and its outcome.
 
-Bodies are recorded as a whole, or by size and a digest of their start. A file has a first line that
-says what it is, a checksum in each line, and a last line that counts them, so that a truncated or
-altered one is detected. Serving goes on when nothing can be written: that is logged once, and
-recording stops.
+Recorded are completions (`/v1/`) and calls about batch jobs (`/lots/`). Prompts are recorded in
+full, or by their length and a digest of their start. The first line of a file names its format,
+each line has a checksum, and the last line counts the calls, so that a truncated or altered file is
+detected. If a file can't be written, that is logged once and recording stops; the edge goes on
+serving.
 """
 
 import hashlib
@@ -17,7 +18,7 @@
 from aiohttp import web
 from runtime import boot_ms, log, wall_ms
 
-__all__ = ["FORMAT", "CallKind", "LineKind", "Recorder", "sealed"]
+__all__ = ["FORMAT", "CallKind", "LineKind", "Recorder", "encode_row"]
 
 FORMAT = "vaneledge-recording-1"
 _DIGESTED_CHARS = 256
@@ -25,7 +26,7 @@
 
 
 class CallKind(StrEnum):
-    """The kinds of recorded calls; the values are those of the file."""
+    """The kinds of recorded calls, with their values in the file."""
 
     LIVE = "live"
     SUBMIT = "hand-in"
@@ -34,7 +35,7 @@
 
 
 class LineKind(StrEnum):
-    """The kinds of a recording's first and last line; the values are those of the file."""
+    """The kinds of a recording's first and last line, with their values in the file."""
 
     FIRST = "begin"
     LAST = "finis"
@@ -44,14 +45,14 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def sealed(row: dict[str, Any]) -> str:
-    """Return the line of a row: its JSON with the checksum of all else as last field."""
+def encode_row(row: dict[str, Any]) -> str:
+    """Return a row as a JSON line, with the CRC-32 of its other fields in the field `sum`."""
     text = json.dumps(row, sort_keys=True)
     return json.dumps({**row, "sum": zlib.crc32(text.encode())}, sort_keys=True)
 
 
 def _call_kind(request: web.Request) -> str:
-    """Return the kind under which a call is recorded, or an empty string if it isn't."""
+    """Return the kind of a call, or an empty string if it is not recorded."""
     if request.path.startswith("/v1/"):
         return CallKind.LIVE
     if request.path.startswith("/lots/"):
@@ -60,6 +61,7 @@
 
 
 def _redacted(text: str) -> dict[str, Any]:
+    """Return the length of a prompt and the digest of its first characters."""
     start = text[:_DIGESTED_CHARS].encode()
     return {
         "chars": len(text),
@@ -68,9 +70,18 @@
 
 
 class Recorder:
-    """Writes recordings into `folder`, a new file after each `rows` calls.
-
-    `bodies` says that prompts are recorded as a whole.
+    """Writes recordings into a folder.
+
+    Parameters
+    ----------
+    folder
+        The folder of the recordings; it is created if it is missing.
+    edge
+        The name of the edge, which the files' names and first lines have.
+    rows
+        The number of calls in a file, after which a new one is begun.
+    bodies
+        Whether prompts are recorded in full.
     """
 
     __slots__ = (
@@ -94,11 +105,12 @@
         self._file_count = 0
         self._stopped = False
 
-    # -- calls ---------------------------------------------------------------------------------
-
     @web.middleware
     async def middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Serve the request, and record it with its response."""
+        """Pass the request to its handler, and record it with its response.
+
+        A request whose handler raises is not recorded.
+        """
         kind = _call_kind(request)
         if not kind:
             return await handler(request)
@@ -148,14 +160,12 @@
             row["max_tokens"] = item["max_tokens"]
         return row
 
-    # -- the file ------------------------------------------------------------------------------
-
     def _record(self, row: dict[str, Any]) -> None:
         if self._stopped:
             return
         try:
             file = self._open_file() if self._file is None else self._file
-            file.write(sealed(row) + "\n")
+            file.write(encode_row(row) + "\n")
             self._row_count += 1
             if self._row_count >= self._rows_per_file:
                 self.close()
@@ -176,20 +186,20 @@
             "edge": self._edge,
             "at_ms": wall_ms(),
         }
-        self._file.write(sealed(first) + "\n")
+        self._file.write(encode_row(first) + "\n")
         return self._file
 
     def close(self) -> None:
-        """End the present file."""
+        """Write the last line of the open file, if there is one, and close it."""
         if self._file is not None:
             last = {"kind": LineKind.LAST, "rows": self._row_count, "at_ms": wall_ms()}
-            self._file.write(sealed(last) + "\n")
+            self._file.write(encode_row(last) + "\n")
             self._file.close()
             self._file = None
 
 
 def _json_object(data: bytes) -> dict[str, Any]:
-    """Return the JSON object of a body, or an empty one if it has none."""
+    """Return a body's JSON object, or an empty one if it isn't one."""
     try:
         body = json.loads(data) if data else {}
     except ValueError:
--- a/libs/data_plane/src/data_plane/recording_file.py
+++ b/libs/data_plane/src/data_plane/recording_file.py
@@ -1,4 +1,4 @@
-"""Reads a recording, and names what is wrong with one that isn't complete, by its lines."""
+"""Reads a recording, and reports what is wrong in it by line."""
 
 import json
 import zlib
@@ -19,7 +19,11 @@
 
 
 class Recording:
-    """The calls of one file in their order, and every problem as FILE:LINE: what."""
+    """What was read from one file.
+
+    `calls` are the intact calls in the order of their lines. `problems` are texts of the form
+    FILE:LINE: PROBLEM, or FILE: PROBLEM if the file can't be read; a complete recording has none.
+    """
 
     __slots__ = ("calls", "problems")
 
@@ -29,25 +33,25 @@
 
 
 def _row_problem(row: Any, line_number: int) -> str:
-    """Return what is wrong with a line by itself, or an empty string."""
+    """Return what is wrong with a line, without regard to other lines; empty if nothing is."""
     if not isinstance(row, dict) or "sum" not in row:
-        return "not a row of a recording"
+        return "not a JSON object with a checksum"
     rest = {key: value for key, value in row.items() if key != "sum"}
     if zlib.crc32(json.dumps(rest, sort_keys=True).encode()) != row["sum"]:
-        return "the checksum is wrong"
+        return "checksum mismatch"
     kind = str(row.get("kind"))
     if (line_number == 1) != (kind == LineKind.FIRST):
-        return "a recording begins with its first line, once"
+        return "the first line, and no other, must be of kind 'begin'"
     if line_number == 1 and row.get("format") != FORMAT:
-        return f"not of format {FORMAT}"
+        return f"format {row.get('format')!r}, expected {FORMAT!r}"
     missing = [name for name in _REQUIRED_FIELDS.get(kind, ()) if name not in row]
     if missing:
-        return f"lacks {', '.join(missing)}"
+        return f"missing fields: {', '.join(missing)}"
     return "" if kind in _KNOWN_KINDS else f"unknown kind {row['kind']!r}"
 
 
 def load_recording(path: Path) -> Recording:
-    """Read one file; a file that can't be read has that as its only problem."""
+    """Read one file; if it can't be opened, that is its only problem."""
     recording = Recording()
     try:
         lines = path.read_text(errors="replace").splitlines()
@@ -63,17 +67,17 @@
             recording.problems.append(f"{place}: not JSON")
             continue
         if ended:
-            recording.problems.append(f"{place}: after the end")
+            recording.problems.append(f"{place}: follows the last line of the recording")
         elif problem := _row_problem(row, line_number):
             recording.problems.append(f"{place}: {problem}")
         elif row["kind"] == LineKind.LAST:
             ended = True
             if row["rows"] != len(recording.calls):
                 recording.problems.append(
-                    f"{place}: counts {row['rows']} calls, {len(recording.calls)} are there"
+                    f"{place}: counts {row['rows']} calls, but the file has {len(recording.calls)}"
                 )
         elif row["kind"] != LineKind.FIRST:
             recording.calls.append(row)
     if not ended and not recording.problems:
-        recording.problems.append(f"{path}:{len(lines) + 1}: cut off, the last line is missing")
+        recording.problems.append(f"{path}:{len(lines) + 1}: truncated, the last line is missing")
     return recording
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -4,7 +4,7 @@
 import tempfile
 from pathlib import Path
 
-from data_plane.recorder import FORMAT, sealed
+from data_plane.recorder import FORMAT, encode_row
 from data_plane.recording_file import load_recording
 from data_plane.replay import PlayedCall, compare, play
 from testbed.fleet import Fleet, until
@@ -41,26 +41,34 @@
 
     def test_a_complete_recording(self):
         calls, problems = self.load(
-            sealed(BEGIN), sealed(LIVE), sealed({"kind": "finis", "rows": 1, "at_ms": 2})
+            encode_row(BEGIN),
+            encode_row(LIVE),
+            encode_row({"kind": "finis", "rows": 1, "at_ms": 2}),
         )
         self.assertThat((len(calls), problems), Equals((1, [])))
 
     def test_problems_are_named_by_line(self):
-        finis = sealed({"kind": "finis", "rows": 1, "at_ms": 2})
+        finis = encode_row({"kind": "finis", "rows": 1, "at_ms": 2})
         rows = [
-            ((sealed(BEGIN), sealed(LIVE)), ":3: cut off"),
-            ((sealed(BEGIN), sealed(LIVE)[:-9], finis), ":2: not JSON"),
+            ((encode_row(BEGIN), encode_row(LIVE)), ":3: truncated"),
+            ((encode_row(BEGIN), encode_row(LIVE)[:-9], finis), ":2: not JSON"),
             (
-                (sealed(BEGIN), sealed(LIVE).replace("rulings", "rulingz"), finis),
-                ":2: the checksum is wrong",
+                (encode_row(BEGIN), encode_row(LIVE).replace("rulings", "rulingz"), finis),
+                ":2: checksum mismatch",
             ),
-            ((sealed(BEGIN), finis), ":2: counts 1 calls, 0 are there"),
-            ((sealed(LIVE), finis), ":1: a recording begins"),
-            ((sealed({**BEGIN, "format": "x"}), sealed(LIVE), finis), ":1: not of format"),
-            ((sealed(BEGIN), sealed({"kind": "live"}), finis), ":2: lacks path"),
-            ((sealed(BEGIN), sealed({"kind": "dance"}), finis), ":2: unknown kind"),
-            ((sealed(BEGIN), sealed(LIVE), finis, sealed(LIVE)), ":4: after the end"),
-            ((), ":1: cut off"),
+            ((encode_row(BEGIN), finis), ":2: counts 1 calls, but the file has 0"),
+            ((encode_row(LIVE), finis), ":1: the first line, and no other, must be"),
+            (
+                (encode_row({**BEGIN, "format": "x"}), encode_row(LIVE), finis),
+                ":1: format 'x', expected",
+            ),
+            ((encode_row(BEGIN), encode_row({"kind": "live"}), finis), ":2: missing fields: path"),
+            ((encode_row(BEGIN), encode_row({"kind": "dance"}), finis), ":2: unknown kind"),
+            (
+                (encode_row(BEGIN), encode_row(LIVE), finis, encode_row(LIVE)),
+                ":4: follows the last line",
+            ),
+            ((), ":1: truncated"),
         ]
         for lines, wanted in rows:
             self.assertThat("\n".join(self.load(*lines)[1]), Contains(wanted))
