--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -17,7 +17,7 @@
 from data_plane.edge_process import EdgeProcess
 from data_plane.process import run_process, settings_or_exit
 from data_plane.recording_file import load_recording
-from data_plane.replay import compare, play
+from data_plane.replay import compare_outcomes, replay_calls
 from data_plane.store_process import StoreProcess
 
 __all__ = ["main", "request_and_print", "serve_flags"]
@@ -207,7 +207,7 @@
     if check or not calls:
         sys.stdout.write(f"{len(calls)} calls; the recordings are complete\n")
         return
-    report, differing = compare(asyncio.run(play(calls, server, pace, seed)))
+    report, differing = compare_outcomes(asyncio.run(replay_calls(calls, server, pace, seed)))
     sys.stdout.write(report + "\n")
     if differing:
         raise SystemExit(1)
--- a/libs/data_plane/src/data_plane/replay.py
+++ b/libs/data_plane/src/data_plane/replay.py
@@ -1,7 +1,8 @@
-"""Plays recorded days against a fleet at a chosen pace, and compares the outcomes.
+"""Replays recorded calls against a fleet at a chosen pace, and compares the outcomes.
 
-Keys and job ids get the run's seed, so that they are new; a redacted prompt becomes a text of the
-same length that starts alike for alike starts.
+Idempotency keys and job ids get the run's seed as a suffix, so that they are new to the fleet. A
+redacted prompt is replaced by a text of the same length; prompts with the same digest of their
+start get texts with the same start.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 from data_plane.recorder import CallKind
 
-__all__ = ["CallOutcome", "PlayedCall", "compare", "play"]
+__all__ = ["CallOutcome", "ReplayedCall", "compare_outcomes", "replay_calls"]
 
 _CALL_TIMEOUT_S = 60
 _PROMPT_START_CHARS = 256
@@ -24,7 +25,7 @@
 
 
 class CallOutcome:
-    """The outcome of a call: HTTP status, verdict, code, and the milliseconds that it took."""
+    """The outcome of a call: HTTP status, verdict, error code and duration in milliseconds."""
 
     __slots__ = ("code", "status", "took_ms", "verdict")
 
@@ -35,26 +36,26 @@
         self.took_ms = took_ms
 
     def label(self) -> str:
-        """Return the status and the code as text, by which outcomes are compared."""
+        """Return the status and the code as text, as the report shows them."""
         return f"{self.status} {self.code}".strip()
 
 
-class PlayedCall:
-    """A recorded call with its outcome then and now."""
+class ReplayedCall:
+    """A recorded call with its recorded and its new outcome."""
 
-    __slots__ = ("before", "kind", "now", "path")
+    __slots__ = ("kind", "path", "recorded", "replayed")
 
-    def __init__(self, row: dict[str, Any], now: CallOutcome) -> None:
+    def __init__(self, row: dict[str, Any], replayed: CallOutcome) -> None:
         self.kind: str = row["kind"]
         self.path: str = row.get("path", "")
-        self.before = CallOutcome(
+        self.recorded = CallOutcome(
             row["status"], row.get("verdict", ""), row["code"], row["took_ms"]
         )
-        self.now = now
+        self.replayed = replayed
 
 
 class _Request:
-    """A call to be made: method, address on the server, JSON body and headers."""
+    """A request to send: method, path on the server, JSON body and headers."""
 
     __slots__ = ("address", "body", "headers", "method")
 
@@ -72,7 +73,7 @@
 
 
 def _prompt_text(prompt: dict[str, Any]) -> str:
-    """Return a recorded prompt, or a text of its length made from the digest of its start."""
+    """Return a recorded prompt, or for a redacted one a text of its length."""
     if "text" in prompt:
         return str(prompt["text"])
     unit = prompt["start"] + " "
@@ -88,8 +89,8 @@
     return body
 
 
-class _Player:
-    """Makes recorded calls again, each at a server drawn by the run's seed."""
+class _Replayer:
+    """Makes recorded calls again, each to a server drawn with the run's seed."""
 
     __slots__ = ("_rng", "_seed", "_servers", "_session")
 
@@ -99,12 +100,12 @@
         self._session = session
         self._rng = random.Random(seed)
 
-    def _renamed(self, name: str) -> str:
-        """Return a recorded key or id as it is in this run."""
+    def _name_in_run(self, name: str) -> str:
+        """Return the key or id that stands for a recorded one in this run."""
         return f"{name}.r{self._seed}"
 
     async def call(self, row: dict[str, Any]) -> CallOutcome:
-        """Make one recorded call again."""
+        """Make one recorded call again and return its outcome, with the time it took."""
         request = self._request(row)
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -135,7 +136,7 @@
     def _request(self, row: dict[str, Any]) -> _Request:
         if row["kind"] == CallKind.LIVE:
             return self._completion(row)
-        address = f"/lots/{self._renamed(row['lot'])}"
+        address = f"/lots/{self._name_in_run(row['lot'])}"
         if row["kind"] == CallKind.SUBMIT:
             items = [_prompt_body(prompt) for prompt in row["prompts"]]
             return _Request("PUT", address, {"path": row["path"], "items": items})
@@ -149,16 +150,16 @@
         prompt = row["prompts"][0] if row["prompts"] else {"text": ""}
         body = {"model": row["path"], "stream": row["stream"], **_prompt_body(prompt)}
         key = row.get("key")
-        headers = {"Idempotency-Key": self._renamed(key)} if key else None
+        headers = {"Idempotency-Key": self._name_in_run(key)} if key else None
         return _Request("POST", "/v1/completions", body, headers)
 
 
-async def play(
+async def replay_calls(
     rows: list[dict[str, Any]], servers: list[str], pace: float, seed: int
-) -> list[PlayedCall]:
-    """Return each recorded call with its outcome now.
+) -> list[ReplayedCall]:
+    """Make all recorded calls again and return each with its new outcome, in the order of time.
 
-    Calls begin as far apart as they did then, divided by the pace.
+    The intervals between the starts of calls are the recorded ones, divided by `pace`.
     """
     rows = sorted(rows, key=lambda row: row["at_ms"])
     loop = asyncio.get_running_loop()
@@ -167,14 +168,14 @@
         timeout=aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S),
         connector=aiohttp.TCPConnector(limit=0),
     ) as session:
-        player = _Player(servers, seed, session)
+        replayer = _Replayer(servers, seed, session)
 
-        async def play_one(row: dict[str, Any]) -> PlayedCall:
+        async def replay_one(row: dict[str, Any]) -> ReplayedCall:
             due_s = (row["at_ms"] - rows[0]["at_ms"]) / 1000 / pace
             await asyncio.sleep(max(0.0, began + due_s - loop.time()))
-            return PlayedCall(row, await player.call(row))
+            return ReplayedCall(row, await replayer.call(row))
 
-        return list(await asyncio.gather(*[play_one(row) for row in rows]))
+        return list(await asyncio.gather(*[replay_one(row) for row in rows]))
 
 
 def _percentiles(values: list[int]) -> str:
@@ -185,31 +186,33 @@
     )
 
 
-def compare(played: Iterable[PlayedCall]) -> tuple[str, int]:
-    """Return a report by kind and path, and how many calls had another outcome than then."""
-    groups: dict[tuple[str, str], list[PlayedCall]] = defaultdict(list)
-    for call in played:
+def compare_outcomes(replayed_calls: Iterable[ReplayedCall]) -> tuple[str, int]:
+    """Return a report by kind and path, and the number of calls whose outcome changed."""
+    groups: dict[tuple[str, str], list[ReplayedCall]] = defaultdict(list)
+    for call in replayed_calls:
         groups[(call.kind, call.path)].append(call)
     lines: list[str] = []
     differing = 0
     for (kind, path), calls in sorted(groups.items()):
-        before = _percentiles([call.before.took_ms for call in calls])
-        now = _percentiles([call.now.took_ms for call in calls])
-        lines.append(f"{kind} {path}: {len(calls)} calls; then {before}; now {now}")
+        recorded_ms = _percentiles([call.recorded.took_ms for call in calls])
+        replayed_ms = _percentiles([call.replayed.took_ms for call in calls])
+        lines.append(
+            f"{kind} {path}: {len(calls)} calls; recorded {recorded_ms}; replayed {replayed_ms}"
+        )
         changed = _changed_outcomes(calls)
         differing += sum(changed.values())
         lines += [
-            f"    {count} were {before_label}, now {now_label}"
-            for (before_label, now_label), count in sorted(changed.items())
+            f"    {count} recorded as {recorded_label}, replayed as {replayed_label}"
+            for (recorded_label, replayed_label), count in sorted(changed.items())
         ]
-    lines.append(f"{differing} calls came to something else")
+    lines.append(f"{differing} calls had another outcome")
     return "\n".join(lines), differing
 
 
-def _changed_outcomes(calls: list[PlayedCall]) -> Counter[tuple[str, str]]:
-    """Count the calls whose status or code has changed, by their outcomes then and now."""
+def _changed_outcomes(calls: list[ReplayedCall]) -> Counter[tuple[str, str]]:
+    """Count the calls whose status or code changed, by their recorded and replayed outcomes."""
     return Counter(
-        (call.before.label(), call.now.label())
+        (call.recorded.label(), call.replayed.label())
         for call in calls
-        if (call.before.status, call.before.code) != (call.now.status, call.now.code)
+        if (call.recorded.status, call.recorded.code) != (call.replayed.status, call.replayed.code)
     )
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -6,7 +6,7 @@
 
 from data_plane.recorder import FORMAT, encode_row
 from data_plane.recording_file import load_recording
-from data_plane.replay import PlayedCall, compare, play
+from data_plane.replay import ReplayedCall, compare_outcomes, replay_calls
 from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
@@ -100,13 +100,13 @@
                         Equals((["live", "live", "live", "live", "hand-in", "read", "end"], [])),
                     )
                     self.assertThat("secret" in path.read_text(), Equals(False))
-                    played = await play(rows, [edge.http], 1.0, 7)
-                    report, differing = compare(played)
-                    self.assertThat((differing, "now" in report), Equals((0, True)), report)
+                    calls = await replay_calls(rows, [edge.http], 1.0, 7)
+                    report, differing = compare_outcomes(calls)
+                    self.assertThat((differing, "; replayed " in report), Equals((0, True)), report)
                     status, _ = await fleet.ask("GET", edge.http, "/lots/day.r7")
                     self.assertThat(status, Equals(200))
                     rows[0]["status"] = 503
-                    _, differing = compare([PlayedCall(rows[0], played[0].now)])
+                    _, differing = compare_outcomes([ReplayedCall(rows[0], calls[0].replayed)])
                     self.assertThat(differing, Equals(1))
 
         asyncio.run(run())
