--- a/libs/data_plane/src/data_plane/rollout_api.py
+++ b/libs/data_plane/src/data_plane/rollout_api.py
@@ -1,4 +1,4 @@
-"""The HTTP routes of training rollouts: read and check, call the service, write its response."""
+"""HTTP routes of training rollouts: validate the request, call the service, write its response."""
 
 from typing import Any
 
@@ -14,7 +14,17 @@
 
 
 class RolloutApi:
-    """Adds the routes of rollouts to `server`; `node` is the edge that has the settings."""
+    """Adds the routes of rollouts to an HTTP server.
+
+    Parameters
+    ----------
+    node
+        The edge; its settings limit the size of a body.
+    service
+        Serves the requests.
+    server
+        The server that gets the routes.
+    """
 
     __slots__ = ("_node", "_service")
 
--- a/libs/data_plane/src/data_plane/rollout_service.py
+++ b/libs/data_plane/src/data_plane/rollout_service.py
@@ -1,7 +1,7 @@
-"""Training rollouts at an edge: what a trainer submits, follows, reads and cancels.
+"""Training rollouts at an edge, which a trainer submits, follows, reads and cancels.
 
-To the log a rollout is a batch job of the lowest priority under a name that no job can have; its
-results are its samples, in the order of prompts and samples.
+In the log a rollout is a batch job of the lowest priority, with a prefix in its id that no job
+submitted by a client can have. Its results are its samples, ordered by prompt and then by sample.
 """
 
 import hashlib
@@ -31,9 +31,10 @@
 
 
 class RolloutBody(BaseModel):
-    """A rollout as it is submitted: `samples` of each prompt.
+    """The body of a submission: `samples` samples are to be drawn for each prompt.
 
-    `due_ms` is the time it is given, in milliseconds from now; 0 for no limit.
+    `path` names the profile, and `weights` the weights that samples must come from, empty for any.
+    `due_ms` is the time limit in milliseconds from the admission, 0 for none.
     """
 
     model_config = ConfigDict(extra="forbid", strict=True)
@@ -44,19 +45,19 @@
     due_ms: int = Field(0, ge=0, le=7 * 86_400_000)
 
     @model_validator(mode="after")
-    def _not_too_many(self) -> "RolloutBody":
+    def _limit_samples(self) -> "RolloutBody":
         if len(self.prompts) * self.samples > _MAX_SAMPLES:
-            raise ValueError(f"prompts times samples are more than {_MAX_SAMPLES}")
+            raise ValueError(f"prompts times samples must be at most {_MAX_SAMPLES}")
         return self
 
 
 def job_id_of(rollout_id: str) -> str:
-    """Return the id that a rollout has as a job in the log."""
+    """Return the id of a rollout's job in the log."""
     return f"{_JOB_ID_PREFIX}{rollout_id}"
 
 
-def _as_rollout(response: ServiceResponse[None]) -> ServiceResponse[None]:
-    """Return the same response with the rollout's id in place of the job's."""
+def _rollout_response(response: ServiceResponse[None]) -> ServiceResponse[None]:
+    """Return a job's response with `rollout_id` in place of `lot_id`."""
     if response.refusal is not None:
         if response.refusal.field == "lot_id":
             response.refusal.field = "rollout_id"
@@ -67,7 +68,19 @@
 
 
 class RolloutService(Component):
-    """Serves rollouts; the HTTP side and the simulator's trainers use the same object."""
+    """Serves rollouts to the HTTP routes and to the simulator's trainers.
+
+    Responses are passed to the callback `on_response`.
+
+    Parameters
+    ----------
+    edge_service
+        Decides whether the edge is ready, and cancels jobs.
+    leader_client
+        Sends requests to the log's leader.
+    profile_tree
+        Returns the profiles in force.
+    """
 
     __slots__ = ("_edge_service", "_leader_client", "_profile_tree")
 
@@ -82,7 +95,7 @@
         self._profile_tree = profile_tree
 
     def submit(self, rollout_id: str, body: RolloutBody, on_response: OnResponse) -> None:
-        """Submit a rollout to the leader, if its route lends slots."""
+        """Submit a rollout to the leader, if its profile lends slots (`loan_share`)."""
         if (refusal := self._submission_refusal(body)) is not None:
             on_response(refusal)
             return
@@ -97,46 +110,51 @@
                 samples=body.samples,
                 outcome=response.outcome if response is not None else JobOutcome.UNKNOWN,
             )
-            on_response(_as_rollout(submission_response(message.job_id, response)))
+            on_response(_rollout_response(submission_response(message.job_id, response)))
 
         self._leader_client.request(message, self.node.settings.force_ms, on_leader_response)
 
     def _submission_refusal(self, body: RolloutBody) -> ServiceResponse[None] | None:
-        """Return why a rollout can't be submitted here, or None."""
+        """Return the refusal of a rollout that can't be submitted here, or None if it can."""
         profile = self._profile_tree().usable(body.path)
         if (unready := self._edge_service.unready_response(True)) is not None:
             return unready
         if profile is None:
             return ServiceResponse.refuse(_unknown_path(body.path))
         if not profile.loan_share:
-            return ServiceResponse.refuse(_lends_nothing(body.path))
+            return ServiceResponse.refuse(_no_slots_lent(body.path))
         return None
 
     def progress(self, rollout_id: str, on_response: OnResponse) -> None:
-        """Give a rollout's progress."""
+        """Respond with a rollout's progress."""
         job_id = job_id_of(rollout_id)
         self._leader_client.request(
             GetJob(job_id=job_id),
             self.node.settings.force_ms,
-            lambda message: on_response(_as_rollout(job_response(job_id, message))),
+            lambda message: on_response(_rollout_response(job_response(job_id, message))),
         )
 
     def results(
         self, rollout_id: str, from_index: int, limit: int, on_response: OnResponse
     ) -> None:
-        """Give a page of at most `limit` samples, from index `from_index` on."""
+        """Respond with a page of samples, from index `from_index` on.
+
+        A page has at most `limit` samples, and never more than 1000.
+        """
         job_id = job_id_of(rollout_id)
         limit = max(1, min(_MAX_PAGE_RESULTS, limit))
         self._leader_client.request(
             ListResults(job_id=job_id, from_index=from_index, limit=limit),
             self.node.settings.force_ms,
-            lambda message: on_response(_as_rollout(results_response(job_id, from_index, message))),
+            lambda message: on_response(
+                _rollout_response(results_response(job_id, from_index, message))
+            ),
         )
 
     def cancel(self, rollout_id: str, on_response: OnResponse) -> None:
         """Cancel a rollout, and stop its samples that run at this edge."""
         self._edge_service.cancel(
-            job_id_of(rollout_id), lambda response: on_response(_as_rollout(response))
+            job_id_of(rollout_id), lambda response: on_response(_rollout_response(response))
         )
 
 
@@ -162,7 +180,7 @@
     return refused("unknown-path", f"path: no profile is called {path!r}", 404, field="path")
 
 
-def _lends_nothing(path: str) -> Refusal:
+def _no_slots_lent(path: str) -> Refusal:
     return refused(
         "lends-nothing", f"path: profile {path!r} lends no slots (loan_share)", 409, field="path"
     )
--- a/libs/data_plane/src/data_plane/worker_api.py
+++ b/libs/data_plane/src/data_plane/worker_api.py
@@ -1,4 +1,7 @@
-"""The workers' calls: a heartbeat with their load, and a leave. Any edge takes them for all."""
+"""HTTP routes of workers: heartbeats with their load, and leaving.
+
+A worker may call any edge; the registry forwards its updates to the other edges.
+"""
 
 from typing import Any
 
@@ -13,7 +16,15 @@
 
 
 class WorkerApi:
-    """Adds the routes of workers to `server`; `node` is the edge that has the registry."""
+    """Adds the routes of workers to an HTTP server.
+
+    Parameters
+    ----------
+    node
+        The edge, whose registry gets the updates.
+    server
+        The server that gets the routes.
+    """
 
     __slots__ = ("_node",)
 
@@ -54,7 +65,11 @@
         return json_response({"left": True})
 
     def _leave_update(self, body: LeaveBody) -> WorkerUpdate:
-        """Return the update that marks an incarnation as leaving, with what is known of it."""
+        """Return the update that marks an incarnation as leaving.
+
+        Its address, zone, labels and last heartbeat are those in the registry, or empty if the
+        registry doesn't know the incarnation.
+        """
         known = next(
             (
                 worker
