--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -1,6 +1,6 @@
 """The storage node: a replica of the log and, on the log's leader, the batch service.
 
-It runs alike in a process and in the simulator; only the environment and the disk are passed in.
+The same code runs in a process and in the simulator, which pass in the environment and the disk.
 """
 
 import json
@@ -28,7 +28,11 @@
 
 
 class StoreNode(DataNode):
-    """A storage node: it keeps the replicated log and, as the log's leader, assigns batch items."""
+    """A storage node: it keeps the replicated log and, as the log's leader, assigns batch items.
+
+    It is the log's view of the fleet (`replicated_log.interfaces.FleetView`). A damaged disk is
+    quarantined, and the node then starts as a new, empty store.
+    """
 
     __slots__ = ("archive_repair", "batch_service", "control", "disk", "log")
 
@@ -62,20 +66,19 @@
         )
 
     def _key_owners(self, key: str) -> list[str]:
-        """Return the voters known to live, in the order in which they would own the key."""
+        """Return the addresses of the live voters, the most likely owner of the key first."""
         value = self.config_feed.value(CONTROL_KEY) or {"voters": []}
         voters = {row["identity"]: row["address"] for row in value["voters"]}
         return [
             voters[name] for name in rendezvous_order(key, voters) if self.membership.is_live(name)
         ]
 
-    # -- what the log asks about the fleet -----------------------------------------------------
-
     def log_key(self) -> tuple[int, str]:
-        """Return the number and the body of the log's control key, as the feed has it."""
+        """Return the latest version and body of the log's control key that the feed has."""
         return self.config_feed.version(LOG_KEY), self.config_feed.body(LOG_KEY)
 
     def _other_members(self) -> list[str]:
+        """Return the addresses of the other members of the log."""
         return [
             row["address"]
             for row in (self.config_feed.value(LOG_KEY) or {"members": []})["members"]
@@ -83,20 +86,23 @@
         ]
 
     def _release_archived(self, entries: list[Any]) -> None:
-        """Have the leader's state machine release the entries that are archived here."""
+        """Drop jobs and keys from the leader's state once they are in the archive.
+
+        Does nothing on a store that is not the leader.
+        """
         if self.log.leader is not None:
             for entry in entries:
                 self.log.leader.drop_archived(entry)
 
     def live_stores(self) -> dict[str, str]:
-        """Return the addresses of the other live stores by identity."""
+        """Return the addresses of the other live stores, by identity."""
         return {
             card.identity: card.address
             for card in self.membership.nodes_in_role("store", self.settings.failure_timeout_ms)
         }
 
     def store_rows(self) -> list[dict[str, str]]:
-        """Return the live stores, this one among them, ordered by identity."""
+        """Return the live stores, including this one, ordered by identity."""
         cards = [
             self.membership.own_info(),
             *self.membership.nodes_in_role("store", self.settings.failure_timeout_ms),
@@ -110,17 +116,21 @@
         )
 
     def live_store(self, identity: str) -> bool:
-        """Whether this store is known to live."""
+        """Whether the store with this identity is live, as far as this node knows."""
         return self.membership.is_live(identity)
 
     def retired_stores(self) -> list[str]:
-        """Return the identities of the stores that control has retired."""
+        """Return the identities of the stores that are being retired."""
         value = self.config_feed.value(RETIRED_KEY) or {}
         identities: list[str] = value.get("identities", [])
         return identities
 
     def knows_fleet(self) -> bool:
-        """Whether it is up long enough to know who lives, and in touch with a control majority."""
+        """Whether the list of live stores is reliable.
+
+        This node has then run for longer than `failure_timeout_ms`, and within that time it has
+        heard from a control node that is in contact with a majority.
+        """
         now_ms, timeout_ms = self.env.now(), int(self.settings.failure_timeout_ms)
         return (
             now_ms - self._started_ms > timeout_ms
@@ -128,18 +138,21 @@
         )
 
     def learned(self, version: int, body: str) -> None:
-        """Take a log key that control has told this store itself, ahead of the feed."""
+        """Record a version of the log's control key that a control node returned directly.
+
+        It is published in the feed, which may not have it yet.
+        """
         self.config_feed.publish(LOG_KEY, version, body)
 
     def _leader(self) -> tuple[int, str]:
-        """Return the leader's epoch and its address, empty if it isn't known."""
+        """Return the log's epoch and the address of its leader, empty if there is none known."""
         configuration = self.log.configuration
         return configuration.epoch, configuration.leader_address
 
     def why_unready(self) -> str:
-        """Return why it is not ready, or an empty string."""
+        """Return why the store is not ready, or an empty string."""
         if not self.config_feed.version(LOG_KEY):
-            return "the log is not founded yet"
+            return "not bootstrapped: no configuration of the log yet"
         names = [row["identity"] for row in json.loads(self.config_feed.body(LOG_KEY))["members"]]
         if self.log.log.identity not in names:
             return "spare: not a member of the log"
--- a/libs/data_plane/src/data_plane/store_process.py
+++ b/libs/data_plane/src/data_plane/store_process.py
@@ -12,10 +12,10 @@
 
 
 class StoreProcess(NodeProcess):
-    """A storage node, which keeps the log."""
+    """Runs a storage node with its disk, and serves `/ready`, `/status` and `/metrics`."""
 
     async def make(self) -> None:
-        """Open the disk, and make the store and its HTTP server."""
+        """Open the disk, and create the store and its HTTP server."""
         self._stopping = False
         self.node = StoreNode(self.env, self.settings, self.open_disk())
         await self.add_runtime_dependency(
@@ -33,21 +33,21 @@
         return "stopping" if self._stopping else self.node.why_unready()
 
     def start_draining(self) -> None:
-        """Become unready, and hand over the log if this store leads it."""
+        """Become unready, and hand over leadership of the log if this store has it."""
         self._stopping = True
         self.node.log.start_leaving()
 
     def busy(self) -> bool:
-        """Whether the log is being handed over."""
+        """Whether the log still needs this store: as leader, or as one of too few replicas."""
         return bool(self.node.log.must_stay())
 
     def apply(self, settings: Settings) -> None:
-        """Apply changed settings, to the log too."""
+        """Apply changed settings to the process, the node and the log."""
         super().apply(settings)
         self.node.log.apply_settings(settings)
 
     def status(self) -> dict[str, Any]:
-        """Return the store's state for operators, as `/status` shows it."""
+        """Return the state of the store, as `/status` shows it to operators."""
         log = self.node.log
         local = log.log
         return {
@@ -73,7 +73,7 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """Return the store's numbers by name; `data_plane.metrics.HELP` explains them."""
+        """Return the store's metrics by name; `data_plane.metrics.HELP` describes them."""
         local = self.node.log.log
         rows = {
             f"store_asked_{name}_total": count
