--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -18,7 +18,7 @@
 class ControlProcess(NodeProcess):
     """Runs a control node and serves requests of operators, workers and borrowers over HTTP."""
 
-    async def make(self) -> None:
+    async def create_node(self) -> None:
         """Create the node and the HTTP interface."""
         self._stopping = False
         self.node = ControlNode(self.env, self.settings, self.open_disk())
--- a/libs/data_plane/src/data_plane/edge_process.py
+++ b/libs/data_plane/src/data_plane/edge_process.py
@@ -24,7 +24,7 @@
     `forward_servers` are those for forwarded requests, which the platform's adapter adds.
     """
 
-    async def make(self) -> None:
+    async def create_node(self) -> None:
         """Make the edge and its HTTP server."""
         self._sender = self.make_sender()
         self.node = EdgeNode(self.env, self.settings, self._sender)
@@ -75,7 +75,7 @@
             or self.node.job_runner.running() > 0
         )
 
-    def wind_down(self) -> None:
+    def stop_unfinished(self) -> None:
         """Stop the batch items that still run; their outcomes are reported."""
         self.node.job_runner.stop_all("stopping")
 
--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -34,8 +34,9 @@
 class NodeProcess(Service):
     """Base class of the processes of all roles.
 
-    A role overrides `make`, and where it needs them `start_draining`, `busy`, `wind_down` and
-    `apply`. `make_extra_services` returns further services to run; it is called after `make`.
+    A role overrides `create_node`, and where it needs them `start_draining`, `busy`,
+    `stop_unfinished` and `apply`. `make_extra_services` returns further services to run; it is
+    called after `create_node`.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -75,13 +76,13 @@
         log("disk-broken", "ERROR", folder=self.settings.data_folder)
         self.add_future(self.crash(OSError("a write or flush to the data folder failed")))
 
-    async def make(self) -> None:
+    async def create_node(self) -> None:
         """Create the node and its services; each role overrides it."""
         raise NotImplementedError
 
     async def on_start(self) -> None:
         """Create the node and its services, and start them."""
-        await self.make()
+        await self.create_node()
         for service in self.make_extra_services():
             await self.add_runtime_dependency(service)
         self.runner = NodeRunner(self.node, self.env, self.make_transport(self.node.receive))
@@ -100,7 +101,7 @@
         """Become unready and begin to hand over; a role overrides it."""
         return
 
-    def wind_down(self) -> None:
+    def stop_unfinished(self) -> None:
         """Stop the work that was not finished while draining; a role overrides it."""
         return
 
@@ -119,7 +120,7 @@
         end_at = asyncio.get_running_loop().time() + self.settings.grace_ms * _DRAIN_SHARE / 1000
         while self.busy() and asyncio.get_running_loop().time() < end_at:
             await asyncio.sleep(self.settings.grace_ms * _POLL_SHARE / 1000)
-        self.wind_down()
+        self.stop_unfinished()
         await asyncio.sleep(self.settings.grace_ms * _POLL_SHARE / 1000)
 
 
--- a/libs/data_plane/src/data_plane/store_process.py
+++ b/libs/data_plane/src/data_plane/store_process.py
@@ -14,7 +14,7 @@
 class StoreProcess(NodeProcess):
     """Runs a storage node with its disk, and serves `/ready`, `/status` and `/metrics`."""
 
-    async def make(self) -> None:
+    async def create_node(self) -> None:
         """Open the disk, and create the store and its HTTP server."""
         self._stopping = False
         self.node = StoreNode(self.env, self.settings, self.open_disk())
