--- a/tests/trees.py
+++ b/tests/profile_tree.py
@@ -1,4 +1,7 @@
-"""A small tree of profiles that the tests share."""
+"""The tree of profiles that the tests of fleets of real processes share.
+
+Requests of `moves` are not safe to repeat; the backlog limit of `summaries` is four jobs.
+"""
 
 TREE = {
     "profiles": {
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -10,12 +10,12 @@
 import tempfile
 from pathlib import Path
 
+from profile_tree import TREE
 from runtime import load_settings
 from runtime.settings import changed_settings
 from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
-from trees import TREE
 
 GOOD = {"link": "127.0.0.1:9", "http": "127.0.0.1:8", "zone": "z", "seeds": ["127.0.0.1:9"]}
 
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -7,10 +7,10 @@
 from data_plane.recorder import FORMAT, encode_row
 from data_plane.recording_file import load_recording
 from data_plane.replay import ReplayedCall, compare_outcomes, replay_calls
+from profile_tree import TREE
 from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
-from trees import TREE
 
 LIVE = {
     "kind": "live",
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -5,10 +5,10 @@
 import signal
 import tempfile
 
+from profile_tree import TREE
 from testbed.fleet import SHAPES, Fleet, until
 from testtools import TestCase
 from testtools.matchers import Equals
-from trees import TREE
 
 
 class SmokeTest(TestCase):
