--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""/metrics as collectors read it: parsed by the library's own parser, with types, help and histograms."""
+"""The text of /metrics, read back by the parser of prometheus_client."""
 
 from data_plane.metrics import HELP, Metrics
 from prometheus_client.parser import text_string_to_metric_families
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals
 
 
-class Text(TestCase):
+class MetricsTextTest(TestCase):
     def test_types_help_and_histograms(self):
         metrics = Metrics(
             lambda: {
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,5 +1,7 @@
-"""What a process shows the outside: settings and their errors, signals, and every kind of bad input
-answered with a verdict and the field's name. Real processes on loopback addresses.
+"""The external behaviour of processes: settings and their errors, signals and operators' calls.
+
+Every kind of bad input is to be answered with a verdict and the name of the field. The fleet's
+processes are real, on loopback addresses.
 """
 
 import asyncio
@@ -17,10 +19,15 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-GOOD = {"link": "127.0.0.1:9", "http": "127.0.0.1:8", "zone": "z", "seeds": ["127.0.0.1:9"]}
+VALID_SETTINGS = {
+    "link": "127.0.0.1:9",
+    "http": "127.0.0.1:8",
+    "zone": "z",
+    "seeds": ["127.0.0.1:9"],
+}
 
 
-class Settings(TestCase):
+class SettingsTest(TestCase):
     def test_every_error_is_named(self):
         rows = [
             ({"link": "localhost:1"}, "link"),
@@ -33,19 +40,19 @@
             ({"colour": 1}, "colour"),
             ({"role": "store"}, "data_folder"),
             ({"store_count": 2}, "store_faults"),
-            ({"http": GOOD["link"]}, "http"),
+            ({"http": VALID_SETTINGS["link"]}, "http"),
         ]
         for change, field in rows:
-            problems = load_settings(None, {**GOOD, **change}).error
+            problems = load_settings(None, {**VALID_SETTINGS, **change}).error
             self.assertThat("\n".join(problems), Contains(field), str(change))
-        both = load_settings(None, {**GOOD, "zone": "", "delta_ms": -1}).error
+        both = load_settings(None, {**VALID_SETTINGS, "zone": "", "delta_ms": -1}).error
         self.assertThat(len(both), Equals(2))
 
     def test_flags_win_and_bad_settings_end_with_code_2(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "s.toml"
             path.write_text(
-                "".join(f"{key} = {json.dumps(value)}\n" for key, value in GOOD.items())
+                "".join(f"{key} = {json.dumps(value)}\n" for key, value in VALID_SETTINGS.items())
             )
             self.assertThat(load_settings(str(path), {"zone": "other"}).ok.zone, Equals("other"))
             path.write_text(path.read_text() + "view_size = 0\nflush_ms = 1\n")
@@ -69,18 +76,18 @@
                 Equals((2, True, True)),
             )
 
-    def test_what_a_reread_file_may_change(self):
-        old = load_settings(None, GOOD).ok
-        new = load_settings(None, {**GOOD, "delta_ms": 70, "zone": "other"}).ok
-        settings, applied, held = changed_settings(old, new)
+    def test_a_reread_changes_only_settings_that_need_no_restart(self):
+        old = load_settings(None, VALID_SETTINGS).ok
+        new = load_settings(None, {**VALID_SETTINGS, "delta_ms": 70, "zone": "other"}).ok
+        settings, applied, need_restart = changed_settings(old, new)
         self.assertThat(
-            (settings.delta_ms, settings.zone, applied, held),
+            (settings.delta_ms, settings.zone, applied, need_restart),
             Equals((70, "z", ["delta_ms"], ["zone"])),
         )
 
 
-class Outside(TestCase):
-    BAD = [
+class FleetTest(TestCase):
+    BAD_REQUESTS = [
         ("POST", "/v1/completions", b"{", 400, "malformed", None),
         ("POST", "/v1/completions", b"[]", 400, "bad-field", "body"),
         ("POST", "/v1/completions", {"model": "rulings"}, 400, "bad-field", "prompt"),
@@ -161,7 +168,7 @@
         ("POST", "/v1/completions", b"x" * (1 << 23), 413, "too-large", "body"),
     ]
 
-    def test_outside(self):
+    def test_bad_input_jobs_operators_and_signals(self):
         async def run():
             with tempfile.TemporaryDirectory() as folder:
                 async with Fleet(
@@ -178,7 +185,7 @@
 
     async def bad_input(self, fleet):
         edge = fleet.with_role("edge")[0].http
-        for method, address, body, status, code, field in self.BAD:
+        for method, address, body, status, code, field in self.BAD_REQUESTS:
             data = body if isinstance(body, (bytes, type(None))) else json.dumps(body).encode()
             async with fleet.session.request(
                 method, f"http://{edge}{address}", data=data
@@ -203,10 +210,10 @@
             _, body = await fleet.ask("GET", edge, "/lots/one")
             return body["state"] == "done"
 
-        await until(done, 15000, "lot done")
+        await until(done, 15000, "the job is done")
         status, body = await fleet.ask("GET", edge, "/lots/one/results?from=4")
         self.assertThat((status, body["error"]["field"]), Equals((416, "from")))
-        crowd = await asyncio.gather(
+        responses = await asyncio.gather(
             *[
                 fleet.ask(
                     "PUT",
@@ -217,17 +224,17 @@
                 for index in range(12)
             ]
         )
-        self.assertThat(sorted(status for status, _ in crowd), Equals([201] * 4 + [429] * 8))
-        full = next(body["error"] for status, body in crowd if status == 429)
+        self.assertThat(sorted(status for status, _ in responses), Equals([201] * 4 + [429] * 8))
+        full = next(body["error"] for status, body in responses if status == 429)
         self.assertThat((full["verdict"], full["retry_after_ms"] > 0), Equals(("not_run", True)))
         for index in range(12):
             await fleet.ask("DELETE", edge, f"/lots/crowd{index}")
 
-        async def still():
+        async def no_items():
             _, body = await fleet.ask("GET", edge, "/status")
             return body["items"] == 0
 
-        await until(still, 3000, "ended lots stop")
+        await until(no_items, 3000, "the items of cancelled jobs stop")
 
     async def operators(self, fleet):
         control = [member.http for member in fleet.with_role("control")]
@@ -304,7 +311,7 @@
         self.assertThat(
             (row["applied"], row["need_restart"]), Equals((["delta_ms"], ["view_size"]))
         )
-        # On a path whose deadline the operators above left alone: only the stop itself may cut it.
+        # `operators` shortened the deadline of `rulings`; here only the stop itself can cut the stream.
         streaming = asyncio.ensure_future(
             fleet.ask(
                 "POST",
@@ -314,11 +321,11 @@
             )
         )
 
-        async def begun():
+        async def is_streaming():
             _, body = await fleet.get(edge, "/status")
             return body["live"] == 1
 
-        await until(begun, 3000, "the stream has begun")
+        await until(is_streaming, 3000, "the stream has begun")
         edge.signal(signal.SIGTERM)
 
         async def unready():
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Recording a day and playing it again: on a real fleet, and what is said of bad recordings."""
+"""Recordings of clients' calls: their replay against a real fleet, and the problems of bad files."""
 
 import asyncio
 import tempfile
@@ -12,7 +12,7 @@
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
-LIVE = {
+LIVE_ROW = {
     "kind": "live",
     "at_ms": 1,
     "took_ms": 5,
@@ -28,10 +28,10 @@
     "code": "",
     "bytes": 9,
 }
-BEGIN = {"kind": "begin", "format": FORMAT, "edge": "e", "at_ms": 0}
+FIRST_ROW = {"kind": "begin", "format": FORMAT, "edge": "e", "at_ms": 0}
 
 
-class Recordings(TestCase):
+class RecordingTest(TestCase):
     def load(self, *lines):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "day"
@@ -41,31 +41,38 @@
 
     def test_a_complete_recording(self):
         calls, problems = self.load(
-            encode_row(BEGIN),
-            encode_row(LIVE),
+            encode_row(FIRST_ROW),
+            encode_row(LIVE_ROW),
             encode_row({"kind": "finis", "rows": 1, "at_ms": 2}),
         )
         self.assertThat((len(calls), problems), Equals((1, [])))
 
     def test_problems_are_named_by_line(self):
-        finis = encode_row({"kind": "finis", "rows": 1, "at_ms": 2})
+        last_line = encode_row({"kind": "finis", "rows": 1, "at_ms": 2})
         rows = [
-            ((encode_row(BEGIN), encode_row(LIVE)), ":3: truncated"),
-            ((encode_row(BEGIN), encode_row(LIVE)[:-9], finis), ":2: not JSON"),
+            ((encode_row(FIRST_ROW), encode_row(LIVE_ROW)), ":3: truncated"),
+            ((encode_row(FIRST_ROW), encode_row(LIVE_ROW)[:-9], last_line), ":2: not JSON"),
             (
-                (encode_row(BEGIN), encode_row(LIVE).replace("rulings", "rulingz"), finis),
+                (
+                    encode_row(FIRST_ROW),
+                    encode_row(LIVE_ROW).replace("rulings", "rulingz"),
+                    last_line,
+                ),
                 ":2: checksum mismatch",
             ),
-            ((encode_row(BEGIN), finis), ":2: counts 1 calls, but the file has 0"),
-            ((encode_row(LIVE), finis), ":1: the first line, and no other, must be"),
+            ((encode_row(FIRST_ROW), last_line), ":2: counts 1 calls, but the file has 0"),
+            ((encode_row(LIVE_ROW), last_line), ":1: the first line, and no other, must be"),
             (
-                (encode_row({**BEGIN, "format": "x"}), encode_row(LIVE), finis),
+                (encode_row({**FIRST_ROW, "format": "x"}), encode_row(LIVE_ROW), last_line),
                 ":1: format 'x', expected",
             ),
-            ((encode_row(BEGIN), encode_row({"kind": "live"}), finis), ":2: missing fields: path"),
-            ((encode_row(BEGIN), encode_row({"kind": "dance"}), finis), ":2: unknown kind"),
             (
-                (encode_row(BEGIN), encode_row(LIVE), finis, encode_row(LIVE)),
+                (encode_row(FIRST_ROW), encode_row({"kind": "live"}), last_line),
+                ":2: missing fields: path",
+            ),
+            ((encode_row(FIRST_ROW), encode_row({"kind": "dance"}), last_line), ":2: unknown kind"),
+            (
+                (encode_row(FIRST_ROW), encode_row(LIVE_ROW), last_line, encode_row(LIVE_ROW)),
                 ":4: follows the last line",
             ),
             ((), ":1: truncated"),
@@ -73,7 +80,7 @@
         for lines, wanted in rows:
             self.assertThat("\n".join(self.load(*lines)[1]), Contains(wanted))
 
-    def test_a_day_is_recorded_and_played_again(self):
+    def test_recorded_calls_are_replayed(self):
         async def run():
             with tempfile.TemporaryDirectory() as folder:
                 shape = {"control": 1, "stores": 3, "edges": 1, "workers": 1}
@@ -84,7 +91,7 @@
                     await fleet.bootstrap(TREE)
                     await fleet.workers_known(1)
                     edge = fleet.with_role("edge")[0]
-                    await self.day(fleet, edge.http)
+                    await self.make_calls(fleet, edge.http)
                     edge.signal(15)
                     await until(
                         lambda: asyncio.sleep(0, not edge.runs), 8000, "the edge has stopped"
@@ -111,7 +118,7 @@
 
         asyncio.run(run())
 
-    async def day(self, fleet, edge):
+    async def make_calls(self, fleet, edge):
         for body, key in (
             ({"model": "rulings", "prompt": "secret one", "stream": True}, None),
             ({"model": "rulings", "prompt": "secret two"}, None),
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -1,4 +1,7 @@
-"""The whole path on real processes, waiting on conditions only."""
+"""Completions and batch jobs on real processes, with a killed leader and clients that disconnect.
+
+The tests wait for conditions, never for a fixed time.
+"""
 
 import asyncio
 import json
@@ -22,7 +25,9 @@
 
         asyncio.run(run())
 
-    async def job_done(self, fleet, edge, job_id):
+    async def wait_until_done(self, fleet, edge, job_id):
+        """Wait until the job is done, and check that each of its items ran and has one result."""
+
         async def done():
             status, body = await fleet.ask("GET", edge, f"/lots/{job_id}")
             return status == 200 and body["state"] == "done"
@@ -35,7 +40,7 @@
         self.assertThat({row["verdict"] for row in body["results"]}, Equals({"ran"}))
 
     async def begin_and_disconnect(self, edge, call, key=""):
-        """A client with a socket of its own that disconnects after the fourth event."""
+        """Request a stream on a connection of its own, and close it at the fourth event (id 3)."""
         host, _, port = edge.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         data = json.dumps(call).encode()
@@ -50,7 +55,10 @@
         writer.close()
 
     def test_a_client_that_disconnects(self):
-        """A safe run is stopped, and nobody takes it for the worker's failure; an unsafe one runs to its end."""
+        """A request that is safe to repeat is stopped, and not counted as the worker's failure.
+
+        An unsafe one runs to its end, and a later request with its key gets the result.
+        """
 
         async def body(fleet):
             edge = fleet.with_role("edge")[0].http
@@ -66,7 +74,9 @@
                     and "vaneledge_edge_steps_finish_total 1.0" in text
                 )
 
-            await until(disconnect_counted, 8000, "the safe run is stopped, the unsafe one ends")
+            await until(
+                disconnect_counted, 8000, "the safe request is stopped, the unsafe one ends"
+            )
             _, text = await fleet.ask("GET", edge, "/metrics")
             self.assertThat("sends_failed" in text or "steps_cut" in text, Equals(False))
             status, again = await fleet.ask(
@@ -116,7 +126,7 @@
                 if shown["log_role"] == "serving":
                     leader = member
             leader.kill()
-            await self.job_done(fleet, second, "one")
+            await self.wait_until_done(fleet, second, "one")
 
             async def accepted():
                 status, _ = await fleet.ask(
@@ -125,7 +135,7 @@
                 return status in (200, 201)
 
             await until(accepted, 12000, "jobs are accepted again")
-            await self.job_done(fleet, first, "two")
+            await self.wait_until_done(fleet, first, "two")
             runs = []
             for worker in fleet.workers.values():
                 _, shown = await fleet.get(worker, "/runs")
