--- a/libs/data_plane/src/data_plane/process.py
+++ b/libs/data_plane/src/data_plane/process.py
@@ -22,7 +22,7 @@
 
 __all__ = ["NodeProcess", "run_loaded", "run_process", "settings_or_exit"]
 
-Load = Callable[[], Result[Settings, list[str]]]
+SettingsLoader = Callable[[], Result[Settings, list[str]]]
 
 # Shares of `grace_ms`: the longest that draining waits, and the interval between its checks.
 _DRAIN_SHARE = 0.8
@@ -57,19 +57,22 @@
         return LinkTransport(self.settings.link, self.settings.request_timeout_ms, deliver)
 
     def open_disk(self) -> FolderDisk:
-        """Open the data folder; the process crashes after an input/output error on it."""
+        """Open the data folder.
+
+        The process crashes after an input/output error on it other than a full device.
+        """
         loop = asyncio.get_running_loop()
 
         def run_on_loop(callback: Callable[[], None]) -> None:
             loop.call_soon_threadsafe(callback)
 
         self.disk = FolderDisk(
-            self.settings.data_folder, self.settings.disk_bytes, run_on_loop, self._disk_broken
+            self.settings.data_folder, self.settings.disk_bytes, run_on_loop, self._on_disk_error
         )
         return self.disk
 
-    def _disk_broken(self) -> None:
-        """Crash, since it is unknown which writes the kernel still holds after a failed one.
+    def _on_disk_error(self) -> None:
+        """Crash, since after the error it is unknown which writes the kernel still holds.
 
         Other nodes take over; after a restart the node reads what the files contain.
         """
@@ -142,7 +145,7 @@
 
     __slots__ = ("_load", "_process", "_stopping", "_watched")
 
-    def __init__(self, process: NodeProcess, load: Load, watched: str) -> None:
+    def __init__(self, process: NodeProcess, load: SettingsLoader, watched: str) -> None:
         self._process = process
         self._load = load
         self._watched = watched
@@ -212,7 +215,7 @@
 
 
 async def _supervise(
-    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str
+    make: Callable[[Settings], NodeProcess], settings: Settings, load: SettingsLoader, watched: str
 ) -> None:
     await _Supervisor(make(settings), load, watched).run()
 
@@ -231,7 +234,10 @@
 
 
 def run_loaded(
-    make: Callable[[Settings], NodeProcess], settings: Settings, load: Load, watched: str = ""
+    make: Callable[[Settings], NodeProcess],
+    settings: Settings,
+    load: SettingsLoader,
+    watched: str = "",
 ) -> None:
     """Run a process until SIGTERM or SIGINT.
 
--- a/libs/data_plane/src/data_plane/recorder.py
+++ b/libs/data_plane/src/data_plane/recorder.py
@@ -77,7 +77,7 @@
     folder
         The folder of the recordings; it is created if it is missing.
     edge
-        The name of the edge, which the files' names and first lines have.
+        The name of the edge, for the files' names and first lines.
     rows
         The number of calls in a file, after which a new one is begun.
     bodies
--- a/libs/data_plane/src/data_plane/rollout_service.py
+++ b/libs/data_plane/src/data_plane/rollout_service.py
@@ -1,7 +1,7 @@
 """Training rollouts at an edge, which a trainer submits, follows, reads and cancels.
 
-In the log a rollout is a batch job of the lowest priority, with a prefix in its id that no job
-submitted by a client can have. Its results are its samples, ordered by prompt and then by sample.
+In the log a rollout is a batch job of the lowest priority, with a prefix in its id that no other
+job can have. Its results are its samples, ordered by prompt and then by sample.
 """
 
 import hashlib
