--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,18 +1,18 @@
-"""Recording a day and playing it again: on a real fleet, and what is said of bad recordings."""
+"""Recordings of clients' calls: their replay against a real fleet, and the problems of bad files."""
 
 import asyncio
 import tempfile
 from pathlib import Path
 
-from data_plane.recorder import FORMAT, sealed
+from data_plane.recorder import FORMAT, encode_row
 from data_plane.recording_file import load_recording
-from data_plane.replay import PlayedCall, compare, play
+from data_plane.replay import ReplayedCall, compare_outcomes, replay_calls
+from profile_tree import TREE
 from testbed.fleet import Fleet, until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
-from trees import TREE
 
-LIVE = {
+LIVE_ROW = {
     "kind": "live",
     "at_ms": 1,
     "took_ms": 5,
@@ -28,10 +28,10 @@
     "code": "",
     "bytes": 9,
 }
-BEGIN = {"kind": "begin", "format": FORMAT, "edge": "e", "at_ms": 0}
+FIRST_ROW = {"kind": "begin", "format": FORMAT, "edge": "e", "at_ms": 0}
 
 
-class Recordings(TestCase):
+class RecordingTest(TestCase):
     def load(self, *lines):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "day"
@@ -41,31 +41,46 @@
 
     def test_a_complete_recording(self):
         calls, problems = self.load(
-            sealed(BEGIN), sealed(LIVE), sealed({"kind": "finis", "rows": 1, "at_ms": 2})
+            encode_row(FIRST_ROW),
+            encode_row(LIVE_ROW),
+            encode_row({"kind": "finis", "rows": 1, "at_ms": 2}),
         )
         self.assertThat((len(calls), problems), Equals((1, [])))
 
     def test_problems_are_named_by_line(self):
-        finis = sealed({"kind": "finis", "rows": 1, "at_ms": 2})
+        last_line = encode_row({"kind": "finis", "rows": 1, "at_ms": 2})
         rows = [
-            ((sealed(BEGIN), sealed(LIVE)), ":3: cut off"),
-            ((sealed(BEGIN), sealed(LIVE)[:-9], finis), ":2: not JSON"),
+            ((encode_row(FIRST_ROW), encode_row(LIVE_ROW)), ":3: truncated"),
+            ((encode_row(FIRST_ROW), encode_row(LIVE_ROW)[:-9], last_line), ":2: not JSON"),
             (
-                (sealed(BEGIN), sealed(LIVE).replace("rulings", "rulingz"), finis),
-                ":2: the checksum is wrong",
+                (
+                    encode_row(FIRST_ROW),
+                    encode_row(LIVE_ROW).replace("rulings", "rulingz"),
+                    last_line,
+                ),
+                ":2: checksum mismatch",
             ),
-            ((sealed(BEGIN), finis), ":2: counts 1 calls, 0 are there"),
-            ((sealed(LIVE), finis), ":1: a recording begins"),
-            ((sealed({**BEGIN, "format": "x"}), sealed(LIVE), finis), ":1: not of format"),
-            ((sealed(BEGIN), sealed({"kind": "live"}), finis), ":2: lacks path"),
-            ((sealed(BEGIN), sealed({"kind": "dance"}), finis), ":2: unknown kind"),
-            ((sealed(BEGIN), sealed(LIVE), finis, sealed(LIVE)), ":4: after the end"),
-            ((), ":1: cut off"),
+            ((encode_row(FIRST_ROW), last_line), ":2: counts 1 calls, but the file has 0"),
+            ((encode_row(LIVE_ROW), last_line), ":1: the first line, and no other, must be"),
+            (
+                (encode_row({**FIRST_ROW, "format": "x"}), encode_row(LIVE_ROW), last_line),
+                ":1: format 'x', expected",
+            ),
+            (
+                (encode_row(FIRST_ROW), encode_row({"kind": "live"}), last_line),
+                ":2: missing fields: path",
+            ),
+            ((encode_row(FIRST_ROW), encode_row({"kind": "dance"}), last_line), ":2: unknown kind"),
+            (
+                (encode_row(FIRST_ROW), encode_row(LIVE_ROW), last_line, encode_row(LIVE_ROW)),
+                ":4: follows the last line",
+            ),
+            ((), ":1: truncated"),
         ]
         for lines, wanted in rows:
             self.assertThat("\n".join(self.load(*lines)[1]), Contains(wanted))
 
-    def test_a_day_is_recorded_and_played_again(self):
+    def test_recorded_calls_are_replayed(self):
         async def run():
             with tempfile.TemporaryDirectory() as folder:
                 shape = {"control": 1, "stores": 3, "edges": 1, "workers": 1}
@@ -76,7 +91,7 @@
                     await fleet.bootstrap(TREE)
                     await fleet.workers_known(1)
                     edge = fleet.with_role("edge")[0]
-                    await self.day(fleet, edge.http)
+                    await self.make_calls(fleet, edge.http)
                     edge.signal(15)
                     await until(
                         lambda: asyncio.sleep(0, not edge.runs), 8000, "the edge has stopped"
@@ -92,18 +107,18 @@
                         Equals((["live", "live", "live", "live", "hand-in", "read", "end"], [])),
                     )
                     self.assertThat("secret" in path.read_text(), Equals(False))
-                    played = await play(rows, [edge.http], 1.0, 7)
-                    report, differing = compare(played)
-                    self.assertThat((differing, "now" in report), Equals((0, True)), report)
+                    calls = await replay_calls(rows, [edge.http], 1.0, 7)
+                    report, differing = compare_outcomes(calls)
+                    self.assertThat((differing, "; replayed " in report), Equals((0, True)), report)
                     status, _ = await fleet.ask("GET", edge.http, "/lots/day.r7")
                     self.assertThat(status, Equals(200))
                     rows[0]["status"] = 503
-                    _, differing = compare([PlayedCall(rows[0], played[0].now)])
+                    _, differing = compare_outcomes([ReplayedCall(rows[0], calls[0].replayed)])
                     self.assertThat(differing, Equals(1))
 
         asyncio.run(run())
 
-    async def day(self, fleet, edge):
+    async def make_calls(self, fleet, edge):
         for body, key in (
             ({"model": "rulings", "prompt": "secret one", "stream": True}, None),
             ({"model": "rulings", "prompt": "secret two"}, None),
