--- a/libs/capacity_sharing/src/capacity_sharing/deadline_forecast.py
+++ b/libs/capacity_sharing/src/capacity_sharing/deadline_forecast.py
@@ -1,8 +1,9 @@
-"""Whether batch jobs will meet their deadlines beside rollouts.
+"""Forecast of whether batch jobs will meet their deadlines while rollouts use spare capacity.
 
-For each waiting job: the items due up to and including its own, divided by what edges can run at
-once, times how long an item has been seen to take, with a margin. Once a job may be late, every
-sample is preempted until none may be.
+The time that a job with waiting items needs is the number of unfinished items of all jobs due no
+later than it, divided by the number of items that the edges can run at once, times the average
+duration of an item of the job's path, times a margin. While a job may miss its deadline, the log's
+leader recalls all samples.
 """
 
 import math
@@ -16,23 +17,30 @@
 __all__ = ["JobDeadlineForecast"]
 
 _EWMA_WEIGHT = 0.2
-"""The weight of the newest duration in the moving average."""
+"""Weight of the newest duration in the exponentially weighted moving average."""
 
 _DEFAULT_ITEM_SHARE = 0.05
-"""How long an item is assumed to take while none was seen, as a share of its job's time."""
+"""Assumed duration of an item while no duration is known for its path.
+
+It is a fraction of the time from the job's admission to its deadline.
+"""
 
 _MARGIN = 2.0
 
 
 class _EdgeCapacity(NamedTuple):
-    """How many items an edge could start, and when it reported that."""
+    """The number of items that an edge could start when it last reported, and when that was."""
 
     reported_ms: int
     items: int
 
 
 class _LateJob(NamedTuple):
-    """A job that may miss its deadline, with the figures that say so."""
+    """A job that may miss its deadline, with the figures of the forecast.
+
+    `needed_ms` is the forecast time until its items have finished, margin included; `items_due` the
+    number of unfinished items up to and including its own; `concurrency` how many run at once.
+    """
 
     job: Job
     needed_ms: float
@@ -41,9 +49,12 @@
 
 
 class JobDeadlineForecast:
-    """The forecast of jobs' deadlines, from the capacities and durations that edges report.
+    """Forecasts from the capacities and item durations that edges report.
 
-    The capacity of an edge counts until `failure_timeout_ms` after its heartbeat.
+    Parameters
+    ----------
+    failure_timeout_ms
+        How long the capacity in an edge's heartbeat counts.
     """
 
     __slots__ = ("_capacities", "_failure_timeout_ms", "_item_ms", "_job_at_risk")
@@ -55,7 +66,7 @@
         self._job_at_risk = ""
 
     def record_heartbeat(self, heartbeat: RolloutHeartbeat, now_ms: int) -> None:
-        """Take from an edge's heartbeat how many items it could start."""
+        """Record how many items an edge could start, and drop capacities that are too old."""
         self._capacities[heartbeat.edge] = _EdgeCapacity(now_ms, heartbeat.capacity)
         self._capacities = {
             edge: capacity
@@ -64,14 +75,14 @@
         }
 
     def record_item_duration(self, path: str, duration_ms: int) -> None:
-        """Add the duration of an item of a path to the path's moving average."""
+        """Add the duration of a finished item to the moving average of its path."""
         average_ms = self._item_ms.get(path, duration_ms)
         self._item_ms[path] = average_ms * (1 - _EWMA_WEIGHT) + duration_ms * _EWMA_WEIGHT
 
     def at_risk(self, state: BatchState, log_ms: int, log: Callable[..., None]) -> bool:
-        """Return whether a job may miss its deadline; a change of the answer is logged.
+        """Return whether a job may miss its deadline, and log a change of the answer.
 
-        `log_ms` is the present time on the log's clock, which deadlines are given in.
+        `log_ms` is the present time of the log's clock in milliseconds, as deadlines are.
         """
         late = self._first_late_job(state, log_ms)
         if late is not None and not self._job_at_risk:
@@ -91,7 +102,7 @@
         return late is not None
 
     def _first_late_job(self, state: BatchState, log_ms: int) -> _LateJob | None:
-        """Return the first job by deadline that may be late, or None."""
+        """Return the job with the earliest deadline among those that may miss it, or None."""
         jobs = sorted(
             (job for job in state.open_jobs.values() if not job.rollout and job.unfinished),
             key=lambda job: job.due_ms,
@@ -106,7 +117,10 @@
         return None
 
     def _concurrency(self, jobs: list[Job]) -> int:
-        """Return how many items can run at once: those running, and the edges' free capacity."""
+        """Return how many items can run at once: those claimed now plus the edges' free capacity.
+
+        At least 1, so that the forecast is defined while no edge reports capacity.
+        """
         free = sum(capacity.items for capacity in self._capacities.values())
         return max(1, free + sum(len(job.claims) for job in jobs))
 
--- a/libs/capacity_sharing/src/capacity_sharing/entitlement.py
+++ b/libs/capacity_sharing/src/capacity_sharing/entitlement.py
@@ -1,7 +1,7 @@
-"""Which of a worker's lendable slots an edge may fill.
+"""Division of a worker's lendable slots among the edges.
 
-Each slot belongs to one of the live edges by rendezvous hashing, so edges that know of each other
-never fill more than the share together and need no coordination.
+Rendezvous hashing assigns each slot to one of the live edges. Edges with the same view of the live
+edges and of the worker's lendable slots together fill no more than these, without coordination.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Entitlements:
-    """The slots that each edge may fill, cached until the set of live edges changes."""
+    """Counts the slots assigned to an edge; cached while the set of live edges is the same."""
 
     __slots__ = ("_cache", "_edges")
 
@@ -23,9 +23,9 @@
         self._cache: dict[tuple[str, int], int] = {}
 
     def slots(self, edge: str, edges: Iterable[str], worker: str, lendable: int) -> int:
-        """Return how many of a worker's lendable slots `edge` may fill.
+        """Return how many of the `lendable` slots of a worker `edge` may fill.
 
-        `edges` are the identities of all live edges, `edge` among them.
+        `edges` are the identities of all live edges, including `edge`.
         """
         edges = frozenset(edges)
         if edges != self._edges or len(self._cache) > _MAX_CACHE_ENTRIES:
