--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -87,7 +87,7 @@
                 "e1",
                 EdgeLoad(
                     edge="e1",
-                    number=1,
+                    loans_version=1,
                     workers=json.dumps(rows),
                     waiting=waiting,
                     jobs_at_risk=at_risk,
@@ -161,7 +161,7 @@
                 "e1",
                 EdgeLoad(
                     edge="e1",
-                    number=1,
+                    loans_version=1,
                     workers=json.dumps(reported),
                     waiting=0,
                     jobs_at_risk=bool(options),
