--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -137,7 +137,7 @@
 
     Attributes
     ----------
-    number
+    version
         The last published version of the key that this node has received.
     counts
         How many changes of loans this node has made, by the state after the change.
@@ -157,7 +157,7 @@
         "_table",
         "counts",
         "is_owner",
-        "number",
+        "version",
     )
     HANDLES = (EdgeLoad,)
 
@@ -179,7 +179,7 @@
         self._in_contact = in_contact
         self.is_owner = is_owner
         self._table = LoanTable.from_body("")
-        self.number = 0
+        self.version = 0
         self._observed: dict[str, _ObservedEpoch] = {}
         self._pending: PendingCalls[_PendingChange] = PendingCalls(_finish_in_doubt)
         self._changing: dict[str, int] = {}
@@ -194,12 +194,12 @@
             node.settings.failure_timeout_ms, lambda: self.node.settings.load_window_ms
         )
 
-    def _published(self, key: str, number: int, body: str) -> None:
+    def _published(self, key: str, version: int, body: str) -> None:
         if key == LOANS_KEY and body:
-            self._table, self.number = LoanTable.from_body(body), number
+            self._table, self.version = LoanTable.from_body(body), version
 
     def rows(self) -> dict[str, dict[str, Any]]:
-        """Return the JSON rows of all loans by worker, as of the version `number` of the key."""
+        """Return the JSON rows of all loans by worker, as of `version` of the key."""
         return self._table.rows()
 
     def receive(self, message: Message, origin: Origin) -> None:
@@ -340,7 +340,7 @@
         return edges | set(self._config_feed.serving_set()) - stores
 
     def _is_drained(self, worker: str) -> bool:
-        return all(self._load.is_drained(worker, link, self.number) for link in self._edge_links())
+        return all(self._load.is_drained(worker, link, self.version) for link in self._edge_links())
 
     def _due_change(self, worker: str, loan: Loan, elapsed_ms: int) -> TableUpdate | None:
         """Return the change of a loan that is due, or None if none is.
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -62,7 +62,9 @@
         router.add_post("/loans/{worker}/returned", self._return)
 
     async def _show(self, request: web.Request) -> web.Response:
-        return json_response({"version": self._node.loans.number, "loans": self._node.loans.rows()})
+        return json_response(
+            {"version": self._node.loans.version, "loans": self._node.loans.rows()}
+        )
 
     async def _grant(self, request: web.Request) -> web.Response:
         body = await read_json_body(request, self._node.settings.max_body_bytes, _GrantBody)
