--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -422,4 +422,4 @@
         self._observed.clear()
         self._changing.clear()
         self._load.reset()
-        self._pending.expire_all("this node was frozen")
+        self._pending.expire_all("the process of this node was paused")
--- a/libs/capacity_sharing/src/capacity_sharing/loan_table.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_table.py
@@ -1,8 +1,13 @@
-"""The control key `loans`: which workers are lent whole, and to whom.
+"""The value of the control key `loans`: the loans of whole workers and the changes of their state.
 
-A loan goes from serving through lending, lent and recalled back to serving. There is one function
-for each change of state. Each sets a higher epoch, and each refuses where the state, or the epoch
-that the caller last knew, is a different one; the error is the reason.
+A loan is the exclusive lease of a whole worker to training rollouts, for a limited time. It goes
+through the states of `LoanState` in order and back to SERVING; a loan may also be returned without
+a recall, or withdrawn before the worker was lent.
+
+There is one function for each change of state. It returns a new table under the next epoch, or an
+error with the reason if the loan's state does not allow the change. Functions that take the epoch
+of the loan also refuse if the loan is under another one, so that no change is made on the ground of
+an outdated state.
 """
 
 import json
@@ -31,9 +36,9 @@
     """The states of a loan, in order; the values are those of the control key.
 
     - SERVING: the worker serves requests.
-    - LENDING: it gets nothing new, and its requests are finished.
-    - LENT: the borrower has it.
-    - RECALLED: the borrower has to return it.
+    - LENDING: it gets no new requests, and those that run there are finished.
+    - LENT: the borrower has exclusive use of it.
+    - RECALLED: the borrower has been asked to return it within `recall_ms`.
     """
 
     SERVING = "serving"
@@ -45,10 +50,24 @@
 class Loan(NamedTuple):
     """The loan of a worker.
 
-    `epoch` is that of the last change of state. `number`, the loan's own number, is the epoch under
-    which the worker was lent, 0 before that. `weights`, if not empty, are those that it must return
-    with. `lease_ms` is how long it is lent, and `recall_ms` how long the borrower may take to
-    return it. `reason` says why it was recalled or withdrawn.
+    Attributes
+    ----------
+    state
+        The state of the loan.
+    epoch
+        Epoch of the last change of state.
+    borrower
+        Name of the borrower.
+    weights
+        The weights that the worker must have when it is returned; empty for any.
+    lease_ms
+        Duration of the loan, after which the worker is recalled.
+    recall_ms
+        How long the borrower may take to return the worker after a recall.
+    number
+        Identifies the loan: the epoch under which the worker was lent, 0 before that.
+    reason
+        Why the loan was recalled or withdrawn, else empty.
     """
 
     state: LoanState
@@ -89,7 +108,7 @@
 
 
 class LoanTable:
-    """The value of the control key: all loans by worker, and the epoch of the last change."""
+    """All loans by the identity of the worker, and the epoch of the last change."""
 
     __slots__ = ("epoch", "loans")
 
@@ -99,7 +118,7 @@
 
     @classmethod
     def from_body(cls, body: str) -> "LoanTable":
-        """Return the table of the key's body; an empty body stands for no loans."""
+        """Return the table from the key's body; an empty body means that there are no loans."""
         if not body:
             return cls(0, {})
         value = json.loads(body)
@@ -115,7 +134,7 @@
         return {worker: loan.row() for worker, loan in sorted(self.loans.items())}
 
     def withheld(self) -> frozenset[str]:
-        """Return the workers that are sent nothing new."""
+        """Return the workers that get no new requests: those not in the state SERVING."""
         return frozenset(
             worker for worker, loan in self.loans.items() if loan.state is not LoanState.SERVING
         )
@@ -128,34 +147,36 @@
     def _loan_in(
         self, worker: str, states: Iterable[LoanState], epoch: int | None = None
     ) -> Result[Loan, str]:
-        """Return a worker's loan if it is in one of the states, and of the epoch if given."""
+        """Return a worker's loan if it is in one of the states and, if given, under the epoch."""
         loan = self.loans.get(worker, _NEVER_LENT)
         if loan.state not in states:
-            return Error(f"it is {loan.state}")
+            return Error(f"its state is {loan.state}")
         if epoch is not None and loan.epoch != epoch:
-            return Error(f"epoch {epoch} was replaced by {loan.epoch}")
+            return Error(f"its loan is under epoch {loan.epoch}, not {epoch}")
         return Ok(loan)
 
 
 _NEVER_LENT = Loan(LoanState.SERVING, 0, "", "", 0, 0, 0, "")
 
-TableChange = Result[LoanTable, str]
+ChangedTable = Result[LoanTable, str]
+"""The table after a change, or the reason why the change was refused."""
 
 
 def granted(
     table: LoanTable, worker: str, borrower: str, weights: str, lease_ms: int, recall_ms: int
-) -> TableChange:
-    """Start to lend a worker: new calls go elsewhere from here on."""
+) -> ChangedTable:
+    """Begin to lend a worker, which gets no new requests from then on."""
     loan = Loan(LoanState.LENDING, 0, borrower, weights, lease_ms, recall_ms, 0, "")
     return table._loan_in(worker, (LoanState.SERVING,)).map(
         lambda previous: table._with_loan(worker, loan)
     )
 
 
-def drained(table: LoanTable, worker: str, epoch: int) -> TableChange:
-    """Give a worker to its borrower.
+def drained(table: LoanTable, worker: str, epoch: int) -> ChangedTable:
+    """Lend a drained worker to its borrower.
 
-    The caller has reports of every edge, under this epoch, that it has nothing there.
+    The caller must have a report of every edge, made under this epoch, that it has no requests
+    running there.
     """
     return table._loan_in(worker, (LoanState.LENDING,), epoch).map(
         lambda loan: table._with_loan(
@@ -164,15 +185,15 @@
     )
 
 
-def withdrawn(table: LoanTable, worker: str, epoch: int, reason: str) -> TableChange:
-    """Let a worker serve again that its borrower never had."""
+def withdrawn(table: LoanTable, worker: str, epoch: int, reason: str) -> ChangedTable:
+    """Let a worker serve again that was not lent yet."""
     return table._loan_in(worker, (LoanState.LENDING,), epoch).map(
         lambda loan: table._with_loan(worker, loan._replace(state=LoanState.SERVING, reason=reason))
     )
 
 
-def recalled(table: LoanTable, worker: str, reason: str, epoch: int | None = None) -> TableChange:
-    """Ask for a worker back; a loan that is not yet lent is withdrawn."""
+def recalled(table: LoanTable, worker: str, reason: str, epoch: int | None = None) -> ChangedTable:
+    """Ask the borrower to return a worker; if the worker is not lent yet, withdraw the loan."""
     loan = table.loans.get(worker, _NEVER_LENT)
     if loan.state is LoanState.LENDING:
         return withdrawn(table, worker, loan.epoch if epoch is None else epoch, reason)
@@ -183,14 +204,17 @@
     )
 
 
-def returned(table: LoanTable, worker: str, number: int, weights: str) -> TableChange:
-    """Let a worker serve again that reports itself free, with the weights that were agreed."""
+def returned(table: LoanTable, worker: str, number: int, weights: str) -> ChangedTable:
+    """Let a worker serve again that reports that its borrower has released it.
+
+    Refused unless `number` is that of the loan and `weights` are those that the loan requires.
+    """
 
-    def checked(loan: Loan) -> TableChange:
+    def checked(loan: Loan) -> ChangedTable:
         if loan.number != number:
-            return Error(f"loan {number} was replaced by {loan.number}")
+            return Error(f"the number of its loan is {loan.number}, not {number}")
         if loan.weights not in ("", weights):
-            return Error(f"it has weights {weights!r} where {loan.weights!r} are wanted")
+            return Error(f"it has the weights {weights!r}, but its loan requires {loan.weights!r}")
         return Ok(table._with_loan(worker, loan._replace(state=LoanState.SERVING, reason="")))
 
     return table._loan_in(worker, (LoanState.LENT, LoanState.RECALLED)).bind(checked)
--- a/libs/capacity_sharing/src/capacity_sharing/pending_calls.py
+++ b/libs/capacity_sharing/src/capacity_sharing/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls from outside the node that wait for their result, each for a limited time."""
+"""Calls that operate on control keys and wait for their result, each for a limited time."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -13,8 +13,8 @@
 class CallState(StrEnum):
     """What a call waits for.
 
-    A call starts in READING. It goes on to LOOKING_UP or PROPOSING, perhaps back to READING if its
-    proposal was superseded, and always ends in FINISHED.
+    A call starts in READING and goes on to LOOKING_UP or PROPOSING. It may return to READING if its
+    proposal was lost to another change. It always ends in FINISHED.
 
     - READING: a control key is being read through a quorum.
     - LOOKING_UP: the key's owner is asked whether an earlier change was decided.
@@ -29,7 +29,10 @@
 
 
 class PendingCall(Generic[ResultType]):
-    """A call that waits for its result until `due_ms`, a time of the node's clock."""
+    """A call that waits for its result until `due_ms`, a time of the node's clock.
+
+    `done` is called once, with the first result.
+    """
 
     __slots__ = ("_done", "due_ms", "state")
 
@@ -44,7 +47,7 @@
         return self.state is not CallState.FINISHED
 
     def finish(self, result: ResultType) -> None:
-        """Give the caller its result; only the first one counts."""
+        """Pass the result to the caller, unless the call has already finished."""
         if self.is_open:
             self.state = CallState.FINISHED
             self._done(result)
@@ -53,7 +56,11 @@
 class PendingCalls(Generic[CallType]):
     """The open calls of a component, oldest first.
 
-    `expire` finishes a call whose result is not known when its time is over.
+    Parameters
+    ----------
+    expire
+        Finishes an open call without a result, for the reason given. It is also called for calls
+        that have finished since the last check, where `PendingCall.finish` has no effect.
     """
 
     __slots__ = ("_calls", "_expire")
@@ -67,14 +74,14 @@
         self._calls.append(call)
 
     def expire_due(self, now_ms: int) -> None:
-        """Finish the calls whose time is over."""
+        """Expire the calls that are due, and drop all that have finished."""
         for call in self._calls:
             if now_ms >= call.due_ms:
-                self._expire(call, "no answer in time")
+                self._expire(call, "timed out waiting for the result")
         self._calls = [call for call in self._calls if call.is_open]
 
     def expire_all(self, reason: str) -> None:
-        """Finish all calls, since what they wait for may have been missed."""
+        """Expire all calls; used where the results that they wait for may have been missed."""
         for call in self._calls:
             self._expire(call, reason)
         self._calls = []
