--- a/libs/capacity_sharing/src/capacity_sharing/sampling.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sampling.py
@@ -1,8 +1,12 @@
-"""One sample of a rollout as a call to a worker.
+"""The call to a worker for one sample of a rollout.
 
-The call is streamed, so that it shows when its prompt has been read, has the lowest urgency, and
-names the weights that the trainer wants. An answer counts only if the worker itself names these
-weights; the result says which prompt and sample it is of, and which weights made it.
+The call is streamed, so that its first event shows that the worker has processed the prompt. It has
+the lowest urgency, and its headers name the weights that the rollout requires. A response counts
+only if its own header names the same weights; a rollout without required weights takes any. The
+result names the prompt, the sample, the worker and the weights that generated it.
+
+The call, its exchange and the choice of its worker are registered with the dispatched functions of
+`request_routing`.
 """
 
 import json
@@ -39,9 +43,14 @@
 
 
 class SampleCall(Call):
-    """A call for one sample of the wanted `weights`.
-
-    `reported_weights` are those that the worker named in its answer.
+    """A call for one sample.
+
+    Attributes
+    ----------
+    weights
+        The weights that the rollout requires; empty for any.
+    reported_weights
+        The weights that the worker named in its response; empty if it named none or several.
     """
 
     __slots__ = ("reported_weights", "weights")
@@ -53,7 +62,10 @@
 
 
 class SampleExchange(WorkerExchange):
-    """An exchange with a worker that fails if the worker has other weights than wanted."""
+    """An exchange with a worker that fails if the worker does not have the required weights.
+
+    The outcome is then a failure after which the call may have run at the worker.
+    """
 
     __slots__ = ("_call",)
 
@@ -64,7 +76,7 @@
         self._call = call
 
     def head(self, status: int, headers: Iterable[tuple[str, str]], length: int | None) -> None:
-        """Take the head of the answer and the weights that it names."""
+        """Process the head of the response, and record the weights that it names."""
         fields = list(headers)
         super().head(status, fields, length)
         values = [value for name, value in fields if name.lower() == WEIGHTS_HEADER.lower()]
@@ -72,17 +84,17 @@
 
     @property
     def has_other_weights(self) -> bool:
-        """Whether a good answer comes from other weights than the call wants."""
+        """Whether a successful response does not name the weights that the call requires."""
         return self.is_success and self._call.weights not in ("", self._call.reported_weights)
 
     def data(self, chunk: bytes) -> tuple[list[bytes], AttemptOutcome | None]:
-        """Take a chunk of the answer; fails if it comes from other weights."""
+        """Process a chunk of the response; fails if the worker has other weights."""
         if self.has_other_weights:
             return [], failed(True, OTHER_WEIGHTS)
         return super().data(chunk)
 
     def end(self) -> AttemptOutcome:
-        """Return the outcome of the exchange at the end of the answer."""
+        """Return the outcome at the end of the response; fails if the worker has other weights."""
         return failed(True, OTHER_WEIGHTS) if self.has_other_weights else super().end()
 
 
@@ -117,10 +129,10 @@
 
 
 def may_be_prefilling(attempt: Attempt, now_ms: int, prefill_ms: int) -> bool:
-    """Return whether a worker may still be reading the prompt of an attempt (prefill).
+    """Return whether a worker may still be processing the prompt of an attempt (prefill).
 
-    A stream's prompt is read until its first event. A plain call shows nothing before its end, so
-    it counts for `prefill_ms` after its start.
+    The prompt of a streamed call is processed by its first event. A call that isn't streamed shows
+    nothing before its end, so it counts as prefilling for `prefill_ms` after its start.
     """
     if attempt.request.call.stream:
         has_event = attempt.last_event_ms > attempt.started_ms
@@ -129,7 +141,11 @@
 
 
 def sample_result(assignment: RolloutAssignment, worker: str, weights: str, events: str) -> str:
-    """Return the JSON text that is listed for a sample, with the text of its stream's events."""
+    """Return the JSON text that is reported to the log as the result of a sample.
+
+    `events` are the events of the streamed response, whose texts are joined; `weights` those that
+    generated them.
+    """
     text = "".join(
         _event_text(json.loads(line.removeprefix("data:")))
         for line in events.splitlines()
--- a/libs/capacity_sharing/src/capacity_sharing/slots.py
+++ b/libs/capacity_sharing/src/capacity_sharing/slots.py
@@ -1,4 +1,14 @@
-"""Which slots of which workers an edge may fill with samples now, beside calls and items."""
+"""The slots of workers that an edge may fill with samples now.
+
+A sample may start at a worker if all of these hold:
+
+- No request is queued at the worker, and it does not count as full after rejecting one as busy.
+- It cannot be processing the prompt of a request of this edge.
+- The slots in use are fewer than those outside the share kept free for live calls.
+- This edge runs fewer samples there than its entitlement. All edges are entitled together to the
+  share of the slots that the profile lends, but not to slots that the recent peak of live calls at
+  the worker needs.
+"""
 
 import math
 from collections.abc import Callable
@@ -14,17 +24,30 @@
 
 
 class _LendingProfiles(NamedTuple):
-    """The usable profiles of a tree that lend slots."""
+    """The usable profiles of a profile tree that lend slots, cached for this tree."""
 
     tree: ProfileTree | None
     profiles: list[Profile]
 
 
 class LendableSlots:
-    """The slots that the profiles in force lend, less what calls, items and other edges need.
-
-    `profiles` gives the profiles in force, `edges` identity and address of the other live edges.
-    `live_peak` gives how many live calls a worker lately had at once, None while unknown.
+    """The slots that the profiles in force lend, less those that other requests or edges need.
+
+    Parameters
+    ----------
+    edge
+        Identity of this edge.
+    router
+        The requests that this edge has in flight.
+    registry
+        The known workers.
+    profiles
+        Returns the profiles in force.
+    edges
+        Returns the identity and the address of each other live edge.
+    live_peak
+        Returns the recent peak of live calls at a worker, or None if it is unknown; then no slot of
+        the worker is lent.
     """
 
     __slots__ = (
@@ -71,7 +94,7 @@
         return self._lending.profiles
 
     def capacity(self) -> tuple[int, frozenset[str]]:
-        """Return how many workers take a sample now, and the paths on which they do."""
+        """Return how many workers may take a sample now, and on which paths."""
         prefilling = self._prefilling_instances()
         capacity = 0
         paths: set[str] = set()
@@ -87,7 +110,7 @@
         return capacity, frozenset(paths)
 
     def _prefilling_instances(self) -> set[str]:
-        """Return the instance ids of workers that may still be reading a prompt of this edge."""
+        """Return the instance ids of workers that may be processing a prompt of this edge."""
         node = self._router.node
         now_ms, prefill_ms = node.env.now(), node.settings.heartbeat_ms
         return {
@@ -97,7 +120,7 @@
         }
 
     def used(self, worker: Worker) -> float:
-        """Return the slots in use at a worker, samples included."""
+        """Return the estimated number of slots in use at a worker, including all samples."""
         requests = (
             worker.load(self._router.node.env.now()) if worker.listed else worker.heartbeat_load
         )
@@ -105,12 +128,13 @@
         return used
 
     def usable(self, worker: Worker) -> int:
-        """Return how many slots of a worker may be used before the share kept for live calls."""
+        """Return the number of a worker's slots without the `live_share` kept for live calls."""
         live_slots = math.ceil(worker.slots * self._router.node.settings.live_share)
         usable: int = worker.slots - live_slots
         return usable
 
     def _takes_sample(self, worker: Worker, profile: Profile, prefilling: set[str]) -> bool:
+        """Whether a sample of a profile may start at a worker; see the module's conditions."""
         return (
             not worker.waiting
             and worker.full_until_ms <= self._router.node.env.now()
@@ -122,7 +146,8 @@
     def entitlement(self, worker: Worker, share: float) -> int:
         """Return how many slots of a worker this edge may fill with samples.
 
-        That is its part of the share lent, less what live calls lately needed.
+        The slots lent by all edges together are the `share` of the worker's slots, but at most the
+        usable slots less the recent peak of live calls. None is lent while the peak is unknown.
         """
         peak = self._live_peak(worker.identity)
         if peak is None:
@@ -132,14 +157,17 @@
         return self._entitlements.slots(self._edge, edges, worker.identity, max(0, lendable))
 
     def record_other_weights(self, instance_id: str, weights: str) -> None:
-        """Offer the worker no sample that wants these weights until `force_ms` has passed."""
+        """Choose the worker for no sample that requires these weights for the next `force_ms`."""
         node = self._router.node
         self._other_weights_until_ms[instance_id, weights] = node.env.now() + node.settings.force_ms
 
     def choose(
         self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
     ) -> Worker | None:
-        """Return the least loaded worker that takes a sample of these weights, or None."""
+        """Return the least loaded worker that may take a sample of these weights, or None.
+
+        Load is the share of the worker's slots that are in use.
+        """
         now_ms, prefilling = self._router.node.env.now(), self._prefilling_instances()
         candidates = [
             worker
