--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -1,9 +1,16 @@
-"""The samples of rollouts that run at an edge, in slots that nothing else needs.
+"""The samples of rollouts that run at an edge, in slots that no other request needs.
 
-A slot is lent only where nobody waits, the live share stays free and no prompt is being read. It is
-taken back at once, newest sample first, for a call or an item that finds no free slot, and where
-another edge reports that one of its calls does. A preempted sample counts for nothing: it waits at
-the log again and returns under a higher claim number.
+`slots` decides where a sample may start. Samples are preempted, newest first:
+
+- before a live call or a batch item is sent to a worker that has too few free slots, and before a
+  live call is sent to a worker that may still be processing the sample's prompt;
+- when a live call finds no free slot at any worker, or another edge requests slots for its calls;
+- when requests are queued at the worker, the worker is not usable any more, or this edge's
+  entitlement there has shrunk;
+- when a batch job may miss its deadline, this edge is not ready, or no profile lends slots.
+
+A preempted sample has no result. It is returned to the log, from where it is assigned again under a
+higher claim number.
 """
 
 import json
@@ -37,25 +44,31 @@
 __all__ = ["SampleRunner"]
 
 _OK = 200
+
 _MAX_REQUESTED_WORKERS = 8
+"""Workers of which slots are requested from other edges for one live call that found none free."""
 
 
 class _DeferredReport(NamedTuple):
-    """A report to the log that is made at `due_ms`."""
+    """A report of an outcome that is made at `due_ms`."""
 
     due_ms: int
     report: Callable[[], None]
 
 
 class _WorkerReport(NamedTuple):
-    """Which of a worker's own reports of its load one is: its number, and when it came."""
+    """Identifies a worker's latest report of its load.
+
+    A new report changes the number of the last heartbeat or the time of the last report in a
+    response.
+    """
 
     heartbeat_number: int
     load_reported_ms: int
 
 
 class _Sample:
-    """A sample that runs at this edge, or has ended."""
+    """A sample that runs at this edge or has ended; `done` gets its outcome."""
 
     __slots__ = ("assignment", "done", "has_ended", "in_flight")
 
@@ -67,33 +80,54 @@
 
     @property
     def attempt(self) -> Attempt | None:
-        """The present attempt at a worker; None while there is none."""
+        """The present attempt at a worker, or None if there is none."""
         return None if self.in_flight is None else self.in_flight.attempt
 
     @property
     def worker(self) -> Worker | None:
-        """The worker that it runs at; None while there is none."""
+        """The worker of the present attempt, or None if there is none."""
         return None if self.attempt is None else self.attempt.worker
 
 
 class SampleRunner(Component):
-    """The component of an edge that runs samples and gives slots back.
-
-    `edges` gives identity and address of the other live edges; `why_unready` gives why this edge
-    takes no requests, empty if it does; `live_peak` gives how many live calls a worker lately had
-    at once, None while that isn't known.
+    """The component of an edge that runs samples and preempts them for other requests.
+
+    Parameters
+    ----------
+    edge
+        Identity of this edge.
+    router
+        Sends the samples; this component becomes its `slot_lender`.
+    registry
+        The known workers.
+    profiles
+        Returns the profiles in force.
+    why_unready
+        Returns why this edge takes no requests; empty if it takes them.
+    edges
+        Returns the identity and the address of each other live edge.
+
+    Attributes
+    ----------
+    finished, preempted
+        How many samples have finished with a result, and how many were preempted.
+    recalls
+        How often the log's leader has begun to recall all samples.
+    live_peak
+        Returns the recent peak of live calls at a worker, or None if it is unknown. It is set after
+        construction; until then every peak is unknown, so no slot is lent.
     """
 
     __slots__ = (
         "_deferred",
         "_edges",
+        "_fleet_samples",
         "_handled_reports",
         "_profiles",
         "_recalled",
         "_registry",
         "_router",
         "_samples",
-        "_samples_out",
         "_slot_requests",
         "_slots",
         "_why_unready",
@@ -126,20 +160,18 @@
         self._handled_reports: dict[str, _WorkerReport] = {}
         self._slot_requests = SlotRequests()
         self._recalled = False
-        self._samples_out = 0
+        self._fleet_samples = 0
         self.preempted = self.finished = self.recalls = 0
         self.live_peak: Callable[[str], int | None] = lambda worker: None
         router.slot_lender = self
 
-    # -- what may be lent ----------------------------------------------------------------------
-
     def lends(self) -> bool:
         """Return whether any usable profile lends slots."""
         return bool(self._slots.lending_profiles())
 
     @property
     def recalled(self) -> bool:
-        """Whether the log's leader has recalled all samples for a batch job at risk."""
+        """Whether the log's leader recalls all samples, as a batch job may miss its deadline."""
         return self._recalled
 
     def running(self) -> int:
@@ -147,7 +179,7 @@
         return len(self._samples)
 
     def capacity(self) -> tuple[int, frozenset[str]]:
-        """Return how many samples could start now, one for each worker, and on which paths."""
+        """Return how many samples may start now, at most one at each worker, and on which paths."""
         if self._recalled or self._why_unready():
             return 0, frozenset()
         return self._slots.capacity()
@@ -155,18 +187,20 @@
     def choose(
         self, lifecycle: RequestLifecycle, weights: str, workers: list[Worker]
     ) -> Worker | None:
-        """Choose a worker for a sample, on the router's behalf; None if no worker may take it.
+        """Return the worker for a sample, or None if no worker may take it; called by the router.
 
-        The least loaded one is taken of those that aren't known to have other weights.
+        It is the least loaded worker of those that are not known to have other weights.
         """
         return self._slots.choose(lifecycle, weights, workers)
 
-    # -- running -------------------------------------------------------------------------------
-
     def start(self, assignment: RolloutAssignment, done: ItemDone) -> Callable[[], None]:
         """Run a sample and return a function that stops it.
 
-        `done` gets the outcome (RAN, REFUSED or AGAIN), the result or the reason, and the worker.
+        `done` gets the outcome, a text and the worker. The text is the result if the outcome is
+        RAN, the body of the error response if it is REFUSED, and empty if it is AGAIN. A sample
+        that finds no worker, fails or may not run now ends with AGAIN after `heartbeat_ms`, a
+        preempted one at once. Stopping a sample does not call `done`, but an AGAIN that is delayed
+        already is still reported.
         """
         sample = _Sample(assignment, done)
         profile, env = self._profiles().usable(assignment.path), self.node.env
@@ -222,6 +256,8 @@
             sample.done(ItemOutcome.REFUSED, step.response.body, worker)
 
     def _retry_later(self, sample: _Sample) -> None:
+        """Report AGAIN for a sample after `heartbeat_ms`, which returns the sample to the log."""
+
         def report() -> None:
             sample.done(ItemOutcome.AGAIN, "", "")
 
@@ -234,9 +270,9 @@
             self._samples.remove(sample)
 
     def _stop(self, sample: _Sample) -> None:
-        """Stop a sample because its rollout is over or this edge may no longer run it.
+        """Cancel a sample, because its rollout has ended or this edge may no longer run it.
 
-        Whoever stops it reports that to the log.
+        `done` is not called; the caller reports the end to the log if that is needed.
         """
         if not sample.has_ended:
             self._close(sample)
@@ -244,6 +280,7 @@
                 sample.in_flight.cancel()
 
     def _preempt(self, sample: _Sample, reason: str) -> None:
+        """Cancel a sample and return it to the log at once."""
         worker = "" if sample.worker is None else sample.worker.identity
         self.node.env.log(
             "sample-given-up",
@@ -257,22 +294,21 @@
         self._stop(sample)
         sample.done(ItemOutcome.AGAIN, "", "")
 
-    # -- preemption ----------------------------------------------------------------------------
-
     def _samples_at(self, worker: Worker) -> list[_Sample]:
         """Return the samples that run at a worker, newest first."""
         return [sample for sample in reversed(self._samples) if sample.worker is worker]
 
     def _preempt_at(self, worker: Worker, slots: int, reason: str) -> None:
+        """Preempt the newest samples at a worker, at most as many as `slots`."""
         samples = self._samples_at(worker)[: max(0, slots)]
         for sample in samples:
             self._preempt(sample, reason)
 
     def reclaim_slot(self, worker: Worker, call: Call | ForwardCall) -> None:
-        """Free a slot at a worker before something other than a sample is sent there.
+        """Free a slot at a worker before a request that is not a sample is sent there.
 
-        Called by the router; a live call also takes precedence over samples whose prompt may still
-        be unread.
+        Called by the router. For a live call, samples whose prompt may still be in processing are
+        preempted as well, and other edges are asked for slots if too few would stay free.
         """
         if worker.borrowed:
             if not call.job:
@@ -282,37 +318,44 @@
             self._request_live_share(worker)
 
     def _preempt_prefilling(self, worker: Worker) -> None:
-        """Preempt the samples at a worker whose prompt may still be unread."""
+        """Preempt the samples at a worker whose prompt it may still be processing."""
         now_ms = self.node.env.now()
         prefill_ms = self.node.settings.heartbeat_ms
         for sample in self._samples_at(worker):
             attempt = sample.attempt
             if attempt is not None and may_be_prefilling(attempt, now_ms, prefill_ms):
-                self._preempt(sample, "a live call comes first")
+                self._preempt(sample, "a live call takes precedence over its prompt")
 
     def _preempt_excess(self, worker: Worker, for_item: bool) -> None:
-        """Preempt as many samples at a worker as one request more needs beside the live share."""
+        """Preempt as many samples as one more request at a worker needs beside the live share.
+
+        Slots with samples of other edges are not counted. For live calls these are requested from
+        the other edges.
+        """
         used = self._slots.used(worker) - worker.borrowed_elsewhere + 1
         excess = math.ceil(used - self._slots.usable(worker))
-        reason = "an item needs the slot" if for_item else "a live call needs the slot"
+        reason = "a batch item needs the slot" if for_item else "a live call needs the slot"
         self._preempt_at(worker, excess, reason)
 
     def reclaim_slots(self, workers: Iterable[Worker]) -> None:
-        """Give back all slots at these workers, since a live call found no free slot at any."""
+        """Preempt all samples at these workers, as a live call found no free slot at any of them.
+
+        Called by the router. Other edges are asked for slots of the first few workers.
+        """
         workers = list(workers)
         for worker in workers:
-            self._preempt_at(worker, worker.borrowed, "a live call waits")
+            self._preempt_at(worker, worker.borrowed, "a live call found no free slot")
         for worker in workers[:_MAX_REQUESTED_WORKERS]:
             self._request_live_share(worker)
 
     def _request_live_share(self, worker: Worker) -> None:
-        """Ask other edges to keep the worker's live share free, if they have samples running."""
-        if self._samples_out > len(self._samples):
+        """Request a slot of a worker from other edges, if they may have samples running."""
+        if self._fleet_samples > len(self._samples):
             self._slot_requests.add(worker.identity)
             self._request_slots()
 
     def _request_slots(self) -> None:
-        """Send the requests that are due to the other edges."""
+        """Send the collected requests to all other edges, at most once in `delta_ms`."""
         requests = self._slot_requests.take_due(self.node.env.now(), self.node.settings.delta_ms)
         if not requests:
             return
@@ -321,15 +364,15 @@
                 self.node.send(address, request)
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Give slots back because a live call at another edge needs them."""
+        """Preempt samples because live calls of another edge need their slots."""
         wanted = cast(SlotsWanted, message)
         for worker in self._registry.all():
             if worker.identity == wanted.worker:
-                self._preempt_at(worker, wanted.slots, "a live call elsewhere needs the slot")
+                self._preempt_at(worker, wanted.slots, "a live call of another edge needs the slot")
 
     def on_heartbeat_response(self, response: RolloutHeartbeatResponse) -> None:
-        """Take from the leader's response how many samples the fleet runs, and whether to stop."""
-        self._samples_out = response.samples_out
+        """Apply the leader's response: the number of samples in the fleet, and a recall of all."""
+        self._fleet_samples = response.samples_out
         if response.recalled and not self._recalled:
             self.recalls += 1
         self._recalled = response.recalled
@@ -341,7 +384,10 @@
             self._preempt(sample, reason)
 
     def tick(self) -> None:
-        """Report what is due to the log, ask other edges for slots and review workers in use."""
+        """Make the reports and requests for slots that are due, and preempt where limits changed.
+
+        All samples are preempted if this edge is not ready or no profile lends slots.
+        """
         now_ms = self.node.env.now()
         due = [deferred for deferred in self._deferred if deferred.due_ms <= now_ms]
         self._deferred = [deferred for deferred in self._deferred if deferred.due_ms > now_ms]
@@ -350,21 +396,26 @@
         self._request_slots()
         if not self._samples:
             return
-        if reason := self._why_unready() or ("" if self.lends() else "nothing is lent any more"):
+        if reason := self._why_unready() or ("" if self.lends() else "no profile lends slots"):
             self._preempt_all(reason)
             return
         workers = [sample.worker for sample in self._samples if sample.worker is not None]
         for worker in {id(worker): worker for worker in workers}.values():
-            self._review(worker)
+            self._preempt_beyond_limits(worker)
 
-    def _review(self, worker: Worker) -> None:
-        """Give back what a worker needs; each report that somebody waits is acted on once."""
+    def _preempt_beyond_limits(self, worker: Worker) -> None:
+        """Preempt the samples at a worker that its state or this edge's entitlement rules out.
+
+        These are all samples if the worker is not usable, one for each request that the worker
+        reports as queued, and those beyond the entitlement. A report of queued requests is acted on
+        once, as it stays in place until the worker's next one.
+        """
         report = _WorkerReport(worker.beat, worker.load_reported_ms)
         if not self._registry.is_usable(worker):
-            self._preempt_at(worker, worker.borrowed, "the worker is not to be used")
+            self._preempt_at(worker, worker.borrowed, "the worker is not usable")
         elif worker.waiting and self._handled_reports.get(worker.instance_id) != report:
             self._handled_reports[worker.instance_id] = report
-            self._preempt_at(worker, worker.waiting, "somebody waits at the worker")
+            self._preempt_at(worker, worker.waiting, "requests are queued at the worker")
         else:
             share = max(
                 (profile.loan_share for profile in self._slots.lending_profiles()), default=0.0
@@ -372,9 +423,9 @@
             self._preempt_at(
                 worker,
                 worker.borrowed - self._slots.entitlement(worker, share),
-                "live calls need more of the worker",
+                "more samples than the entitlement of this edge",
             )
 
     def resumed(self, gap_ms: int) -> None:
-        """Forget which workers' reports were acted on; called after the process was frozen."""
+        """Forget which reports were acted on; called after the process was frozen for `gap_ms`."""
         self._handled_reports.clear()
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -23,7 +23,7 @@
         (LendableSlots, "usable", lambda self, worker: worker.slots),
         (LendableSlots, "_prefilling_instances", lambda self: set()),
         (SampleRunner, "reclaim_slot", lambda self, worker, call: None),
-        (SampleRunner, "_review", lambda self, worker: None),
+        (SampleRunner, "_preempt_beyond_limits", lambda self, worker: None),
     ],
     "a preempted sample is not reported": [
         (SampleRunner, "_preempt", lambda self, sample, reason: self._stop(sample))
