--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -196,7 +196,7 @@
         "capacity_sharing/src/capacity_sharing/sampling.py",
         'return self.is_success and self._call.weights not in ("", self._call.reported_weights)',
         "return False",
-        "tests/test_capacity_sharing.py -k wanted_weights",
+        "tests/test_capacity_sharing.py -k required_weights",
     ),
     "a sample given up is forgotten": (
         "capacity_sharing/src/capacity_sharing/sample_runner.py",
--- a/tests/test_capacity_sharing.py
+++ b/tests/test_capacity_sharing.py
@@ -1,5 +1,5 @@
-"""Shared capacity: the states of a lent worker, what live calls and batch jobs need of the workers, the forecast of jobs'
-deadlines, and samples of rollouts, each by a table of its own.
+"""Tests of capacity_sharing without a fleet: changes of a loan, reasons to refuse or recall one, the division of slots among
+edges, the forecast of jobs' deadlines, and samples of rollouts.
 """
 
 import json
@@ -33,18 +33,18 @@
 
 
 class LoanTableChanges(TestCase):
-    """From each state, what each change gives; a refusal changes nothing."""
+    """The outcome of each change from each state: the new state under the next epoch, or a refusal."""
 
     STEPS = {
         "grant": grant,
         "drained": lambda table: drained(table, "w", table.epoch),
-        "drained-late": lambda table: drained(table, "w", table.epoch - 1),
+        "drained, old epoch": lambda table: drained(table, "w", table.epoch - 1),
         "withdrawn": lambda table: withdrawn(table, "w", table.epoch, "x"),
         "recalled": lambda table: recalled(table, "w", "x"),
-        "recalled-late": lambda table: recalled(table, "w", "x", table.epoch - 1),
+        "recalled, old epoch": lambda table: recalled(table, "w", "x", table.epoch - 1),
         "returned": lambda table: returned(table, "w", loan_number(table), "v2"),
-        "returned-old": lambda table: returned(table, "w", loan_number(table) - 1, "v2"),
-        "returned-other": lambda table: returned(table, "w", loan_number(table), "v1"),
+        "returned, old number": lambda table: returned(table, "w", loan_number(table) - 1, "v2"),
+        "returned, other weights": lambda table: returned(table, "w", loan_number(table), "v1"),
     }
     ROWS = [
         ("serving", [], {"grant": "lending"}),
@@ -74,7 +74,7 @@
 
 
 class LendingLimits(TestCase):
-    """Which workers may be lent whole, and which are recalled."""
+    """Which workers may be lent whole, which are recalled, and how many slots each edge may fill."""
 
     PROFILES = ProfileTree(
         {"rulings": {"workers": {"labels": ["gpu"]}}, "other": {"workers": {"labels": ["cpu"]}}}
@@ -122,7 +122,7 @@
                 "it is the last",
             ),
             (
-                "needed",
+                "the peak needs it",
                 {"w": row(live=3), "x": row(live=2), "y": row(live=2)},
                 {},
                 frozenset(),
@@ -130,13 +130,19 @@
             ),
             ("calls wait", three, {"waiting": 9}, frozenset(), "live calls"),
             (
-                "enough stay",
+                "enough remain",
                 {"w": row(live=2), "x": row(live=2), "y": row(live=2)},
                 {},
                 frozenset(),
                 "",
             ),
-            ("no whole window", three, {"window_ms": 5000}, frozenset(), "the live load has not"),
+            (
+                "window not complete",
+                three,
+                {"window_ms": 5000},
+                frozenset(),
+                "the live load has not",
+            ),
             ("jobs at risk", three, {"at_risk": True}, frozenset(), "a lot"),
         ]
         for name, rows, options, withheld, expected in table:
@@ -152,8 +158,8 @@
             return {name: ["a", ["gpu"], 4, live, live, True, 0] for name in names}
 
         for name, reported, options, expected in [
-            ("quiet", rows(1, "x", "y"), {}, ""),
-            ("busy", rows(4, "x", "y"), {}, "live calls"),
+            ("low load", rows(1, "x", "y"), {}, ""),
+            ("high load", rows(4, "x", "y"), {}, "live calls"),
             ("jobs at risk", rows(0, "x", "y"), {"at_risk": True}, "a lot"),
         ]:
             load = self.load(rows(0, "w"), **options)
@@ -176,7 +182,7 @@
                 f"{name}: {reason}",
             )
 
-    def test_edges_together_fill_no_more_than_is_lent(self):
+    def test_the_entitlements_of_all_edges_add_up_to_the_lendable_slots(self):
         for count in (1, 2, 3, 8):
             edges = [f"e{index}" for index in range(count)]
             for lendable in (0, 1, 5, 24):
@@ -204,9 +210,9 @@
         rows = [
             ("no job", [], 0, False),
             ("in time", [self.job()], 0, False),
-            ("too near", [self.job()], 8500, True),
+            ("too little time left", [self.job()], 8500, True),
             ("nothing waits", [self.job(waiting=0)], 9900, False),
-            ("late already", [self.job()], 10_001, True),
+            ("past its deadline", [self.job()], 10_001, True),
             ("a rollout", [self.job(rollout=True)], 9999, False),
             ("behind another", [self.job(unfinished=90, due_ms=9000), self.job()], 500, True),
             (
@@ -235,7 +241,7 @@
 
 
 class RolloutSamples(TestCase):
-    def test_only_an_answer_of_the_wanted_weights_counts(self):
+    def test_only_a_response_with_the_required_weights_counts(self):
         event = b'id: 0\ndata: {"id": "t", "choices": [{"index": 0, "text": "w"}]}\n\n'
         rows = [
             ("v1", ["v1"], "complete", "v1"),
@@ -245,8 +251,8 @@
             ("", [], "complete", ""),
             ("v1", ["v1", "v2"], "failed", ""),
         ]
-        for wanted, named, outcome, reported in rows:
-            call = SampleCall({"prompt": "a"}, wanted)
+        for required, named, outcome, reported in rows:
+            call = SampleCall({"prompt": "a"}, required)
             exchange = SampleExchange("w/1", "t", 1000, call)
             exchange.head(
                 200,
@@ -261,10 +267,10 @@
             self.assertThat(
                 ((early or exchange.end()).kind, call.reported_weights),
                 Equals((outcome, reported)),
-                f"{wanted} {named}",
+                f"{required} {named}",
             )
 
-    def test_a_rollout_is_applied_dumped_and_counts_for_no_job(self):
+    def test_a_rollout_survives_a_dump_and_is_not_counted_as_a_job(self):
         state = BatchState()
         rows = [
             entries.RolloutAdmitted(
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -1,5 +1,6 @@
-"""Simulated evenings with rollouts against the same ones without, judged by the rules of loans; each rule is seen to catch a
-deliberate fault. Then single behaviours of samples and lent workers.
+"""Simulated evenings (busy hours, then a night) with rollouts, compared with the same evenings without them by the rules for
+rollouts and loans. Deliberate faults show that the rules detect them. Further tests cover single behaviours of samples and of
+lent workers in a simulated fleet.
 """
 
 import json
@@ -95,7 +96,11 @@
         return fleet.running("control")[0].node.loans.rows().get(worker, {}).get("state", "serving")
 
     def test_a_live_call_reclaims_its_slot_at_once(self):
-        """Nearly as many calls as slots, all through the edge with the most samples; others have some at the same workers."""
+        """A live call must not wait for samples, neither its own edge's nor other edges'.
+
+        23 calls for nearly all slots are sent through the edge with the most samples, while other edges run samples at the
+        same workers. The first event of each has to come within 125 ms.
+        """
         for seed in (3, 5):
             evening, fleet = self.started(seed)
             for worker in fleet.workers.values():
@@ -287,7 +292,7 @@
         ]
         self.assertThat([reason.startswith("live calls of") for reason in reasons], Equals([True]))
 
-    def test_an_isolated_edge_delays_a_loan_and_keeps_to_one_that_it_knows(self):
+    def test_an_isolated_edge_delays_a_loan_and_goes_on_withholding_a_lent_worker(self):
         evening, fleet = self.started()
         fleet.run_until_true(lambda: False, 3500)
         edge = fleet.with_role("edge")[0]
