--- a/libs/capacity_sharing/src/capacity_sharing/deadline_forecast.py
+++ b/libs/capacity_sharing/src/capacity_sharing/deadline_forecast.py
@@ -26,6 +26,7 @@
 """
 
 _MARGIN = 2.0
+"""Factor on the time that a job needs, before it is compared with the time that is left."""
 
 
 class _EdgeCapacity(NamedTuple):
--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -193,7 +193,8 @@
     def is_drained(self, worker: str, link: str, loans_version: int) -> bool:
         """Whether an edge has reported that it has no requests running at a worker.
 
-        The report counts only if the edge made it under this version of the loans or a newer one.
+        The report counts only if the edge made it under this version of the loans or a newer one. A
+        worker that the report leaves out counts as having no requests of this edge.
         """
         report = self._reports.get(link)
         if report is None or report.message.loans_version < loans_version:
--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -182,6 +182,7 @@
         self.version = 0
         self._observed: dict[str, _ObservedEpoch] = {}
         self._pending: PendingCalls[_PendingChange] = PendingCalls(_finish_in_doubt)
+        # By worker, the epoch of the loan of which a due change is under way.
         self._changing: dict[str, int] = {}
         self._measured_ms = _NEVER_MS
         self.counts: dict[str, int] = {}
--- a/libs/capacity_sharing/src/capacity_sharing/loan_table.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_table.py
@@ -2,7 +2,8 @@
 
 A loan is the exclusive lease of a whole worker to training rollouts, for a limited time. It goes
 through the states of `LoanState` in order and back to SERVING; a loan may also be returned without
-a recall, or withdrawn before the worker was lent.
+a recall, or withdrawn before the worker was lent. The epoch rises by one with each change of any
+loan.
 
 There is one function for each change of state. It returns a new table under the next epoch, or an
 error with the reason if the loan's state does not allow the change. Functions that take the epoch
--- a/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
+++ b/libs/capacity_sharing/src/capacity_sharing/sample_runner.py
@@ -307,8 +307,9 @@
     def reclaim_slot(self, worker: Worker, call: Call | ForwardCall) -> None:
         """Free a slot at a worker before a request that is not a sample is sent there.
 
-        Called by the router. For a live call, samples whose prompt may still be in processing are
-        preempted as well, and other edges are asked for slots if too few would stay free.
+        Called by the router. For a live call, samples whose prompt the worker may still be
+        processing are preempted as well, and other edges are asked for slots if the call needs a
+        part of the live share.
         """
         if worker.borrowed:
             if not call.job:
