--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -80,15 +80,13 @@
     try:
         counts = export_usage(logs, out, form)
     except ModuleNotFoundError as error:
-        sys.stderr.write(
-            f"{error}; install the optional dependencies: pip install 'control_plane[usage]'\n"
-        )
+        sys.stderr.write(f"{error}; install the extra: pip install 'control_plane[usage]'\n")
         raise SystemExit(2) from error
     except OSError as error:
         sys.stderr.write(f"{error}\n")
         raise SystemExit(2) from error
     sys.stdout.write(
-        f"{counts.written} rows written to {out}; {counts.unreadable} log lines were unreadable\n"
+        f"{counts.written} rows in {out}; {counts.unreadable} lines could not be read\n"
     )
 
 
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -170,7 +170,7 @@
 
     def _begin(self, call: _Call) -> None:
         if not self._in_contact():
-            _finish_unknown(call, "this node has no contact with a majority of the voters")
+            _finish_unknown(call, "this node hears no majority of the voters")
             return
         self._calls.add(call)
         self._read(call)
@@ -233,12 +233,12 @@
         if made.is_ok():
             made = check_tree(made.ok, in_force.get("profiles"))
         if made.is_error():
-            reason = f"invalid configuration ({len(made.error)} problems); nothing was changed"
+            reason = f"{len(made.error)} problems; nothing was changed"
             call.finish(ConfigurationResult(ConfigurationStatus.INVALID, reason, made.error))
         elif _revision_of(made.ok) <= call.change.base:
             problem = {
                 "at": "about.revision",
-                "message": f"must be greater than {call.change.base}, the revision in force",
+                "message": f"has to be above {call.change.base}, the one in force",
             }
             call.finish(
                 ConfigurationResult(ConfigurationStatus.INVALID, "nothing was changed", [problem])
@@ -273,4 +273,4 @@
 
     def resumed(self, gap_ms: int) -> None:
         """Finish all calls after a pause of the process, since replies may have been missed."""
-        self._calls.expire_all("the process of this node was paused")
+        self._calls.expire_all("this node was frozen")
--- a/libs/control_plane/src/control_plane/key_operations.py
+++ b/libs/control_plane/src/control_plane/key_operations.py
@@ -21,7 +21,7 @@
     """Read a key through a quorum; return the result, or a refusal if there is no majority."""
     result = await submit(owner, ReadKey(key=key, hops=0))
     if result.outcome != Outcome.OK:
-        reason = result.reason or "no contact with a majority of the voters"
+        reason = result.reason or "no majority of the voters can be heard"
         return refused("no-majority", reason, 503, _RETRY_AFTER_MS)
     return result
 
@@ -47,11 +47,11 @@
     if result.outcome == Outcome.FORGOTTEN:
         return doubtful(
             "change-forgotten",
-            f"{result.reason}; read the configuration to see whether the change was applied",
+            f"{result.reason}; read the profiles to see what is in place",
             _RETRY_AFTER_MS,
         )
     return doubtful(
         "change-in-doubt",
-        f"{result.reason}; send the same request with change_id {change_id} to learn the outcome",
+        f"{result.reason}; send the same with change_id {change_id} to learn what became of it",
         _RETRY_AFTER_MS,
     )
--- a/libs/control_plane/src/control_plane/loans_api.py
+++ b/libs/control_plane/src/control_plane/loans_api.py
@@ -112,6 +112,6 @@
             )
         )
     if outcome.loan is None:
-        reason = f"{outcome.reason}; read the loans, then send the request again"
+        reason = f"{outcome.reason}; look at the loans, and say it again"
         return refusal_response(doubtful("loan-in-doubt", reason, _RETRY_AFTER_MS))
     return json_response({"worker": worker, **outcome.loan.row()})
--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -61,24 +61,24 @@
     """
     members, spares = list(members), sorted(set(spares) - {identity})
     group = "the log" if role == "store" else "the voters"
-    standing = f"member of {group}"
+    standing = f"counts: a member of {group}"
     if identity == leader:
-        standing += ", and its leader" if role == "store" else ", and the coordinator"
+        standing += ", and its holder" if role == "store" else ", and the steward"
     if identity in retired:
         if identity not in members:
-            return "retired: replaced, can be stopped"
+            return "retired and out: may be stopped"
         if len(members) > full_count:
-            return f"{standing}; retired: being removed"
+            return f"{standing}; retired, is being dropped now"
         if not spares:
-            return f"{standing}; retired: waiting for a spare, but none is live; start one"
-        return f"{standing}; retired: waiting for a spare to catch up: {', '.join(spares)}"
+            return f"{standing}; retired, waits for a spare: none is live, start one"
+        return f"{standing}; retired, waits until a spare has caught up: {', '.join(spares)}"
     if identity in members:
         return standing
-    return f"spare: catching up with {group}; not counted until it becomes a member"
+    return f"spare: catching up with {group}, counts for nothing until it takes a place"
 
 
 def describe_edge(link: str, serving_set: Iterable[str]) -> str:
     """Describe an edge: whether its link address is in the serving set."""
     if link in set(serving_set):
-        return "member of the serving set"
-    return "not in the serving set yet; not counted until it becomes a member"
+        return "counts: on the roll"
+    return "not on the roll yet: counts for nothing"
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -186,14 +186,10 @@
     def why_unready(self) -> str:
         """Return the reason for operators why this node is not ready; empty if it is ready."""
         if not self.acceptor.voters:
-            return "not bootstrapped: no voter list yet"
+            return "not founded"
         if not self._is_voter():
-            return "spare: not in the voter list"
-        return (
-            ""
-            if self.has_quorum()
-            else "no contact with a majority of the voters, or no current configuration"
-        )
+            return "spare: not a voter"
+        return "" if self.has_quorum() else "hears no majority of the voters"
 
     def profiles(self) -> ProfileTree:
         """Return the newest profiles that this node holds."""
--- a/libs/control_plane/src/control_plane/profiles_api.py
+++ b/libs/control_plane/src/control_plane/profiles_api.py
@@ -91,7 +91,7 @@
             return refusal_response(
                 refused(
                     "bad-tree",
-                    f"invalid tree ({len(checked.error)} problems); nothing was changed",
+                    f"{len(checked.error)} problems; nothing was changed",
                     422,
                     field=checked.error[0]["at"],
                     problems=checked.error,
@@ -117,7 +117,7 @@
             return refusal_response(
                 refused(
                     "unknown-profile",
-                    f"there is no profile with the name {name!r}",
+                    f"no profile is called {name!r}",
                     404,
                     field="name",
                 )
--- a/libs/control_plane/src/control_plane/retirement_api.py
+++ b/libs/control_plane/src/control_plane/retirement_api.py
@@ -45,7 +45,7 @@
             return refusal_response(
                 refused(
                     "unknown-machine",
-                    f"no control node or store has the identity or node name {body.identity!r}",
+                    f"no control or store machine is called {body.identity!r}",
                     404,
                     field="identity",
                 )
@@ -119,13 +119,13 @@
             return refusal_response(body)
         unknown = sorted(set(body.links) - node.config_feed.serving_set())
         if unknown:
-            reason = f"not in the serving set: {', '.join(unknown)}"
+            reason = f"not on the roll: {', '.join(unknown)}"
             return refusal_response(refused("unknown-machine", reason, 404, field="links"))
         live = sorted(
             set(body.links) & node.config_feed.live_links(node.settings.removal_timeout_ms)
         )
         if live:
-            reason = f"still sending digests: {', '.join(live)}"
+            reason = f"heard lately: {', '.join(live)}"
             return refusal_response(refused("still-live", reason, 409, field="links"))
         result: ChangeResult = await awaited(
             lambda done: node.serving_set.remove_lost(body.links, done)
--- a/libs/control_plane/src/control_plane/workers_api.py
+++ b/libs/control_plane/src/control_plane/workers_api.py
@@ -100,8 +100,8 @@
             return refusal_response(
                 refused(
                     "not-in-touch",
-                    "this node has no contact with a majority of the voters, or none with the "
-                    "owner of the list of workers; try another control node",
+                    "this node hears no majority of the voters, or not the list's "
+                    "owner; ask another",
                     503,
                     _RETRY_AFTER_MS,
                 )
@@ -110,7 +110,7 @@
             return refusal_response(
                 doubtful(
                     "worker-in-doubt",
-                    "not confirmed in time that the edges have received the report; send it again",
+                    "not known in time whether the edges have it; say it again",
                     _RETRY_AFTER_MS,
                 )
             )
--- a/tests/test_member_replacement.py
+++ b/tests/test_member_replacement.py
@@ -15,29 +15,29 @@
 
 class MemberDescriptions(TestCase):
     ROWS = [
-        (("store", "a", "abc", "a", "", "", 3), "member of the log, and its leader"),
-        (("store", "b", "abc", "a", "", "d", 3), "member of the log"),
+        (("store", "a", "abc", "a", "", "", 3), "counts: a member of the log, and its holder"),
+        (("store", "b", "abc", "a", "", "d", 3), "counts: a member of the log"),
         (
             ("control", "a", "abc", "a", "", "", 3),
-            "member of the voters, and the coordinator",
+            "counts: a member of the voters, and the steward",
         ),
         (
             ("store", "d", "abc", "a", "", "d", 3),
-            "spare: catching up with the log; not counted until it becomes a member",
+            "spare: catching up with the log, counts for nothing until it takes a place",
         ),
         (
             ("store", "b", "abc", "a", "b", "", 3),
-            "member of the log; retired: waiting for a spare, but none is live; start one",
+            "counts: a member of the log; retired, waits for a spare: none is live, start one",
         ),
         (
             ("store", "b", "abc", "a", "b", "d", 3),
-            "member of the log; retired: waiting for a spare to catch up: d",
+            "counts: a member of the log; retired, waits until a spare has caught up: d",
         ),
         (
             ("control", "b", "abcd", "a", "b", "", 3),
-            "member of the voters; retired: being removed",
+            "counts: a member of the voters; retired, is being dropped now",
         ),
-        (("store", "b", "acd", "a", "b", "", 3), "retired: replaced, can be stopped"),
+        (("store", "b", "acd", "a", "b", "", 3), "retired and out: may be stopped"),
     ]
 
     def test_the_description_of_each_kind_of_member(self):
