--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -30,7 +30,7 @@
         leader, full_count = log["holder"], settings.store_count
     else:
         members = list(node.acceptor.voters)
-        leader, full_count = node.voter_list_manager.steward() or "", settings.control_count
+        leader, full_count = node.voter_list_manager.coordinator() or "", settings.control_count
     live = [
         info.identity for info in node.membership.nodes_in_role(role, settings.failure_timeout_ms)
     ]
--- a/libs/control_plane/src/control_plane/members_api.py
+++ b/libs/control_plane/src/control_plane/members_api.py
@@ -41,7 +41,7 @@
                 "members": rows,
                 "voters": sorted(node.acceptor.voters),
                 "voters_number": node.acceptor.list_number,
-                "steward": node.voter_list_manager.steward(),
+                "steward": node.voter_list_manager.coordinator(),
                 "keys": node.owner.ownership(),
                 "roll": sorted(node.config_feed.serving_set()),
                 "log": node.config_feed.value(LOG_KEY),
--- a/libs/control_plane/src/control_plane/nodes.py
+++ b/libs/control_plane/src/control_plane/nodes.py
@@ -150,7 +150,7 @@
 
     def _is_coordinator(self) -> bool:
         """Whether this node coordinates changes of the voter list and the serving set."""
-        return self.has_quorum() and self.voter_list_manager.steward() == self.acceptor.identity
+        return self.has_quorum() and self.voter_list_manager.coordinator() == self.acceptor.identity
 
     def _owns_loans(self) -> bool:
         has_voters = bool(self.acceptor.voters)
--- a/libs/control_plane/src/control_plane/process.py
+++ b/libs/control_plane/src/control_plane/process.py
@@ -52,7 +52,7 @@
             "reason": self.why_unready(),
             "voters": node.acceptor.voters,
             "voters_number": node.acceptor.list_number,
-            "steward": node.voter_list_manager.steward() if node.acceptor.voters else None,
+            "steward": node.voter_list_manager.coordinator() if node.acceptor.voters else None,
             "keys": node.owner.ownership(),
             "feed": node.config_feed.versions(),
             "place": node.config_feed.position,
--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -23,7 +23,7 @@
 - the proposer's rounds: `proposer`, `quorum_round`; operations on a key: `key_owner`, `key_state`,
   `operations`, `change_memory`; the way to the owner: `forwarding`, `client`
 - when a change is acknowledged: `pending_acknowledgements`; fresh reads: `read_barrier`
-- the voters: `voter_list`, `bootstrap`, `steward`, `voter_succession`, `key_sweep`, with
+- the voters: `voter_list`, `bootstrap`, `coordinator`, `voter_succession`, `key_sweep`, with
   `voter_list_manager` as their component
 - profiles: `profile_schema`, `profile_validation`, `profile_defaults`, `profile_inheritance`,
   `profile`, `profile_tree`, `routes`
--- a/libs/control_store/src/control_store/bootstrap.py
+++ b/libs/control_store/src/control_store/bootstrap.py
@@ -2,7 +2,7 @@
 
 The first list is decided once every node on it has durably voted for it. It has control_count nodes
 without a voter list or, if control_count is 0, the nodes at all seed addresses on a first start.
-Later lists are proposed by the steward (`control_store.steward`).
+Later lists are proposed by the coordinator (`control_store.coordinator`).
 """
 
 import json
--- a/libs/control_store/src/control_store/steward.py
+++ b/libs/control_store/src/control_store/coordinator.py
@@ -1,4 +1,4 @@
-"""The steward: the control node that coordinates the changes of the list of voters.
+"""The coordinator: the control node that coordinates the changes of the list of voters.
 
 It proposes each list that follows (`control_store.voter_succession`) as a change of the key
 `control`, after a sweep over all keys (`control_store.key_sweep`).
@@ -19,9 +19,9 @@
 from control_store.voter_list import NodeLocation, VoterList
 from control_store.voter_succession import next_list_of_all_nodes, next_list_of_fixed_size
 
-__all__ = ["Steward"]
+__all__ = ["Coordinator"]
 
-STEWARD_ROLE = "steward"
+COORDINATOR_KEY = "steward"
 
 
 class _Observations:
@@ -70,8 +70,8 @@
         return False if self._now_ms - self._awake_ms > self._settings.failure_timeout_ms else None
 
 
-class Steward:
-    """Proposes the lists of voters, if this node is the steward, and keeps keys replicated.
+class Coordinator:
+    """Proposes the lists of voters, if this node is the coordinator, and keeps keys replicated.
 
     `busy` is set while a change of the list is under way. `run_again_in` asks for the next run
     after some ms.
@@ -113,8 +113,8 @@
         self._key_sweep.attach(node)
 
     def identity(self) -> str | None:
-        """Return the identity of the steward, or None if no voter is live."""
-        return self._owner.owner_of(STEWARD_ROLE)
+        """Return the identity of the coordinator, or None if no voter is live."""
+        return self._owner.owner_of(COORDINATOR_KEY)
 
     def restart_observation(self) -> None:
         """Forget how long this node has been awake: others may have sent heartbeats meanwhile."""
@@ -126,7 +126,7 @@
             self.restart_observation()
 
     def run(self) -> None:
-        """Maintain the keys that this node owns and, as the steward, the list of voters."""
+        """Maintain the keys that this node owns and, as the coordinator, the list of voters."""
         self._key_sweep.read_missing_values()
         if self.identity() != self._acceptor.identity:
             self._key_sweep.repair_owned()
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -26,17 +26,17 @@
 class ServingSet(Component):
     """Keeps the serving set in step with the edges and stores that are live.
 
-    `is_steward` returns whether this node is the coordinator of membership changes.
+    `is_coordinator` returns whether this node is the coordinator of membership changes.
     """
 
-    __slots__ = ("_change_in_progress", "_config_feed", "_is_steward", "_next_run_ms", "_owner")
+    __slots__ = ("_change_in_progress", "_config_feed", "_is_coordinator", "_next_run_ms", "_owner")
 
     def __init__(
-        self, owner: KeyOwner, config_feed: ConfigFeed, is_steward: Callable[[], bool]
+        self, owner: KeyOwner, config_feed: ConfigFeed, is_coordinator: Callable[[], bool]
     ) -> None:
         self._owner = owner
         self._config_feed = config_feed
-        self._is_steward = is_steward
+        self._is_coordinator = is_coordinator
         self._change_in_progress = False
         self._next_run_ms = NOT_SCHEDULED_MS
 
@@ -50,7 +50,7 @@
         if now_ms < self._next_run_ms or self._change_in_progress:
             return
         self._next_run_ms = now_ms + settings.heartbeat_ms
-        if not self._is_steward():
+        if not self._is_coordinator():
             return
         addresses = self._next_set()
         if addresses is not None:
--- a/libs/control_store/src/control_store/voter_list_manager.py
+++ b/libs/control_store/src/control_store/voter_list_manager.py
@@ -1,6 +1,6 @@
 """The list of voters at a control node: its bootstrap, and the changes that follow.
 
-One timer runs either the bootstrap, as long as the node has no list of voters, or the steward.
+One timer runs either the bootstrap, as long as the node has no list of voters, or the coordinator.
 """
 
 from typing import cast
@@ -11,17 +11,17 @@
 
 from control_store.acceptor import CONTROL_KEY, Acceptor
 from control_store.bootstrap import Bootstrap
+from control_store.coordinator import Coordinator
 from control_store.key_owner import KeyOwner
 from control_store.messages import BootstrapRequest
-from control_store.steward import Steward
 
 __all__ = ["VoterListManager"]
 
 
 class VoterListManager(Component):
-    """Bootstraps the list of voters at a blank node, and then has the steward maintain it."""
+    """Bootstraps the list of voters at a blank node, and then has the coordinator maintain it."""
 
-    __slots__ = ("_acceptor", "_bootstrap", "_next_run_ms", "_steward")
+    __slots__ = ("_acceptor", "_bootstrap", "_coordinator", "_next_run_ms")
     HANDLES = (BootstrapRequest,)
 
     def __init__(
@@ -33,7 +33,9 @@
     ) -> None:
         self._acceptor = acceptor
         self._bootstrap = Bootstrap(acceptor, membership, self._run_again_in)
-        self._steward = Steward(acceptor, owner, membership, config_feed, self._run_again_in)
+        self._coordinator = Coordinator(
+            acceptor, owner, membership, config_feed, self._run_again_in
+        )
         self._next_run_ms = 0
         config_feed.watch(self._published)
 
@@ -41,11 +43,11 @@
         """Attach the node to this component and its parts."""
         super().attach(node)
         self._bootstrap.attach(node)
-        self._steward.attach(node)
+        self._coordinator.attach(node)
 
-    def steward(self) -> str | None:
-        """Return the identity of the steward, or None if no voter is live."""
-        return self._steward.identity()
+    def coordinator(self) -> str | None:
+        """Return the identity of the coordinator, or None if no voter is live."""
+        return self._coordinator.identity()
 
     def _published(self, key: str, number: int, body: str) -> None:
         if key == CONTROL_KEY:
@@ -60,15 +62,15 @@
 
     def tick(self) -> None:
         """Bootstrap the list of voters, or maintain it and the keys once there is one."""
-        self._steward.observe()
+        self._coordinator.observe()
         if self.node.env.now() < self._next_run_ms:
             return
         self._run_again_in(self.node.settings.heartbeat_ms * 2)
         if not self._acceptor.metadata.list_body:
             self._bootstrap.run()
-        elif not self._steward.busy:
-            self._steward.run()
+        elif not self._coordinator.busy:
+            self._coordinator.run()
 
     def resumed(self, gap_ms: int) -> None:
-        """Restart the steward's observations after a pause of the process of `gap_ms`."""
-        self._steward.restart_observation()
+        """Restart the coordinator's observations after a pause of the process of `gap_ms`."""
+        self._coordinator.restart_observation()
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -59,7 +59,7 @@
         _VOTER_LOSSES + "before_the_loss",
     ),
     "voters change without a sweep": (
-        "control_store/src/control_store/steward.py",
+        "control_store/src/control_store/coordinator.py",
         "self._key_sweep.ensure_all_replicated(lambda ok: self._swept(next_list, ok))",
         "self._swept(next_list, True)",
         _CONTROL + "swept",
--- a/tests/test_voter_bootstrap.py
+++ b/tests/test_voter_bootstrap.py
@@ -32,7 +32,7 @@
 
 
 def observations(silent="", settled=True, all_heard=True):
-    """Observations of the steward: the identities in `silent` are silent; the rest is the same for every node."""
+    """Observations of the coordinator: the identities in `silent` are silent; the rest is the same for every node."""
     return SimpleNamespace(
         is_silent=lambda identity: identity in silent,
         is_stable=lambda node: settled,
--- a/tests/test_voter_losses.py
+++ b/tests/test_voter_losses.py
@@ -73,7 +73,7 @@
         )
 
     def test_a_replacement_leaves_no_lost_voter_on_the_list(self):
-        """Any node may be the steward meanwhile, even the replacement, which has received few heartbeats yet."""
+        """Any node may be the coordinator meanwhile, even the replacement, which has received few heartbeats yet."""
         for control in (3, 5):
             for seed in range(6):
                 for gap_ms in (0, 1000, 3000):
@@ -91,7 +91,7 @@
                         (control, seed, gap_ms, fleet.time.now_ms - began_ms),
                     )
 
-    def test_a_new_steward_gives_up_no_replacement_before_it_can_have_heard_the_voter(self):
+    def test_a_new_coordinator_gives_up_no_replacement_before_it_can_have_heard_the_voter(self):
         voters = [Voter(name, name, None, None) for name in "abcd"]
         current = VoterList(4, voters, leaving="b")
         rows = [
