--- a/libs/control_store/src/control_store/__init__.py
+++ b/libs/control_store/src/control_store/__init__.py
@@ -1,35 +1,38 @@
-"""Replicated control state: a small versioned key-value store that is decided by quorum.
+"""Replicated control state: a small, versioned key-value store in which majorities decide.
 
-Each key is a register that the voters replicate on their disks and that one node at a time, its
-owner, changes by proposals (single-decree Paxos for each key, with a new epoch for each owner). The
-package also has the values of these keys: profiles, workers, voters and the serving set.
+Each key is a register, replicated on the disks of the voters. One node at a time, the owner of the
+key, changes the register by proposals (single-decree Paxos for each key; each owner has a new
+epoch). The package also defines the values of some keys: profiles, workers, the voter list and the
+serving set.
 
-It may import `messaging`, `storage`, `membership`, `config_feed` and `runtime`.
+The package may import `messaging`, `storage`, `membership`, `config_feed` and `runtime`.
 
 Invariants:
 
 - A vote is on the voter's disk before it is sent, and a promise or an accepted version is never
   undone.
-- A change is acknowledged only once a majority of the voters has it on disk; for profiles, only
-  once the nodes that serve have it in force too.
-- A read or a change is answered as certain only after a majority confirmed the owner's epoch since
-  the call arrived.
-- Two consecutive lists of voters differ by one step, and every key is on a majority of the first
-  before the second is proposed.
+- A change is acknowledged only after a majority of the voters has it on disk and, for profiles,
+  after the serving nodes have it in force.
+- A read or a change gets a definite result only after a majority has confirmed the owner's epoch
+  since the call arrived.
+- Two consecutive voter lists differ by one step, and every key is on the disks of a majority of the
+  first list before the second is proposed.
 
-Where a change goes:
+The modules:
 
 - votes and files of a voter: `acceptor`, `register`, `register_store`, `metadata_file`
-- the proposer's rounds: `proposer`, `quorum_round`; operations on a key: `key_owner`, `key_state`,
-  `operations`, `change_memory`; the way to the owner: `forwarding`, `client`
-- when a change is acknowledged: `pending_acknowledgements`; fresh reads: `read_barrier`
-- the voters: `voter_list`, `bootstrap`, `coordinator`, `voter_succession`, `key_sweep`, with
-  `voter_list_manager` as their component
+- rounds of the proposer: `proposer`, `quorum_round`
+- operations on a key: `key_owner`, `key_state`, `operations`, `change_memory`
+- forwarding to the owner of a key: `forwarding`, `client`
+- acknowledgement of changes: `pending_acknowledgements`
+- reading the keys again after lost contact with a majority: `read_barrier`
+- the voter list: `voter_list`, `bootstrap`, `coordinator`, `voter_succession` and `key_sweep`, with
+  the component `voter_list_manager`
 - profiles: `profile_schema`, `profile_validation`, `profile_defaults`, `profile_inheritance`,
   `profile`, `profile_tree`, `routes`
 - workers: `worker_messages`, `worker_records`, `worker_list`, `worker_changes`
-- the edges and stores that are counted: `serving_set`
-- messages, whose wire names and fields' order never change: `messages`, `worker_messages`
+- the edges and stores that count towards a majority: `serving_set`
+- messages, whose wire names and order of fields never change: `messages`, `worker_messages`
 """
 
 from typing import TYPE_CHECKING
--- a/libs/control_store/src/control_store/coordinator.py
+++ b/libs/control_store/src/control_store/coordinator.py
@@ -1,7 +1,7 @@
-"""The coordinator: the control node that coordinates the changes of the list of voters.
+"""The coordinator: the control node that proposes changes of the voter list.
 
-It proposes each list that follows (`control_store.voter_succession`) as a change of the key
-`control`, after a sweep over all keys (`control_store.key_sweep`).
+It proposes the next list (`control_store.voter_succession`) as a change of the key `control`, after
+every key has been replicated to a majority of the current list (`control_store.key_sweep`).
 """
 
 import json
@@ -21,42 +21,57 @@
 
 __all__ = ["Coordinator"]
 
-COORDINATOR_KEY = "steward"
+COORDINATOR_KEY = "steward"  # has no value; its owner is the coordinator
 
 
 class _Observations:
-    """What this node has observed of the control nodes while it was awake, since `awake_ms`."""
+    """What this node has observed of the control nodes.
+
+    Parameters
+    ----------
+    acceptor
+        Holds the identity of this node and the current voters.
+    membership
+        The control nodes that this node knows.
+    node
+        Provides the clock and the settings.
+    running_since_ms
+        When this node started, or resumed after its last pause, on its clock.
+    """
 
-    __slots__ = ("_awake_ms", "_identity", "_membership", "_now_ms", "_settings", "_voters")
+    __slots__ = ("_identity", "_membership", "_now_ms", "_running_since_ms", "_settings", "_voters")
 
     def __init__(
-        self, acceptor: Acceptor, membership: Membership, node: Node, awake_ms: int
+        self, acceptor: Acceptor, membership: Membership, node: Node, running_since_ms: int
     ) -> None:
         self._identity = acceptor.identity
         self._voters = acceptor.voters
         self._membership = membership
         self._settings = node.settings
         self._now_ms: int = node.env.now()
-        self._awake_ms = awake_ms
+        self._running_since_ms = running_since_ms
 
-    def is_long_awake(self) -> bool:
-        """Whether this node has been awake for long enough to take a voter for lost."""
-        return bool(self._now_ms - self._awake_ms >= self._settings.removal_timeout_ms)
+    def can_detect_losses(self) -> bool:
+        """Whether this node has run for removal_timeout_ms, so that it can tell a lost voter."""
+        return bool(self._now_ms - self._running_since_ms >= self._settings.removal_timeout_ms)
 
     def is_silent(self, identity: str) -> bool:
-        """Whether a voter has sent no heartbeat for removal_timeout_ms."""
-        return self.is_long_awake() and not self._membership.is_live(
+        """Whether a voter was silent for removal_timeout_ms in which this node was running."""
+        return self.can_detect_losses() and not self._membership.is_live(
             identity, self._settings.removal_timeout_ms
         )
 
     def is_stable(self, node: NodeLocation) -> bool:
-        """Whether a node has been known for longer than a request may be under way."""
+        """Whether a node has been known for longer than a request can be in flight."""
         known_ms = self._now_ms - self._membership.known_since_ms(node.identity)
         return bool(known_ms > self._settings.request_timeout_ms)
 
     def all_voters_heard_since(self, node: NodeLocation) -> bool:
-        """Whether every voter has sent a heartbeat, one period after a node was first known."""
-        known_ms = max(self._membership.known_since_ms(node.identity), self._awake_ms)
+        """Whether every voter was heard from, directly or not, after a node was first known.
+
+        Only what came at least one heartbeat period after that counts.
+        """
+        known_ms = max(self._membership.known_since_ms(node.identity), self._running_since_ms)
         since_ms = known_ms + self._settings.heartbeat_ms
         return all(
             identity == self._identity or self._membership.last_heard_ms(identity) >= since_ms
@@ -64,28 +79,47 @@
         )
 
     def has_returned(self, identity: str) -> bool | None:
-        """Whether a voter sends heartbeats itself; None before this node could have heard one."""
+        """Whether a voter sent this node a message within failure_timeout_ms.
+
+        None if it has not, and this node has not run for longer than that.
+        """
         if self._membership.is_heard_directly(identity, self._settings.failure_timeout_ms):
             return True
-        return False if self._now_ms - self._awake_ms > self._settings.failure_timeout_ms else None
+        return (
+            False
+            if self._now_ms - self._running_since_ms > self._settings.failure_timeout_ms
+            else None
+        )
 
 
 class Coordinator:
-    """Proposes the lists of voters, if this node is the coordinator, and keeps keys replicated.
-
-    `busy` is set while a change of the list is under way. `run_again_in` asks for the next run
-    after some ms.
+    """Proposes voter lists if this node is the coordinator, and repairs the keys that it owns.
+
+    `busy` is set while a change of the list is in progress.
+
+    Parameters
+    ----------
+    acceptor
+        Holds the identity of this node and the current voter list.
+    owner
+        Executes operations on control keys.
+    membership
+        The control nodes that this node knows.
+    config_feed
+        Provides the values of the keys `control` and `retired`.
+    run_again_in
+        Sets the delay until the next call of `run`, in ms.
     """
 
     __slots__ = (
         "_acceptor",
-        "_awake_ms",
         "_config_feed",
         "_key_sweep",
         "_membership",
         "_node",
         "_owner",
         "_run_again_in",
+        "_running_since_ms",
         "busy",
     )
     _node: Node
@@ -104,11 +138,11 @@
         self._config_feed = config_feed
         self._run_again_in = run_again_in
         self._key_sweep = KeySweep(acceptor, owner, config_feed)
-        self._awake_ms = -1
+        self._running_since_ms = -1
         self.busy = False
 
     def attach(self, node: Node) -> None:
-        """Set the node, which gives the clock, the settings and the messages."""
+        """Set the node that provides the clock, the settings and messaging."""
         self._node = node
         self._key_sweep.attach(node)
 
@@ -117,16 +151,19 @@
         return self._owner.owner_of(COORDINATOR_KEY)
 
     def restart_observation(self) -> None:
-        """Forget how long this node has been awake: others may have sent heartbeats meanwhile."""
-        self._awake_ms = self._node.env.now()
+        """Restart the observation, since heartbeats may have been missed during a pause."""
+        self._running_since_ms = self._node.env.now()
 
     def observe(self) -> None:
-        """Begin to observe the other nodes, once."""
-        if self._awake_ms < 0:
+        """Start the observation on the first call."""
+        if self._running_since_ms < 0:
             self.restart_observation()
 
     def run(self) -> None:
-        """Maintain the keys that this node owns and, as the coordinator, the list of voters."""
+        """Read and repair the keys that this node owns.
+
+        The coordinator also proposes the next voter list if a change is due.
+        """
         self._key_sweep.read_missing_values()
         if self.identity() != self._acceptor.identity:
             self._key_sweep.repair_owned()
@@ -139,7 +176,7 @@
             self._key_sweep.repair_owned()
             return
         self.busy = True
-        self._key_sweep.ensure_all_replicated(lambda ok: self._swept(next_list, ok))
+        self._key_sweep.ensure_all_replicated(lambda ok: self._on_swept(next_list, ok))
 
     def _store_first_list(self) -> None:
         body = _canonical(json.loads(self._acceptor.metadata.list_body))
@@ -149,9 +186,11 @@
         )
 
     def _next_list(self) -> VoterList | None:
-        """Return the next list of voters, one step from the present one, or None without cause."""
+        """Return the next voter list, one step from the current one; None if no change is due."""
         settings = self._node.settings
-        observations = _Observations(self._acceptor, self._membership, self._node, self._awake_ms)
+        observations = _Observations(
+            self._acceptor, self._membership, self._node, self._running_since_ms
+        )
         retired = set((self._config_feed.value(RETIRED_KEY) or {}).get("identities", []))
         current = VoterList.from_body(self._acceptor.metadata.list_body)
         standbys = [
@@ -161,13 +200,13 @@
         ]
         if not settings.control_count:
             return next_list_of_all_nodes(current, standbys, retired, observations)
-        if not observations.is_long_awake():
+        if not observations.can_detect_losses():
             return None
         return next_list_of_fixed_size(
             current, standbys, retired, observations, settings.control_count
         )
 
-    def _swept(self, next_list: VoterList, ok: bool) -> None:
+    def _on_swept(self, next_list: VoterList, ok: bool) -> None:
         if ok and next_list.number == self._acceptor.list_number + 1:
             self._propose(next_list)
         else:
@@ -188,10 +227,10 @@
                 body=_canonical(next_list.to_json()),
                 hops=0,
             ),
-            lambda result: self._changed(next_list, result),
+            lambda result: self._on_changed(next_list, result),
         )
 
-    def _changed(self, next_list: VoterList, result: ChangeResult) -> None:
+    def _on_changed(self, next_list: VoterList, result: ChangeResult) -> None:
         self.busy = False
         if result.outcome != Outcome.OK:
             return
--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -1,10 +1,10 @@
-"""The serving set: the edges and stores that are counted for a quorum, kept in a control key.
+"""The serving set: the edges and stores whose majority counts, as the value of a control key.
 
-A majority of the serving set decides whether a version is in force, and whether an edge without
-control may go on serving. The coordinator changes the set by one address at a time, and only once a
-majority of the present set has the present set. So the two sides of a network partition never both
-have a majority, however many machines join and leave meanwhile. With cut_off = "serve" nobody is
-counted and there is no serving set.
+A version is in force once a majority of the serving set has it, and an edge without contact to
+control nodes may go on serving only with a majority of the set. The coordinator changes the set by
+one address at a time, and only after a majority of the current set has received the current set.
+Therefore the two sides of a network partition never both have a majority, however many machines
+join and leave meanwhile. With cut_off = "serve" there is no serving set and no majority is needed.
 """
 
 import json
@@ -24,9 +24,16 @@
 
 
 class ServingSet(Component):
-    """Keeps the serving set in step with the edges and stores that are live.
-
-    `is_coordinator` returns whether this node is the coordinator of membership changes.
+    """Adds live edges and stores to the serving set, and removes lost ones.
+
+    Parameters
+    ----------
+    owner
+        Executes operations on control keys.
+    config_feed
+        Provides the serving set, and the live edges and stores.
+    is_coordinator
+        Returns whether this node is the coordinator and in contact with a majority of the voters.
     """
 
     __slots__ = ("_change_in_progress", "_config_feed", "_is_coordinator", "_next_run_ms", "_owner")
@@ -41,7 +48,10 @@
         self._next_run_ms = NOT_SCHEDULED_MS
 
     def tick(self) -> None:
-        """Propose the next serving set if this node is the coordinator and a change is due."""
+        """Propose the next serving set, if a change is due and this node is the coordinator.
+
+        The first proposal is made failure_timeout_ms after the start at the earliest.
+        """
         settings, now_ms = self.node.settings, self.node.env.now()
         if settings.cut_off == "serve":
             return
@@ -57,7 +67,7 @@
             self._propose(addresses)
 
     def _next_set(self) -> list[str] | None:
-        """Return the addresses of the next serving set, or None without cause for a change."""
+        """Return the link addresses of the next serving set, or None if no change is due."""
         settings, config_feed = self.node.settings, self._config_feed
         current = config_feed.serving_set()
         live = config_feed.live_links(settings.failure_timeout_ms)
@@ -66,7 +76,7 @@
         joining = sorted(live - current)[:1]
         lost = self._first_lost(current)
         if not config_feed.needs_majority:
-            return self._next_set_unless_binding(current, live, joining, lost)
+            return self._next_small_set(current, live, joining, lost)
         if not config_feed.majority_has(
             SERVING_SET_KEY, config_feed.version(SERVING_SET_KEY), settings.confirmation_timeout_ms
         ):
@@ -76,18 +86,19 @@
         return sorted(current - set(lost)) if lost and len(current) > MIN_SERVING_SET else None
 
     def _first_lost(self, current: frozenset[str]) -> list[str]:
-        """Return the first machine that has been silent for long, if there is one."""
+        """Return the first member that was silent for removal_timeout_ms, or an empty list."""
         timeout_ms = self.node.settings.removal_timeout_ms
         if not self._config_feed.has_run_for(timeout_ms):
             return []
         return sorted(current - self._config_feed.live_links(timeout_ms))[:1]
 
-    def _next_set_unless_binding(
+    def _next_small_set(
         self, current: frozenset[str], live: set[str], joining: list[str], lost: list[str]
     ) -> list[str] | None:
-        """Return the next serving set while it is too small to be binding, or None.
+        """Return the next set if the current one has fewer than MIN_SERVING_SET members, or None.
 
-        Silent machines are dropped freely; it grows only if a majority of the result is live.
+        A lost member is removed without confirmation by a majority; one is added only if a majority
+        of the resulting set is live.
         """
         if lost:
             return sorted(current - set(lost))
@@ -95,9 +106,10 @@
         return sorted(larger) if joining and 2 * len(larger & live) > len(larger) else None
 
     def remove_lost(self, addresses: list[str], done: ResultCallback) -> None:
-        """Remove machines that an operator declares lost, whatever the set's majority reports.
+        """Remove members that an operator declares lost, without confirmation by a majority.
 
-        `done` gets the owner's result; that of the read if none of them is in the set.
+        `done` gets the result of the change or, if the read failed or no address is in the set, the
+        result of the read.
         """
 
         def read(result: ChangeResult) -> None:
@@ -118,7 +130,7 @@
         self._change(addresses, self._config_feed.version(SERVING_SET_KEY), changed)
 
     def _change(self, addresses: list[str], version: int, done: ResultCallback) -> None:
-        """Replace `version` of the serving set by these addresses."""
+        """Propose these addresses as the successor of `version` of the serving set."""
         self._owner.submit(
             Change(
                 key=SERVING_SET_KEY,
--- a/libs/control_store/src/control_store/voter_list.py
+++ b/libs/control_store/src/control_store/voter_list.py
@@ -1,7 +1,7 @@
-"""The list of the voters: the control nodes whose majority decides, as a numbered value.
+"""The voter list: the numbered list of the control nodes whose majority decides.
 
-The list is the value of the control key `control`. Each list differs from the one before by one
-step (`control_store.voter_succession`), and its number is one higher.
+The list is the value of the control key `control`. Each list differs from its predecessor by one
+step (`control_store.voter_succession`), and its number is higher by one.
 """
 
 import json
@@ -12,11 +12,11 @@
 
 
 class NodeLocation(Protocol):
-    """What the list has of a control node; failure domains are `zone` within `region`."""
+    """Identity, address and failure domain of a control node; a zone belongs to a region."""
 
     @property
     def identity(self) -> str:
-        """The node's durable identity."""
+        """The identity, which is stored on the node's disk."""
         ...
 
     @property
@@ -26,17 +26,17 @@
 
     @property
     def zone(self) -> str:
-        """The node's zone."""
+        """The zone, the smaller failure domain."""
         ...
 
     @property
     def region(self) -> str:
-        """The node's region."""
+        """The region, the larger failure domain."""
         ...
 
 
 class Voter:
-    """One voter of a list; `zone` and `region` are None where an earlier version left them out."""
+    """A voter; `zone` and `region` are None if an earlier version stored the list without them."""
 
     __slots__ = ("address", "identity", "region", "zone")
 
@@ -48,12 +48,12 @@
 
     @classmethod
     def from_node(cls, node: NodeLocation) -> "Voter":
-        """Return the voter that a node would be."""
+        """Return the voter for a control node."""
         return cls(node.identity, node.address, node.zone, node.region)
 
     @classmethod
     def from_json(cls, row: dict[str, str]) -> "Voter":
-        """Return the voter of a row of a stored list."""
+        """Return the voter for a row of a stored list."""
         return cls(row["identity"], row["address"], row.get("zone"), row.get("region"))
 
     def to_json(self) -> dict[str, str]:
@@ -67,7 +67,18 @@
 
 
 class VoterList:
-    """A list of voters; `leaving` is the voter that the next list drops, or empty."""
+    """A voter list.
+
+    Parameters
+    ----------
+    number
+        The number of the list; each list has the number of its predecessor plus one.
+    voters
+        The voters, in the order of the list.
+    leaving
+        The identity of the voter that is being replaced: the next list drops it, unless it has
+        returned. Empty if no voter is being replaced.
+    """
 
     __slots__ = ("leaving", "number", "voters")
 
@@ -78,7 +89,7 @@
 
     @classmethod
     def from_body(cls, body: str) -> "VoterList":
-        """Return the list of a stored JSON body."""
+        """Return the list for a stored JSON body."""
         value = json.loads(body)
         return cls(value["number"], map(Voter.from_json, value["voters"]), value.get("leaving", ""))
 
@@ -96,10 +107,10 @@
         return {voter.identity: voter.address for voter in self.voters}
 
     def successor(self, voters: Iterable[Voter], leaving: str = "") -> "VoterList":
-        """Return the list with the next number and these voters."""
+        """Return a list with these voters and the next number."""
         return VoterList(self.number + 1, voters, leaving)
 
 
 def voters_to_json(voters: Iterable[Voter]) -> list[dict[str, str]]:
-    """Return voters as the rows of a stored list."""
+    """Return the voters as rows of a stored list."""
     return [voter.to_json() for voter in voters]
--- a/libs/control_store/src/control_store/voter_list_manager.py
+++ b/libs/control_store/src/control_store/voter_list_manager.py
@@ -1,6 +1,6 @@
-"""The list of voters at a control node: its bootstrap, and the changes that follow.
+"""The component of a control node that bootstraps and changes the voter list.
 
-One timer runs either the bootstrap, as long as the node has no list of voters, or the coordinator.
+One timer runs the bootstrap while the node has no voter list, and the coordinator afterwards.
 """
 
 from typing import cast
@@ -19,7 +19,7 @@
 
 
 class VoterListManager(Component):
-    """Bootstraps the list of voters at a blank node, and then has the coordinator maintain it."""
+    """Runs the bootstrap while this node has no voter list, and then the coordinator."""
 
     __slots__ = ("_acceptor", "_bootstrap", "_coordinator", "_next_run_ms")
     HANDLES = (BootstrapRequest,)
@@ -37,10 +37,10 @@
             acceptor, owner, membership, config_feed, self._run_again_in
         )
         self._next_run_ms = 0
-        config_feed.watch(self._published)
+        config_feed.watch(self._on_published)
 
     def attach(self, node: Node) -> None:
-        """Attach the node to this component and its parts."""
+        """Attach the node to this component, the bootstrap and the coordinator."""
         super().attach(node)
         self._bootstrap.attach(node)
         self._coordinator.attach(node)
@@ -49,7 +49,7 @@
         """Return the identity of the coordinator, or None if no voter is live."""
         return self._coordinator.identity()
 
-    def _published(self, key: str, number: int, body: str) -> None:
+    def _on_published(self, key: str, number: int, body: str) -> None:
         if key == CONTROL_KEY:
             self._acceptor.adopt_list(body, lambda ok: None)
 
@@ -57,11 +57,11 @@
         self._next_run_ms = self.node.env.now() + delay_ms
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Vote for a proposed first list."""
+        """Vote on a proposed first list."""
         self._bootstrap.receive(cast(BootstrapRequest, message), origin)
 
     def tick(self) -> None:
-        """Bootstrap the list of voters, or maintain it and the keys once there is one."""
+        """Run the bootstrap or the coordinator, every two heartbeat periods or as scheduled."""
         self._coordinator.observe()
         if self.node.env.now() < self._next_run_ms:
             return
@@ -72,5 +72,5 @@
             self._coordinator.run()
 
     def resumed(self, gap_ms: int) -> None:
-        """Restart the coordinator's observations after a pause of the process of `gap_ms`."""
+        """Restart the coordinator's observation after the process was paused for `gap_ms`."""
         self._coordinator.restart_observation()
--- a/libs/control_store/src/control_store/voter_succession.py
+++ b/libs/control_store/src/control_store/voter_succession.py
@@ -1,10 +1,10 @@
-"""Which list of voters follows the present one, by one step, if there is cause for a step.
+"""Rules for the next voter list, which differs from the current one by one step.
 
-Where the number of voters is configured, a standby node replaces a voter that is lost or retired.
-Where it is not, all control nodes are to vote, so that any majority of them can serve: a new node
-is added, and a voter is dropped only if another takes its place. Another identity at a voter's
-address shows that the voter's disk is lost for good: its identity will never vote again, so the new
-one replaces it in one step.
+If the number of voters is configured, a standby node replaces a voter that is lost or retired. If
+it is not, all control nodes are to be voters, so that any majority of them can serve: new nodes are
+added, and a voter is dropped only after another was added in its place, or if that lowers the
+quorum. Another identity at a voter's address shows that the voter's disk is permanently lost: the
+old identity never votes again, so the new identity replaces it in one step.
 """
 
 from collections.abc import Collection, Sequence
@@ -21,30 +21,37 @@
 
 
 class NodeObservations(Protocol):
-    """What the coordinator of membership changes has observed of the control nodes."""
+    """What the coordinator has observed of the control nodes."""
 
     def is_silent(self, identity: str) -> bool:
-        """Whether a voter has sent no heartbeat for so long that it is to be replaced."""
+        """Whether a voter has been silent for so long that it is to be replaced."""
         ...
 
     def is_stable(self, node: NodeLocation) -> bool:
-        """Whether a standby node has been known for longer than any vote may be under way."""
+        """Whether a standby node has been known for longer than a vote can be in flight."""
         ...
 
     def all_voters_heard_since(self, node: NodeLocation) -> bool:
-        """Whether every voter has sent a heartbeat since a standby node was first known."""
+        """Whether every voter was heard from after a standby node was first known."""
         ...
 
     def has_returned(self, identity: str) -> bool | None:
-        """Whether a voter that is leaving is back; None if the coordinator is too new to know."""
+        """Whether a leaving voter is back; None if the observation is too short to tell."""
         ...
 
 
 def first_voters(nodes: Sequence[NodeLocation], count: int, seeds: set[str]) -> list[Voter]:
-    """Return the voters of the first list, or none as long as too few nodes are known.
-
-    The voters are the lowest identities where `count` is configured (not 0), otherwise the nodes at
-    the seeds' addresses.
+    """Return the voters of the first list, or an empty list while too few nodes are known.
+
+    Parameters
+    ----------
+    nodes
+        The control nodes that are known.
+    count
+        The configured number of voters; the nodes with the lowest identities become voters. If it
+        is 0, the voters are the nodes at the seed addresses, once there is one at each.
+    seeds
+        The seed addresses.
     """
     voters = [Voter.from_node(node) for node in sorted(nodes, key=lambda node: node.identity)]
     if count:
@@ -61,9 +68,20 @@
     observations: NodeObservations,
     count: int,
 ) -> VoterList | None:
-    """Return the list that follows where the number of voters is configured, or None.
-
-    `standbys` are the live control nodes that are neither voters nor retired.
+    """Return the next list if the number of voters is configured; None if no change is due.
+
+    Parameters
+    ----------
+    current
+        The current list.
+    standbys
+        The live control nodes that are neither voters nor retired.
+    retired
+        The identities of the retired nodes.
+    observations
+        What the coordinator has observed of the control nodes.
+    count
+        The configured number of voters.
     """
     voters = current.voters
     leaving = [
@@ -84,14 +102,25 @@
     retired: Collection[str],
     observations: NodeObservations,
 ) -> VoterList | None:
-    """Return the list that follows where all control nodes are to vote, or None.
-
-    While the coordinator is too new to know whether a leaving voter is back, nothing is changed: a
-    replacement that is abandoned too early leaves the lost voter on the list, where it counts
-    against the majority.
-
-    For the same reason a silent voter is dropped from a list of even size without a replacement:
-    the quorum shrinks by one, and no fewer failures are tolerated.
+    """Return the next list if all control nodes are to be voters; None if no change is due.
+
+    The list stays as it is until the coordinator has observed for long enough to know whether a
+    leaving voter is back. If a replacement was abandoned too early, the lost voter would stay on
+    the list, where it counts against the majority.
+
+    For the same reason a lost or retired voter is dropped without a replacement from a list of even
+    size: the quorum shrinks by one, and the number of tolerated failures stays the same.
+
+    Parameters
+    ----------
+    current
+        The current list.
+    standbys
+        The live control nodes that are neither voters nor retired.
+    retired
+        The identities of the retired nodes.
+    observations
+        What the coordinator has observed of the control nodes.
     """
     voters, names = current.voters, current.identities()
     if current.leaving in names:
@@ -116,7 +145,7 @@
 def _end_replacement(
     current: VoterList, retired: Collection[str], observations: NodeObservations
 ) -> VoterList | None:
-    """Drop the leaving voter, or keep it if it is back."""
+    """Return the list without the leaving voter, or with it if it is back; None if unknown."""
     leaving, voters = current.leaving, current.voters
     returned = observations.has_returned(leaving)
     if leaving in retired or returned is False:
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -60,8 +60,8 @@
     ),
     "voters change without a sweep": (
         "control_store/src/control_store/coordinator.py",
-        "self._key_sweep.ensure_all_replicated(lambda ok: self._swept(next_list, ok))",
-        "self._swept(next_list, True)",
+        "self._key_sweep.ensure_all_replicated(lambda ok: self._on_swept(next_list, ok))",
+        "self._on_swept(next_list, True)",
         _CONTROL + "swept",
     ),
     "a lost change is taken": (
