--- a/libs/control_store/src/control_store/profile.py
+++ b/libs/control_store/src/control_store/profile.py
@@ -1,4 +1,4 @@
-"""A profile with all inherited values resolved, as the nodes use it."""
+"""Profiles with their inherited and default values filled in, in the form that nodes use."""
 
 from typing import Any
 
@@ -12,10 +12,19 @@
 
 
 class Profile:
-    """A profile with all inherited values resolved.
+    """A profile with its inherited and default values filled in.
 
-    Names that end in `_ms` are milliseconds; shares are fractions from 0 to 1. `host` and `prefix`
-    are empty unless the profile is a route.
+    Fields whose names end in `_ms` are in milliseconds; `live_share`, `lot_share` and `loan_share`
+    are fractions from 0 to 1. `host` and `prefix` are empty unless the profile is a route.
+
+    Parameters
+    ----------
+    name
+        The name of the profile.
+    values
+        A value for each field of DEFAULTS.
+    split
+        For a profile with `shares`: the choice between the labels of the services that they name.
     """
 
     abstract: bool
@@ -60,7 +69,6 @@
     def __init__(
         self, name: str, values: dict[str, Any], split: WeightedSplit | None = None
     ) -> None:
-        """`split`, if it has shares, is over the labels of the services they name."""
         for key in _COPIED_FIELDS:
             setattr(self, key, values[key])
         workers: dict[str, list[str] | None] = values["workers"]
@@ -74,7 +82,7 @@
         self.prefix: str = values["match"].get("prefix", "")
 
     def choose_labels(self, number: float) -> frozenset[str]:
-        """Return the labels of the service that a number from 0 to 1 falls to by the shares."""
+        """Return the labels of the service chosen by a random number, 0 <= number < 1."""
         return self.labels if self._split is None else self._split.choose(number)
 
     def allows(self, identity: str, labels: frozenset[str]) -> bool:
--- a/libs/control_store/src/control_store/profile_defaults.py
+++ b/libs/control_store/src/control_store/profile_defaults.py
@@ -1,4 +1,4 @@
-"""Default values of a profile's fields, and the fields that a child does not inherit."""
+"""Default values of the fields of a profile, and the fields that are not inherited."""
 
 from typing import Any
 
--- a/libs/control_store/src/control_store/profile_inheritance.py
+++ b/libs/control_store/src/control_store/profile_inheritance.py
@@ -1,7 +1,7 @@
-"""Inheritance of profiles.
+"""Inheritance of values between profiles.
 
-A child inherits every value of its parent that it does not set; maps are merged, lists and plain
-values are replaced. The fields of NOT_INHERITED are a profile's own.
+A profile inherits each value that it does not set from its parent. The map `workers` is merged;
+other values are replaced as a whole. The fields in NOT_INHERITED are not inherited.
 """
 
 from typing import Any
@@ -32,7 +32,7 @@
 
 
 def resolve_values(rows: ProfileRows, name: str) -> dict[str, Any]:
-    """Return all values of a profile, with those that it inherits and the defaults."""
+    """Return the value of each field of a profile: its own, an inherited or the default value."""
     values = dict(DEFAULTS)
     for ancestor in reversed(ancestry(rows, name)):
         own = {
@@ -50,9 +50,10 @@
 
 
 def explain_values(rows: ProfileRows, name: str) -> dict[str, dict[str, Any]]:
-    """Return each value of a profile with the profile that it comes from, or "default".
+    """Return each value of a profile, and the name of the profile that sets it or "default".
 
-    The parts of a map are listed one by one, by their dotted path.
+    The result maps the name of a field to a map with the keys `value` and `from`. The parts of
+    `workers` are separate entries, with dotted paths as their keys.
     """
     explained: dict[str, dict[str, Any]] = {}
     for keys in _EXPLAINED:
@@ -64,7 +65,7 @@
 
 
 def _find_value(rows: ProfileRows, name: str, keys: tuple[str, ...]) -> tuple[str, Any]:
-    """Return where the value at a path of keys comes from, and the value."""
+    """Return the name of the profile that sets the value at a path, or "default", and the value."""
     names = [name] if keys[0] in NOT_INHERITED else ancestry(rows, name)
     for ancestor in names:
         value = _lookup(rows[ancestor], keys)
--- a/libs/control_store/src/control_store/profile_schema.py
+++ b/libs/control_store/src/control_store/profile_schema.py
@@ -1,4 +1,4 @@
-"""The fields of a profile as an operator writes it, as pydantic models."""
+"""Pydantic models of the fields of a profile, as operators write them."""
 
 from typing import Annotated, Literal
 
@@ -21,7 +21,7 @@
 
 
 class Match(BaseModel):
-    """What a route matches: the host of a request, and the prefix of its path."""
+    """The requests that a route matches, by their host and a prefix of their path."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
     host: str = Field(min_length=1, max_length=255, pattern=r"^[^\s/]+$")
@@ -29,7 +29,7 @@
 
 
 class ServiceShare(BaseModel):
-    """The relative weight of one service among those that a route is split over."""
+    """The relative weight of a service in a route that is split between services."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
     service: Name
@@ -37,7 +37,7 @@
 
 
 class RequiredModel(BaseModel):
-    """A model that a profile asks its workers for; a revision or adapters left out match any."""
+    """A model that a worker must have loaded; any revision or adapters match if not given."""
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
     name: str = Field(min_length=1, max_length=256)
@@ -46,9 +46,10 @@
 
 
 class ProfileRow(BaseModel):
-    """One profile as the operator wrote it; fields that are left out are inherited.
+    """A profile as an operator wrote it; fields that are not given are inherited.
 
-    Names that end in `_ms` are milliseconds; shares are fractions from 0 to 1.
+    Fields whose names end in `_ms` are in milliseconds; `live_share`, `lot_share` and `loan_share`
+    are fractions from 0 to 1.
     """
 
     model_config = ConfigDict(extra="forbid", strict=True, defer_build=True)
--- a/libs/control_store/src/control_store/profile_tree.py
+++ b/libs/control_store/src/control_store/profile_tree.py
@@ -1,7 +1,7 @@
 """The tree of profiles, with lookups by name, by route and by worker.
 
-A profile with a `match` is a route: it is chosen by a request's host and the longest prefix of its
-path. Shares split a route over several services.
+A profile with a `match` is a route. A request belongs to the route with its host that has the
+longest matching prefix of its path. `shares` split the requests of a route between services.
 """
 
 import hashlib
@@ -18,13 +18,18 @@
 DIGEST_BYTES = 8
 
 WorkerKey = tuple[str, frozenset[str]]
-"""A worker's identity and labels."""
+"""The identity and the labels of a worker."""
 
 
 class ProfileTree:
-    """A tree of profiles, with lookups that are computed once for each tree.
-
-    `rows` are the profiles as written, by name; `about` is the operator's own data.
+    """A tree of profiles that caches the results of its lookups.
+
+    Parameters
+    ----------
+    rows
+        The profiles as operators wrote them, by name.
+    about
+        Data about the tree from the operator, which is stored with it.
     """
 
     __slots__ = ("_allowed", "_resolved", "_routes", "_served", "about", "rows")
@@ -41,18 +46,16 @@
 
     @classmethod
     def from_body(cls, body: str) -> "ProfileTree":
-        """Return the tree of a stored JSON body; an empty body is the empty tree."""
+        """Return the tree for a stored JSON body; the tree of an empty body has no profiles."""
         value = json.loads(body) if body else {}
         return cls(value.get("profiles", {}), value.get("about"))
 
-    # -- profiles by name ----------------------------------------------------------------------
-
     def ancestry(self, name: str) -> list[str]:
         """Return the names of a profile and its ancestors, nearest first."""
         return ancestry(self.rows, name)
 
     def get(self, name: str) -> Profile | None:
-        """Return the resolved profile of this name, or None."""
+        """Return the profile with this name, or None if it is unknown."""
         if name not in self.rows:
             return None
         if name not in self._resolved:
@@ -70,19 +73,17 @@
         return frozenset(resolve_values(self.rows, name)["workers"].get("labels") or ())
 
     def usable(self, name: str) -> Profile | None:
-        """Return the resolved profile of this name, or None if it is abstract or unknown."""
+        """Return the profile with this name, or None if it is abstract or unknown."""
         profile = self.get(name)
         return None if profile is None or profile.abstract else profile
 
     def backlog_limit(self, name: str) -> int | None:
-        """Return how many requests may wait for the profile of this name, or None."""
+        """Return the maximum number of waiting requests of a profile, or None if not usable."""
         profile = self.usable(name)
         return None if profile is None else profile.waiting_room
 
-    # -- routes --------------------------------------------------------------------------------
-
     def route(self, host: str, path: str) -> Profile | None:
-        """Return the profile of the route with the longest matching prefix, or None."""
+        """Return the route with the longest prefix that matches a request, or None."""
         if self._routes is None:
             self._routes = RouteIndex(
                 (row["match"]["host"], row["match"]["prefix"], name)
@@ -92,10 +93,8 @@
         name = self._routes.find(host, path)
         return None if name is None else self.get(name)
 
-    # -- workers -------------------------------------------------------------------------------
-
     def allows_worker(self, identity: str, labels: frozenset[str]) -> bool:
-        """Whether a worker may serve any profile that is not abstract."""
+        """Whether a worker may serve at least one profile that is not abstract."""
         key = (identity, labels)
         if key not in self._allowed:
             self._allowed[key] = any(
@@ -106,7 +105,7 @@
     def served_by(self, workers: frozenset[WorkerKey]) -> frozenset[str]:
         """Return the names of the profiles that at least one of these workers may serve.
 
-        `workers` are an identity and labels each. The last result is cached.
+        Abstract profiles are left out. Only the last result is cached.
         """
         if self._served is None or self._served[0] != workers:
             names = frozenset(
@@ -125,16 +124,17 @@
 
 
 def profiles_digest(body: str) -> str:
-    """Return a digest by which a stored tree can be recognized from outside; empty for none."""
+    """Return a hexadecimal digest that identifies a stored tree; empty for an empty body."""
     if not body:
         return ""
     return hashlib.blake2b(body.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def explain(tree: ProfileTree, name: str) -> dict[str, Any]:
-    """Return each value of a profile with the profile that it comes from, or "default".
+    """Return the ancestors of a profile and the origin of each of its values, as JSON values.
 
-    The parts of a map are listed one by one. Returns an empty map for an unknown name.
+    The entries of `values` are described at `explain_values`. Returns an empty map if the name is
+    unknown.
     """
     if tree.get(name) is None:
         return {}
--- a/libs/control_store/src/control_store/profile_validation.py
+++ b/libs/control_store/src/control_store/profile_validation.py
@@ -1,7 +1,7 @@
-"""Validation of a tree of profiles as an operator wrote it, before any of it is stored.
+"""Validation of a tree of profiles that an operator wrote, before it is stored.
 
-Each profile is checked by the pydantic models of `control_store.profile_schema`; references between
-profiles are checked here. Every problem is reported with its place in the tree.
+The fields of each profile are checked by the pydantic models of `control_store.profile_schema`, and
+the references between profiles by this module. Each problem is reported with its place in the tree.
 """
 
 from collections.abc import Iterable, Iterator
@@ -18,13 +18,13 @@
 
 
 class Problem(NamedTuple):
-    """A problem of a tree: its place (dotted path) and what is wrong."""
+    """A problem of a tree: its place as a dotted path, and a message."""
 
     at: str
     message: str
 
     def to_json(self) -> dict[str, str]:
-        """Return the problem as it is reported to the operator."""
+        """Return the problem as a JSON value for the operator."""
         return {"at": self.at, "message": self.message}
 
 
@@ -33,9 +33,17 @@
 ) -> Result[dict[str, Any], list[dict[str, str]]]:
     """Check a whole tree of profiles.
 
-    Returns the tree as it will be stored, or every problem with its place (`at`) and a `message`.
-    `known` maps names to rows that were checked before; a row that equals its known one is not
-    validated again.
+    Parameters
+    ----------
+    value
+        The tree as decoded from JSON.
+    known
+        Rows that were found valid before, by name; an equal row is not validated again.
+
+    Returns
+    -------
+    The tree in its stored form, without fields that are None; or all problems, each with its place
+    `at` and a `message`.
     """
     if not isinstance(value, dict) or not isinstance(value.get("profiles"), dict):
         problem = Problem("profiles", "a tree is an object with a map 'profiles'")
@@ -65,8 +73,8 @@
 
 
 def _checked_row(name: Any, row: Any) -> dict[str, Any]:
-    """Return a row without the fields that are None. Raises ValidationError."""
-    Workers(identities=[name])  # Names of profiles and of workers follow the same rules.
+    """Return a row without the fields that are None; raises ValidationError if it is invalid."""
+    Workers(identities=[name])  # names of profiles follow the rules for names of workers
     return ProfileRow.model_validate(row).model_dump(exclude_none=True)
 
 
@@ -79,7 +87,7 @@
 
 
 def _check_references(written: dict[str, Any], rows: ProfileRows) -> Iterator[Problem]:
-    """Check what profiles say of each other: `written` are all rows, `rows` the valid ones."""
+    """Check references between profiles in all rows, `written`, or in the valid ones, `rows`."""
     names = set(written)
     parents = {name: row.get("parent") for name, row in written.items() if isinstance(row, dict)}
     yield from _unknown_parents(parents, names)
@@ -117,7 +125,7 @@
 
 
 def _cycles(parents: dict[str, Any]) -> Iterator[Problem]:
-    """Report each profile that is its own ancestor, once for each that is on the cycle."""
+    """Report a problem for each profile that is its own ancestor."""
     acyclic: set[str] = set()
     for name in parents:
         path = _ancestors_until_known(name, parents, acyclic)
@@ -130,7 +138,7 @@
 
 
 def _ancestors_until_known(name: str, parents: dict[str, Any], acyclic: Iterable[str]) -> list[str]:
-    """Return a profile and its ancestors, up to one that is known to be acyclic or repeats."""
+    """Return a profile and its ancestors, up to a missing, an acyclic or a repeated one."""
     path: list[str] = []
     current: Any = name
     while (
--- a/libs/control_store/src/control_store/routes.py
+++ b/libs/control_store/src/control_store/routes.py
@@ -1,6 +1,6 @@
-"""Routing of requests to profiles, and the weighted split of a route over services.
+"""Routing of requests to profiles, and the weighted split of a route between services.
 
-A profile is found by host, then by the longest prefix of the path, tried at its slashes.
+A profile is found by the host, and then by the longest prefix of the path that ends in a slash.
 """
 
 from bisect import bisect_right
@@ -11,7 +11,7 @@
 
 
 class _HostRoutes:
-    """The routes of one host: profile names by prefix, and the length of the longest prefix."""
+    """The routes of one host: names of profiles by prefix, and the longest prefix's length."""
 
     __slots__ = ("longest_prefix", "names")
 
@@ -25,7 +25,7 @@
         self.names[prefix] = name
 
     def find(self, path: str) -> str | None:
-        """Return the name for the longest prefix of a path, or None."""
+        """Return the name of the profile with the longest matching prefix, or None."""
         end = path.rfind("/", 0, self.longest_prefix)
         while end >= 0:
             name = self.names.get(path[: end + 1])
@@ -36,12 +36,17 @@
 
 
 class RouteIndex:
-    """Finds the profile of a request among thousands of routes."""
+    """Finds the profile for a request among thousands of routes.
+
+    Parameters
+    ----------
+    routes
+        The host, the prefix and the name of the profile of each route.
+    """
 
     __slots__ = ("_hosts",)
 
     def __init__(self, routes: Iterable[tuple[str, str, str]]) -> None:
-        """`routes` are a host, a prefix and a profile's name each."""
         self._hosts: dict[str, _HostRoutes] = {}
         for host, prefix, name in routes:
             self._hosts.setdefault(host.lower(), _HostRoutes()).add(prefix, name)
@@ -49,7 +54,8 @@
     def find(self, host: str, path: str) -> str | None:
         """Return the name of the profile for a host and path, or None if no route matches.
 
-        Host names compare without regard to case; a port is ignored unless a route names it.
+        Host names are compared without regard to case. A route for the host with the port takes
+        precedence; otherwise the port is ignored.
         """
         routes = (
             self._hosts.get(host)
@@ -60,10 +66,13 @@
 
 
 class WeightedSplit:
-    """A weighted choice among sets of labels.
+    """A weighted choice between the sets of labels of several services.
 
-    `shares` are a weight and the labels of a service each; weights that are not above 0 are left
-    out.
+    Parameters
+    ----------
+    shares
+        The weight and the labels of each service; a service is left out unless its weight is
+        greater than 0.
     """
 
     __slots__ = ("_bounds", "_labels")
@@ -76,10 +85,10 @@
         self._labels = [labels for _, labels in positive]
 
     def choose(self, number: float) -> frozenset[str]:
-        """Return the labels that a number from 0 to 1 falls to, in proportion to the weights."""
+        """Return the labels chosen by weight for a random number, 0 <= number < 1."""
         return self._labels[bisect_right(self._bounds, number)]
 
     @property
     def union(self) -> frozenset[str]:
-        """All labels that the split can choose."""
+        """The union of the sets of labels that can be chosen."""
         return frozenset[str]().union(*self._labels)
