--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -1,8 +1,9 @@
-"""The owner's side of the list of workers.
+"""Changes of the worker list by the owner of the key `workers`.
 
-Reports that arrive within worker_list_batch_ms are gathered into one change of the key `workers`.
-Workers that are silent at every control node are removed. A drain is acknowledged once the list is
-on a majority of disks and the live edges have it, or had edge_confirmation_timeout_ms to learn it.
+Reports that arrive within worker_list_batch_ms are combined into one change of the key. Workers
+that are silent at every control node are removed. The drain or end of a worker is acknowledged once
+the changed list is on the disks of a majority and all live edges have received it, or
+edge_confirmation_timeout_ms after the decision.
 """
 
 import json
@@ -25,9 +26,16 @@
 
 
 class WaitingCaller:
-    """A caller that waits until the drain or end of a worker is in force, at most until `due_ms`.
-
-    `done` is None once it has been called.
+    """A caller that waits until the drain or end of a worker is in force.
+
+    Parameters
+    ----------
+    identity
+        The identity of the worker.
+    due_ms
+        When the call is finished with DOUBT, in ms on the node's clock.
+    done
+        Gets the outcome; the attribute is None after that.
     """
 
     __slots__ = ("done", "due_ms", "identity")
@@ -45,16 +53,23 @@
 
 
 class _DecidedChange(NamedTuple):
-    """The version that last changed a worker, and when it was decided in ms."""
+    """The version that last changed a worker, and the time of its decision in ms."""
 
     version: int
     at_ms: int
 
 
 class WorkerChanges:
-    """The list of workers as this node has it, and the owner's changes of it.
+    """A node's copy of the worker list, and its changes if the node owns the key.
+
+    `records` is the list and `number` its version. Times are in ms on the node's clock.
 
-    `records` is the list and `number` its version. Times are ms of the node's clock.
+    Parameters
+    ----------
+    owner
+        Executes operations on control keys.
+    config_feed
+        Gets the decided versions, and provides the versions that the edges reported.
     """
 
     __slots__ = (
@@ -86,45 +101,48 @@
         self._callers: list[WaitingCaller] = []
         self._decided: dict[str, _DecidedChange] = {}
 
-    def published(self, key: str, number: int, body: str) -> None:
-        """Take a newer version of the list from the config feed."""
+    def on_published(self, key: str, number: int, body: str) -> None:
+        """Store a newer version of the list from the config feed."""
         if key == WORKERS_KEY and body:
             self.records, self.number = WorkerRecords.from_json(json.loads(body)), number
 
-    # -- reports -------------------------------------------------------------------------------
-
-    def heard(self, identities: Iterable[str], reports: Iterable[WorkerReport]) -> None:
-        """Note which workers sent heartbeats to a control node, and gather the reports."""
+    def record_heartbeats(self, identities: Iterable[str], reports: Iterable[WorkerReport]) -> None:
+        """Record workers that sent heartbeats to a control node, and add reports to the batch."""
         now_ms = self.node.env.now()
         for identity in identities:
             self._heartbeat_ms[identity] = now_ms
         for report in reports:
-            self._gather(report)
+            self._add_report(report)
+
+    def process_departure(self, report: WorkerReport, done: OutcomeCallback) -> None:
+        """Add the report of a draining or ended worker to the batch.
 
-    def leave(self, report: WorkerReport, done: OutcomeCallback) -> None:
-        """Process a drain or an end: `done` gets OK once it is in force, or DOUBT."""
-        self._gather(report)
+        `done` gets OK once the change is in force, or DOUBT if that is unknown after
+        control_call_timeout_ms.
+        """
+        self._add_report(report)
         due_ms = self.node.env.now() + self.node.settings.control_call_timeout_ms
         self._callers.append(WaitingCaller(report.identity, due_ms, done))
 
-    def _gather(self, report: WorkerReport) -> None:
+    def _add_report(self, report: WorkerReport) -> None:
         now_ms = self.node.env.now()
         if report.state in (WorkerState.SERVING, WorkerState.DRAINING):
             self._heartbeat_ms[report.identity] = now_ms
         if not self._reports:
             self._first_report_ms = now_ms
-        gathered = self._reports.get(report.identity)
+        waiting = self._reports.get(report.identity)
         if (
-            gathered is None
+            waiting is None
             or report.state == WorkerState.GONE
-            or (gathered.state != WorkerState.GONE and report.seq >= gathered.seq)
+            or (waiting.state != WorkerState.GONE and report.seq >= waiting.seq)
         ):
             self._reports[report.identity] = report
 
     def report_silent(self, now_ms: int) -> None:
-        """Report workers without heartbeats for longer than worker_removal_timeout_ms as silent.
+        """Report workers as silent after more than worker_removal_timeout_ms without heartbeats.
 
-        Done only by a node that has owned the key, running and in contact, for that long itself.
+        For at least that long, this node must have owned the key, been in contact with a majority
+        of the voters and run without a pause; otherwise it may have missed heartbeats.
         """
         silent_ms = self.node.settings.worker_removal_timeout_ms
         owned_since_ms = self._owned_since_ms
@@ -133,24 +151,26 @@
         for identity, record in self.records.workers.items():
             heartbeat_ms = self._heartbeat_ms.get(identity, owned_since_ms)
             if now_ms - heartbeat_ms > silent_ms and identity not in self._reports:
-                self._gather(record.silence_report(identity))
-
-    # -- changes -------------------------------------------------------------------------------
+                self._add_report(record.silence_report(identity))
 
-    def _change(self) -> None:
-        """Propose all gathered reports as one change; callers are answered once edges have it."""
+    def _propose_reports(self) -> None:
+        """Propose the batch of reports as one change, with the callers that wait for it."""
         reports, self._reports = self._reports, {}
         callers, self._callers = self._callers, []
         self._change_in_progress = True
-        self._attempt(reports, callers, 0)
+        self._propose(reports, callers, 0)
 
-    def _attempt(
+    def _propose(
         self,
         reports: dict[str, WorkerReport],
         callers: list[WaitingCaller],
-        confirmed_number: int,
+        read_number: int,
     ) -> None:
-        """Propose the reports; a version that was just read is given as `confirmed_number`."""
+        """Propose the list with the reports applied, based on this node's copy.
+
+        If the reports change nothing but callers wait, the copy may be outdated. The list is then
+        read through a quorum, unless `read_number`, the version just read, is the copy's.
+        """
         number = self.number
         records, changed = apply_reports(self.records, reports.values())
         if changed:
@@ -162,14 +182,14 @@
                     body=json.dumps(records.to_json(), sort_keys=True),
                     hops=0,
                 ),
-                lambda result: self._changed(reports, callers, changed, result),
+                lambda result: self._on_changed(reports, callers, changed, result),
             )
-        elif callers and confirmed_number != number:
+        elif callers and read_number != number:
             self._read_and_retry(reports, callers)
         else:
             self._finish_change(callers)
 
-    def _changed(
+    def _on_changed(
         self,
         reports: dict[str, WorkerReport],
         callers: list[WaitingCaller],
@@ -189,12 +209,12 @@
     def _read_and_retry(
         self, reports: dict[str, WorkerReport], callers: list[WaitingCaller]
     ) -> None:
-        """Read the newest list and propose the reports on it; without it callers get DOUBT."""
+        """Read the newest list and propose the reports again; abandon the change if that fails."""
 
         def read(result: ChangeResult) -> None:
             if result.outcome == Outcome.OK:
                 self._config_feed.publish(WORKERS_KEY, result.version, result.body)
-                self._attempt(reports, callers, result.version)
+                self._propose(reports, callers, result.version)
             else:
                 self._abandon_change(reports, callers)
 
@@ -203,13 +223,13 @@
     def _abandon_change(
         self, reports: dict[str, WorkerReport], callers: list[WaitingCaller]
     ) -> None:
-        """Answer the callers with DOUBT, and gather the reports again for the next change."""
+        """Finish the callers with DOUBT, and add the reports to the next batch."""
         self._change_in_progress = False
         for caller in callers:
             caller.finish(Outcome.DOUBT)
         for report in reports.values():
             if report.identity not in self._reports:
-                self._gather(report)
+                self._add_report(report)
 
     def _finish_change(self, callers: list[WaitingCaller]) -> None:
         self._change_in_progress = False
@@ -217,9 +237,9 @@
         unchanged = _DecidedChange(self.number, self.node.env.now())
         for caller in callers:
             self._decided.setdefault(caller.identity, unchanged)
-        self._answer_callers()
+        self._finish_callers()
 
-    def _answer_callers(self) -> None:
+    def _finish_callers(self) -> None:
         now_ms = self.node.env.now()
         for caller in self._callers:
             if self._is_in_force(caller.identity, now_ms):
@@ -229,7 +249,11 @@
         self._callers = [caller for caller in self._callers if caller.done is not None]
 
     def _is_in_force(self, identity: str, now_ms: int) -> bool:
-        """Whether the edges have the last change of a worker, or had long enough to learn it."""
+        """Whether the last change of a worker is decided, and received by all live edges.
+
+        It counts as received after edge_confirmation_timeout_ms. While another report of the worker
+        waits for the next change, the result is False.
+        """
         settings = self.node.settings
         decided = self._decided.get(identity)
         if decided is None or not decided.version or identity in self._reports:
@@ -240,10 +264,8 @@
             WORKERS_KEY, decided.version, ("edge",), settings.confirmation_timeout_ms
         )
 
-    # -- timers --------------------------------------------------------------------------------
-
-    def forget(self, oldest_ms: int) -> None:
-        """Drop what is known of workers without heartbeat or change since `oldest_ms`."""
+    def drop_older_than(self, oldest_ms: int) -> None:
+        """Drop times of heartbeats and of changes that are before `oldest_ms`."""
         for identity in [name for name, at_ms in self._heartbeat_ms.items() if at_ms < oldest_ms]:
             del self._heartbeat_ms[identity]
         for identity in [
@@ -252,7 +274,10 @@
             del self._decided[identity]
 
     def tick(self, owns: bool) -> None:
-        """Propose gathered reports that are due; `owns` is whether this node owns the key."""
+        """Propose the batch of reports when it is due, and finish callers.
+
+        `owns` is set if this node owns the key and is in contact with a majority of the voters.
+        """
         now_ms = self.node.env.now()
         if not owns:
             self._owned_since_ms = NOT_OWNED_MS
@@ -264,11 +289,14 @@
             and not self._change_in_progress
             and now_ms - self._first_report_ms >= self.node.settings.worker_list_batch_ms
         ):
-            self._change()
-        self._answer_callers()
+            self._propose_reports()
+        self._finish_callers()
 
     def resumed(self) -> None:
-        """After a pause of the process, restart the time of ownership and answer with DOUBT."""
+        """Finish all callers with DOUBT after a pause of the process.
+
+        The time for which this node has owned the key is counted anew.
+        """
         self._owned_since_ms = NOT_OWNED_MS
         for caller in self._callers:
             caller.finish(Outcome.DOUBT)
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -1,7 +1,8 @@
-"""The list of workers, kept as the control key `workers`: the side of any control node.
+"""The worker list, the value of the control key `workers`, as maintained by every control node.
 
-Workers send reports to any control node. A report that changes nothing is only noted, and passed to
-the key's owner with the others each period. `control_store.worker_changes` is the owner's side.
+A worker sends its reports to any control node. Each period the node passes the heartbeats it
+received, and the reports that may change the list, to the owner of the key. The owner changes the
+list (`control_store.worker_changes`).
 """
 
 from collections.abc import Callable
@@ -26,15 +27,26 @@
 
 __all__ = ["WorkerList"]
 
-SEQ_AFTER_END = 1 << 62
+SEQ_AFTER_END = 1 << 62  # above all sequence numbers: later reports of an ended worker are stale
 LONG_AGO_MS = -1 << 40
-ACKNOWLEDGED_PERIODS = 3
+ACKNOWLEDGED_PERIODS = 3  # periods for which an acknowledgement of heartbeats by the owner counts
 
 
 class WorkerList(Component):
-    """Receives workers' reports at a control node and forwards them to the key's owner.
-
-    `in_contact` returns whether the node is in contact with a majority of the voters.
+    """Receives the reports of workers at a control node and forwards them to the key's owner.
+
+    At the owner of the key, it also runs the changes of the list.
+
+    Parameters
+    ----------
+    acceptor
+        Holds the identity of this node and the current voters.
+    owner
+        Executes operations on control keys.
+    config_feed
+        Provides the list.
+    in_contact
+        Returns whether this node is in contact with a majority of the voters.
     """
 
     __slots__ = (
@@ -62,28 +74,29 @@
         self._owner = owner
         self._in_contact = in_contact
         self._changes = WorkerChanges(owner, config_feed)
-        # State of every control node, whether it owns the key or not.
+        # These are kept at every control node; only the owner uses the reports in `_changes`.
         self._heartbeat_ms: dict[str, int] = {}
         self._last_seq: dict[str, int] = {}
         self._pending: dict[str, WorkerReport] = {}
         self._callers: list[WaitingCaller] = []
         self._sent_ms = self._acknowledged_ms = LONG_AGO_MS
-        config_feed.watch(self._changes.published)
+        config_feed.watch(self._changes.on_published)
 
     def attach(self, node: Node) -> None:
-        """Attach the node to this component and to the owner's side."""
+        """Attach the node to this component and to the changes of the list."""
         super().attach(node)
         self._changes.node = node
 
     @property
     def number(self) -> int:
-        """The version of the list that this node has."""
+        """The version of this node's copy of the list."""
         return self._changes.number
 
     def rows(self) -> dict[str, dict[str, Any]]:
-        """Return the list, with the time since each worker's last heartbeat at this node.
+        """Return the rows of the list by identity, for operators.
 
-        `heard_ms` is in ms, or None if this node has received no heartbeat.
+        `heard_ms` is the time in ms since the worker's last heartbeat at this node, or None if this
+        node has received none.
         """
         now_ms = self.node.env.now()
         return {
@@ -96,12 +109,12 @@
             for identity, record in sorted(self._changes.records.workers.items())
         }
 
-    # -- reports at any control node -----------------------------------------------------------
-
     def report(self, report: WorkerReport, done: OutcomeCallback) -> None:
-        """Process a report that a worker sent itself.
+        """Process a report that a worker sent to this node.
 
-        `done` gets OK, REFUSED (another node should be asked) or DOUBT (outcome unknown).
+        `done` gets OK, or REFUSED if the worker should report to another node. For a draining or
+        ended worker OK means that the change is in force, and DOUBT that this is unknown, after
+        control_call_timeout_ms or a pause of the process.
         """
         identity, now_ms = report.identity, self.node.env.now()
         ended = report.state == WorkerState.GONE
@@ -111,7 +124,7 @@
         self._last_seq[identity] = SEQ_AFTER_END if ended else report.seq
         self._heartbeat_ms[identity] = now_ms
         if report.state != WorkerState.SERVING:
-            self._leave(report, done)
+            self._process_departure(report, done)
             return
         if self._may_change_list(report):
             self._pending[identity] = report
@@ -127,7 +140,7 @@
         return record is None or not record.is_described_by(report)
 
     def _can_acknowledge(self) -> bool:
-        """Whether heartbeats at this node reach the key's owner."""
+        """Whether heartbeats at this node reach the owner of the key, as far as it knows."""
         if not self._in_contact():
             return False
         since_ms = self.node.env.now() - self._acknowledged_ms
@@ -146,8 +159,8 @@
         period_ms: int = self.node.settings.worker_beat_ms // 2
         return period_ms
 
-    def _leave(self, report: WorkerReport, done: OutcomeCallback) -> None:
-        """Process a drain or an end, or pass it to the owner; `done` gets the outcome."""
+    def _process_departure(self, report: WorkerReport, done: OutcomeCallback) -> None:
+        """Pass a report of a draining or ended worker to the owner, which may be this node."""
         self._pending.pop(report.identity, None)
         address, timeout_ms = self._owner_address(), self.node.settings.control_call_timeout_ms
         if not self._in_contact() or address is None:
@@ -156,7 +169,7 @@
         caller = WaitingCaller(report.identity, self.node.env.now() + timeout_ms, done)
         self._callers.append(caller)
         if self._owns_list():
-            self._changes.leave(report, caller.finish)
+            self._changes.process_departure(report, caller.finish)
         else:
             message = WorkerLeft(report=encode(report))
             self.node.request(
@@ -166,41 +179,41 @@
                 lambda reply: caller.finish(Outcome.OK if _is_ok(reply) else Outcome.DOUBT),
             )
 
-    # -- heartbeats to the owner ---------------------------------------------------------------
-
     def _send_heartbeats(self, now_ms: int) -> None:
-        """Pass the period's heartbeats and reports to the owner, which may be this node."""
+        """Pass the heartbeats and reports of the period to the owner, which may be this node."""
         last_sent_ms, self._sent_ms = self._sent_ms, now_ms
         oldest_ms = min(last_sent_ms, now_ms - self._period_ms()) - self._period_ms()
-        self._forget(now_ms)
-        self._drop_applied_reports(now_ms)
+        self._drop_silent_workers(now_ms)
+        self._drop_obsolete_reports(now_ms)
         message = WorkerHeartbeats(
             identities=[name for name, at_ms in self._heartbeat_ms.items() if at_ms >= oldest_ms],
             reports=[encode(report) for report in self._pending.values()],
         )
         address = self._owner_address()
         if self._owns_list():
-            self._take_heartbeats(message)
+            self._process_heartbeats(message)
             self._changes.report_silent(now_ms)
         elif address is not None:
             self.node.request(
                 address,
                 message,
                 self._period_ms(),
-                lambda reply: self._acknowledged(reply, now_ms),
+                lambda reply: self._on_acknowledged(reply, now_ms),
             )
 
-    def _acknowledged(self, reply: Message | None, sent_ms: int) -> None:
+    def _on_acknowledged(self, reply: Message | None, sent_ms: int) -> None:
         if _is_ok(reply):
             self._acknowledged_ms = max(self._acknowledged_ms, sent_ms)
 
-    def _drop_applied_reports(self, now_ms: int) -> None:
-        applied = [name for name, report in self._pending.items() if self._is_done(report, now_ms)]
-        for identity in applied:
+    def _drop_obsolete_reports(self, now_ms: int) -> None:
+        obsolete = [
+            name for name, report in self._pending.items() if self._is_obsolete(report, now_ms)
+        ]
+        for identity in obsolete:
             del self._pending[identity]
 
-    def _is_done(self, report: WorkerReport, now_ms: int) -> bool:
-        """Whether the list has what a report says, or the worker has been silent since."""
+    def _is_obsolete(self, report: WorkerReport, now_ms: int) -> bool:
+        """Whether the list reflects a report, or the worker has ended or been silent since."""
         identity, records = report.identity, self._changes.records
         record = records.workers.get(identity)
         listed = record is not None and (record.seq >= report.seq or record.is_described_by(report))
@@ -208,27 +221,28 @@
         silent = now_ms - self._heartbeat_ms.get(identity, now_ms) > timeout_ms
         return identity in records.ended or listed or silent
 
-    def _forget(self, now_ms: int) -> None:
-        """Drop what is known of workers that have long been silent."""
+    def _drop_silent_workers(self, now_ms: int) -> None:
+        """Drop the state of workers that have long been silent.
+
+        That is, for 2 * resume_ms + worker_removal_timeout_ms.
+        """
         settings = self.node.settings
         oldest_ms = now_ms - 2 * settings.resume_ms - settings.worker_removal_timeout_ms
         for identity in [name for name, at_ms in self._heartbeat_ms.items() if at_ms < oldest_ms]:
             del self._heartbeat_ms[identity]
             self._last_seq.pop(identity, None)
             self._pending.pop(identity, None)
-        self._changes.forget(oldest_ms)
-
-    # -- the key's owner -----------------------------------------------------------------------
+        self._changes.drop_older_than(oldest_ms)
 
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
-        """Process another control node's message about workers."""
-        raise TypeError(type(message).__name__)
+        """Process a message about workers from another control node."""
+        raise TypeError(f"expected WorkerHeartbeats or WorkerLeft, got {type(message).__name__}")
 
     @receive.register
     def _(self, message: WorkerHeartbeats, origin: Origin) -> None:
         if self._owns_list():
-            self._take_heartbeats(message)
+            self._process_heartbeats(message)
         self.node.reply(origin, WorkerReportAck(ok=self._owns_list()))
 
     @receive.register
@@ -236,19 +250,17 @@
         if not self._owns_list():
             self.node.reply(origin, WorkerReportAck(ok=False))
             return
-        self._changes.leave(
+        self._changes.process_departure(
             decode_as(WorkerReport, message.report),
             lambda outcome: self.node.reply(origin, WorkerReportAck(ok=outcome == Outcome.OK)),
         )
 
-    def _take_heartbeats(self, message: WorkerHeartbeats) -> None:
+    def _process_heartbeats(self, message: WorkerHeartbeats) -> None:
         reports = (decode_as(WorkerReport, report) for report in message.reports)
-        self._changes.heard(message.identities, reports)
-
-    # -- timers --------------------------------------------------------------------------------
+        self._changes.record_heartbeats(message.identities, reports)
 
     def tick(self) -> None:
-        """Answer overdue calls with DOUBT, and send the period's message to the key's owner."""
+        """Finish overdue calls with DOUBT, send heartbeats to the owner, and run due changes."""
         now_ms = self.node.env.now()
         for caller in self._callers:
             if now_ms >= caller.due_ms:
@@ -259,7 +271,7 @@
         self._changes.tick(self._owns_list() and self._in_contact())
 
     def resumed(self, gap_ms: int) -> None:
-        """After a pause of the process of `gap_ms`, answer all waiting calls with DOUBT."""
+        """Finish all waiting calls with DOUBT after the process was paused for `gap_ms`."""
         self._acknowledged_ms = LONG_AGO_MS
         for caller in self._callers:
             caller.finish(Outcome.DOUBT)
--- a/libs/control_store/src/control_store/worker_messages.py
+++ b/libs/control_store/src/control_store/worker_messages.py
@@ -1,4 +1,4 @@
-"""Messages about workers: their own reports, and what control nodes pass on to the list's owner."""
+"""Messages about workers: their reports, and messages to the owner of the worker list."""
 
 from enum import StrEnum
 
@@ -8,12 +8,12 @@
 
 
 class WorkerState(StrEnum):
-    """What a report says of a worker.
+    """The state of a worker in a report.
 
-    - SERVING: it takes requests (reported by the worker).
-    - DRAINING: it finishes its requests and takes no more (reported by the worker).
-    - GONE: it has ended for good (reported by the worker).
-    - SILENT: it sends no heartbeats (reported by the owner of the list).
+    - SERVING: accepts requests; reported by the worker.
+    - DRAINING: finishes its requests and accepts no new ones; reported by the worker.
+    - GONE: has ended permanently; reported by the worker.
+    - SILENT: no control node receives heartbeats from it; reported by the owner of the list.
     """
 
     SERVING = "serving"
@@ -25,8 +25,24 @@
 class WorkerReport(Message):
     """A report about one worker.
 
-    `state` is a value of `WorkerState`. `slots` is how many requests the worker runs at once, `seq`
-    the report's sequence number, and `models` a JSON list of the models that it has loaded.
+    Parameters
+    ----------
+    identity
+        The identity of the worker.
+    address
+        Its address for requests.
+    zone
+        The zone that it runs in.
+    label
+        The label by which profiles select workers.
+    slots
+        The number of requests that it runs concurrently.
+    state
+        A value of `WorkerState`.
+    seq
+        The sequence number of the report.
+    models
+        A JSON list of the models that it has loaded.
     """
 
     identity: str
@@ -40,10 +56,14 @@
 
 
 class WorkerHeartbeats(Message, wire_name="WorkersHeard"):
-    """What a control node sends the list's owner each period.
-
-    `identities` are the workers that sent heartbeats since the last message, and `reports` encoded
-    `WorkerReport`s that may change the list.
+    """Passes the heartbeats that a control node received to the owner of the list, each period.
+
+    Parameters
+    ----------
+    identities
+        The workers that sent heartbeats since the previous message, or in the period before it.
+    reports
+        Encoded `WorkerReport`s that may change the list.
     """
 
     identities: list[str]
@@ -51,12 +71,15 @@
 
 
 class WorkerLeft(Message, wire_name="WorkerLeaves"):
-    """Passes a worker's report that it drains or ends, encoded, to the list's owner."""
+    """Passes the encoded report of a draining or ended worker to the owner of the list."""
 
     report: bytes
 
 
 class WorkerReportAck(Message, wire_name="WorkerNoted"):
-    """Reply to WorkerHeartbeats and WorkerLeft; `ok` if the replying node owns the list."""
+    """The reply to WorkerHeartbeats and WorkerLeft.
+
+    `ok` is set if the replying node owns the list and, for WorkerLeft, if the change is in force.
+    """
 
     ok: bool
--- a/libs/control_store/src/control_store/worker_records.py
+++ b/libs/control_store/src/control_store/worker_records.py
@@ -1,11 +1,13 @@
-"""The list of workers as a value, and how reports of workers change it.
+"""The value of the worker list, and the changes that reports make to it.
 
-Each report of a worker carries a sequence number, and an older report changes nothing. An identity
-is never reused, so one that has ended stays removed, however late its other reports arrive. One
-that fell silent may come back, unless another identity has joined at its address since.
+Each report of a worker has a sequence number; a report older than the listed one changes nothing,
+unless it says that the worker has ended. Identities are never reused, so a worker that has ended
+stays removed, however late other reports of it arrive. A worker that was removed as silent may
+return, unless another identity has joined at its address since.
 
-`ended` and `silent` map identities to a number that rises with each (`silent` to an address as
-well), so that a change of the list is a small merge patch however much is remembered.
+The maps `ended` and `silent` number their identities in the order in which they were added;
+`silent` also holds the addresses. Because these are maps, a change of the worker list is a small
+merge patch, regardless of how many identities are remembered.
 """
 
 import json
@@ -23,13 +25,13 @@
 ]
 
 WORKERS_KEY = "workers"
-REMEMBERED_IDENTITIES = 256
+REMEMBERED_IDENTITIES = 256  # lower bound of the limit, which is twice the workers listed
 
 Remembered = TypeVar("Remembered")
 
 
 class WorkerRecord:
-    """A worker on the list; `models` are the rows of its loaded models."""
+    """A worker on the list; the fields are those of its last report that changed the list."""
 
     __slots__ = ("address", "label", "models", "seq", "slots", "state", "zone")
 
@@ -53,7 +55,7 @@
 
     @classmethod
     def from_report(cls, report: WorkerReport) -> "WorkerRecord":
-        """Return the record that a worker's own report describes."""
+        """Return the record for a report of a worker about itself."""
         return cls(
             address=report.address,
             zone=report.zone,
@@ -66,7 +68,7 @@
 
     @classmethod
     def from_json(cls, row: dict[str, Any]) -> "WorkerRecord":
-        """Return the record of a row of a stored list."""
+        """Return the record for a row of a stored list."""
         return cls(**{name: row[name] for name in cls.__slots__})
 
     def to_json(self) -> dict[str, Any]:
@@ -74,13 +76,13 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
     def is_described_by(self, report: WorkerReport) -> bool:
-        """Whether a report describes the worker just as this record does."""
+        """Whether a report agrees with this record in all fields other than `seq`."""
         other = WorkerRecord.from_report(report)
         other.seq = self.seq
         return self.to_json() == other.to_json()
 
     def silence_report(self, identity: str) -> WorkerReport:
-        """Return the owner's report that this worker is silent."""
+        """Return a report of the owner of the list that this worker is silent."""
         return WorkerReport(
             identity=identity,
             address=self.address,
@@ -94,14 +96,14 @@
 
 
 class SilentWorker(NamedTuple):
-    """A worker that was removed as silent: its number in the order of removal, and its address."""
+    """A worker that was removed as silent: its number in order of removal, and its address."""
 
     number: int
     address: str
 
 
 class WorkerRecords:
-    """The list of workers by identity, and the identities that have ended or fell silent."""
+    """The worker list by identity, and the identities that ended or were removed as silent."""
 
     __slots__ = ("ended", "silent", "workers")
 
@@ -117,15 +119,15 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> "WorkerRecords":
-        """Return the list of a stored value; `silent` is missing in those of earlier versions."""
+        """Return the list for a stored value; earlier versions stored none of `silent`."""
         return cls(
             {name: WorkerRecord.from_json(row) for name, row in value["workers"].items()},
-            _numbered(value["ended"]),
+            _ended_from_json(value["ended"]),
             {name: SilentWorker(*row) for name, row in value.get("silent", {}).items()},
         )
 
     def to_json(self) -> dict[str, Any]:
-        """Return the list as it is stored."""
+        """Return the list as a JSON value to store."""
         return {
             "workers": {name: record.to_json() for name, record in self.workers.items()},
             "ended": self.ended,
@@ -136,7 +138,7 @@
 def apply_reports(
     records: WorkerRecords, reports: Iterable[WorkerReport]
 ) -> tuple[WorkerRecords, list[str]]:
-    """Return the list with these reports applied, and the identities for which it differs."""
+    """Return a copy of the list with the reports applied, and the identities that changed."""
     draft = _Draft(records)
     for report in reports:
         draft.apply(report)
@@ -144,7 +146,7 @@
 
 
 class _Draft:
-    """A list of workers while reports are applied to it."""
+    """A copy of the worker list to which reports are applied."""
 
     __slots__ = ("_ended", "_silent", "_workers", "changed")
 
@@ -155,7 +157,10 @@
         self.changed: list[str] = []
 
     def records(self) -> WorkerRecords:
-        """Return the list; remembered identities are bounded by twice the number of workers."""
+        """Return the list, with the identities that ended or were silent reduced to the latest.
+
+        The limit is twice the number of workers, but at least REMEMBERED_IDENTITIES, for each map.
+        """
         limit = max(REMEMBERED_IDENTITIES, 2 * len(self._workers))
         return WorkerRecords(
             self._workers,
@@ -164,7 +169,10 @@
         )
 
     def apply(self, report: WorkerReport) -> None:
-        """Apply one report."""
+        """Apply a report, unless it is older than the record or its identity has ended.
+
+        An unlisted worker that reports that it is draining counts as ended.
+        """
         identity, record = report.identity, self._workers.get(report.identity)
         if identity in self._ended:
             return
@@ -179,7 +187,7 @@
             self._join(report)
 
     def _join(self, report: WorkerReport) -> None:
-        """Add or update a worker; another identity at its address has ended."""
+        """Add or update a worker; other identities at its address are recorded as ended."""
         addresses = {
             **{other: worker.address for other, worker in self._silent.items()},
             **{other: record.address for other, record in self._workers.items()},
@@ -198,7 +206,7 @@
         self.changed.append(identity)
 
     def _remove_silent(self, identity: str, record: WorkerRecord) -> None:
-        """Remove a silent worker; it may come back unless it had begun to drain."""
+        """Remove a silent worker; it may return, unless it was draining and so counts as ended."""
         if record.state == WorkerState.DRAINING:
             self._end(identity)
             return
@@ -208,8 +216,8 @@
         self.changed.append(identity)
 
 
-def _numbered(ended: dict[str, int] | list[str]) -> dict[str, int]:
-    """Return the ended identities with numbers; lists of an earlier version only ordered them."""
+def _ended_from_json(ended: dict[str, int] | list[str]) -> dict[str, int]:
+    """Return ended identities with their numbers; earlier versions stored an ordered list."""
     if isinstance(ended, dict):
         return dict(ended)
     return {identity: number for number, identity in enumerate(ended, 1)}
