--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -10,7 +10,7 @@
 _EXPLORE = "tests/test_explore.py -k "
 _VOTER_FILES = "tests/test_voter_files.py -k "
 _MANY = "tests/test_many_changes.py -k "
-_ORDERS = "tests/test_orders.py -k "
+_CONFIGURATION = "tests/test_configuration_changes.py -k "
 _PROFILES = "tests/test_profiles_and_retirements.py -k "
 _ISOLATED = "tests/test_isolated_control_node.py -k "
 _VOTER_LOSSES = "tests/test_voter_losses.py -k "
@@ -152,19 +152,19 @@
         "control_store/src/control_store/change_memory.py",
         "if first_version == 1 or change.version >= first_version - 1:",
         "if True:",
-        _ORDERS + "however_many",
+        _CONFIGURATION + "however_many",
     ),
     "what is too old is judged by its base alone": (
         "control_store/src/control_store/change_memory.py",
         "change.base >= first_base or change.number > first_base",
         "change.base >= first_base",
-        _ORDERS + "however_many",
+        _CONFIGURATION + "however_many",
     ),
     "acknowledged while no other voter hands it out": (
         "control_store/src/control_store/pending_acknowledgements.py",
         "return 2 * len(publishing & set(voters)) > len(voters)",
         "return True",
-        _ORDERS + "nobody_publishes",
+        _CONFIGURATION + "nobody_publishes",
     ),
     "a patch on another version is sent on": (
         "control_plane/src/control_plane/profiles_api.py",
--- a/tests/orders_case.py
+++ b/tests/configuration_case.py
@@ -1,4 +1,4 @@
-"""What the tests of operators' orders share: a simulated fleet that is called in the platform's way."""
+"""Base class of the tests that change the configuration of a simulated fleet through the platform's calls."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 SETTINGS_PATH = "/vaneledge/settings"
 
 
-def revised(revision, **more):
+def make_settings(revision, **more):
     return {**SETTINGS, "revision": revision, **more}
 
 
-class OrdersCase(TestCase):
-    def play(self, body, **sizes):
+class ConfigurationCase(TestCase):
+    def run_test(self, body, **sizes):
         async def run():
             await body(Platform(**sizes))
 
--- a/tests/test_orders.py
+++ b/tests/test_configuration_changes.py
@@ -1,28 +1,28 @@
-"""Operators' orders at a simulated fleet: sent again after lost answers, many changes later, to other nodes,
-delayed on their way, eight at once, and hundreds in a row.
+"""Changes of the configuration at a simulated fleet: resent after lost responses, after many other changes and to
+other nodes; delayed in the network; eight concurrent ones; and hundreds in a row.
 """
 
 import asyncio
 import random
 
+from configuration_case import SETTINGS_PATH, ConfigurationCase, make_settings
 from control_store import Change
-from orders_case import SETTINGS_PATH, OrdersCase, revised
 from platform_calls import ROUTE
 from testtools.matchers import Equals
 
 
-class SentAgain(OrdersCase):
+class ResentChanges(ConfigurationCase):
     def test_a_decided_change_is_never_refused_however_many_followed(self):
-        """The oldest of 300 orders are forgotten: sent again they get no clear answer. What is remembered is
-        acknowledged, and what cannot have been taken is refused at once.
+        """The oldest of 300 changes are no longer remembered; if they are resent, the outcome is reported as unknown.
+        A remembered change is acknowledged, and one that cannot have been applied is refused at once.
         """
 
         async def body(platform):
             for number in range(300):
-                response = await platform.put("control1", 2 * number, revised(2 * number + 2))
+                response = await platform.put("control1", 2 * number, make_settings(2 * number + 2))
                 self.assertThat(response[0], Equals(200), str((number, response)))
             rows = [
-                # base, revision, note, its status
+                # base, revision, note, expected status
                 (0, 2, None, 503),
                 (20, 22, None, 503),
                 (20, 22, "never sent", 503),
@@ -36,7 +36,7 @@
                 (700, 701, None, 412),
             ]
             for base, revision, note, status in rows:
-                sent = revised(revision, **({"note": note} if note else {}))
+                sent = make_settings(revision, **({"note": note} if note else {}))
                 for host in ("control2", "control5"):
                     response = await platform.put(host, base, sent)
                     self.assertThat(
@@ -46,12 +46,12 @@
                     )
             self.assertThat(self.version(platform), Equals(300))
 
-        self.play(body, edges=1)
+        self.run_test(body, edges=1)
 
-    def test_a_forgotten_patch_gets_no_clear_answer(self):
+    def test_the_outcome_of_a_forgotten_patch_is_reported_as_unknown(self):
         async def body(platform):
             first = {"revision": 2, "upsert": {"routes": [{**ROUTE, "tries": 3}]}}
-            self.assertThat((await platform.put("control1", 0, revised(1)))[0], Equals(200))
+            self.assertThat((await platform.put("control1", 0, make_settings(1)))[0], Equals(200))
             self.assertThat((await platform.patch("control1", 1, first))[0], Equals(200))
             for number in range(2, 290):
                 patch = {"revision": number + 1, "upsert": {"routes": [{**ROUTE, "tries": number}]}}
@@ -62,7 +62,7 @@
                     (await platform.patch(host, 1, {**first, "revision": 900}))[0], Equals(412)
                 )
 
-        self.play(body, edges=0)
+        self.run_test(body, edges=0)
 
     def test_a_control_key_distinguishes_forgotten_from_lost(self):
         async def body(platform):
@@ -85,15 +85,15 @@
             for version, change_id, outcome in rows:
                 self.assertThat(change(version, change_id), Equals(outcome), change_id)
 
-        self.play(body, edges=0)
+        self.run_test(body, edges=0)
 
-    def test_known_after_an_owner_is_lost_a_power_loss_and_a_wiped_voter(self):
+    def test_results_are_known_after_a_lost_owner_a_power_failure_and_a_wiped_voter(self):
         async def body(platform):
             fleet = platform.fleet
             hosts = [f"control{number + 1}" for number in range(5)]
             patch = {"revision": 9, "upsert": {"routes": [{**ROUTE, "tries": 7}]}}
 
-            async def known(names):
+            async def check_results(names):
                 platform.run(1500)
                 self.assertThat(
                     fleet.run_until_true(
@@ -102,38 +102,38 @@
                     Equals(True),
                 )
                 for name in names:
-                    self.assertThat((await platform.put(name, 0, revised(3)))[0], Equals(200))
+                    self.assertThat((await platform.put(name, 0, make_settings(3)))[0], Equals(200))
                     self.assertThat((await platform.patch(name, 3, patch))[0], Equals(200))
-                    self.assertThat((await platform.put(name, 0, revised(4)))[0], Equals(412))
+                    self.assertThat((await platform.put(name, 0, make_settings(4)))[0], Equals(412))
 
-            self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
+            self.assertThat((await platform.put("control1", 0, make_settings(3)))[0], Equals(200))
             self.assertThat((await platform.patch("control1", 3, patch))[0], Equals(200))
             owner = self.key_owner(platform)
             owner.kill()
-            await known([name for name in hosts if name != owner.name])
+            await check_results([name for name in hosts if name != owner.name])
             owner.start()
-            await known(hosts)
+            await check_results(hosts)
             for host in list(fleet.hosts.values()):
                 host.lose_power()
             platform.run(400)
             for host in list(fleet.hosts.values()):
                 host.start()
-            await known(hosts)
+            await check_results(hosts)
             wiped = fleet.hosts["control2"]
             wiped.lose_disk()
             wiped.start()
-            await known(hosts)
+            await check_results(hosts)
             self.assertThat(self.version(platform), Equals(2))
 
-        self.play(body, edges=1)
+        self.run_test(body, edges=1)
 
-    def test_sent_again_while_the_first_is_under_way(self):
-        """Every 3 ms to another node: all copies end as one change, acknowledged by every node."""
+    def test_a_change_resent_while_it_is_in_progress_is_applied_once(self):
+        """A copy is sent to another node every 3 ms; all copies are one change, acknowledged by every node."""
 
         async def body(platform):
             base = 0
             for turn in range(10):
-                sent = revised(base + 2)
+                sent = make_settings(base + 2)
                 tasks = []
                 for number in range(8):
                     tasks.append(
@@ -153,15 +153,15 @@
                 self.assertThat(self.version(platform), Equals(turn + 1))
                 base += 2
 
-        self.play(body, edges=1)
+        self.run_test(body, edges=1)
 
 
-class OnTheWay(OrdersCase):
-    """Copies that are held up and arrive once the operator has been answered elsewhere."""
+class DelayedChanges(ConfigurationCase):
+    """Copies of a change that arrive only when the operator already has the response of another node."""
 
-    async def held_up(self, platform, sent, base, after):
-        """A copy of the order on its way from a node to the owner, which is frozen for a while; returns the
-        late answer. `after` is what happens meanwhile.
+    async def delayed_response(self, platform, sent, base, during):
+        """Send a change to a node that is then frozen together with the owner, call `during`, and wake both nodes.
+        Returns the late response, or None.
         """
         owner = self.key_owner(platform)
         relay = next(host for host in platform.fleet.with_role("control") if host is not owner)
@@ -172,36 +172,36 @@
         owner.freeze()
         relay.freeze()
         platform.run(1800)
-        await after([host.name for host in platform.fleet.with_role("control") if not host.frozen])
+        await during([host.name for host in platform.fleet.with_role("control") if not host.frozen])
         owner.wake()
         relay.wake()
         platform.run(4000)
         return (await platform.finish(task))[0]
 
-    def test_not_applied_twice(self):
+    def test_a_delayed_copy_of_a_change_is_not_applied_again(self):
         async def body(platform):
-            self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
+            self.assertThat((await platform.put("control1", 0, make_settings(3)))[0], Equals(200))
 
-            async def after(names):
-                self.assertThat((await platform.put(names[0], 3, revised(5)))[0], Equals(200))
-                self.assertThat((await platform.put(names[1], 5, revised(6)))[0], Equals(200))
+            async def during(names):
+                self.assertThat((await platform.put(names[0], 3, make_settings(5)))[0], Equals(200))
+                self.assertThat((await platform.put(names[1], 5, make_settings(6)))[0], Equals(200))
 
-            late = await self.held_up(platform, revised(5), 3, after)
+            late = await self.delayed_response(platform, make_settings(5), 3, during)
             self.assertThat(late is None or late[0] in (200, 503), Equals(True), str(late))
             self.assertThat((self.version(platform)), Equals(3))
-            self.assertThat((await platform.shown("control1"))[1], Equals(revised(6)))
-            self.assertThat((await platform.put("control1", 3, revised(5)))[0], Equals(200))
+            self.assertThat((await platform.shown("control1"))[1], Equals(make_settings(6)))
+            self.assertThat((await platform.put("control1", 3, make_settings(5)))[0], Equals(200))
 
         for seed in range(1, 5):
-            self.play(body, seed=seed, edges=1)
+            self.run_test(body, seed=seed, edges=1)
 
-    def test_refused_is_never_in_force_later(self):
+    def test_a_refused_change_is_never_in_force_later(self):
         async def body(platform):
-            self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
+            self.assertThat((await platform.put("control1", 0, make_settings(3)))[0], Equals(200))
             refused = []
 
-            async def after(names):
-                one, other = revised(5, note="one"), revised(5, note="other")
+            async def during(names):
+                one, other = make_settings(5, note="one"), make_settings(5, note="other")
                 responses = [
                     await platform.put(names[0], 3, one),
                     await platform.put(names[1], 3, other),
@@ -211,7 +211,7 @@
                 )
                 refused.append(other if responses[0][0] == 200 else one)
 
-            late = await self.held_up(platform, revised(5, note="other"), 3, after)
+            late = await self.delayed_response(platform, make_settings(5, note="other"), 3, during)
             self.assertThat(late is None or late[0] in (200, 412, 503), Equals(True), str(late))
             for host in platform.fleet.with_role("control"):
                 shown = (await platform.shown(host.name))[1]
@@ -219,20 +219,22 @@
                 self.assertThat((await platform.put(host.name, 3, refused[0]))[0], Equals(412))
 
         for seed in range(1, 5):
-            self.play(body, seed=seed, edges=1)
+            self.run_test(body, seed=seed, edges=1)
 
     def test_no_acknowledgement_from_an_owner_whose_change_nobody_publishes(self):
-        """The owner is cut off once a majority of disks has the change and before the news of it is out: only
-        nodes that it cannot reach have the change, and none of them hands it out.
+        """The owner is cut off when a majority of disks has the change but before others have the published version:
+        only nodes that it cannot reach have the change, and none of them publishes it.
         """
 
         async def body(platform):
             fleet = platform.fleet
-            self.assertThat((await platform.put("control1", 0, revised(3)))[0], Equals(200))
+            self.assertThat((await platform.put("control1", 0, make_settings(3)))[0], Equals(200))
             owner = self.key_owner(platform)
             others = [host for host in fleet.with_role("control") if host is not owner]
             edges = fleet.with_role("edge")
-            task = platform.start(owner.name, "PUT", SETTINGS_PATH, revised(5), {"If-Match": "3"})
+            task = platform.start(
+                owner.name, "PUT", SETTINGS_PATH, make_settings(5), {"If-Match": "3"}
+            )
 
             def published():
                 return owner.node.config_feed.version("profiles") == 2
@@ -250,32 +252,34 @@
                 self.assertThat(response is None or response[0] == 503, Equals(True), str(response))
             fleet.network.heal()
             platform.run(3000)
-            self.assertThat((await platform.put(others[0].name, 3, revised(5)))[0], Equals(200))
+            self.assertThat(
+                (await platform.put(others[0].name, 3, make_settings(5)))[0], Equals(200)
+            )
 
         for seed in range(1, 6):
-            self.play(body, seed=seed, edges=2)
+            self.run_test(body, seed=seed, edges=2)
 
 
-class Identity(OrdersCase):
+class ChangeIdentity(ConfigurationCase):
     def test_a_change_is_identified_by_its_whole_content(self):
         async def body(platform):
-            one, other = revised(5, note="one"), revised(5, note="other")
+            one, other = make_settings(5, note="one"), make_settings(5, note="other")
             for host in ("control1", "control2"):
                 rows = [(0, one, 200), (0, other, 412), (0, one, 200), (3, one, 412), (5, one, 400)]
                 for base, sent, status in rows:
                     self.assertThat((await platform.put(host, base, sent))[0], Equals(status))
             self.assertThat((await platform.shown("control3"))[1], Equals(one))
 
-        self.play(body, edges=1)
+        self.run_test(body, edges=1)
 
-    def test_same_number_while_the_first_is_in_doubt(self):
-        """The owner loses its majority in the midst of a change; whichever of two with one number comes out, the
-        other is refused by every node, also once the first is known to be in force.
+    def test_of_two_changes_with_the_same_revision_only_one_is_applied(self):
+        """The owner loses its majority during a change. Of two changes with the same revision either may be applied;
+        every node refuses the other one, even when the applied one is in force.
         """
 
         async def body(platform):
             rng = random.Random(platform.fleet.time.rng.random())
-            one, other = revised(5, note="one"), revised(5, note="other")
+            one, other = make_settings(5, note="one"), make_settings(5, note="other")
             owner = self.key_owner(platform)
             hosts = platform.fleet.with_role("control")
             task = platform.start(owner.name, "PUT", SETTINGS_PATH, one, {"If-Match": "0"})
@@ -302,4 +306,4 @@
             self.assertThat(final["other"] == second or second == 503, Equals(True))
 
         for seed in range(1, 9):
-            self.play(body, seed=seed, edges=1)
+            self.run_test(body, seed=seed, edges=1)
--- a/tests/test_orders_history.py
+++ b/tests/test_configuration_histories.py
@@ -1,26 +1,26 @@
-"""Drawn histories of several operators, checked for linearizability: up to eight orders at once, answers
-lost, owners killed, frozen, cut off and out of power.
+"""Random histories of configuration changes, checked for linearizability: up to eight concurrent changes, with
+lost responses, and with control nodes killed, frozen, cut off and without power.
 """
 
 import asyncio
 import random
 
+from configuration_case import SETTINGS_PATH, ConfigurationCase, make_settings
 from modelcheck import Call, linearize
-from orders_case import SETTINGS_PATH, OrdersCase, revised
 from platform_calls import Platform
 from testtools.matchers import Equals
 
 
 class Configuration:
-    """The configuration as its operators may see it; a state is its revision and its mark."""
+    """Model of the configuration for the checker; a state is a revision and the mark of its change."""
 
     def initial_state(self):
         return (0, "")
 
     def next_state(self, state, call):
-        """The state after the call, or None where it can't have been answered so in this one."""
+        """Return the state after the call, or None if the call can't have had this outcome in `state`."""
         request = call.request
-        if request["what"] == "read":
+        if request["operation"] == "read":
             return state if request["seen"] == state else None
         fits = request["base"] == state[0]
         if request["outcome"] == "refused":
@@ -28,8 +28,8 @@
         return (request["revision"], request["mark"]) if fits else None
 
 
-def explained(calls):
-    """Whether what operators saw is linearizable."""
+def is_history_linearizable(calls):
+    """Return whether the checker decides that the history of calls is linearizable."""
     rows = [
         Call(call, call["start"])
         if call["outcome"] == "unknown"
@@ -40,10 +40,10 @@
     return result.is_decided and result.is_linearizable
 
 
-class DrawnOrders:
-    """Rounds of one to eight orders at once on one base, each sent until it has a clear answer, with a drawn
-    trouble in the midst of most; half of the clear answers are lost. After each round the
-    configuration is read.
+class RandomChanges:
+    """Rounds of one to eight concurrent changes with the same base. Each change is resent, up to 12 times, until its
+    outcome is known; half of the responses are lost, and a random fault is injected in most rounds. After each
+    round the configuration is read.
     """
 
     def __init__(self, seed):
@@ -53,16 +53,16 @@
         self.base = 0
         self.calls = []
 
-    def awake(self):
+    def running_hosts(self):
         return [host.name for host in self.hosts if host.up and not host.frozen]
 
     def inject_fault(self):
-        struck = self.rng.choice(self.hosts)
+        target = self.rng.choice(self.hosts)
         network = self.fleet.network
         {
-            "kill": struck.kill,
-            "freeze": struck.freeze,
-            "cut": lambda: network.isolate(struck.address),
+            "kill": target.kill,
+            "freeze": target.freeze,
+            "cut": lambda: network.isolate(target.address),
             "power": self.lose_power,
             "loss": lambda: setattr(network, "loss_rate", 0.1),
             "double": lambda: setattr(network, "duplicate_rate", 0.3),
@@ -83,14 +83,14 @@
             elif not host.up:
                 host.start()
 
-    def order(self, mark):
+    def make_change(self, mark):
         revision = self.base + self.rng.randrange(1, 3)
         return {
-            "what": "change",
+            "operation": "change",
             "base": self.base,
             "revision": revision,
             "mark": mark,
-            "sent": revised(revision, note=mark),
+            "sent": make_settings(revision, note=mark),
             "start": self.fleet.time.now_ms,
             "end": 1e12,
             "outcome": "unknown",
@@ -98,28 +98,28 @@
 
     def send(self, call):
         return self.platform.start(
-            self.rng.choice(self.awake()),
+            self.rng.choice(self.running_hosts()),
             "PUT",
             SETTINGS_PATH,
             call["sent"],
             {"If-Match": str(call["base"])},
         )
 
-    def note(self, call, response):
-        """What the operator hears; a lost answer is as none."""
+    def record_response(self, call, response):
+        """Record the outcome for the operator, unless it is unknown or the response is lost (half of them)."""
         if response is None or response[0] == 503 or self.rng.random() < 0.5:
             return
-        call["outcome"] = {200: "taken", 412: "refused"}[response[0]]
+        call["outcome"] = {200: "applied", 412: "refused"}[response[0]]
         call["end"] = self.fleet.time.now_ms
 
     async def round(self, turn):
-        batch = [self.order(f"{turn}-{number}") for number in range(self.rng.randrange(1, 9))]
+        batch = [self.make_change(f"{turn}-{number}") for number in range(self.rng.randrange(1, 9))]
         self.calls += batch
         for attempt in range(12):
-            left = [call for call in batch if call["outcome"] == "unknown"]
-            if not left:
+            unresolved = [call for call in batch if call["outcome"] == "unknown"]
+            if not unresolved:
                 break
-            tasks = [self.send(call) for call in left]
+            tasks = [self.send(call) for call in unresolved]
             if attempt == 0 and self.rng.random() < 0.7:
                 for _ in range(4):
                     await asyncio.sleep(0)
@@ -128,16 +128,16 @@
             if attempt == 4:
                 self.repair()
             answers = await self.platform.finish(*tasks, wait_ms=1000)
-            for call, response in zip(left, answers, strict=True):
-                self.note(call, response)
+            for call, response in zip(unresolved, answers, strict=True):
+                self.record_response(call, response)
             self.platform.run(self.rng.randrange(10, 400))
         self.repair()
         self.platform.run(1500)
         await self.read()
 
     async def read(self):
-        call = {"what": "read", "start": self.fleet.time.now_ms, "outcome": "ok"}
-        status, shown, _ = await self.platform.shown(self.rng.choice(self.awake()))
+        call = {"operation": "read", "start": self.fleet.time.now_ms, "outcome": "ok"}
+        status, shown, _ = await self.platform.shown(self.rng.choice(self.running_hosts()))
         call["seen"] = {200: lambda: (shown["revision"], shown["note"]), 404: lambda: (0, "")}[
             status
         ]()
@@ -146,15 +146,15 @@
         self.base = call["seen"][0]
 
 
-class Linearizable(OrdersCase):
-    """One order of an operator is one call of the history, from its first sending to its clear answer,
-    however often it was sent in between.
+class LinearizableHistories(ConfigurationCase):
+    """A change is one call of the history, from the first request until the outcome is known, regardless of how
+    often it was resent.
     """
 
-    def test_the_checker(self):
+    def test_checker_on_known_histories(self):
         def change(start, end, base, revision, mark, outcome):
             return {
-                "what": "change",
+                "operation": "change",
                 "start": start,
                 "end": end,
                 "base": base,
@@ -164,9 +164,9 @@
             }
 
         def read(start, end, seen):
-            return {"what": "read", "start": start, "end": end, "seen": seen, "outcome": "ok"}
+            return {"operation": "read", "start": start, "end": end, "seen": seen, "outcome": "ok"}
 
-        one, other = change(0, 2, 0, 3, "a", "taken"), change(1, 3, 0, 3, "b", "taken")
+        one, other = change(0, 2, 0, 3, "a", "applied"), change(1, 3, 0, 3, "b", "applied")
         lost = change(1, 3, 0, 3, "b", "refused")
         unknown = change(1, 1e12, 3, 4, "c", "unknown")
         rows = [
@@ -181,16 +181,18 @@
             ([lost], False),
         ]
         for calls, wanted in rows:
-            self.assertThat(explained(calls), Equals(wanted), str(calls))
+            self.assertThat(is_history_linearizable(calls), Equals(wanted), str(calls))
 
-    async def drawn(self, seed, rounds):
-        run = DrawnOrders(seed)
+    async def run_rounds(self, seed, rounds):
+        run = RandomChanges(seed)
         for turn in range(rounds):
             await run.round(turn)
         return run.calls
 
-    def test_several_operators_in_drawn_trouble(self):
+    def test_random_histories_with_faults(self):
         for seed in range(900, 908):
-            calls = asyncio.run(self.drawn(seed, 6))
+            calls = asyncio.run(self.run_rounds(seed, 6))
             response = [{key: call[key] for key in call if key != "sent"} for call in calls]
-            self.assertThat(explained(calls), Equals(True), f"seed {seed}: {response}")
+            self.assertThat(
+                is_history_linearizable(calls), Equals(True), f"seed {seed}: {response}"
+            )
