--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -4,7 +4,7 @@
 
 _BATCH_JOBS = "tests/test_batch_jobs.py -k "
 _LOG = "tests/test_log_conformance.py -k "
-_MEMBERS = "tests/test_members.py -k "
+_STORE_FAULTS = "tests/test_store_faults.py -k "
 _EXPLORE = "tests/test_explore_log.py -k "
 
 BREAKS: dict[str, tuple[str, str, str, str]] = {
@@ -137,7 +137,7 @@
         "replicated_log/src/replicated_log/failure_detector.py",
         "return bool(now_ms - self._eligible_since_ms >= candidates.index(self._own_identity) * leader_heartbeat_ms)",
         "return self._own_identity == names[0]",
-        _MEMBERS + "empty_one_at_a_new_address",
+        _STORE_FAULTS + "empty_one_at_a_new_address",
     ),
     "a blank disk answers for the store that was counted on": (
         "replicated_log/src/replicated_log/tail_fetch.py",
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: which profile a host and a path name, how shares split, and what a tree is refused for."""
+"""Routing by host and path, the choice between services by their shares, and the validation of routes."""
 
 import json
 
@@ -29,8 +29,8 @@
 
 
 class Routes(TestCase):
-    def test_longest_prefix_of_the_host(self):
-        held = tree(
+    def test_the_route_with_the_longest_prefix_is_found(self):
+        profile_tree = tree(
             top=route("h.example", "/"),
             one=route("H.example", "/a/"),
             two=route("h.example", "/a/b/c/"),
@@ -57,17 +57,17 @@
             ("h.example", "/" * 100_000, "top"),
         ]
         for host, path, wanted in rows:
-            found = held.route(host, path)
+            found = profile_tree.route(host, path)
             self.assertThat(found and found.name, Equals(wanted), (host, path[:20]))
-        self.assertThat(held.about, Equals({"revision": 3}))
+        self.assertThat(profile_tree.about, Equals({"revision": 3}))
         self.assertThat(ProfileTree({}).route("h.example", "/"), Is(None))
 
-    def test_a_route_has_what_its_service_says(self):
-        held = tree(
+    def test_a_route_inherits_the_values_of_its_service(self):
+        profile_tree = tree(
             one=route("h.example", "/a/", give_up_ms=900, kind="stream", source="{}"),
             two=route("h", "/"),
         )
-        one = held.get("one")
+        one = profile_tree.get("one")
         self.assertThat(
             (
                 one.host,
@@ -80,14 +80,16 @@
             ),
             Equals(("h.example", "/a/", 3, 40, [{"name": "m", "revision": 2}], "/health", 900)),
         )
-        self.assertThat(held.get("two").give_up_ms, Equals(held.get("two").deadline_ms))
-        explained = explain(held, "one")["values"]
+        self.assertThat(
+            profile_tree.get("two").give_up_ms, Equals(profile_tree.get("two").deadline_ms)
+        )
+        explained = explain(profile_tree, "one")["values"]
         self.assertThat(
             [explained[name]["from"] for name in ("slots", "give_up_ms", "match", "urgency")],
             Equals(["service/a", "one", "one", "default"]),
         )
 
-    def test_shares(self):
+    def test_a_number_chooses_a_service_according_to_the_shares(self):
         half = [{"service": "service/a", "share": 90}, {"service": "service/b", "share": 10}]
         rows = [
             (half, 0.0, "a"),
@@ -117,7 +119,7 @@
             Equals([True, True, False]),
         )
 
-    def test_every_problem_of_a_route_with_its_place(self):
+    def test_each_problem_of_a_route_is_reported_with_its_place(self):
         rows = [
             (route("h", "/", give_up_ms=0), "profiles.x.give_up_ms"),
             (route("h", "/", attempts=0), "profiles.x.attempts"),
--- a/tests/test_members.py
+++ b/tests/test_store_faults.py
@@ -1,5 +1,5 @@
-"""Members that change: simulated fleets in which stores are swapped, damaged, retired, frozen and lost
-two at a time, with lots handed in before and read after.
+"""Faults of stores in simulated fleets: stores are replaced, damaged, retired, frozen, without disk space or lost, up to
+two at once. At the end all acknowledged jobs have to be complete, and the oracle judges the history.
 """
 
 from control_store import Change
@@ -9,16 +9,16 @@
 from testtools.matchers import Equals
 
 
-class Members(TestCase):
+class StoreFaults(TestCase):
     def bootstrapped(self, seed=5):
         run = Run(seed)
         run.start()
         fleet = run.fleet
         fleet.run_until_true(lambda: False, 1000)
-        self.jobs(run, 3)
+        self.submit_jobs(run, 3)
         return run, fleet
 
-    def jobs(self, run, count):
+    def submit_jobs(self, run, count):
         seen = []
         for _ in range(count):
             run.clients.submit("summaries", 4, done=seen.append)
@@ -54,7 +54,7 @@
             fleet.hosts.pop(f"store{number + 1}").lose_disk()
             new_host = fleet.add("store", f"fresh{number + 1}")
             self.until_member(run, new_host)
-            self.jobs(run, 1)
+            self.submit_jobs(run, 1)
         self.assertThat(first & self.members(fleet), Equals(set()))
         self.check_nothing_lost(run)
 
@@ -65,7 +65,7 @@
         new_host = fleet.add("store", "fresh")
         host.freeze()
         self.until_member(run, new_host, 20000)
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         seq = fleet.leader().node.log.log.last_seq
         host.wake()
         fleet.run_until_true(lambda: False, 2000)
@@ -108,7 +108,7 @@
             fleet.run_until_true(lambda: fleet.leader() is not None, 5000), Equals(True)
         )
         self.assertThat(old in self.members(fleet), Equals(False))
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         self.check_nothing_lost(run)
 
     def test_two_stores_lost_at_once_nothing_is_acknowledged_until_one_returns(self):
@@ -127,27 +127,27 @@
             fleet.run_until_true(lambda: fleet.leader() is not None, 12000), Equals(True)
         )
         fleet.run_until_true(lambda: False, 1500)
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         self.check_nothing_lost(run)
 
-    def test_whole_fleet_cut_and_started_in_any_order(self):
+    def test_service_resumes_after_all_hosts_lose_power_and_start_in_any_order(self):
         run, fleet = self.bootstrapped()
         for host in fleet.hosts.values():
             host.lose_power()
         order = list(fleet.hosts.values())
         fleet.time.rng.shuffle(order)
-        for place, host in enumerate(order):
-            fleet.time.after(300 * place, host.start)
+        for index, host in enumerate(order):
+            fleet.time.after(300 * index, host.start)
         self.assertThat(
             fleet.run_until_true(
                 lambda: fleet.leader() is not None and fleet.ready(), 300 * len(order) + 12000
             ),
             Equals(True),
         )
-        self.jobs(run, 1)
+        self.submit_jobs(run, 1)
         self.check_nothing_lost(run)
 
-    def test_clocks_moved_over_a_restart_hide_nobody_and_forget_nothing(self):
+    def test_clock_steps_hide_no_store_and_expire_no_result(self):
         run, fleet = self.bootstrapped()
         seen = []
         run.clients.live("moves", "kept", done=seen.append)
@@ -190,7 +190,7 @@
             Equals(True),
         )
 
-    def test_a_leader_with_a_full_disk_makes_way_for_one_with_space(self):
+    def test_a_leader_with_a_full_disk_is_replaced_by_a_store_with_space(self):
         run, fleet = self.bootstrapped()
         first = fleet.leader()
         first.disk.fill()
@@ -198,6 +198,6 @@
         self.assertThat(
             fleet.run_until_true(lambda: fleet.leader() not in (None, first), 5000), Equals(True)
         )
-        self.jobs(run, 2)
+        self.submit_jobs(run, 2)
         first.disk.restore_capacity()
         self.check_nothing_lost(run)
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -1,4 +1,4 @@
-"""The list of workers: what each report makes of it, and how control nodes keep it together."""
+"""The worker list: the changes that reports make to it, and its maintenance by the control nodes."""
 
 import asyncio
 
@@ -32,12 +32,12 @@
 
 
 def in_order(records):
-    """The ended ones, the first to end first."""
+    """Return the identities that ended, in the order in which they ended."""
     return sorted(records.ended, key=records.ended.__getitem__)
 
 
-class Reports(TestCase):
-    def test_what_reports_make_of_the_list(self):
+class ReportedChanges(TestCase):
+    def test_the_list_after_reports(self):
         drains, gone, silent = (
             report(state="draining", seq=5),
             report(state="gone", seq=0),
@@ -46,47 +46,52 @@
         rows = [
             ("join", [report()], {"a": "serving"}, []),
             ("drain", [report(), drains], {"a": "draining"}, []),
-            ("leave", [report(), gone], {}, ["a"]),
-            ("leave after drain", [report(), drains, gone], {}, ["a"]),
+            ("end", [report(), gone], {}, ["a"]),
+            ("end after a drain", [report(), drains, gone], {}, ["a"]),
             (
-                "a late beat after the drain",
+                "a late heartbeat after a drain",
                 [report(), drains, report(seq=4)],
                 {"a": "draining"},
                 [],
             ),
-            ("a late beat after the leave", [report(), gone, report(seq=9)], {}, ["a"]),
-            ("a late drain after the leave", [report(), gone, drains], {}, ["a"]),
-            ("a leave that comes first", [gone, report()], {}, ["a"]),
-            ("a drain that comes first", [drains, report()], {}, ["a"]),
+            ("a late heartbeat after the end", [report(), gone, report(seq=9)], {}, ["a"]),
+            ("a late drain after the end", [report(), gone, drains], {}, ["a"]),
+            ("an end that arrives first", [gone, report()], {}, ["a"]),
+            ("a drain that arrives first", [drains, report()], {}, ["a"]),
             (
-                "serving again by a newer beat",
+                "serving again by a newer heartbeat",
                 [report(), drains, report(seq=6)],
                 {"a": "serving"},
                 [],
             ),
             ("silence", [report(), silent], {}, []),
-            ("silence, then a beat", [report(), silent, report(seq=7)], {"a": "serving"}, []),
-            ("silence judged on an older beat", [report(seq=3), silent], {"a": "serving"}, []),
+            ("silence, then a heartbeat", [report(), silent, report(seq=7)], {"a": "serving"}, []),
             (
-                "silence of a draining one, then a late beat",
+                "a silence report with an older sequence number",
+                [report(seq=3), silent],
+                {"a": "serving"},
+                [],
+            ),
+            (
+                "silence of a draining worker, then a late heartbeat",
                 [report(), drains, report(state="silent", seq=5), report(seq=4)],
                 {},
                 ["a"],
             ),
             (
-                "another life at its address",
+                "another identity at its address",
                 [report(), report("b", address=report().address)],
                 {"b": "serving"},
                 ["a"],
             ),
             (
-                "a late beat of the life before",
+                "a late heartbeat of the previous identity",
                 [report(), report("b", address=report().address), report(seq=9)],
                 {"b": "serving"},
                 ["a"],
             ),
             (
-                "two at their own addresses",
+                "two identities at different addresses",
                 [report(), report("b")],
                 {"a": "serving", "b": "serving"},
                 [],
@@ -95,7 +100,7 @@
         for name, reports, listed, ended in rows:
             self.assertThat(after(*reports), Equals((listed, ended)), name)
 
-    def test_what_changes_nothing_is_no_change(self):
+    def test_identities_that_reports_change(self):
         records, _ = apply_reports(WorkerRecords(), [report()])
         rows = [
             ([report()], []),
@@ -112,15 +117,15 @@
             _, changed = apply_reports(records, reports)
             self.assertThat(changed, Equals(wanted))
 
-    def test_ended_ones_are_remembered_to_a_bound(self):
+    def test_the_number_of_remembered_ended_workers_is_limited(self):
         records = WorkerRecords()
         for index in range(600):
             records, _ = apply_reports(records, [report(f"w{index}", state="gone")])
         self.assertThat(in_order(records), Equals([f"w{index}" for index in range(344, 600)]))
 
 
-class Calls(TestCase):
-    """Beats, drains and leaves at a simulated fleet's control nodes."""
+class WorkerListRequests(TestCase):
+    """Heartbeats, drains and ends of workers, sent to the control nodes of a simulated fleet."""
 
     def run_test(self, body, **sizes):
         async def run():
@@ -145,7 +150,7 @@
         )
 
     async def send_heartbeats(self, platform, names, for_ms, first_count):
-        """All at the same node, the first that is up."""
+        """Send heartbeats of the workers every 400 ms, all to the first control node that is up."""
         for index in range(for_ms // 400):
             host = next(host.name for host in platform.fleet.with_role("control") if host.up)
             for name in names:
@@ -154,13 +159,13 @@
                 )
             platform.run(400)
 
-    def test_many_join_at_once_in_one_change(self):
+    def test_workers_that_join_at_once_are_combined_into_few_changes(self):
         async def body(platform):
             for index in range(40):
-                told = await self.heartbeat(
+                response = await self.heartbeat(
                     platform, f"control{index % 5 + 1}", f"w{index}", address=f"10.9.9.{index}:80"
                 )
-                self.assertThat(told, Equals((200, {}, 0.0)))
+                self.assertThat(response, Equals((200, {}, 0.0)))
             platform.run(400)
             node = platform.fleet.hosts["edge1"].node
             self.assertThat(
@@ -181,7 +186,7 @@
 
         self.run_test(body)
 
-    def test_a_drain_is_answered_once_the_edges_have_it(self):
+    def test_a_drain_is_acknowledged_once_the_edges_have_it(self):
         async def body(platform):
             await self.heartbeat(platform, "control1", "w")
             platform.run(500)
@@ -210,26 +215,26 @@
 
         self.run_test(body)
 
-    def test_an_edge_that_does_not_take_it_is_waited_for_so_long(self):
+    def test_a_drain_waits_a_limited_time_for_a_frozen_edge(self):
         async def body(platform):
             await self.heartbeat(platform, "control1", "w")
             platform.run(500)
             platform.fleet.hosts["edge1"].freeze()
-            told = [
+            response = [
                 await self.heartbeat(platform, "control2", "w", state="draining", callCount=count)
                 for count in (5, 6)
             ]
             settings = platform.fleet.hosts["control1"].settings
-            self.assertThat([row[0] for row in told][-1], Equals(200))
+            self.assertThat([row[0] for row in response][-1], Equals(200))
             self.assertThat(
-                sum(row[2] for row in told) >= settings.edge_confirmation_timeout_ms,
+                sum(row[2] for row in response) >= settings.edge_confirmation_timeout_ms,
                 Equals(True),
-                str(told),
+                str(response),
             )
             self.assertThat(
-                all(row[2] <= settings.control_call_timeout_ms + 50 for row in told),
+                all(row[2] <= settings.control_call_timeout_ms + 50 for row in response),
                 Equals(True),
-                str(told),
+                str(response),
             )
 
         self.run_test(body)
@@ -239,25 +244,29 @@
             await self.heartbeat(platform, "control1", "w")
             platform.run(500)
             names = ("control1", "control2")
-            cut = [platform.fleet.hosts[name].address for name in names]
+            isolated = [platform.fleet.hosts[name].address for name in names]
             platform.fleet.network.split(
                 [
-                    cut,
+                    isolated,
                     [
                         host.address
                         for host in platform.fleet.hosts.values()
-                        if host.address not in cut
+                        if host.address not in isolated
                     ],
                 ]
             )
-            told = await self.heartbeat(platform, "control1", "w", state="draining", callCount=5)
-            self.assertThat((told[0], told[2] <= 750), Equals((503, True)), str(told))
+            response = await self.heartbeat(
+                platform, "control1", "w", state="draining", callCount=5
+            )
+            self.assertThat((response[0], response[2] <= 750), Equals((503, True)), str(response))
             platform.run(1500)
             for state in ("draining", "serving"):
-                told = await self.heartbeat(platform, "control1", "w", state=state, callCount=6)
-                self.assertThat((told[0], told[2]), Equals((503, 0.0)))
-            told = await self.heartbeat(platform, "control3", "w", state="draining", callCount=7)
-            self.assertThat(told[0], Equals(200), str(told))
+                response = await self.heartbeat(platform, "control1", "w", state=state, callCount=6)
+                self.assertThat((response[0], response[2]), Equals((503, 0.0)))
+            response = await self.heartbeat(
+                platform, "control3", "w", state="draining", callCount=7
+            )
+            self.assertThat(response[0], Equals(200), str(response))
 
         self.run_test(body)
 
@@ -276,7 +285,7 @@
 
         self.run_test(body)
 
-    def test_a_worker_known_to_one_node_only_stays_whoever_owns_the_list(self):
+    def test_a_worker_that_reports_to_one_node_stays_listed_under_a_new_owner(self):
         async def body(platform):
             await self.send_heartbeats(platform, ("1", "2"), 2000, 1)
             owner = self.owner(platform)
@@ -290,7 +299,7 @@
 
         self.run_test(body)
 
-    def test_a_node_that_the_owner_does_not_hear_refers_workers_to_others(self):
+    def test_a_node_cut_off_from_the_owner_refuses_heartbeats(self):
         async def body(platform):
             owner = self.owner(platform)
             other = next(host for host in platform.fleet.with_role("control") if host is not owner)
@@ -305,7 +314,7 @@
 
         self.run_test(body)
 
-    def test_the_list_is_there_after_all_machines_start_again(self):
+    def test_the_list_survives_a_restart_of_all_hosts(self):
         async def body(platform):
             for name in ("1", "2"):
                 await self.heartbeat(platform, "control1", name, address=f"10.9.9.{name}:80")
@@ -344,8 +353,8 @@
                 beat(address="x" * 300),
             ]
             for sent in rows:
-                told = await platform.ask("control1", "PUT", "/vaneledge/servers/w", sent)
-                self.assertThat(told[0], Equals(400), str(sent)[:100])
+                response = await platform.ask("control1", "PUT", "/vaneledge/servers/w", sent)
+                self.assertThat(response[0], Equals(400), str(sent)[:100])
             platform.run(400)
             self.assertThat(self.listed(platform), HasLength(0))
 
--- a/tests/test_worker_list_troubles.py
+++ b/tests/test_worker_list_faults.py
@@ -1,6 +1,6 @@
-"""Seeded runs of the list of workers: they join, drain, end and crash while control nodes are killed, frozen,
-cut off and emptied. A drain once acknowledged stays in force at every edge that is in touch, an
-identity that ended never comes back, and once it is calm the list is what lives.
+"""Seeded runs of the worker list: workers join, drain, end and crash while control nodes are killed, frozen,
+cut off and lose their power or their disks. From 700 ms after its acknowledgement a drain is in force at every
+edge, and at the end each edge lists as serving exactly the workers that serve, so that no ended identity returned.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
         self.fleet = self.platform.fleet
         self.workers = [_Worker(index, self.rng) for index in range(8)]
         self.calls: list = []
-        self.struck = None
-        self.broken: list[str] = []
+        self.target = None
+        self.violations: list[str] = []
 
     def call(self, worker, now_ms):
-        """A call that has had no 2xx within a second goes to the next node."""
+        """Send a report of the worker; `collect_responses` selects the next node if no 200 comes within a second."""
         hosts = [host for host in self.fleet.with_role("control") if host.up and not host.frozen]
         host = hosts[worker.home % len(hosts)]
         worker.count += 1
@@ -49,17 +49,17 @@
 
     def collect_responses(self, now_ms):
         for row in list(self.calls):
-            worker, state, task, begun_ms = row
-            told = task.result().status if task.done() else None
-            if told == 200 and state != "serving" and worker.acked_ms is None:
+            worker, state, task, sent_ms = row
+            status_code = task.result().status if task.done() else None
+            if status_code == 200 and state != "serving" and worker.acked_ms is None:
                 worker.acked_ms = now_ms
-            if told is not None or now_ms - begun_ms > 1000:
+            if status_code is not None or now_ms - sent_ms > 1000:
                 self.calls.remove(row)
-                if told != 200 and worker.state != "crashed":
+                if status_code != 200 and worker.state != "crashed":
                     worker.home += 1
                     worker.next_ms = now_ms + _STEP_MS
 
-    def live_on(self, worker, now_ms):
+    def report_if_due(self, worker, now_ms):
         if (
             worker.state != "crashed"
             and now_ms >= worker.next_ms
@@ -71,20 +71,20 @@
 
     def inject_fault(self):
         hosts = self.fleet.with_role("control")
-        if self.struck is None:
-            self.struck = self.rng.choice(hosts)
-            blow = self.rng.choice(("kill", "freeze", "cut", "power", "empty"))
-            if blow == "cut":
-                self.fleet.network.isolate(self.struck.address)
+        if self.target is None:
+            self.target = self.rng.choice(hosts)
+            fault = self.rng.choice(("kill", "freeze", "cut", "power", "empty"))
+            if fault == "cut":
+                self.fleet.network.isolate(self.target.address)
             else:
                 {
-                    "kill": self.struck.kill,
-                    "freeze": self.struck.freeze,
-                    "power": self.struck.lose_power,
-                    "empty": self.struck.lose_disk,
-                }[blow]()
+                    "kill": self.target.kill,
+                    "freeze": self.target.freeze,
+                    "power": self.target.lose_power,
+                    "empty": self.target.lose_disk,
+                }[fault]()
         else:
-            host, self.struck = self.struck, None
+            host, self.target = self.target, None
             self.fleet.network.heal()
             if host.frozen:
                 host.wake()
@@ -100,7 +100,7 @@
                     and now_ms - worker.acked_ms > 700
                     and (rows.get(worker.name, {}).get("state") == "serving")
                 ):
-                    self.broken.append(
+                    self.violations.append(
                         f"{worker.name} serving at {host.name} {now_ms - worker.acked_ms} ms after its drain"
                     )
 
@@ -123,7 +123,7 @@
                     and now_ms - worker.acked_ms > 2000
                 ):
                     worker.state, worker.next_ms = "gone", 0
-                self.live_on(worker, now_ms)
+                self.report_if_due(worker, now_ms)
             self.platform.run(_STEP_MS)
             for _ in range(4):
                 await asyncio.sleep(0)
@@ -139,21 +139,21 @@
         )
 
 
-class Troubles(TestCase):
-    def test_seeded_runs(self):
-        async def one(seed):
+class WorkerListFaults(TestCase):
+    def test_acknowledged_drains_hold_and_the_list_is_right_after_faults(self):
+        async def run_seed(seed):
             run = _Run(seed)
             await run.play()
-            self.assertThat(run.broken[:3], Equals([]), f"seed {seed}")
+            self.assertThat(run.violations[:3], Equals([]), f"seed {seed}")
             wanted = sorted(worker.name for worker in run.workers if worker.state == "serving")
             for host in run.fleet.with_role("edge"):
                 self.assertThat(run.listed(host), Equals(wanted), f"seed {seed}")
-            unanswered = [
+            unacknowledged = [
                 worker.name
                 for worker in run.workers
                 if worker.state in ("draining", "gone") and worker.acked_ms is None
             ]
-            self.assertThat(unanswered, Equals([]), f"seed {seed}")
+            self.assertThat(unacknowledged, Equals([]), f"seed {seed}")
 
         for seed in range(1, 4):
-            asyncio.run(one(seed))
+            asyncio.run(run_seed(seed))
