--- a/libs/control_store/src/control_store/serving_set.py
+++ b/libs/control_store/src/control_store/serving_set.py
@@ -1,10 +1,10 @@
-"""The serving set: the edges and stores whose majority counts, as the value of a control key.
+"""The serving set: the edges and stores that are counted for a majority, as a control key's value.
 
-A version is in force once a majority of the serving set has it, and an edge without contact to
-control nodes may go on serving only with a majority of the set. The coordinator changes the set by
-one address at a time, and only after a majority of the current set has received the current set.
-Therefore the two sides of a network partition never both have a majority, however many machines
-join and leave meanwhile. With cut_off = "serve" there is no serving set and no majority is needed.
+Whether a version is in force, and whether an edge without contact to control nodes may go on
+serving, depends on a majority of the serving set. The coordinator changes the set by one address at
+a time, and only after a majority of the current set has received the current set. Therefore the two
+sides of a network partition never both have a majority, however many machines join and leave
+meanwhile. With cut_off = "serve" there is no serving set, and edges and stores are not counted.
 """
 
 import json
--- a/libs/control_store/src/control_store/voter_list.py
+++ b/libs/control_store/src/control_store/voter_list.py
@@ -76,8 +76,8 @@
     voters
         The voters, in the order of the list.
     leaving
-        The identity of the voter that is being replaced: the next list drops it, unless it has
-        returned. Empty if no voter is being replaced.
+        The identity of the voter that is being replaced: the next list drops it, or keeps
+        it if it has returned and is not retired. Empty if no voter is being replaced.
     """
 
     __slots__ = ("leaving", "number", "voters")
