--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -30,7 +30,7 @@
         leader, full_count = log["holder"], settings.store_count
     else:
         members = list(node.acceptor.voters)
-        leader, full_count = node.voter_list_manager.steward() or "", settings.control_count
+        leader, full_count = node.voter_list_manager.coordinator() or "", settings.control_count
     live = [
         info.identity for info in node.membership.nodes_in_role(role, settings.failure_timeout_ms)
     ]
@@ -54,31 +54,31 @@
     role: control or store.
     identity: the identity of the node to describe.
     members: the identities of the voters, or of the members of the log.
-    leader: the identity of the steward of the voters, or of the leader of the log.
+    leader: the identity of the coordinator of the voters, or of the leader of the log.
     retired: the identities of retired nodes.
     spares: the identities of live nodes that are neither members nor retired.
     full_count: the configured number of members.
     """
     members, spares = list(members), sorted(set(spares) - {identity})
     group = "the log" if role == "store" else "the voters"
-    standing = f"member of {group}"
+    standing = f"counts: a member of {group}"
     if identity == leader:
-        standing += ", and its leader" if role == "store" else ", and the steward"
+        standing += ", and its holder" if role == "store" else ", and the steward"
     if identity in retired:
         if identity not in members:
-            return "retired: replaced, can be stopped"
+            return "retired and out: may be stopped"
         if len(members) > full_count:
-            return f"{standing}; retired: being removed"
+            return f"{standing}; retired, is being dropped now"
         if not spares:
-            return f"{standing}; retired: waiting for a spare, but none is live; start one"
-        return f"{standing}; retired: waiting for a spare to catch up: {', '.join(spares)}"
+            return f"{standing}; retired, waits for a spare: none is live, start one"
+        return f"{standing}; retired, waits until a spare has caught up: {', '.join(spares)}"
     if identity in members:
         return standing
-    return f"spare: catching up with {group}; not counted until it becomes a member"
+    return f"spare: catching up with {group}, counts for nothing until it takes a place"
 
 
 def describe_edge(link: str, serving_set: Iterable[str]) -> str:
     """Describe an edge: whether its link address is in the serving set."""
     if link in set(serving_set):
-        return "member of the serving set"
-    return "not in the serving set yet; not counted until it becomes a member"
+        return "counts: on the roll"
+    return "not on the roll yet: counts for nothing"
