--- a/libs/capacity_sharing/src/capacity_sharing/load.py
+++ b/libs/capacity_sharing/src/capacity_sharing/load.py
@@ -266,20 +266,20 @@
         """Return why a worker may not be lent in addition to those `withheld`; empty if it may."""
         known = self.workers()
         if worker not in known:
-            return "no edge reports the worker, or an edge reports it as unusable"
+            return "no edge knows it, or one may not use it"
         if self._since_ms < 0 or now_ms - self._since_ms < self._window_ms():
-            return "the live load has not been measured over a whole window yet"
+            return "the live load has not been watched for long enough"
         if self.jobs_at_risk():
             return _JOBS_AT_RISK
         for profile in self._served_by(worker, profiles, withheld):
             if not any(known[other].zone == known[worker].zone for other in profile.remaining):
-                return f"it is the last worker of {profile.name} in its zone"
+                return f"it is the last of {profile.name} in its zone"
             peak = max(measurement.calls(profile.workers) for measurement in self._window)
             slots = sum(known[other].slots for other in profile.remaining)
             if peak * _PEAK_MARGIN > slots:
                 return (
-                    f"live calls of {profile.name} peaked at {peak}, "
-                    f"too many, with the margin, for the {slots} slots of the remaining workers"
+                    f"live calls of {profile.name} needed {peak} places lately, "
+                    f"and {slots} would stay"
                 )
         return ""
 
@@ -294,5 +294,5 @@
             slots = sum(known[other].slots for other in profile.remaining)
             calls = self._window[-1].calls(profile.workers)
             if calls > _RECALL_UTILIZATION * slots:
-                return f"live calls of {profile.name} need {calls} of the {slots} remaining slots"
+                return f"live calls of {profile.name} need {calls} of the {slots} places that stay"
         return ""
--- a/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_manager.py
@@ -267,7 +267,7 @@
         )
         change = _PendingChange(worker, update, due_ms, done)
         if not self._in_contact():
-            _finish_in_doubt(change, "this node is not in contact with a majority of the voters")
+            _finish_in_doubt(change, "this node hears no majority of the voters")
             return
         self._pending.add(change)
         self._read(change)
@@ -354,12 +354,12 @@
                 return lambda table: drained(table, worker, epoch)
             if elapsed_ms > _DRAIN_TIMEOUT_FACTOR * self.node.settings.force_ms:
                 return lambda table: withdrawn(
-                    table, worker, epoch, "an edge had requests running there, or did not report"
+                    table, worker, epoch, "edges had calls under way there, or did not answer"
                 )
         if loan.state not in (LoanState.LENDING, LoanState.LENT):
             return None
         if loan.state is LoanState.LENT and elapsed_ms > loan.lease_ms:
-            return lambda table: recalled(table, worker, "its lease has expired", epoch)
+            return lambda table: recalled(table, worker, "its lease is over", epoch)
         if reason := self._load.recall_reason(worker, self._profiles(), self._table.withheld()):
             return lambda table: recalled(table, worker, reason, epoch)
         return None
@@ -423,4 +423,4 @@
         self._observed.clear()
         self._changing.clear()
         self._load.reset()
-        self._pending.expire_all("the process of this node was paused")
+        self._pending.expire_all("this node was frozen")
--- a/libs/capacity_sharing/src/capacity_sharing/loan_table.py
+++ b/libs/capacity_sharing/src/capacity_sharing/loan_table.py
@@ -151,9 +151,9 @@
         """Return a worker's loan if it is in one of the states and, if given, under the epoch."""
         loan = self.loans.get(worker, _NEVER_LENT)
         if loan.state not in states:
-            return Error(f"its state is {loan.state}")
+            return Error(f"it is {loan.state}")
         if epoch is not None and loan.epoch != epoch:
-            return Error(f"its loan is under epoch {loan.epoch}, not {epoch}")
+            return Error(f"epoch {epoch} was replaced by {loan.epoch}")
         return Ok(loan)
 
 
@@ -213,9 +213,9 @@
 
     def checked(loan: Loan) -> ChangedTable:
         if loan.number != number:
-            return Error(f"the number of its loan is {loan.number}, not {number}")
+            return Error(f"loan {number} was replaced by {loan.number}")
         if loan.weights not in ("", weights):
-            return Error(f"it has the weights {weights!r}, but its loan requires {loan.weights!r}")
+            return Error(f"it has weights {weights!r} where {loan.weights!r} are wanted")
         return Ok(table._with_loan(worker, loan._replace(state=LoanState.SERVING, reason="")))
 
     return table._loan_in(worker, (LoanState.LENT, LoanState.RECALLED)).bind(checked)
--- a/libs/capacity_sharing/src/capacity_sharing/pending_calls.py
+++ b/libs/capacity_sharing/src/capacity_sharing/pending_calls.py
@@ -77,7 +77,7 @@
         """Expire the calls that are due, and drop all that have finished."""
         for call in self._calls:
             if now_ms >= call.due_ms:
-                self._expire(call, "timed out waiting for the result")
+                self._expire(call, "no answer in time")
         self._calls = [call for call in self._calls if call.is_open]
 
     def expire_all(self, reason: str) -> None:
--- a/libs/data_plane/src/data_plane/rollout_service.py
+++ b/libs/data_plane/src/data_plane/rollout_service.py
@@ -47,7 +47,7 @@
     @model_validator(mode="after")
     def _limit_samples(self) -> "RolloutBody":
         if len(self.prompts) * self.samples > _MAX_SAMPLES:
-            raise ValueError(f"prompts times samples must be at most {_MAX_SAMPLES}")
+            raise ValueError(f"prompts times samples are more than {_MAX_SAMPLES}")
         return self
 
 
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -152,7 +152,7 @@
     def why_unready(self) -> str:
         """Return why the store is not ready, or an empty string."""
         if not self.config_feed.version(LOG_KEY):
-            return "not bootstrapped: no configuration of the log yet"
+            return "the log is not founded yet"
         names = [row["identity"] for row in json.loads(self.config_feed.body(LOG_KEY))["members"]]
         if self.log.log.identity not in names:
             return "spare: not a member of the log"
