--- a/libs/modelcheck/src/modelcheck/__init__.py
+++ b/libs/modelcheck/src/modelcheck/__init__.py
@@ -1,19 +1,21 @@
 """Model checking of the real protocol cores, and checking of recorded histories.
 
 A small-scope explorer tries all schedules of messages, timers and faults up to given bounds; a
-separate checker decides whether a recorded history is linearizable. docs/model-checking.md has the
-invariants and what was searched.
+separate checker decides whether a recorded history is linearizable. docs/model-checking.md lists
+the invariants and the searches that were run.
 
-- `system_model` says what the explorer needs to know of a group of nodes. `control_model` and
-  `log_model` are the two groups, `control_initial_states`, `log_initial_states` and
-  `member_change_initial_states` the named initial states of the searches; `control_stubs` and
-  `log_stubs` replace the components that are not explored. An invariant is added in a model.
+- `system_model` defines what a model of a group of nodes provides for the explorer. `control_model`
+  and `log_model` are the two models, and their modules check the invariants.
+  `control_initial_states`, `log_initial_states` and `member_change_initial_states` define the named
+  initial states; `control_stubs` and `log_stubs` replace the components that are not explored.
 - `explorer` searches the global states, `local_states` computes the effect of an event on a node,
-  `canonical_encoding` tells equal states, and `model_environment` is what a node runs on.
-- `linearizability` searches for a linearization; `specifications` has the sequential objects.
+  `canonical_encoding` identifies equal local states, and `model_environment` simulates a node's
+  clock, network, random numbers and disk.
+- `linearizability` searches for a linearization of a history, and `specifications` has the
+  sequential specifications of the objects.
 
-It may import the libraries whose cores it explores, and no part of a program; only tests and
-`testbed` import it.
+This package may import the libraries whose cores it explores, but no part of a program; only tests
+and `testbed` import it.
 """
 
 from typing import TYPE_CHECKING
--- a/libs/modelcheck/src/modelcheck/actions.py
+++ b/libs/modelcheck/src/modelcheck/actions.py
@@ -8,17 +8,20 @@
 
 
 class ActionKind(StrEnum):
-    """What an action does; the values are those of written schedules.
-
-    - DELIVER: a message arrives; DUPLICATE: it arrives and stays in flight; LOSE: it is dropped.
-    - FLUSH: a node's oldest disk operation ends.
-    - TICK: a node's timers run after tick_ms; TIMEOUT: after a request's timeout; FREEZE: after a
-      pause so long that the node notices it.
-    - KILL: a process restarts with all that it wrote; POWER_LOSS: with only what was flushed; WIPE:
-      with an empty disk.
-    - CONNECTION_REFUSED: a node learns that nothing listens at another's address, rightly or not.
+    """The kind of an action; written schedules contain the values.
+
+    - DELIVER: a message is delivered; DUPLICATE: it is delivered and stays in flight; LOSE: it is
+      dropped.
+    - FLUSH: the oldest unfinished flush or file replacement of a node completes.
+    - TICK: a node's clock advances by the model's `tick_ms` and its timers run; TIMEOUT: it
+      advances by the timeout of a request; FREEZE: by a pause that is long enough for the node to
+      detect it.
+    - KILL: a process restarts with everything that it wrote; POWER_LOSS: with only what was
+      flushed; WIPE: with an empty disk.
+    - CONNECTION_REFUSED: a node is notified that another node's address refuses connections,
+      whether or not that node is running.
     - PARTITION: all messages in flight to and from a node are lost.
-    - SUBMIT: a node is given an operation of the model.
+    - SUBMIT: an operation of the model is submitted to its node.
     """
 
     DELIVER = "deliver"
@@ -39,9 +42,16 @@
 class Action:
     """One step of a schedule.
 
-    `node` is the node that it happens to. `number` is the message's, the operation's or the other
-    node's number, else 0. Messages are numbered in the order in which a run first sent them, so a
-    schedule reads the same in every run.
+    Messages are numbered in the order in which the explorer first saw them sent, so repeating the
+    same search gives the same numbers. A `ScheduleStep` names a message by its content instead.
+
+    Parameters
+    ----------
+    node
+        The number of the node at which the action happens.
+    number
+        The number of the message, of the operation, or of the node whose address refuses
+        connections; 0 for the other kinds.
     """
 
     __slots__ = ("kind", "node", "number")
@@ -66,7 +76,11 @@
 
 
 class ScheduleStep(NamedTuple):
-    """An action as it is written: its subject is a message's, an operation's or a node's name."""
+    """An action in a written schedule.
+
+    `subject` names the message, the operation or the other node of the action; it is empty for the
+    other kinds.
+    """
 
     kind: ActionKind
     node: int
@@ -74,7 +88,7 @@
 
 
 def write_schedule(steps: Iterable[ScheduleStep]) -> str:
-    """Return a schedule as text, one step a line: kind, node, and subject."""
+    """Return a schedule as text, one step per line: kind, node and subject."""
     return "\n".join(f"{step.kind} {step.node} {step.subject}".rstrip() for step in steps)
 
 
@@ -83,7 +97,8 @@
 
     Raises
     ------
-    ValueError: a line does not begin with a kind and a node's number.
+    ValueError
+        A line does not begin with a kind and the number of a node.
     """
     steps = []
     for line in text.strip().splitlines():
--- a/libs/modelcheck/src/modelcheck/canonical_encoding.py
+++ b/libs/modelcheck/src/modelcheck/canonical_encoding.py
@@ -1,9 +1,10 @@
 """Canonical encoding of a live object graph.
 
-Two nodes whose encodings are equal behave alike from here on. Everything reachable is written by
-value, including closures with their cells and bound methods with their receivers. Dictionaries and
-sets are sorted, so that the order in which votes arrived does not distinguish two states; shared
-and cyclic references become the number of the first visit.
+Nodes with equal encodings behave the same from then on. All reachable objects are encoded by value,
+including closures with their cells and bound methods with their receivers. Dictionaries and sets
+are sorted, so that the order in which votes arrived, for example, does not distinguish two states.
+An object that is reached again, by a shared or cyclic reference, is encoded as the number of its
+first visit.
 """
 
 from enum import Enum
@@ -29,9 +30,13 @@
 class Encoder:
     """Encodes one object graph.
 
-    Types in `opaque_types` are written by name only: the environment, whose state is encoded
-    separately.
-    `skipped_slots` names the slots left out, as (type name, slot).
+    Parameters
+    ----------
+    opaque_types
+        Types whose instances are encoded as the name of the type, such as the environment, whose
+        state is encoded separately.
+    skipped_slots
+        Slots and attributes that are left out, as (type name, attribute name).
     """
 
     __slots__ = ("_opaque_types", "_seen", "_skipped_slots", "_slot_names")
@@ -46,7 +51,7 @@
         self._seen: dict[int, int] = {}
 
     def text(self, value: Any) -> str:
-        """Return the canonical text of a value and all that it reaches."""
+        """Return the canonical encoding of a value and of everything reachable from it."""
         if isinstance(value, _PLAIN):
             return repr(value.value) if isinstance(value, Enum) else repr(value)
         if isinstance(value, Message):
@@ -64,7 +69,7 @@
 
     def _compound(self, value: Any) -> str:
         if isinstance(value, dict):
-            rows = sorted(((self._key(key), item) for key, item in value.items()), key=_first)
+            rows = sorted(((self._key(key), item) for key, item in value.items()), key=_row_key)
             return "{" + ",".join(f"{key}:{self.text(item)}" for key, item in rows) + "}"
         if isinstance(value, (set, frozenset)):
             return "s{" + ",".join(sorted(map(self._key, value))) + "}"
@@ -113,5 +118,5 @@
         return f"{kind.__name__}({','.join(rows)})"
 
 
-def _first(row: tuple[str, Any]) -> str:
+def _row_key(row: tuple[str, Any]) -> str:
     return row[0]
--- a/libs/modelcheck/src/modelcheck/control_model.py
+++ b/libs/modelcheck/src/modelcheck/control_model.py
@@ -1,15 +1,16 @@
 """Control keys under the explorer: the real acceptors and key owners of `control_store`.
 
-Which node takes itself for a key's owner is left to the model, since a failure detector may report
-anything: nodes that all believe to be the owner race. Invariants:
+The model fixes which node each node believes to be the key's owner, since a failure detector may
+report anything; nodes that each believe themselves the owner race. Invariants:
 
 C1  at most one value is chosen for each key and version, by a majority under one proposal number;
-C2  a confirmed value is the one that every majority's registers lead to, or is remembered there (by
-    its change's id, unless only later changes are remembered);
-C3  an acceptor's register is never behind a vote that it gave, even after restarts with its disk;
+C2  in every majority, the newest accepted value contains each confirmed change: it remembers the
+    change's id with the confirmed version, or only later changes;
+C3  an acceptor's register is never older than a vote or promise that the acceptor sent, even after
+    restarts that keep its disk;
 C4  a change that was refused is never chosen, and one that was chosen is never refused;
-C5  a change that was confirmed was chosen as the version reported, and always as that version;
-C6  a read returns a chosen value, not older than any confirmed before the read began.
+C5  a confirmed change was chosen, as the version that each confirmation reports;
+C6  a read returns a chosen value that is not older than any confirmed before the read began.
 """
 
 import json
@@ -56,9 +57,6 @@
 _FIRST_INCARNATION = 1
 
 
-# -- observations ------------------------------------------------------------------------------
-
-
 class VoteSent(NamedTuple):
     """An acceptor's vote for an encoded `Value` of this version."""
 
@@ -76,7 +74,7 @@
 
 
 class OperationAnswered(NamedTuple):
-    """The result of an operation, as its caller got it."""
+    """The result of an operation, as returned to its caller."""
 
     operation: int
     outcome: str
@@ -109,9 +107,9 @@
 
 
 class ControlGhost:
-    """The ghost variable: what has been observed of a control key.
+    """The ghost variable: the observations of the control key so far.
 
-    Votes and promises given, results of operations, and operations begun.
+    These are the votes and promises sent, the results of operations, and the operations begun.
     """
 
     __slots__ = ("answers", "begun", "promises", "votes")
@@ -129,7 +127,7 @@
         self.begun = begun
 
     def after(self, observations: tuple[Observation, ...]) -> "ControlGhost":
-        """Return the ghost with what was observed in one step."""
+        """Return the ghost after the observations of one step."""
         votes, promises = set(self.votes), set(self.promises)
         answers, begun = set(self.answers), set(self.begun)
         for observation in observations:
@@ -162,14 +160,18 @@
     return max(versions, default=0)
 
 
-# -- the model ---------------------------------------------------------------------------------
-
-
 class ControlKeyModel(SystemModel):
     """Control nodes that vote on one key.
 
-    `owners` maps each node to the one that it takes for the owner, by default itself. If
-    `connected`, messages between two nodes keep their order and a node's own are delivered at once.
+    Parameters
+    ----------
+    voters
+        The number of control nodes; each of them is a voter.
+    owners
+        The node that each node believes to be the key's owner, by default itself.
+    connected
+        Whether messages between two nodes are delivered in the order of sending, and messages of a
+        node to itself at once.
     """
 
     skipped_slots = frozenset(
@@ -216,10 +218,8 @@
         ]
         self._list_body = json.dumps({"number": 1, "voters": rows})
 
-    # -- nodes ---------------------------------------------------------------------------------
-
     def boot_image(self, index: int) -> BootImage:
-        """Return the disk of an acceptor with the first list of voters and no registers."""
+        """Return the disk of an acceptor that has the first list of voters and no registers."""
         metadata = AcceptorMetadata(
             identity=self.identities[index], bootstrap_vote="", list_body=self._list_body
         )
@@ -241,7 +241,7 @@
         return Node(running.env, self._settings, [acceptor, owner])
 
     def submit(self, index: int, running: RunningNode, number: int) -> None:
-        """Give an operation to a node's key owner."""
+        """Submit an operation to a node's key owner."""
         message = self.operations[number].message
         copy = type(message)(**message.as_dict())
         _owner(running).submit(copy, _ResultObserver(running.observations, number))
@@ -258,7 +258,7 @@
         return AcceptorState(acceptor.identity, tuple(registers))
 
     def is_obsolete(self, done: Callable[..., object]) -> bool:
-        """Whether the quorum round that waits for a reply has ended."""
+        """Whether the quorum round to which a pending reply belongs has ended."""
         quorum_round = next(
             (
                 cell.cell_contents
@@ -270,14 +270,15 @@
         return quorum_round is not None and quorum_round._done is None
 
     def disk_key(self, disk: ModelDisk) -> object:
-        """Return what an acceptor reads back from its log: the newest record of each key."""
+        """Return what an acceptor reads at its start: its metadata and each key's newest record.
+
+        The durable content is added if not all writes have been flushed.
+        """
         return (
             _newest_records(disk.files),
             _newest_records(disk.durable) if disk.pending else None,
         )
 
-    # -- invariants over the observations ------------------------------------------------------
-
     def initial_ghost(self) -> ControlGhost:
         """Return the ghost before the first step."""
         return ControlGhost()
@@ -311,7 +312,7 @@
         for version, values in chosen.items():
             if len(values) > 1:
                 raise InvariantViolationError(
-                    "C1", f"{len(values)} values are chosen as version {version}"
+                    "C1", f"{len(values)} values were chosen as version {version}"
                 )
 
     def _check_answers(self, ghost: ControlGhost, chosen: dict[int, set[bytes]]) -> None:
@@ -336,12 +337,13 @@
         refused = answer.outcome in (Outcome.LOST, Outcome.REFUSED)
         if refused and chosen_version is not None:
             raise InvariantViolationError(
-                "C4", f"change {change_id} was refused and is chosen as version {chosen_version}"
+                "C4", f"change {change_id} was refused, but chosen as version {chosen_version}"
             )
         if answer.outcome == Outcome.OK and chosen_version != answer.version:
             raise InvariantViolationError(
                 "C5",
-                f"change {change_id} confirmed as {answer.version}, chosen as {chosen_version}",
+                f"change {change_id} was confirmed as version {answer.version}, "
+                f"but the version chosen for it is {chosen_version}",
             )
 
     def _check_read(
@@ -350,13 +352,13 @@
         version = answer.version
         if version < confirmed_before:
             raise InvariantViolationError(
-                "C6", f"version {version} read after {confirmed_before} was confirmed"
+                "C6", f"read of version {version} after version {confirmed_before} was confirmed"
             )
         bodies = {decode_as(Value, value).body for value in chosen.get(version, ())}
         if version and answer.body not in bodies:
-            raise InvariantViolationError("C6", f"version {version} was read and never chosen")
-
-    # -- invariants over the nodes' states -----------------------------------------------------
+            raise InvariantViolationError(
+                "C6", f"read of a value of version {version} that was not chosen"
+            )
 
     def check(self, ghost: ControlGhost, observed: tuple[AcceptorState, ...]) -> None:
         """Check the acceptors' registers; raises InvariantViolationError for C2 and C3."""
@@ -380,7 +382,9 @@
                 forgotten = change_id not in remembered and version < oldest
                 if not forgotten and remembered.get(change_id) != version:
                     raise InvariantViolationError(
-                        "C2", f"{change_id}, confirmed, is not what {majority} lead to"
+                        "C2",
+                        f"change {change_id} was confirmed as version {version}, but the newest "
+                        f"value accepted by {majority} does not have it as that version",
                     )
 
     def _check_votes(
@@ -391,26 +395,27 @@
                 accepted = (register.accepted, register.version)
                 if accepted < (vote.proposal, vote.version):
                     raise InvariantViolationError(
-                        "C3", f"{vote.identity} voted for {vote.proposal} and has {accepted}"
+                        "C3",
+                        f"{vote.identity} voted for {vote.proposal, vote.version}, "
+                        f"but its register has accepted {accepted}",
                     )
         for promise in ghost.promises:
             identity = promise.identity
             if identity in registers and not registers[identity]:
                 raise InvariantViolationError(
-                    "C3", f"{identity} promised {promise.proposal} and has nothing"
+                    "C3", f"{identity} promised {promise.proposal}, but has no register"
                 )
             for register in registers.get(identity, ()):
                 if register.promised < promise.proposal:
                     raise InvariantViolationError(
-                        "C3", f"{identity} promised {promise.proposal} and has {register.promised}"
+                        "C3",
+                        f"{identity} promised {promise.proposal}, "
+                        f"but its register has promised {register.promised}",
                     )
 
 
-# -- observers ---------------------------------------------------------------------------------
-
-
 class _ResultObserver:
-    """Observes the result of an operation."""
+    """Adds the result of an operation to the observations."""
 
     __slots__ = ("_number", "_observations")
 
@@ -425,7 +430,10 @@
 
 
 class _VoteObserver:
-    """Observes each vote and promise that is sent, with the request that it answers."""
+    """Adds each vote and promise that a node sends to the observations.
+
+    The proposal and value are those of the request that the message answers.
+    """
 
     __slots__ = ("_running",)
 
@@ -474,7 +482,7 @@
 
 
 def _newest_records(files: dict[str, bytes]) -> object:
-    """Return the metadata and, by key, the newest record in the logs among files."""
+    """Return the metadata, and the newest record of each key in all log files."""
     newest: dict[str, tuple[object, ...]] = {}
     for name, data in files.items():
         if not name.startswith(_LOG_FILE_PREFIX):
