--- a/libs/modelcheck/src/modelcheck/control_model.py
+++ b/libs/modelcheck/src/modelcheck/control_model.py
@@ -193,7 +193,7 @@
         owners: dict[int, int] | None = None,
         connected: bool = False,
     ) -> None:
-        self.fifo_links = self.own_at_once = connected
+        self.fifo_links = self.immediate_self_delivery = connected
         self.addresses = [f"10.0.0.{index + 1}:7000" for index in range(voters)]
         self.operations = operations
         self.bounds = bounds
--- a/libs/modelcheck/src/modelcheck/explorer.py
+++ b/libs/modelcheck/src/modelcheck/explorer.py
@@ -1,8 +1,9 @@
 """Breadth-first search over global states.
 
-A global state is the nodes' local states, the messages in flight (a multiset), the ghost variable,
-and what remains of each bound. A state visited before is not expanded again, so the first schedule
-that violates an invariant, the counterexample, is one of the shortest.
+A global state consists of the nodes' local states, the messages in flight (a multiset), the ghost
+variable, what remains of each bound, and which operations have been submitted. Each state is
+expanded once, in the order of discovery, so the first schedule that violates an invariant, the
+counterexample, is one of the shortest.
 """
 
 import time
@@ -54,9 +55,16 @@
 class GlobalState:
     """One global state.
 
-    `in_flight` has the numbers of the messages in flight, sorted; `ghost` is the number of the
-    ghost; `remaining` has what remains of each bound; `submitted` is a bit set of the operations
-    submitted.
+    Parameters
+    ----------
+    in_flight
+        The numbers of the messages in flight, sorted; by link if links keep the order of messages.
+    ghost
+        The number of the value of the ghost variable.
+    remaining
+        What remains of each bound, in the order of `Bounds.COUNTS`.
+    submitted
+        A bit set of the numbers of the operations submitted.
     """
 
     __slots__ = ("ghost", "in_flight", "nodes", "remaining", "submitted")
@@ -76,14 +84,14 @@
         self.submitted = submitted
 
     def key(self) -> int:
-        """Return a 64-bit hash by which states are told apart."""
+        """Return a 64-bit hash; states with equal hashes count as one state."""
         nodes = tuple(node.number for node in self.nodes)
         return hash((nodes, self.in_flight, self.ghost, self.remaining, self.submitted))
 
     def with_in_flight(
         self, in_flight: Iterable[int], remaining: tuple[int, ...] | None = None
     ) -> "GlobalState":
-        """Return this state with other messages in flight, and perhaps other remaining bounds."""
+        """Return this state with other messages in flight and, if given, other remaining bounds."""
         return GlobalState(
             self.nodes,
             tuple(in_flight),
@@ -96,9 +104,10 @@
 class SearchResult:
     """The result of a search.
 
-    `states` and `local_states` count the distinct states, `depth` is the length of the longest
-    schedules, and `is_complete` is whether every state within the bounds was expanded. `violation`
-    is None if all invariants held; otherwise `counterexample` is a schedule that leads to it.
+    `states` and `local_states` are the numbers of distinct global and local states, `depth` is the
+    length of the longest schedules, and `is_complete` is whether every state within the bounds was
+    expanded. `violation` is None if no violation was found; otherwise `counterexample` is a
+    schedule that leads to it.
     """
 
     __slots__ = (
@@ -124,8 +133,8 @@
 class Explorer:
     """Searches the schedules of one model.
 
-    Visited states are numbered in the order of discovery; the search keeps of each its hash, the
-    number of its parent and the action that led to it.
+    Visited states are numbered in the order of discovery. For each of them the explorer keeps only
+    its hash, the number of its parent and the action that led to it.
     """
 
     __slots__ = (
@@ -151,15 +160,13 @@
         self._next_ghosts: dict[tuple[int, tuple[Observation, ...]], int] = {}
         self._checked: set[tuple[int, tuple[int, ...]]] = set()
 
-    # -- initial state -------------------------------------------------------------------------
-
     def initial_state(self) -> GlobalState:
-        """Return the model's initial state, after its prelude."""
+        """Return the state after the model's prelude, in which the search begins."""
         state = self._before_prelude()
         for step in self.model.prelude:
-            state = self._unbounded(state, Action(step.kind, step.node, step.number))
-            if step.runs_on:
-                state = self._run_on(state, step)
+            state = self._next_state_unbounded(state, Action(step.kind, step.node, step.number))
+            if step.runs_to_quiescence:
+                state = self._run_to_quiescence(state, step)
         return state
 
     def _before_prelude(self) -> GlobalState:
@@ -168,15 +175,15 @@
         ghost = self._ghost_number(self.model.initial_ghost())
         return GlobalState(nodes, (), ghost, self.model.bounds.counts(), 0)
 
-    def _unbounded(self, state: GlobalState, action: Action) -> GlobalState:
+    def _next_state_unbounded(self, state: GlobalState, action: Action) -> GlobalState:
         """Return the state after an action that counts against no bound."""
         reached = self.next_state(state, action) or state
         return GlobalState(
             reached.nodes, reached.in_flight, reached.ghost, state.remaining, reached.submitted
         )
 
-    def _run_on(self, state: GlobalState, step: PreludeStep) -> GlobalState:
-        """Return the state once no message is in flight and all flushes have ended."""
+    def _run_to_quiescence(self, state: GlobalState, step: PreludeStep) -> GlobalState:
+        """Return the state once all flushes are complete and no message is in flight."""
         while True:
             if step.isolated is not None:
                 state = self._partitioned(state, step.isolated, state.remaining)
@@ -184,18 +191,18 @@
                 state = self._without_links(state, step.lost_links)
             flushing = [index for index, node in enumerate(state.nodes) if node.is_flushing]
             if flushing:
-                state = self._unbounded(state, Action(ActionKind.FLUSH, flushing[0]))
+                state = self._next_state_unbounded(state, Action(ActionKind.FLUSH, flushing[0]))
             elif state.in_flight:
                 number = state.in_flight[0]
                 target = self.local_states.targets[number]
-                state = self._unbounded(state, Action(ActionKind.DELIVER, target, number))
+                state = self._next_state_unbounded(
+                    state, Action(ActionKind.DELIVER, target, number)
+                )
             else:
                 return state
 
-    # -- searching -----------------------------------------------------------------------------
-
     def search(self) -> SearchResult:
-        """Visit all states within the bounds, up to the first violation of an invariant."""
+        """Visit the states within the bounds, and stop at the first violation of an invariant."""
         began, bounds, result = time.monotonic(), self.model.bounds, SearchResult()
         level = [(0, self.initial_state())]
         self._visit(level[0][1], _NO_PARENT, 0)
@@ -227,17 +234,17 @@
     def _expand(
         self, number: int, state: GlobalState, following: list[tuple[int, GlobalState]]
     ) -> None:
-        """Append the states one action further that were not visited before."""
+        """Append the successors of a state that have not been visited, with their numbers."""
         for action in self.actions(state):
             try:
                 reached = self.next_state(state, action)
             except InvariantViolationError as violation:
                 raise _ViolationFoundError(violation, number, action) from violation
-            if reached is not None and self._visit(reached, number, _encoded(action)):
+            if reached is not None and self._visit(reached, number, _encode_action(action)):
                 following.append((len(self._parents) - 1, reached))
 
     def _visit(self, state: GlobalState, parent: int, encoded_action: int) -> bool:
-        """Note a state; returns whether it was not visited before."""
+        """Record a state as visited; return whether it was not visited before."""
         key = state.key()
         if key in self._visited:
             return False
@@ -249,12 +256,10 @@
     def _path_to(self, number: int) -> list[Action]:
         steps = []
         while self._parents[number] != _NO_PARENT:
-            steps.append(_decoded(self._actions[number]))
+            steps.append(_decode_action(self._actions[number]))
             number = self._parents[number]
         return steps[::-1]
 
-    # -- possible actions ----------------------------------------------------------------------
-
     def actions(self, state: GlobalState) -> list[Action]:
         """Return the actions that are possible in a state."""
         actions = self._message_actions(state)
@@ -292,7 +297,7 @@
         return actions
 
     def _deliverable(self, in_flight: tuple[int, ...]) -> list[int]:
-        """Return each message once; where links keep their order, the first on each link."""
+        """Return each distinct message, or only the first on each link if links keep the order."""
         if not self.model.fifo_links:
             return list(dict.fromkeys(in_flight))
         firsts: dict[tuple[str, str], int] = {}
@@ -304,17 +309,16 @@
         envelope = self.local_states.messages[number][0]
         return (envelope.sender, envelope.to)
 
-    # -- one step ------------------------------------------------------------------------------
-
     def next_state(self, state: GlobalState, action: Action) -> GlobalState | None:
-        """Return the state after an action; None if it changes nothing.
+        """Return the state after an action; None if the action has no effect.
 
         Raises
         ------
-        InvariantViolationError: an invariant does not hold in the state reached.
+        InvariantViolationError
+            An invariant does not hold in the state reached, or a node raised an exception.
         """
         kind, number = action.kind, action.number
-        remaining = _spend(state.remaining, kind)
+        remaining = _decrement_bound(state.remaining, kind)
         if kind is ActionKind.PARTITION:
             return self._partitioned(state, action.node, remaining)
         in_flight = list(state.in_flight)
@@ -336,7 +340,7 @@
             observations = (OperationSubmitted(number), *observations)
         reached = GlobalState(
             tuple(nodes),
-            self._awaited([*in_flight, *transition.sent], nodes),
+            self._without_obsolete_replies([*in_flight, *transition.sent], nodes),
             self._next_ghost(state.ghost, observations) if observations else state.ghost,
             remaining,
             submitted,
@@ -359,10 +363,12 @@
         in_flight = [number for number in state.in_flight if self._link(number) not in lost]
         return state.with_in_flight(in_flight)
 
-    def _awaited(self, in_flight: list[int], nodes: list[LocalState]) -> tuple[int, ...]:
-        """Return the messages in flight without replies that nobody waits for any more.
+    def _without_obsolete_replies(
+        self, in_flight: list[int], nodes: list[LocalState]
+    ) -> tuple[int, ...]:
+        """Return the messages in flight without replies to requests that are no longer pending.
 
-        Delivering those would have no effect.
+        Delivering such a reply would have no effect.
         """
         messages, targets = self.local_states.messages, self.local_states.targets
         awaited = [
@@ -373,8 +379,6 @@
         ]
         return tuple(sorted(awaited, key=self._link if self.model.fifo_links else None))
 
-    # -- ghosts and invariants -----------------------------------------------------------------
-
     def _ghost_number(self, ghost: Any) -> int:
         number = self._ghost_numbers.setdefault(ghost, len(self._ghosts))
         if number == len(self._ghosts):
@@ -395,10 +399,8 @@
             self.model.check(self._ghosts[state.ghost], observed)
             self._checked.add(key)
 
-    # -- written schedules ---------------------------------------------------------------------
-
     def describe(self, schedule: Iterable[Action]) -> list[ScheduleStep]:
-        """Return a schedule that holds in every run: messages are named by their content."""
+        """Return a schedule that any explorer can replay: it names messages by their content."""
         return [ScheduleStep(step.kind, step.node, self._subject(step)) for step in schedule]
 
     def _subject(self, step: Action) -> str:
@@ -411,7 +413,7 @@
         return ""
 
     def label(self, number: int) -> str:
-        """Return a message's name: its type, its sender, and its references."""
+        """Return a message's name: type, sender, its request number and the one it replies to."""
         envelope, _ = self.local_states.messages[number]
         sender = self.model.addresses.index(envelope.sender)
         kind = type(envelope.message).__name__
@@ -422,8 +424,10 @@
 
         Raises
         ------
-        InvariantViolationError: an invariant does not hold on the way.
-        LookupError: a step is not possible where the schedule has it.
+        InvariantViolationError
+            An invariant does not hold in one of the states on the way.
+        LookupError
+            A step is not possible in the state in which the schedule has it.
         """
         state = self.initial_state()
         for step in steps:
@@ -433,13 +437,15 @@
                 if (action.kind, action.node, self._subject(action)) == step
             ]
             if not possible:
-                raise LookupError(f"not possible: {step.kind} {step.node} {step.subject}")
+                raise LookupError(
+                    f"step not possible in this state: {step.kind} {step.node} {step.subject}"
+                )
             state = self.next_state(state, possible[0]) or state
         return state
 
 
 class _ViolationFoundError(Exception):
-    """Ends a search: an action from a visited state violates an invariant."""
+    """Raised to end a search when an action from a visited state violates an invariant."""
 
     def __init__(
         self, violation: InvariantViolationError, state_number: int, action: Action
@@ -450,19 +456,19 @@
         self.action = action
 
 
-def _spend(remaining: tuple[int, ...], kind: ActionKind) -> tuple[int, ...]:
+def _decrement_bound(remaining: tuple[int, ...], kind: ActionKind) -> tuple[int, ...]:
     index = _BOUND_INDEX.get(kind)
     if index is None:
         return remaining
     return (*remaining[:index], remaining[index] - 1, *remaining[index + 1 :])
 
 
-def _encoded(action: Action) -> int:
-    """Return an action as one integer, which takes less memory than the object."""
+def _encode_action(action: Action) -> int:
+    """Return an action encoded as one integer, which takes less memory than the object."""
     return (action.number << _NODE_BITS | action.node) << _KIND_BITS | _KIND_NUMBER[action.kind]
 
 
-def _decoded(encoded_action: int) -> Action:
+def _decode_action(encoded_action: int) -> Action:
     kind = _KINDS[encoded_action & ((1 << _KIND_BITS) - 1)]
     encoded_action >>= _KIND_BITS
     return Action(kind, encoded_action & ((1 << _NODE_BITS) - 1), encoded_action >> _NODE_BITS)
--- a/libs/modelcheck/src/modelcheck/linearizability.py
+++ b/libs/modelcheck/src/modelcheck/linearizability.py
@@ -1,8 +1,8 @@
 """A checker for linearizability of a recorded history.
 
-It is Wing and Gong's search for a linearization, with memory of the configurations that led nowhere
-(Lowe, "Testing for linearizability", 2017). A call without a known outcome may take effect at any
-time after it began, or never.
+It is Wing and Gong's search for a linearization, with a memory of the configurations that were
+visited (Lowe, "Testing for linearizability", 2017). A pending call, which is one without a known
+outcome, may take effect at any time after its invocation, or never.
 """
 
 from collections.abc import Hashable
@@ -15,10 +15,15 @@
 
 
 class Call:
-    """One operation as its caller saw it; times are ms on one clock.
-
-    `returned_ms` is infinite where the outcome is not known. `request` and `response` are only
-    interpreted by the specification.
+    """One operation as its caller observed it, with the times of its invocation and its response.
+
+    Parameters
+    ----------
+    request, response
+        What was requested and returned; only the specification interprets them.
+    invoked_ms, returned_ms
+        Times in milliseconds, on one clock for the whole history. `returned_ms` is infinite if the
+        outcome of the call is unknown.
     """
 
     __slots__ = ("invoked_ms", "request", "response", "returned_ms")
@@ -47,18 +52,19 @@
         """Return the state before any call."""
 
     def next_state(self, state: Any, call: Call) -> Hashable | None:
-        """Return the state after a call with exactly this response; None if it is impossible.
+        """Return the state after a call; None if it can't have its response in this state.
 
-        For a call whose outcome is not known: the state if it takes effect, or None if it cannot.
+        For a call without a known outcome: the state if it takes effect, or None if it can't.
         """
 
 
 class LinearizationResult:
     """The result of a search.
 
-    `is_linearizable` is whether there is a linearization, and `is_decided` whether the search ended
-    within its limit. `longest_order` is the longest order found, and `blocked` the known calls that
-    could not follow it. `configurations` is how many were visited.
+    `is_linearizable` is whether a linearization was found, and `is_decided` is False if the search
+    stopped at its limit. `longest_order` is the order found that has the most calls with known
+    outcomes. If no linearization was found, `blocked` has the calls with known outcomes that were
+    candidates to follow this order. `configurations` is the number of configurations visited.
     """
 
     __slots__ = ("blocked", "configurations", "is_decided", "is_linearizable", "longest_order")
@@ -74,23 +80,31 @@
 class _Configuration:
     """The calls linearized so far as a bit set, and the object's state after them.
 
-    `call` is the last of them, by its position in the history, and `first_open` the position of the
-    first call that is not linearized.
+    Parameters
+    ----------
+    linearized
+        A bit set of the positions in the history.
+    first_remaining
+        The position of the first call that is not linearized.
+    call
+        The position of the call that was linearized last.
+    previous
+        The configuration before that call.
     """
 
-    __slots__ = ("call", "first_open", "linearized", "previous", "state")
+    __slots__ = ("call", "first_remaining", "linearized", "previous", "state")
 
     def __init__(
         self,
         linearized: int,
         state: Any,
-        first_open: int,
+        first_remaining: int,
         call: int = _NO_CALL,
         previous: "_Configuration | None" = None,
     ) -> None:
         self.linearized = linearized
         self.state = state
-        self.first_open = first_open
+        self.first_remaining = first_remaining
         self.call = call
         self.previous = previous
 
@@ -107,9 +121,12 @@
 def linearize(
     calls: list[Call], specification: SequentialSpecification, limit: int = 2_000_000
 ) -> LinearizationResult:
-    """Search for an order of the calls, consistent with real time, that is allowed.
+    """Search for an order of the calls that respects real time and the specification.
 
-    `limit` bounds the number of configurations visited.
+    Parameters
+    ----------
+    limit
+        The number of configurations at which the search stops without a decision.
     """
     history = sorted(calls, key=lambda call: call.invoked_ms)
     returned = sum(1 << position for position, call in enumerate(history) if call.has_returned)
@@ -130,7 +147,7 @@
         if len(visited) >= limit:
             result.is_decided = False
             break
-        stack += _following(configuration, history, specification)
+        stack += _successors(configuration, history, specification)
     result.configurations = len(visited)
     result.longest_order = deepest.order(history)
     if not result.is_linearizable:
@@ -144,10 +161,10 @@
 
 
 def _candidates(configuration: _Configuration, history: list[Call]) -> list[int]:
-    """Return the calls that may come next: begun before any remaining call has returned."""
+    """Return the calls that may be next: those invoked before any remaining call returned."""
     positions: list[int] = []
     first_return_ms = _NEVER
-    for position in range(configuration.first_open, len(history)):
+    for position in range(configuration.first_remaining, len(history)):
         call = history[position]
         if call.invoked_ms > first_return_ms:
             break
@@ -157,13 +174,15 @@
     return [position for position in positions if history[position].invoked_ms <= first_return_ms]
 
 
-def _following(
+def _successors(
     configuration: _Configuration, history: list[Call], specification: SequentialSpecification
 ) -> list[_Configuration]:
-    """Return the configurations one call further.
+    """Return the configurations that follow by one more call, latest invocation first.
+
+    A pending call that would not change the state is left out.
 
-    A known call that changes nothing and can come next is taken at once: if any order exists from
-    here, one exists with that call first.
+    A candidate with a known outcome that does not change the state is the only one considered: if a
+    linearization continues from here, one continues with that call.
     """
     found = []
     for position in _candidates(configuration, history):
@@ -171,8 +190,8 @@
         if state is None:
             continue
         linearized = configuration.linearized | 1 << position
-        first_open = _first_open(configuration.first_open, linearized)
-        following = _Configuration(linearized, state, first_open, position, configuration)
+        first_remaining = _first_remaining(configuration.first_remaining, linearized)
+        following = _Configuration(linearized, state, first_remaining, position, configuration)
         if state != configuration.state:
             found.append(following)
         elif history[position].has_returned:
@@ -180,7 +199,7 @@
     return found[::-1]
 
 
-def _first_open(position: int, linearized: int) -> int:
+def _first_remaining(position: int, linearized: int) -> int:
     while linearized >> position & 1:
         position += 1
     return position
--- a/libs/modelcheck/src/modelcheck/local_states.py
+++ b/libs/modelcheck/src/modelcheck/local_states.py
@@ -1,9 +1,9 @@
-"""Local states of nodes, found again by replaying events.
+"""Local states of nodes, restored by replaying events.
 
-A node's state is given by the image it started from and the events since; replaying these on the
-real cores restores it, so that nothing has to be copied that Python cannot copy (pending
-callbacks). States with equal canonical encodings are one state, and the effect of an event on a
-state is computed once, however many global states the pair occurs in.
+A node's state is determined by the image that it started from and by the events since. It is
+restored by replaying these on the real cores, because Python can't copy some of it (pending
+callbacks). States with equal canonical encodings are one state. The effect of an event on a local
+state is computed once and reused for every global state that contains the local state.
 """
 
 from collections.abc import Hashable
@@ -30,14 +30,14 @@
 
 
 class Event(NamedTuple):
-    """What happens to a node: a kind of action, and a message's, operation's or node's number."""
+    """What happens to a node: `kind` and `number` are as for `actions.Action`."""
 
     kind: ActionKind
     number: int
 
 
 class Transition:
-    """The effect of one event: the next local state, messages sent, and what was observed."""
+    """The effect of an event: the next local state, the messages sent and the observations."""
 
     __slots__ = ("observations", "sent", "state")
 
@@ -52,8 +52,10 @@
 class LocalState:
     """One local state of a node.
 
-    `pending` has the references of requests whose replies still matter, `is_flushing` is whether a
-    flush has not ended, and `observed` the number of what the model observes of the state.
+    `index` is the number of the node, and `number` that of the state. `pending` has the numbers of
+    the requests whose replies still have an effect, `is_flushing` is whether a flush or file
+    replacement is unfinished, and `observed` is the number of the value that the model's `observe`
+    returns for the state. `transitions` caches the effects of events.
     """
 
     __slots__ = (
@@ -79,10 +81,11 @@
 
 
 class LocalStates:
-    """All local states found, with the messages sent among them, numbered in order of discovery.
+    """All local states found, and the messages sent, numbered in the order of discovery.
 
-    `messages` has each message with its encoding, and `targets` the node that it is sent to;
-    `observed` has what the model observed of states.
+    `messages` has each message with its encoding, `targets` the number of the node that it is sent
+    to, or -1 if no node has the address. `observed` has the values that the model's `observe`
+    returned.
     """
 
     __slots__ = (
@@ -107,7 +110,7 @@
         self.targets: list[int] = []
 
     def initial_state(self, index: int) -> LocalState:
-        """Return the state of a node that has just started from the model's image."""
+        """Return the state of a node that has just started from the model's boot image."""
         state = LocalState(index, self._model.boot_image(index), ())
         return self._intern(state, self.run(state))
 
@@ -116,25 +119,24 @@
 
         Raises
         ------
-        InvariantViolationError: the node's code raised an exception.
+        InvariantViolationError
+            The node's code raised an exception.
         """
         if event not in state.transitions:
             try:
-                state.transitions[event] = self._apply(state, event)
+                state.transitions[event] = self._compute_transition(state, event)
             except Exception as error:
                 raise InvariantViolationError("RAISED", repr(error)) from error
         return state.transitions[event]
 
     def run(self, state: LocalState) -> RunningNode:
-        """Return a running node in a state, restored by replaying its events."""
+        """Return a running node in this state, restored by replaying its events."""
         running = self._start(state.index, state.boot_image)
         for event in state.events:
-            self._give(running, state.index, event)
+            self._apply_event(running, state.index, event)
         return running
 
-    # -- one event -----------------------------------------------------------------------------
-
-    def _apply(self, state: LocalState, event: Event) -> Transition | None:
+    def _compute_transition(self, state: LocalState, event: Event) -> Transition | None:
         running = self.run(state)
         running.env.sent.clear()
         running.observations.clear()
@@ -144,7 +146,7 @@
             running = self._start(state.index, boot_image)
             following = LocalState(state.index, boot_image, ())
         else:
-            self._give(running, state.index, event)
+            self._apply_event(running, state.index, event)
             following = LocalState(state.index, state.boot_image, (*state.events, event))
         sent = self._numbers_of_sent(running)
         new_facts = self._model.facts(state.index, running) - facts_before
@@ -159,11 +161,11 @@
         env = ModelEnvironment(f"n{index}", self._model.addresses[index], boot_image)
         running = RunningNode(env, ModelDisk(boot_image.files))
         running.node = self._model.start(index, running)
-        self._finish_immediate(running)
+        self._finish_immediate_work(running)
         return running
 
-    def _give(self, running: RunningNode, index: int, event: Event) -> None:
-        """Let an event happen to a running node, and all that follows from it at once."""
+    def _apply_event(self, running: RunningNode, index: int, event: Event) -> None:
+        """Apply an event to a running node, and then what needs no step of its own."""
         kind, number = event
         if kind is ActionKind.DELIVER:
             self._deliver(running, *self.messages[number])
@@ -177,7 +179,7 @@
         else:
             running.env.now_ms += self._wait_ms(kind)
             running.node.tick()
-        self._finish_immediate(running)
+        self._finish_immediate_work(running)
 
     def _wait_ms(self, kind: ActionKind) -> int:
         return {
@@ -186,9 +188,9 @@
             ActionKind.FREEZE: self._model.freeze_ms,
         }[kind]
 
-    def _finish_immediate(self, running: RunningNode) -> None:
-        """Finish what takes no step: flushes, unless the disk is slow, and messages to itself."""
-        at_once = self._model.own_at_once
+    def _finish_immediate_work(self, running: RunningNode) -> None:
+        """Do what needs no step: the node's messages to itself, and flushes unless slow_disk."""
+        at_once = self._model.immediate_self_delivery
         address = running.env.address
         while True:
             own = [envelope for envelope in running.env.sent if at_once and envelope.to == address]
@@ -207,7 +209,7 @@
         )
 
     def _image_after(self, running: RunningNode, kind: ActionKind) -> BootImage:
-        """Return what the process starts from after a restart of this kind."""
+        """Return the image from which the process starts after a restart of this kind."""
         disk = running.disk
         files = {
             ActionKind.KILL: disk.files,
@@ -216,10 +218,8 @@
         }[kind]
         return BootImage(dict(files), running.env.now_ms, running.env.incarnation + 1)
 
-    # -- equal states --------------------------------------------------------------------------
-
     def _intern(self, state: LocalState, running: RunningNode) -> LocalState:
-        """Return the known state that is equal to this one, or this one if there is none."""
+        """Return the known state that equals this one; if there is none, add this one."""
         open_requests = {
             request_id: request
             for request_id, request in running.node.open_requests.items()
@@ -266,8 +266,6 @@
             self.observed.append(observed)
         return number
 
-    # -- messages ------------------------------------------------------------------------------
-
     def _numbers_of_sent(self, running: RunningNode) -> tuple[int, ...]:
         return tuple(
             self._message_number(envelope)
--- a/libs/modelcheck/src/modelcheck/log_initial_states.py
+++ b/libs/modelcheck/src/modelcheck/log_initial_states.py
@@ -27,21 +27,21 @@
     operations = [_append("x", 1), _append("y", 1, (1,)), _append("z", 2, (1,)), _read(1, (3,))]
     prelude = (
         PreludeStep(ActionKind.SUBMIT, 1, 1),
-        PreludeStep(ActionKind.SUBMIT, 1, 2, runs_on=False),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_on=False),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_on=False),
-        PreludeStep(ActionKind.TICK, 2, runs_on=False),
+        PreludeStep(ActionKind.SUBMIT, 1, 2, runs_to_quiescence=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_to_quiescence=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_to_quiescence=False),
+        PreludeStep(ActionKind.TICK, 2, runs_to_quiescence=False),
     )
     return LogModel(3, 0, operations, bounds, prelude=prelude)
 
 
 def _previous_leader(bounds: Bounds) -> LogModel:
-    """Another store serves, and the previous leader, which was partitioned, does not know."""
+    """Another store serves, unknown to the previous leader, which was partitioned."""
     operations = [_append("x", 1), _append("y", 1, (1,)), _append("z", 2, (1,)), _read(1, (3,))]
     prelude = (
         PreludeStep(ActionKind.SUBMIT, 1, 1),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_on=False),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_on=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_to_quiescence=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_to_quiescence=False),
         PreludeStep(ActionKind.TICK, 2, isolated=1),
         PreludeStep(ActionKind.TICK, 2, isolated=1),
     )
@@ -49,22 +49,22 @@
 
 
 def _two_claimants(bounds: Bounds) -> LogModel:
-    """Both other members are about to claim the leader's role."""
+    """Both followers are about to claim the leader's role."""
     operations = [_append("x", 1), _append("y", 2, (1,)), _append("z", 3, (1,))]
     prelude = (
         PreludeStep(ActionKind.SUBMIT, 1, 1),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_on=False),
-        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_on=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 2, 1, runs_to_quiescence=False),
+        PreludeStep(ActionKind.CONNECTION_REFUSED, 3, 1, runs_to_quiescence=False),
         PreludeStep(ActionKind.TICK, 3, isolated=1),
-        PreludeStep(ActionKind.TICK, 3, runs_on=False),
-        PreludeStep(ActionKind.TICK, 2, runs_on=False),
-        PreludeStep(ActionKind.PARTITION, 1, runs_on=False),
+        PreludeStep(ActionKind.TICK, 3, runs_to_quiescence=False),
+        PreludeStep(ActionKind.TICK, 2, runs_to_quiescence=False),
+        PreludeStep(ActionKind.PARTITION, 1, runs_to_quiescence=False),
     )
     return LogModel(3, 0, operations, bounds, prelude=prelude)
 
 
-def _standby(bounds: Bounds) -> LogModel:
-    """A member is to leave, and a standby can replace it."""
+def _member_retired(bounds: Bounds) -> LogModel:
+    """A member is being retired, and a standby can replace it."""
     operations = [_append("x", 1), _append("y", 1, (1,)), _read(1, (2,))]
     prelude = (PreludeStep(ActionKind.SUBMIT, 1, 1),)
     return LogModel(3, 1, operations, bounds, retired=(3,), prelude=prelude)
@@ -72,19 +72,19 @@
 
 LOG_INITIAL_STATES: dict[str, InitialState] = {
     "three-stores": InitialState(
-        "a leader and two peers; a process is started again with what was flushed",
+        "a leader and two followers; flushes are separate steps, one power loss",
         _leader_of_three,
         ticks=1,
         powers=1,
         slow_disk=True,
     ),
     "holder-lost": InitialState(
-        "the other two members suspect the leader while it goes on",
+        "both followers suspect the leader while it continues to serve",
         _leader_suspected,
         ticks=1,
     ),
     "holder-lost-and-power": InitialState(
-        "the same; a store is started again with what was flushed", _leader_suspected, powers=1
+        "the same; a store restarts with only what was flushed", _leader_suspected, powers=1
     ),
     "holder-lost-and-wipe": InitialState(
         "the same; a store loses its disk",
@@ -96,10 +96,10 @@
         _previous_leader,
         ticks=1,
     ),
-    "two-claim": InitialState("both other members claim the leader's role", _two_claimants),
+    "two-claim": InitialState("both followers claim the leader's role", _two_claimants),
     "store-retires": InitialState(
-        "three stores and a standby; one store is to leave",
-        _standby,
+        "three stores and a standby; one store is being retired",
+        _member_retired,
         ticks=3,
     ),
     **MEMBER_CHANGE_INITIAL_STATES,
--- a/libs/modelcheck/src/modelcheck/log_model.py
+++ b/libs/modelcheck/src/modelcheck/log_model.py
@@ -1,15 +1,16 @@
 """The replicated log under the explorer: stores with the real cores of `replicated_log`.
 
-One control node, a real acceptor and key owner without peers, makes the log's key a register that
-decides at once; agreement of several voters is explored in `control_model`. Stubs replace the feed,
-which brings the key to the stores in any order and may lose it, and the failure detector.
-Invariants:
+A single control node, with a real acceptor and key owner, makes the log's control key a register
+that decides each change at once; agreement of several voters is explored in `control_model`. Stubs
+replace the config feed, whose updates may be lost and reach the stores in any order, and the
+failure detector. Invariants:
 
-L1  a position of the log that has committed anywhere never has another record;
-L2  a record acknowledged as committed is in the log of every store that serves from then on;
+L1  records that are committed at the same position of the log, at any store, are the same;
+L2  a record acknowledged as committed is in the log of every store that begins to serve after that;
 L3  at most one store serves in each epoch;
-L4  a read confirmed by the leader has every record acknowledged before it began;
-L5  a store never falls behind a fence or log epoch that it sent, even by restarts with its disk.
+L4  a read confirmed by the leader returns every record acknowledged before the read began;
+L5  a store's fence and log epoch are never lower than those that it sent, even after restarts that
+    keep its disk.
 """
 
 import json
@@ -35,7 +36,7 @@
 
 from modelcheck.actions import ActionKind
 from modelcheck.control_stubs import FixedFailureDetector
-from modelcheck.log_operations import AppendRecord, LearnFleet
+from modelcheck.log_operations import AppendRecord, UpdateFleetView
 from modelcheck.log_stubs import BroadcastFeed, FleetView
 from modelcheck.model_environment import BootImage, Envelope, ModelDisk
 from modelcheck.system_model import (
@@ -61,9 +62,6 @@
 _FIRST_TOKEN = 1
 
 
-# -- observations ------------------------------------------------------------------------------
-
-
 class RecordCommitted(NamedTuple):
     """A record that is committed at a store: its position, its stamp and its name."""
 
@@ -125,10 +123,11 @@
 
 
 class LogGhost:
-    """The ghost variable: what has been observed of the log.
+    """The ghost variable: the observations of the log so far.
 
-    The names of the records acknowledged, the records committed, who served, the highest fence and
-    log epoch that each store sent, the operations begun, and the numbers of those answered.
+    These are the names of the records acknowledged, the records committed, the stores that served
+    in each epoch, the highest fence and log epoch that each store sent, the operations begun, and
+    the numbers of the operations answered.
     """
 
     __slots__ = ("acknowledged", "answered", "begun", "committed", "fences", "servers")
@@ -167,7 +166,7 @@
 
 
 class _GhostUpdate:
-    """The change of a ghost by the observations of one step, checked for L1 to L4."""
+    """Adds the observations of one step to a ghost, and checks L1 to L4."""
 
     __slots__ = ("_acknowledged", "_answered", "_begun", "_committed", "_fences", "_servers")
 
@@ -180,7 +179,7 @@
         self._answered = set(ghost.answered)
 
     def ghost(self) -> LogGhost:
-        """Return the ghost with all that was added."""
+        """Return the ghost with the observations added."""
         return LogGhost(
             frozenset(self._acknowledged),
             frozenset(self._committed),
@@ -191,7 +190,7 @@
         )
 
     def add(self, observation: Observation) -> None:
-        """Add one observation; raises InvariantViolationError."""
+        """Add an observation; raises InvariantViolationError if it violates L1 to L4."""
         match observation:
             case OperationSubmitted():
                 acknowledged = frozenset(self._acknowledged)
@@ -202,7 +201,7 @@
             case ServingBegun():
                 self._add_server(observation)
             case FenceSent():
-                self._raise_fence(observation)
+                self._add_fence(observation)
             case ReadConfirmed():
                 self._add_read(observation)
             case RecordCommitted():
@@ -219,11 +218,13 @@
         lacking = self._acknowledged - begun.names
         if lacking:
             raise InvariantViolationError(
-                "L2", f"{begun.identity} serves in epoch {begun.epoch} without {lacking}"
+                "L2",
+                f"{begun.identity} serves in epoch {begun.epoch} "
+                f"without the acknowledged records {sorted(lacking)}",
             )
         self._servers.add(Server(begun.epoch, begun.identity))
 
-    def _raise_fence(self, sent: FenceSent) -> None:
+    def _add_fence(self, sent: FenceSent) -> None:
         known = next(
             (fence for fence in self._fences if fence.identity == sent.identity),
             FenceSent(sent.identity, 0, 0),
@@ -242,7 +243,7 @@
         lacking = acknowledged - read.names
         if lacking:
             raise InvariantViolationError(
-                "L4", f"a read lacks {lacking}, acknowledged before it began"
+                "L4", f"a read lacks the records {sorted(lacking)}, acknowledged before it began"
             )
         self._answered.add(read.operation)
 
@@ -257,24 +258,28 @@
         )
         if other is not None:
             raise InvariantViolationError(
-                "L1", f"position {committed.seq} committed as {other} and as {committed}"
+                "L1", f"position {committed.seq} was committed as {other} and as {committed}"
             )
         self._committed.add(committed)
 
 
-# -- the model ---------------------------------------------------------------------------------
-
-
 class LogModel(SystemModel):
     """Members of the log and standby replicas; the first member is the first leader.
 
-    Node 0 is the control node, and the stores are numbered from 1. `retired` has the numbers of the
-    stores that are to leave.
+    Node 0 is the control node, and the stores are numbered from 1, the members first. The prelude
+    bootstraps the log before the steps of `prelude`.
+
+    Parameters
+    ----------
+    members, standbys
+        The number of stores of each kind.
+    retired
+        The numbers of the stores that are being retired.
     """
 
     dropped_types = (LeaderHeartbeat,)
     reliable_nodes = frozenset({_CONTROL})
-    own_at_once = True
+    immediate_self_delivery = True
     fifo_links = True
 
     def __init__(
@@ -309,7 +314,7 @@
         )
 
     def _bootstrap(self, members: list[dict[str, str]]) -> Operation:
-        """Return the operation that sets the log's first members and leader."""
+        """Return the change of the log's key that sets the first members and leader."""
         value = {
             "epoch": 1,
             "holder": self.identities[_FIRST_LEADER],
@@ -334,10 +339,8 @@
             }
         )
 
-    # -- nodes ---------------------------------------------------------------------------------
-
     def boot_image(self, index: int) -> BootImage:
-        """Return the disk of a bootstrapped acceptor or of a blank store."""
+        """Return the disk of a bootstrapped acceptor, or of a store with an empty log."""
         if index == _CONTROL:
             address = self.addresses[_CONTROL]
             row = {"identity": "control", "address": address, "zone": "a", "region": ""}
@@ -373,15 +376,18 @@
         return Node(running.env, self._make_settings("control"), [owner, acceptor, feed])
 
     def submit(self, index: int, running: RunningNode, number: int) -> None:
-        """Give an operation to a store, if it serves, or the first change to control."""
+        """Submit an operation to a store, or the bootstrap change to the control node.
+
+        An append or read at a store that does not serve has no effect.
+        """
         message = self.operations[number].message
         if isinstance(message, Change):
             owner = cast(KeyOwner, running.node.components[0])
             owner.submit(type(message)(**message.as_dict()), _IgnoredResult())
             return
-        if isinstance(message, LearnFleet):
+        if isinstance(message, UpdateFleetView):
             view = cast(FleetView, running.node.components[2])
-            view.update(self._rows_after(message.wiped), self._names(message.retired))
+            view.update(self._rows_after_wipe(message.wiped), self._names(message.retired))
             return
         replica = _replica(running)
         if replica.role != Role.SERVING or replica.leader is None:
@@ -392,8 +398,8 @@
         else:
             replica.leader.read(_ReadObserver(running, number, replica.leader, replica.log))
 
-    def _rows_after(self, wiped: tuple[int, ...]) -> list[dict[str, str]]:
-        """Return the stores' rows where those `wiped` have the identity of a second start."""
+    def _rows_after_wipe(self, wiped: tuple[int, ...]) -> list[dict[str, str]]:
+        """Return the stores' rows; `wiped` stores have the identity generated at their restart."""
         rows = [dict(row) for row in self._stores]
         for index in wiped:
             identity = f"{self.identities[index]}-{_SECOND_INCARNATION}-{_FIRST_TOKEN}"
@@ -421,8 +427,6 @@
             if record.seq <= log.committed_seq
         )
 
-    # -- invariants ----------------------------------------------------------------------------
-
     def initial_ghost(self) -> LogGhost:
         """Return the ghost before the first step."""
         return LogGhost()
@@ -448,16 +452,13 @@
             if state.fence < fence.fence or state.log_epoch < fence.log_epoch:
                 raise InvariantViolationError(
                     "L5",
-                    f"{state.identity} sent {fence.fence, fence.log_epoch}, "
-                    f"has {state.fence, state.log_epoch}",
+                    f"{state.identity} sent fence and log epoch {fence.fence, fence.log_epoch}, "
+                    f"but has {state.fence, state.log_epoch}",
                 )
 
 
-# -- observers ---------------------------------------------------------------------------------
-
-
 class _IgnoredResult:
-    """Takes the result of a change that nobody waits for."""
+    """A callback that ignores the result of a change."""
 
     __slots__ = ()
 
@@ -466,7 +467,7 @@
 
 
 class _AppendObserver:
-    """Observes that an append is acknowledged as committed."""
+    """Adds an append to the observations once it is acknowledged as committed."""
 
     __slots__ = ("_name", "_number", "_running")
 
@@ -481,9 +482,9 @@
 
 
 class _ReadObserver:
-    """Observes what a leader returns once it has confirmed that it is the leader.
+    """Adds a read to the observations once the leader has confirmed that it is still the leader.
 
-    It has the leader, so that reads of two leaders are told apart as local states.
+    The reference to the leader makes pending reads at two leaders different local states.
     """
 
     __slots__ = ("_leader", "_log", "_number", "_running")
@@ -500,7 +501,7 @@
 
 
 class _ServingObserver:
-    """Observes that a store begins to serve."""
+    """Adds to the observations that a store begins to serve."""
 
     __slots__ = ("_log", "_running")
 
@@ -516,7 +517,7 @@
 
 
 class _FenceObserver:
-    """Observes the fences and log epochs that a store sends."""
+    """Adds the fences and log epochs that a store sends to the observations."""
 
     __slots__ = ("_running",)
 
--- a/libs/modelcheck/src/modelcheck/log_operations.py
+++ b/libs/modelcheck/src/modelcheck/log_operations.py
@@ -1,6 +1,6 @@
-"""Operations that a schedule gives to the stores of the replicated log."""
+"""Operations that a schedule submits to the stores of the replicated log."""
 
-__all__ = ["AppendRecord", "LearnFleet", "ReadLog"]
+__all__ = ["AppendRecord", "ReadLog", "UpdateFleetView"]
 
 
 class AppendRecord:
@@ -18,10 +18,15 @@
     __slots__ = ()
 
 
-class LearnFleet:
-    """An update of one store's view of the fleet, by the numbers of the stores concerned.
+class UpdateFleetView:
+    """An update of one store's view of the fleet.
 
-    `wiped` stores live on at their addresses under another identity, `retired` ones are to leave.
+    Parameters
+    ----------
+    wiped
+        The numbers of the stores that have restarted at their addresses under other identities.
+    retired
+        The numbers of the stores that are being retired.
     """
 
     __slots__ = ("retired", "wiped")
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -9,7 +9,7 @@
 
 
 class BroadcastFeed(Component):
-    """A stub of the feed at control: sends each new value to every store once."""
+    """A stub of the control node's config feed that sends each new version to every store once."""
 
     __slots__ = ("_stores",)
 
@@ -24,7 +24,7 @@
 
 
 class FleetView(Component):
-    """A stub of a store's view: the log's key as received, and all stores, taken for live."""
+    """A stub of a store's view of the fleet, in which all stores are live."""
 
     __slots__ = ("_body", "_retired", "_rows", "_version")
     HANDLES = (KeyUpdates,)
@@ -36,24 +36,24 @@
         self._body = ""
 
     def receive(self, message: Message, origin: Origin) -> None:
-        """Take in the versions of the log's key that the feed brings."""
+        """Record the versions of the log's key that the config feed sends."""
         batch = cast(KeyUpdates, message)
         for data in batch.updates:
             update = decode_as(KeyUpdate, data)
             self.learned(update.version, update.body)
 
     def learned(self, version: int, body: str) -> None:
-        """Take in a version of the log's key, unless a newer one is known."""
+        """Record a version of the log's key, unless a newer one is known."""
         if version > self._version:
             self._version, self._body = version, body
 
     def update(self, rows: list[dict[str, str]], retired: list[str]) -> None:
-        """Replace the live stores and the identities of those that are to leave."""
+        """Replace the rows of the live stores and the identities of the retired ones."""
         self._rows = rows
         self._retired = retired
 
     def log_key(self) -> tuple[int, str]:
-        """Return the newest known version of the log's key, with its body."""
+        """Return the newest known version of the log's key and its body."""
         return self._version, self._body
 
     def store_rows(self) -> list[dict[str, str]]:
@@ -61,9 +61,9 @@
         return self._rows
 
     def retired_stores(self) -> list[str]:
-        """Return the identities of the stores that are to leave."""
+        """Return the identities of the stores that are being retired."""
         return self._retired
 
     def knows_fleet(self) -> bool:
-        """Return False: the model bootstraps the log, never a store."""
+        """Return False, so that no store bootstraps the log; the model does it."""
         return False
--- a/libs/modelcheck/src/modelcheck/model_environment.py
+++ b/libs/modelcheck/src/modelcheck/model_environment.py
@@ -1,7 +1,7 @@
 """The simulated environment of one node under the explorer.
 
-The clock moves and flushes end only when told to, and messages sent are collected. Every random
-number is fixed, so a node's state is a function of the events that it has been given.
+The explorer advances the clock and completes flushes, and messages sent are collected. All random
+numbers are fixed, so a node's state is a function of its boot image and the events applied to it.
 """
 
 import random
@@ -20,7 +20,7 @@
 
 
 class BootImage:
-    """What a process starts from: its files, its clock (ms) and the number of the start."""
+    """What a process starts from: its files, its clock in ms and the number of its start."""
 
     __slots__ = ("clock_ms", "files", "incarnation")
 
@@ -31,7 +31,7 @@
 
 
 class Envelope:
-    """A message in flight, with its request's number and the one it replies to (0 for none)."""
+    """A message in flight; a `request_id` or `in_reply_to` of 0 means none."""
 
     __slots__ = ("in_reply_to", "message", "request_id", "sender", "to")
 
@@ -45,8 +45,8 @@
         self.message = message
 
 
-class _FixedNumbers:
-    """A random number generator with fixed results; `random` never makes a core wait."""
+class _DeterministicRandom:
+    """A random number generator with fixed results; `random` is 0, so no core waits by chance."""
 
     __slots__ = ("_incarnation",)
 
@@ -54,7 +54,7 @@
         self._incarnation = incarnation
 
     def getrandbits(self, bits: int) -> int:
-        """Return the first request number of this process's incarnation."""
+        """Return the first request number of this incarnation of the process."""
         return self._incarnation * _REQUESTS_PER_INCARNATION
 
     def random(self) -> float:
@@ -78,10 +78,10 @@
 
 
 class ModelEnvironment:
-    """The environment that `messaging` gives a node.
+    """The simulated `messaging.Environment` of a node.
 
     `sent` collects the messages sent, and `on_send` is called with each of them. `requests` has
-    the requests received, by sender and reference.
+    the requests received, by their sender and number.
     """
 
     __slots__ = (
@@ -101,7 +101,7 @@
         self.address = address
         self.incarnation = boot_image.incarnation
         self.now_ms = boot_image.clock_ms
-        self.rng = cast(random.Random, _FixedNumbers(boot_image.incarnation))
+        self.rng = cast(random.Random, _DeterministicRandom(boot_image.incarnation))
         self.sent: list[Envelope] = []
         self.requests: dict[tuple[str, int], Message] = {}
         self.on_send: Callable[[Envelope], None] = lambda envelope: None
@@ -121,13 +121,13 @@
         return f"{self.name}-{self.incarnation}-{self._tokens}"
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
-        """Collect a message that the node sends."""
+        """Add a message that the node sends to `sent`, and call `on_send`."""
         envelope = Envelope(self.address, to, request_id, in_reply_to, message)
         self.sent.append(envelope)
         self.on_send(envelope)
 
     def received(self, envelope: Envelope) -> None:
-        """Note a request, so that the reply to it can be told from others."""
+        """Record a message if it is a request, so that the request of a reply can be found."""
         if envelope.request_id:
             self.requests[(envelope.sender, envelope.request_id)] = envelope.message
 
@@ -143,7 +143,7 @@
 
 
 class _DiskStep(NamedTuple):
-    """A change of one file; `offset` is the new size where the file is truncated."""
+    """A change of a file; `offset` is the new size if the file is truncated."""
 
     kind: _StepKind
     offset: int = 0
@@ -162,9 +162,10 @@
 
 
 class _UnfinishedFlush:
-    """A flush, or the replacement of a file, that has not ended.
+    """An unfinished flush, or an unfinished replacement of a file.
 
-    A flush has how many steps of each file it covers; a replacement has the file's new content.
+    A flush has the number of pending steps of each file that it covers in `step_counts`; a
+    replacement has the name of the file and its new content in `data`.
     """
 
     __slots__ = ("data", "done", "name", "step_counts")
@@ -183,9 +184,10 @@
 
 
 class ModelDisk(Disk):
-    """A disk of unlimited size, whose flushes end only by `complete`.
+    """A disk of unlimited size that never fails, whose flushes end only by `complete`.
 
-    `files` is what the process reads, and `durable` what a power failure leaves.
+    `files` is the content that the process reads, and `durable` what remains after a power loss.
+    `pending` has the steps of each file that are not durable yet.
     """
 
     __slots__ = ("durable", "files", "pending", "unfinished")
@@ -218,17 +220,17 @@
 
     def write(self, name: str, offset: int, data: bytes, urgent: bool = False) -> None:
         """Write `data` at `offset`; not durable before a flush."""
-        self._step(name, _DiskStep(_StepKind.WRITE, offset, bytes(data)))
+        self._add_step(name, _DiskStep(_StepKind.WRITE, offset, bytes(data)))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to `size` bytes; not durable before a flush."""
+        """Truncate a file to `size` bytes; not durable before a flush."""
         if name in self.files and size != len(self.files[name]):
-            self._step(name, _DiskStep(_StepKind.TRUNCATE, size))
+            self._add_step(name, _DiskStep(_StepKind.TRUNCATE, size))
 
     def remove(self, name: str) -> None:
         """Remove a file; not durable before a flush."""
         if name in self.files:
-            self._step(name, _DiskStep(_StepKind.REMOVE))
+            self._add_step(name, _DiskStep(_StepKind.REMOVE))
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
         """Begin a flush of these files and of all removals; `done` is called when it ends."""
@@ -255,7 +257,7 @@
         return bool(self.unfinished)
 
     def complete(self) -> None:
-        """End the oldest flush or replacement, and call back whoever waits for it."""
+        """Complete the oldest flush or replacement, and call its callback with True."""
         flush = self.unfinished.pop(0)
         if flush.data is not None:
             self.files[flush.name] = self.durable[flush.name] = flush.data
@@ -267,6 +269,6 @@
             self.pending[name] = steps[count:]
         flush.done(True)
 
-    def _step(self, name: str, step: _DiskStep) -> None:
+    def _add_step(self, name: str, step: _DiskStep) -> None:
         step.apply(self.files, name)
         self.pending.setdefault(name, []).append(step)
--- a/libs/modelcheck/src/modelcheck/specifications.py
+++ b/libs/modelcheck/src/modelcheck/specifications.py
@@ -1,7 +1,7 @@
 """Sequential specifications that recorded histories are checked against.
 
 These are a versioned register for a control key, and a batch job with the positions of its results.
-They define what a caller may be told, and nothing of how the system brings it about.
+They define the responses that a caller may get, independently of the implementation.
 """
 
 from typing import Any, NamedTuple
@@ -22,27 +22,24 @@
 ]
 
 CONFIRMED = "ok"
-"""The outcome of a change that is in force."""
+"""The outcome of a change that was applied."""
 
 ADMITTED, KNOWN, FULL = "admitted", "known", "full"
 """The responses to the submission of a job."""
 
 MISSING = "missing"
-"""The response to a read of a job that is not known."""
-
-
-# -- a control key -----------------------------------------------------------------------------
+"""The response to a read of an unknown job."""
 
 
 class ChangeKey(NamedTuple):
-    """A change based on a version, identified by its id; see `ChangeResponse`."""
+    """A change of the version `base`, identified by its id; see `ChangeResponse`."""
 
     change_id: str
     base: int
 
 
 class ChangeResponse(NamedTuple):
-    """The outcome of a change, `CONFIRMED` or refused, and the version that it made or met."""
+    """The outcome of a change, and the version that it made or, if it was refused, found."""
 
     outcome: str
     version: int
@@ -62,8 +59,8 @@
 class RegisterSpecification:
     """The specification of a control key.
 
-    Its state is the ids of the decided changes in their order; the first made version 1. A change
-    sent again under its id is confirmed again as the version that it made.
+    Its state is the ids of the applied changes in their order; the first of them made version 1. A
+    change that is sent again under its id is confirmed again, as the version that it made.
     """
 
     def initial_state(self) -> tuple[str, ...]:
@@ -90,9 +87,6 @@
         return applied if may_apply and version == len(applied) else None
 
 
-# -- a batch job -------------------------------------------------------------------------------
-
-
 class SubmitJob(NamedTuple):
     """The submission of a job; the response is `ADMITTED`, `KNOWN` or `FULL`."""
 
@@ -102,17 +96,17 @@
 
 
 class GetJob(NamedTuple):
-    """A read of results from `start` on; the response is `MISSING`, or a `JobState` of them."""
+    """A read of the results from `start` on; the response is `MISSING` or a `JobState`."""
 
     start: int
 
 
 class JobState:
-    """A job that is known: whether it was cancelled, and which results are listed.
+    """The state of a known job: whether it was cancelled, and its results.
 
-    `listed` of `total` results are listed, and `results` has some of them by position. `cancelled`
-    is None after a cancellation that may have come when all results were listed already, and then
-    changes nothing.
+    The first `listed` of `total` results are listed, and `results` has some of them by position.
+    `cancelled` is None after a cancellation whose effect is not known: if all results were listed
+    before it, it has none.
     """
 
     __slots__ = ("cancelled", "listed", "results", "total")
@@ -150,9 +144,9 @@
 class JobSpecification:
     """The specification of a batch job of `total` items.
 
-    The system may append results at any time; a result never changes. A node may ask the log again
-    for a caller whose call it forwarded, so the call that submits a job may be told that it is
-    known.
+    The system may append results at any time; a result never changes. The call that submits the job
+    may itself get the response `KNOWN`, because a node may repeat a request to the log that it
+    forwards for a caller.
     """
 
     def __init__(self, total: int) -> None:
@@ -171,13 +165,13 @@
         return self._read(state, call)
 
     def _submitted(self, state: Any, call: Call) -> _State | None:
-        blank = JobState(False, 0, self._total, {})
+        submitted = JobState(False, 0, self._total, {})
         if not call.has_returned:
-            return blank if state == _ABSENT else None
+            return submitted if state == _ABSENT else None
         if call.response == FULL:
             return _ABSENT if state == _ABSENT else None
         if state == _ABSENT:
-            return blank
+            return submitted
         known: JobState = state
         return known if call.response == KNOWN else None
 
@@ -200,7 +194,7 @@
 
 
 def _may_follow(state: JobState, seen: JobState) -> bool:
-    """Whether a read may show `seen` after the state, with more results listed."""
+    """Whether a read may return `seen` in this state, possibly with more results listed since."""
     if seen.total != state.total or not state.listed <= seen.listed <= state.total:
         return False
     if any(state.results.get(position, text) != text for position, text in seen.results.items()):
@@ -211,7 +205,7 @@
 
 
 def _is_contiguous(start: int, seen: JobState) -> bool:
-    """Whether the results shown follow each other from `start` on, and all of them are listed."""
+    """Whether the results have consecutive positions from `start` on, all of them listed."""
     positions = sorted(seen.results)
-    follow_on = positions == list(range(start, start + len(positions)))
-    return follow_on and (not positions or positions[-1] < seen.listed)
+    is_consecutive = positions == list(range(start, start + len(positions)))
+    return is_consecutive and (not positions or positions[-1] < seen.listed)
--- a/libs/modelcheck/src/modelcheck/system_model.py
+++ b/libs/modelcheck/src/modelcheck/system_model.py
@@ -1,11 +1,11 @@
-"""What a model of a group of nodes has to define for the explorer.
+"""The interface between the explorer and a model of a group of nodes.
 
-It defines the nodes and how they start, the operations that they are given, what is observed of
-them, and the invariants. The explorer knows nothing else about the group.
+A model defines the nodes and how they start, the operations submitted to them, what is observed of
+them, and the invariants. The explorer depends on nothing else of the group.
 
-Invariants often speak of the past: "a confirmed change is never lost" can't be judged by the nodes'
+Many invariants refer to the past: "a confirmed change is never lost" can't be checked on the nodes'
 present states alone. A model therefore has a ghost variable (also called auxiliary or history
-variable): a value that the nodes never see, which collects what has been observed of them so far.
+variable): a value that the nodes never see, which collects the observations made so far.
 """
 
 from abc import ABC, abstractmethod
@@ -34,7 +34,10 @@
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold; `invariant` is its number, such as C1."""
+    """An invariant does not hold; `invariant` is its name, such as C1.
+
+    The name is RAISED if a node raised an exception.
+    """
 
     def __init__(self, invariant: str, explanation: str) -> None:
         super().__init__(f"{invariant}: {explanation}")
@@ -44,10 +47,23 @@
 class Bounds:
     """The bounds of a search.
 
-    The counts (`COUNTS`) limit how often each kind of fault may happen in one schedule, `depth` its
-    number of steps, `states` the global states visited, and `seconds` the time. With `slow_disk`
-    the end of each flush is a step of its own; without it flushes end at once. An unknown count
-    raises TypeError.
+    Parameters
+    ----------
+    depth
+        The maximum number of steps in a schedule.
+    states
+        The number of global states at which the search stops.
+    seconds
+        The time after which the search stops.
+    slow_disk
+        Whether the end of each flush is a step of its own; otherwise flushes end at once.
+    **counts
+        How often each of the faults in `COUNTS` may happen in one schedule; by default never.
+
+    Raises
+    ------
+    TypeError
+        A name is not in `COUNTS`.
     """
 
     COUNTS = (
@@ -74,7 +90,9 @@
     ) -> None:
         unknown = [name for name in counts if name not in self.COUNTS]
         if unknown:
-            raise TypeError(f"no such bound: {', '.join(unknown)}")
+            raise TypeError(
+                f"unknown bounds: {', '.join(unknown)}; expected: {', '.join(self.COUNTS)}"
+            )
         self.depth = depth
         self.states = states
         self.seconds = seconds
@@ -92,10 +110,10 @@
 
 
 class Operation:
-    """A client's operation on a node, submitted once in a schedule.
+    """A client's operation at a node, submitted at most once in a schedule.
 
-    It may be submitted at any time after the operations that it `requires` (by their number in the
-    model) have been answered.
+    It may be submitted at any time after the operations `requires`, given by their numbers in the
+    model, have been answered.
     """
 
     __slots__ = ("message", "name", "node", "requires")
@@ -130,7 +148,7 @@
 
 
 class InitialState:
-    """A named initial state, with the default bounds of its exploration."""
+    """An initial state of a model, with the default bounds of the search from it."""
 
     __slots__ = ("_bounds", "_make", "summary")
 
@@ -149,27 +167,34 @@
 class PreludeStep:
     """A step of a prelude.
 
-    If `runs_on`, all that follows from it happens as well, until no message is in flight: messages
-    are delivered in the order of sending and flushes end at once. Meanwhile messages to and from
-    the node `isolated` are lost, and so are those from the first to the second node of each of
-    `lost_links`.
+    Parameters
+    ----------
+    kind, node, number
+        The action, as for `actions.Action`.
+    runs_to_quiescence
+        Whether flushes are completed and messages delivered after the action, until no flush is
+        unfinished and no message is in flight.
+    isolated
+        A node; messages to and from it are lost while the step runs to quiescence.
+    lost_links
+        Pairs of nodes; messages from the first to the second are lost in the same way.
     """
 
-    __slots__ = ("isolated", "kind", "lost_links", "node", "number", "runs_on")
+    __slots__ = ("isolated", "kind", "lost_links", "node", "number", "runs_to_quiescence")
 
     def __init__(
         self,
         kind: ActionKind,
         node: int,
         number: int = 0,
-        runs_on: bool = True,
+        runs_to_quiescence: bool = True,
         isolated: int | None = None,
         lost_links: tuple[tuple[int, int], ...] = (),
     ) -> None:
         self.kind = kind
         self.node = node
         self.number = number
-        self.runs_on = runs_on
+        self.runs_to_quiescence = runs_to_quiescence
         self.isolated = isolated
         self.lost_links = lost_links
 
@@ -180,15 +205,16 @@
     Nodes are numbered from 0 in the order of `addresses`, operations in that of `operations`.
 
     - `tick_ms`, `timeout_ms` and `freeze_ms` are how far TICK, TIMEOUT and FREEZE advance a clock.
-    - `prelude` is run before the search.
+    - `prelude` is run before the search, without counting against the bounds.
     - Messages of the types in `dropped_types` are always lost.
-    - If `own_at_once`, messages of a node to itself are delivered at once.
-    - Nodes in `reliable_nodes` never fail and have no timers; they only receive messages.
+    - If `immediate_self_delivery`, messages of a node to itself are delivered at once.
+    - Nodes in `reliable_nodes` never fail and their timers don't run: they only handle messages and
+      submissions, and complete flushes.
     - If `fifo_links`, messages between two nodes are delivered in the order of sending.
     - `skipped_slots` and `opaque_types` are as for `canonical_encoding.Encoder`.
 
-    A ghost is the value of the ghost variable (see the module). It is never modified and is
-    compared by value.
+    A ghost is a value of the ghost variable (see the module). It is immutable and is compared by
+    value.
     """
 
     addresses: list[str]
@@ -201,28 +227,28 @@
     dropped_types: tuple[type[Message], ...] = ()
     reliable_nodes: frozenset[int] = frozenset()
     fifo_links: bool = False
-    own_at_once: bool = False
+    immediate_self_delivery: bool = False
     skipped_slots: frozenset[tuple[str, str]] = frozenset()
     opaque_types: tuple[type, ...] = ()
 
     @abstractmethod
     def boot_image(self, index: int) -> BootImage:
-        """Return what a node starts from at the beginning."""
+        """Return the boot image of a node's first start."""
 
     @abstractmethod
     def start(self, index: int, running: RunningNode) -> Node:
-        """Start the node's process from its disk, and observe it from then on."""
+        """Start the node's process from its disk, and begin to observe it."""
 
     @abstractmethod
     def submit(self, index: int, running: RunningNode, number: int) -> None:
-        """Give the operation of this number to its node."""
+        """Submit the operation of this number to its node."""
 
     @abstractmethod
     def observe(self, index: int, running: RunningNode) -> Hashable:
-        """Return what the invariants need to know of a node's state."""
+        """Return the part of a node's state that the invariants check."""
 
     def facts(self, index: int, running: RunningNode) -> frozenset[Observation]:
-        """Return facts of a node's state; those that a step adds are observed after it."""
+        """Return facts about a node's state; those that a step adds become its observations."""
         return frozenset()
 
     @abstractmethod
@@ -235,7 +261,8 @@
 
         Raises
         ------
-        InvariantViolationError: what was observed violates an invariant.
+        InvariantViolationError
+            The observations violate an invariant.
         """
 
     @abstractmethod
@@ -244,7 +271,8 @@
 
         Raises
         ------
-        InvariantViolationError: one of them does not hold.
+        InvariantViolationError
+            An invariant does not hold.
         """
 
     def answered(self, ghost: Any) -> frozenset[int]:
@@ -252,9 +280,9 @@
         return frozenset()
 
     def is_obsolete(self, done: Callable[..., Any]) -> bool:
-        """Whether the reply to a pending request no longer matters; `done` is its callback."""
+        """Whether the reply to a pending request has no effect; `done` is its callback."""
         return False
 
     def disk_key(self, disk: ModelDisk) -> Any:
-        """Return what of a disk's content matters to a process that starts from it."""
+        """Return the part of a disk's content that affects a process that starts from it."""
         return (disk.files, disk.durable)
