--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,5 +1,5 @@
-"""The explorer: all invariants hold within small bounds, and mutations of the code are found, with the
-shortest schedule, which can be run again. Drawn schedules go deeper than all schedules can.
+"""The explorer on control keys: the invariants hold within small bounds, and mutations of the code are found with a
+shortest counterexample, which can be replayed. Random schedules are deeper than those of a complete search.
 """
 
 from contextlib import contextmanager
@@ -22,7 +22,7 @@
 
 STATES = 6_000
 NO_FAULTS = {"timeouts": 0, "ticks": 0, "kills": 0, "freezes": 0}
-DRAWN_SCHEDULES = settings(
+RANDOM_SCHEDULES = settings(
     max_examples=12,
     stateful_step_count=60,
     derandomize=True,
@@ -33,14 +33,14 @@
 
 
 class OneVote(QuorumRound):
-    """Takes one vote for a majority."""
+    """Counts one vote as a majority."""
 
     def __init__(self, *args, **options):
         super().__init__(*args, **options)
         self._majority = 1
 
 
-def forget_newest(votes):
+def ignore_found_values(votes):
     return control_store.key_state.blank_value()
 
 
@@ -50,8 +50,8 @@
         done(True)
 
 
-def refuse_interrupted(self, key, new_value, round_, ok):
-    """A change whose round was cut short is refused instead of looked into."""
+def refuse_failed_round(self, key, new_value, round_, ok):
+    """Refuses a change whose quorum round failed, although it may have been chosen."""
     if ok:
         ORIGINAL_CHANGED(self, key, new_value, round_, ok)
     else:
@@ -60,15 +60,15 @@
 
 
 def read_without_round(self, key):
-    """An owner that was one once answers without asking its voters again."""
+    """Executes operations at an owner without a quorum round that confirms its ownership."""
     if key.state is control_store.key_state.OwnershipState.OWNED and key.operations:
         self._execute(key, None)
     else:
         ORIGINAL_NEXT(self, key)
 
 
-def attach_without_name(self, node):
-    """Owners of one epoch can't be told apart."""
+def attach_with_shared_identity(self, node):
+    """Gives all proposers the same identity, so that proposal numbers of one epoch are equal."""
     ORIGINAL_ATTACH(self, node)
     self._proposer.identity = "owner"
 
@@ -78,21 +78,21 @@
 ORIGINAL_NEXT = control_store.key_owner.KeyOwner._start_next
 
 
-def patched(where, name, other):
-    return lambda: mock.patch.object(where, name, other)
+def patched(target, name, replacement):
+    return lambda: mock.patch.object(target, name, replacement)
 
 
 @contextmanager
-def without_names_checking_chosen_only():
-    """Only what was chosen is looked at, since C2 fails as early."""
+def shared_identity_checking_chosen_only():
+    """Skips the invariants of `check`: its C2 fails as early as C1, which this mutation shall violate."""
     with (
-        mock.patch.object(control_store.key_owner.KeyOwner, "attach", attach_without_name),
+        mock.patch.object(control_store.key_owner.KeyOwner, "attach", attach_with_shared_identity),
         mock.patch.object(ControlKeyModel, "check", lambda self, ghost, observed: None),
     ):
         yield
 
 
-# What is mutated, the start that shows it, its bounds, and the invariants that may be the first to fail.
+# The mutation, the initial state in which it is found, the bounds, and the invariants that may be violated first.
 MUTATIONS = {
     "one vote is a majority": (
         patched(control_store.proposer, "QuorumRound", OneVote),
@@ -100,37 +100,37 @@
         {},
         ("C5",),
     ),
-    "an owner forgets what it found": (
-        patched(control_store.key_owner, "newest_accepted", forget_newest),
+    "an owner ignores the values it found": (
+        patched(control_store.key_owner, "newest_accepted", ignore_found_values),
         "three-voters",
         {"powers": 0, "slow_disk": False},
         ("C1", "C2", "C6"),
     ),
-    "two owners forget what they found": (
-        patched(control_store.key_owner, "newest_accepted", forget_newest),
+    "two owners ignore the values they found": (
+        patched(control_store.key_owner, "newest_accepted", ignore_found_values),
         "resent-connected",
         NO_FAULTS,
         ("C1", "C2"),
     ),
-    "ballots without a name": (
-        without_names_checking_chosen_only,
+    "proposal numbers without the proposer": (
+        shared_identity_checking_chosen_only,
         "resent-connected",
         NO_FAULTS,
         ("C1",),
     ),
-    "votes before they are on disk": (
+    "votes sent before they are on disk": (
         patched(control_store.register_store.RegisterStore, "_flush", vote_before_flush),
         "three-voters",
         {},
         ("C3",),
     ),
-    "a change cut short is refused": (
-        patched(control_store.key_owner.KeyOwner, "_changed", refuse_interrupted),
+    "a change whose round failed is refused": (
+        patched(control_store.key_owner.KeyOwner, "_changed", refuse_failed_round),
         "resent-connected",
         {"ticks": 0, "kills": 0, "freezes": 0},
         ("C4",),
     ),
-    "a reading without a round": (
+    "a read without a quorum round": (
         patched(control_store.key_owner.KeyOwner, "_start_next", read_without_round),
         "read-behind",
         {},
@@ -139,12 +139,12 @@
 }
 
 
-def search(start, **bounds):
-    explorer = Explorer(INITIAL_STATES[start].model(**bounds))
+def search(state_name, **bounds):
+    explorer = Explorer(INITIAL_STATES[state_name].model(**bounds))
     return explorer, explorer.search()
 
 
-class Exploring(TestCase):
+class ControlExploration(TestCase):
     def test_invariants_hold(self):
         for name in CONTROL_INITIAL_STATES:
             explorer, result = search(name, states=STATES)
@@ -152,9 +152,9 @@
             self.assertThat(result.is_complete or result.states >= STATES, Equals(True), name)
 
     def test_mutations_are_found(self):
-        for name, (mutated, start, bounds, invariants) in MUTATIONS.items():
+        for name, (mutated, state_name, bounds, invariants) in MUTATIONS.items():
             with mutated():
-                explorer, result = search(start, states=150_000, **bounds)
+                explorer, result = search(state_name, states=150_000, **bounds)
             self.assertThat(result.violation is not None, Equals(True), name)
             self.assertThat(invariants, Contains(result.violation.invariant), name)
             print(
@@ -162,15 +162,17 @@
             )
 
     def test_a_counterexample_is_replayed(self):
-        mutated, start, bounds, _ = MUTATIONS["an owner forgets what it found"]
+        mutated, state_name, bounds, _ = MUTATIONS["an owner ignores the values it found"]
         with mutated():
-            explorer, result = search(start, states=50_000, **bounds)
+            explorer, result = search(state_name, states=50_000, **bounds)
             steps = read_schedule(write_schedule(explorer.describe(result.counterexample)))
-            again = Explorer(INITIAL_STATES[start].model(**bounds))
+            again = Explorer(INITIAL_STATES[state_name].model(**bounds))
             self.assertRaises(InvariantViolationError, again.replay, steps)
-        self.assertRaises(LookupError, Explorer(INITIAL_STATES[start].model()).replay, steps[::-1])
+        self.assertRaises(
+            LookupError, Explorer(INITIAL_STATES[state_name].model()).replay, steps[::-1]
+        )
 
-    def test_a_search_is_the_same_each_time(self):
+    def test_searches_are_deterministic(self):
         figures = [
             (result.states, result.local_states, result.depth, result.is_complete)
             for _, result in (search("owners-racing", depth=7) for _ in range(2))
@@ -178,11 +180,14 @@
         self.assertThat(figures[0], Equals(figures[1]))
 
 
-class DrawnSchedules(TestCase):
-    """Schedules drawn by hypothesis, which shrinks one that breaks something."""
+class RandomSchedules(TestCase):
+    """Schedules drawn by hypothesis, which shrinks one that violates an invariant.
 
-    def machine(self, start, **bounds):
-        explorer = Explorer(INITIAL_STATES[start].model(**bounds))
+    The random choices depend on the source of the class `Schedules`.
+    """
+
+    def machine(self, state_name, **bounds):
+        explorer = Explorer(INITIAL_STATES[state_name].model(**bounds))
 
         class Schedules(RuleBasedStateMachine):
             def __init__(self):
@@ -202,15 +207,15 @@
         for name in INITIAL_STATES:
             run_state_machine_as_test(
                 self.machine(name, losses=2, duplicates=2, ticks=3, timeouts=3, kills=1),
-                settings=DRAWN_SCHEDULES,
+                settings=RANDOM_SCHEDULES,
             )
 
     def test_a_mutation_is_found(self):
-        mutated, start, bounds, _ = MUTATIONS["an owner forgets what it found"]
+        mutated, state_name, bounds, _ = MUTATIONS["an owner ignores the values it found"]
         with mutated():
             self.assertRaises(
                 InvariantViolationError,
                 run_state_machine_as_test,
-                self.machine(start, **bounds),
-                settings=settings(DRAWN_SCHEDULES, max_examples=300),
+                self.machine(state_name, **bounds),
+                settings=settings(RANDOM_SCHEDULES, max_examples=300),
             )
--- a/tests/test_explore_log.py
+++ b/tests/test_explore_log.py
@@ -1,5 +1,5 @@
-"""The explorer on the replicated log: all invariants hold within small bounds, and mutations of fences, replicas,
-reads, claims and changes of members are found.
+"""The explorer on the replicated log: the invariants hold within small bounds, and mutations of fences, replication,
+reads, claims and member changes are found.
 """
 
 from unittest import mock
@@ -21,20 +21,20 @@
 STATES = 4_000
 FAULTS = ("wipes", "powers", "kills", "timeouts", "duplicates")
 FAULT_STATES = 1_000
-LIMIT = 150_000
+MUTATION_STATES = 150_000
 
 ORIGINAL_RECEIVE = Follower.receive
 ORIGINAL_SAVE = MetadataFile.save
 ORIGINAL_CHANGE = ConfigurationKey.change
 
 
-def committed_here(self, pending, replicated):
-    """The leader's own disk is enough."""
+def is_ready_after_own_flush(self, pending, replicated):
+    """Commits a record once the leader has flushed it, without a quorum."""
     return pending.seq <= self._log.flushed_seq
 
 
-class NothingCommitted:
-    """A log that doesn't know what is committed, so that nothing is refused for contradicting it."""
+class LogWithoutCommits:
+    """A log without committed records, so that no append is refused for contradicting them."""
 
     committed_seq = 0
 
@@ -45,24 +45,24 @@
         return getattr(self._log, name)
 
 
-def take_lower_epochs(self, message, reply, source=""):
-    """A follower takes what an earlier leader sends as if it came from the present one."""
+def accept_lower_epochs(self, message, reply, source=""):
+    """Accepts the appends of an earlier leader as if the present leader had sent them."""
     if not isinstance(message, AppendRequest):
         ORIGINAL_RECEIVE(self, message, reply, source)
         return
     message.epoch = max(message.epoch, self._log.metadata.fence)
-    log, self._log = self._log, NothingCommitted(self._log)
+    log, self._log = self._log, LogWithoutCommits(self._log)
     ORIGINAL_RECEIVE(self, message, reply, source)
     self._log = log
 
 
 def read_without_round(self, done):
-    """A leader reads without asking its followers whether it is the leader still."""
+    """Confirms a read without asking the followers whether the leader is still the leader."""
     done(True)
 
 
-def keep_in_memory(self, done, fence, log_epoch):
-    """Fences are told before they are on disk."""
+def save_in_memory(self, done, fence, log_epoch):
+    """Reports fences as saved before they are on disk."""
     if self.is_new:
         ORIGINAL_SAVE(self, done, fence, log_epoch)
         return
@@ -74,8 +74,8 @@
     done(True)
 
 
-def claim_lost(self, configuration, done):
-    """A claim that another won counts as won."""
+def count_lost_claim_as_won(self, configuration, done):
+    """Treats a claim that another store won as won by this store."""
 
     def changed(outcome):
         if outcome == "lost":
@@ -86,44 +86,60 @@
     ORIGINAL_CHANGE(self, configuration, changed)
 
 
-def acknowledged_at_once(self, entries, durable, done, urgent=False):
+def acknowledge_at_once(self, entries, durable, done, urgent=False):
     done(Outcome.ACKNOWLEDGED)
     return True
 
 
-def present_list_alone(self):
-    """During a change of members only the present list counts."""
+def present_members_only(self):
+    """Requires a quorum of the present members only, also during a change of members."""
     return [self.members]
 
 
 def change_ready_at_once(self, faults, own_flushed_seq):
-    """The control key is changed before the following members have what was acknowledged."""
+    """Changes the control key before the new members have the acknowledged records."""
     return True
 
 
-# What is broken, the start that shows it, and the invariants that may be the first to fail.
+# The mutation, the initial state in which it is found, and the invariants that may be violated first.
 MUTATIONS = {
-    "one disk is enough": ((Leader, "_is_ready", committed_here), "holder-lost", ("L2",)),
-    "acknowledged unwritten": ((Leader, "append", acknowledged_at_once), "holder-lost", ("L2",)),
-    "lower epochs are taken": (
-        (Follower, "receive", take_lower_epochs),
+    "commit after the leader's flush alone": (
+        (Leader, "_is_ready", is_ready_after_own_flush),
+        "holder-lost",
+        ("L2",),
+    ),
+    "append acknowledged before it is written": (
+        (Leader, "append", acknowledge_at_once),
+        "holder-lost",
+        ("L2",),
+    ),
+    "a follower accepts lower epochs": (
+        (Follower, "receive", accept_lower_epochs),
         "holder-lost",
         ("L1", "L2"),
     ),
-    "a reading without a round": ((Leader, "read", read_without_round), "old-holder", ("L4",)),
-    "fences in memory": ((MetadataFile, "save", keep_in_memory), "holder-lost-and-power", ("L5",)),
-    "a lost claim counts": ((ConfigurationKey, "change", claim_lost), "two-claim", ("L3",)),
-    "one list during a change": (
-        (Quorums, "_lists", present_list_alone),
+    "a read without a quorum round": ((Leader, "read", read_without_round), "old-holder", ("L4",)),
+    "fences reported before they are on disk": (
+        (MetadataFile, "save", save_in_memory),
+        "holder-lost-and-power",
+        ("L5",),
+    ),
+    "a lost claim counts as won": (
+        (ConfigurationKey, "change", count_lost_claim_as_won),
+        "two-claim",
+        ("L3",),
+    ),
+    "quorum of the present members alone during a change": (
+        (Quorums, "_lists", present_members_only),
         "retired-unheard",
         ("L2",),
     ),
-    "a change before its members have the log": (
+    "a change before the new members have the log": (
         (Quorums, "is_change_ready", change_ready_at_once),
         "gone-behind",
         ("L2",),
     ),
-    "the same, a member leaves": (
+    "the same with a retired member": (
         (Quorums, "is_change_ready", change_ready_at_once),
         "retired-behind",
         ("L2",),
@@ -131,18 +147,18 @@
 }
 
 
-def search(start, **bounds):
-    return Explorer(INITIAL_STATES[start].model(**bounds)).search()
+def search(state_name, **bounds):
+    return Explorer(INITIAL_STATES[state_name].model(**bounds)).search()
 
 
-class ExploringTheLog(TestCase):
+class LogExploration(TestCase):
     def test_invariants_hold(self):
         for name in LOG_INITIAL_STATES:
             result = search(name, states=STATES)
             self.assertThat((name, result.violation), Equals((name, None)))
             self.assertThat(result.is_complete or result.states >= STATES, Equals(True), name)
 
-    def test_a_member_change_is_under_way_initially(self):
+    def test_initial_states_have_a_member_change_under_way(self):
         for name in MEMBER_CHANGE_INITIAL_STATES:
             explorer = Explorer(INITIAL_STATES[name].model())
             store = explorer.local_states.run(explorer.initial_state().nodes[1]).node.components[0]
@@ -150,16 +166,22 @@
             new = "store-n2-2-1" if name.startswith("returned") else "store-n4"
             self.assertThat(following, Equals(["store-n1", "store-n3", new]), name)
 
-    def test_a_change_with_one_fault(self):
-        for start in ("gone-unheard", "retired-unheard", "returned-unheard"):
+    def test_a_member_change_with_one_fault_is_safe(self):
+        for state_name in ("gone-unheard", "retired-unheard", "returned-unheard"):
             for fault in FAULTS:
-                result = search(start, states=FAULT_STATES, **{fault: 1})
-                self.assertThat((start, fault, result.violation), Equals((start, fault, None)))
+                result = search(state_name, states=FAULT_STATES, **{fault: 1})
+                self.assertThat(
+                    (state_name, fault, result.violation), Equals((state_name, fault, None))
+                )
 
     def test_mutations_are_found(self):
-        for name, ((where, what, other), start, invariants) in MUTATIONS.items():
-            with mock.patch.object(where, what, other):
-                result = search(start, states=LIMIT)
+        for name, (
+            (target, name_in_target, replacement),
+            state_name,
+            invariants,
+        ) in MUTATIONS.items():
+            with mock.patch.object(target, name_in_target, replacement):
+                result = search(state_name, states=MUTATION_STATES)
             self.assertThat(result.violation is not None, Equals(True), name)
             self.assertThat(invariants, Contains(result.violation.invariant), name)
             print(
