--- a/libs/modelcheck/src/modelcheck/linearizability.py
+++ b/libs/modelcheck/src/modelcheck/linearizability.py
@@ -52,7 +52,7 @@
         """Return the state before any call."""
 
     def next_state(self, state: Any, call: Call) -> Hashable | None:
-        """Return the state after a call; None if it can't have its response in this state.
+        """Return the state after a call; None if its response is impossible in this state.
 
         For a call without a known outcome: the state if it takes effect, or None if it can't.
         """
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -24,7 +24,7 @@
 
 
 class FleetView(Component):
-    """A stub of a store's view of the fleet, in which all stores are live."""
+    """A stub of a store's view of the fleet: the log's key as received, and all stores as live."""
 
     __slots__ = ("_body", "_retired", "_rows", "_version")
     HANDLES = (KeyUpdates,)
--- a/libs/modelcheck/src/modelcheck/model_environment.py
+++ b/libs/modelcheck/src/modelcheck/model_environment.py
@@ -1,6 +1,6 @@
 """The simulated environment of one node under the explorer.
 
-The explorer advances the clock and completes flushes, and messages sent are collected. All random
+Only the explorer advances the clock and completes flushes; messages sent are collected. All random
 numbers are fixed, so a node's state is a function of its boot image and the events applied to it.
 """
 
--- a/libs/modelcheck/src/modelcheck/system_model.py
+++ b/libs/modelcheck/src/modelcheck/system_model.py
@@ -172,8 +172,8 @@
     kind, node, number
         The action, as for `actions.Action`.
     runs_to_quiescence
-        Whether flushes are completed and messages delivered after the action, until no flush is
-        unfinished and no message is in flight.
+        Whether flushes are completed and messages delivered after the action, in a fixed order,
+        until no flush is unfinished and no message is in flight.
     isolated
         A node; messages to and from it are lost while the step runs to quiescence.
     lost_links
