--- a/libs/platform_testbed/src/platform_testbed/__init__.py
+++ b/libs/platform_testbed/src/platform_testbed/__init__.py
@@ -5,6 +5,6 @@
 """
 
 from platform_testbed.engine import Engine
-from platform_testbed.engine_messages import EngineSheet
+from platform_testbed.engine_messages import EngineProfile
 
-__all__ = ["Engine", "EngineSheet"]
+__all__ = ["Engine", "EngineProfile"]
--- a/libs/platform_testbed/src/platform_testbed/engine.py
+++ b/libs/platform_testbed/src/platform_testbed/engine.py
@@ -12,14 +12,14 @@
 
 from platform_testbed.engine_calls import Call, PromptPart
 from platform_testbed.engine_messages import (
-    Asked,
-    Begun,
-    Drained,
-    Dropped,
-    EngineSheet,
-    Made,
-    Over,
-    TurnedAway,
+    DrainStarted,
+    EngineProfile,
+    EngineRequest,
+    EventProduced,
+    RequestCancelled,
+    RequestRejected,
+    RunEnded,
+    RunStarted,
 )
 
 __all__ = ["Engine"]
@@ -46,7 +46,7 @@
         "sheet",
     )
 
-    def __init__(self, sheet: EngineSheet, server_id: str, seed: int = 0) -> None:
+    def __init__(self, sheet: EngineProfile, server_id: str, seed: int = 0) -> None:
         self.sheet, self.server_id = sheet, server_id
         self.draining = False
         self.read_tokens = 0
@@ -74,15 +74,15 @@
         raise NotImplementedError(type(message).__name__)
 
     @_take.register
-    def _(self, message: Asked) -> None:
+    def _(self, message: EngineRequest) -> None:
         if not message.request_id:
-            self._out.append(TurnedAway(key=message.key, status=400))
+            self._out.append(RequestRejected(key=message.key, status=400))
         elif message.target_id and message.target_id != self.server_id:
-            self._out.append(TurnedAway(key=message.key, status=421))
+            self._out.append(RequestRejected(key=message.key, status=421))
         elif message.tokens_in + message.tokens_out > self.sheet.cache_tokens or not self._room_for(
             message
         ):
-            self._out.append(TurnedAway(key=message.key, status=503))
+            self._out.append(RequestRejected(key=message.key, status=503))
         else:
             self._count += 1
             due_ms = None if message.deadline_ms is None else self._at_ms + message.deadline_ms
@@ -90,16 +90,16 @@
             self._queue.append(call)
 
     @_take.register
-    def _(self, message: Dropped) -> None:
+    def _(self, message: RequestCancelled) -> None:
         call = self._calls.get(message.key)
         if call is not None:
             self._end(call, "dropped")
 
     @_take.register
-    def _(self, message: Drained) -> None:
+    def _(self, message: DrainStarted) -> None:
         self.draining = True
 
-    def _room_for(self, asked: Asked) -> bool:
+    def _room_for(self, asked: EngineRequest) -> bool:
         return len(self._queue) < self.sheet.queue_limit or any(
             call.asked.urgency > asked.urgency for call in self._running
         )
@@ -148,7 +148,7 @@
             if call.begun:
                 self._end(call, "late")
             else:
-                self._out.append(TurnedAway(key=call.asked.key, status=503))
+                self._out.append(RequestRejected(key=call.asked.key, status=503))
                 self._forget(call)
 
     # -- batches -------------------------------------------------------------------------------
@@ -196,7 +196,9 @@
         call.begun, call.run = True, self._runs
         call.ill = self._draw_ill(call)
         self._out.append(
-            Begun(key=call.asked.key, request_id=call.asked.request_id, run=call.run, ill=call.ill)
+            RunStarted(
+                key=call.asked.key, request_id=call.asked.request_id, run=call.run, ill=call.ill
+            )
         )
         at_once = {"error": "error", "garbled": "garbled", "unable": "unable"}.get(call.ill)
         if at_once:
@@ -235,7 +237,7 @@
             return
         number = self.sheet.first_event + call.asked.events - self._left(call)
         call.made += 1
-        self._out.append(Made(key=call.asked.key, number=number, run=call.run))
+        self._out.append(EventProduced(key=call.asked.key, number=number, run=call.run))
         if not self._left(call):
             self._end(call, "finished")
 
@@ -354,7 +356,7 @@
     def _end(self, call: Call, state: str) -> None:
         self._forget(call)
         if call.begun:
-            self._out.append(Over(key=call.asked.key, run=call.run, state=state, ill=call.ill))
+            self._out.append(RunEnded(key=call.asked.key, run=call.run, state=state, ill=call.ill))
 
     # -- what it tells -------------------------------------------------------------------------
 
--- a/libs/platform_testbed/src/platform_testbed/engine_calls.py
+++ b/libs/platform_testbed/src/platform_testbed/engine_calls.py
@@ -1,6 +1,6 @@
 """What the engine of a simulated worker keeps of a call and of a part of a prompt."""
 
-from platform_testbed.engine_messages import Asked
+from platform_testbed.engine_messages import EngineRequest
 
 __all__ = ["Call", "PromptPart"]
 
@@ -39,7 +39,7 @@
         "unread",
     )
 
-    def __init__(self, asked: Asked, number: int, due_ms: float | None) -> None:
+    def __init__(self, asked: EngineRequest, number: int, due_ms: float | None) -> None:
         self.asked, self.number, self.due_ms = asked, number, due_ms
         self.begun = False
         self.run = 0
--- a/libs/platform_testbed/src/platform_testbed/engine_messages.py
+++ b/libs/platform_testbed/src/platform_testbed/engine_messages.py
@@ -2,7 +2,16 @@
 
 from typing import Any
 
-__all__ = ["Asked", "Begun", "Drained", "Dropped", "EngineSheet", "Made", "Over", "TurnedAway"]
+__all__ = [
+    "DrainStarted",
+    "EngineProfile",
+    "EngineRequest",
+    "EventProduced",
+    "RequestCancelled",
+    "RequestRejected",
+    "RunEnded",
+    "RunStarted",
+]
 
 
 class _Record:
@@ -21,7 +30,7 @@
         return f"{type(self).__name__}({values})"
 
 
-class EngineSheet(_Record):
+class EngineProfile(_Record):
     """The figures of an engine: capacities, and the time that one token takes.
 
     `step_ms` is for one token of one request alone, `slot_ms` is added for each request in the
@@ -60,7 +69,7 @@
     }
 
 
-class Asked(_Record):
+class EngineRequest(_Record):
     """A request that reaches the worker. `key` names its connection's turn, not the request."""
 
     __slots__ = (
@@ -91,25 +100,25 @@
     }
 
 
-class Dropped(_Record):
+class RequestCancelled(_Record):
     """The connection of a request was closed."""
 
     __slots__ = ("key",)
 
 
-class Drained(_Record):
+class DrainStarted(_Record):
     """The worker is to leave: it goes on serving, and its health check reports it."""
 
     __slots__ = ()
 
 
-class TurnedAway(_Record):
+class RequestRejected(_Record):
     """Not run: 503 when full or late, 421 for another worker, 400 without an id, or 429."""
 
     __slots__ = ("key", "status")
 
 
-class Begun(_Record):
+class RunStarted(_Record):
     """The first token: from here on the request has run.
 
     `ill` is the fault that the answer's bytes will have, empty for none.
@@ -118,13 +127,13 @@
     __slots__ = ("ill", "key", "request_id", "run")
 
 
-class Made(_Record):
+class EventProduced(_Record):
     """An event of a stream, by its number."""
 
     __slots__ = ("key", "number", "run")
 
 
-class Over(_Record):
+class RunEnded(_Record):
     """A run's end: finished, broken, garbled, error (500), unable (422), late (504) or dropped."""
 
     __slots__ = ("ill", "key", "run", "state")
--- a/libs/platform_testbed/src/platform_testbed/site.py
+++ b/libs/platform_testbed/src/platform_testbed/site.py
@@ -7,7 +7,7 @@
 import random
 from typing import Any
 
-from platform_testbed.engine_messages import EngineSheet
+from platform_testbed.engine_messages import EngineProfile
 
 __all__ = ["ALL_SHAPES", "Kind", "Sheet", "allowed_services", "route_of"]
 
@@ -231,7 +231,7 @@
         self.services = [_word(rng) + str(rng.randrange(10, 99)) for _ in self.shape["workers"]]
         self.models = ["m"]
         self.first_event = rng.choice((0, 1))
-        self.engine = EngineSheet(first_event=self.first_event, step_ms=0.8 + rng.random())
+        self.engine = EngineProfile(first_event=self.first_event, step_ms=0.8 + rng.random())
         self.kinds = {kind.name: copy.copy(kind) for kind in _KINDS}
         self.routes = {
             kind.name: {
--- a/libs/platform_testbed/src/platform_testbed/worker_calls.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_calls.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from platform_testbed.engine_messages import Asked
+from platform_testbed.engine_messages import EngineRequest
 
 __all__ = ["Turn", "digest", "parse_request"]
 
@@ -31,7 +31,7 @@
 
 def parse_request(
     key: int, request: web.BaseRequest, body: bytes, first_event: int
-) -> tuple[Asked, dict[str, Any]]:
+) -> tuple[EngineRequest, dict[str, Any]]:
     """Return what a request's headers and body ask of the engine, and the body's plan.
 
     `first_event` is unused; ValueError if a header that should be a number is none.
@@ -49,7 +49,7 @@
     )
     last = headers.get("Last-Event-Id")
     deadline = headers.get("Deadline-Ms")
-    asked = Asked(
+    asked = EngineRequest(
         key=key,
         request_id=headers.get("Request-Id", ""),
         target_id=headers.get("Target-Server", ""),
--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -6,7 +6,7 @@
 
 from simulator.history import History
 
-from platform_testbed.engine_messages import EngineSheet
+from platform_testbed.engine_messages import EngineProfile
 from platform_testbed.site import Sheet
 from platform_testbed.workers import StandInEngine
 
@@ -33,8 +33,9 @@
         self.sheet, self.fleet, self.history, self.clock = sheet, fleet, history, clock
         self.rng = random.Random(f"crew/{seed}")
         self.workers: list[StandInEngine] = []
-        self._engine = EngineSheet(
-            **{name: getattr(sheet.engine, name) for name in EngineSheet.__slots__} | {"ills": ills}
+        self._engine = EngineProfile(
+            **{name: getattr(sheet.engine, name) for name in EngineProfile.__slots__}
+            | {"ills": ills}
         )
         self._places = 0
 
--- a/libs/platform_testbed/src/platform_testbed/workers.py
+++ b/libs/platform_testbed/src/platform_testbed/workers.py
@@ -17,13 +17,13 @@
 
 from platform_testbed.engine import Engine
 from platform_testbed.engine_messages import (
-    Begun,
-    Drained,
-    Dropped,
-    EngineSheet,
-    Made,
-    Over,
-    TurnedAway,
+    DrainStarted,
+    EngineProfile,
+    EventProduced,
+    RequestCancelled,
+    RequestRejected,
+    RunEnded,
+    RunStarted,
 )
 from platform_testbed.worker_calls import Turn, digest, parse_request
 
@@ -42,7 +42,7 @@
         service: str,
         address: str,
         zone: str,
-        sheet: EngineSheet,
+        sheet: EngineProfile,
         history: History,
         clock: Any,
         control: Any,
@@ -110,7 +110,7 @@
     async def leave(self, drain_ms: int) -> bool:
         """Announce the leave, serve on for a while, withdraw and end; return if acknowledged."""
         self.announced = "draining"
-        self._feed(Drained())
+        self._feed(DrainStarted())
         for _ in range(20):
             if await self._tell("PUT"):
                 break
@@ -208,15 +208,15 @@
 
     def _note(self, turn: Turn, message: Any) -> None:
         row, now_ms = turn.row, self.now_ms()
-        if isinstance(message, Begun):
+        if isinstance(message, RunStarted):
             turn.tag = f"{self.server_id}.{message.run}"
             row.update(run=turn.tag, began_ms=now_ms, state="running", ill=message.ill)
             self.history.rows.append(row)
             row.update(kind="run", at_ms=round(now_ms, 2))
-        elif isinstance(message, Made):
+        elif isinstance(message, EventProduced):
             row["events"].append(message.number)
             row["made_ms"].append(round(now_ms, 2))
-        elif isinstance(message, Over):
+        elif isinstance(message, RunEnded):
             row.update(state=message.state, over_ms=now_ms)
         else:
             self.history.add(
@@ -276,19 +276,19 @@
             return answer
         finally:
             if not self.dark:
-                self._feed(Dropped(key=key))
+                self._feed(RequestCancelled(key=key))
             del self._turns[key]
 
     async def _answer(
         self, request: web.BaseRequest, turn: Turn, plan: dict[str, Any]
     ) -> web.StreamResponse:
         first = await turn.news.get()
-        if isinstance(first, TurnedAway):
+        if isinstance(first, RequestRejected):
             return self._turned_away(request, turn, first.status)
         headers = self._headers(request, turn)
         if plan["stream"] and first.ill not in ("error", "unable", "garbled"):
             return await self._stream(request, turn, plan, headers)
-        while not isinstance(message := await turn.news.get(), Over):
+        while not isinstance(message := await turn.news.get(), RunEnded):
             pass
         return await self._whole(request, turn, plan, headers, message)
 
@@ -298,7 +298,7 @@
         answer = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
         self._maybe_close(answer, headers)
         await answer.prepare(request)
-        while not isinstance(message := await turn.news.get(), Over):
+        while not isinstance(message := await turn.news.get(), RunEnded):
             pad = "." * plan["pad"]
             await answer.write(
                 f"id: {message.number}\ndata: {turn.row['id']}/{turn.tag}/"
@@ -316,7 +316,7 @@
         turn: Turn,
         plan: dict[str, Any],
         headers: dict[str, str],
-        over: Over,
+        over: RunEnded,
     ) -> web.StreamResponse:
         status = {"finished": 200, "error": 500, "unable": 422, "late": 504}.get(over.state, 200)
         body = f"{turn.row['id']}/{turn.tag}/{'.' * plan['pad']}".encode()
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -2,14 +2,14 @@
 
 from platform_testbed.engine import Engine
 from platform_testbed.engine_messages import (
-    Asked,
-    Begun,
-    Drained,
-    Dropped,
-    EngineSheet,
-    Made,
-    Over,
-    TurnedAway,
+    DrainStarted,
+    EngineProfile,
+    EngineRequest,
+    EventProduced,
+    RequestCancelled,
+    RequestRejected,
+    RunEnded,
+    RunStarted,
 )
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -17,12 +17,12 @@
 
 def engine(**sheet):
     return Engine(
-        EngineSheet(**{"context_ms_per_k": 0.0, "slot_ms": 0.0, "stride": 10, **sheet}), "i-1", 7
+        EngineProfile(**{"context_ms_per_k": 0.0, "slot_ms": 0.0, "stride": 10, **sheet}), "i-1", 7
     )
 
 
 def asked(key, **fields):
-    return Asked(
+    return EngineRequest(
         **{"key": key, "request_id": f"r{key}", "tokens_in": 100, "tokens_out": 10, **fields}
     )
 
@@ -53,13 +53,15 @@
             made = engine(**sheet)
             out = [message for ask in asks for message in made.receive(ask, 0)]
             seen = [
-                (message.key, message.status) for message in out if isinstance(message, TurnedAway)
+                (message.key, message.status)
+                for message in out
+                if isinstance(message, RequestRejected)
             ]
             self.assertThat((name, seen), Equals((name, [(asks[-1].key, status)])))
             self.assertThat(
                 [
                     begun.key
-                    for begun in of(until(made, 10_000), Begun)
+                    for begun in of(until(made, 10_000), RunStarted)
                     if begun.key == asks[-1].key
                 ],
                 Equals([]),
@@ -72,7 +74,13 @@
         self.assertThat(
             rows,
             Equals(
-                [(2.0, "Begun"), (12.0, "Made"), (22.0, "Made"), (32.0, "Made"), (32.0, "Over")]
+                [
+                    (2.0, "RunStarted"),
+                    (12.0, "EventProduced"),
+                    (22.0, "EventProduced"),
+                    (32.0, "EventProduced"),
+                    (32.0, "RunEnded"),
+                ]
             ),
         )
 
@@ -91,11 +99,11 @@
         until(made, 12)
         made.receive(asked(2, tokens_in=3000), 12.5)
         rows = until(made, 10_000)
-        begun_ms = [at_ms for at_ms, message in rows if isinstance(message, Begun)][0]
+        begun_ms = [at_ms for at_ms, message in rows if isinstance(message, RunStarted)][0]
         events = [
             at_ms
             for at_ms, message in rows
-            if isinstance(message, Made) and message.key == 1 and at_ms < begun_ms
+            if isinstance(message, EventProduced) and message.key == 1 and at_ms < begun_ms
         ]
         self.assertThat(len(events) >= 3, Equals(True), str(rows))
 
@@ -128,20 +136,21 @@
         made.receive(asked(2, urgency=5), 12.5)
         made.receive(asked(3, urgency=0), 13)
         rows = until(made, 1000)
-        self.assertThat([message.key for message in of(rows, Over)], Equals([3, 2, 1]))
+        self.assertThat([message.key for message in of(rows, RunEnded)], Equals([3, 2, 1]))
         self.assertThat(
-            [message.number for message in of(rows, Made) if message.key == 1], Equals([2, 3, 4])
+            [message.number for message in of(rows, EventProduced) if message.key == 1],
+            Equals([2, 3, 4]),
         )
-        self.assertThat([message.key for message in of(rows, Begun)], Equals([3, 2]))
+        self.assertThat([message.key for message in of(rows, RunStarted)], Equals([3, 2]))
 
     def test_without_memory_the_newest_of_the_least_urgent_is_put_back_and_read_again(self):
         made = engine(cache_tokens=240)
         for key, urgency in ((1, 5), (2, 5)):
             made.receive(asked(key, urgency=urgency, tokens_out=60, events=6), 0)
         rows = until(made, 10_000)
-        self.assertThat([message.key for message in of(rows, Over)], Equals([1, 2]))
+        self.assertThat([message.key for message in of(rows, RunEnded)], Equals([1, 2]))
         self.assertThat(
-            [message.number for message in of(rows, Made) if message.key == 2],
+            [message.number for message in of(rows, EventProduced) if message.key == 2],
             Equals([1, 2, 3, 4, 5, 6]),
         )
         self.assertThat(made.read_tokens > 300, Equals(True), str(made.read_tokens))
@@ -152,11 +161,15 @@
         made.receive(asked(2, deadline_ms=50), 0)
         rows = until(made, 1000)
         self.assertThat(
-            [(at_ms, message.status) for at_ms, message in rows if isinstance(message, TurnedAway)],
+            [
+                (at_ms, message.status)
+                for at_ms, message in rows
+                if isinstance(message, RequestRejected)
+            ],
             Equals([(50, 503)]),
         )
         self.assertThat(
-            [(at_ms, message.state) for at_ms, message in rows if isinstance(message, Over)],
+            [(at_ms, message.state) for at_ms, message in rows if isinstance(message, RunEnded)],
             Equals([(100, "late")]),
         )
 
@@ -166,7 +179,10 @@
             made.receive(asked(1, events=4, last_event_id=last), 0)
             rows = until(made, 1000)
             self.assertThat(
-                ([message.number for message in of(rows, Made)], of(rows, Over)[0].state),
+                (
+                    [message.number for message in of(rows, EventProduced)],
+                    of(rows, RunEnded)[0].state,
+                ),
                 Equals((numbers, "finished")),
             )
 
@@ -182,21 +198,28 @@
             made.receive(asked(1, events=4), 0)
             rows = until(made, 1000)
             self.assertThat(
-                (ill, of(rows, Over)[0].state, len(of(rows, Made))), Equals((ill, state, events))
+                (ill, of(rows, RunEnded)[0].state, len(of(rows, EventProduced))),
+                Equals((ill, state, events)),
             )
         made = engine()
         made.receive(asked(1, poisoned=True), 0)
-        self.assertThat([over.state for over in of(until(made, 1000), Over)], Equals(["unable"]))
+        self.assertThat(
+            [over.state for over in of(until(made, 1000), RunEnded)], Equals(["unable"])
+        )
 
     def test_dropped_before_its_first_token_never_ran(self):
         made = engine()
         made.receive(asked(1), 0)
-        made.receive(Dropped(key=1), 1)
+        made.receive(RequestCancelled(key=1), 1)
         self.assertThat(until(made, 1000), Equals([]))
         made.receive(asked(2, events=9), 2000)
         until(made, 2030)
         self.assertThat(
-            [over.state for over in made.receive(Dropped(key=2), 2031) if isinstance(over, Over)],
+            [
+                over.state
+                for over in made.receive(RequestCancelled(key=2), 2031)
+                if isinstance(over, RunEnded)
+            ],
             Equals(["dropped"]),
         )
         self.assertThat(made.load(), Equals((0, 0, 8)))
@@ -210,7 +233,7 @@
         self.assertThat(
             (made.report(1250)["active"], made.report(1250)["cache_used"] >= 100), Equals((1, True))
         )
-        made.receive(Drained(), 1300)
+        made.receive(DrainStarted(), 1300)
         self.assertThat(made.draining, Equals(True))
 
     def test_a_seed_gives_the_same_run(self):
