--- a/libs/platform_testbed/src/platform_testbed/__init__.py
+++ b/libs/platform_testbed/src/platform_testbed/__init__.py
@@ -1,7 +1,8 @@
-"""The project's own bench of the platform that the system runs on.
+"""The project's own test bench of the platform that the system runs on.
 
-An engine model of the workers, clients, an operator, the platform's polls, a runner of the real
-programs on loopback addresses, and an oracle with the rules of the platform's pages.
+It simulates the model workers with their engines, the clients, the operator and the platform's
+health checks, runs the real programs on loopback addresses, and checks the recorded history against
+the platform's rules in an oracle.
 """
 
 from platform_testbed.engine import Engine
--- a/libs/platform_testbed/src/platform_testbed/engine_messages.py
+++ b/libs/platform_testbed/src/platform_testbed/engine_messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of a simulated engine, and the figures that it works by."""
+"""Messages into and out of a simulated engine, and its performance profile."""
 
 from typing import Any
 
@@ -21,7 +21,7 @@
         for name in self.__slots__:
             setattr(self, name, fields.pop(name) if name in fields else self.DEFAULTS[name])
         if fields:
-            raise TypeError(f"{type(self).__name__} has no {sorted(fields)}")
+            raise TypeError(f"{type(self).__name__} has no fields {sorted(fields)}")
 
     DEFAULTS: dict[str, Any] = {}
 
@@ -31,10 +31,23 @@
 
 
 class EngineProfile(_Record):
-    """The figures of an engine: capacities, and the time that one token takes.
-
-    `step_ms` is for one token of one request alone, `slot_ms` is added for each request in the
-    batch, `context_ms_per_k` for each thousand tokens of their contexts.
+    """Capacities of an engine and the time that its steps take.
+
+    Attributes
+    ----------
+    cache_tokens, capacity, queue_limit
+        Tokens of cache memory, size of the running batch, and length of the queue.
+    chunk_tokens, read_tokens_per_ms
+        Prompt tokens that one step processes at most, and the rate at which it does.
+    step_ms, slot_ms, context_ms_per_k
+        Time for one token of each request in the batch: a fixed part, a part for each request that
+        produces tokens, and a part for each thousand tokens of their contexts.
+    stride, first_event
+        Tokens in one event, and the number of a stream's first event.
+    faults
+        Names of answer faults, each with the share of all runs that has it.
+    report_lag_ms, reports_load
+        Age of the load in a report, and whether answers carry the load of the moment.
     """
 
     __slots__ = (
@@ -42,15 +55,15 @@
         "capacity",
         "chunk_tokens",
         "context_ms_per_k",
+        "faults",
         "first_event",
-        "ills",
         "queue_limit",
         "read_tokens_per_ms",
         "report_lag_ms",
+        "reports_load",
         "slot_ms",
         "step_ms",
         "stride",
-        "tells_load",
     )
     DEFAULTS = {
         "cache_tokens": 40_000,
@@ -58,19 +71,22 @@
         "chunk_tokens": 4096,
         "context_ms_per_k": 0.005,
         "first_event": 1,
-        "ills": (),
+        "faults": (),
         "queue_limit": 24,
         "read_tokens_per_ms": 100.0,
         "report_lag_ms": 200,
         "slot_ms": 0.02,
         "step_ms": 1.0,
         "stride": 14,
-        "tells_load": True,
+        "reports_load": True,
     }
 
 
 class EngineRequest(_Record):
-    """A request that reaches the worker. `key` names its connection's turn, not the request."""
+    """A request that reaches the worker.
+
+    `key` identifies this delivery to the worker; the same `request_id` may be delivered again.
+    """
 
     __slots__ = (
         "deadline_ms",
@@ -101,39 +117,43 @@
 
 
 class RequestCancelled(_Record):
-    """The connection of a request was closed."""
+    """The handling of a request ended, because it was answered or its connection was closed."""
 
     __slots__ = ("key",)
 
 
 class DrainStarted(_Record):
-    """The worker is to leave: it goes on serving, and its health check reports it."""
+    """The worker starts to drain: it keeps serving, and its health check reports it."""
 
     __slots__ = ()
 
 
 class RequestRejected(_Record):
-    """Not run: 503 when full or late, 421 for another worker, 400 without an id, or 429."""
+    """The request was not run.
+
+    The status is 503 when full or past the deadline, 421 for another worker and 400 without an id.
+    Workers may also answer 429, which this engine doesn't.
+    """
 
     __slots__ = ("key", "status")
 
 
 class RunStarted(_Record):
-    """The first token: from here on the request has run.
+    """The run produced its first token; from here on the request counts as run.
 
-    `ill` is the fault that the answer's bytes will have, empty for none.
+    `fault` is the fault that the answer's bytes will have, empty for none.
     """
 
-    __slots__ = ("ill", "key", "request_id", "run")
+    __slots__ = ("fault", "key", "request_id", "run")
 
 
 class EventProduced(_Record):
-    """An event of a stream, by its number."""
+    """A run produced an event of its stream, by its number."""
 
     __slots__ = ("key", "number", "run")
 
 
 class RunEnded(_Record):
-    """A run's end: finished, broken, garbled, error (500), unable (422), late (504) or dropped."""
+    """A run ended: finished, broken, garbled, error (500), unable (422), late (504) or dropped."""
 
-    __slots__ = ("ill", "key", "run", "state")
+    __slots__ = ("fault", "key", "run", "state")
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -45,7 +45,7 @@
         seed: int,
         folder: str,
         root: Path,
-        ills: tuple[tuple[str, float], ...] = (),
+        faults: tuple[tuple[str, float], ...] = (),
     ) -> None:
         self.sheet = Sheet(shape, seed)
         self.rng = random.Random(f"day/{seed}")
@@ -54,7 +54,7 @@
         )
         self._began_at = asyncio.get_running_loop().time()
         self.fleet = Machines(self.sheet, folder, root, self.history, self.clock)
-        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, ills)
+        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, faults)
         self.entry = Entry(self.fleet, self.history, self.clock)
         self.live = LiveClients(self.sheet, self.entry, self.history, self.clock, seed)
         self.jobs = JobClients(self.sheet, self.entry, self.history, self.clock, seed)
@@ -203,7 +203,7 @@
     folder: str,
     seconds: float,
     due: tuple[str, ...] = (),
-    ills: tuple[tuple[str, float], ...] = (),
+    faults: tuple[tuple[str, float], ...] = (),
     root: Path | None = None,
 ) -> tuple[Day, dict[str, int], dict[str, list[str]]]:
     """Play a day; return it, how many rows each rule judged, and the breaches by rule.
@@ -211,7 +211,7 @@
     Evidence that is `due` is asked for only where no machine was long kept from running by other
     load on the host.
     """
-    day = Day(shape, seed, folder, root or Path(__file__).resolve().parents[4], ills)
+    day = Day(shape, seed, folder, root or Path(__file__).resolve().parents[4], faults)
     await day.play(steps, seconds)
     counts, broken = judge_day(day.history, due if starved_ms(day.history) < STARVED_MS else ())
     return day, counts, broken
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -27,7 +27,7 @@
     "lots QUOTA",
     "FAULT",
 )
-_ILLS = (
+_ANSWER_FAULTS = (
     ("error", 0.03),
     ("short", 0.05),
     ("garbled", 0.02),
@@ -222,7 +222,7 @@
             (6.5, remove_route),
         ],
     },
-    "ills": {"seconds": 8.0, "ills": _ILLS, "steps": [(1.0, split_route)]},
+    "ills": {"seconds": 8.0, "faults": _ANSWER_FAULTS, "steps": [(1.0, split_route)]},
     "workers": {
         "seconds": 9.0,
         "due": ("DRAIN",),
@@ -267,7 +267,7 @@
     "faults": {
         "seconds": 11.0,
         "due": ("DRAIN",),
-        "ills": _ILLS,
+        "faults": _ANSWER_FAULTS,
         "steps": [
             (0.2, release_one),
             (3.4, kill_holder),
@@ -324,7 +324,7 @@
     return {
         "seconds": 38.0 if closing else 20.0,
         "steps": sorted(steps, key=lambda step: step[0]),
-        "ills": _ILLS if rng.random() < 0.5 else (),
+        "faults": _ANSWER_FAULTS if rng.random() < 0.5 else (),
     }
 
 
@@ -335,5 +335,5 @@
         "steps": day["steps"],
         "seconds": day["seconds"],
         "due": DUE + tuple(day.get("due", ())),
-        "ills": day.get("ills", ()),
+        "faults": day.get("faults", ()),
     }
--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -28,14 +28,14 @@
         history: History,
         clock: Any,
         seed: int,
-        ills: tuple[tuple[str, float], ...] = (),
+        faults: tuple[tuple[str, float], ...] = (),
     ) -> None:
         self.sheet, self.fleet, self.history, self.clock = sheet, fleet, history, clock
         self.rng = random.Random(f"crew/{seed}")
         self.workers: list[StandInEngine] = []
         self._engine = EngineProfile(
             **{name: getattr(sheet.engine, name) for name in EngineProfile.__slots__}
-            | {"ills": ills}
+            | {"faults": faults}
         )
         self._places = 0
 
--- a/libs/platform_testbed/src/platform_testbed/workers.py
+++ b/libs/platform_testbed/src/platform_testbed/workers.py
@@ -141,7 +141,7 @@
             "address": self.address,
             "zone": self.zone,
             "revision": "v1",
-            "capacity": self.engine.sheet.capacity,
+            "capacity": self.engine.profile.capacity,
             "state": self.announced,
             "coldLeftMs": 0,
             "phase": "both",
@@ -210,7 +210,7 @@
         row, now_ms = turn.row, self.now_ms()
         if isinstance(message, RunStarted):
             turn.tag = f"{self.server_id}.{message.run}"
-            row.update(run=turn.tag, began_ms=now_ms, state="running", ill=message.ill)
+            row.update(run=turn.tag, began_ms=now_ms, state="running", ill=message.fault)
             self.history.rows.append(row)
             row.update(kind="run", at_ms=round(now_ms, 2))
         elif isinstance(message, EventProduced):
@@ -243,7 +243,7 @@
         self._keys += 1
         key, turn = self._keys, Turn()
         self._turns[key] = turn
-        asked, plan = parse_request(key, request, body, self.engine.sheet.first_event)
+        asked, plan = parse_request(key, request, body, self.engine.profile.first_event)
         turn.row = {
             "id": asked.request_id,
             "server": self.server_id,
@@ -286,7 +286,7 @@
         if isinstance(first, RequestRejected):
             return self._turned_away(request, turn, first.status)
         headers = self._headers(request, turn)
-        if plan["stream"] and first.ill not in ("error", "unable", "garbled"):
+        if plan["stream"] and first.fault not in ("error", "unable", "garbled"):
             return await self._stream(request, turn, plan, headers)
         while not isinstance(message := await turn.news.get(), RunEnded):
             pass
@@ -307,7 +307,7 @@
         if message.state != "finished":
             return self._break_off(request, answer, turn.row["ill"])
         await answer.write_eof()
-        await self._extra(request, message.ill)
+        await self._extra(request, message.fault)
         return answer
 
     async def _whole(
@@ -329,7 +329,7 @@
         )
         answer.content_length = len(body)
         self._maybe_close(answer, headers)
-        if over.state == "broken" and over.ill == "cut":
+        if over.state == "broken" and over.fault == "cut":
             return self._break_off(request, answer, "cut")
         await answer.prepare(request)
         if over.state == "broken":
@@ -337,21 +337,21 @@
             return self._break_off(request, answer, "short")
         await answer.write(body)
         await answer.write_eof()
-        await self._extra(request, over.ill)
+        await self._extra(request, over.fault)
         return answer
 
     def _break_off(
-        self, request: web.BaseRequest, answer: web.StreamResponse, ill: str
+        self, request: web.BaseRequest, answer: web.StreamResponse, fault: str
     ) -> web.StreamResponse:
         if request.transport is not None:
-            request.transport.abort() if ill == "cut" else request.transport.close()
+            request.transport.abort() if fault == "cut" else request.transport.close()
         return answer
 
-    async def _extra(self, request: web.BaseRequest, ill: str) -> None:
+    async def _extra(self, request: web.BaseRequest, fault: str) -> None:
         """Send a second answer where the next is expected; it belongs to no request."""
-        if ill == "late":
+        if fault == "late":
             await asyncio.sleep(_LATE_S)
-        if ill in ("surplus", "late") and request.transport is not None:
+        if fault in ("surplus", "late") and request.transport is not None:
             request.transport.write(
                 b"HTTP/1.1 200 OK\r\nRequest-Id: nobody\r\n"
                 b"Server-Seal: 0.0\r\nContent-Length: 3\r\n\r\nxyz"
@@ -360,7 +360,7 @@
     def _headers(self, request: web.BaseRequest, turn: Turn) -> dict[str, str]:
         headers = {"Request-Id": turn.row["id"], "Server-Seal": f"{turn.tag}.{turn.row['digest']}"}
         turn.row["seal"] = headers["Server-Seal"]
-        if self.engine.sheet.tells_load:
+        if self.engine.profile.reports_load:
             headers["Server-Load"] = ",".join(map(str, self.engine.load()))
         return headers
 
@@ -373,7 +373,7 @@
     def _turned_away(self, request: web.BaseRequest, turn: Turn, status: int) -> web.Response:
         named = {"Served-By": self.server_id} if status == 421 else {"Not-Run": "1"}
         headers = {"Request-Id": turn.row["id"], **named}
-        if self.engine.sheet.tells_load:
+        if self.engine.profile.reports_load:
             headers["Server-Load"] = ",".join(map(str, self.engine.load()))
         return web.Response(status=status, headers=headers)
 
@@ -395,6 +395,6 @@
             "queued": seen["queued"],
             "active": seen["active"],
             "cacheUsed": seen["cache_used"],
-            "cacheSize": self.engine.sheet.cache_tokens,
+            "cacheSize": self.engine.profile.cache_tokens,
             "handles": 0,
         }
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -116,10 +116,10 @@
             (4, (("c", 40), ("b", 40)), 100),
             (5, (("a", 40), ("d", 40)), 60),
         ):
-            before = made.read_tokens
+            before = made.prefill_tokens
             made.receive(asked(key, parts=parts), key * 1000)
             until(made, key * 1000 + 999)
-            self.assertThat((key, made.read_tokens - before), Equals((key, read)))
+            self.assertThat((key, made.prefill_tokens - before), Equals((key, read)))
 
     def test_parts_unused_longest_give_way(self):
         made = engine(cache_tokens=300)
@@ -127,7 +127,7 @@
             made.receive(asked(key, parts=((name, 100),)), key * 1000)
             until(made, key * 1000 + 999)
         # a b a: 2 read; c takes b's place, b takes a's, a takes c's, c takes b's
-        self.assertThat(made.read_tokens, Equals(600))
+        self.assertThat(made.prefill_tokens, Equals(600))
 
     def test_more_urgent_ones_are_let_in_first_and_take_the_place_of_others(self):
         made = engine(capacity=1)
@@ -153,7 +153,7 @@
             [message.number for message in of(rows, EventProduced) if message.key == 2],
             Equals([1, 2, 3, 4, 5, 6]),
         )
-        self.assertThat(made.read_tokens > 300, Equals(True), str(made.read_tokens))
+        self.assertThat(made.prefill_tokens > 300, Equals(True), str(made.prefill_tokens))
 
     def test_deadline_in_the_queue_is_not_run_and_later_is_late(self):
         made = engine(capacity=1)
@@ -186,20 +186,20 @@
                 Equals((numbers, "finished")),
             )
 
-    def test_ills(self):
-        for ill, state, events in (
+    def test_each_answer_fault_ends_its_run_as_configured(self):
+        for fault, state, events in (
             ("error", "error", 0),
             ("garbled", "garbled", 0),
             ("short", "broken", 2),
             ("surplus", "finished", 4),
             ("late", "finished", 4),
         ):
-            made = engine(ills=((ill, 1.0),))
+            made = engine(faults=((fault, 1.0),))
             made.receive(asked(1, events=4), 0)
             rows = until(made, 1000)
             self.assertThat(
-                (ill, of(rows, RunEnded)[0].state, len(of(rows, EventProduced))),
-                Equals((ill, state, events)),
+                (fault, of(rows, RunEnded)[0].state, len(of(rows, EventProduced))),
+                Equals((fault, state, events)),
             )
         made = engine()
         made.receive(asked(1, poisoned=True), 0)
@@ -238,7 +238,7 @@
 
     def test_a_seed_gives_the_same_run(self):
         def played():
-            made = engine(ills=(("short", 0.2), ("error", 0.2)))
+            made = engine(faults=(("short", 0.2), ("error", 0.2)))
             for key in range(40):
                 made.receive(asked(key, events=1 + key % 5, urgency=key % 3), key * 7)
             return [(at_ms, repr(message)) for at_ms, message in until(made, 10_000)]
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -75,12 +75,12 @@
         )
         self.began_at = asyncio.get_running_loop().time()
         self.fleet = FakeFleet(self.sheet, self.history, self.clock, broken)
-        ills = (
+        faults = (
             (("short", 0.3), ("error", 0.05))
             if broken in ("looks-complete", "splices")
             else (("short", 0.03), ("error", 0.03))
         )
-        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, ills)
+        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, faults)
         self.entry = Entry(self.fleet, self.history, self.clock)
         self.live = LiveClients(self.sheet, self.entry, self.history, self.clock, seed)
         self.jobs = JobClients(
