--- a/libs/platform_testbed/src/platform_testbed/batch_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -15,7 +15,7 @@
 from simulator.history import History
 
 from platform_testbed.entry import Entry
-from platform_testbed.site import Kind, Sheet
+from platform_testbed.site import Deployment, Kind
 from platform_testbed.worker_calls import digest
 
 __all__ = ["JobClients"]
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        sheet: Sheet,
+        deployment: Deployment,
         entry: Entry,
         history: History,
         clock: Any,
@@ -42,9 +42,9 @@
         poisoned: float = 0.03,
         ended: float = 0.1,
     ) -> None:
-        self.sheet, self.entry, self.history, self.clock = sheet, entry, history, clock
+        self.deployment, self.entry, self.history, self.clock = deployment, entry, history, clock
         self.rng = random.Random(f"lots/{seed}")
-        self.kind: Kind = sheet.kinds["recap"]
+        self.kind: Kind = deployment.kinds["recap"]
         self.stopping = False
         self.press = 1.0
         self.jobs: list[dict[str, Any]] = []
@@ -54,7 +54,7 @@
 
     async def run(self) -> None:
         """Submit lots at the shape's rate until `stopping`."""
-        per_s = self.sheet.shape["lots_per_s"]
+        per_s = self.deployment.shape["lots_per_s"]
         while not self.stopping:
             self.spawn(self.job())
             await asyncio.sleep(min(2.5, self.rng.expovariate(per_s * self.press)))
@@ -120,12 +120,12 @@
 
     def draw(self) -> dict[str, Any]:
         """Draw a lot and its items, and record it."""
-        rng, route = self.rng, self.sheet.routes[self.kind.name]
+        rng, route = self.rng, self.deployment.routes[self.kind.name]
         items = {}
-        for _ in range(max(1, round(self.sheet.shape["lot_items"] * (0.5 + rng.random())))):
+        for _ in range(max(1, round(self.deployment.shape["lot_items"] * (0.5 + rng.random())))):
             events, tokens_in = rng.randint(*self.kind.events), rng.randint(*self.kind.tokens_in)
             shared = tokens_in // 2
-            tokens_out = events * self.sheet.engine.stride
+            tokens_out = events * self.deployment.engine.stride
             plan = {
                 "stream": True,
                 "events": events,
@@ -141,7 +141,7 @@
                 "events": events,
                 "poisoned": plan["poisoned"],
                 "headers": {
-                    "Model": self.sheet.models[0],
+                    "Model": self.deployment.models[0],
                     "Token-Counts": f"{tokens_in},{tokens_out}",
                     "Prompt-Prefix": f"{rng.choice(self._shared)}:{shared},"
                     f"{rng.getrandbits(32):08x}:{tokens_in - shared}",
@@ -151,7 +151,7 @@
             "lot",
             self.clock(),
             lot=f"{rng.getrandbits(64):016x}",
-            zone=rng.choice(self.sheet.zones),
+            zone=rng.choice(self.deployment.zones),
             host=route["hostname"],
             items=items,
             tries=self.kind.tries,
@@ -159,7 +159,7 @@
             cap=self.kind.queue_cap,
             due_ms=self.kind.due_ms,
             target_ms=self.kind.target_ms,
-            first_event=self.sheet.first_event,
+            first_event=self.deployment.first_event,
             position=0,
             total=len(items),
             accepted_ms=0.0,
@@ -183,7 +183,7 @@
 
     async def hand_in(self, job: dict[str, Any]) -> bool:
         """Submit a lot until it is accepted; return whether it was in time."""
-        route, began_ms = self.sheet.routes[self.kind.name], self.clock()
+        route, began_ms = self.deployment.routes[self.kind.name], self.clock()
         body = json.dumps(
             {
                 "requests": [
--- a/libs/platform_testbed/src/platform_testbed/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -30,7 +30,7 @@
         )
     rows = [
         f"{what}: {json.dumps(told)}"
-        for what, told in day_worth(day.history, day.sheet.kinds).items()
+        for what, told in day_worth(day.history, day.deployment.kinds).items()
     ]
     rows += [
         f"{row['what']} of version {row['revision']}: {row['outcome']} {row['status']} after "
--- a/libs/platform_testbed/src/platform_testbed/live_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/live_clients.py
@@ -15,7 +15,7 @@
 
 from platform_testbed.client_attempt import Asker
 from platform_testbed.entry import Entry
-from platform_testbed.site import Kind, Sheet
+from platform_testbed.site import Deployment, Kind
 from platform_testbed.worker_calls import digest
 
 __all__ = ["PROMISES", "LiveClients"]
@@ -33,8 +33,10 @@
 class LiveClients:
     """All live clients; `press` multiplies the rate of their requests."""
 
-    def __init__(self, sheet: Sheet, entry: Entry, history: History, clock: Any, seed: int) -> None:
-        self.sheet, self.entry, self.history, self.clock = sheet, entry, history, clock
+    def __init__(
+        self, deployment: Deployment, entry: Entry, history: History, clock: Any, seed: int
+    ) -> None:
+        self.deployment, self.entry, self.history, self.clock = deployment, entry, history, clock
         self.rng = random.Random(f"live/{seed}")
         self.stopping = False
         self.press = 1.0
@@ -48,15 +50,18 @@
             kind.name: [
                 (f"{self.rng.getrandbits(32):08x}", kind) for _ in range(max(1, kind.parts[0]))
             ]
-            for kind in sheet.kinds.values()
+            for kind in deployment.kinds.values()
         }
 
     async def run(self) -> None:
         """Send requests at the shape's rate until `stopping`, then wait for the open ones."""
-        live = [kind for kind in self.sheet.kinds.values() if kind.share]
+        live = [kind for kind in self.deployment.kinds.values() if kind.share]
         total = sum(kind.share for kind in live)
         await asyncio.gather(
-            *[self._arrivals(kind, self.sheet.shape["rate"] * kind.share / total) for kind in live]
+            *[
+                self._arrivals(kind, self.deployment.shape["rate"] * kind.share / total)
+                for kind in live
+            ]
         )
         while self._tasks:
             await asyncio.wait(set(self._tasks))
@@ -91,9 +96,9 @@
         """Send one request with all its attempts and return its row."""
         rng = self.rng
         self._count += 1
-        zone = zone or rng.choice(self.sheet.zones)
+        zone = zone or rng.choice(self.deployment.zones)
         client = f"{zone}/{rng.randrange(12)}"
-        route = self.sheet.routes[kind.name]
+        route = self.deployment.routes[kind.name]
         parts, tokens_in = self.prompt(kind)
         events = rng.randint(*kind.events)
         body = json.dumps(
@@ -102,8 +107,8 @@
         headers = {
             "Host": route["hostname"],
             "Content-Type": "application/json",
-            "Model": self.sheet.models[0],
-            "Token-Counts": f"{tokens_in},{events * self.sheet.engine.stride}",
+            "Model": self.deployment.models[0],
+            "Token-Counts": f"{tokens_in},{events * self.deployment.engine.stride}",
             "Prompt-Prefix": parts,
         }
         request = self.history.add(
@@ -179,7 +184,7 @@
             after=after,
             wanted=request["events"],
             probe=False,
-            first_event=self.sheet.first_event,
+            first_event=self.deployment.first_event,
             left=False,
         )
         request["tries"].append(row)
@@ -245,7 +250,7 @@
             after=None,
             wanted=1,
             probe=True,
-            first_event=self.sheet.first_event,
+            first_event=self.deployment.first_event,
             left=False,
         )
         body = json.dumps({"stream": False, "events": 1, "pad": 20}).encode()
@@ -254,7 +259,7 @@
             "Host": host,
             "Request-Id": row["id"],
             "Deadline-Ms": "2000",
-            "Model": self.sheet.models[0],
+            "Model": self.deployment.models[0],
             "Token-Counts": "40,14",
             "Prompt-Prefix": f"{self.rng.getrandbits(32):08x}:40",
         }
--- a/libs/platform_testbed/src/platform_testbed/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -19,7 +19,7 @@
 from simulator.history import History
 
 from platform_testbed.processor_starvation import Starved
-from platform_testbed.site import Sheet
+from platform_testbed.site import Deployment
 
 __all__ = ["Machine", "Machines", "loopback_net"]
 
@@ -95,9 +95,15 @@
     """
 
     def __init__(
-        self, sheet: Sheet, folder: str, root: Path, history: History, clock: Any, net: str = ""
+        self,
+        deployment: Deployment,
+        folder: str,
+        root: Path,
+        history: History,
+        clock: Any,
+        net: str = "",
     ) -> None:
-        self.sheet, self.root, self.history, self.clock = sheet, root, history, clock
+        self.deployment, self.root, self.history, self.clock = deployment, root, history, clock
         self.folder = Path(folder).resolve()
         shutil.rmtree(self.folder, ignore_errors=True)
         self.folder.mkdir(parents=True)
@@ -108,7 +114,7 @@
         self._hosts = 0
         self._listed: list[str] = []
         for machine_class in ROLES:
-            for _ in range(sheet.shape[machine_class]):
+            for _ in range(deployment.shape[machine_class]):
                 self.add(machine_class)
         self._seeds = self.control_now()[:3]
 
@@ -117,7 +123,7 @@
         same = [
             machine for machine in self.machines.values() if machine.machine_class == machine_class
         ]
-        zone = zone or self.sheet.zones[len(same) % len(self.sheet.zones)]
+        zone = zone or self.deployment.zones[len(same) % len(self.deployment.zones)]
         self._hosts += 1
         number = 1 + sum(machine.zone == zone for machine in same)
         machine = Machine(
@@ -169,13 +175,13 @@
         """Keep the list of control addresses up to date with the platform's lag."""
         while not self.closing:
             now = self.control_now()
-            await asyncio.sleep(self.sheet.timing["seedLagS"])
+            await asyncio.sleep(self.deployment.timing["seedLagS"])
             self._listed = now
 
     # -- settings ------------------------------------------------------------------------------
 
     def _settings(self, machine: Machine) -> dict[str, Any]:
-        sheet = self.sheet
+        deployment = self.deployment
         values: dict[str, Any] = {
             "nodeName": machine.name,
             "role": ROLES[machine.machine_class],
@@ -183,7 +189,7 @@
             "serves": [SERVES[machine.machine_class]],
             "ip": machine.ip,
             "zone": machine.zone,
-            "region": sheet.region,
+            "region": deployment.region,
             "internalPorts": list(_INTERNAL),
             "seedNodes": self._seeds if self.first_start else self.control_list()[:3],
             "firstStart": self.first_start,
@@ -204,7 +210,7 @@
         }
         if machine.data_dir:
             values["dataDir"] = machine.data_dir
-        values["zones"] = dict.fromkeys(sheet.zones, sheet.region)
+        values["zones"] = dict.fromkeys(deployment.zones, deployment.region)
         values["bindAddresses"] = machine.addresses
         values["limits"] = {
             "cpuShare": 0.6,
@@ -214,8 +220,12 @@
             "networkMbps": 1000.0,
             "diskMb": 0 if machine.machine_class == "edge" else 128,
         }
-        values["tolerance"] = {"machines": sheet.shape.get("machines", 1), "zones": 0, "regions": 0}
-        values["timing"] = sheet.timing
+        values["tolerance"] = {
+            "machines": deployment.shape.get("machines", 1),
+            "zones": 0,
+            "regions": 0,
+        }
+        values["timing"] = deployment.timing
         return values
 
     def _write(self, machine: Machine) -> None:
@@ -341,7 +351,7 @@
         machine.held = True
         self.begin_trouble(machine, "term", planned=True)
         machine.signal(signal.SIGTERM)
-        end_at = time.monotonic() + self.sheet.timing["graceS"]
+        end_at = time.monotonic() + self.deployment.timing["graceS"]
         while machine.runs and time.monotonic() < end_at:
             await asyncio.sleep(0.05)
         if machine.runs:
--- a/libs/platform_testbed/src/platform_testbed/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -15,7 +15,7 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.site import Sheet
+from platform_testbed.site import Deployment
 
 __all__ = ["Operator", "patched"]
 
@@ -38,8 +38,10 @@
 class Operator:
     """The operator of a day; `settings` is the newest configuration known to be in force."""
 
-    def __init__(self, sheet: Sheet, fleet: Any, history: History, clock: Any, seed: int) -> None:
-        self.sheet, self.fleet, self.history, self.clock = sheet, fleet, history, clock
+    def __init__(
+        self, deployment: Deployment, fleet: Any, history: History, clock: Any, seed: int
+    ) -> None:
+        self.deployment, self.fleet, self.history, self.clock = deployment, fleet, history, clock
         self.rng = random.Random(f"operator/{seed}")
         self.settings: dict[str, Any] = {}
         self.newest_probe: dict[str, Any] = {}
@@ -159,7 +161,7 @@
 
     async def found(self, limit_s: float = 30.0) -> bool:
         """Send the first configuration; return whether it was acknowledged."""
-        first = self.sheet.first_settings()
+        first = self.deployment.first_settings()
         row = await self.order(first, first, 0, what="first", limit_s=limit_s)
         return row["outcome"] == "acked"
 
@@ -182,26 +184,26 @@
         return row
 
     def _patch(self, what: str) -> dict[str, Any]:
-        kinds = [kind for kind in self.sheet.kinds.values() if kind.route_type != "bulk"]
+        kinds = [kind for kind in self.deployment.kinds.values() if kind.route_type != "bulk"]
         kind = self.rng.choice(kinds)
         rows, gone = [], []
         if what == "move":
-            rows = [self.sheet.route_row(kind, backend=self.sheet.services[1])]
+            rows = [self.deployment.route_row(kind, backend=self.deployment.services[1])]
         elif what == "back":
-            rows = [self.sheet.route_row(kind) for kind in kinds]
+            rows = [self.deployment.route_row(kind) for kind in kinds]
         elif what == "split":
-            row = self.sheet.route_row(
+            row = self.deployment.route_row(
                 kind,
                 shares=[
-                    {"backend": self.sheet.services[0], "share": 80},
-                    {"backend": self.sheet.services[1], "share": 20},
+                    {"backend": self.deployment.services[0], "share": 80},
+                    {"backend": self.deployment.services[1], "share": 20},
                 ],
             )
             del row["backend"]
             rows = [row]
         elif what == "timeout":
             rows = [
-                self.sheet.route_row(
+                self.deployment.route_row(
                     kind, giveUpMs=kind.give_up_ms + 100 * self.rng.randrange(1, 9)
                 )
             ]
@@ -217,8 +219,8 @@
 
     def _extra_route(self) -> dict[str, Any]:
         number = f"{self.rng.getrandbits(24):06x}"
-        return self.sheet.route_row(
-            self.sheet.kinds["lookup"], name=f"x-{number}", pathStart=f"/x{number}/"
+        return self.deployment.route_row(
+            self.deployment.kinds["lookup"], name=f"x-{number}", pathStart=f"/x{number}/"
         )
 
     async def race(self) -> list[dict[str, Any]]:
@@ -273,7 +275,7 @@
             "revision": base + 2,
             "routes": [*made["routes"], {**route, "name": "again"}],
         }
-        weightless = {**route, "shares": [{"backend": self.sheet.services[0], "share": 0}]}
+        weightless = {**route, "shares": [{"backend": self.deployment.services[0], "share": 0}]}
         weightless.pop("backend", None)
         nothing = {**made, "revision": base + 2, "routes": [weightless, *made["routes"][1:]]}
         at_once = {
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -21,8 +21,8 @@
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
 from platform_testbed.processor_starvation import starved_ms
-from platform_testbed.site import Sheet
-from platform_testbed.worker_pool import Crew
+from platform_testbed.site import Deployment
+from platform_testbed.worker_pool import SimulatedWorkerPool
 
 __all__ = ["STARVED_MS", "Day", "Step", "run_platform_day"]
 
@@ -47,18 +47,20 @@
         root: Path,
         faults: tuple[tuple[str, float], ...] = (),
     ) -> None:
-        self.sheet = Sheet(shape, seed)
+        self.deployment = Deployment(shape, seed)
         self.rng = random.Random(f"day/{seed}")
         self.history = History(
-            seed=seed, timing=self.sheet.timing, first_event=self.sheet.first_event
+            seed=seed, timing=self.deployment.timing, first_event=self.deployment.first_event
         )
         self._began_at = asyncio.get_running_loop().time()
-        self.fleet = Machines(self.sheet, folder, root, self.history, self.clock)
-        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, faults)
+        self.fleet = Machines(self.deployment, folder, root, self.history, self.clock)
+        self.worker_pool = SimulatedWorkerPool(
+            self.deployment, self.fleet, self.history, self.clock, seed, faults
+        )
         self.entry = Entry(self.fleet, self.history, self.clock)
-        self.live = LiveClients(self.sheet, self.entry, self.history, self.clock, seed)
-        self.jobs = JobClients(self.sheet, self.entry, self.history, self.clock, seed)
-        self.operator = Operator(self.sheet, self.fleet, self.history, self.clock, seed)
+        self.live = LiveClients(self.deployment, self.entry, self.history, self.clock, seed)
+        self.jobs = JobClients(self.deployment, self.entry, self.history, self.clock, seed)
+        self.operator = Operator(self.deployment, self.fleet, self.history, self.clock, seed)
         self._extra: list[str] = []
 
     def clock(self) -> float:
@@ -115,7 +117,7 @@
         AssertionError if processes keep ending, or if the configuration isn't taken in time.
         """
         self.fleet.start_all()
-        await self.crew.start()
+        await self.worker_pool.start()
         founding = asyncio.ensure_future(self.operator.found(_FOUND_S))
         while not founding.done():
             await asyncio.wait([founding], timeout=0.2)
@@ -149,7 +151,7 @@
                 if row["name"].startswith("x-")
             ]
             self._extra += [path for path in added if path not in self._extra]
-            host = self.sheet.routes["lookup"]["hostname"]
+            host = self.deployment.routes["lookup"]["hostname"]
             for machine in self.fleet.with_role("edge"):
                 newest = [*self._extra[-1:], f"/never{self.rng.getrandbits(16):x}/"]
                 for path in {newest[turn % len(newest)], self.rng.choice(self._extra or newest)}:
@@ -183,16 +185,16 @@
             ]
             await asyncio.gather(self._steps(steps), asyncio.sleep(seconds))
             self.live.stopping = True
-            await self.jobs.finish(self.sheet.timing["finishS"])
+            await self.jobs.finish(self.deployment.timing["finishS"])
             await asyncio.gather(*traffic)
-            await self.operator.read_back(self.sheet.timing["contactMs"])
+            await self.operator.read_back(self.deployment.timing["contactMs"])
         finally:
             self.entry.stopping = self.live.stopping = self.jobs.stopping = True
             self.fleet.close()
             for work in background:
                 work.cancel()
             await asyncio.gather(*background, return_exceptions=True)
-            await self.crew.close()
+            await self.worker_pool.close()
             await self.operator.close()
 
 
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -85,19 +85,19 @@
 
 
 async def crash_worker(day: Day) -> None:
-    await day.crew.crash()
+    await day.worker_pool.crash()
 
 
 async def dark_worker(day: Day) -> None:
-    await day.crew.dark()
+    await day.worker_pool.dark()
 
 
 async def release_one(day: Day) -> None:
-    await day.crew.release(count=1)
+    await day.worker_pool.release(count=1)
 
 
 async def release_all(day: Day) -> None:
-    await day.crew.release()
+    await day.worker_pool.release()
 
 
 async def burst(day: Day) -> None:
@@ -194,18 +194,18 @@
     for machine in machines:
         day.fleet.back(machine)
     day.history.add("back", day.clock())
-    await asyncio.sleep(day.sheet.timing["recoveryS"] + 3)
+    await asyncio.sleep(day.deployment.timing["recoveryS"] + 3)
 
 
 async def power_off_and_wipe(day: Day) -> None:
-    await power_off(day, day.sheet.shape.get("machines", 1))
+    await power_off(day, day.deployment.shape.get("machines", 1))
 
 
 async def wipe_after_ack(day: Day) -> None:
     """Wipe a core machine and then a store, right after a configuration was acknowledged."""
     await day.operator.change("add")
     await day.fleet.lost(await day.owner(), 1.0, wiped=True)
-    await asyncio.sleep(day.sheet.timing["catchUpS"])
+    await asyncio.sleep(day.deployment.timing["catchUpS"])
     await day.fleet.lost(await day.holder(), 1.0, wiped=True)
 
 
--- a/libs/platform_testbed/src/platform_testbed/site.py
+++ b/libs/platform_testbed/src/platform_testbed/site.py
@@ -9,7 +9,7 @@
 
 from platform_testbed.engine_messages import EngineProfile
 
-__all__ = ["ALL_SHAPES", "Kind", "Sheet", "allowed_services", "route_of"]
+__all__ = ["ALL_SHAPES", "Deployment", "Kind", "allowed_services", "route_of"]
 
 ALL_SHAPES: dict[str, dict[str, Any]] = {
     "small": {
@@ -205,7 +205,7 @@
 )
 
 
-class Sheet:
+class Deployment:
     """What is drawn from a shape and a seed; `limits` go into the configuration."""
 
     __slots__ = (
@@ -270,7 +270,7 @@
 
     def service_row(self, name: str) -> dict[str, Any]:
         """Return a service as the configuration has it."""
-        sheet = self.engine
+        profile = self.engine
         return {
             "name": name,
             "healthPath": "/health",
@@ -278,11 +278,11 @@
             "protocol": "h1",
             "tls": False,
             "engine": {
-                "capacity": sheet.capacity,
-                "cacheTokens": sheet.cache_tokens,
+                "capacity": profile.capacity,
+                "cacheTokens": profile.cache_tokens,
                 "tokenBytes": 131072,
                 "networkMbps": 2900000.0,
-                "stride": sheet.stride,
+                "stride": profile.stride,
                 "models": [{"name": name} for name in self.models],
             },
         }
--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -7,15 +7,15 @@
 from simulator.history import History
 
 from platform_testbed.engine_messages import EngineProfile
-from platform_testbed.site import Sheet
-from platform_testbed.workers import StandInEngine
+from platform_testbed.site import Deployment
+from platform_testbed.workers import SimulatedWorker
 
-__all__ = ["Crew"]
+__all__ = ["SimulatedWorkerPool"]
 
 _PORT = 8080
 
 
-class Crew:
+class SimulatedWorkerPool:
     """Starts workers and lets them crash, fall silent or be replaced.
 
     `ills` as for Day; `fleet` gives the addresses of control.
@@ -23,35 +23,37 @@
 
     def __init__(
         self,
-        sheet: Sheet,
+        deployment: Deployment,
         fleet: Any,
         history: History,
         clock: Any,
         seed: int,
         faults: tuple[tuple[str, float], ...] = (),
     ) -> None:
-        self.sheet, self.fleet, self.history, self.clock = sheet, fleet, history, clock
+        self.deployment, self.fleet, self.history, self.clock = deployment, fleet, history, clock
         self.rng = random.Random(f"crew/{seed}")
-        self.workers: list[StandInEngine] = []
+        self.workers: list[SimulatedWorker] = []
         self._engine = EngineProfile(
-            **{name: getattr(sheet.engine, name) for name in EngineProfile.__slots__}
+            **{name: getattr(deployment.engine, name) for name in EngineProfile.__slots__}
             | {"faults": faults}
         )
         self._places = 0
 
     async def start(self) -> None:
         """Start the workers of all services, spread over the zones."""
-        for service, count in zip(self.sheet.services, self.sheet.shape["workers"], strict=True):
+        for service, count in zip(
+            self.deployment.services, self.deployment.shape["workers"], strict=True
+        ):
             for place in range(count):
-                await self.add(service, self.sheet.zones[place % len(self.sheet.zones)])
+                await self.add(service, self.deployment.zones[place % len(self.deployment.zones)])
 
-    async def add(self, service: str, zone: str, address: str = "") -> StandInEngine:
+    async def add(self, service: str, zone: str, address: str = "") -> SimulatedWorker:
         """Start a worker, at a new address if none is given, and return it."""
         if not address:
             self._places += 1
             address = f"{self.fleet.net}.{150 + self._places % 100}:{_PORT}"
         server_id = f"i-{self.rng.getrandbits(32):08x}"
-        worker = StandInEngine(
+        worker = SimulatedWorker(
             server_id,
             service,
             address,
@@ -70,7 +72,7 @@
         )
         return worker
 
-    def serving(self, service: str = "") -> list[StandInEngine]:
+    def serving(self, service: str = "") -> list[SimulatedWorker]:
         """Return the workers that take requests, of one service if it is given."""
         return [
             worker
@@ -78,8 +80,8 @@
             if worker.announced == "serving" and not worker.dark and service in ("", worker.service)
         ]
 
-    def _one(self) -> StandInEngine:
-        return self.rng.choice(self.serving(self.sheet.services[0]))
+    def _one(self) -> SimulatedWorker:
+        return self.rng.choice(self.serving(self.deployment.services[0]))
 
     async def crash(self, back_s: float = 1.5) -> None:
         """Let one worker crash; a new one starts at the same address after `back_s`."""
@@ -101,12 +103,12 @@
 
         A worker of the second service is started at that address.
         """
-        for worker in self.serving(self.sheet.services[0])[:count]:
+        for worker in self.serving(self.deployment.services[0])[:count]:
             await self.add(worker.service, worker.zone)
-            await worker.leave(self.sheet.timing["drainMs"])
+            await worker.leave(self.deployment.timing["drainMs"])
             await asyncio.sleep(gap_s)
-        await asyncio.sleep(self.sheet.timing["reuseAfterS"])
-        await self.add(self.sheet.services[1], worker.zone, worker.address)
+        await asyncio.sleep(self.deployment.timing["reuseAfterS"])
+        await self.add(self.deployment.services[1], worker.zone, worker.address)
 
     async def close(self) -> None:
         """Stop all workers."""
--- a/libs/platform_testbed/src/platform_testbed/workers.py
+++ b/libs/platform_testbed/src/platform_testbed/workers.py
@@ -27,13 +27,13 @@
 )
 from platform_testbed.worker_calls import Turn, digest, parse_request
 
-__all__ = ["StandInEngine"]
+__all__ = ["SimulatedWorker"]
 
 _KEEP_S = 5
 _LATE_S = 0.03
 
 
-class StandInEngine(Service):
+class SimulatedWorker(Service):
     """One life of a worker; `control` gives the control addresses known now."""
 
     def __init__(
@@ -42,7 +42,7 @@
         service: str,
         address: str,
         zone: str,
-        sheet: EngineProfile,
+        profile: EngineProfile,
         history: History,
         clock: Any,
         control: Any,
@@ -54,7 +54,7 @@
     ) -> None:
         super().__init__()
         self.server_id, self.service, self.address, self.zone = server_id, service, address, zone
-        self.engine = Engine(sheet, server_id, seed)
+        self.engine = Engine(profile, server_id, seed)
         self.history, self.now_ms = history, clock
         self.announced, self.dark = "serving", False
         self.acked_ms = 0.0
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -37,8 +37,8 @@
 class FakeFleet(FakeJobApi):
     """Stands where the runner's machines stand."""
 
-    def __init__(self, sheet, history, clock, broken=""):
-        self.sheet, self.history, self.clock, self.broken = sheet, history, clock, broken
+    def __init__(self, deployment, history, clock, broken=""):
+        self.deployment, self.history, self.clock, self.broken = deployment, history, clock, broken
         self.net = loopback_net(next(NETS))
         self.rng = random.Random(5)
         self.settings, self.taken = {}, {}
@@ -48,7 +48,7 @@
             FakeMachine(
                 f"{of}-{index}",
                 of,
-                sheet.zones[index % len(sheet.zones)],
+                deployment.zones[index % len(deployment.zones)],
                 f"{self.net}.{number + 1}",
             )
             for number, (of, index) in enumerate(names)
@@ -247,7 +247,9 @@
             try:
                 async for block in self._blocks(answer):
                     last = int(block.split(b"\n")[0][3:])
-                    if not (self.broken == "drops-event" and last == self.sheet.first_event + 1):
+                    if not (
+                        self.broken == "drops-event" and last == self.deployment.first_event + 1
+                    ):
                         await made.write(block + b"\n\n")
                 await made.write_eof()
                 return made
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -14,8 +14,8 @@
 from platform_testbed.processor_starvation import Starved, starved_ms
 from platform_testbed.scenario import STARVED_MS
 from platform_testbed.scenarios import DUE
-from platform_testbed.site import Sheet
-from platform_testbed.worker_pool import Crew
+from platform_testbed.site import Deployment
+from platform_testbed.worker_pool import SimulatedWorkerPool
 from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -67,31 +67,33 @@
 class FakePlatformScenario:
     def __init__(self, broken, seed=3):
         self.broken = broken
-        self.sheet = Sheet("small", seed)
+        self.deployment = Deployment("small", seed)
         if broken == "no-quota":
-            self.sheet.kinds["recap"].queue_cap = 4_000
+            self.deployment.kinds["recap"].queue_cap = 4_000
         self.history = History(
-            seed=seed, timing=self.sheet.timing, first_event=self.sheet.first_event
+            seed=seed, timing=self.deployment.timing, first_event=self.deployment.first_event
         )
         self.began_at = asyncio.get_running_loop().time()
-        self.fleet = FakeFleet(self.sheet, self.history, self.clock, broken)
+        self.fleet = FakeFleet(self.deployment, self.history, self.clock, broken)
         faults = (
             (("short", 0.3), ("error", 0.05))
             if broken in ("looks-complete", "splices")
             else (("short", 0.03), ("error", 0.03))
         )
-        self.crew = Crew(self.sheet, self.fleet, self.history, self.clock, seed, faults)
+        self.worker_pool = SimulatedWorkerPool(
+            self.deployment, self.fleet, self.history, self.clock, seed, faults
+        )
         self.entry = Entry(self.fleet, self.history, self.clock)
-        self.live = LiveClients(self.sheet, self.entry, self.history, self.clock, seed)
+        self.live = LiveClients(self.deployment, self.entry, self.history, self.clock, seed)
         self.jobs = JobClients(
-            self.sheet,
+            self.deployment,
             self.entry,
             self.history,
             self.clock,
             seed,
             ended=0.9 if broken == "goes-on" else 0.1,
         )
-        self.operator = Operator(self.sheet, self.fleet, self.history, self.clock, seed)
+        self.operator = Operator(self.deployment, self.fleet, self.history, self.clock, seed)
 
     def clock(self):
         return (asyncio.get_running_loop().time() - self.began_at) * 1000
@@ -102,7 +104,7 @@
         elif name == "bad":
             await self.operator.bad()
         elif name == "release":
-            await self.crew.release(count=1)
+            await self.worker_pool.release(count=1)
         else:
             await self.operator.change(name)
 
@@ -113,7 +115,7 @@
     async def play(self):
         await self.fleet.start()
         polling = [asyncio.ensure_future(work) for work in (self.entry.poll(), self._watch())]
-        await self.crew.start()
+        await self.worker_pool.start()
         await self.operator.found()
         await asyncio.sleep(0.5)
         self.live.press, self.jobs.press = (1.5, 2.5) if self.broken else (1.0, 1.0)
@@ -128,7 +130,7 @@
         self.entry.stopping = True
         for work in polling:
             work.cancel()
-        await self.crew.close()
+        await self.worker_pool.close()
         await self.operator.close()
         await self.fleet.close()
         return (*judge_day(self.history), starved_ms(self.history))
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -11,7 +11,7 @@
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
 from platform_testbed.processor_starvation import Starved, starved_ms
 from platform_testbed.reachability import Touch
-from platform_testbed.site import TIMING, Sheet, allowed_services
+from platform_testbed.site import TIMING, Deployment, allowed_services
 from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -175,7 +175,11 @@
 
     def test_a_seed_draws_the_same_names_and_another_other_ones(self):
         rows = [
-            (sheet.zones, sheet.services, sheet.routes, sheet.first_event)
-            for sheet in (Sheet("small", 1), Sheet("small", 1), Sheet("small", 2))
+            (deployment.zones, deployment.services, deployment.routes, deployment.first_event)
+            for deployment in (
+                Deployment("small", 1),
+                Deployment("small", 1),
+                Deployment("small", 2),
+            )
         ]
         self.assertThat((rows[0] == rows[1], rows[0] == rows[2]), Equals((True, False)))
