--- a/libs/platform_testbed/src/platform_testbed/batch_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -14,7 +14,7 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.entry import Entry
+from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.site import Deployment, Kind
 from platform_testbed.worker_calls import digest
 
@@ -35,14 +35,19 @@
     def __init__(
         self,
         deployment: Deployment,
-        entry: Entry,
+        load_balancer: LoadBalancer,
         history: History,
         clock: Any,
         seed: int,
         poisoned: float = 0.03,
         ended: float = 0.1,
     ) -> None:
-        self.deployment, self.entry, self.history, self.clock = deployment, entry, history, clock
+        self.deployment, self.load_balancer, self.history, self.clock = (
+            deployment,
+            load_balancer,
+            history,
+            clock,
+        )
         self.rng = random.Random(f"lots/{seed}")
         self.kind: Kind = deployment.kinds["recap"]
         self.stopping = False
@@ -82,7 +87,7 @@
 
         The row gets node, status and times; status 0 is no answer.
         """
-        machine = self.entry.choose(row["zone"], row["lot"], attempt)
+        machine = self.load_balancer.choose(row["zone"], row["lot"], attempt)
         row.update(
             node=machine.name if machine else "",
             life=machine.life if machine else 0,
--- a/libs/platform_testbed/src/platform_testbed/live_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/live_clients.py
@@ -14,7 +14,7 @@
 from simulator.history import History
 
 from platform_testbed.client_attempt import Asker
-from platform_testbed.entry import Entry
+from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.site import Deployment, Kind
 from platform_testbed.worker_calls import digest
 
@@ -34,9 +34,19 @@
     """All live clients; `press` multiplies the rate of their requests."""
 
     def __init__(
-        self, deployment: Deployment, entry: Entry, history: History, clock: Any, seed: int
+        self,
+        deployment: Deployment,
+        load_balancer: LoadBalancer,
+        history: History,
+        clock: Any,
+        seed: int,
     ) -> None:
-        self.deployment, self.entry, self.history, self.clock = deployment, entry, history, clock
+        self.deployment, self.load_balancer, self.history, self.clock = (
+            deployment,
+            load_balancer,
+            history,
+            clock,
+        )
         self.rng = random.Random(f"live/{seed}")
         self.stopping = False
         self.press = 1.0
@@ -285,11 +295,11 @@
         """
         client = request["client"]
         if attempt or not _keeps(client):
-            return self.entry.choose(request["zone"], client, attempt)
+            return self.load_balancer.choose(request["zone"], client, attempt)
         idle_ms = self.clock() - self._used_ms.get(client, 0.0)
         self._used_ms[client] = self.clock()
         if self._at.get(client) is None or self._at[client].removed or idle_ms > 1000 * _KEEP_S:
-            self._at[client] = self.entry.choose(request["zone"], client)
+            self._at[client] = self.load_balancer.choose(request["zone"], client)
         return self._at[client]
 
     def _goes_on(self, kind: Kind, row: dict[str, Any]) -> bool:
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -15,8 +15,8 @@
 from simulator.history import History
 
 from platform_testbed.batch_clients import JobClients
-from platform_testbed.entry import Entry
 from platform_testbed.live_clients import LiveClients
+from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.machines import Machine, Machines
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
@@ -57,9 +57,9 @@
         self.worker_pool = SimulatedWorkerPool(
             self.deployment, self.fleet, self.history, self.clock, seed, faults
         )
-        self.entry = Entry(self.fleet, self.history, self.clock)
-        self.live = LiveClients(self.deployment, self.entry, self.history, self.clock, seed)
-        self.jobs = JobClients(self.deployment, self.entry, self.history, self.clock, seed)
+        self.load_balancer = LoadBalancer(self.fleet, self.history, self.clock)
+        self.live = LiveClients(self.deployment, self.load_balancer, self.history, self.clock, seed)
+        self.jobs = JobClients(self.deployment, self.load_balancer, self.history, self.clock, seed)
         self.operator = Operator(self.deployment, self.fleet, self.history, self.clock, seed)
         self._extra: list[str] = []
 
@@ -175,7 +175,7 @@
         """
         background = [
             asyncio.ensure_future(work)
-            for work in (self.fleet.watch(), self.fleet.keep_list(), self.entry.poll())
+            for work in (self.fleet.watch(), self.fleet.keep_list(), self.load_balancer.poll())
         ]
         try:
             await self.found()
@@ -189,7 +189,7 @@
             await asyncio.gather(*traffic)
             await self.operator.read_back(self.deployment.timing["contactMs"])
         finally:
-            self.entry.stopping = self.live.stopping = self.jobs.stopping = True
+            self.load_balancer.stopping = self.live.stopping = self.jobs.stopping = True
             self.fleet.close()
             for work in background:
                 work.cancel()
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -7,8 +7,8 @@
 
 from fake_platform import FakeFleet
 from platform_testbed.batch_clients import JobClients
-from platform_testbed.entry import Entry
 from platform_testbed.live_clients import LiveClients
+from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
 from platform_testbed.processor_starvation import Starved, starved_ms
@@ -83,11 +83,11 @@
         self.worker_pool = SimulatedWorkerPool(
             self.deployment, self.fleet, self.history, self.clock, seed, faults
         )
-        self.entry = Entry(self.fleet, self.history, self.clock)
-        self.live = LiveClients(self.deployment, self.entry, self.history, self.clock, seed)
+        self.load_balancer = LoadBalancer(self.fleet, self.history, self.clock)
+        self.live = LiveClients(self.deployment, self.load_balancer, self.history, self.clock, seed)
         self.jobs = JobClients(
             self.deployment,
-            self.entry,
+            self.load_balancer,
             self.history,
             self.clock,
             seed,
@@ -114,7 +114,9 @@
 
     async def play(self):
         await self.fleet.start()
-        polling = [asyncio.ensure_future(work) for work in (self.entry.poll(), self._watch())]
+        polling = [
+            asyncio.ensure_future(work) for work in (self.load_balancer.poll(), self._watch())
+        ]
         await self.worker_pool.start()
         await self.operator.found()
         await asyncio.sleep(0.5)
@@ -127,7 +129,7 @@
         await self.jobs.finish(1.5)
         await asyncio.gather(*traffic)
         await self.operator.read_back(100)
-        self.entry.stopping = True
+        self.load_balancer.stopping = True
         for work in polling:
             work.cancel()
         await self.worker_pool.close()
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -6,7 +6,7 @@
 
 from platform_oracle_table import CASES, SETTINGS, history, start, trouble
 from platform_testbed import processor_starvation as starved_module
-from platform_testbed.entry import Entry
+from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.operators import patched
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
 from platform_testbed.processor_starvation import Starved, starved_ms
@@ -103,8 +103,8 @@
         self.assertThat(starved_ms(made), Equals(2100))
 
 
-class Arrivals(TestCase):
-    def entry(self, zones):
+class LoadBalancing(TestCase):
+    def load_balancer(self, zones):
         class Fleet:
             machines = [
                 type("M", (), {"name": f"{zone}{place}", "zone": zone, "removed": False})()
@@ -115,34 +115,34 @@
             def everyone(self, machine_class):
                 return self.machines
 
-        return Entry(Fleet(), History(), lambda: 0.0)
+        return LoadBalancer(Fleet(), History(), lambda: 0.0)
 
-    def chosen(self, entry, zone, count=40):
-        return {entry.choose(zone, f"client{number}").name for number in range(count)}
+    def chosen(self, load_balancer, zone, count=40):
+        return {load_balancer.choose(zone, f"client{number}").name for number in range(count)}
 
     def test_two_misses_take_out_one_answer_brings_back(self):
-        entry = self.entry({"n": 2, "s": 1})
-        entry.heard("n0", True)
-        entry.heard("n0", False)
-        self.assertThat(self.chosen(entry, "n"), Equals({"n0", "n1"}))
-        entry.heard("n0", False)
-        self.assertThat(self.chosen(entry, "n"), Equals({"n1"}))
-        entry.heard("n0", True)
-        self.assertThat(self.chosen(entry, "n"), Equals({"n0", "n1"}))
+        load_balancer = self.load_balancer({"n": 2, "s": 1})
+        load_balancer.record_check("n0", True)
+        load_balancer.record_check("n0", False)
+        self.assertThat(self.chosen(load_balancer, "n"), Equals({"n0", "n1"}))
+        load_balancer.record_check("n0", False)
+        self.assertThat(self.chosen(load_balancer, "n"), Equals({"n1"}))
+        load_balancer.record_check("n0", True)
+        self.assertThat(self.chosen(load_balancer, "n"), Equals({"n0", "n1"}))
 
     def test_fewer_than_half_in_then_all_none_in_then_others(self):
-        entry = self.entry({"n": 3, "s": 1})
+        load_balancer = self.load_balancer({"n": 3, "s": 1})
         for name in ("n0", "n1"):
-            entry.heard(name, False)
-            entry.heard(name, False)
-        self.assertThat(self.chosen(entry, "n"), Equals({"n0", "n1", "n2"}))
-        entry.heard("n2", False)
-        entry.heard("n2", False)
-        self.assertThat(self.chosen(entry, "n"), Equals({"s0"}))
+            load_balancer.record_check(name, False)
+            load_balancer.record_check(name, False)
+        self.assertThat(self.chosen(load_balancer, "n"), Equals({"n0", "n1", "n2"}))
+        load_balancer.record_check("n2", False)
+        load_balancer.record_check("n2", False)
+        self.assertThat(self.chosen(load_balancer, "n"), Equals({"s0"}))
 
     def test_a_client_stays_and_its_later_tries_go_elsewhere(self):
-        entry = self.entry({"n": 3})
-        names = [entry.choose("n", "c", attempt).name for attempt in (0, 0, 1, 2)]
+        load_balancer = self.load_balancer({"n": 3})
+        names = [load_balancer.choose("n", "c", attempt).name for attempt in (0, 0, 1, 2)]
         self.assertThat((names[0] == names[1], len(set(names))), Equals((True, 3)))
 
 
