--- a/libs/platform_testbed/src/platform_testbed/batch_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -90,7 +90,7 @@
         machine = self.load_balancer.choose(row["zone"], row["lot"], attempt)
         row.update(
             node=machine.name if machine else "",
-            life=machine.life if machine else 0,
+            life=machine.incarnation if machine else 0,
             sent_ms=round(self.clock(), 2),
             status=0,
         )
--- a/libs/platform_testbed/src/platform_testbed/load_balancer.py
+++ b/libs/platform_testbed/src/platform_testbed/load_balancer.py
@@ -47,7 +47,7 @@
             while not self.stopping:
                 await asyncio.gather(
                     asyncio.sleep(1.0),
-                    *[self._check(machine) for machine in self._fleet.with_role("edge")],
+                    *[self._check(machine) for machine in self._fleet.started_machines("edge")],
                 )
 
     async def _check(self, machine: Any) -> None:
@@ -79,10 +79,11 @@
     def choose(self, zone: str, client: str, attempt: int = 0) -> Any:
         """Return the edge for a client's connection, or None if there is no edge at all.
 
-        Consecutive attempts reach different edges. If fewer than half of the zone's edges are
-        ready, all of the zone are used; if none is, the ready ones of other zones, or else all.
+        Consecutive attempts reach different edges if there are several. If fewer than half of the
+        zone's edges are ready, all of the zone are used; if none is, the ready ones of other zones,
+        or else all.
         """
-        edges = [machine for machine in self._fleet.everyone("edge") if not machine.removed]
+        edges = [machine for machine in self._fleet.current_machines("edge") if not machine.removed]
         in_zone = [machine for machine in edges if machine.zone == zone]
         candidates = [machine for machine in in_zone if machine.name not in self._removed]
         if not candidates:
--- a/libs/platform_testbed/src/platform_testbed/machines.py
+++ b/libs/platform_testbed/src/platform_testbed/machines.py
@@ -1,8 +1,8 @@
-"""The machines of a day: real processes of this checkout on loopback addresses of their own.
+"""The machines of a day: real processes of this checkout, each on a loopback address of its own.
 
-All have the same ports. Each gets its settings file as the platform writes it; a process that ends
-is started again after a short delay with the settings of that moment. Only what was started here is
-signalled, by its process id.
+All use the same ports. Each has a settings file as the platform writes it. A process that ends by
+itself is restarted after a short delay, with its settings file written anew. Signals go only to
+processes that were started here, by process id.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 from simulator.history import History
 
-from platform_testbed.processor_starvation import Starved
+from platform_testbed.processor_starvation import StarvationMonitor
 from platform_testbed.site import Deployment
 
 __all__ = ["Machine", "Machines", "loopback_net"]
@@ -27,39 +27,45 @@
 SERVES = {"edge": "edge", "storage": "storage", "core": "control"}
 _PORTS = {"publicHttp": 8161, "readiness": 8167, "control": 8166}
 _INTERNAL = (7720, 7735)
-_AGAIN_S = 0.4
+_RESTART_DELAY_S = 0.4
 
 
 def loopback_net(number: int = 0) -> str:
-    """Return the first three numbers of a loopback network that belongs to this process.
+    """Return the first three octets of a loopback network of this process.
 
-    So several runs don't meet; there are up to sixteen networks for each process.
+    Concurrent runs thereby use different addresses. Each process has sixteen networks, by `number`.
     """
-    place = os.getpid() * 16 + number % 16
-    return f"127.{1 + place // 250 % 250}.{place % 250}"
+    index = os.getpid() * 16 + number % 16
+    return f"127.{1 + index // 250 % 250}.{index % 250}"
 
 
 class Machine:
-    """A machine and its process; `life` counts the process's starts.
-
-    While `held`, a process that ends isn't started again; `trouble` is the row of its present
-    fault.
+    """A machine and its process.
+
+    Attributes
+    ----------
+    incarnation
+        Number of times that the process was started.
+    restart_suspended
+        Whether a process that ended is not to be restarted by `Machines.watch`.
+    fault_row
+        Row of the history for the fault or planned work that the machine is in; None for none.
     """
 
     __slots__ = (
         "addresses",
         "data_dir",
-        "held",
+        "fault_row",
+        "incarnation",
         "ip",
-        "life",
         "log_file",
         "machine_class",
         "name",
         "process",
         "removed",
+        "restart_suspended",
         "settings_file",
         "started_ms",
-        "trouble",
         "zone",
     )
 
@@ -72,26 +78,37 @@
         named = {"edge": ("publicHttp", "readiness"), "core": ("control",)}.get(machine_class, ())
         self.addresses = {part: f"{ip}:{_PORTS[part]}" for part in named}
         self.process: subprocess.Popen | None = None
-        self.life = 0
-        self.held = self.removed = False
+        self.incarnation = 0
+        self.restart_suspended = self.removed = False
         self.started_ms = 0.0
-        self.trouble: dict[str, Any] | None = None
+        self.fault_row: dict[str, Any] | None = None
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
-        if self.runs:
+        """Send a signal to the process if it is running."""
+        if self.running:
             os.kill(self.process.pid, number)
 
 
 class Machines:
     """All machines of a day: their settings, their processes and their faults.
 
-    `root` is the checkout that is run; files go into `folder`, which is emptied first.
+    Parameters
+    ----------
+    deployment
+        Deployment that the machines belong to; its shape gives their numbers.
+    folder
+        Directory for settings, logs and data; its previous contents are removed.
+    root
+        Checkout whose programs are run.
+    history, clock
+        Where events are recorded, and the clock in milliseconds for them.
+    net
+        First three octets of the addresses; a network of this process if empty.
     """
 
     def __init__(
@@ -116,10 +133,10 @@
         for machine_class in ROLES:
             for _ in range(deployment.shape[machine_class]):
                 self.add(machine_class)
-        self._seeds = self.control_now()[:3]
+        self._seeds = self.control_addresses()[:3]
 
     def add(self, machine_class: str, zone: str = "") -> Machine:
-        """Add a machine of a class, in the next zone if none is given, without starting it."""
+        """Add a machine of a class without starting it; zones take turns if none is given."""
         same = [
             machine for machine in self.machines.values() if machine.machine_class == machine_class
         ]
@@ -136,28 +153,28 @@
         self.machines[machine.name] = machine
         return machine
 
-    def everyone(self, machine_class: str = "") -> list[Machine]:
-        """Return all machines that aren't removed, of one class if it is given."""
+    def current_machines(self, machine_class: str = "") -> list[Machine]:
+        """Return all machines that aren't removed, of one class if given."""
         return [
             machine
             for machine in self.machines.values()
             if machine_class in ("", machine.machine_class) and not machine.removed
         ]
 
-    def with_role(self, machine_class: str) -> list[Machine]:
-        """Return the machines of a class that were ever started and aren't removed."""
-        return [machine for machine in self.everyone(machine_class) if machine.life]
+    def started_machines(self, machine_class: str) -> list[Machine]:
+        """Return the machines of a class that were started at least once and aren't removed."""
+        return [machine for machine in self.current_machines(machine_class) if machine.incarnation]
 
-    def control_now(self) -> list[str]:
+    def control_addresses(self) -> list[str]:
         """Return the control addresses of all core machines."""
-        return [machine.addresses["control"] for machine in self.everyone("core")]
+        return [machine.addresses["control"] for machine in self.current_machines("core")]
 
-    def control_list(self) -> list[str]:
-        """Return the list of control addresses that operator and workers have; it lags."""
-        return list(self._listed or self.control_now())
+    def published_control_addresses(self) -> list[str]:
+        """Return the control addresses known to operator and workers, `seedLagS` behind changes."""
+        return list(self._listed or self.control_addresses())
 
     def name_of(self, address: str) -> str:
-        """Return the name of the machine that serves control at an address, or an empty text."""
+        """Return the name of the machine with this control address, or an empty string."""
         return next(
             (
                 machine.name
@@ -167,19 +184,17 @@
             "",
         )
 
-    def last_words(self, name: str) -> str:
-        """Return the end of a machine's log file."""
+    def log_tail(self, name: str) -> str:
+        """Return the last 600 characters of a machine's log file."""
         return self.machines[name].log_file.read_text(errors="replace")[-600:]
 
-    async def keep_list(self) -> None:
-        """Keep the list of control addresses up to date with the platform's lag."""
+    async def refresh_control_list(self) -> None:
+        """Publish the control addresses with the platform's lag, `seedLagS`, until closed."""
         while not self.closing:
-            now = self.control_now()
+            now = self.control_addresses()
             await asyncio.sleep(self.deployment.timing["seedLagS"])
             self._listed = now
 
-    # -- settings ------------------------------------------------------------------------------
-
     def _settings(self, machine: Machine) -> dict[str, Any]:
         deployment = self.deployment
         values: dict[str, Any] = {
@@ -191,7 +206,9 @@
             "zone": machine.zone,
             "region": deployment.region,
             "internalPorts": list(_INTERNAL),
-            "seedNodes": self._seeds if self.first_start else self.control_list()[:3],
+            "seedNodes": self._seeds
+            if self.first_start
+            else self.published_control_addresses()[:3],
             "firstStart": self.first_start,
             "counted": machine.machine_class != "edge",
             "discovery": "self_registered",
@@ -240,49 +257,56 @@
                 plain.append(f"{key} = {json.dumps(value)}")
         machine.settings_file.write_text("\n".join([*plain, *tables]) + "\n")
 
-    # -- life ----------------------------------------------------------------------------------
-
     def start(self, machine: Machine) -> None:
-        """Write the machine's settings and start its process."""
+        """Write the machine's settings file and start its process."""
         self._write(machine)
         if machine.data_dir:
             Path(machine.data_dir).mkdir(exist_ok=True)
-        told = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
-        with open(machine.log_file, "ab") as page:
+        environment = {
+            name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ
+        }
+        with open(machine.log_file, "ab") as log:
             machine.process = subprocess.Popen(
                 [sys.executable, "platform/vaneledge.py", ROLES[machine.machine_class]],
                 cwd=self.root,
                 stdin=subprocess.DEVNULL,
-                stdout=page,
-                stderr=page,
+                stdout=log,
+                stderr=log,
                 env={
-                    **told,
+                    **environment,
                     "VANELEDGE_CONFIG": str(machine.settings_file),
                     "PYTHONDONTWRITEBYTECODE": "1",
                 },
             )
-        machine.life += 1
-        machine.held = False
+        machine.incarnation += 1
+        machine.restart_suspended = False
         machine.started_ms = self.clock()
         self.history.add(
-            "start", self.clock(), node=machine.name, of=machine.machine_class, life=machine.life
+            "start",
+            self.clock(),
+            node=machine.name,
+            of=machine.machine_class,
+            life=machine.incarnation,
         )
 
     def start_all(self) -> None:
-        """Start every machine for the first time."""
-        for machine in self.everyone():
+        """Start every machine for the first time, with the settings of a first start."""
+        for machine in self.current_machines():
             self.start(machine)
         self.first_start = False
 
     async def watch(self) -> None:
-        """Record processes that end by themselves and start them again, as the platform does."""
-        starved = Starved(self.history)
+        """Restart processes that end by themselves, as the platform does, and record their ends.
+
+        Also samples which processes are starved of processor time. Runs until closed.
+        """
+        monitor = StarvationMonitor(self.history)
         while not self.closing:
-            starved.look(self.everyone(), self.clock())
-            for machine in self.everyone():
+            monitor.sample(self.current_machines(), self.clock())
+            for machine in self.current_machines():
                 if (
                     machine.process is not None
-                    and not machine.held
+                    and not machine.restart_suspended
                     and machine.process.poll() is not None
                 ):
                     self.history.add(
@@ -290,22 +314,20 @@
                         self.clock(),
                         node=machine.name,
                         code=machine.process.returncode,
-                        life=machine.life,
+                        life=machine.incarnation,
                     )
-                    machine.held = True
+                    machine.restart_suspended = True
                     asyncio.get_running_loop().call_later(
-                        _AGAIN_S,
+                        _RESTART_DELAY_S,
                         lambda machine=machine: (
                             self.closing or machine.removed or self.start(machine)
                         ),
                     )
             await asyncio.sleep(0.05)
 
-    # -- trouble -------------------------------------------------------------------------------
-
-    def begin_trouble(self, machine: Machine, what: str, planned: bool = False) -> None:
-        """Record the start of a fault, or of planned work."""
-        machine.trouble = self.history.add(
+    def begin_fault(self, machine: Machine, what: str, planned: bool = False) -> None:
+        """Record that a fault or planned work begins on a machine."""
+        machine.fault_row = self.history.add(
             "trouble",
             self.clock(),
             node=machine.name,
@@ -315,85 +337,85 @@
             till_ms=float("inf"),
         )
 
-    def end_trouble(self, machine: Machine) -> None:
-        """Record the end of a machine's present fault."""
-        if machine.trouble is not None:
-            machine.trouble["till_ms"] = round(self.clock(), 2)
-            machine.trouble = None
+    def end_fault(self, machine: Machine) -> None:
+        """Record the end of a machine's present fault, if it is in one."""
+        if machine.fault_row is not None:
+            machine.fault_row["till_ms"] = round(self.clock(), 2)
+            machine.fault_row = None
 
     def kill(self, machine: Machine, what: str = "kill") -> None:
-        """Kill a process; it stays down until `back`."""
-        machine.held = True
-        self.begin_trouble(machine, what)
+        """Kill a machine's process and wait for its end; it stays down until `restart`."""
+        machine.restart_suspended = True
+        self.begin_fault(machine, what)
         machine.signal(signal.SIGKILL)
         if machine.process is not None:
             machine.process.wait()
 
     def wipe(self, machine: Machine) -> None:
-        """Remove all that is on a machine's disk."""
+        """Remove a machine's data directory."""
         shutil.rmtree(machine.data_dir, ignore_errors=True)
 
-    def back(self, machine: Machine) -> None:
-        """Start a machine again and end its fault."""
+    def restart(self, machine: Machine) -> None:
+        """Start a machine again and record the end of its fault."""
         self.start(machine)
-        self.end_trouble(machine)
+        self.end_fault(machine)
 
-    async def lost(self, machine: Machine, for_s: float, wiped: bool = False) -> None:
-        """Kill a machine and start it after `for_s`, its disk as it was or empty."""
+    async def kill_and_restart(self, machine: Machine, for_s: float, wiped: bool = False) -> None:
+        """Kill a machine and restart it after `for_s` seconds, with its data or `wiped`."""
         self.kill(machine, "wipe" if wiped else "kill")
         if wiped:
             self.wipe(machine)
         await asyncio.sleep(for_s)
-        self.back(machine)
+        self.restart(machine)
 
-    async def term(self, machine: Machine) -> None:
-        """Stop and start a machine as planned: SIGTERM, and SIGKILL after the grace period."""
-        machine.held = True
-        self.begin_trouble(machine, "term", planned=True)
+    async def restart_gracefully(self, machine: Machine) -> None:
+        """Restart a machine as planned work: SIGTERM, then SIGKILL after the grace period."""
+        machine.restart_suspended = True
+        self.begin_fault(machine, "term", planned=True)
         machine.signal(signal.SIGTERM)
         end_at = time.monotonic() + self.deployment.timing["graceS"]
-        while machine.runs and time.monotonic() < end_at:
+        while machine.running and time.monotonic() < end_at:
             await asyncio.sleep(0.05)
-        if machine.runs:
+        if machine.running:
             self.history.add("grace-over", self.clock(), node=machine.name)
             machine.signal(signal.SIGKILL)
         machine.process.wait()
         await asyncio.sleep(0.3)
-        self.back(machine)
+        self.restart(machine)
 
-    def hang_up(self, machine: Machine) -> None:
+    def reload_settings(self, machine: Machine) -> None:
         """Write the settings file anew and send SIGHUP."""
         self._write(machine)
         self.history.add("hang-up", self.clock(), node=machine.name)
         machine.signal(signal.SIGHUP)
 
     async def freeze(self, machine: Machine, for_s: float) -> None:
-        """Stop a process with SIGSTOP for `for_s`."""
-        self.begin_trouble(machine, "freeze")
+        """Stop a process with SIGSTOP for `for_s` seconds, then let it continue."""
+        self.begin_fault(machine, "freeze")
         machine.signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         machine.signal(signal.SIGCONT)
-        self.end_trouble(machine)
+        self.end_fault(machine)
 
     async def replace(self, machine: Machine, after_s: float = 1.0) -> Machine:
-        """Lose a machine and its disk for good; return an empty one at a new address."""
+        """Remove a machine and its data; return an empty one at a new address, `after_s` later."""
         self.kill(machine, "replaced")
         machine.removed = True
         self.wipe(machine)
         await asyncio.sleep(after_s)
-        self.end_trouble(machine)
+        self.end_fault(machine)
         return await self.join(machine.machine_class, machine.zone)
 
     async def join(self, machine_class: str, zone: str = "") -> Machine:
         """Add a machine and start it."""
         machine = self.add(machine_class, zone)
-        self.begin_trouble(machine, "added")
-        self.back(machine)
+        self.begin_fault(machine, "added")
+        self.restart(machine)
         return machine
 
     def remove(self, machine: Machine) -> None:
-        """Take away an emptied machine with its disk; it doesn't count as lost."""
-        machine.held = machine.removed = True
+        """Kill and remove an emptied machine with its data; this isn't recorded as a fault."""
+        machine.restart_suspended = machine.removed = True
         machine.signal(signal.SIGKILL)
         if machine.process is not None:
             machine.process.wait()
--- a/libs/platform_testbed/src/platform_testbed/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -92,7 +92,7 @@
         end_ms, pause_s, others = self.clock() + limit_s * 1000, 0.05, 0
         place = self.rng.randrange(1000) if start is None else start
         while self.clock() < end_ms:
-            nodes = self.fleet.control_list()
+            nodes = self.fleet.published_control_addresses()
             node = nodes[place % len(nodes)]
             place += 1
             try:
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -89,7 +89,7 @@
 
     async def holder(self) -> Machine:
         """Return the store that holds the log; a random one if none reports that it does."""
-        stores = [machine for machine in self.fleet.with_role("storage") if machine.runs]
+        stores = [machine for machine in self.fleet.started_machines("storage") if machine.running]
         for machine in stores:
             if (await self._own(machine, "/status")).get("log_role") == "serving":
                 return self._hit("holder", machine, True)
@@ -97,7 +97,7 @@
 
     async def owner(self) -> Machine:
         """Return the control machine that owns the key `profiles`; a random one if unknown."""
-        core = [machine for machine in self.fleet.with_role("core") if machine.runs]
+        core = [machine for machine in self.fleet.started_machines("core") if machine.running]
         for machine in core:
             shown = await self._own(machine, "/members")
             owner = shown.get("keys", {}).get("profiles", {}).get("owner")
@@ -125,7 +125,7 @@
             if any(ends.count(node) >= _ENDS for node in ends):
                 founding.cancel()
                 raise AssertionError(
-                    f"processes end as soon as they start: {self.fleet.last_words(ends[-1])}"
+                    f"processes end as soon as they start: {self.fleet.log_tail(ends[-1])}"
                 )
         if not founding.result():
             raise AssertionError(f"the first configuration was not taken within {_FOUND_S} s")
@@ -133,7 +133,7 @@
         while self.clock() < taken_ms + 10_000:
             newest = {row["node"]: row["ready"] for row in self.history.rows_of("ready")}
             if (
-                all(newest.get(machine.name) for machine in self.fleet.with_role("edge"))
+                all(newest.get(machine.name) for machine in self.fleet.started_machines("edge"))
                 and self.clock() > taken_ms + 1800
             ):
                 break
@@ -152,7 +152,7 @@
             ]
             self._extra += [path for path in added if path not in self._extra]
             host = self.deployment.routes["lookup"]["hostname"]
-            for machine in self.fleet.with_role("edge"):
+            for machine in self.fleet.started_machines("edge"):
                 newest = [*self._extra[-1:], f"/never{self.rng.getrandbits(16):x}/"]
                 for path in {newest[turn % len(newest)], self.rng.choice(self._extra or newest)}:
                     self.live.spawn(
@@ -175,7 +175,11 @@
         """
         background = [
             asyncio.ensure_future(work)
-            for work in (self.fleet.watch(), self.fleet.keep_list(), self.load_balancer.poll())
+            for work in (
+                self.fleet.watch(),
+                self.fleet.refresh_control_list(),
+                self.load_balancer.poll(),
+            )
         ]
         try:
             await self.found()
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -62,8 +62,8 @@
 
 
 async def hang_up_edges(day: Day) -> None:
-    for machine in day.fleet.with_role("edge"):
-        day.fleet.hang_up(machine)
+    for machine in day.fleet.started_machines("edge"):
+        day.fleet.reload_settings(machine)
 
 
 async def remove_route(day: Day) -> None:
@@ -107,15 +107,15 @@
 
 
 async def kill_owner(day: Day) -> None:
-    await day.fleet.lost(await day.owner(), 3.0)
+    await day.fleet.kill_and_restart(await day.owner(), 3.0)
 
 
 async def kill_holder(day: Day) -> None:
-    await day.fleet.lost(await day.holder(), 3.0)
+    await day.fleet.kill_and_restart(await day.holder(), 3.0)
 
 
 async def kill_edge(day: Day) -> None:
-    await day.fleet.lost(day.rng.choice(day.fleet.with_role("edge")), 1.5)
+    await day.fleet.kill_and_restart(day.rng.choice(day.fleet.started_machines("edge")), 1.5)
 
 
 async def freeze_holder(day: Day) -> None:
@@ -127,15 +127,15 @@
 
 
 async def freeze_edge(day: Day) -> None:
-    await day.fleet.freeze(day.rng.choice(day.fleet.with_role("edge")), 3.2)
+    await day.fleet.freeze(day.rng.choice(day.fleet.started_machines("edge")), 3.2)
 
 
 async def wipe_store(day: Day) -> None:
-    await day.fleet.lost(await day.holder(), 2.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.holder(), 2.0, wiped=True)
 
 
 async def wipe_control(day: Day) -> None:
-    await day.fleet.lost(await day.owner(), 2.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.owner(), 2.0, wiped=True)
 
 
 async def replace_control(day: Day) -> None:
@@ -147,18 +147,18 @@
 
 
 async def roll_edges(day: Day) -> None:
-    for machine in list(day.fleet.with_role("edge")):
-        await day.fleet.term(machine)
+    for machine in list(day.fleet.started_machines("edge")):
+        await day.fleet.restart_gracefully(machine)
         await asyncio.sleep(2.5)
 
 
 async def term_edge(day: Day) -> None:
-    await day.fleet.term(day.rng.choice(day.fleet.with_role("edge")))
+    await day.fleet.restart_gracefully(day.rng.choice(day.fleet.started_machines("edge")))
 
 
 async def roll_core(day: Day) -> None:
-    for machine in [*day.fleet.with_role("core"), *day.fleet.with_role("storage")]:
-        await day.fleet.term(machine)
+    for machine in [*day.fleet.started_machines("core"), *day.fleet.started_machines("storage")]:
+        await day.fleet.restart_gracefully(machine)
         await asyncio.sleep(2.5)
 
 
@@ -183,7 +183,7 @@
 async def power_off(day: Day, wiped: int = 0) -> None:
     """Kill every process right after an acknowledgement, and start all, some from empty disks."""
     await day.operator.change("timeout")
-    machines = list(day.fleet.everyone())
+    machines = list(day.fleet.current_machines())
     for machine in machines:
         day.fleet.kill(machine, "power")
     for machine in day.rng.sample([machine for machine in machines if machine.data_dir], wiped):
@@ -192,7 +192,7 @@
     await asyncio.sleep(1.0)
     day.rng.shuffle(machines)
     for machine in machines:
-        day.fleet.back(machine)
+        day.fleet.restart(machine)
     day.history.add("back", day.clock())
     await asyncio.sleep(day.deployment.timing["recoveryS"] + 3)
 
@@ -204,9 +204,9 @@
 async def wipe_after_ack(day: Day) -> None:
     """Wipe a core machine and then a store, right after a configuration was acknowledged."""
     await day.operator.change("add")
-    await day.fleet.lost(await day.owner(), 1.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.owner(), 1.0, wiped=True)
     await asyncio.sleep(day.deployment.timing["catchUpS"])
-    await day.fleet.lost(await day.holder(), 1.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.holder(), 1.0, wiped=True)
 
 
 PLATFORM_DAYS: dict[str, dict[str, Any]] = {
--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -61,7 +61,7 @@
             self._engine,
             self.history,
             self.clock,
-            self.fleet.control_list,
+            self.fleet.published_control_addresses,
             self.rng.getrandbits(30),
             self.fleet.name_of,
         )
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -25,7 +25,7 @@
 class FakeMachine:
     def __init__(self, name, machine_class, zone, ip):
         self.name, self.machine_class, self.zone, self.ip = name, machine_class, zone, ip
-        self.life, self.removed, self.runs, self.settings = 1, False, True, {}
+        self.incarnation, self.removed, self.running, self.settings = 1, False, True, {}
         self.process = SimpleNamespace(pid=os.getpid())
         self.addresses = {
             "publicHttp": f"{ip}:8161",
@@ -54,15 +54,15 @@
             for number, (of, index) in enumerate(names)
         ]
 
-    def everyone(self, machine_class=""):
+    def current_machines(self, machine_class=""):
         return [
             machine for machine in self.machines if machine_class in ("", machine.machine_class)
         ]
 
-    with_role = everyone
+    started_machines = current_machines
 
-    def control_list(self):
-        return [machine.addresses["control"] for machine in self.with_role("core")]
+    def published_control_addresses(self):
+        return [machine.addresses["control"] for machine in self.started_machines("core")]
 
     def name_of(self, address):
         return next(
@@ -130,7 +130,7 @@
         if not self._valid(made):
             return web.Response(status=400)
         self.settings = self.taken[key] = made
-        for index, edge in enumerate(self.with_role("edge")):
+        for index, edge in enumerate(self.started_machines("edge")):
             if not (self.broken == "old-version" and index == 0 and edge.settings):
                 edge.settings = made
         return web.Response(status=200)
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -11,7 +11,7 @@
 from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.operators import Operator
 from platform_testbed.oracle import judge_day
-from platform_testbed.processor_starvation import Starved, starved_ms
+from platform_testbed.processor_starvation import StarvationMonitor, starved_ms
 from platform_testbed.scenario import STARVED_MS
 from platform_testbed.scenarios import DUE
 from platform_testbed.site import Deployment
@@ -138,9 +138,9 @@
         return (*judge_day(self.history), starved_ms(self.history))
 
     async def _watch(self):
-        starved = Starved(self.history)
+        monitor = StarvationMonitor(self.history)
         while True:
-            starved.look(self.fleet.machines, self.clock())
+            monitor.sample(self.fleet.machines, self.clock())
             await asyncio.sleep(0.1)
 
 
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -5,18 +5,18 @@
 import os
 
 from platform_oracle_table import CASES, SETTINGS, history, start, trouble
-from platform_testbed import processor_starvation as starved_module
+from platform_testbed import processor_starvation as starvation_module
 from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.operators import patched
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
-from platform_testbed.processor_starvation import Starved, starved_ms
+from platform_testbed.processor_starvation import StarvationMonitor, starved_ms
 from platform_testbed.reachability import Touch
 from platform_testbed.site import TIMING, Deployment, allowed_services
 from simulator.history import History
 from testtools import TestCase
 from testtools.matchers import Equals
 
-ORIGINAL = starved_module._waited_ms
+ORIGINAL = starvation_module._read_waited_ms
 
 
 class PlatformOracle(TestCase):
@@ -68,10 +68,10 @@
 class Starving(TestCase):
     def test_who_waits_for_a_processor_is_in_trouble_and_all_are_while_the_runner_waits(self):
         made = History(timing=TIMING, first_event=1)
-        starved = Starved(made)
+        monitor = StarvationMonitor(made)
         waited = {}
-        starved_module._waited_ms = lambda pid: waited.get(pid, 0.0)
-        self.addCleanup(setattr, starved_module, "_waited_ms", ORIGINAL)
+        starvation_module._read_waited_ms = lambda pid: waited.get(pid, 0.0)
+        self.addCleanup(setattr, starvation_module, "_read_waited_ms", ORIGINAL)
         machines = [
             type(
                 "M",
@@ -79,7 +79,7 @@
                 {
                     "name": name,
                     "machine_class": "edge",
-                    "runs": True,
+                    "running": True,
                     "process": type("P", (), {"pid": pid})(),
                 },
             )()
@@ -95,7 +95,7 @@
             (3600, {}),
         ):
             waited.update(more)
-            starved.look(machines, now_ms)
+            monitor.sample(machines, now_ms)
         self.assertThat(
             [(row["node"], row["at_ms"], row["till_ms"]) for row in made.rows_of("trouble")],
             Equals([("e", 1500, 2500), ("e", 2500, 3600), ("f", 2500, 3600)]),
@@ -112,7 +112,7 @@
                 for place in range(zones[zone])
             ]
 
-            def everyone(self, machine_class):
+            def current_machines(self, machine_class):
                 return self.machines
 
         return LoadBalancer(Fleet(), History(), lambda: 0.0)
