--- a/libs/platform_testbed/src/platform_testbed/batch_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/batch_clients.py
@@ -1,8 +1,8 @@
-"""Clients that submit lots (batches of items).
+"""Clients that submit batch jobs ("lots") and read their results.
 
-They submit the same lot again at another node until its outcome is clear, read twice a second, at
-times from an earlier position or as a long poll, ask for items' bodies, end some lots, and read all
-at the end.
+A client submits the same job again at another node until the outcome is clear. It reads results
+twice a second, sometimes from an earlier position or as a long poll, fetches some of the items'
+bodies, and cancels some jobs. At the end, all accepted jobs are read once more from the start.
 """
 
 import asyncio
@@ -21,15 +21,21 @@
 __all__ = ["JobClients"]
 
 _READ_EVERY_S = 0.5
-_PATIENCE_S = 1.5
+_READ_TIMEOUT_S = 1.5
 _SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
 
 class JobClients:
-    """All clients of lots; `press` multiplies the rate at which lots are submitted.
+    """All clients of batch jobs.
 
-    `poisoned` is the part of items that no worker can run, `ended` the part of lots that their
-    client ends.
+    `load_factor` multiplies the rate at which jobs are submitted.
+
+    Parameters
+    ----------
+    poisoned
+        Share of items that no worker can run.
+    ended
+        Share of jobs that their client cancels.
     """
 
     def __init__(
@@ -51,28 +57,26 @@
         self.rng = random.Random(f"lots/{seed}")
         self.kind: Kind = deployment.kinds["recap"]
         self.stopping = False
-        self.press = 1.0
+        self.load_factor = 1.0
         self.jobs: list[dict[str, Any]] = []
         self._poisoned, self._ended = poisoned, ended
         self._tasks: set[asyncio.Task] = set()
-        self._shared = [f"{self.rng.getrandbits(32):08x}" for _ in range(self.kind.parts[0])]
+        self._shared_parts = [f"{self.rng.getrandbits(32):08x}" for _ in range(self.kind.parts[0])]
 
     async def run(self) -> None:
-        """Submit lots at the shape's rate until `stopping`."""
+        """Submit jobs at the rate of the deployment's shape until `stopping`."""
         per_s = self.deployment.shape["lots_per_s"]
         while not self.stopping:
-            self.spawn(self.job())
-            await asyncio.sleep(min(2.5, self.rng.expovariate(per_s * self.press)))
+            self.run_in_background(self.run_job())
+            await asyncio.sleep(min(2.5, self.rng.expovariate(per_s * self.load_factor)))
 
-    def spawn(self, work: Any) -> asyncio.Task:
-        """Run work in the background; `finish` waits for it."""
+    def run_in_background(self, work: Any) -> asyncio.Task:
+        """Start a coroutine as a task, for whose end `finish` waits."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # -- calls ---------------------------------------------------------------------------------
-
     async def call(
         self,
         row: dict[str, Any],
@@ -85,7 +89,8 @@
     ) -> bytes:
         """Make one call on a connection of its own and return the answer's body.
 
-        The row gets node, status and times; status 0 is no answer.
+        Node, status and times are recorded in the row; status 0 means that no answer came within
+        `total_s`. Errors of HTTP and sockets aren't raised.
         """
         machine = self.load_balancer.choose(row["zone"], row["lot"], attempt)
         row.update(
@@ -121,10 +126,8 @@
     def _row(self, kind: str, job: dict[str, Any], **fields: Any) -> dict[str, Any]:
         return self.history.add(kind, self.clock(), lot=job["lot"], zone=job["zone"], **fields)
 
-    # -- a lot's life --------------------------------------------------------------------------
-
     def draw(self) -> dict[str, Any]:
-        """Draw a lot and its items, and record it."""
+        """Draw a job and its items at random, and record it."""
         rng, route = self.rng, self.deployment.routes[self.kind.name]
         items = {}
         for _ in range(max(1, round(self.deployment.shape["lot_items"] * (0.5 + rng.random())))):
@@ -148,7 +151,7 @@
                 "headers": {
                     "Model": self.deployment.models[0],
                     "Token-Counts": f"{tokens_in},{tokens_out}",
-                    "Prompt-Prefix": f"{rng.choice(self._shared)}:{shared},"
+                    "Prompt-Prefix": f"{rng.choice(self._shared_parts)}:{shared},"
                     f"{rng.getrandbits(32):08x}:{tokens_in - shared}",
                 },
             }
@@ -175,19 +178,22 @@
         self.jobs.append(job)
         return job
 
-    async def job(self) -> dict[str, Any]:
-        """Take one lot from submission to its last result, or to its end by the client."""
+    async def run_job(self) -> dict[str, Any]:
+        """Take one job from submission to its last result, or until its client cancels it."""
         job = self.draw()
-        if not await self.hand_in(job):
+        if not await self.submit(job):
             return job
-        self.spawn(self._bodies(job))
+        self.run_in_background(self._fetch_bodies(job))
         if self.rng.random() < self._ended:
-            self.spawn(self._end(job, 0.3 + 1.5 * self.rng.random()))
+            self.run_in_background(self._end(job, 0.3 + 1.5 * self.rng.random()))
         await self._follow(job)
         return job
 
-    async def hand_in(self, job: dict[str, Any]) -> bool:
-        """Submit a lot until it is accepted; return whether it was in time."""
+    async def submit(self, job: dict[str, Any]) -> bool:
+        """Submit a job until it is accepted; return whether it was.
+
+        It is given up on a permanent error, at the kind's deadline, or after its last attempt.
+        """
         route, began_ms = self.deployment.routes[self.kind.name], self.clock()
         body = json.dumps(
             {
@@ -278,27 +284,27 @@
             f"/vaneledge/lots/{job['lot']}?pageAfter={position}",
             headers,
             None,
-            _PATIENCE_S + (1.0 if wait else 0.0),
+            _READ_TIMEOUT_S + (1.0 if wait else 0.0),
             attempt,
         )
         if row["status"] == 200:
             try:
-                told = json.loads(data)
+                page = json.loads(data)
                 row.update(
-                    total=told["total"],
-                    next=told["nextToken"],
+                    total=page["total"],
+                    next=page["nextToken"],
                     bytes=len(data),
                     results=[
                         [part["serverId"], part["state"], part.get("message", "")]
-                        for part in told["results"]
+                        for part in page["results"]
                     ],
                 )
             except (ValueError, KeyError, TypeError):
                 row["garbled"] = True
                 return row
-            for place, part in enumerate(row["results"]):
+            for offset, part in enumerate(row["results"]):
                 job["seen"].setdefault(
-                    part[0], [position + place, round(self.clock(), 2), part[1], row["sent_ms"]]
+                    part[0], [position + offset, round(self.clock(), 2), part[1], row["sent_ms"]]
                 )
             job["position"] = (
                 max(job["position"], row["next"]) if row["results"] else job["position"]
@@ -318,14 +324,14 @@
                 f"/vaneledge/lots/{job['lot']}",
                 {"Host": job["host"]},
                 None,
-                _PATIENCE_S,
+                _READ_TIMEOUT_S,
                 attempt,
             )
             if row["status"] in (200, 404):
                 break
             await asyncio.sleep(0.2)
 
-    async def _bodies(self, job: dict[str, Any]) -> None:
+    async def _fetch_bodies(self, job: dict[str, Any]) -> None:
         for _ in range(2):
             await asyncio.sleep(0.2 + self.rng.random())
             await self.body(job, self.rng.choice(list(job["items"])))
@@ -333,7 +339,7 @@
     async def body(
         self, job: dict[str, Any], item: str, final: bool = False, attempt: int = 0
     ) -> dict[str, Any]:
-        """Ask for an item's body and compare it with what was sent; return the row."""
+        """Fetch an item's body and compare it with what was submitted; return the row."""
         row = self._row(
             "item-body", job, item=item, listed=item in job["seen"], same=False, final=final
         )
@@ -343,18 +349,17 @@
             f"/vaneledge/items/{job['lot']}?serverId={item}",
             {"Host": job["host"]},
             None,
-            _PATIENCE_S,
+            _READ_TIMEOUT_S,
             attempt,
         )
         row["same"] = data == job["items"][item]["body"]
         return row
 
-    # -- the end of the day --------------------------------------------------------------------
-
     async def finish(self, finish_s: float) -> None:
-        """Give open lots up to `finish_s`, then read all from the start and ask for bodies.
+        """Wait up to `finish_s` for the open jobs; then read all accepted jobs from the start.
 
-        Failed calls are repeated.
+        The bodies of up to three items without a result are fetched too, unless the client had
+        cancelled the job. Failed calls are repeated, up to 20 reads and 5 fetches.
         """
         end_ms = self.clock() + finish_s * 1000
         while (
@@ -368,18 +373,18 @@
         self.stopping = True
         while self._tasks:
             await asyncio.wait(set(self._tasks))
-        await asyncio.gather(*[self._again(job) for job in self.jobs if job["accepted_ms"]])
+        await asyncio.gather(*[self._read_to_end(job) for job in self.jobs if job["accepted_ms"]])
 
-    async def _again(self, job: dict[str, Any]) -> None:
-        position, attempt, bad = 0, 0, 0
-        while bad < 20:
+    async def _read_to_end(self, job: dict[str, Any]) -> None:
+        position, attempt, failures = 0, 0, 0
+        while failures < 20:
             row = await self.read(job, position, False, True, attempt)
             if row["status"] == 200 and not row["garbled"]:
                 if not row["results"] or row["next"] >= row["total"]:
                     break
                 position = row["next"]
             else:
-                bad, attempt = bad + 1, attempt + 1
+                failures, attempt = failures + 1, attempt + 1
                 await asyncio.sleep(0.2)
         unlisted = [item for item in job["items"] if item not in job["seen"]]
         for item in unlisted[:3] if not job["end_sent_ms"] else []:
--- a/libs/platform_testbed/src/platform_testbed/client_attempt.py
+++ b/libs/platform_testbed/src/platform_testbed/client_attempt.py
@@ -7,25 +7,25 @@
 
 from platform_testbed.worker_calls import digest
 
-__all__ = ["Asker"]
+__all__ = ["AttemptSender"]
 
 _SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 
 
 async def _chunks(body: bytes) -> Any:
-    for at in range(0, len(body), 64):
-        yield body[at : at + 64]
+    for start in range(0, len(body), 64):
+        yield body[start : start + 64]
 
 
-class Asker:
-    """Sends attempts and records in their rows what came back, with its times."""
+class AttemptSender:
+    """Sends attempts and records the answers and their times, in milliseconds, in their rows."""
 
     __slots__ = ("clock", "history")
 
     def __init__(self, history: History, clock: Any) -> None:
         self.history, self.clock = history, clock
 
-    async def ask(
+    async def send(
         self,
         row: dict[str, Any],
         session: aiohttp.ClientSession,
@@ -37,10 +37,20 @@
         silence_s: float | None = None,
         chunked: bool = False,
     ) -> None:
-        """Send one attempt to `address` and fill in its row; no error of HTTP or sockets is raised.
-
-        `total_s` bounds the whole attempt, `silence_s` each wait for data. The row's `how` is
-        `answered`, `cut`, `silent`, `garbled` or `unreached`.
+        """Send one attempt to `address` and fill in its row; HTTP and socket errors aren't raised.
+
+        Parameters
+        ----------
+        row
+            Row of the attempt. Its `how` becomes `answered`, `cut` (the connection broke after the
+            request was sent), `silent` (timed out), `garbled` (not HTTP) or `unreached` (not
+            connected).
+        total_s
+            Time limit of the whole attempt.
+        silence_s
+            Time limit of each wait for data; None for no limit.
+        chunked
+            Whether the body is sent in chunks, without its length.
         """
         timeout = aiohttp.ClientTimeout(
             total=max(0.05, total_s), sock_connect=1.0, sock_read=silence_s
@@ -108,30 +118,30 @@
                 first_ms=round(self.clock(), 2),
             )
             return
-        buffered, last_ms = b"", 0.0
+        incomplete, last_ms = b"", 0.0
         async for data in answer.content.iter_any():
-            buffered += data
-            *whole, buffered = buffered.split(b"\n\n")
+            incomplete += data
+            *complete_blocks, incomplete = incomplete.split(b"\n\n")
             now_ms = self.clock()
-            for block in whole:
-                row["events"].append([_number(block), _data(block), round(now_ms, 2)])
+            for block in complete_blocks:
+                row["events"].append([_event_id(block), _event_data(block), round(now_ms, 2)])
                 row["first_ms"] = row["first_ms"] or round(now_ms, 2)
                 row["gap_ms"] = max(row["gap_ms"], round(now_ms - last_ms, 2) if last_ms else 0.0)
                 last_ms = now_ms
-        if buffered.strip():
+        if incomplete.strip():
             row["events"].append(
-                [-1, buffered.decode(errors="replace")[:80], round(self.clock(), 2)]
+                [-1, incomplete.decode(errors="replace")[:80], round(self.clock(), 2)]
             )
 
 
-def _number(block: bytes) -> int:
+def _event_id(block: bytes) -> int:
     for line in block.split(b"\n"):
         if line.startswith(b"id:"):
             return int(line[3:].strip() or b"-1")
     return -1
 
 
-def _data(block: bytes) -> str:
+def _event_data(block: bytes) -> str:
     return "\n".join(
         line[5:].removeprefix(b" ").decode(errors="replace")
         for line in block.split(b"\n")
--- a/libs/platform_testbed/src/platform_testbed/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -1,4 +1,4 @@
-"""What the command line needs of the platform's days: one day played, and its report."""
+"""Entry point of the command line: run one day of the platform and report on it."""
 
 import json
 from pathlib import Path
@@ -11,15 +11,15 @@
 
 __all__ = ["ALL_SHAPES", "PLATFORM_DAYS", "play_day"]
 
-_SHOWN = 8
+_SHOWN_BREACHES = 8
 
 
 async def play_day(
     shape: str, name: str, seed: int, folder: str, history_file: str = ""
 ) -> tuple[str, dict[str, list[str]]]:
-    """Play a day; return its report as text, and the breaches by rule.
+    """Run a day; return its report as text, and the breaches by rule.
 
-    The history is written to `history_file` as JSON lines if one is named.
+    The history is written to `history_file` as JSON lines if a file is given.
     """
     day, counts, broken = await run_platform_day(
         shape, seed=seed, folder=folder, **day_of(name, seed)
@@ -29,8 +29,8 @@
             "".join(json.dumps(row, default=str) + "\n" for row in day.history.rows)
         )
     rows = [
-        f"{what}: {json.dumps(told)}"
-        for what, told in day_worth(day.history, day.deployment.kinds).items()
+        f"{what}: {json.dumps(figure)}"
+        for what, figure in day_worth(day.history, day.deployment.kinds).items()
     ]
     rows += [
         f"{row['what']} of version {row['revision']}: {row['outcome']} {row['status']} after "
@@ -39,14 +39,16 @@
     ]
     rows += [
         f"fault at {row['at_ms']:.0f} ms: {row['what']} "
-        f"{row.get('node', '')}{'' if row.get('sure', True) else ' (a guess)'}"
+        f"{row.get('node', '')}{'' if row.get('sure', True) else ' (chosen at random)'}"
         for row in day.history.rows_of("fault")
     ]
-    rows.append(f"kept from running at the most: {starved_ms(day.history):.0f} ms")
+    rows.append(f"longest starvation of a machine: {starved_ms(day.history):.0f} ms")
     rows.append("rows judged: " + ", ".join(f"{rule} {count}" for rule, count in counts.items()))
-    for rule, found in broken.items():
-        rows += [f"BROKEN {rule}: {line}" for line in found[:_SHOWN]]
-        rows += [f"BROKEN {rule}: and {len(found) - _SHOWN} more"] * (len(found) > _SHOWN)
+    for rule, breaches in broken.items():
+        rows += [f"BROKEN {rule}: {line}" for line in breaches[:_SHOWN_BREACHES]]
+        rows += [f"BROKEN {rule}: and {len(breaches) - _SHOWN_BREACHES} more"] * (
+            len(breaches) > _SHOWN_BREACHES
+        )
     rows.append(
         f"{name} on {shape}, seed {seed}: "
         + (f"{len(broken)} rules broken" if broken else "no rule broken")
--- a/libs/platform_testbed/src/platform_testbed/live_clients.py
+++ b/libs/platform_testbed/src/platform_testbed/live_clients.py
@@ -1,7 +1,10 @@
-"""Live clients: streams that may be resumed or not, requests that may be repeated or not.
+"""Clients of live requests: resumable or plain streams, and requests safe or unsafe to repeat.
 
-They follow the platform's page in attempts, deadlines and pauses before an attempt. Each attempt is
-a row of the history, and so is each request.
+Their attempts, deadlines and pauses before a retry follow the platform's rules for clients. Each
+request and each of its attempts is a row of the history.
+
+NOT_RUN_STATUSES are the statuses that promise that the request has not run, so that any client may
+retry.
 """
 
 import asyncio
@@ -13,25 +16,25 @@
 import aiohttp
 from simulator.history import History
 
-from platform_testbed.client_attempt import Asker
+from platform_testbed.client_attempt import AttemptSender
 from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.site import Deployment, Kind
 from platform_testbed.worker_calls import digest
 
-__all__ = ["PROMISES", "LiveClients"]
+__all__ = ["NOT_RUN_STATUSES", "LiveClients"]
 
-PROMISES = (408, 421, 429, 503)
-_KEEP_S = 4.0
-_FINAL = (400, 401, 404, 413, 431)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+_KEEP_ALIVE_S = 4.0
+_PERMANENT_ERRORS = (400, 401, 404, 413, 431)
 
 
-def _keeps(client: str) -> bool:
-    """Half of the clients keep a connection for many requests."""
+def _keeps_connection(client: str) -> bool:
+    """Return whether the client reuses its connection, as half of the clients do."""
     return int(client.rpartition("/")[2]) % 2 == 0
 
 
 class LiveClients:
-    """All live clients; `press` multiplies the rate of their requests."""
+    """All clients of live requests; `load_factor` multiplies the rate of their requests."""
 
     def __init__(
         self,
@@ -49,14 +52,14 @@
         )
         self.rng = random.Random(f"live/{seed}")
         self.stopping = False
-        self.press = 1.0
-        self._asker = Asker(history, clock)
+        self.load_factor = 1.0
+        self._sender = AttemptSender(history, clock)
         self._count = 0
         self._tasks: set[asyncio.Task] = set()
-        self._kept: dict[str, aiohttp.ClientSession] = {}
-        self._at: dict[str, Any] = {}
-        self._used_ms: dict[str, float] = {}
-        self._parts = {
+        self._sessions: dict[str, aiohttp.ClientSession] = {}
+        self._edges: dict[str, Any] = {}
+        self._last_used_ms: dict[str, float] = {}
+        self._shared_parts = {
             kind.name: [
                 (f"{self.rng.getrandbits(32):08x}", kind) for _ in range(max(1, kind.parts[0]))
             ]
@@ -64,7 +67,10 @@
         }
 
     async def run(self) -> None:
-        """Send requests at the shape's rate until `stopping`, then wait for the open ones."""
+        """Send requests at the rate of the deployment's shape until `stopping`.
+
+        Returns once the open requests are done and all connections are closed.
+        """
         live = [kind for kind in self.deployment.kinds.values() if kind.share]
         total = sum(kind.share for kind in live)
         await asyncio.gather(
@@ -75,31 +81,29 @@
         )
         while self._tasks:
             await asyncio.wait(set(self._tasks))
-        for session in self._kept.values():
+        for session in self._sessions.values():
             await session.close()
 
     async def _arrivals(self, kind: Kind, per_s: float) -> None:
         while not self.stopping:
-            await asyncio.sleep(min(2.0, self.rng.expovariate(per_s * self.press)))
-            self.spawn(self.request(kind))
+            await asyncio.sleep(min(2.0, self.rng.expovariate(per_s * self.load_factor)))
+            self.run_in_background(self.request(kind))
 
-    def spawn(self, work: Any) -> asyncio.Task:
-        """Run work in the background; `run` waits for it."""
+    def run_in_background(self, work: Any) -> asyncio.Task:
+        """Start a coroutine as a task, for whose end `run` waits."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # -- one request ---------------------------------------------------------------------------
-
     def prompt(self, kind: Kind) -> tuple[str, int]:
-        """Draw a prompt; return its parts as the header gives them, and its length in tokens.
+        """Draw a prompt; return its parts in the header's form, and its length in tokens.
 
-        One part is shared with other requests, and one is the request's own.
+        The first part is shared with other requests, and the second is unique to the request.
         """
         tokens_in = self.rng.randint(*kind.tokens_in)
         shared = max(16, tokens_in // 3)
-        name, _ = self.rng.choice(self._parts[kind.name])
+        name, _ = self.rng.choice(self._shared_parts[kind.name])
         return f"{name}:{shared},{self.rng.getrandbits(32):08x}:{tokens_in - shared}", tokens_in
 
     async def request(self, kind: Kind, zone: str = "") -> dict[str, Any]:
@@ -133,12 +137,12 @@
             deadline_ms=kind.deadline_ms,
             leaves=rng.random() < 0.01,
         )
-        await self._tries(
+        await self._send_attempts(
             kind, request, headers, f"{route['pathStart']}{rng.getrandbits(24):x}", body
         )
         return request
 
-    async def _tries(
+    async def _send_attempts(
         self, kind: Kind, request: dict[str, Any], headers: dict[str, str], target: str, body: bytes
     ) -> None:
         after: int | None = None
@@ -146,20 +150,20 @@
             left_ms = request["at_ms"] + kind.deadline_ms - self.clock()
             if left_ms < 50:
                 return
-            machine = self._node(request, attempt)
+            machine = self._choose_edge(request, attempt)
             if machine is None:
                 await asyncio.sleep(0.1)
                 continue
-            row = await self._try(
+            row = await self._send_attempt(
                 kind, request, headers, target, body, attempt, machine, left_ms, after
             )
-            if not self._goes_on(kind, row):
+            if not self._should_retry(kind, row):
                 return
             if kind.resumable and row["events"]:
                 after = row["events"][-1][0]
-            await self._come_back(row, request["at_ms"] + kind.deadline_ms - self.clock())
+            await self._wait_before_retry(row, request["at_ms"] + kind.deadline_ms - self.clock())
 
-    async def _try(
+    async def _send_attempt(
         self,
         kind: Kind,
         request: dict[str, Any],
@@ -204,13 +208,13 @@
         silence_s = (
             max(2.0, 4 * kind.target_ms / 1000, 8 * kind.gap_ms / 1000) if kind.stream else None
         )
-        keeps = attempt == 0 and _keeps(request["client"])
+        keep_connection = attempt == 0 and _keeps_connection(request["client"])
         session = (
             self._session(request["client"])
-            if keeps
+            if keep_connection
             else aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
         )
-        work = self._asker.ask(
+        work = self._sender.send(
             row,
             session,
             "POST",
@@ -230,14 +234,14 @@
         except TimeoutError:
             row.update(how="left", ended_ms=round(self.clock(), 2))
         finally:
-            if not keeps:
+            if not keep_connection:
                 await session.close()
-        if keeps and (row["how"] != "answered" or row["closes"]):
-            self._at.pop(request["client"], None)
+        if keep_connection and (row["how"] != "answered" or row["closes"]):
+            self._edges.pop(request["client"], None)
         return row
 
     async def probe(self, machine: Any, host: str, target: str) -> None:
-        """Send a request straight to one edge, to see which configuration is in force there."""
+        """Send a request directly to one edge, to see which configuration is in force there."""
         row = self.history.add(
             "try",
             self.clock(),
@@ -276,44 +280,51 @@
         async with aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(force_close=True)
         ) as session:
-            await self._asker.ask(
+            await self._sender.send(
                 row, session, "POST", machine.addresses["publicHttp"], headers, body, 2.0
             )
 
     def _session(self, client: str) -> aiohttp.ClientSession:
-        if client not in self._kept:
-            self._kept[client] = aiohttp.ClientSession(
-                connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEEP_S)
+        if client not in self._sessions:
+            self._sessions[client] = aiohttp.ClientSession(
+                connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEEP_ALIVE_S)
             )
-        return self._kept[client]
+        return self._sessions[client]
 
-    def _node(self, request: dict[str, Any], attempt: int) -> Any:
+    def _choose_edge(self, request: dict[str, Any], attempt: int) -> Any:
         """Return the edge for an attempt.
 
-        A client whose connection is open stays with its edge; a new connection is passed on anew, a
-        later attempt's to another edge.
+        The first attempt of a client that keeps its connection goes to the connection's edge, until
+        the edge is removed or the connection was idle for too long. For every other attempt the
+        load balancer chooses, a different edge for each attempt.
         """
         client = request["client"]
-        if attempt or not _keeps(client):
+        if attempt or not _keeps_connection(client):
             return self.load_balancer.choose(request["zone"], client, attempt)
-        idle_ms = self.clock() - self._used_ms.get(client, 0.0)
-        self._used_ms[client] = self.clock()
-        if self._at.get(client) is None or self._at[client].removed or idle_ms > 1000 * _KEEP_S:
-            self._at[client] = self.load_balancer.choose(request["zone"], client)
-        return self._at[client]
+        idle_ms = self.clock() - self._last_used_ms.get(client, 0.0)
+        self._last_used_ms[client] = self.clock()
+        if (
+            self._edges.get(client) is None
+            or self._edges[client].removed
+            or idle_ms > 1000 * _KEEP_ALIVE_S
+        ):
+            self._edges[client] = self.load_balancer.choose(request["zone"], client)
+        return self._edges[client]
 
-    def _goes_on(self, kind: Kind, row: dict[str, Any]) -> bool:
+    def _should_retry(self, kind: Kind, row: dict[str, Any]) -> bool:
         if row["how"] == "unreached":
             return True
         if row["how"] == "answered":
-            if row["status"] in PROMISES:
+            if row["status"] in NOT_RUN_STATUSES:
                 return True
             return (
-                kind.repeatable and row["status"] not in _FINAL and not 200 <= row["status"] < 300
+                kind.repeatable
+                and row["status"] not in _PERMANENT_ERRORS
+                and not 200 <= row["status"] < 300
             )
         return kind.repeatable and row["how"] != "left"
 
-    async def _come_back(self, row: dict[str, Any], left_ms: float) -> None:
+    async def _wait_before_retry(self, row: dict[str, Any], left_ms: float) -> None:
         wait_ms = 20.0
         if row["how"] == "answered" and row["retry_after"]:
             with contextlib.suppress(ValueError):
--- a/libs/platform_testbed/src/platform_testbed/operators.py
+++ b/libs/platform_testbed/src/platform_testbed/operators.py
@@ -1,8 +1,8 @@
-"""The platform's operator.
+"""The platform's operator, who configures the system through its control API.
 
-It sends the first configuration until it is taken, then changes, whole or as a patch, at times two
-at once or invalid ones, orders stores to be emptied, and reads the configuration back when the day
-ends.
+It sends the first configuration until it is accepted, then changes as complete configurations or as
+patches, some of them concurrent or invalid. It also retires stores, and reads the configuration
+back when the day ends.
 """
 
 import asyncio
@@ -17,22 +17,22 @@
 
 from platform_testbed.site import Deployment
 
-__all__ = ["Operator", "patched"]
+__all__ = ["Operator", "apply_patch"]
 
-_FINAL = (400, 409, 412, 413, 422)
+_DEFINITE_ERRORS = (400, 409, 412, 413, 422)
 
 
-def patched(settings: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
-    """Return what a patch makes of a configuration."""
-    made = copy.deepcopy(settings)
-    made["revision"] = change["revision"]
+def apply_patch(settings: dict[str, Any], change: dict[str, Any]) -> dict[str, Any]:
+    """Return a copy of a configuration with a patch applied: rows replaced, added and removed."""
+    changed = copy.deepcopy(settings)
+    changed["revision"] = change["revision"]
     for part, rows in change.get("upsert", {}).items():
         by_name = {row["name"]: row for row in rows}
-        held = [by_name.pop(row["name"], row) for row in made.get(part, [])]
-        made[part] = held + list(by_name.values())
+        kept = [by_name.pop(row["name"], row) for row in changed.get(part, [])]
+        changed[part] = kept + list(by_name.values())
     for part, names in change.get("remove", {}).items():
-        made[part] = [row for row in made.get(part, []) if row["name"] not in names]
-    return made
+        changed[part] = [row for row in changed.get(part, []) if row["name"] not in names]
+    return changed
 
 
 class Operator:
@@ -53,9 +53,7 @@
         if self._session is not None:
             await self._session.close()
 
-    # -- calls ---------------------------------------------------------------------------------
-
-    async def _once(
+    async def _request(
         self, node: str, method: str, path: str, body: Any, headers: dict[str, str]
     ) -> tuple[int, bytes]:
         if self._session is None:
@@ -84,23 +82,29 @@
         limit_s: float = 20.0,
         start: int | None = None,
     ) -> tuple[int, bytes, str]:
-        """Call one control node after another until one gives a clear answer.
+        """Call one control node after another until one gives a definite answer.
+
+        Definite are successes, the statuses 400, 409, 412, 413 and 422, and any third other 4xx
+        status apart from 408 and 429. Pauses between attempts grow up to 1 s.
 
-        Pauses between attempts grow up to 1 s. Return status, body and node; status 0 means that
-        there was no clear answer within `limit_s`.
+        Returns
+        -------
+        tuple
+            Status, body and address of the node; status 0 if there was no definite answer within
+            `limit_s`.
         """
-        end_ms, pause_s, others = self.clock() + limit_s * 1000, 0.05, 0
-        place = self.rng.randrange(1000) if start is None else start
+        end_ms, pause_s, client_errors = self.clock() + limit_s * 1000, 0.05, 0
+        index = self.rng.randrange(1000) if start is None else start
         while self.clock() < end_ms:
             nodes = self.fleet.published_control_addresses()
-            node = nodes[place % len(nodes)]
-            place += 1
+            node = nodes[index % len(nodes)]
+            index += 1
             try:
-                status, data = await self._once(node, method, path, body, headers or {})
-                if 200 <= status < 300 or status in _FINAL:
+                status, data = await self._request(node, method, path, body, headers or {})
+                if 200 <= status < 300 or status in _DEFINITE_ERRORS:
                     return status, data, node
-                others += 400 <= status < 500 and status not in (408, 429)
-                if others >= 3:
+                client_errors += 400 <= status < 500 and status not in (408, 429)
+                if client_errors >= 3:
                     return status, data, node
             except (aiohttp.ClientError, OSError, TimeoutError, KeyError):
                 pass
@@ -108,12 +112,10 @@
             pause_s = min(1.0, pause_s * 1.6)
         return 0, b"", ""
 
-    # -- configurations ------------------------------------------------------------------------
-
-    async def order(
+    async def send_settings(
         self,
         body: dict[str, Any],
-        whole: dict[str, Any],
+        complete: dict[str, Any],
         base: int,
         method: str = "PUT",
         valid: bool = True,
@@ -121,10 +123,20 @@
         limit_s: float = 20.0,
         start: int | None = None,
     ) -> dict[str, Any]:
-        """Send a configuration on top of version `base` and return its row.
-
-        `body` is what is sent, `whole` the configuration that it makes, `valid` whether it has to
-        be taken. The row's outcome is `acked`, `refused` or `unclear`.
+        """Send a change on top of version `base` and return its row.
+
+        The row's outcome is `acked`, `refused` or `unclear` (no definite answer).
+
+        Parameters
+        ----------
+        body
+            Body of the call: a configuration, or a patch.
+        complete
+            The configuration that results from it.
+        valid
+            Whether the configuration is valid; the system must not acknowledge an invalid one.
+        start
+            Number of the control node to call first; random if None.
         """
         self._count += 1
         row = self.history.add(
@@ -133,7 +145,7 @@
             name=f"o{self._count}",
             revision=body.get("revision", 0),
             base=base,
-            settings=whole,
+            settings=complete,
             valid=valid,
             what=what,
             method=method,
@@ -154,39 +166,42 @@
         if 200 <= status < 300:
             row.update(outcome="acked", acked_ms=row["answered_ms"])
             if valid and body.get("revision", 0) > self.settings.get("revision", 0):
-                self.settings = whole
+                self.settings = complete
         elif status:
             row["outcome"] = "refused"
         return row
 
-    async def found(self, limit_s: float = 30.0) -> bool:
-        """Send the first configuration; return whether it was acknowledged."""
+    async def bootstrap(self, limit_s: float = 30.0) -> bool:
+        """Send the first configuration; return whether it was acknowledged within `limit_s`."""
         first = self.deployment.first_settings()
-        row = await self.order(first, first, 0, what="first", limit_s=limit_s)
+        row = await self.send_settings(first, first, 0, what="first", limit_s=limit_s)
         return row["outcome"] == "acked"
 
     def _next(self, by: int = 0) -> int:
         return self.settings["revision"] + 1 + self.rng.randrange(4) + by
 
-    async def change(self, what: str, whole: bool = False) -> dict[str, Any]:
-        """Send a valid change on top of the newest version, whole or as a patch.
+    async def change(self, what: str, complete: bool = False) -> dict[str, Any]:
+        """Send a valid change on top of the newest version, as a patch or `complete`.
 
-        `what` is `move`, `split`, `timeout`, `add`, `many`, `remove` or `back`.
+        `what` is `move` (a route to another service), `split` (a route between two services),
+        `timeout`, `add` (a route), `many` (24 routes), `remove` (an added route) or `back` (all
+        routes to the first service). If the outcome is unclear or the version was outdated, the
+        newest configuration is read.
         """
         base = self.settings["revision"]
         patch = self._patch(what)
-        made = patched(self.settings, patch)
-        row = await self.order(
-            made if whole else patch, made, base, "PUT" if whole else "PATCH", what=what
+        changed = apply_patch(self.settings, patch)
+        row = await self.send_settings(
+            changed if complete else patch, changed, base, "PUT" if complete else "PATCH", what=what
         )
         if row["outcome"] == "unclear" or row["status"] == 412:
-            await self.catch_up()
+            await self.refresh_settings()
         return row
 
     def _patch(self, what: str) -> dict[str, Any]:
         kinds = [kind for kind in self.deployment.kinds.values() if kind.route_type != "bulk"]
         kind = self.rng.choice(kinds)
-        rows, gone = [], []
+        rows, removed = [], []
         if what == "move":
             rows = [self.deployment.route_row(kind, backend=self.deployment.services[1])]
         elif what == "back":
@@ -212,10 +227,10 @@
         elif what == "many":
             rows = [self._extra_route() for _ in range(24)]
         elif what == "remove":
-            gone = [row["name"] for row in self.settings["routes"] if row["name"].startswith("x-")][
-                :1
-            ]
-        return {"revision": self._next(), "upsert": {"routes": rows}, "remove": {"routes": gone}}
+            removed = [
+                row["name"] for row in self.settings["routes"] if row["name"].startswith("x-")
+            ][:1]
+        return {"revision": self._next(), "upsert": {"routes": rows}, "remove": {"routes": removed}}
 
     def _extra_route(self) -> dict[str, Any]:
         number = f"{self.rng.getrandbits(24):06x}"
@@ -224,31 +239,31 @@
         )
 
     async def race(self) -> list[dict[str, Any]]:
-        """Send two changes on top of the same version at different nodes; one may win."""
+        """Send two changes on top of the same version to different nodes; at most one may win."""
         base = self.settings["revision"]
         bodies = [
             {
-                "revision": base + 1 + place + self.rng.randrange(3),
+                "revision": base + 1 + index + self.rng.randrange(3),
                 "upsert": {"routes": [self._extra_route()]},
                 "remove": {},
             }
-            for place in range(2)
+            for index in range(2)
         ]
         rows = await asyncio.gather(
             *[
-                self.order(
-                    body, patched(self.settings, body), base, "PATCH", what="race", start=place
+                self.send_settings(
+                    body, apply_patch(self.settings, body), base, "PATCH", what="race", start=index
                 )
-                for place, body in enumerate(bodies)
+                for index, body in enumerate(bodies)
             ]
         )
-        await self.catch_up()
+        await self.refresh_settings()
         return list(rows)
 
     async def bad(self) -> list[dict[str, Any]]:
-        """Send invalid configurations, each of another kind."""
+        """Send invalid configurations, one of each kind."""
         return [
-            await self.order(
+            await self.send_settings(
                 body,
                 body if isinstance(body, dict) and "routes" in body else self.settings,
                 base,
@@ -261,48 +276,52 @@
         ]
 
     def _invalid(self) -> list[tuple[str, str, int, dict[str, Any]]]:
-        base, made = self.settings["revision"], copy.deepcopy(self.settings)
-        route = made["routes"][0]
-        old = {**made, "revision": base - 1 if base else 0}
-        unknown = {
-            **made,
+        base, current = self.settings["revision"], copy.deepcopy(self.settings)
+        route = current["routes"][0]
+        old_number = {**current, "revision": base - 1 if base else 0}
+        unknown_service = {
+            **current,
             "revision": base + 2,
-            "routes": [*made["routes"][1:], {**route, "backend": "nobody", "shares": []}],
+            "routes": [*current["routes"][1:], {**route, "backend": "nobody", "shares": []}],
         }
-        unknown["routes"][-1].pop("shares")
-        twice = {
-            **made,
+        unknown_service["routes"][-1].pop("shares")
+        same_place = {
+            **current,
             "revision": base + 2,
-            "routes": [*made["routes"], {**route, "name": "again"}],
+            "routes": [*current["routes"], {**route, "name": "again"}],
         }
         weightless = {**route, "shares": [{"backend": self.deployment.services[0], "share": 0}]}
         weightless.pop("backend", None)
-        nothing = {**made, "revision": base + 2, "routes": [weightless, *made["routes"][1:]]}
-        at_once = {
+        no_weight = {
+            **current,
+            "revision": base + 2,
+            "routes": [weightless, *current["routes"][1:]],
+        }
+        no_time = {
             "revision": base + 2,
             "upsert": {"routes": [{**route, "giveUpMs": 0}]},
             "remove": {},
         }
-        stale = {**made, "revision": base + 3}
+        stale_base = {**current, "revision": base + 3}
         return [
-            ("old-number", "PUT", base, old),
-            ("unknown-service", "PUT", base, unknown),
-            ("same-place", "PUT", base, twice),
-            ("no-weight", "PUT", base, nothing),
-            ("no-time", "PATCH", base, at_once),
-            ("stale-base", "PUT", max(0, base - 1), stale),
+            ("old-number", "PUT", base, old_number),
+            ("unknown-service", "PUT", base, unknown_service),
+            ("same-place", "PUT", base, same_place),
+            ("no-weight", "PUT", base, no_weight),
+            ("no-time", "PATCH", base, no_time),
+            ("stale-base", "PUT", max(0, base - 1), stale_base),
         ]
 
-    async def catch_up(self) -> None:
-        """Read the configuration in force, which the next change builds on."""
+    async def refresh_settings(self) -> None:
+        """Read the configuration in force, on which the next change is based."""
         status, data, _ = await self.call("GET", "/vaneledge/settings", limit_s=10.0)
         if status == 200:
             self.settings = json.loads(data)
 
     async def read_back(self, contact_ms: int, limit_s: float = 15.0) -> dict[str, Any]:
-        """Read the configuration for `contact_ms`, longer until one comes; record the last one.
+        """Read the configuration repeatedly for `contact_ms` and record the last one read.
 
-        Reading ends after `limit_s` at the latest.
+        If none was read by then, reading continues until the first one, for `limit_s` in total.
         """
         began_ms, last = self.clock(), (0, b"")
         while self.clock() < began_ms + limit_s * 1000:
@@ -318,10 +337,8 @@
                 settings = json.loads(last[1])
         return self.history.add("read-back", self.clock(), status=last[0], settings=settings)
 
-    # -- stores to be emptied ------------------------------------------------------------------
-
     async def retire(self, name: str, over_s: int = 10, limit_s: float = 25.0) -> dict[str, Any]:
-        """Order a store to be emptied within `over_s` and follow it to the end; return its row."""
+        """Order that a store be emptied within `over_s` and poll until it is; return its row."""
         status, _, _ = await self.call(
             "POST", f"/vaneledge/retire/{name}", {"overS": over_s}, limit_s=4.0
         )
@@ -330,8 +347,8 @@
         )
         end_ms = self.clock() + limit_s * 1000
         while status in (200, 409, 0) and self.clock() < end_ms:
-            seen, data, _ = await self.call("GET", f"/vaneledge/retire/{name}", limit_s=2.0)
-            if seen == 200:
+            poll_status, data, _ = await self.call("GET", f"/vaneledge/retire/{name}", limit_s=2.0)
+            if poll_status == 200:
                 row["state"] = json.loads(data).get("state", "")
                 if row["state"] == "finished":
                     row["finished_ms"] = round(self.clock(), 2)
--- a/libs/platform_testbed/src/platform_testbed/oracle.py
+++ b/libs/platform_testbed/src/platform_testbed/oracle.py
@@ -59,11 +59,11 @@
 
 
 def judge_day(
-    history: History, due: Iterable[str] = ()
+    history: History, required_rules: Iterable[str] = ()
 ) -> tuple[dict[str, int], dict[str, list[str]]]:
     """Return how many rows each rule judged, and the breaches of those that were broken."""
     found = {name: rule(history) for name, rule in PLATFORM_RULES.items()}
-    for name in due:
+    for name in required_rules:
         if not found[name][0]:
             found[name][1].append("nothing to judge, though some was due")
     return {name: count for name, (count, _) in found.items()}, {
--- a/libs/platform_testbed/src/platform_testbed/rules_jobs.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_jobs.py
@@ -8,7 +8,7 @@
 
 from simulator.history import History
 
-from platform_testbed.live_clients import PROMISES
+from platform_testbed.live_clients import NOT_RUN_STATUSES
 from platform_testbed.reachability import Touch
 from platform_testbed.rules_live import Found, runs_by_id, sequence
 
@@ -217,7 +217,7 @@
     for row in history.rows_of("lot-try"):
         statuses.setdefault(row["lot"], []).append(row.get("status", 0))
     for name, job in _jobs(history).items():
-        if name in statuses and all(status in PROMISES for status in statuses[name]):
+        if name in statuses and all(status in NOT_RUN_STATUSES for status in statuses[name]):
             judged += 1
             found += [
                 f"lot {name} was refused at every try, item {item} ran"
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -9,7 +9,7 @@
 
 from simulator.history import History
 
-from platform_testbed.live_clients import PROMISES
+from platform_testbed.live_clients import NOT_RUN_STATUSES
 from platform_testbed.reachability import Touch, of_tries
 from platform_testbed.site import allowed_services
 
@@ -184,7 +184,11 @@
 def refused(history: History) -> Found:
     """A request that isn't safe to repeat and was refused never ran."""
     runs = runs_by_id(history)
-    told = [row for row in of_tries(history) if not row["repeatable"] and row["status"] in PROMISES]
+    told = [
+        row
+        for row in of_tries(history)
+        if not row["repeatable"] and row["status"] in NOT_RUN_STATUSES
+    ]
     return len(told), [
         f"{_named(row)} was answered {row['status']} and ran" for row in told if runs.get(row["id"])
     ]
@@ -204,7 +208,7 @@
     bad = [
         row
         for row in proper
-        if 300 <= row["status"] < 500 and row["status"] not in PROMISES and not row["seal"]
+        if 300 <= row["status"] < 500 and row["status"] not in NOT_RUN_STATUSES and not row["seal"]
     ]
     return len(proper), [f"{_named(row)} was answered {row['status']}" for row in bad] if len(
         bad
--- a/libs/platform_testbed/src/platform_testbed/scenario.py
+++ b/libs/platform_testbed/src/platform_testbed/scenario.py
@@ -1,8 +1,8 @@
-"""One scenario (day) of the platform in short.
+"""One scenario ("day") of the platform, shortened to seconds.
 
-Machines are started, the first configuration is taken, traffic runs with planned work and faults,
-lots (batches of items) are finished and read again, the configuration is read back, and the oracle
-judges the whole.
+Machines start and accept the first configuration; traffic runs during planned work and faults;
+batch jobs ("lots") are finished and read again; the configuration is read back; and the oracle
+checks the recorded history.
 """
 
 import asyncio
@@ -28,15 +28,24 @@
 
 Step = tuple[float, Callable[["Day"], Awaitable[Any]]]
 STARVED_MS = 1000
-_FOUND_S = 30.0
-_ENDS = 3
-_OWN_PORT = 7721
+_BOOTSTRAP_LIMIT_S = 30.0
+_MAX_ENDS = 3
+_STATUS_PORT = 7721
 
 
 class Day:
     """Everything that takes part in one run: machines, workers, clients, operator and history.
 
-    `ills` are the faults of the workers' answers, with the part of all runs that has each.
+    Parameters
+    ----------
+    shape, seed
+        Shape of the deployment, and the seed for all that is drawn.
+    folder
+        Directory for the machines' files; its previous contents are removed.
+    root
+        Checkout whose programs are run.
+    faults
+        Faults of the workers' answers, each with the share of all runs that has it.
     """
 
     def __init__(
@@ -68,67 +77,80 @@
         return (asyncio.get_running_loop().time() - self._began_at) * 1000
 
     def fault(self, what: str, **fields: Any) -> None:
-        """Record a fault in the history."""
+        """Record a fault, or a step of the scenario, in the history."""
         self.history.add("fault", self.clock(), what=what, **fields)
 
-    # -- who does what inside, by the product's own interface ------------------------------------
-
-    async def _own(self, machine: Machine, path: str) -> Any:
+    async def _get_status(self, machine: Machine, path: str) -> Any:
+        """Return what the product's own status interface gives; empty if it doesn't answer."""
         try:
             async with (
                 aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0)) as session,
-                session.get(f"http://{machine.ip}:{_OWN_PORT}{path}") as answer,
+                session.get(f"http://{machine.ip}:{_STATUS_PORT}{path}") as answer,
             ):
                 return await answer.json()
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             return {}
 
-    def _hit(self, what: str, machine: Machine, sure: bool) -> Machine:
+    def _record_target(self, what: str, machine: Machine, sure: bool) -> Machine:
         self.fault(what, node=machine.name, sure=sure)
         return machine
 
-    async def holder(self) -> Machine:
-        """Return the store that holds the log; a random one if none reports that it does."""
+    async def log_holder(self) -> Machine:
+        """Return the store that serves the log; a random one if none reports that it does.
+
+        The choice is recorded as a fault `holder`, `sure` unless random.
+        """
         stores = [machine for machine in self.fleet.started_machines("storage") if machine.running]
         for machine in stores:
-            if (await self._own(machine, "/status")).get("log_role") == "serving":
-                return self._hit("holder", machine, True)
-        return self._hit("holder", self.rng.choice(stores), False)
+            if (await self._get_status(machine, "/status")).get("log_role") == "serving":
+                return self._record_target("holder", machine, True)
+        return self._record_target("holder", self.rng.choice(stores), False)
 
-    async def owner(self) -> Machine:
-        """Return the control machine that owns the key `profiles`; a random one if unknown."""
+    async def key_owner(self) -> Machine:
+        """Return the control machine that owns the key `profiles`; a random one if unknown.
+
+        The choice is recorded as a fault `owner`, `sure` unless random.
+        """
         core = [machine for machine in self.fleet.started_machines("core") if machine.running]
         for machine in core:
-            shown = await self._own(machine, "/members")
+            shown = await self._get_status(machine, "/members")
             owner = shown.get("keys", {}).get("profiles", {}).get("owner")
             link = next(
                 (row["link"] for row in shown.get("members", ()) if row["identity"] == owner), ""
             )
             for other in core:
                 if link and link.rpartition(":")[0] == other.ip:
-                    return self._hit("owner", other, True)
-        return self._hit("owner", self.rng.choice(core), False)
+                    return self._record_target("owner", other, True)
+        return self._record_target("owner", self.rng.choice(core), False)
 
-    # -- the day -------------------------------------------------------------------------------
+    async def bootstrap(self) -> None:
+        """Start all machines, and wait for the first configuration and for all edges to be ready.
 
-    async def found(self) -> None:
-        """Start all machines and wait for the first configuration to be taken and edges ready.
+        Traffic starts at most 10 s after the configuration was acknowledged, and at least 1.8 s
+        after it if the edges are ready sooner.
 
-        AssertionError if processes keep ending, or if the configuration isn't taken in time.
+        Raises
+        ------
+        AssertionError
+            If a process ended by itself three times, or if the configuration isn't acknowledged
+            within 30 s.
         """
         self.fleet.start_all()
         await self.worker_pool.start()
-        founding = asyncio.ensure_future(self.operator.found(_FOUND_S))
-        while not founding.done():
-            await asyncio.wait([founding], timeout=0.2)
+        bootstrapping = asyncio.ensure_future(self.operator.bootstrap(_BOOTSTRAP_LIMIT_S))
+        while not bootstrapping.done():
+            await asyncio.wait([bootstrapping], timeout=0.2)
             ends = [row["node"] for row in self.history.rows_of("own-end")]
-            if any(ends.count(node) >= _ENDS for node in ends):
-                founding.cancel()
+            if any(ends.count(node) >= _MAX_ENDS for node in ends):
+                bootstrapping.cancel()
                 raise AssertionError(
-                    f"processes end as soon as they start: {self.fleet.log_tail(ends[-1])}"
+                    f"a process ended by itself {_MAX_ENDS} times during the start; log of "
+                    f"{ends[-1]}: {self.fleet.log_tail(ends[-1])}"
                 )
-        if not founding.result():
-            raise AssertionError(f"the first configuration was not taken within {_FOUND_S} s")
+        if not bootstrapping.result():
+            raise AssertionError(
+                f"the first configuration was not acknowledged within {_BOOTSTRAP_LIMIT_S} s"
+            )
         taken_ms = self.clock()
         while self.clock() < taken_ms + 10_000:
             newest = {row["node"]: row["ready"] for row in self.history.rows_of("ready")}
@@ -141,7 +163,7 @@
         self.history.add("traffic", self.clock())
 
     async def _probe(self) -> None:
-        """Send requests to each edge on routes just added, just removed and never there."""
+        """Send requests to each edge on routes that were added, were removed or never existed."""
         turn = 0
         while not self.live.stopping:
             await asyncio.sleep(0.7)
@@ -155,23 +177,23 @@
             for machine in self.fleet.started_machines("edge"):
                 newest = [*self._extra[-1:], f"/never{self.rng.getrandbits(16):x}/"]
                 for path in {newest[turn % len(newest)], self.rng.choice(self._extra or newest)}:
-                    self.live.spawn(
+                    self.live.run_in_background(
                         self.live.probe(machine, host, f"{path}{self.rng.getrandbits(16):x}")
                     )
             turn += 1
 
     async def _steps(self, steps: list[Step]) -> None:
-        began_ms, running = self.clock(), []
+        began_ms, tasks = self.clock(), []
         for at_s, step in steps:
             await asyncio.sleep(max(0.0, at_s - (self.clock() - began_ms) / 1000))
             self.fault(step.__name__)
-            running.append(asyncio.ensure_future(step(self)))
-        await asyncio.gather(*running)
+            tasks.append(asyncio.ensure_future(step(self)))
+        await asyncio.gather(*tasks)
 
     async def play(self, steps: list[Step], seconds: float) -> None:
-        """Run steps, given as (seconds, step), beside traffic for `seconds`, then read all again.
+        """Run steps, given as (seconds, step), during `seconds` of traffic; then read all again.
 
-        Whatever happens, all processes are ended and all connections closed.
+        All processes are killed and all connections closed at the end, also after an error.
         """
         background = [
             asyncio.ensure_future(work)
@@ -182,7 +204,7 @@
             )
         ]
         try:
-            await self.found()
+            await self.bootstrap()
             traffic = [
                 asyncio.ensure_future(work)
                 for work in (self.live.run(), self.jobs.run(), self._probe())
@@ -208,16 +230,19 @@
     seed: int,
     folder: str,
     seconds: float,
-    due: tuple[str, ...] = (),
+    required_rules: tuple[str, ...] = (),
     faults: tuple[tuple[str, float], ...] = (),
     root: Path | None = None,
 ) -> tuple[Day, dict[str, int], dict[str, list[str]]]:
-    """Play a day; return it, how many rows each rule judged, and the breaches by rule.
+    """Run a day; return it, how many rows each rule judged, and the breaches by rule.
 
-    Evidence that is `due` is asked for only where no machine was long kept from running by other
-    load on the host.
+    `required_rules` must have judged some rows, but only if no machine was starved of processor
+    time for 1 s or more by other load on the host. `steps`, `seconds`, `required_rules` and
+    `faults` are as `day_of` returns them; `root` defaults to the checkout that holds this file.
     """
     day = Day(shape, seed, folder, root or Path(__file__).resolve().parents[4], faults)
     await day.play(steps, seconds)
-    counts, broken = judge_day(day.history, due if starved_ms(day.history) < STARVED_MS else ())
+    counts, broken = judge_day(
+        day.history, required_rules if starved_ms(day.history) < STARVED_MS else ()
+    )
     return day, counts, broken
--- a/libs/platform_testbed/src/platform_testbed/scenarios.py
+++ b/libs/platform_testbed/src/platform_testbed/scenarios.py
@@ -1,6 +1,7 @@
-"""The days that can be played: planned work, and every fault that loopback can bring about.
+"""The days that can be run: planned work, and every fault that can be injected on loopback.
 
-Network partitions between machines and stepped clocks belong to the simulator.
+Network partitions between machines and clock steps are tested in the simulator instead. The names
+of the steps appear in the history and in reports.
 """
 
 import asyncio
@@ -9,9 +10,9 @@
 
 from platform_testbed.scenario import Day, Step
 
-__all__ = ["DUE", "PLATFORM_DAYS", "day_of"]
+__all__ = ["PLATFORM_DAYS", "REQUIRED_RULES", "day_of"]
 
-DUE = (
+REQUIRED_RULES = (
     "MIXED",
     "UNASKED",
     "TWICE",
@@ -42,7 +43,7 @@
 
 
 async def move_route(day: Day) -> None:
-    await day.operator.change("move", whole=True)
+    await day.operator.change("move", complete=True)
 
 
 async def split_route(day: Day) -> None:
@@ -85,33 +86,33 @@
 
 
 async def crash_worker(day: Day) -> None:
-    await day.worker_pool.crash()
+    await day.worker_pool.crash_one()
 
 
 async def dark_worker(day: Day) -> None:
-    await day.worker_pool.dark()
+    await day.worker_pool.hang_one()
 
 
 async def release_one(day: Day) -> None:
-    await day.worker_pool.release(count=1)
+    await day.worker_pool.rolling_replace(count=1)
 
 
 async def release_all(day: Day) -> None:
-    await day.worker_pool.release()
+    await day.worker_pool.rolling_replace()
 
 
 async def burst(day: Day) -> None:
-    day.live.press, day.jobs.press = 4.0, 5.0
+    day.live.load_factor, day.jobs.load_factor = 4.0, 5.0
     await asyncio.sleep(4.0)
-    day.live.press = day.jobs.press = 1.0
+    day.live.load_factor = day.jobs.load_factor = 1.0
 
 
 async def kill_owner(day: Day) -> None:
-    await day.fleet.kill_and_restart(await day.owner(), 3.0)
+    await day.fleet.kill_and_restart(await day.key_owner(), 3.0)
 
 
 async def kill_holder(day: Day) -> None:
-    await day.fleet.kill_and_restart(await day.holder(), 3.0)
+    await day.fleet.kill_and_restart(await day.log_holder(), 3.0)
 
 
 async def kill_edge(day: Day) -> None:
@@ -119,11 +120,11 @@
 
 
 async def freeze_holder(day: Day) -> None:
-    await day.fleet.freeze(await day.holder(), 3.2)
+    await day.fleet.freeze(await day.log_holder(), 3.2)
 
 
 async def freeze_owner(day: Day) -> None:
-    await day.fleet.freeze(await day.owner(), 3.2)
+    await day.fleet.freeze(await day.key_owner(), 3.2)
 
 
 async def freeze_edge(day: Day) -> None:
@@ -131,19 +132,19 @@
 
 
 async def wipe_store(day: Day) -> None:
-    await day.fleet.kill_and_restart(await day.holder(), 2.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.log_holder(), 2.0, wiped=True)
 
 
 async def wipe_control(day: Day) -> None:
-    await day.fleet.kill_and_restart(await day.owner(), 2.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.key_owner(), 2.0, wiped=True)
 
 
 async def replace_control(day: Day) -> None:
-    await day.fleet.replace(await day.owner())
+    await day.fleet.replace(await day.key_owner())
 
 
 async def replace_store(day: Day) -> None:
-    await day.fleet.replace(await day.holder())
+    await day.fleet.replace(await day.log_holder())
 
 
 async def roll_edges(day: Day) -> None:
@@ -171,17 +172,17 @@
 
 
 async def retire_holder(day: Day) -> None:
-    """Empty a store and take it away; the added one has to have everything by then."""
-    machine = await day.holder()
+    """Retire a store and remove it; the store added before must hold all data by then."""
+    machine = await day.log_holder()
     row = await day.operator.retire(machine.name)
     if row["state"] == "finished":
         day.fleet.remove(machine)
     else:
-        raise AssertionError(f"{machine.name} was not emptied: {row}")
+        raise AssertionError(f"{machine.name} did not finish retiring: {row}")
 
 
 async def power_off(day: Day, wiped: int = 0) -> None:
-    """Kill every process right after an acknowledgement, and start all, some from empty disks."""
+    """Kill all processes right after an acknowledged change; restart all, `wiped` of them empty."""
     await day.operator.change("timeout")
     machines = list(day.fleet.current_machines())
     for machine in machines:
@@ -202,17 +203,17 @@
 
 
 async def wipe_after_ack(day: Day) -> None:
-    """Wipe a core machine and then a store, right after a configuration was acknowledged."""
+    """Wipe a core machine and later a store, right after a change was acknowledged."""
     await day.operator.change("add")
-    await day.fleet.kill_and_restart(await day.owner(), 1.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.key_owner(), 1.0, wiped=True)
     await asyncio.sleep(day.deployment.timing["catchUpS"])
-    await day.fleet.kill_and_restart(await day.holder(), 1.0, wiped=True)
+    await day.fleet.kill_and_restart(await day.log_holder(), 1.0, wiped=True)
 
 
 PLATFORM_DAYS: dict[str, dict[str, Any]] = {
     "calm": {
         "seconds": 7.5,
-        "due": ("ACKS", "CONFIG losers"),
+        "required_rules": ("ACKS", "CONFIG losers"),
         "steps": [
             (0.5, change_timeout),
             (1.0, add_route),
@@ -225,11 +226,11 @@
     "ills": {"seconds": 8.0, "faults": _ANSWER_FAULTS, "steps": [(1.0, split_route)]},
     "workers": {
         "seconds": 9.0,
-        "due": ("DRAIN",),
+        "required_rules": ("DRAIN",),
         "steps": [(1.0, crash_worker), (3.0, release_one)],
     },
     "dark-worker": {"seconds": 9.0, "steps": [(1.0, dark_worker)]},
-    "release": {"seconds": 12.0, "due": ("DRAIN",), "steps": [(1.0, release_all)]},
+    "release": {"seconds": 12.0, "required_rules": ("DRAIN",), "steps": [(1.0, release_all)]},
     "burst": {"seconds": 8.0, "steps": [(1.0, burst)]},
     "control-killed": {
         "seconds": 10.0,
@@ -239,10 +240,10 @@
     "holder-frozen": {"seconds": 11.0, "steps": [(1.5, freeze_holder)]},
     "owner-frozen": {"seconds": 11.0, "steps": [(1.5, freeze_owner), (2.0, add_route)]},
     "edge-killed": {"seconds": 8.0, "steps": [(1.0, kill_edge), (4.0, freeze_edge)]},
-    "power-off": {"seconds": 20.0, "due": ("RECOVER",), "steps": [(2.0, power_off)]},
+    "power-off": {"seconds": 20.0, "required_rules": ("RECOVER",), "steps": [(2.0, power_off)]},
     "power-off-and-wipe": {
         "seconds": 20.0,
-        "due": ("RECOVER",),
+        "required_rules": ("RECOVER",),
         "steps": [(2.0, power_off_and_wipe)],
     },
     "wiped-store": {"seconds": 11.0, "steps": [(1.5, wipe_store)]},
@@ -252,21 +253,21 @@
     "retire": {"seconds": 14.0, "steps": [(0.5, add_store), (2.0, retire_holder)]},
     "races": {
         "seconds": 9.0,
-        "due": ("CONFIG losers",),
+        "required_rules": ("CONFIG losers",),
         "steps": [(1.0, races), (4.5, bad_settings)],
     },
     "many-routes": {
         "seconds": 10.0,
-        "due": ("CONFIG later routes",),
+        "required_rules": ("CONFIG later routes",),
         "steps": [(0.5, many_routes), (3.0, hang_up_edges)],
     },
-    "edges-rolled": {"seconds": 10.0, "due": ("LOST",), "steps": [(1.0, roll_edges)]},
+    "edges-rolled": {"seconds": 10.0, "required_rules": ("LOST",), "steps": [(1.0, roll_edges)]},
     "core-rolled": {"seconds": 20.0, "steps": [(1.0, roll_core)]},
     "wiped-after-ack": {"seconds": 14.0, "steps": [(1.5, wipe_after_ack)]},
     "drawn": {},
     "faults": {
         "seconds": 11.0,
-        "due": ("DRAIN",),
+        "required_rules": ("DRAIN",),
         "faults": _ANSWER_FAULTS,
         "steps": [
             (0.2, release_one),
@@ -279,7 +280,7 @@
 }
 
 
-_LOSSES = (
+_DATA_FAULTS = (
     kill_owner,
     kill_holder,
     freeze_owner,
@@ -289,7 +290,7 @@
     replace_control,
     replace_store,
 )
-_ELSE = (
+_OTHER_STEPS = (
     crash_worker,
     dark_worker,
     release_one,
@@ -308,32 +309,36 @@
 )
 
 
-def _drawn(seed: int) -> dict[str, Any]:
-    """Draw faults from a seed; machines with a disk are lost one after another.
+def _drawn_day(seed: int) -> dict[str, Any]:
+    """Draw a day from a seed: two faults of machines with data, and four other steps.
 
-    Each has caught up before the next is lost.
+    The two are about 9.5 s apart, so that the first machine has caught up before the second fault.
+    Some days end with a power failure of all machines.
     """
     rng = random.Random(f"drawn/{seed}")
     steps: list[Step] = [
-        (1.0 + 0.5 * rng.random() + 9.5 * place, rng.choice(_LOSSES)) for place in range(2)
+        (1.0 + 0.5 * rng.random() + 9.5 * index, rng.choice(_DATA_FAULTS)) for index in range(2)
     ]
-    steps += [(0.5 + 17.0 * rng.random(), rng.choice(_ELSE)) for _ in range(4)]
-    closing = rng.random() < 0.4
-    if closing:
+    steps += [(0.5 + 17.0 * rng.random(), rng.choice(_OTHER_STEPS)) for _ in range(4)]
+    with_power_failure = rng.random() < 0.4
+    if with_power_failure:
         steps.append((20.0, rng.choice((power_off, power_off_and_wipe))))
     return {
-        "seconds": 38.0 if closing else 20.0,
+        "seconds": 38.0 if with_power_failure else 20.0,
         "steps": sorted(steps, key=lambda step: step[0]),
         "faults": _ANSWER_FAULTS if rng.random() < 0.5 else (),
     }
 
 
 def day_of(name: str, seed: int = 1) -> dict[str, Any]:
-    """Return the steps, length, due evidence and answer faults of a day; KeyError if unknown."""
-    day = _drawn(seed) if name == "drawn" else PLATFORM_DAYS[name]
+    """Return the steps, duration, required rules and answer faults of a day.
+
+    `seed` matters for the day `drawn` only. KeyError if the name is unknown.
+    """
+    day = _drawn_day(seed) if name == "drawn" else PLATFORM_DAYS[name]
     return {
         "steps": day["steps"],
         "seconds": day["seconds"],
-        "due": DUE + tuple(day.get("due", ())),
+        "required_rules": REQUIRED_RULES + tuple(day.get("required_rules", ())),
         "faults": day.get("faults", ()),
     }
--- a/libs/platform_testbed/src/platform_testbed/worker_calls.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_calls.py
@@ -1,4 +1,4 @@
-"""A request to a simulated worker: what it asks of the engine, and the engine's messages to it."""
+"""A request to a simulated worker: its translation for the engine, and the engine's messages."""
 
 import asyncio
 import hashlib
@@ -10,21 +10,31 @@
 
 from platform_testbed.engine_messages import EngineRequest
 
-__all__ = ["Turn", "digest", "parse_request"]
+__all__ = ["WorkerCall", "digest", "parse_request"]
 
 
 def digest(data: bytes) -> str:
-    """Return a digest of 64 bits in hexadecimal."""
+    """Return a 64-bit digest in hexadecimal."""
     return hashlib.blake2b(data, digest_size=8).hexdigest()
 
 
-class Turn:
-    """One request on one connection, with the engine's messages about it in order."""
+class WorkerCall:
+    """One request on one connection.
 
-    __slots__ = ("news", "row", "tag")
+    Attributes
+    ----------
+    messages
+        The engine's messages about the request, in order.
+    row
+        Row of the history for its run; recorded once the run starts.
+    tag
+        Name of the run, unique among all workers; empty until it starts.
+    """
+
+    __slots__ = ("messages", "row", "tag")
 
     def __init__(self) -> None:
-        self.news: asyncio.Queue = asyncio.Queue()
+        self.messages: asyncio.Queue = asyncio.Queue()
         self.row: dict[str, Any] = {}
         self.tag = ""
 
@@ -32,9 +42,14 @@
 def parse_request(
     key: int, request: web.BaseRequest, body: bytes, first_event: int
 ) -> tuple[EngineRequest, dict[str, Any]]:
-    """Return what a request's headers and body ask of the engine, and the body's plan.
+    """Return the engine's form of a request, and the plan that its JSON body gives for the answer.
+
+    `first_event` is unused.
 
-    `first_event` is unused; ValueError if a header that should be a number is none.
+    Raises
+    ------
+    ValueError
+        If a header that has to be a number isn't one.
     """
     headers = request.headers
     plan: dict[str, Any] = {"stream": False, "events": 1, "pad": 20, "poisoned": False}
@@ -49,7 +64,7 @@
     )
     last = headers.get("Last-Event-Id")
     deadline = headers.get("Deadline-Ms")
-    asked = EngineRequest(
+    engine_request = EngineRequest(
         key=key,
         request_id=headers.get("Request-Id", ""),
         target_id=headers.get("Target-Server", ""),
@@ -62,4 +77,4 @@
         deadline_ms=None if deadline is None else float(deadline),
         poisoned=plan["poisoned"],
     )
-    return asked, plan
+    return engine_request, plan
--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -1,4 +1,4 @@
-"""The workers of a day, on loopback addresses of their own, and the faults that they have."""
+"""The simulated workers of a day, each on a loopback address of its own, and their faults."""
 
 import asyncio
 import random
@@ -16,9 +16,14 @@
 
 
 class SimulatedWorkerPool:
-    """Starts workers and lets them crash, fall silent or be replaced.
-
-    `ills` as for Day; `fleet` gives the addresses of control.
+    """Starts workers and makes them crash, hang or be replaced.
+
+    Parameters
+    ----------
+    fleet
+        Provides the network of the addresses and the published control addresses.
+    faults
+        Answer faults, each with the share of all runs that has it.
     """
 
     def __init__(
@@ -37,21 +42,21 @@
             **{name: getattr(deployment.engine, name) for name in EngineProfile.__slots__}
             | {"faults": faults}
         )
-        self._places = 0
+        self._addresses_used = 0
 
     async def start(self) -> None:
         """Start the workers of all services, spread over the zones."""
         for service, count in zip(
             self.deployment.services, self.deployment.shape["workers"], strict=True
         ):
-            for place in range(count):
-                await self.add(service, self.deployment.zones[place % len(self.deployment.zones)])
+            for index in range(count):
+                await self.add(service, self.deployment.zones[index % len(self.deployment.zones)])
 
     async def add(self, service: str, zone: str, address: str = "") -> SimulatedWorker:
         """Start a worker, at a new address if none is given, and return it."""
         if not address:
-            self._places += 1
-            address = f"{self.fleet.net}.{150 + self._places % 100}:{_PORT}"
+            self._addresses_used += 1
+            address = f"{self.fleet.net}.{150 + self._addresses_used % 100}:{_PORT}"
         server_id = f"i-{self.rng.getrandbits(32):08x}"
         worker = SimulatedWorker(
             server_id,
@@ -73,35 +78,36 @@
         return worker
 
     def serving(self, service: str = "") -> list[SimulatedWorker]:
-        """Return the workers that take requests, of one service if it is given."""
+        """Return the workers that accept requests, of one service if given."""
         return [
             worker
             for worker in self.workers
-            if worker.announced == "serving" and not worker.dark and service in ("", worker.service)
+            if worker.announced == "serving" and not worker.hung and service in ("", worker.service)
         ]
 
-    def _one(self) -> SimulatedWorker:
+    def _pick(self) -> SimulatedWorker:
         return self.rng.choice(self.serving(self.deployment.services[0]))
 
-    async def crash(self, back_s: float = 1.5) -> None:
-        """Let one worker crash; a new one starts at the same address after `back_s`."""
-        worker = self._one()
+    async def crash_one(self, back_s: float = 1.5) -> None:
+        """Crash one worker; a new one starts at the same address `back_s` seconds later."""
+        worker = self._pick()
         await worker.crash()
         await asyncio.sleep(back_s)
         await self.add(worker.service, worker.zone, worker.address)
 
-    async def dark(self, for_s: float = 3.0) -> None:
-        """Let one worker fall silent for `for_s`; then it ends and a new one starts elsewhere."""
-        worker = self._one()
-        worker.go_dark()
+    async def hang_one(self, for_s: float = 3.0) -> None:
+        """Hang one worker for `for_s` seconds, then stop it and start one at a new address."""
+        worker = self._pick()
+        worker.hang()
         await asyncio.sleep(for_s)
         await worker.stop()
         await self.add(worker.service, worker.zone)
 
-    async def release(self, gap_s: float = 0.5, count: int = 99) -> None:
-        """Replace workers of the first service one after another; the last address is reused.
+    async def rolling_replace(self, gap_s: float = 0.5, count: int = 99) -> None:
+        """Replace workers of the first service, up to `count`, one after another.
 
-        A worker of the second service is started at that address.
+        Each replacement starts before its predecessor drains. At the end, after `reuseAfterS`, a
+        worker of the second service starts at the address of the last one that left.
         """
         for worker in self.serving(self.deployment.services[0])[:count]:
             await self.add(worker.service, worker.zone)
--- a/libs/platform_testbed/src/platform_testbed/workers.py
+++ b/libs/platform_testbed/src/platform_testbed/workers.py
@@ -1,7 +1,7 @@
 """Simulated model workers on loopback sockets, any number of them in one process.
 
-Each has an engine core. They answer whole or with the engine's faults, send heartbeats to control,
-leave in order, crash and fall silent.
+Each contains a simulated engine. It answers requests completely or with the faults that the engine
+draws, sends heartbeats to the control nodes, and can drain and leave, crash, or hang.
 """
 
 import asyncio
@@ -25,16 +25,28 @@
     RunEnded,
     RunStarted,
 )
-from platform_testbed.worker_calls import Turn, digest, parse_request
+from platform_testbed.worker_calls import WorkerCall, digest, parse_request
 
 __all__ = ["SimulatedWorker"]
 
-_KEEP_S = 5
-_LATE_S = 0.03
+_KEEP_ALIVE_S = 5
+_LATE_ANSWER_DELAY_S = 0.03
 
 
 class SimulatedWorker(Service):
-    """One life of a worker; `control` gives the control addresses known now."""
+    """A worker process from its start to its end.
+
+    Parameters
+    ----------
+    history, clock
+        Where runs and events are recorded, and the clock in milliseconds for them.
+    control_addresses
+        Function that returns the control addresses known at present, as a new list.
+    name_of
+        Function that maps a control address to the name of its machine.
+    max_connections
+        Number of connections above which requests are aborted.
+    """
 
     def __init__(
         self,
@@ -45,10 +57,10 @@
         profile: EngineProfile,
         history: History,
         clock: Any,
-        control: Any,
+        control_addresses: Any,
         seed: int,
         name_of: Any = str,
-        beat_ms: int = 1200,
+        heartbeat_ms: int = 1200,
         model: str = "m",
         max_connections: int = 120,
     ) -> None:
@@ -56,15 +68,19 @@
         self.server_id, self.service, self.address, self.zone = server_id, service, address, zone
         self.engine = Engine(profile, server_id, seed)
         self.history, self.now_ms = history, clock
-        self.announced, self.dark = "serving", False
+        self.announced, self.hung = "serving", False
         self.acked_ms = 0.0
-        self._control, self._name_of = control, name_of
+        self._control_addresses, self._name_of = control_addresses, name_of
         self._rng = random.Random(f"{seed}/{server_id}")
-        self._beat_ms, self._model, self._max_connections = beat_ms, model, max_connections
-        self._turns: dict[int, Turn] = {}
-        self._keys = self._calls = 0
-        self._beat_address = ""
-        self._alarm: asyncio.TimerHandle | None = None
+        self._heartbeat_ms, self._model, self._max_connections = (
+            heartbeat_ms,
+            model,
+            max_connections,
+        )
+        self._pending: dict[int, WorkerCall] = {}
+        self._call_count = self._heartbeat_count = 0
+        self._heartbeat_address = ""
+        self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task] = set()
 
     async def on_start(self) -> None:
@@ -72,7 +88,7 @@
         self._server = web.Server(
             self._serve,
             handler_cancellation=True,
-            keepalive_timeout=_KEEP_S,
+            keepalive_timeout=_KEEP_ALIVE_S,
             access_log=None,
             lingering_time=0,
             auto_decompress=False,
@@ -82,42 +98,44 @@
         host, _, port = self.address.rpartition(":")
         await web.TCPSite(self._runner, host, int(port), reuse_address=True).start()
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0))
-        self.add_future(self._beats())
+        self.add_future(self._send_heartbeats())
 
     async def on_stop(self) -> None:
         """Abort all connections and stop listening."""
-        self.dark = True
-        if self._alarm is not None:
-            self._alarm.cancel()
+        self.hung = True
+        if self._timer is not None:
+            self._timer.cancel()
         for protocol in list(self._server.connections):
             if protocol.transport is not None:
                 protocol.transport.abort()
         await self._runner.cleanup()
         await self._session.close()
 
-    # -- what fails ----------------------------------------------------------------------------
-
     async def crash(self) -> None:
-        """End without notice: connections are reset and nothing listens."""
+        """End without notice: connections are reset and the port is closed."""
         self.history.add("worker-gone", self.now_ms(), server=self.server_id, how="crash")
         await self.stop()
 
-    def go_dark(self) -> None:
-        """Fall silent: connections stay open, and nothing is sent any more."""
-        self.dark = True
+    def hang(self) -> None:
+        """Stop responding: connections stay open, and nothing more is sent on them."""
+        self.hung = True
         self.history.add("worker-gone", self.now_ms(), server=self.server_id, how="dark")
 
     async def leave(self, drain_ms: int) -> bool:
-        """Announce the leave, serve on for a while, withdraw and end; return if acknowledged."""
+        """Announce draining, serve on, deregister and stop; return whether it was acknowledged.
+
+        The worker deregisters 1.35 times `drain_ms` after the announcement, and stops when its
+        engine is empty.
+        """
         self.announced = "draining"
         self._feed(DrainStarted())
         for _ in range(20):
-            if await self._tell("PUT"):
+            if await self._send_heartbeat("PUT"):
                 break
             await asyncio.sleep(0.2)
         acked = bool(self.acked_ms)
         await asyncio.sleep(drain_ms * 1.35 / 1000)
-        await self._tell("DELETE")
+        await self._send_heartbeat("DELETE")
         while sum(self.engine.load()[:2]):
             await asyncio.sleep(0.05)
         self.history.add(
@@ -126,16 +144,14 @@
         await self.stop()
         return acked
 
-    # -- beats ---------------------------------------------------------------------------------
-
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         await asyncio.sleep(self._rng.random() * 0.2)
-        while not self.should_stop and not self.dark and self.announced == "serving":
-            await self._tell("PUT")
-            await asyncio.sleep(self._beat_ms / 1000 * (0.9 + 0.2 * self._rng.random()))
+        while not self.should_stop and not self.hung and self.announced == "serving":
+            await self._send_heartbeat("PUT")
+            await asyncio.sleep(self._heartbeat_ms / 1000 * (0.9 + 0.2 * self._rng.random()))
 
-    async def _tell(self, method: str) -> bool:
-        self._calls += 1
+    async def _send_heartbeat(self, method: str) -> bool:
+        self._heartbeat_count += 1
         body = {
             "backend": self.service,
             "address": self.address,
@@ -146,30 +162,30 @@
             "coldLeftMs": 0,
             "phase": "both",
             "models": [{"name": self._model, "revision": 1, "adapters": []}],
-            "callCount": self._calls,
+            "callCount": self._heartbeat_count,
         }
-        nodes = self._control()
-        self._rng.shuffle(nodes)
-        nodes = ([self._beat_address] if self._beat_address else []) + nodes
-        for node in nodes[:4]:
-            if self.dark or self.should_stop:
+        addresses = self._control_addresses()
+        self._rng.shuffle(addresses)
+        addresses = ([self._heartbeat_address] if self._heartbeat_address else []) + addresses
+        for address in addresses[:4]:
+            if self.hung or self.should_stop:
                 return False
             with suppress(aiohttp.ClientError, OSError, TimeoutError, ValueError):
-                url = f"http://{node}/vaneledge/servers/{self.server_id}"
+                url = f"http://{address}/vaneledge/servers/{self.server_id}"
                 async with self._session.request(
                     method, url, json=None if method == "DELETE" else body
                 ) as answer:
                     data = await answer.content.read(4097)
                     if 200 <= answer.status < 300 and len(data) <= 4096:
-                        self._beat_address = (
+                        self._heartbeat_address = (
                             json.loads(data).get("beatAddress") or "" if data else ""
                         )
-                        self._acknowledged(method, node)
+                        self._acknowledged(method, address)
                         return True
-            self._beat_address = ""
+            self._heartbeat_address = ""
         return False
 
-    def _acknowledged(self, method: str, node: str) -> None:
+    def _acknowledged(self, method: str, address: str) -> None:
         if self.announced == "draining" and not self.acked_ms:
             self.acked_ms = self.now_ms()
         if self.announced == "draining":
@@ -177,40 +193,38 @@
                 "drain-ack",
                 self.now_ms(),
                 server=self.server_id,
-                node=self._name_of(node),
+                node=self._name_of(address),
                 what=method,
             )
 
-    # -- the engine ----------------------------------------------------------------------------
-
     def _feed(self, message: Any) -> None:
-        self._pass_on(self.engine.receive(message, self.now_ms()))
+        self._dispatch(self.engine.receive(message, self.now_ms()))
 
-    def _wake(self) -> None:
-        self._alarm = None
-        if not self.dark:
-            self._pass_on(self.engine.advance(self.now_ms()))
+    def _advance(self) -> None:
+        self._timer = None
+        if not self.hung:
+            self._dispatch(self.engine.advance(self.now_ms()))
 
-    def _pass_on(self, messages: list[Any]) -> None:
+    def _dispatch(self, messages: list[Any]) -> None:
         for message in messages:
-            turn = self._turns.get(message.key)
-            if turn is not None:
-                self._note(turn, message)
-                turn.news.put_nowait(message)
+            call = self._pending.get(message.key)
+            if call is not None:
+                self._record(call, message)
+                call.messages.put_nowait(message)
         due_ms = self.engine.next_ms()
-        if self._alarm is not None:
-            self._alarm.cancel()
-        self._alarm = None
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = None
         if due_ms is not None:
-            self._alarm = asyncio.get_running_loop().call_later(
-                max(0.0, due_ms - self.now_ms()) / 1000, self._wake
+            self._timer = asyncio.get_running_loop().call_later(
+                max(0.0, due_ms - self.now_ms()) / 1000, self._advance
             )
 
-    def _note(self, turn: Turn, message: Any) -> None:
-        row, now_ms = turn.row, self.now_ms()
+    def _record(self, call: WorkerCall, message: Any) -> None:
+        row, now_ms = call.row, self.now_ms()
         if isinstance(message, RunStarted):
-            turn.tag = f"{self.server_id}.{message.run}"
-            row.update(run=turn.tag, began_ms=now_ms, state="running", ill=message.fault)
+            call.tag = f"{self.server_id}.{message.run}"
+            row.update(run=call.tag, began_ms=now_ms, state="running", ill=message.fault)
             self.history.rows.append(row)
             row.update(kind="run", at_ms=round(now_ms, 2))
         elif isinstance(message, EventProduced):
@@ -228,161 +242,166 @@
                 came_ms=row["came_ms"],
             )
 
-    # -- HTTP ----------------------------------------------------------------------------------
-
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         if len(self._server.connections) > self._max_connections and request.transport is not None:
             request.transport.abort()
-        if self.dark:
+        if self.hung:
             await asyncio.Event().wait()
         if request.method == "GET" and request.path == "/vaneledge/report":
             return web.json_response(self._report())
         if request.method == "GET" and request.path == "/health":
             return self._health()
         body = await request.read()
-        self._keys += 1
-        key, turn = self._keys, Turn()
-        self._turns[key] = turn
-        asked, plan = parse_request(key, request, body, self.engine.profile.first_event)
-        turn.row = {
-            "id": asked.request_id,
+        self._call_count += 1
+        key, call = self._call_count, WorkerCall()
+        self._pending[key] = call
+        engine_request, plan = parse_request(key, request, body, self.engine.profile.first_event)
+        call.row = {
+            "id": engine_request.request_id,
             "server": self.server_id,
             "service": self.service,
             "host": request.headers.get("Host", ""),
             "method": request.method,
             "target": str(request.rel_url.raw_path_qs),
             "digest": digest(body),
-            "after": asked.last_event_id,
+            "after": engine_request.last_event_id,
             "came_ms": round(self.now_ms(), 2),
             "events": [],
             "made_ms": [],
             "over_ms": 0.0,
-            "named": asked.target_id,
-            "urgency": asked.urgency,
+            "named": engine_request.target_id,
+            "urgency": engine_request.urgency,
             "body": "",
             "answered": False,
         }
         self.history.add(
             "arrival",
             self.now_ms(),
-            id=asked.request_id,
+            id=engine_request.request_id,
             server=self.server_id,
-            named=asked.target_id,
+            named=engine_request.target_id,
         )
         try:
-            self._feed(asked)
-            answer = await self._answer(request, turn, plan)
-            turn.row["answered"] = True
+            self._feed(engine_request)
+            answer = await self._answer(request, call, plan)
+            call.row["answered"] = True
             return answer
         finally:
-            if not self.dark:
+            if not self.hung:
                 self._feed(RequestCancelled(key=key))
-            del self._turns[key]
+            del self._pending[key]
 
     async def _answer(
-        self, request: web.BaseRequest, turn: Turn, plan: dict[str, Any]
+        self, request: web.BaseRequest, call: WorkerCall, plan: dict[str, Any]
     ) -> web.StreamResponse:
-        first = await turn.news.get()
+        first = await call.messages.get()
         if isinstance(first, RequestRejected):
-            return self._turned_away(request, turn, first.status)
-        headers = self._headers(request, turn)
+            return self._rejection(request, call, first.status)
+        headers = self._headers(request, call)
         if plan["stream"] and first.fault not in ("error", "unable", "garbled"):
-            return await self._stream(request, turn, plan, headers)
-        while not isinstance(message := await turn.news.get(), RunEnded):
+            return await self._stream(request, call, plan, headers)
+        while not isinstance(message := await call.messages.get(), RunEnded):
             pass
-        return await self._whole(request, turn, plan, headers, message)
+        return await self._answer_at_once(request, call, plan, headers, message)
 
     async def _stream(
-        self, request: web.BaseRequest, turn: Turn, plan: dict[str, Any], headers: dict[str, str]
+        self,
+        request: web.BaseRequest,
+        call: WorkerCall,
+        plan: dict[str, Any],
+        headers: dict[str, str],
     ) -> web.StreamResponse:
         answer = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
-        self._maybe_close(answer, headers)
+        self._set_keep_alive(answer, headers)
         await answer.prepare(request)
-        while not isinstance(message := await turn.news.get(), RunEnded):
+        while not isinstance(message := await call.messages.get(), RunEnded):
             pad = "." * plan["pad"]
             await answer.write(
-                f"id: {message.number}\ndata: {turn.row['id']}/{turn.tag}/"
+                f"id: {message.number}\ndata: {call.row['id']}/{call.tag}/"
                 f"{message.number}/{pad}\n\n".encode()
             )
         if message.state != "finished":
-            return self._break_off(request, answer, turn.row["ill"])
+            return self._break_connection(request, answer, call.row["ill"])
         await answer.write_eof()
-        await self._extra(request, message.fault)
+        await self._send_surplus_answer(request, message.fault)
         return answer
 
-    async def _whole(
+    async def _answer_at_once(
         self,
         request: web.BaseRequest,
-        turn: Turn,
+        call: WorkerCall,
         plan: dict[str, Any],
         headers: dict[str, str],
-        over: RunEnded,
+        ended: RunEnded,
     ) -> web.StreamResponse:
-        status = {"finished": 200, "error": 500, "unable": 422, "late": 504}.get(over.state, 200)
-        body = f"{turn.row['id']}/{turn.tag}/{'.' * plan['pad']}".encode()
-        turn.row["body"] = digest(body)
-        if over.state == "garbled":
+        status = {"finished": 200, "error": 500, "unable": 422, "late": 504}.get(ended.state, 200)
+        body = f"{call.row['id']}/{call.tag}/{'.' * plan['pad']}".encode()
+        call.row["body"] = digest(body)
+        if ended.state == "garbled":
             request.transport.write(b"\x16\x03 no answer at all\r\n\r\n" + body)
-            return self._break_off(request, web.StreamResponse(), "garbled")
+            return self._break_connection(request, web.StreamResponse(), "garbled")
         answer = web.StreamResponse(
             status=status, headers={**headers, "Content-Type": "application/octet-stream"}
         )
         answer.content_length = len(body)
-        self._maybe_close(answer, headers)
-        if over.state == "broken" and over.fault == "cut":
-            return self._break_off(request, answer, "cut")
+        self._set_keep_alive(answer, headers)
+        if ended.state == "broken" and ended.fault == "cut":
+            return self._break_connection(request, answer, "cut")
         await answer.prepare(request)
-        if over.state == "broken":
+        if ended.state == "broken":
             await answer.write(body[: len(body) // 2])
-            return self._break_off(request, answer, "short")
+            return self._break_connection(request, answer, "short")
         await answer.write(body)
         await answer.write_eof()
-        await self._extra(request, over.fault)
+        await self._send_surplus_answer(request, ended.fault)
         return answer
 
-    def _break_off(
+    def _break_connection(
         self, request: web.BaseRequest, answer: web.StreamResponse, fault: str
     ) -> web.StreamResponse:
         if request.transport is not None:
             request.transport.abort() if fault == "cut" else request.transport.close()
         return answer
 
-    async def _extra(self, request: web.BaseRequest, fault: str) -> None:
-        """Send a second answer where the next is expected; it belongs to no request."""
+    async def _send_surplus_answer(self, request: web.BaseRequest, fault: str) -> None:
+        """Send a second answer, which belongs to no request, for the faults `surplus` and `late`.
+
+        On a kept connection it arrives where the answer to the next request is expected.
+        """
         if fault == "late":
-            await asyncio.sleep(_LATE_S)
+            await asyncio.sleep(_LATE_ANSWER_DELAY_S)
         if fault in ("surplus", "late") and request.transport is not None:
             request.transport.write(
                 b"HTTP/1.1 200 OK\r\nRequest-Id: nobody\r\n"
                 b"Server-Seal: 0.0\r\nContent-Length: 3\r\n\r\nxyz"
             )
 
-    def _headers(self, request: web.BaseRequest, turn: Turn) -> dict[str, str]:
-        headers = {"Request-Id": turn.row["id"], "Server-Seal": f"{turn.tag}.{turn.row['digest']}"}
-        turn.row["seal"] = headers["Server-Seal"]
+    def _headers(self, request: web.BaseRequest, call: WorkerCall) -> dict[str, str]:
+        headers = {"Request-Id": call.row["id"], "Server-Seal": f"{call.tag}.{call.row['digest']}"}
+        call.row["seal"] = headers["Server-Seal"]
         if self.engine.profile.reports_load:
             headers["Server-Load"] = ",".join(map(str, self.engine.load()))
         return headers
 
-    def _maybe_close(self, answer: web.StreamResponse, headers: dict[str, str]) -> None:
+    def _set_keep_alive(self, answer: web.StreamResponse, headers: dict[str, str]) -> None:
         if self.announced == "draining" or self._rng.random() < 0.02:
             answer.force_close()
         else:
-            answer.headers["Keep-Alive"] = f"timeout={_KEEP_S}"
+            answer.headers["Keep-Alive"] = f"timeout={_KEEP_ALIVE_S}"
 
-    def _turned_away(self, request: web.BaseRequest, turn: Turn, status: int) -> web.Response:
+    def _rejection(self, request: web.BaseRequest, call: WorkerCall, status: int) -> web.Response:
         named = {"Served-By": self.server_id} if status == 421 else {"Not-Run": "1"}
-        headers = {"Request-Id": turn.row["id"], **named}
+        headers = {"Request-Id": call.row["id"], **named}
         if self.engine.profile.reports_load:
             headers["Server-Load"] = ",".join(map(str, self.engine.load()))
         return web.Response(status=status, headers=headers)
 
     def _health(self) -> web.Response:
         running, _, slots = self.engine.load()
-        well = self.announced == "serving" and running < slots
+        healthy = self.announced == "serving" and running < slots
         return web.Response(
-            status=200 if well else 503,
-            headers={"Served-By": self.server_id} | ({} if well else {"Not-Run": "1"}),
+            status=200 if healthy else 503,
+            headers={"Served-By": self.server_id} | ({} if healthy else {"Not-Run": "1"}),
         )
 
     def _report(self) -> dict[str, Any]:
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -15,7 +15,7 @@
 from aiohttp import web
 from fake_jobs import FakeJobApi
 from platform_testbed.machines import loopback_net
-from platform_testbed.operators import patched
+from platform_testbed.operators import apply_patch
 from platform_testbed.site import allowed_services, route_of
 
 HOP = {"connection", "keep-alive", "transfer-encoding", "te", "upgrade", "host", "content-length"}
@@ -126,7 +126,7 @@
             return web.Response(status=200)
         if base != self.settings.get("revision", 0) and self.broken != "acks-both":
             return web.Response(status=412)
-        made = patched(self.settings, sent) if method == "PATCH" else sent
+        made = apply_patch(self.settings, sent) if method == "PATCH" else sent
         if not self._valid(made):
             return web.Response(status=400)
         self.settings = self.taken[key] = made
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -13,7 +13,7 @@
 from platform_testbed.oracle import judge_day
 from platform_testbed.processor_starvation import StarvationMonitor, starved_ms
 from platform_testbed.scenario import STARVED_MS
-from platform_testbed.scenarios import DUE
+from platform_testbed.scenarios import REQUIRED_RULES
 from platform_testbed.site import Deployment
 from platform_testbed.worker_pool import SimulatedWorkerPool
 from simulator.history import History
@@ -104,7 +104,7 @@
         elif name == "bad":
             await self.operator.bad()
         elif name == "release":
-            await self.worker_pool.release(count=1)
+            await self.worker_pool.rolling_replace(count=1)
         else:
             await self.operator.change(name)
 
@@ -118,9 +118,9 @@
             asyncio.ensure_future(work) for work in (self.load_balancer.poll(), self._watch())
         ]
         await self.worker_pool.start()
-        await self.operator.found()
+        await self.operator.bootstrap()
         await asyncio.sleep(0.5)
-        self.live.press, self.jobs.press = (1.5, 2.5) if self.broken else (1.0, 1.0)
+        self.live.load_factor, self.jobs.load_factor = (1.5, 2.5) if self.broken else (1.0, 1.0)
         traffic = [asyncio.ensure_future(work) for work in (self.live.run(), self.jobs.run())]
         steps = [asyncio.ensure_future(self._steps())]
         await asyncio.sleep(SECONDS.get(self.broken, 3.5))
@@ -160,7 +160,7 @@
             self.assertThat(broken, Equals({}))
             lacking = [
                 name
-                for name in (*DUE, "DRAIN", "CONFIG losers", "ACKS", "lots UNASKED")
+                for name in (*REQUIRED_RULES, "DRAIN", "CONFIG losers", "ACKS", "lots UNASKED")
                 if not counts[name]
             ]
             if not lacking:
--- a/tests/test_platform_days.py
+++ b/tests/test_platform_days.py
@@ -25,7 +25,7 @@
                     run_platform_day("small", seed=seed, folder=folder, **day)
                 )
             self.assertThat(broken, Equals({}))
-            lacking = [rule for rule in day["due"] if not counts[rule]]
+            lacking = [rule for rule in day["required_rules"] if not counts[rule]]
             if not lacking:
                 return
         self.skipTest(
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -7,7 +7,7 @@
 from platform_oracle_table import CASES, SETTINGS, history, start, trouble
 from platform_testbed import processor_starvation as starvation_module
 from platform_testbed.load_balancer import LoadBalancer
-from platform_testbed.operators import patched
+from platform_testbed.operators import apply_patch
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
 from platform_testbed.processor_starvation import StarvationMonitor, starved_ms
 from platform_testbed.reachability import Touch
@@ -148,7 +148,7 @@
 
 class Words(TestCase):
     def test_changes_by_name(self):
-        made = patched(
+        made = apply_patch(
             SETTINGS,
             {
                 "revision": 7,
