--- a/libs/platform_testbed/src/platform_testbed/command.py
+++ b/libs/platform_testbed/src/platform_testbed/command.py
@@ -7,7 +7,7 @@
 from platform_testbed.scenario import run_platform_day
 from platform_testbed.scenarios import PLATFORM_DAYS, day_of
 from platform_testbed.site import ALL_SHAPES
-from platform_testbed.value import day_worth
+from platform_testbed.value import day_figures
 
 __all__ = ["ALL_SHAPES", "PLATFORM_DAYS", "play_day"]
 
@@ -30,7 +30,7 @@
         )
     rows = [
         f"{what}: {json.dumps(figure)}"
-        for what, figure in day_worth(day.history, day.deployment.kinds).items()
+        for what, figure in day_figures(day.history, day.deployment.kinds).items()
     ]
     rows += [
         f"{row['what']} of version {row['revision']}: {row['outcome']} {row['status']} after "
--- a/libs/platform_testbed/src/platform_testbed/oracle.py
+++ b/libs/platform_testbed/src/platform_testbed/oracle.py
@@ -1,7 +1,7 @@
-"""The oracle of the platform's days: the rules of the platform's page, by their names there.
+"""The oracle of the platform's days, with the platform's rules under the platform's names for them.
 
-It says how many rows each rule judged and the breaches that it found. A rule that was expected to
-judge some and judged none counts as broken.
+For each rule it gives the number of rows judged and the breaches found. A required rule that judged
+no rows counts as broken, because the day then proves nothing about it.
 """
 
 from collections.abc import Iterable
@@ -12,21 +12,22 @@
 from platform_testbed import rules_jobs as jobs
 from platform_testbed import rules_live as live
 from platform_testbed import rules_settings as settings
-from platform_testbed.rules_live import Found
+from platform_testbed.rules_live import RuleResult
 
 __all__ = ["PLATFORM_RULES", "judge_day"]
 
 
-def own_ends(history: History) -> Found:
-    """Every program starts, and none ends by itself or outlasts its grace period."""
-    found = [
-        f"{row['node']} ended by itself with {row['code']} in life {row['life']}"
+def own_ends(history: History) -> RuleResult:
+    """No process ends by itself or outlasts its grace period; all starts are judged."""
+    breaches = [
+        f"{row['node']} ended by itself with exit code {row['code']} in incarnation {row['life']}"
         for row in history.rows_of("own-end")
     ]
-    found += [
-        f"{row['node']} was still there after its grace" for row in history.rows_of("grace-over")
+    breaches += [
+        f"{row['node']} was still running after its grace period"
+        for row in history.rows_of("grace-over")
     ]
-    return len(history.rows_of("start")), found
+    return len(history.rows_of("start")), breaches
 
 
 PLATFORM_RULES: dict[str, Any] = {
@@ -61,11 +62,14 @@
 def judge_day(
     history: History, required_rules: Iterable[str] = ()
 ) -> tuple[dict[str, int], dict[str, list[str]]]:
-    """Return how many rows each rule judged, and the breaches of those that were broken."""
-    found = {name: rule(history) for name, rule in PLATFORM_RULES.items()}
+    """Return how many rows each rule judged, and the breaches of the rules that were broken.
+
+    Each of the `required_rules` must have judged at least one row.
+    """
+    results = {name: rule(history) for name, rule in PLATFORM_RULES.items()}
     for name in required_rules:
-        if not found[name][0]:
-            found[name][1].append("nothing to judge, though some was due")
-    return {name: count for name, (count, _) in found.items()}, {
-        name: rows for name, (_, rows) in found.items() if rows
+        if not results[name][0]:
+            results[name][1].append("the rule is required but judged no rows")
+    return {name: count for name, (count, _) in results.items()}, {
+        name: breaches for name, (_, breaches) in results.items() if breaches
     }
--- a/libs/platform_testbed/src/platform_testbed/reachability.py
+++ b/libs/platform_testbed/src/platform_testbed/reachability.py
@@ -1,27 +1,30 @@
-"""Which machines were in contact at a moment, by the faults and starts that were recorded.
+"""Reachability of machines over time, derived from the recorded faults and first starts.
 
-A rule with a time bound holds only for them. A machine that ends by itself counts as running.
+Rules with time bounds apply only to machines in contact. A machine whose process ended by itself
+still counts as running, so that such an end excuses nothing.
 """
 
 from typing import Any
 
 from simulator.history import History
 
-__all__ = ["Touch", "of_tries"]
+__all__ = ["Reachability", "sent_attempts"]
 
 
-class Touch:
-    """The times of all faults, from which contact at a moment follows.
+class Reachability:
+    """Tells from the times of all faults which machines were in contact.
 
-    Contact returns `contactMs` of the platform's timing after a fault's end.
+    A machine is out of contact from the start of a fault or planned work until `contactMs` of the
+    platform's timing after its end, and for `contactMs` after its first start. All times are
+    milliseconds; a method without `till_ms` answers for the moment `from_ms`.
     """
 
-    __slots__ = ("_contact_ms", "_core", "_core_nodes", "_rows")
+    __slots__ = ("_contact_ms", "_core_nodes", "_core_spans", "_spans_by_node")
 
     def __init__(self, history: History) -> None:
         self._contact_ms = history.settings["timing"]["contactMs"]
-        self._rows: dict[str, list[tuple[float, float, bool]]] = {}
-        self._core: list[tuple[float, float, bool]] = []
+        self._spans_by_node: dict[str, list[tuple[float, float, bool]]] = {}
+        self._core_spans: list[tuple[float, float, bool]] = []
         self._core_nodes = {row["node"] for row in history.rows_of("start") if row["of"] == "core"}
         starts = [
             {
@@ -36,61 +39,71 @@
         ]
         for row in [*history.rows_of("trouble"), *starts]:
             span = (row["at_ms"], row["till_ms"], row["planned"])
-            self._rows.setdefault(row["node"], []).append(span)
+            self._spans_by_node.setdefault(row["node"], []).append(span)
             if row["of"] in ("core", "storage"):
-                self._core.append(span)
+                self._core_spans.append(span)
 
-    def _free(self, spans: list[tuple[float, float, bool]], from_ms: float, till_ms: float) -> bool:
+    def _fault_free(
+        self, spans: list[tuple[float, float, bool]], from_ms: float, till_ms: float
+    ) -> bool:
         return not any(
             began <= till_ms and ended + self._contact_ms >= from_ms for began, ended, _ in spans
         )
 
-    def settled(self, from_ms: float, till_ms: float | None = None) -> bool:
-        """Return whether no machine of the core or storage was in a fault in this time."""
-        return self._free(self._core, from_ms, from_ms if till_ms is None else till_ms)
+    def core_in_contact(self, from_ms: float, till_ms: float | None = None) -> bool:
+        """Return whether all core and storage machines were in contact throughout."""
+        return self._fault_free(self._core_spans, from_ms, from_ms if till_ms is None else till_ms)
 
-    def machine(self, node: str, from_ms: float, till_ms: float | None = None) -> bool:
-        """Return whether a machine and the core were in contact, at a moment or between two."""
+    def in_contact(self, node: str, from_ms: float, till_ms: float | None = None) -> bool:
+        """Return whether a machine and all core and storage machines were in contact throughout."""
         till_ms = from_ms if till_ms is None else till_ms
-        return self._free(self._rows.get(node, []), from_ms, till_ms) and self.settled(
-            from_ms, till_ms
-        )
+        return self._fault_free(
+            self._spans_by_node.get(node, []), from_ms, till_ms
+        ) and self.core_in_contact(from_ms, till_ms)
 
     def slack_ms(
         self, node: str, from_ms: float, till_ms: float, stretch_ms: float
     ) -> float | None:
-        """Return what an unsettled core adds to a time bound, in milliseconds.
+        """Return by how much faults extend a time bound, in milliseconds.
 
-        Nothing while in contact, `stretch_ms` while most of the core ran on, None beyond that.
+        Zero if the machine, the core and storage were in contact; `stretch_ms` if the machine and
+        more than half of the core machines were, the latter already `stretch_ms` before; None if
+        the bound doesn't apply at all.
         """
-        if self.machine(node, from_ms, till_ms):
+        if self.in_contact(node, from_ms, till_ms):
             return 0.0
-        away = [
+        unavailable = [
             name
             for name in self._core_nodes
-            if not self._free(self._rows.get(name, []), from_ms - stretch_ms, till_ms)
+            if not self._fault_free(
+                self._spans_by_node.get(name, []), from_ms - stretch_ms, till_ms
+            )
         ]
-        mine = self._free(self._rows.get(node, []), from_ms, till_ms)
-        return stretch_ms if mine and 2 * len(away) < len(self._core_nodes) else None
+        node_fault_free = self._fault_free(self._spans_by_node.get(node, []), from_ms, till_ms)
+        return (
+            stretch_ms if node_fault_free and 2 * len(unavailable) < len(self._core_nodes) else None
+        )
 
-    def calm(self, from_ms: float, till_ms: float | None = None) -> bool:
-        """Return whether no machine at all was in a fault."""
+    def all_in_contact(self, from_ms: float, till_ms: float | None = None) -> bool:
+        """Return whether all machines were in contact throughout."""
         till_ms = from_ms if till_ms is None else till_ms
-        return all(self._free(spans, from_ms, till_ms) for spans in self._rows.values())
+        return all(
+            self._fault_free(spans, from_ms, till_ms) for spans in self._spans_by_node.values()
+        )
 
-    def unplanned(self, from_ms: float, till_ms: float) -> bool:
-        """Return whether any machine was in a fault that was not planned work."""
+    def has_unplanned_fault(self, from_ms: float, till_ms: float) -> bool:
+        """Return whether any machine was out of contact for anything but planned work."""
         return any(
             began <= till_ms and ended + self._contact_ms >= from_ms and not planned
-            for spans in self._rows.values()
+            for spans in self._spans_by_node.values()
             for began, ended, planned in spans
         )
 
-    def planned(self, node: str) -> list[float]:
-        """Return the times at which a machine was told to stop."""
-        return [began for began, _, planned in self._rows.get(node, []) if planned]
+    def planned_stop_times(self, node: str) -> list[float]:
+        """Return the times at which planned work began on a machine."""
+        return [began for began, _, planned in self._spans_by_node.get(node, []) if planned]
 
 
-def of_tries(history: History) -> list[dict[str, Any]]:
-    """Return the rows of all attempts that were sent."""
+def sent_attempts(history: History) -> list[dict[str, Any]]:
+    """Return the rows of all attempts that have ended; those never sent are left out."""
     return [row for row in history.rows_of("try") if "ended_ms" in row]
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -1,7 +1,7 @@
-"""Rules about requests, as the platform's page of rules has them.
+"""The platform's rules about live requests.
 
-Each takes a history and returns how many rows it judged and the breaches it found; what counts is
-what clients and workers saw on their sockets.
+Each rule takes a history and returns a RuleResult: the number of rows that it judged and the
+breaches that it found. Only what clients and workers saw on their sockets counts.
 """
 
 from collections import defaultdict
@@ -10,7 +10,7 @@
 from simulator.history import History
 
 from platform_testbed.live_clients import NOT_RUN_STATUSES
-from platform_testbed.reachability import Touch, of_tries
+from platform_testbed.reachability import Reachability, sent_attempts
 from platform_testbed.site import allowed_services
 
 __all__ = [
@@ -27,77 +27,77 @@
     "unasked",
 ]
 
-Found = tuple[int, list[str]]
-_GIVEN_UP = (429, 502, 503, 504)
+RuleResult = tuple[int, list[str]]
+_FAILURE_STATUSES = (429, 502, 503, 504)
 
 
 def runs_by_id(history: History) -> dict[str, list[dict[str, Any]]]:
     """Return all runs by the id of their request."""
-    found: dict[str, list[dict[str, Any]]] = defaultdict(list)
+    runs: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for run in history.rows_of("run"):
-        found[run["id"]].append(run)
-    return found
+        runs[run["id"]].append(run)
+    return runs
 
 
-def _named(row: dict[str, Any]) -> str:
+def _describe(row: dict[str, Any]) -> str:
     return (
         f"{row['of']} {row['id']} at {row['node']} ({row['sent_ms']:.0f}-{row['ended_ms']:.0f} ms)"
     )
 
 
-def mixed(history: History) -> Found:
-    """A success is the whole answer of a worker that ran the request, with its seal."""
-    runs, judged, found = runs_by_id(history), 0, []
-    for row in of_tries(history):
-        mine = runs.get(row["id"], [])
+def mixed(history: History) -> RuleResult:
+    """A success is the complete answer of a worker that ran the request, with its seal."""
+    runs, judged, breaches = runs_by_id(history), 0, []
+    for row in sent_attempts(history):
+        request_runs = runs.get(row["id"], [])
         if row["status"] and row["id_back"] not in ("", row["id"]):
-            found.append(f"{_named(row)}: the answer to {row['id_back']}")
-        if row["how"] == "garbled" and not any(run["state"] == "garbled" for run in mine):
-            found.append(f"{_named(row)}: no answer in the protocol")
+            breaches.append(f"{_describe(row)}: got the answer to {row['id_back']}")
+        if row["how"] == "garbled" and not any(run["state"] == "garbled" for run in request_runs):
+            breaches.append(f"{_describe(row)}: the answer is not valid HTTP")
         if not 200 <= row["status"] < 300:
             continue
         judged += 1
-        reason = _success(row, mine)
+        reason = _check_success(row, request_runs)
         if reason:
-            found.append(f"{_named(row)}: {reason}")
-    return judged, found
+            breaches.append(f"{_describe(row)}: {reason}")
+    return judged, breaches
 
 
-def _success(row: dict[str, Any], mine: list[dict[str, Any]]) -> str:
-    first = next((run for run in mine if run.get("seal") == row["seal"]), None)
+def _check_success(row: dict[str, Any], request_runs: list[dict[str, Any]]) -> str:
+    first = next((run for run in request_runs if run.get("seal") == row["seal"]), None)
     if not row["seal"] or first is None:
         return f"a success without its worker's seal ({row['seal'] or 'none'})"
     if row["encoded"]:
-        return "an encoded body"
+        return "the body has a content encoding"
     if row["route_type"] == "streaming":
-        return _pieces(row, mine)
+        return _check_events(row, request_runs)
     if row["how"] == "answered" and (
         first["state"] != "finished" or not row["complete"] or row["body"] != first["body"]
     ):
-        return f"not the worker's whole body (the run is {first['state']})"
+        return f"not the worker's complete body (state of the run: {first['state']})"
     return ""
 
 
-def _pieces(row: dict[str, Any], mine: list[dict[str, Any]]) -> str:
-    by_tag = {run["run"]: run for run in mine}
+def _check_events(row: dict[str, Any], request_runs: list[dict[str, Any]]) -> str:
+    by_tag = {run["run"]: run for run in request_runs}
     for number, data, _ in row["events"]:
         if number == -1 and row["how"] != "answered":
             continue
-        name, tag, place, *_ = [*data.split("/"), "", "", ""]
+        name, tag, event_number, *_ = [*data.split("/"), "", "", ""]
         if (
             name != row["id"]
             or tag not in by_tag
-            or place != str(number)
+            or event_number != str(number)
             or number not in by_tag[tag]["events"]
         ):
-            return f"event {number} is no worker's: {data[:60]!r}"
+            return f"event {number} was produced by no worker: {data[:60]!r}"
     return ""
 
 
-def order(history: History) -> Found:
-    """A stream's events come in order and without gaps, and are all there if it ended well."""
-    runs, judged, found = runs_by_id(history), 0, []
-    for row in of_tries(history):
+def order(history: History) -> RuleResult:
+    """A stream's events come in order and without gaps, and are complete if the stream is."""
+    runs, judged, breaches = runs_by_id(history), 0, []
+    for row in sent_attempts(history):
         if row["route_type"] != "streaming" or row["status"] != 200:
             continue
         judged += 1
@@ -113,10 +113,10 @@
             and row["how"] == "answered"
             and any(number == -1 for number, _, _ in row["events"])
         ):
-            reason = "ends as complete within an event"
+            reason = "the stream ends regularly in the middle of an event"
         if reason:
-            found.append(f"{_named(row)}: {reason}")
-    return judged, found
+            breaches.append(f"{_describe(row)}: {reason}")
+    return judged, breaches
 
 
 def sequence(
@@ -126,9 +126,21 @@
     first: int,
     wanted: int | None,
 ) -> str:
-    """Return why events are not one whole text in order; empty if they are.
-
-    `wanted` is how many there are, if the text is to be complete.
+    """Return why events are not one gapless stream; an empty string if they are.
+
+    Parameters
+    ----------
+    events
+        Numbers and data of the events as they were received.
+    runs
+        Runs of the request. Where the events of one run follow those of another, the later run must
+        have been asked to start at exactly that event.
+    after
+        Number of the event after which the client asked the stream to resume; None for the start.
+    first
+        Number of a stream's first event.
+    wanted
+        Number of events of the complete stream; None if it may end early.
     """
     by_tag = {run["run"]: run for run in runs}
     following = first if after is None else after + 1
@@ -136,20 +148,20 @@
     for number, data in events:
         tag = data.split("/")[1] if data.count("/") > 1 else ""
         if number != following:
-            return f"event {number} where {following} was due"
+            return f"event {number} where {following} was expected"
         if tag != before:
             asked = by_tag[tag]["after"] if tag in by_tag else None
             started = first if asked is None else asked + 1
             if tag in by_tag and started != number:
-                return f"event {number} comes of a run that was asked for from {started} on"
+                return f"event {number} comes from a run that was asked to start at {started}"
         before, following = tag, number + 1
     if wanted is not None and following != first + wanted:
-        return f"complete with its last event {following - 1} instead of {first + wanted - 1}"
+        return f"ends regularly after event {following - 1} instead of {first + wanted - 1}"
     return ""
 
 
-def unasked(history: History) -> Found:
-    """A worker runs only requests that a client sent, as they were sent."""
+def unasked(history: History) -> RuleResult:
+    """A worker runs only requests that a client sent, with method, target and body unchanged."""
     asked = {
         row["id"]: (row["method"], row["target"], row["digest"]) for row in history.rows_of("try")
     }
@@ -159,116 +171,127 @@
         }
     runs = history.rows_of("run")
     return len(runs), [
-        f"{run['server']} ran {run['id'] or 'nothing'}: {run['method']} {run['target']} "
-        f"{run['digest']}, asked "
+        f"{run['server']} ran {run['id'] or 'a request without an id'}: {run['method']} "
+        f"{run['target']} {run['digest']}, the client sent "
         f"{asked.get(run['id'])}"
         for run in runs
         if asked.get(run["id"]) != (run["method"], run["target"], run["digest"])
     ]
 
 
-def twice(history: History) -> Found:
+def twice(history: History) -> RuleResult:
     """A request that isn't safe to repeat runs at most once."""
     runs = runs_by_id(history)
-    once = [row for row in of_tries(history) if not row["repeatable"]]
+    once = [row for row in sent_attempts(history) if not row["repeatable"]]
     return (
         sum(bool(runs.get(row["id"])) for row in once),
         [
-            f"{_named(row)} ran {len(runs[row['id']])} times"
+            f"{_describe(row)} ran {len(runs[row['id']])} times"
             for row in once
             if len(runs.get(row["id"], [])) > 1
         ],
     )
 
 
-def refused(history: History) -> Found:
-    """A request that isn't safe to repeat and was refused never ran."""
+def refused(history: History) -> RuleResult:
+    """A request that isn't safe to repeat never ran if its status promised that it didn't."""
     runs = runs_by_id(history)
-    told = [
+    refusals = [
         row
-        for row in of_tries(history)
+        for row in sent_attempts(history)
         if not row["repeatable"] and row["status"] in NOT_RUN_STATUSES
     ]
-    return len(told), [
-        f"{_named(row)} was answered {row['status']} and ran" for row in told if runs.get(row["id"])
+    return len(refusals), [
+        f"{_describe(row)} was answered {row['status']} and ran"
+        for row in refusals
+        if runs.get(row["id"])
     ]
 
 
-def denied(history: History) -> Found:
-    """Hardly any valid request is denied by the system itself.
+def denied(history: History) -> RuleResult:
+    """Almost no valid request gets a 3xx or 4xx answer from the system itself.
 
-    Up to 5 and a five-hundredth of all are tolerated.
+    Answers of workers and statuses that promise a retry don't count. Up to 5 plus one in 500 of
+    the requests judged are tolerated.
     """
-    touch = Touch(history)
+    reachability = Reachability(history)
     proper = [
         row
-        for row in of_tries(history)
-        if not row["probe"] and touch.machine(row["node"], row["sent_ms"], row["ended_ms"])
+        for row in sent_attempts(history)
+        if not row["probe"]
+        and reachability.in_contact(row["node"], row["sent_ms"], row["ended_ms"])
     ]
     bad = [
         row
         for row in proper
         if 300 <= row["status"] < 500 and row["status"] not in NOT_RUN_STATUSES and not row["seal"]
     ]
-    return len(proper), [f"{_named(row)} was answered {row['status']}" for row in bad] if len(
+    return len(proper), [f"{_describe(row)} was answered {row['status']}" for row in bad] if len(
         bad
     ) > 5 + len(proper) / 500 else []
 
 
-def route(history: History) -> Found:
-    """Only a service that some configuration ever sent allows runs a request."""
+def route(history: History) -> RuleResult:
+    """A request is run only by a service that some configuration ever sent allows for it."""
     sent = [row["settings"] for row in history.rows_of("order")]
-    found = []
+    breaches = []
     for run in history.rows_of("run"):
         services = set().union(
             *[allowed_services(settings, run["host"], run["target"]) or set() for settings in sent]
         )
         if run["service"] not in services:
-            found.append(
+            breaches.append(
                 f"{run['server']} of {run['service']} ran {run['host']}{run['target']}, allowed "
-                f"{sorted(services)}"
+                f"are {sorted(services)}"
             )
-    return len(history.rows_of("run")), found
+    return len(history.rows_of("run")), breaches
 
 
-def drained(history: History) -> Found:
-    """A worker gets nothing later than `drainMs` after its leave was acknowledged.
+def drained(history: History) -> RuleResult:
+    """A worker gets no request later than `drainMs` after its draining was acknowledged.
 
-    What the worker refused as meant for another one doesn't count.
+    Requests that the worker rejected as meant for another one (421) don't count.
     """
-    touch, slack_ms = Touch(history), history.settings["timing"]["drainMs"]
+    reachability, slack_ms = Reachability(history), history.settings["timing"]["drainMs"]
     acked: dict[str, float] = {}
     for row in history.rows_of("drain-ack"):
-        if touch.machine(row.get("node", ""), row["at_ms"]):
+        if reachability.in_contact(row.get("node", ""), row["at_ms"]):
             acked.setdefault(row["server"], row["at_ms"])
-    nodes = {row["id"]: row for row in history.rows_of("try")}
-    away = {
+    attempts = {row["id"]: row for row in history.rows_of("try")}
+    misrouted = {
         (row["id"], row["server"], row["came_ms"])
         for row in history.rows_of("turned-away")
         if row["status"] == 421
     }
-    found = []
+    breaches = []
     for row in history.rows_of("arrival"):
         late_ms = row["at_ms"] - acked.get(row["server"], float("inf")) - slack_ms
-        mine = nodes.get(row["id"])
+        attempt = attempts.get(row["id"])
         calm = (
-            touch.machine(mine["node"], mine["sent_ms"], row["at_ms"])
-            if mine
-            else touch.calm(row["at_ms"])
+            reachability.in_contact(attempt["node"], attempt["sent_ms"], row["at_ms"])
+            if attempt
+            else reachability.all_in_contact(row["at_ms"])
         )
-        if late_ms > 0 and calm and (row["id"], row["server"], row["at_ms"]) not in away:
-            found.append(f"{row['server']} got {row['id']} {late_ms:.0f} ms too late")
-    return len(acked), found
+        if late_ms > 0 and calm and (row["id"], row["server"], row["at_ms"]) not in misrouted:
+            breaches.append(f"{row['server']} got {row['id']} {late_ms:.0f} ms too late")
+    return len(acked), breaches
+
 
+def lost_requests(history: History) -> RuleResult:
+    """Around planned stops and reloads of settings, no request that was read is cut off.
 
-def lost_requests(history: History) -> Found:
-    """Around planned stops and signals, a request that was read gets its whole answer."""
-    touch, runs, timing = Touch(history), runs_by_id(history), history.settings["timing"]
+    Requests cut by their worker, by their deadline or during an unplanned fault don't count.
+    """
+    reachability, runs, timing = (
+        Reachability(history),
+        runs_by_id(history),
+        history.settings["timing"],
+    )
     arrived = {row["id"] for row in history.rows_of("arrival")}
     grace_ms = timing["graceS"] * 1000
     hang_ups = [(row["node"], row["at_ms"]) for row in history.rows_of("hang-up")]
-    judged, found = 0, []
-    for row in of_tries(history):
+    judged, breaches = 0, []
+    for row in sent_attempts(history):
         stops = [
             at_ms
             for node, at_ms in hang_ups
@@ -278,18 +301,22 @@
         ]
         stops += [
             at_ms
-            for at_ms in touch.planned(row["node"])
+            for at_ms in reachability.planned_stop_times(row["node"])
             if row["sent_ms"] <= at_ms + grace_ms + 1000 and row["ended_ms"] >= at_ms
         ]
-        if not stops or row["left"] or touch.unplanned(row["sent_ms"], row["ended_ms"]):
+        if (
+            not stops
+            or row["left"]
+            or reachability.has_unplanned_fault(row["sent_ms"], row["ended_ms"])
+        ):
             continue
         judged += 1
-        mine = runs.get(row["id"], [])
+        request_runs = runs.get(row["id"], [])
         passed_on = row["id"] in arrived or row["ended_ms"] - row["sent_ms"] > timing["lossSlackMs"]
         by_worker = any(
             run["state"] in ("broken", "garbled", "late")
             or run["over_ms"] > stops[0] + grace_ms / 2
-            for run in mine
+            for run in request_runs
         )
         if (
             row["how"] == "cut"
@@ -297,50 +324,59 @@
             and not by_worker
             and row["ended_ms"] < row["sent_ms"] + 0.95 * row["deadline_ms"]
         ):
-            found.append(f"{_named(row)} was cut, though its machine was to stop in order")
-    return judged, found
+            breaches.append(
+                f"{_describe(row)} was cut off during a planned stop or a reload of its machine"
+            )
+    return judged, breaches
 
 
-def held(history: History) -> Found:
-    """A rule of the project's own: a request that is given up is answered at once.
+def held(history: History) -> RuleResult:
+    """A rule of the project's own: a request that is given up is answered promptly.
 
-    A refusal that met no worker must not come in the last half of the time there was, and a failure
-    comes soon after the last worker was done with it.
+    A failure must come within half of the request's deadline after the request was sent or last
+    reached a worker, if no worker ran it, and within a quarter of it after the last run ended
+    otherwise.
     """
-    touch, runs = Touch(history), runs_by_id(history)
+    reachability, runs = Reachability(history), runs_by_id(history)
     arrived: dict[str, list[float]] = defaultdict(list)
     for row in [*history.rows_of("arrival"), *history.rows_of("turned-away")]:
         arrived[row["id"]].append(row["at_ms"])
-    judged, found = 0, []
-    for row in of_tries(history):
+    judged, breaches = 0, []
+    for row in sent_attempts(history):
         if (
             row["probe"]
             or row["how"] != "answered"
-            or row["status"] not in _GIVEN_UP
+            or row["status"] not in _FAILURE_STATUSES
             or row["seal"]
-            or not touch.machine(row["node"], row["sent_ms"])
+            or not reachability.in_contact(row["node"], row["sent_ms"])
         ):
             continue
         judged += 1
-        mine = runs.get(row["id"], [])
-        if any(run["state"] == "running" or run["over_ms"] > row["ended_ms"] for run in mine):
+        request_runs = runs.get(row["id"], [])
+        if any(
+            run["state"] == "running" or run["over_ms"] > row["ended_ms"] for run in request_runs
+        ):
             continue
         last_ms = max(
-            [row["sent_ms"], *arrived.get(row["id"], []), *[run["over_ms"] for run in mine]]
+            [row["sent_ms"], *arrived.get(row["id"], []), *[run["over_ms"] for run in request_runs]]
         )
-        bound_ms = (0.5 if not mine else 0.25) * row["deadline_ms"]
-        if row["ended_ms"] - last_ms > bound_ms and not _dark(history, mine, row):
-            found.append(
-                f"{_named(row)}: {row['status']} {row['ended_ms'] - last_ms:.0f} ms after "
-                "anything was done for it"
+        bound_ms = (0.5 if not request_runs else 0.25) * row["deadline_ms"]
+        if row["ended_ms"] - last_ms > bound_ms and not _reached_hung_worker(
+            history, request_runs, row
+        ):
+            breaches.append(
+                f"{_describe(row)}: {row['status']} {row['ended_ms'] - last_ms:.0f} ms after "
+                "the last work on it"
             )
-    return judged, found
+    return judged, breaches
 
 
-def _dark(history: History, mine: list[dict[str, Any]], row: dict[str, Any]) -> bool:
-    """Return whether a worker that the request had reached had fallen silent.
+def _reached_hung_worker(
+    history: History, request_runs: list[dict[str, Any]], row: dict[str, Any]
+) -> bool:
+    """Return whether the request had reached a worker that hung by the end of the attempt.
 
-    Silence is no reason to end an answer sooner.
+    The edge need not give up on a hung worker before the request's deadline.
     """
     silent = {
         gone["server"]
@@ -348,4 +384,4 @@
         if gone["how"] == "dark" and gone["at_ms"] <= row["ended_ms"]
     }
     reached = {seen["server"] for seen in history.rows_of("arrival") if seen["id"] == row["id"]}
-    return bool(silent & (reached | {run["server"] for run in mine}))
+    return bool(silent & (reached | {run["server"] for run in request_runs}))
--- a/libs/platform_testbed/src/platform_testbed/site.py
+++ b/libs/platform_testbed/src/platform_testbed/site.py
@@ -1,6 +1,6 @@
-"""What a day is played with: zones, machines, services, workers, requests and configuration.
+"""The deployment of a day: zones, machines, services, workers, kinds of request, configuration.
 
-All names are drawn from the seed, so that nothing can be tuned to them.
+All names are drawn from the seed, so that the system can't be tuned to them.
 """
 
 import copy
@@ -78,9 +78,27 @@
 
 
 class Kind:
-    """A kind of request: its route's type and times, its sizes, and the worth of an answer.
+    """A kind of request: the type and limits of its route, its sizes, and the value of an answer.
 
-    `worth` is for an answer in time, `late_worth` for a later one.
+    Attributes
+    ----------
+    deadline_ms, retries
+        Time that clients allow a request, and how often they retry it.
+    due_ms, max_wait_s, queue_cap
+        Settings of batch routes: when results are due, when items are given up, and the limit of
+        the backlog in tokens.
+    target_ms, gap_ms
+        Times to the first event and between events up to which an answer counts as timely.
+    give_up_ms, resumable, tries, urgency
+        Settings of the route.
+    parts
+        Its first number is the number of prompt parts shared by the requests of this kind.
+    share
+        Weight of the kind in the live traffic.
+    tokens_in, events
+        Ranges from which prompt tokens and events are drawn.
+    worth, late_worth
+        Value of a timely answer, and of a later one.
     """
 
     __slots__ = (
@@ -206,7 +224,7 @@
 
 
 class Deployment:
-    """What is drawn from a shape and a seed; `limits` go into the configuration."""
+    """A deployment drawn from a shape and a seed; `limits` become part of the configuration."""
 
     __slots__ = (
         "engine",
@@ -251,7 +269,7 @@
         }
 
     def route_row(self, kind: Kind, **other: Any) -> dict[str, Any]:
-        """Return a kind's route as the configuration has it, with `other` members."""
+        """Return a kind's route in the configuration's form, with `other` members set."""
         row: dict[str, Any] = {
             **self.routes[kind.name],
             "routeType": kind.route_type,
@@ -269,7 +287,7 @@
         return row
 
     def service_row(self, name: str) -> dict[str, Any]:
-        """Return a service as the configuration has it."""
+        """Return a service in the configuration's form."""
         profile = self.engine
         return {
             "name": name,
@@ -305,17 +323,17 @@
 
 
 def route_of(settings: dict[str, Any], host: str, path: str) -> dict[str, Any] | None:
-    """Return the route of a host with the longest prefix that begins the path, or None."""
-    found = [
+    """Return the route of a host with the longest prefix of the path, or None if there is none."""
+    matching = [
         row
         for row in settings["routes"]
         if row["hostname"] == host and path.startswith(row["pathStart"])
     ]
-    return max(found, key=lambda row: len(row["pathStart"])) if found else None
+    return max(matching, key=lambda row: len(row["pathStart"])) if matching else None
 
 
 def allowed_services(settings: dict[str, Any], host: str, path: str) -> set[str] | None:
-    """Return the services that may run a request; None where there is no route for it."""
+    """Return the services that may run a request; None if no route matches it."""
     route = route_of(settings, host, path)
     if route is None:
         return None
--- a/libs/platform_testbed/src/platform_testbed/value.py
+++ b/libs/platform_testbed/src/platform_testbed/value.py
@@ -1,7 +1,8 @@
-"""What a day earned, beside its rules.
+"""Figures of a day beside its rules.
 
-Worth in time for each kind of request, times to the first event and between events, events that
-came late from their worker, how long refusals took, and lots' results in time.
+They are the value earned by timely answers for each kind of request, the times to the first event
+and between events, events delayed between worker and client, the time that refusals took, and the
+results of batch jobs that came in time.
 """
 
 from collections import Counter
@@ -9,9 +10,9 @@
 
 from simulator.history import History
 
-from platform_testbed.reachability import of_tries
+from platform_testbed.reachability import sent_attempts
 
-__all__ = ["day_worth"]
+__all__ = ["day_figures"]
 
 
 def _quantiles(values: list[float]) -> list[float]:
@@ -27,12 +28,13 @@
     return row.get("how") == "answered" and row["status"] == 200
 
 
-def day_worth(history: History, kinds: dict[str, Any]) -> dict[str, Any]:
-    """Return the figures of a day, by kind of request and in all; times are milliseconds.
+def day_figures(history: History, kinds: dict[str, Any]) -> dict[str, Any]:
+    """Return the figures of a day, by kind of request and in total; times are milliseconds.
 
-    Quantiles are given as median, 95% and maximum.
+    `earned` is the share of the possible value. Quantiles are the median, the 95th percentile and
+    the maximum.
     """
-    made: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     for name, kind in kinds.items():
         if kind.route_type == "bulk":
             continue
@@ -52,31 +54,33 @@
             gaps.append(max(row["gap_ms"] for row in request["tries"]))
             in_time = firsts[-1] <= kind.target_ms and (not kind.gap_ms or gaps[-1] <= kind.gap_ms)
             earned += kind.worth if in_time else kind.late_worth
-        made[name] = {
+        figures[name] = {
             "asked": len(requests),
             "earned": round(earned / (kind.worth * len(requests)), 3) if requests else None,
             "first_ms": _quantiles(firsts),
             "gap_ms": _quantiles(gaps),
         }
-    tries = [row for row in of_tries(history) if not row["probe"]]
-    made["outcomes"] = dict(Counter(f"{row['how']} {row['status'] or ''}".strip() for row in tries))
-    made["refused_after_ms"] = _quantiles(
-        [row["ended_ms"] - row["sent_ms"] for row in tries if row["status"] in (429, 503)]
+    attempts = [row for row in sent_attempts(history) if not row["probe"]]
+    figures["outcomes"] = dict(
+        Counter(f"{row['how']} {row['status'] or ''}".strip() for row in attempts)
     )
-    made["events_late"] = _late_events(history)
-    made["lots"] = _jobs(history)
-    return made
+    figures["refused_after_ms"] = _quantiles(
+        [row["ended_ms"] - row["sent_ms"] for row in attempts if row["status"] in (429, 503)]
+    )
+    figures["events_late"] = _late_events(history)
+    figures["lots"] = _jobs(history)
+    return figures
 
 
 def _late_events(history: History) -> list[int]:
-    """Events that came later from their worker than the pass allows, of how many."""
+    """Return how many events took more than `promptPassMs` from worker to client, of how many."""
     made_ms = {
         (run["run"], number): at_ms
         for run in history.rows_of("run")
         for number, at_ms in zip(run["events"], run["made_ms"], strict=True)
     }
     late = count = 0
-    for row in of_tries(history):
+    for row in sent_attempts(history):
         for number, data, at_ms in row["events"]:
             parts = data.split("/")
             if len(parts) > 2 and (parts[1], number) in made_ms:
@@ -91,12 +95,12 @@
     owed = earned = done = 0
     answers, times = [], []
     for job in history.rows_of("lot"):
-        tries = [row for row in history.rows_of("lot-try") if row["lot"] == job["lot"]]
+        attempts = [row for row in history.rows_of("lot-try") if row["lot"] == job["lot"]]
         answers += [
-            row["answered_ms"] - row["sent_ms"] for row in tries if row.get("status") == 202
+            row["answered_ms"] - row["sent_ms"] for row in attempts if row.get("status") == 202
         ]
         able = [name for name, item in job["items"].items() if not item["poisoned"]]
-        if job["end_sent_ms"] or (tries and all(row.get("status") == 429 for row in tries)):
+        if job["end_sent_ms"] or (attempts and all(row.get("status") == 429 for row in attempts)):
             continue
         owed += len(able)
         quick = job["accepted_ms"] and job["accepted_ms"] - job["at_ms"] <= job["target_ms"]
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -10,7 +10,7 @@
 from platform_testbed.operators import apply_patch
 from platform_testbed.oracle import PLATFORM_RULES, judge_day
 from platform_testbed.processor_starvation import StarvationMonitor, starved_ms
-from platform_testbed.reachability import Touch
+from platform_testbed.reachability import Reachability
 from platform_testbed.site import TIMING, Deployment, allowed_services
 from simulator.history import History
 from testtools import TestCase
@@ -34,7 +34,7 @@
             self.assertThat(sorted(judge_day(history([]), [name])[1]), Equals([name]))
 
     def test_in_touch(self):
-        touch = Touch(
+        reachability = Reachability(
             history(
                 [
                     start(at_ms=0.0),
@@ -57,11 +57,15 @@
             (50_500, False, True),
         ):
             self.assertThat(
-                (at_ms, touch.machine("e", at_ms), touch.machine("f", at_ms)),
+                (at_ms, reachability.in_contact("e", at_ms), reachability.in_contact("f", at_ms)),
                 Equals((at_ms, mine, other)),
             )
         self.assertThat(
-            (touch.unplanned(49_000, 52_000), touch.unplanned(9000, 10_500)), Equals((False, True))
+            (
+                reachability.has_unplanned_fault(49_000, 52_000),
+                reachability.has_unplanned_fault(9000, 10_500),
+            ),
+            Equals((False, True)),
         )
 
 
