--- a/tests/fake_jobs.py
+++ b/tests/fake_jobs.py
@@ -58,7 +58,7 @@
                 continue
             if self.broken == "goes-on" and job["ended"]:
                 await asyncio.sleep(3.3)
-            worker = self._worker(self.settings, job["host"], job["items"][key]["path"])
+            worker = self._choose_worker(self.settings, job["host"], job["items"][key]["path"])
             if worker is None:
                 await asyncio.sleep(0.05)
                 continue
@@ -94,7 +94,7 @@
             async with self.session.post(
                 f"http://{self.workers[worker]['address']}{item['path']}",
                 data=base64.b64decode(item["body"]),
-                headers={**self._sent(item["headers"], key, worker), **more},
+                headers={**self._forwarded_headers(item["headers"], key, worker), **more},
             ) as answer:
                 if answer.status == 200:
                     async for block in self._blocks(answer):
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,6 +1,8 @@
-"""A fake platform: all that clients, workers and the operator call, answered by one process out of memory. It shows that
-the bench's own clients and rules work, and with one of its breaks, that a rule catches what breaks
-it.
+"""A fake of the system under test: edges and control nodes in one process, with all state in memory.
+
+The test bench's clients, workers and operator call it like the real system. Without a fault, it
+shows that no rule of the oracle raises a false alarm; with one of its faults, that the rule for it
+detects it.
 """
 
 import asyncio
@@ -18,8 +20,16 @@
 from platform_testbed.operators import apply_patch
 from platform_testbed.site import allowed_services, route_of
 
-HOP = {"connection", "keep-alive", "transfer-encoding", "te", "upgrade", "host", "content-length"}
-NETS = count()
+HOP_BY_HOP_HEADERS = {
+    "connection",
+    "keep-alive",
+    "transfer-encoding",
+    "te",
+    "upgrade",
+    "host",
+    "content-length",
+}
+NET_NUMBERS = count()
 
 
 class FakeMachine:
@@ -35,23 +45,26 @@
 
 
 class FakeFleet(FakeJobApi):
-    """Stands where the runner's machines stand."""
+    """Replaces `platform_testbed.machines.Machines`.
+
+    `broken` names the fault that the fake platform is to show, or is empty.
+    """
 
     def __init__(self, deployment, history, clock, broken=""):
         self.deployment, self.history, self.clock, self.broken = deployment, history, clock, broken
-        self.net = loopback_net(next(NETS))
+        self.net = loopback_net(next(NET_NUMBERS))
         self.rng = random.Random(5)
-        self.settings, self.taken = {}, {}
+        self.settings, self.acked_changes = {}, {}
         self.workers, self.jobs, self.runners = {}, {}, []
         names = [("edge", index) for index in range(3)] + [("core", index) for index in range(2)]
         self.machines = [
             FakeMachine(
-                f"{of}-{index}",
-                of,
+                f"{machine_class}-{index}",
+                machine_class,
                 deployment.zones[index % len(deployment.zones)],
                 f"{self.net}.{number + 1}",
             )
-            for number, (of, index) in enumerate(names)
+            for number, (machine_class, index) in enumerate(names)
         ]
 
     def current_machines(self, machine_class=""):
@@ -78,9 +91,9 @@
         for machine in self.machines:
             self.history.add("start", -5000.0, node=machine.name, of=machine.machine_class, life=1)
             for part, serve in (
-                (("publicHttp", self._edge), ("readiness", self._ready))
+                (("publicHttp", self._serve_edge), ("readiness", self._serve_readiness))
                 if machine.machine_class == "edge"
-                else (("control", self._control),)
+                else (("control", self._serve_control),)
             ):
                 runner = web.ServerRunner(
                     web.Server(
@@ -99,12 +112,10 @@
             await runner.cleanup()
         await self.session.close()
 
-    async def _ready(self, machine, request):
+    async def _serve_readiness(self, machine, request):
         return web.Response(status=200 if self.settings else 503)
 
-    # -- control -------------------------------------------------------------------------------
-
-    async def _control(self, machine, request):
+    async def _serve_control(self, machine, request):
         body = await request.read()
         if request.path.startswith("/vaneledge/servers/"):
             name = request.path.rpartition("/")[2]
@@ -112,70 +123,70 @@
             self.workers[name] = row
             return web.json_response({})
         if request.method == "GET":
-            seen = (
-                min(self.taken.values(), key=lambda made: made["revision"])
+            shown = (
+                min(self.acked_changes.values(), key=lambda changed: changed["revision"])
                 if self.broken == "reads-old"
                 else self.settings
             )
-            return web.json_response(seen)
+            return web.json_response(shown)
         return self._change(json.loads(body), request.method, int(request.headers["If-Match"]))
 
     def _change(self, sent, method, base):
         key = json.dumps(sent, sort_keys=True)
-        if key in self.taken:
+        if key in self.acked_changes:
             return web.Response(status=200)
         if base != self.settings.get("revision", 0) and self.broken != "acks-both":
             return web.Response(status=412)
-        made = apply_patch(self.settings, sent) if method == "PATCH" else sent
-        if not self._valid(made):
+        changed = apply_patch(self.settings, sent) if method == "PATCH" else sent
+        if not self._valid(changed):
             return web.Response(status=400)
-        self.settings = self.taken[key] = made
+        self.settings = self.acked_changes[key] = changed
         for index, edge in enumerate(self.started_machines("edge")):
             if not (self.broken == "old-version" and index == 0 and edge.settings):
-                edge.settings = made
+                edge.settings = changed
         return web.Response(status=200)
 
-    def _valid(self, made):
+    def _valid(self, changed):
         if self.broken == "takes-invalid":
             return True
-        places = [(row["hostname"], row["pathStart"]) for row in made["routes"]]
-        named = {
+        prefixes = [(row["hostname"], row["pathStart"]) for row in changed["routes"]]
+        used_services = {
             row["backend"]
-            for route in made["routes"]
+            for route in changed["routes"]
             for row in route.get("shares") or [{"backend": route.get("backend")}]
         }
-        weight = all(
+        all_have_weight = all(
             sum(row["share"] for row in route["shares"])
-            for route in made["routes"]
+            for route in changed["routes"]
             if route.get("shares")
         )
         return (
-            made["revision"] > self.settings.get("revision", 0)
-            and len(set(places)) == len(places)
-            and weight
-            and named <= {row["name"] for row in made["backends"]}
-            and all(route["giveUpMs"] for route in made["routes"])
+            changed["revision"] > self.settings.get("revision", 0)
+            and len(set(prefixes)) == len(prefixes)
+            and all_have_weight
+            and used_services <= {row["name"] for row in changed["backends"]}
+            and all(route["giveUpMs"] for route in changed["routes"])
         )
 
-    # -- edges ---------------------------------------------------------------------------------
-
-    def _worker(self, settings, host, path):
+    def _choose_worker(self, settings, host, path):
         services = allowed_services(settings, host, path) or set()
         states = ("serving", "draining") if self.broken == "uses-draining" else ("serving",)
-        found = [
+        candidates = [
             name
             for name, row in self.workers.items()
             if row["state"] in states
             and (row["backend"] in services or self.broken == "any-service")
         ]
         if self.broken == "uses-draining":
-            found = [name for name in found if self.workers[name]["state"] == "draining"] or found
-        return self.rng.choice(found) if found else None
+            candidates = [
+                name for name in candidates if self.workers[name]["state"] == "draining"
+            ] or candidates
+        return self.rng.choice(candidates) if candidates else None
 
-    async def _edge(self, machine, request):
+    async def _serve_edge(self, machine, request):
         settings = machine.settings
-        if self.broken == "falls-back" and self.taken and self.rng.random() < 0.5:
-            settings = next(iter(self.taken.values()))
+        if self.broken == "falls-back" and self.acked_changes and self.rng.random() < 0.5:
+            settings = next(iter(self.acked_changes.values()))
         host = request.headers["Host"]
         if request.path.startswith("/vaneledge/"):
             return await self._job_request(request)
@@ -187,8 +198,10 @@
             return await self._submit_job(route, request, body)
         return await self._forward(settings, route, request, body)
 
-    def _sent(self, headers, name, worker, **more):
-        sent = {key: value for key, value in headers.items() if key.lower() not in HOP}
+    def _forwarded_headers(self, headers, name, worker, **more):
+        sent = {
+            key: value for key, value in headers.items() if key.lower() not in HOP_BY_HOP_HEADERS
+        }
         return {**sent, "Request-Id": name, "Target-Server": worker, **more}
 
     async def _forward(self, settings, route, request, body):
@@ -197,11 +210,13 @@
             await asyncio.sleep(0.9 * int(request.headers["Deadline-Ms"]) / 1000)
             return web.Response(status=503)
         for _ in range(3):
-            worker = self._worker(settings, host, request.path)
+            worker = self._choose_worker(settings, host, request.path)
             if worker is None:
                 break
             url = f"http://{self.workers[worker]['address']}{request.rel_url.raw_path_qs}{'z' if self.broken == 'changes-path' else ''}"
-            sent = self._sent(request.headers, name, worker, Host=host, **{"Work-Urgency": "0"})
+            sent = self._forwarded_headers(
+                request.headers, name, worker, Host=host, **{"Work-Urgency": "0"}
+            )
             try:
                 async with self.session.post(url, data=body, headers=sent) as answer:
                     if answer.status in (421, 503):
@@ -218,10 +233,10 @@
                     return web.Response(status=503)
                 async with self.session.post(url, data=body, headers=sent) as answer:
                     data = await answer.read()
-            return self._whole(answer, data)
+            return self._full_answer(answer, data)
         return web.Response(status=503, headers={"Retry-After": "0.2"})
 
-    def _whole(self, answer, data):
+    def _full_answer(self, answer, data):
         headers = {
             key: answer.headers[key]
             for key in ("Request-Id", "Server-Seal", "Content-Type")
@@ -236,12 +251,12 @@
         return web.Response(status=answer.status, headers=headers, body=data)
 
     async def _stream(self, route, request, answer, settings, body):
-        made = web.StreamResponse(
+        client_answer = web.StreamResponse(
             headers={
                 key: answer.headers[key] for key in ("Request-Id", "Server-Seal", "Content-Type")
             }
         )
-        await made.prepare(request)
+        await client_answer.prepare(request)
         last = request.headers.get("Last-Event-Id")
         for _ in range(3):
             try:
@@ -250,16 +265,16 @@
                     if not (
                         self.broken == "drops-event" and last == self.deployment.first_event + 1
                     ):
-                        await made.write(block + b"\n\n")
-                await made.write_eof()
-                return made
+                        await client_answer.write(block + b"\n\n")
+                await client_answer.write_eof()
+                return client_answer
             except (aiohttp.ClientError, OSError):
                 if self.broken == "looks-complete":
-                    await made.write_eof()
-                    return made
+                    await client_answer.write_eof()
+                    return client_answer
                 if not route["resumable"]:
                     break
-            worker = self._worker(settings, request.headers["Host"], request.path)
+            worker = self._choose_worker(settings, request.headers["Host"], request.path)
             more = {"Host": request.headers["Host"], "Work-Urgency": "0"}
             if last is not None and self.broken != "splices":
                 more["Last-Event-Id"] = str(last)
@@ -267,19 +282,19 @@
                 answer = await self.session.post(
                     f"http://{self.workers[worker]['address']}{request.rel_url.raw_path_qs}",
                     data=body,
-                    headers=self._sent(
+                    headers=self._forwarded_headers(
                         request.headers, request.headers["Request-Id"], worker, **more
                     ),
                 )
                 if answer.status != 200:
                     break
         request.transport.abort()
-        return made
+        return client_answer
 
     async def _blocks(self, answer):
-        held = b""
+        incomplete = b""
         async for data in answer.content.iter_any():
-            held += data
-            *whole, held = held.split(b"\n\n")
-            for block in whole:
+            incomplete += data
+            *complete_blocks, incomplete = incomplete.split(b"\n\n")
+            for block in complete_blocks:
                 yield block
--- a/tests/platform_oracle_table.py
+++ b/tests/platform_oracle_table.py
@@ -1,5 +1,7 @@
-"""Histories made by hand for the oracle of the platform's days: each case has the rule, the rows, how many the rule judges
-and how many breaches it finds.
+"""Hand-made histories for the oracle of the platform's days.
+
+Each case has the rule, the rows, the number of rows that the rule judges and the number of breaches
+that it finds.
 """
 
 from platform_testbed.site import TIMING
@@ -21,17 +23,17 @@
 
 
 def history(rows):
-    made = History(timing=TIMING, first_event=1)
+    recorded = History(timing=TIMING, first_event=1)
     for kind, at_ms, fields in rows:
-        made.add(kind, at_ms, **fields)
-    return made
+        recorded.add(kind, at_ms, **fields)
+    return recorded
 
 
 def start(node="e", of="edge", at_ms=-9000.0):
     return ("start", at_ms, {"node": node, "of": of, "life": 1})
 
 
-def trouble(at_ms, till_ms, node="e", of="edge", planned=False):
+def fault_span(at_ms, till_ms, node="e", of="edge", planned=False):
     return (
         "trouble",
         at_ms,
@@ -39,7 +41,7 @@
     )
 
 
-def made_try(at_ms=1000.0, ended_ms=1100.0, **fields):
+def attempt(at_ms=1000.0, ended_ms=1100.0, **fields):
     return (
         "try",
         at_ms,
@@ -124,41 +126,48 @@
     )
 
 
-def request(at_ms, *tries):
-    return ("request", at_ms, {"name": "q", "of": "k", "leaves": False, "tries": list(tries)})
+def request(at_ms, *attempts):
+    return ("request", at_ms, {"name": "q", "of": "k", "leaves": False, "tries": list(attempts)})
 
 
-GOOD = {"how": "answered", "status": 200}
-STOP = [start(), trouble(950.0, 2000.0, planned=True)]
-CUT = {"how": "cut", "status": 0, "seal": ""}
-FIRST = order(settings={**SETTINGS, "routes": SETTINGS["routes"][:1]})
-MANY = order(
+SUCCESS = {"how": "answered", "status": 200}
+PLANNED_STOP = [start(), fault_span(950.0, 2000.0, planned=True)]
+CUT_OFF = {"how": "cut", "status": 0, "seal": ""}
+FIRST_SETTINGS = order(settings={**SETTINGS, "routes": SETTINGS["routes"][:1]})
+MANY_ROUTES = order(
     4,
     settings={
         **SETTINGS,
         "revision": 4,
         "routes": SETTINGS["routes"][:1]
         + [
-            {"name": f"x{place}", "hostname": "h", "pathStart": f"/x{place}/", "backend": "s"}
-            for place in range(24)
+            {"name": f"x{number}", "hostname": "h", "pathStart": f"/x{number}/", "backend": "s"}
+            for number in range(24)
         ],
     },
 )
-ON_MANY = [made_try(at_ms=3000.0, ended_ms=3010.0, target=f"/x{place}/1") for place in range(24)]
+ATTEMPTS_ON_MANY_ROUTES = [
+    attempt(at_ms=3000.0, ended_ms=3010.0, target=f"/x{number}/1") for number in range(24)
+]
 CASES = [  # rule, rows, judged, breaches
-    ("LOST", [*STOP, made_try(**CUT), arrival()], 1, 1),
-    ("LOST", [*STOP, made_try(ended_ms=1500.0, **CUT)], 1, 1),
-    ("LOST", [*STOP, made_try(**CUT)], 1, 0),
-    ("LOST", [*STOP, made_try(**CUT), arrival(), run(state="broken")], 1, 0),
-    ("LOST", [*STOP, made_try(**CUT), arrival(), run(state="running", over_ms=950.0 + 5000)], 1, 0),
-    ("LOST", [*STOP, made_try(ended_ms=2990.0, **CUT), arrival()], 1, 0),
-    ("LOST", [*STOP, trouble(500.0, 600.0, "f"), made_try(**CUT), arrival()], 0, 0),
-    ("LOST", [start(), made_try(**CUT), arrival()], 0, 0),
+    ("LOST", [*PLANNED_STOP, attempt(**CUT_OFF), arrival()], 1, 1),
+    ("LOST", [*PLANNED_STOP, attempt(ended_ms=1500.0, **CUT_OFF)], 1, 1),
+    ("LOST", [*PLANNED_STOP, attempt(**CUT_OFF)], 1, 0),
+    ("LOST", [*PLANNED_STOP, attempt(**CUT_OFF), arrival(), run(state="broken")], 1, 0),
+    (
+        "LOST",
+        [*PLANNED_STOP, attempt(**CUT_OFF), arrival(), run(state="running", over_ms=950.0 + 5000)],
+        1,
+        0,
+    ),
+    ("LOST", [*PLANNED_STOP, attempt(ended_ms=2990.0, **CUT_OFF), arrival()], 1, 0),
+    ("LOST", [*PLANNED_STOP, fault_span(500.0, 600.0, "f"), attempt(**CUT_OFF), arrival()], 0, 0),
+    ("LOST", [start(), attempt(**CUT_OFF), arrival()], 0, 0),
     (
         "RECOVER",
         [
             ("back", 0.0, {}),
-            *[request(13_000.0 + place, {"how": "cut", "status": 0}) for place in range(4)],
+            *[request(13_000.0 + number, {"how": "cut", "status": 0}) for number in range(4)],
         ],
         4,
         1,
@@ -167,31 +176,31 @@
         "RECOVER",
         [
             ("back", 0.0, {}),
-            request(13_000.0, GOOD),
-            *[request(13_000.0 + place) for place in range(3)],
+            request(13_000.0, SUCCESS),
+            *[request(13_000.0 + number) for number in range(3)],
         ],
         4,
         0,
     ),
-    ("RECOVER", [("back", 0.0, {}), *[request(11_000.0 + place) for place in range(4)]], 0, 0),
+    ("RECOVER", [("back", 0.0, {}), *[request(11_000.0 + number) for number in range(4)]], 0, 0),
     ("ACKS", [order(answered_ms=4500.0)], 1, 1),
     ("ACKS", [order(answered_ms=400.0)], 1, 0),
     ("ACKS", [order(outcome="unclear", answered_ms=20_000.0)], 1, 1),
-    ("ACKS", [trouble(100.0, 200.0, "c", "core"), order(answered_ms=4500.0)], 0, 0),
+    ("ACKS", [fault_span(100.0, 200.0, "c", "core"), order(answered_ms=4500.0)], 0, 0),
     ("ACKS", [("worker-gone", 9000.0, {"server": "i", "how": "left", "acked": False})], 1, 1),
     ("FAULT", [start(), ("own-end", 10.0, {"node": "e", "code": -9, "life": 1})], 1, 1),
     ("FAULT", [start(), ("grace-over", 10.0, {"node": "e"})], 1, 1),
-    ("HELD", [start(), made_try(ended_ms=2500.0, status=503, seal="")], 1, 1),
-    ("HELD", [start(), made_try(ended_ms=1300.0, status=503, seal="")], 1, 0),
+    ("HELD", [start(), attempt(ended_ms=2500.0, status=503, seal="")], 1, 1),
+    ("HELD", [start(), attempt(ended_ms=1300.0, status=503, seal="")], 1, 0),
     (
         "HELD",
-        [start(), made_try(ended_ms=1800.0, status=502, seal=""), arrival(), run(state="broken")],
+        [start(), attempt(ended_ms=1800.0, status=502, seal=""), arrival(), run(state="broken")],
         1,
         1,
     ),
     (
         "HELD",
-        [start(), made_try(ended_ms=1100.0, status=502, seal=""), arrival(), run(state="broken")],
+        [start(), attempt(ended_ms=1100.0, status=502, seal=""), arrival(), run(state="broken")],
         1,
         0,
     ),
@@ -199,7 +208,7 @@
         "HELD",
         [
             start(),
-            made_try(ended_ms=2900.0, status=504, seal=""),
+            attempt(ended_ms=2900.0, status=504, seal=""),
             arrival(),
             run(state="running", over_ms=0.0),
         ],
@@ -210,7 +219,7 @@
         "HELD",
         [
             start(),
-            made_try(ended_ms=2900.0, status=504, seal=""),
+            attempt(ended_ms=2900.0, status=504, seal=""),
             arrival(),
             ("worker-gone", 1100.0, {"server": "i", "how": "dark"}),
             run(state="dropped"),
@@ -218,22 +227,22 @@
         1,
         0,
     ),
-    ("REFUSED", [made_try(status=503, seal=""), run()], 1, 1),
-    ("REFUSED", [made_try(status=503, seal="", repeatable=True), run()], 0, 0),
-    ("TWICE", [made_try(), run(), run(run="i.2")], 1, 1),
-    ("TWICE", [made_try(repeatable=True), run(), run(run="i.2")], 0, 0),
-    ("MIXED", [made_try(), run()], 1, 0),
-    ("MIXED", [made_try(), run(body="other")], 1, 1),
-    ("MIXED", [made_try(), run(state="error")], 1, 1),
-    ("MIXED", [made_try(), run(seal="z")], 1, 1),
-    ("MIXED", [made_try(how="garbled", status=0)], 0, 1),
-    ("MIXED", [made_try(how="garbled", status=0), run(state="garbled")], 0, 0),
+    ("REFUSED", [attempt(status=503, seal=""), run()], 1, 1),
+    ("REFUSED", [attempt(status=503, seal="", repeatable=True), run()], 0, 0),
+    ("TWICE", [attempt(), run(), run(run="i.2")], 1, 1),
+    ("TWICE", [attempt(repeatable=True), run(), run(run="i.2")], 0, 0),
+    ("MIXED", [attempt(), run()], 1, 0),
+    ("MIXED", [attempt(), run(body="other")], 1, 1),
+    ("MIXED", [attempt(), run(state="error")], 1, 1),
+    ("MIXED", [attempt(), run(seal="z")], 1, 1),
+    ("MIXED", [attempt(how="garbled", status=0)], 0, 1),
+    ("MIXED", [attempt(how="garbled", status=0), run(state="garbled")], 0, 0),
     (
         "DRAIN",
         [
             start(),
             ("drain-ack", 500.0, {"server": "i", "node": "c"}),
-            made_try(at_ms=2600.0, ended_ms=2700.0),
+            attempt(at_ms=2600.0, ended_ms=2700.0),
             arrival(2610.0),
         ],
         1,
@@ -244,7 +253,7 @@
         [
             start(),
             ("drain-ack", 500.0, {"server": "i", "node": "c"}),
-            made_try(at_ms=2300.0, ended_ms=2400.0),
+            attempt(at_ms=2300.0, ended_ms=2400.0),
             arrival(2310.0),
         ],
         1,
@@ -254,9 +263,9 @@
         "DRAIN",
         [
             start(),
-            trouble(2000.0, 2100.0),
+            fault_span(2000.0, 2100.0),
             ("drain-ack", 500.0, {"server": "i", "node": "c"}),
-            made_try(at_ms=2600.0, ended_ms=2700.0),
+            attempt(at_ms=2600.0, ended_ms=2700.0),
             arrival(2610.0),
         ],
         1,
@@ -264,7 +273,7 @@
     ),
     (
         "CONFIG in force",
-        [start(), order(), made_try(status=404, seal="", at_ms=3000.0, ended_ms=3010.0)],
+        [start(), order(), attempt(status=404, seal="", at_ms=3000.0, ended_ms=3010.0)],
         1,
         1,
     ),
@@ -273,7 +282,7 @@
         [
             start(),
             order(),
-            made_try(status=404, seal="", target="/c/", at_ms=3000.0, ended_ms=3010.0),
+            attempt(status=404, seal="", target="/c/", at_ms=3000.0, ended_ms=3010.0),
         ],
         1,
         0,
@@ -283,7 +292,7 @@
         [
             start(),
             order(),
-            made_try(at_ms=3000.0, ended_ms=3010.0, target="/a/b/1"),
+            attempt(at_ms=3000.0, ended_ms=3010.0, target="/a/b/1"),
             run(service="s"),
         ],
         1,
@@ -294,7 +303,7 @@
         [
             start(),
             order(),
-            made_try(at_ms=3000.0, ended_ms=3010.0, target="/a/b/1"),
+            attempt(at_ms=3000.0, ended_ms=3010.0, target="/a/b/1"),
             run(service="t"),
         ],
         1,
@@ -302,7 +311,13 @@
     ),
     (
         "CONFIG later routes",
-        [start(), FIRST, MANY, made_try(at_ms=3000.0, ended_ms=3010.0), *ON_MANY],
+        [
+            start(),
+            FIRST_SETTINGS,
+            MANY_ROUTES,
+            attempt(at_ms=3000.0, ended_ms=3010.0),
+            *ATTEMPTS_ON_MANY_ROUTES,
+        ],
         24,
         0,
     ),
@@ -310,15 +325,18 @@
         "CONFIG later routes",
         [
             start(),
-            FIRST,
-            MANY,
-            made_try(at_ms=3000.0, ended_ms=3010.0),
-            *[(kind, at_ms, {**row, "status": 503}) for kind, at_ms, row in ON_MANY],
+            FIRST_SETTINGS,
+            MANY_ROUTES,
+            attempt(at_ms=3000.0, ended_ms=3010.0),
+            *[
+                (kind, at_ms, {**row, "status": 503})
+                for kind, at_ms, row in ATTEMPTS_ON_MANY_ROUTES
+            ],
         ],
         24,
         1,
     ),
-    ("LOST", [start(), ("hang-up", 1050.0, {"node": "e"}), made_try(**CUT), arrival()], 1, 1),
+    ("LOST", [start(), ("hang-up", 1050.0, {"node": "e"}), attempt(**CUT_OFF), arrival()], 1, 1),
     ("CONFIG losers", [order(), order(4, base=2)], 0, 1),
     ("CONFIG losers", [order(), order(9, valid=False)], 1, 1),
     (
--- a/tests/test_platform_bench.py
+++ b/tests/test_platform_bench.py
@@ -1,5 +1,7 @@
-"""The bench's own clients, workers, operator and rules, tried on the fake platform: whole, no rule is broken; with each
-of its breaks, the rule that it belongs to catches it.
+"""The test bench's clients, workers, operator and rules, run against the fake platform.
+
+Guards against rules that raise false alarms on a correct platform, and against rules that no longer
+detect the fault that they are for.
 """
 
 import asyncio
@@ -20,7 +22,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-BREAKS = {
+FAULT_RULES = {
     "strips-seal": "MIXED",
     "short-body": "MIXED",
     "wrong-id": "MIXED",
@@ -52,7 +54,7 @@
     "goes-on": "lots UNASKED",
     "no-quota": "lots QUOTA",
 }
-SECONDS = {"old-version": 5.0, "uses-draining": 5.5, "goes-on": 7.5, "": 6.0}
+TRAFFIC_S = {"old-version": 5.0, "uses-draining": 5.5, "goes-on": 7.5, "": 6.0}
 STEPS = {
     "old-version": ("move",),
     "falls-back": ("move", "move"),
@@ -123,7 +125,7 @@
         self.live.load_factor, self.jobs.load_factor = (1.5, 2.5) if self.broken else (1.0, 1.0)
         traffic = [asyncio.ensure_future(work) for work in (self.live.run(), self.jobs.run())]
         steps = [asyncio.ensure_future(self._steps())]
-        await asyncio.sleep(SECONDS.get(self.broken, 3.5))
+        await asyncio.sleep(TRAFFIC_S.get(self.broken, 3.5))
         await asyncio.gather(*steps)
         self.live.stopping = True
         await self.jobs.finish(1.5)
@@ -144,8 +146,8 @@
             await asyncio.sleep(0.1)
 
 
-def played(names):
-    """Several days at a time in one process."""
+def run_days(names):
+    """Run several days concurrently in one process; return their names and results."""
 
     async def run():
         return await asyncio.gather(*[FakePlatformScenario(name).play() for name in names])
@@ -154,35 +156,37 @@
 
 
 class Bench(TestCase):
-    def test_a_whole_platform_breaks_no_rule(self):
+    def test_a_correct_platform_breaks_no_rule(self):
         for _ in range(3):
-            [(_, (counts, broken, waited_ms))] = played([""])
+            [(_, (counts, broken, starved_for_ms))] = run_days([""])
             self.assertThat(broken, Equals({}))
-            lacking = [
+            unjudged = [
                 name
                 for name in (*REQUIRED_RULES, "DRAIN", "CONFIG losers", "ACKS", "lots UNASKED")
                 if not counts[name]
             ]
-            if not lacking:
+            if not unjudged:
                 return
-        self.skipTest(f"kept from running for {waited_ms:.0f} ms; nothing to judge for {lacking}")
+        self.skipTest(
+            f"processes were starved for {starved_for_ms:.0f} ms; rules without rows to judge: {unjudged}"
+        )
 
-    def test_each_break_is_caught_by_its_rule(self):
-        """What is not caught, because this machine had other work, is played once more, one at a time."""
-        names = list(BREAKS)
+    def test_each_fault_is_detected_by_its_rule(self):
+        """Faults that stayed undetected, as other load on the host can cause, are run once more alone."""
+        names = list(FAULT_RULES)
         with ProcessPoolExecutor(3) as pool:
             rows = [
                 row
-                for part in pool.map(played, [names[start::8] for start in range(8)])
-                for row in part
+                for group in pool.map(run_days, [names[start::8] for start in range(8)])
+                for row in group
             ]
-        again = [name for name, (_, broken, _) in rows if BREAKS[name] not in broken]
-        missed = [
-            (name, sorted(broken), round(waited_ms))
-            for name in again
-            for _, (_, broken, waited_ms) in played([name])
-            if BREAKS[name] not in broken
+        undetected = [name for name, (_, broken, _) in rows if FAULT_RULES[name] not in broken]
+        still_undetected = [
+            (name, sorted(broken), round(starved_for_ms))
+            for name in undetected
+            for _, (_, broken, starved_for_ms) in run_days([name])
+            if FAULT_RULES[name] not in broken
         ]
-        if any(waited_ms > STARVED_MS for _, _, waited_ms in missed):
-            self.skipTest(f"kept from running; not caught: {missed}")
-        self.assertThat(missed, Equals([]))
+        if any(starved_for_ms > STARVED_MS for _, _, starved_for_ms in still_undetected):
+            self.skipTest(f"processes were starved; faults not detected: {still_undetected}")
+        self.assertThat(still_undetected, Equals([]))
--- a/tests/test_platform_days.py
+++ b/tests/test_platform_days.py
@@ -1,5 +1,7 @@
-"""Two days of the users' platform with the launcher's own processes on loopback addresses: a calm one on which the
-configuration changes, and one on which a worker, the log's holder and an edge are lost.
+"""Two days of the platform with the real programs on loopback addresses.
+
+On the calm day only the configuration changes; on the other, a worker, the store that serves the
+log and an edge are lost.
 """
 
 import asyncio
@@ -13,27 +15,28 @@
 
 
 class PlatformDays(TestCase):
-    def played(self, name, seed):
-        """No play may break a rule. One whose processes were kept from running, because this machine had other work,
-        leaves the rules with time bounds nothing to judge, and is played again; if it never ran
-        freely, that is told.
+    def run_day(self, name, seed):
+        """Run a day and check that it breaks no rule.
+
+        Other load on the host can starve the processes so that rules with time bounds judge no
+        rows. The day is then run again; after three such runs the test is skipped.
         """
         day = day_of(name)
         for _ in range(3):
             with tempfile.TemporaryDirectory() as folder:
-                played, counts, broken = asyncio.run(
+                day_run, counts, broken = asyncio.run(
                     run_platform_day("small", seed=seed, folder=folder, **day)
                 )
             self.assertThat(broken, Equals({}))
-            lacking = [rule for rule in day["required_rules"] if not counts[rule]]
-            if not lacking:
+            unjudged = [rule for rule in day["required_rules"] if not counts[rule]]
+            if not unjudged:
                 return
         self.skipTest(
-            f"kept from running for {starved_ms(played.history):.0f} ms, more than {STARVED_MS}; nothing to judge for {lacking}"
+            f"processes were starved for {starved_ms(day_run.history):.0f} ms, more than {STARVED_MS}; rules without rows to judge: {unjudged}"
         )
 
     def test_calm(self):
-        self.played("calm", 1)
+        self.run_day("calm", 1)
 
     def test_faults(self):
-        self.played("faults", 2)
+        self.run_day("faults", 2)
--- a/tests/test_platform_oracle.py
+++ b/tests/test_platform_oracle.py
@@ -1,10 +1,13 @@
-"""The oracle of the platform's days, fed by hand: who is in touch when, and the rules that need stops, losses and ends of
-processes; and how clients arrive. What breaks on sockets is in test_platform_bench.
+"""The oracle of the platform's days on hand-made histories, and the parts of the bench around it.
+
+Covers reachability, the rules about stops, losses and ends of processes, the detection of starved
+processes, and the load balancer. Rules about what happens on sockets are tested in
+test_platform_bench.
 """
 
 import os
 
-from platform_oracle_table import CASES, SETTINGS, history, start, trouble
+from platform_oracle_table import CASES, SETTINGS, fault_span, history, start
 from platform_testbed import processor_starvation as starvation_module
 from platform_testbed.load_balancer import LoadBalancer
 from platform_testbed.operators import apply_patch
@@ -16,36 +19,36 @@
 from testtools import TestCase
 from testtools.matchers import Equals
 
-ORIGINAL = starvation_module._read_waited_ms
+READ_WAITED_MS = starvation_module._read_waited_ms
 
 
 class PlatformOracle(TestCase):
-    def test_rows(self):
-        for place, (rule, rows, judged, breaches) in enumerate(CASES):
-            count, found = PLATFORM_RULES[rule](history(rows))
+    def test_each_rule_judges_its_cases(self):
+        for case, (rule, rows, judged, breaches) in enumerate(CASES):
+            count, found_breaches = PLATFORM_RULES[rule](history(rows))
             self.assertThat(
-                (place, rule, count, len(found)),
-                Equals((place, rule, judged, breaches)),
-                str(found),
+                (case, rule, count, len(found_breaches)),
+                Equals((case, rule, judged, breaches)),
+                str(found_breaches),
             )
 
-    def test_nothing_to_judge_is_a_failure_where_some_is_due(self):
+    def test_a_required_rule_without_rows_is_broken(self):
         for name in PLATFORM_RULES:
             self.assertThat(sorted(judge_day(history([]), [name])[1]), Equals([name]))
 
-    def test_in_touch(self):
+    def test_a_machine_is_out_of_contact_around_faults_of_its_own_and_of_the_core(self):
         reachability = Reachability(
             history(
                 [
                     start(at_ms=0.0),
                     start("c", "core", 0.0),
-                    trouble(10_000.0, 11_000.0),
-                    trouble(30_000.0, 31_000.0, "c", "core"),
-                    trouble(50_000.0, 51_000.0, planned=True),
+                    fault_span(10_000.0, 11_000.0),
+                    fault_span(30_000.0, 31_000.0, "c", "core"),
+                    fault_span(50_000.0, 51_000.0, planned=True),
                 ]
             )
         )
-        for at_ms, mine, other in (
+        for at_ms, same_machine, other_machine in (
             (2000, False, False),
             (4000, True, True),
             (10_500, False, True),
@@ -58,7 +61,7 @@
         ):
             self.assertThat(
                 (at_ms, reachability.in_contact("e", at_ms), reachability.in_contact("f", at_ms)),
-                Equals((at_ms, mine, other)),
+                Equals((at_ms, same_machine, other_machine)),
             )
         self.assertThat(
             (
@@ -69,13 +72,13 @@
         )
 
 
-class Starving(TestCase):
-    def test_who_waits_for_a_processor_is_in_trouble_and_all_are_while_the_runner_waits(self):
-        made = History(timing=TIMING, first_event=1)
-        monitor = StarvationMonitor(made)
-        waited = {}
-        starvation_module._read_waited_ms = lambda pid: waited.get(pid, 0.0)
-        self.addCleanup(setattr, starvation_module, "_read_waited_ms", ORIGINAL)
+class Starvation(TestCase):
+    def test_a_waiting_process_is_starved_and_all_are_while_the_runner_waits(self):
+        recorded = History(timing=TIMING, first_event=1)
+        monitor = StarvationMonitor(recorded)
+        waited_by_pid = {}
+        starvation_module._read_waited_ms = lambda pid: waited_by_pid.get(pid, 0.0)
+        self.addCleanup(setattr, starvation_module, "_read_waited_ms", READ_WAITED_MS)
         machines = [
             type(
                 "M",
@@ -89,7 +92,7 @@
             )()
             for name, pid in (("e", -1), ("f", -2))
         ]
-        for now_ms, more in (
+        for now_ms, waits in (
             (1000, {}),
             (1500, {-1: 90}),
             (2000, {-1: 290}),
@@ -98,13 +101,13 @@
             (3100, {}),
             (3600, {}),
         ):
-            waited.update(more)
+            waited_by_pid.update(waits)
             monitor.sample(machines, now_ms)
         self.assertThat(
-            [(row["node"], row["at_ms"], row["till_ms"]) for row in made.rows_of("trouble")],
+            [(row["node"], row["at_ms"], row["till_ms"]) for row in recorded.rows_of("trouble")],
             Equals([("e", 1500, 2500), ("e", 2500, 3600), ("f", 2500, 3600)]),
         )
-        self.assertThat(starved_ms(made), Equals(2100))
+        self.assertThat(starved_ms(recorded), Equals(2100))
 
 
 class LoadBalancing(TestCase):
@@ -124,7 +127,7 @@
     def chosen(self, load_balancer, zone, count=40):
         return {load_balancer.choose(zone, f"client{number}").name for number in range(count)}
 
-    def test_two_misses_take_out_one_answer_brings_back(self):
+    def test_two_failed_checks_remove_an_edge_and_one_success_adds_it(self):
         load_balancer = self.load_balancer({"n": 2, "s": 1})
         load_balancer.record_check("n0", True)
         load_balancer.record_check("n0", False)
@@ -134,7 +137,7 @@
         load_balancer.record_check("n0", True)
         self.assertThat(self.chosen(load_balancer, "n"), Equals({"n0", "n1"}))
 
-    def test_fewer_than_half_in_then_all_none_in_then_others(self):
+    def test_all_edges_of_a_zone_are_used_if_few_are_ready_and_others_if_none_is(self):
         load_balancer = self.load_balancer({"n": 3, "s": 1})
         for name in ("n0", "n1"):
             load_balancer.record_check(name, False)
@@ -144,15 +147,15 @@
         load_balancer.record_check("n2", False)
         self.assertThat(self.chosen(load_balancer, "n"), Equals({"s0"}))
 
-    def test_a_client_stays_and_its_later_tries_go_elsewhere(self):
+    def test_a_client_keeps_its_edge_and_later_attempts_reach_others(self):
         load_balancer = self.load_balancer({"n": 3})
         names = [load_balancer.choose("n", "c", attempt).name for attempt in (0, 0, 1, 2)]
         self.assertThat((names[0] == names[1], len(set(names))), Equals((True, 3)))
 
 
-class Words(TestCase):
-    def test_changes_by_name(self):
-        made = apply_patch(
+class Settings(TestCase):
+    def test_a_patch_replaces_adds_and_removes_rows_by_name(self):
+        patched = apply_patch(
             SETTINGS,
             {
                 "revision": 7,
@@ -166,10 +169,11 @@
             },
         )
         self.assertThat(
-            (made["revision"], [row["name"] for row in made["routes"]]), Equals((7, ["b", "c"]))
+            (patched["revision"], [row["name"] for row in patched["routes"]]),
+            Equals((7, ["b", "c"])),
         )
         self.assertThat(
-            [allowed_services(made, "h", path) for path in ("/a/b/", "/n/1", "/c/", "/")],
+            [allowed_services(patched, "h", path) for path in ("/a/b/", "/n/1", "/c/", "/")],
             Equals([None, {"t"}, {"s"}, None]),
         )
         self.assertThat(
@@ -177,7 +181,7 @@
             Equals([{"s"}, {"t"}]),
         )
 
-    def test_a_seed_draws_the_same_names_and_another_other_ones(self):
+    def test_equal_seeds_draw_equal_names_and_different_seeds_different_ones(self):
         rows = [
             (deployment.zones, deployment.services, deployment.routes, deployment.first_event)
             for deployment in (
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -7,7 +7,7 @@
 from platform_testbed.oracle import PLATFORM_RULES
 from platform_testbed.scenarios import PLATFORM_DAYS
 from simulator.oracle import RULES
-from test_platform_bench import BREAKS as FAKE_PLATFORM_FAULTS
+from test_platform_bench import FAULT_RULES as FAKE_PLATFORM_FAULTS
 from test_sim import SCHEDULES
 from testbed.mutations import BREAKS
 from testbed.mutations.runner import applied
