--- a/libs/platform_testbed/src/platform_testbed/rules_jobs.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_jobs.py
@@ -62,8 +62,8 @@
             breaches.append(f"lot {name} at {row['node']}: {row['status']} after it was accepted")
         count = max(
             (
-                place
-                for at_ms, place in readable_counts.get(name, [])
+                readable
+                for at_ms, readable in readable_counts.get(name, [])
                 if at_ms < row["sent_ms"] - settle_ms
             ),
             default=0,
--- a/libs/platform_testbed/src/platform_testbed/rules_live.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_live.py
@@ -143,51 +143,51 @@
         Number of events of the complete stream; None if it may end early.
     """
     by_tag = {run["run"]: run for run in runs}
-    following = first if after is None else after + 1
+    expected = first if after is None else after + 1
     before = ""
     for number, data in events:
         tag = data.split("/")[1] if data.count("/") > 1 else ""
-        if number != following:
-            return f"event {number} where {following} was expected"
+        if number != expected:
+            return f"event {number} where {expected} was expected"
         if tag != before:
-            asked = by_tag[tag]["after"] if tag in by_tag else None
-            started = first if asked is None else asked + 1
+            resumed_after = by_tag[tag]["after"] if tag in by_tag else None
+            started = first if resumed_after is None else resumed_after + 1
             if tag in by_tag and started != number:
                 return f"event {number} comes from a run that was asked to start at {started}"
-        before, following = tag, number + 1
-    if wanted is not None and following != first + wanted:
-        return f"ends regularly after event {following - 1} instead of {first + wanted - 1}"
+        before, expected = tag, number + 1
+    if wanted is not None and expected != first + wanted:
+        return f"ends regularly after event {expected - 1} instead of {first + wanted - 1}"
     return ""
 
 
 def unasked(history: History) -> RuleResult:
     """A worker runs only requests that a client sent, with method, target and body unchanged."""
-    asked = {
+    sent = {
         row["id"]: (row["method"], row["target"], row["digest"]) for row in history.rows_of("try")
     }
     for job in history.rows_of("lot"):
-        asked |= {
+        sent |= {
             name: ("POST", item["path"], item["digest"]) for name, item in job["items"].items()
         }
     runs = history.rows_of("run")
     return len(runs), [
         f"{run['server']} ran {run['id'] or 'a request without an id'}: {run['method']} "
         f"{run['target']} {run['digest']}, the client sent "
-        f"{asked.get(run['id'])}"
+        f"{sent.get(run['id'])}"
         for run in runs
-        if asked.get(run["id"]) != (run["method"], run["target"], run["digest"])
+        if sent.get(run["id"]) != (run["method"], run["target"], run["digest"])
     ]
 
 
 def twice(history: History) -> RuleResult:
     """A request that isn't safe to repeat runs at most once."""
     runs = runs_by_id(history)
-    once = [row for row in sent_attempts(history) if not row["repeatable"]]
+    unsafe_attempts = [row for row in sent_attempts(history) if not row["repeatable"]]
     return (
-        sum(bool(runs.get(row["id"])) for row in once),
+        sum(bool(runs.get(row["id"])) for row in unsafe_attempts),
         [
             f"{_describe(row)} ran {len(runs[row['id']])} times"
-            for row in once
+            for row in unsafe_attempts
             if len(runs.get(row["id"], [])) > 1
         ],
     )
@@ -215,20 +215,20 @@
     the requests judged are tolerated.
     """
     reachability = Reachability(history)
-    proper = [
+    valid_attempts = [
         row
         for row in sent_attempts(history)
         if not row["probe"]
         and reachability.in_contact(row["node"], row["sent_ms"], row["ended_ms"])
     ]
-    bad = [
+    denials = [
         row
-        for row in proper
+        for row in valid_attempts
         if 300 <= row["status"] < 500 and row["status"] not in NOT_RUN_STATUSES and not row["seal"]
     ]
-    return len(proper), [f"{_describe(row)} was answered {row['status']}" for row in bad] if len(
-        bad
-    ) > 5 + len(proper) / 500 else []
+    return len(valid_attempts), [
+        f"{_describe(row)} was answered {row['status']}" for row in denials
+    ] if len(denials) > 5 + len(valid_attempts) / 500 else []
 
 
 def route(history: History) -> RuleResult:
@@ -267,12 +267,12 @@
     for row in history.rows_of("arrival"):
         late_ms = row["at_ms"] - acked.get(row["server"], float("inf")) - slack_ms
         attempt = attempts.get(row["id"])
-        calm = (
+        in_contact = (
             reachability.in_contact(attempt["node"], attempt["sent_ms"], row["at_ms"])
             if attempt
             else reachability.all_in_contact(row["at_ms"])
         )
-        if late_ms > 0 and calm and (row["id"], row["server"], row["at_ms"]) not in misrouted:
+        if late_ms > 0 and in_contact and (row["id"], row["server"], row["at_ms"]) not in misrouted:
             breaches.append(f"{row['server']} got {row['id']} {late_ms:.0f} ms too late")
     return len(acked), breaches
 
--- a/libs/platform_testbed/src/platform_testbed/rules_settings.py
+++ b/libs/platform_testbed/src/platform_testbed/rules_settings.py
@@ -155,7 +155,7 @@
 
 
 def losers(history: History) -> RuleResult:
-    """An invalid configuration is never acknowledged, nor are two changes of one version.
+    """An invalid configuration is never acknowledged, nor are two changes based on one version.
 
     A refused or invalid configuration never routes a request and is never read back.
     """
