--- a/libs/platform_testbed/src/platform_testbed/client_attempt.py
+++ b/libs/platform_testbed/src/platform_testbed/client_attempt.py
@@ -18,7 +18,11 @@
 
 
 class AttemptSender:
-    """Sends attempts and records the answers and their times, in milliseconds, in their rows."""
+    """Sends attempts and records the answers and their times, in milliseconds, in their rows.
+
+    The `how` of a row is `answered`, `cut` (the connection broke), `silent` (timed out), `garbled`
+    (not HTTP) or `unreached` (not connected).
+    """
 
     __slots__ = ("clock", "history")
 
@@ -39,18 +43,8 @@
     ) -> None:
         """Send one attempt to `address` and fill in its row; HTTP and socket errors aren't raised.
 
-        Parameters
-        ----------
-        row
-            Row of the attempt. Its `how` becomes `answered`, `cut` (the connection broke after the
-            request was sent), `silent` (timed out), `garbled` (not HTTP) or `unreached` (not
-            connected).
-        total_s
-            Time limit of the whole attempt.
-        silence_s
-            Time limit of each wait for data; None for no limit.
-        chunked
-            Whether the body is sent in chunks, without its length.
+        `total_s` limits the whole attempt, `silence_s` each wait for data. A `chunked` body is sent
+        without its length.
         """
         timeout = aiohttp.ClientTimeout(
             total=max(0.05, total_s), sock_connect=1.0, sock_read=silence_s
