--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -1,4 +1,4 @@
-"""The workers of a day, on loopback addresses of their own, and the faults that they have."""
+"""The simulated workers of a day, each on a loopback address of its own, and their faults."""
 
 import asyncio
 import random
@@ -6,51 +6,59 @@
 
 from simulator.history import History
 
-from platform_testbed.engine_messages import EngineSheet
-from platform_testbed.site import Sheet
-from platform_testbed.workers import StandInEngine
+from platform_testbed.engine_messages import EngineProfile
+from platform_testbed.site import Deployment
+from platform_testbed.workers import SimulatedWorker
 
-__all__ = ["Crew"]
+__all__ = ["SimulatedWorkerPool"]
 
 _PORT = 8080
 
 
-class Crew:
-    """Starts workers and lets them crash, fall silent or be replaced.
+class SimulatedWorkerPool:
+    """Starts workers and makes them crash, hang or be replaced.
 
-    `ills` as for Day; `fleet` gives the addresses of control.
+    Parameters
+    ----------
+    fleet
+        Provides the network of the addresses and the published control addresses.
+    faults
+        Answer faults, each with the share of all runs that has it.
     """
 
     def __init__(
         self,
-        sheet: Sheet,
+        deployment: Deployment,
         fleet: Any,
         history: History,
         clock: Any,
         seed: int,
-        ills: tuple[tuple[str, float], ...] = (),
+        faults: tuple[tuple[str, float], ...] = (),
     ) -> None:
-        self.sheet, self.fleet, self.history, self.clock = sheet, fleet, history, clock
+        self.deployment, self.fleet, self.history, self.clock = deployment, fleet, history, clock
         self.rng = random.Random(f"crew/{seed}")
-        self.workers: list[StandInEngine] = []
-        self._engine = EngineSheet(
-            **{name: getattr(sheet.engine, name) for name in EngineSheet.__slots__} | {"ills": ills}
+        self.workers: list[SimulatedWorker] = []
+        self._engine = EngineProfile(
+            **{name: getattr(deployment.engine, name) for name in EngineProfile.__slots__}
+            | {"faults": faults}
         )
-        self._places = 0
+        self._addresses_used = 0
 
     async def start(self) -> None:
         """Start the workers of all services, spread over the zones."""
-        for service, count in zip(self.sheet.services, self.sheet.shape["workers"], strict=True):
-            for place in range(count):
-                await self.add(service, self.sheet.zones[place % len(self.sheet.zones)])
+        for service, count in zip(
+            self.deployment.services, self.deployment.shape["workers"], strict=True
+        ):
+            for index in range(count):
+                await self.add(service, self.deployment.zones[index % len(self.deployment.zones)])
 
-    async def add(self, service: str, zone: str, address: str = "") -> StandInEngine:
+    async def add(self, service: str, zone: str, address: str = "") -> SimulatedWorker:
         """Start a worker, at a new address if none is given, and return it."""
         if not address:
-            self._places += 1
-            address = f"{self.fleet.net}.{150 + self._places % 100}:{_PORT}"
+            self._addresses_used += 1
+            address = f"{self.fleet.net}.{150 + self._addresses_used % 100}:{_PORT}"
         server_id = f"i-{self.rng.getrandbits(32):08x}"
-        worker = StandInEngine(
+        worker = SimulatedWorker(
             server_id,
             service,
             address,
@@ -58,7 +66,7 @@
             self._engine,
             self.history,
             self.clock,
-            self.fleet.control_list,
+            self.fleet.published_control_addresses,
             self.rng.getrandbits(30),
             self.fleet.name_of,
         )
@@ -69,43 +77,44 @@
         )
         return worker
 
-    def serving(self, service: str = "") -> list[StandInEngine]:
-        """Return the workers that take requests, of one service if it is given."""
+    def serving(self, service: str = "") -> list[SimulatedWorker]:
+        """Return the workers that accept requests, of one service if given."""
         return [
             worker
             for worker in self.workers
-            if worker.announced == "serving" and not worker.dark and service in ("", worker.service)
+            if worker.announced == "serving" and not worker.hung and service in ("", worker.service)
         ]
 
-    def _one(self) -> StandInEngine:
-        return self.rng.choice(self.serving(self.sheet.services[0]))
+    def _pick(self) -> SimulatedWorker:
+        return self.rng.choice(self.serving(self.deployment.services[0]))
 
-    async def crash(self, back_s: float = 1.5) -> None:
-        """Let one worker crash; a new one starts at the same address after `back_s`."""
-        worker = self._one()
+    async def crash_one(self, back_s: float = 1.5) -> None:
+        """Crash one worker; a new one starts at the same address `back_s` seconds later."""
+        worker = self._pick()
         await worker.crash()
         await asyncio.sleep(back_s)
         await self.add(worker.service, worker.zone, worker.address)
 
-    async def dark(self, for_s: float = 3.0) -> None:
-        """Let one worker fall silent for `for_s`; then it ends and a new one starts elsewhere."""
-        worker = self._one()
-        worker.go_dark()
+    async def hang_one(self, for_s: float = 3.0) -> None:
+        """Hang one worker for `for_s` seconds, then stop it and start one at a new address."""
+        worker = self._pick()
+        worker.hang()
         await asyncio.sleep(for_s)
         await worker.stop()
         await self.add(worker.service, worker.zone)
 
-    async def release(self, gap_s: float = 0.5, count: int = 99) -> None:
-        """Replace workers of the first service one after another; the last address is reused.
+    async def rolling_replace(self, gap_s: float = 0.5, count: int = 99) -> None:
+        """Replace workers of the first service, up to `count`, one after another.
 
-        A worker of the second service is started at that address.
+        Each replacement starts before its predecessor drains. At the end, after `reuseAfterS`, a
+        worker of the second service starts at the address of the last one that left.
         """
-        for worker in self.serving(self.sheet.services[0])[:count]:
+        for worker in self.serving(self.deployment.services[0])[:count]:
             await self.add(worker.service, worker.zone)
-            await worker.leave(self.sheet.timing["drainMs"])
+            await worker.leave(self.deployment.timing["drainMs"])
             await asyncio.sleep(gap_s)
-        await asyncio.sleep(self.sheet.timing["reuseAfterS"])
-        await self.add(self.sheet.services[1], worker.zone, worker.address)
+        await asyncio.sleep(self.deployment.timing["reuseAfterS"])
+        await self.add(self.deployment.services[1], worker.zone, worker.address)
 
     async def close(self) -> None:
         """Stop all workers."""
