--- a/libs/simulator/src/simulator/__init__.py
+++ b/libs/simulator/src/simulator/__init__.py
@@ -1,26 +1,26 @@
-"""The simulator: the node programs' own cores under virtual time, with fault injection.
+"""Deterministic simulator: runs the nodes' production code in virtual time and injects faults.
 
-The network splits, disks lose what was not synced, machines freeze and wake, and simulated clients,
-workers and operators record a history that an oracle judges. Only clocks, links, disks and sockets
-to workers are replaced; nodes, components and services are those of the programs.
+Networks partition, disks lose writes that were not flushed, and processes freeze and wake, while
+simulated clients, workers and operators record a history that an oracle judges. Only clocks, links,
+disks and the sockets to workers are simulated; nodes, components and services are the real ones.
 
-It may import the programs' packages (`data_plane`, `control_plane` and what they are built on), and
-nothing imports it but the test bed and tests.
+The simulator may import the packages of the programs (`data_plane`, `control_plane` and their
+dependencies). Only the test beds and the tests may import the simulator.
 
-Invariants: a run depends only on its seed, shape and schedule of faults, so nothing may read a real
-clock, draw from a generator that isn't seeded by the run, or iterate over a set. The oracle judges
-what clients saw and what workers did; it sees nothing of the nodes' inside but the samples of what
-is in force.
+Invariants: a run depends only on its seed, shape and fault schedule, so no code here may read a
+real clock, draw from a generator that the run does not seed, or iterate over a set. The oracle
+judges what clients observed and what workers ran; of the nodes' internal state it sees only samples
+of the versions in force and of the leaders' backlogs.
 
-Where a change goes:
+Modules:
 
-* `virtual`, `hosts`, `disks`, `worker_transport`: what replaces the outside world of a node.
+* `virtual`, `hosts`, `disks`, `worker_transport`: the simulated environment of a node.
 * `workers`, `worker_runs`, `reading_workers`: simulated model workers.
-* `clients`, `live_calls`, `operators`, `trainers`: those who use the system.
-* `faults`: a further fault, and the schedules that are drawn.
-* `runs`, `evening`: the course of a run; `fleet` has its hosts and samples.
-* `history`: a further kind of row; `oracle` and `rules_*`: a further rule.
-* `run_digest`: the digest by which versions of the code are compared.
+* `clients`, `live_calls`, `operators`, `trainers`: simulated users of the system.
+* `faults`: the faults, and the drawing of random fault schedules.
+* `runs`, `evening`: the phases of a run; `fleet` has the hosts, the workers and the samples.
+* `history`: the kinds of rows that are recorded; `oracle` and `rules_*`: the rules that judge them.
+* `run_digest`: the digest by which the behaviour of two versions of the code is compared.
 """
 
 from simulator.history import History
--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -1,7 +1,7 @@
 """Simulated clients, which make live calls and submit, read and cancel batch jobs.
 
-A call that isn't safe to repeat is sent again under its key through another edge when it is in
-doubt. What clients see is recorded in the history.
+If it is unknown whether a call with an idempotency key has run, the client retries it with the same
+key through another edge. All requests and their outcomes are recorded in the history.
 """
 
 import json
@@ -15,18 +15,18 @@
 
 __all__ = ["ClientJob", "Clients"]
 
-_PATIENCE_MS = 8000.0
+_CALL_TIMEOUT_MS = 8000.0
 _SEND_DELAY_MS = 1.0
-_RESUBMIT_MS = 100
-_FOLLOW_MS = 700
-_JOB_DUE_MS = 10_000
+_RESUBMIT_DELAY_MS = 100
+_POLL_INTERVAL_MS = 700
+_JOB_DEADLINE_MS = 10_000
 _READ_LIMIT = 1000
 _OK, _CREATED, _NOT_FOUND = 200, 201, 404
 _ACCEPTED = ("admitted", "known")
 
 
 class ClientJob:
-    """What clients know of one job: its results by index, and how far it has come."""
+    """The state of one job as its clients know it, with its results by item index."""
 
     __slots__ = ("acknowledged", "cancelled", "done", "results")
 
@@ -38,7 +38,7 @@
 
 
 class Clients:
-    """All clients of a run; `jobs` is what they know of their batch jobs."""
+    """All clients of a run; `jobs` has the state of their batch jobs by job id."""
 
     __slots__ = ("_call_count", "_fleet", "_history", "_rng", "_time", "jobs")
 
@@ -53,8 +53,8 @@
         edges = [host for host in self._fleet.with_role("edge") if host.up and host.name != avoid]
         return self._rng.choice(edges) if edges else None
 
-    def _run_at(self, host: Any, action: Callable[[], None]) -> None:
-        """Run `action` once the request has reached the host, unless its process has ended."""
+    def _deliver(self, host: Any, action: Callable[[], None]) -> None:
+        """Run `action` after the network delay, unless the host's process has ended by then."""
         incarnation = host.incarnation
 
         def arrive() -> None:
@@ -63,8 +63,6 @@
 
         self._time.after(_SEND_DELAY_MS, arrive)
 
-    # -- live calls ----------------------------------------------------------------------------
-
     def live(
         self,
         path: str,
@@ -75,10 +73,25 @@
         question: str = "",
         hangs_up_ms: float = 0.0,
     ) -> None:
-        """Make a live call at an edge other than `avoid`; `done` gets its row.
-
-        With a `key`, a call in doubt is sent again up to `tries` times. `question` is what the
-        prompt asks, by default the key. `hangs_up_ms` as for LiveCall.
+        """Make a live call through a random running edge; do nothing if there is none.
+
+        Parameters
+        ----------
+        path
+            The name of the profile that serves the call.
+        key
+            The idempotency key, or an empty string.
+        tries
+            How often the call is sent at most. Only a call with a key is retried, and only if it
+            may have run.
+        avoid
+            The name of an edge that is not used.
+        done
+            Receives the call's row once it has an outcome; not called for retries.
+        question
+            Text that tells apart prompts with the same key; by default the key.
+        hangs_up_ms
+            Time after which the client disconnects; 0, or a call with a key, means never.
         """
         host = self.choose_edge(avoid)
         if host is None:
@@ -108,10 +121,8 @@
         call = LiveCall(
             self._time, host, row, resend if resends else None, done, 0.0 if key else hangs_up_ms
         )
-        self._run_at(host, call.begin)
-        self._time.after(_PATIENCE_MS, call.give_up)
-
-    # -- batch jobs ----------------------------------------------------------------------------
+        self._deliver(host, call.begin)
+        self._time.after(_CALL_TIMEOUT_MS, call.give_up)
 
     def submit(
         self,
@@ -122,9 +133,10 @@
         avoid: str = "",
         done: Callable[[Row], None] | None = None,
     ) -> str:
-        """Submit a job of `count` items and return its id; `done` gets the row.
+        """Submit a job of `count` items through a random running edge and return its id.
 
-        A submission in doubt is sent again under its id up to `tries` times.
+        A submission that may have been accepted is sent at most `tries` times, under the same id
+        and through another edge. `done` receives the row of each try once it has an outcome.
         """
         if not job_id:
             job_id = f"lot{len(self.jobs) + 1}"
@@ -151,9 +163,9 @@
                 return
             row.update(outcome=outcome, verdict=verdict, answered_ms=self._time.now_ms)
             if outcome in _ACCEPTED:
-                self._acknowledged(job_id)
+                self._record_acknowledgement(job_id)
             elif verdict == "may_have_run" and tries > 1:
-                self._time.after(_RESUBMIT_MS, resubmit)
+                self._time.after(_RESUBMIT_DELAY_MS, resubmit)
             if done is not None:
                 done(row)
 
@@ -165,23 +177,28 @@
             {"prompt": f"lot {job_id} item {index} call item:{job_id}:{index}"}
             for index in range(count)
         ]
-        self._run_at(
-            host, lambda: host.node.edge_service.submit(job_id, path, items, _JOB_DUE_MS, answered)
+        self._deliver(
+            host,
+            lambda: host.node.edge_service.submit(job_id, path, items, _JOB_DEADLINE_MS, answered),
         )
-        self._time.after(_PATIENCE_MS, lambda: conclude("lost", "may_have_run"))
+        self._time.after(_CALL_TIMEOUT_MS, lambda: conclude("lost", "may_have_run"))
         return job_id
 
-    def _acknowledged(self, job_id: str) -> None:
-        """Follow a job from its first acknowledgement on."""
+    def _record_acknowledgement(self, job_id: str) -> None:
+        """Start polling a job on its first acknowledgement."""
         job = self.jobs[job_id]
         if not job.acknowledged:
             self._time.after(
-                _FOLLOW_MS, lambda: self.follow(job_id, self._time.now_ms - _FOLLOW_MS)
+                _POLL_INTERVAL_MS,
+                lambda: self.follow(job_id, self._time.now_ms - _POLL_INTERVAL_MS),
             )
         job.acknowledged = True
 
     def follow(self, job_id: str, from_ms: float) -> None:
-        """Read every 700 ms until the whole job is listed; `from_ms` is its acknowledgement."""
+        """Poll a job every 700 ms until all its results are listed or it is cancelled.
+
+        `from_ms` is the time of its first acknowledgement.
+        """
         job = self.jobs[job_id]
         if job.cancelled or job.done:
             return
@@ -193,12 +210,17 @@
                 self._history.add(RowKind.JOB_DONE, self._time.now_ms, lot=job_id, from_ms=from_ms)
 
         self.read(job_id, seen)
-        self._time.after(_FOLLOW_MS, lambda: self.follow(job_id, from_ms))
+        self._time.after(_POLL_INTERVAL_MS, lambda: self.follow(job_id, from_ms))
 
     def read(
         self, job_id: str, done: Callable[[Row], None] | None = None, start: int | None = None
     ) -> None:
-        """Read results from an index on, by default one drawn; `done` gets what was seen."""
+        """Read results from the index `start` on and record them.
+
+        By default the read starts at random at the first result or after those already read.
+        `done` receives the outcome; it is not called if the edge fails or returns another error
+        than 404.
+        """
         host = self.choose_edge()
         if host is None:
             return
@@ -233,12 +255,12 @@
             if done is not None:
                 done(seen)
 
-        self._run_at(
+        self._deliver(
             host, lambda: host.node.edge_service.results(job_id, start, _READ_LIMIT, answered)
         )
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a job before it is done."""
+        """Cancel a job, without retries; the request and its acknowledgement are recorded."""
         host = self.choose_edge()
         if host is None:
             return
@@ -251,10 +273,10 @@
                 self.jobs[job_id].cancelled = True
                 self._history.add(RowKind.CANCELLATION, self._time.now_ms, lot=job_id)
 
-        self._run_at(host, lambda: host.node.edge_service.cancel(job_id, answered))
+        self._deliver(host, lambda: host.node.edge_service.cancel(job_id, answered))
 
 
 def _result(row: Row) -> tuple[int, str, str]:
-    """Return index, verdict and text of a result; the output of a run in the oracle's form."""
+    """Return the index, verdict and text of a result; a run's output is given by `flat_body`."""
     body = json.dumps(row["body"], sort_keys=True)
     return row["index"], row["verdict"], flat_body(body) if row["verdict"] == "ran" else body
