--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -1,7 +1,8 @@
-"""Fault injection: functions that each cause a fault and later undo it, and seeded schedules.
+"""Fault injection: the faults, each of which ends by itself, and random schedules of them.
 
-A schedule loses or damages at most one disk, since the loss of one machine with a disk is what the
-fleet has to tolerate. Times are milliseconds of virtual time.
+A random schedule loses or damages at most one disk, since the fleet has to tolerate the loss of one
+machine with a disk. The end of a network fault also ends any other network fault (`Network.heal`).
+Times are milliseconds of virtual time.
 """
 
 from collections.abc import Callable
@@ -14,21 +15,21 @@
 __all__ = ["FAULTS", "LEADER", "UNRESPONSIVE", "FaultSchedule", "schedule"]
 
 LEADER = "leader"
-"""Takes the place of a role, for the store that leads the log."""
+"""Given in place of a role, selects the store that leads the log."""
 
 UNRESPONSIVE = "dark"
-"""How a worker left that is silent for a while, in its row."""
+"""The `how` in the WORKER_LEFT row of a worker that is only temporarily unresponsive."""
 
 FaultSchedule = list[tuple[float, str]]
-"""Times in milliseconds, with names of faults."""
+"""The time in milliseconds and the name of each fault."""
 
-_FIRST_REPLACEMENT = 100
+_REPLACEMENT_OFFSET = 100
 _NEVER_MS = 1e12
 _SLOW_FLUSH_MS = 150.0
 
 
 def _choose_host(fleet: Any, role: str) -> Any:
-    """Return a random running host of a role, or the log's leader; None if there is none."""
+    """Return a random running host of a role, or the leader for LEADER; None if there is none."""
     if role == LEADER:
         return fleet.leader()
     hosts = [host for host in fleet.with_role(role) if host.up]
@@ -36,7 +37,7 @@
 
 
 def crash(fleet: Any, role: str, down_ms: float) -> None:
-    """Kill a process of a role and start it again after `down_ms`."""
+    """Kill a random process of a role and restart it after `down_ms`."""
     host = _choose_host(fleet, role)
     if host is not None:
         host.kill()
@@ -44,7 +45,7 @@
 
 
 def crash_leader(fleet: Any, down_ms: float) -> None:
-    """Kill the log's leader and start its process again after `down_ms`."""
+    """Kill the leader of the log and restart its process after `down_ms`."""
     host = fleet.leader()
     if host is not None:
         host.kill()
@@ -52,7 +53,7 @@
 
 
 def crash_owner(fleet: Any, down_ms: float) -> None:
-    """Kill the owner of the key `profiles` and start its process again after `down_ms`."""
+    """Kill the owner of the key `profiles` and restart its process after `down_ms`."""
     for host in fleet.with_role("control"):
         if host.up and host.node.owner.owner_of("profiles") == host.node.acceptor.identity:
             host.kill()
@@ -61,7 +62,7 @@
 
 
 def freeze(fleet: Any, role: str, for_ms: float, step_ms: int) -> None:
-    """Freeze a process for `for_ms`, with its wall clock stepped by `step_ms`.
+    """Freeze a process of a role for `for_ms` and step its machine's wall clock by `step_ms`.
 
     `role` may also be LEADER.
     """
@@ -79,13 +80,13 @@
 
 
 def loss(fleet: Any, rate: float, for_ms: float) -> None:
-    """Lose and duplicate messages at `rate` for `for_ms`."""
+    """Lose messages with probability `rate`, and duplicate them with `rate`, for `for_ms`."""
     fleet.network.loss_rate = fleet.network.duplicate_rate = rate
     fleet.time.after(for_ms, fleet.network.heal)
 
 
 def split(fleet: Any, for_ms: float) -> None:
-    """Split the network into two random groups for `for_ms`."""
+    """Partition all hosts into two random groups for `for_ms`."""
     hosts = [host.address for host in fleet.hosts.values()]
     fleet.time.rng.shuffle(hosts)
     at = fleet.time.rng.randrange(2, len(hosts) - 2)
@@ -94,7 +95,10 @@
 
 
 def partition_control(fleet: Any, for_ms: float, from_fleet: bool) -> None:
-    """Split two control nodes from the rest, or all of them from the fleet if `from_fleet`."""
+    """Partition two control nodes from the other control nodes for `for_ms`.
+
+    With `from_fleet`, partition all control nodes from edges and stores instead.
+    """
     control = [host.address for host in fleet.with_role("control")]
     others = [host.address for host in fleet.hosts.values() if host.role != "control"]
     groups = [control, others] if from_fleet else [control[:2], control[2:]]
@@ -103,7 +107,11 @@
 
 
 def partition_minority(fleet: Any, for_ms: float, restart: bool) -> None:
-    """Partition most edges and a store from control, for longer than any node is remembered."""
+    """Partition all edges but one, and one store, from all other hosts.
+
+    `for_ms` has to be longer than `removal_timeout_ms`, after which silent nodes
+    are forgotten. With `restart`, one of the partitioned edges is restarted meanwhile.
+    """
     side = fleet.with_role("edge")[1:] + fleet.with_role("store")[:1]
     addresses = [host.address for host in side]
     others = [host.address for host in fleet.hosts.values() if host.address not in addresses]
@@ -115,7 +123,7 @@
 
 
 def isolate(fleet: Any, role: str, for_ms: float) -> None:
-    """Partition one host of a role from everything for `for_ms`."""
+    """Partition a random host of a role from all others for `for_ms`."""
     host = _choose_host(fleet, role)
     if host is not None:
         fleet.network.isolate(host.address)
@@ -123,7 +131,7 @@
 
 
 def slow(fleet: Any, role: str, by_ms: float, for_ms: float) -> None:
-    """Delay the messages of one host of a role by up to `by_ms`."""
+    """Delay the messages to and from a random host of a role by up to `by_ms` for `for_ms`."""
     host = _choose_host(fleet, role)
     if host is not None:
         fleet.network.slow_ms[host.address] = by_ms
@@ -131,7 +139,7 @@
 
 
 def slow_disk(fleet: Any, for_ms: float) -> None:
-    """Make the flushes of one store take about 150 ms each."""
+    """Make each flush of a random store take 150 ms on average for `for_ms`."""
     host = _choose_host(fleet, "store")
     if host is not None:
         host.disk.flush_ms = _SLOW_FLUSH_MS
@@ -143,14 +151,14 @@
 
 
 def fill(fleet: Any, role: str, for_ms: float) -> None:
-    """Take the free space of all disks of a role away for `for_ms`."""
+    """Reduce the free space of all disks of a role to almost nothing for `for_ms`."""
     for host in fleet.with_role(role):
         host.disk.fill()
         fleet.time.after(for_ms, host.disk.restore_capacity)
 
 
 def damage(fleet: Any, role: str) -> None:
-    """Invert a byte of a log or key file on one disk while its process is down."""
+    """Kill a process of a role, invert a byte of a log or key file, and restart it after 1 s."""
     host = _choose_host(fleet, role)
     names = (
         [name for name in host.disk.names() if name.startswith(("queue-", "keys-"))]
@@ -164,7 +172,7 @@
 
 
 def lose_disk(fleet: Any, role: str, down_ms: float) -> None:
-    """Kill a process, wipe its disk, and start it again after `down_ms`."""
+    """Kill a random process of a role, wipe its disk, and restart it after `down_ms`."""
     host = _choose_host(fleet, role)
     if host is not None:
         host.lose_disk()
@@ -172,7 +180,7 @@
 
 
 def power_loss(fleet: Any, roles: tuple[str, ...], down_ms: float) -> None:
-    """Take the power from all hosts of these roles at once."""
+    """Cut the power of all hosts of these roles at once; they restart within 0.5 s of `down_ms`."""
     for host in fleet.hosts.values():
         if host.role in roles:
             host.lose_power()
@@ -180,7 +188,7 @@
 
 
 def _choose_worker(fleet: Any) -> Any:
-    """Return a random worker that takes requests, if another remains, else None."""
+    """Return a random worker that accepts requests, or None if there is at most one."""
     workers = [
         worker
         for worker in fleet.workers.values()
@@ -191,7 +199,7 @@
 
 def _replacement_name(fleet: Any) -> str:
     departures = len(fleet.history.rows_of(RowKind.WORKER_LEFT))
-    return f"worker{departures + _FIRST_REPLACEMENT}"
+    return f"worker{departures + _REPLACEMENT_OFFSET}"
 
 
 def _add_worker_later(fleet: Any, name: str, wait_ms: float, address: str = "") -> None:
@@ -199,15 +207,15 @@
 
 
 def crash_worker(fleet: Any) -> None:
-    """Crash a worker and start one at another address after 2 s."""
+    """Crash a random worker and start another at a new address after 2 s."""
     worker, name = _choose_worker(fleet), _replacement_name(fleet)
     if worker is not None:
         worker.crash()
         _add_worker_later(fleet, name, 2000)
 
 
-def dismiss_worker(fleet: Any) -> None:
-    """Let a worker leave and start one at another address after 2 s."""
+def remove_worker(fleet: Any) -> None:
+    """Let a random worker leave and start another at a new address after 2 s."""
     worker, name = _choose_worker(fleet), _replacement_name(fleet)
     if worker is not None:
         worker.leave()
@@ -215,15 +223,15 @@
 
 
 def replace_worker(fleet: Any) -> None:
-    """Crash a worker and start another at its address after 100 ms."""
+    """Crash a random worker and start another at the same address after 100 ms."""
     worker, name = _choose_worker(fleet), _replacement_name(fleet)
     if worker is not None:
         worker.crash()
         _add_worker_later(fleet, name, 100, worker.address)
 
 
-def silence_worker(fleet: Any) -> None:
-    """Make a worker unresponsive for 2.5 s."""
+def make_worker_unresponsive(fleet: Any) -> None:
+    """Make a random worker unresponsive for 2.5 s."""
     worker = _choose_worker(fleet)
     if worker is None:
         return
@@ -274,11 +282,11 @@
     "power-stores": partial(power_loss, roles=("store",), down_ms=1000),
     "power-all": partial(power_loss, roles=("store", "control", "edge"), down_ms=1000),
     "worker-crash": crash_worker,
-    "worker-leave": dismiss_worker,
-    "worker-dark": silence_worker,
+    "worker-leave": remove_worker,
+    "worker-dark": make_worker_unresponsive,
     "worker-replace": replace_worker,
 }
-"""Each fault by the name under which schedules give it."""
+"""The faults by their names in schedules."""
 
 _DISK_LOSSES = (
     "lose-store-disk",
@@ -292,13 +300,16 @@
 def schedule(
     rng: Any, start_ms: float, span_ms: float, count: int, only: list[str] | None = None
 ) -> FaultSchedule:
-    """Draw `count` faults in `span_ms` from `start_ms` on; return (time, name) rows by time."""
-    names, lost = list(only or FAULTS), False
+    """Draw `count` faults at random times within `span_ms` from `start_ms`; return them by time.
+
+    `only` gives the names from which faults are drawn, by default all.
+    """
+    names, disk_lost = list(only or FAULTS), False
     rows: FaultSchedule = []
     while len(rows) < count:
         name = rng.choice(names)
-        if name in _DISK_LOSSES and lost:
+        if name in _DISK_LOSSES and disk_lost:
             continue
-        lost = lost or name in _DISK_LOSSES
+        disk_lost = disk_lost or name in _DISK_LOSSES
         rows.append((start_ms + rng.random() * span_ms, name))
     return sorted(rows)
--- a/libs/simulator/src/simulator/fleet.py
+++ b/libs/simulator/src/simulator/fleet.py
@@ -22,25 +22,26 @@
 WorkerType = TypeVar("WorkerType", bound=SimWorker)
 
 HostEvent = tuple[float, str, str, dict[str, Any]]
-"""Time in milliseconds, host, event and its fields."""
+"""Time in milliseconds, name of the host, event, and the fields of the event."""
 
-_SAMPLE_MS = 100.0
-_CHECK_MS = 50
+_SAMPLE_INTERVAL_MS = 100.0
+_CHECK_INTERVAL_MS = 50
 _WORKER_SLOTS = 4
 _NEVER_MS = 1e12
 _CHANGE_PREFIX = "mark-"
-"""What the name of the profile begins with that names the change that made a tree."""
+"""Prefix of the abstract profile whose name has the id of the change that made a tree."""
 
 
 class SimFleet:
     """All hosts and workers of a run on one network and one virtual clock.
 
-    NETWORK and HOST are the classes used for them; a measurement replaces them by metered ones.
+    NETWORK and HOST are the classes of the network and the hosts. A subclass may replace them, for
+    instance to measure costs.
     """
 
     __slots__ = (
         "_address_count",
-        "_away",
+        "_open_outages",
         "_settings",
         "events",
         "history",
@@ -67,7 +68,7 @@
         self.hosts: dict[str, SimHost] = {}
         self.workers: dict[str, SimWorker] = {}
         self._address_count = 0
-        self._away: dict[str, Row] = {}
+        self._open_outages: dict[str, Row] = {}
         self._settings = {
             "flush_ms": 1500,
             "segment_bytes": 1 << 13,
@@ -86,12 +87,12 @@
             self.add_worker(f"worker{index + 1}", ["gpu"])
 
     def new_address(self) -> str:
-        """Return an address that no host or worker has had."""
+        """Return an unused address."""
         self._address_count += 1
         return f"10.0.{self._address_count >> 8}.{self._address_count & 255}:7000"
 
     def add(self, role: Role, name: str) -> SimHost:
-        """Start a host of a role, with a blank disk unless it is an edge."""
+        """Start a host of a role, with an empty disk unless it is an edge."""
         address = self.new_address()
         known = [host.address for host in self.hosts.values() if host.up][:3] or ["10.0.0.1:7000"]
         settings = Settings(
@@ -120,7 +121,7 @@
         return host
 
     def add_worker(self, name: str, labels: list[str], address: str = "") -> SimWorker:
-        """Start a worker, at a new address if none is given."""
+        """Start a worker at an address, by default an unused one."""
         address = address or self.new_address()
         zone = ZONES[len(self.workers) % len(ZONES)]
         return self.attach(SimWorker(self, name, address, labels, _WORKER_SLOTS, zone))
@@ -144,12 +145,12 @@
 
     def _record_event(self, name: str, event: str, fields: dict[str, Any]) -> None:
         self.events.append((self.time.now_ms, name, event, fields))
-        if event in ("killed", "frozen-by-fault") and name not in self._away:
-            self._away[name] = self.history.add(
+        if event in ("killed", "frozen-by-fault") and name not in self._open_outages:
+            self._open_outages[name] = self.history.add(
                 RowKind.AWAY, self.time.now_ms, name=name, until_ms=_NEVER_MS
             )
-        elif event in ("started", "woken") and name in self._away:
-            self._away.pop(name)["until_ms"] = self.time.now_ms
+        elif event in ("started", "woken") and name in self._open_outages:
+            self._open_outages.pop(name)["until_ms"] = self.time.now_ms
 
     def with_role(self, role: str) -> list[SimHost]:
         """Return all hosts of a role, running or not."""
@@ -168,14 +169,12 @@
         ]
         return max(serving, key=lambda host: host.node.log.leader.epoch, default=None)
 
-    # -- samples -------------------------------------------------------------------------------
-
     def start_sampling(self) -> None:
         """Record free capacity, each edge's state and each leader's backlog every 100 ms."""
         self._sample_capacity()
         self._sample_edges()
         self._sample_backlog()
-        self.time.after(_SAMPLE_MS, self.start_sampling)
+        self.time.after(_SAMPLE_INTERVAL_MS, self.start_sampling)
 
     def _sample_capacity(self) -> None:
         workers = [
@@ -214,10 +213,8 @@
                     used=leader.state.backlog(path),
                 )
 
-    # -- state of the fleet --------------------------------------------------------------------
-
     def ready(self) -> bool:
-        """Return whether all edges and stores take requests and all control nodes have a quorum."""
+        """Return whether all edges and stores are ready and all control nodes have a quorum."""
         return (
             all(
                 not host.node.why_unready()
@@ -231,24 +228,27 @@
         return all(host.node.has_quorum() for host in self.with_role("control"))
 
     def in_serving_set(self) -> bool:
-        """Return whether each running host's serving set has just the running edges and stores."""
+        """Return whether the serving set at each running host is the running edges and stores."""
         links = {host.address for host in self.hosts.values() if host.up and host.role != "control"}
         return all(
             host.node.config_feed.serving_set() == links for host in self.hosts.values() if host.up
         )
 
     def run_until_true(self, check: Callable[[], Any], limit_ms: float) -> bool:
-        """Run until `check` holds, tested every 50 ms; return whether it did within `limit_ms`."""
+        """Run until `check` is true, and return whether it became true within `limit_ms`.
+
+        It is evaluated every 50 ms of virtual time.
+        """
         end_ms = self.time.now_ms + limit_ms
         while self.time.now_ms < end_ms:
-            self.time.run_until(self.time.now_ms + _CHECK_MS)
+            self.time.run_until(self.time.now_ms + _CHECK_INTERVAL_MS)
             if check():
                 return True
         return False
 
 
 def _change_id_in(tree: Any) -> str:
-    """Return the change that made a tree, which the name of one of its profiles gives."""
+    """Return the id of the change that made a profile tree, or an empty string if there is none."""
     return next(
         (
             name.removeprefix(_CHANGE_PREFIX)
--- a/libs/simulator/src/simulator/history.py
+++ b/libs/simulator/src/simulator/history.py
@@ -1,7 +1,7 @@
-"""The history of a run, as rows in the order in which they were recorded.
+"""The history of a run: rows in the order in which they were recorded.
 
-Rows record what clients saw and what workers did, and nothing that only the inside of the system
-could know, except samples of what is in force at each edge.
+Rows record what clients observed and what workers ran. Internal state of the system is recorded
+only as samples of the versions in force at edges and of leaders' backlogs.
 """
 
 from enum import StrEnum
@@ -13,20 +13,20 @@
 
 
 class RowKind(StrEnum):
-    """What a row records; the text is what a row has under `kind`."""
+    """The kind of a row; the value is the row's `kind`."""
 
     CALL = "call"
-    """A live call of a client: at its start, with its outcome filled in later."""
+    """A client's live call, added at its start; the outcome is filled in later."""
     SUBMISSION = "hand-in"
     """A client's submission of a batch job."""
     READ = "read"
     """A client's read of a job's results."""
     CANCELLATION = "end"
-    """A cancellation of a job that was acknowledged."""
+    """An acknowledged cancellation of a job."""
     JOB_DONE = "lot-done"
     """A job whose results are all listed."""
     FINAL_READ = "final"
-    """What is listed of an accepted job at the end of the run."""
+    """A read of an accepted job at the end of the run."""
     CHANGE = "change"
     """An operator's change of the profiles."""
     FINAL_CHANGE = "final-change"
@@ -38,38 +38,38 @@
     RUN = "run"
     """A request that a worker began to run."""
     RUN_ENDED = "run-ended"
-    """A run that came to its end."""
+    """A run that completed."""
     WORKER_LEFT = "worker-left"
-    """A worker that crashed, left or fell silent."""
+    """A worker that crashed, left or became unresponsive."""
     FAULT = "fault"
     """A fault that was injected."""
     AWAY = "away"
-    """A host that is down or frozen, until `until_ms`."""
+    """A host that is down or frozen until `until_ms`."""
     CAPACITY = "capacity"
-    """A sample of the share of free slots of all workers."""
+    """A sample of the share of all workers' slots that is free."""
     SAMPLE = "sample"
-    """A sample of an edge: whether it takes requests, and the version of the profiles in force."""
+    """A sample of an edge: whether it is ready, and the version of the profiles in force there."""
     BACKLOG = "room"
     """A sample of a leader: how many jobs wait on a path."""
     PROBE = "probe"
-    """One kind of request tried after recovery."""
+    """A request of one kind, tried after recovery."""
     ROLLOUT_ACCEPTED = "rollout-accepted"
-    """A trainer's rollout that was acknowledged."""
+    """The first acknowledgement of a trainer's rollout."""
     ROLLOUT_READ = "rollout-read"
     """A trainer's read of samples."""
     LOAN_REQUESTED = "loan-asked"
-    """The answer to a trainer that asked for a whole worker."""
+    """The response to a trainer's request for a whole worker."""
     BORROWED = "borrowed"
-    """A trainer that has taken a worker."""
+    """A whole worker taken over by a trainer."""
     RETURNED = "handed-back"
-    """A trainer that has returned a worker."""
+    """A whole worker returned by a trainer."""
 
 
 class History:
     """The rows of one run, and the settings by which the oracle judges them.
 
-    `begun_calls` has what the oracle's rules don't judge and the linearizability check needs: calls
-    that may never be answered.
+    `begun_calls` has calls that may never be answered. They are recorded for linearizability
+    checks; the oracle's rules do not judge them.
     """
 
     __slots__ = ("begun_calls", "rows", "settings")
@@ -80,17 +80,17 @@
         self.settings = settings
 
     def add(self, kind: str, at_ms: float, **fields: Any) -> Row:
-        """Record a row at a virtual time and return it, for its outcome to be filled in later."""
+        """Record a row at a virtual time and return it, so that its outcome can be filled in."""
         row = {"kind": kind, "at_ms": round(at_ms, 2), **fields}
         self.rows.append(row)
         return row
 
     def begin_call(self, kind: str, began_ms: float, **fields: Any) -> Row:
-        """Note a call as it begins; `outcome` is filled in if it is answered."""
+        """Record a call at its start and return it; `outcome` is "none" until it is answered."""
         row = {"kind": kind, "began_ms": began_ms, "outcome": "none", **fields}
         self.begun_calls.append(row)
         return row
 
     def rows_of(self, kind: str) -> list[Row]:
-        """Return the rows of a kind, in order."""
+        """Return the rows of a kind in the order in which they were recorded."""
         return [row for row in self.rows if row["kind"] == kind]
--- a/libs/simulator/src/simulator/hosts.py
+++ b/libs/simulator/src/simulator/hosts.py
@@ -1,6 +1,7 @@
-"""A simulated machine: an address, a disk if it has one, and a wall clock that can be stepped.
+"""Simulated machines, each with an address, a wall clock, a process and optionally a disk.
 
-Its process can be killed, frozen, cut from power, and started again.
+The process can be killed, frozen and restarted, the machine can lose power, and its wall clock can
+be stepped.
 """
 
 import random
@@ -16,14 +17,14 @@
 """Called with a host's name, an event and its fields."""
 
 BufferedMessage = tuple[str, int, int, Message]
-"""Sender, own number, number of the message that it answers, and the message."""
+"""The sender, `request_id`, `in_reply_to` and the message, as in `messaging.Environment.send`."""
 
 _TICK_MS = 25.0
 _WALL_CLOCK_START_MS = 1_700_000_000_000
 
 
 class SimEnvironment:
-    """What a node's cores see of the outside: clocks, random numbers, the network and the log."""
+    """The environment of a node (`messaging.Environment`) in virtual time."""
 
     __slots__ = ("_host", "address", "rng")
 
@@ -38,7 +39,7 @@
         return int(self._host.time.now_ms) + boot_ms
 
     def wall(self) -> int:
-        """Milliseconds of the host's wall clock, with its steps."""
+        """Milliseconds of the host's wall clock, including injected steps."""
         return _WALL_CLOCK_START_MS + int(self._host.time.now_ms) + self._host.wall_step_ms
 
     def token(self) -> str:
@@ -50,14 +51,14 @@
         self._host.network.send(self.address, to, request_id, in_reply_to, message)
 
     def log(self, event: str, level: str = "INFO", **fields: Any) -> None:
-        """Record an event of the node in the fleet's trace."""
+        """Record an event of the node in the fleet's list of events; `level` is ignored."""
         self._host.trace(event, fields)
 
 
 class SimHost:
-    """A machine and its process; `incarnation` counts the process's starts and kills.
+    """A machine and its process; `incarnation` counts starts and kills of the process.
 
-    `make` builds the node for each start, `record_event` gets the events to trace.
+    `make` builds a new node at each start; `record_event` receives the events of host and node.
     """
 
     __slots__ = (
@@ -110,7 +111,7 @@
         self._record_event(self.name, event, fields)
 
     def start(self) -> None:
-        """Start the process with a new node on the same disk; nothing if it is running."""
+        """Start the process with a new node and the same disk; do nothing if it is running."""
         if self.up:
             return
         self.incarnation += 1
@@ -135,34 +136,34 @@
         )
 
     def kill(self) -> None:
-        """End the process at once; what it wrote stays on disk."""
+        """End the process at once; all its writes stay on disk."""
         if self.up:
             self.up = False
             self.incarnation += 1
             self.trace("killed", {})
 
     def lose_power(self) -> None:
-        """End the process and lose what was not flushed."""
+        """End the process; writes that were not flushed may be lost."""
         self.kill()
         if self.disk is not None:
             self.disk.lose_power()
 
     def lose_disk(self) -> None:
-        """End the process and lose everything on disk."""
+        """End the process and wipe the disk."""
         self.kill()
         if self.disk is not None:
             self.disk.wipe()
 
     def freeze(self) -> None:
-        """Stop the process; its messages and timers wait."""
+        """Stop the process; incoming messages and due actions are held back until it wakes."""
         if self.up:
             self.frozen = True
             self.trace("frozen-by-fault", {})
 
     def wake(self) -> None:
-        """Resume the process.
+        """Resume the process, and deliver all buffered messages, then run all deferred actions.
 
-        Buffered messages and due timers come all at once, the next tick before or after them.
+        Half of the time the node ticks before the first of them.
         """
         if not self.up or not self.frozen:
             return
@@ -180,7 +181,10 @@
                 action()
 
     def when_awake(self, action: Callable[[], None], incarnation: int) -> None:
-        """Run `action` now, or on waking if the process is frozen; never in a later incarnation."""
+        """Run `action` now, or once the process wakes if it is frozen.
+
+        It is dropped if the process is no longer of this incarnation by then.
+        """
         if self.frozen:
             self.deferred.append((action, incarnation))
         elif incarnation == self.incarnation:
--- a/libs/simulator/src/simulator/judgement.py
+++ b/libs/simulator/src/simulator/judgement.py
@@ -1,15 +1,15 @@
-"""What a rule of the oracle gives."""
+"""The result of a rule of the oracle."""
 
 from typing import NamedTuple
 
 __all__ = ["SLACK_MS", "Judgement"]
 
 SLACK_MS = 250.0
-"""What a time limit may be exceeded by, for the interval of samples and heartbeats."""
+"""Tolerance of time limits, which allows for the intervals of samples and heartbeats."""
 
 
 class Judgement(NamedTuple):
-    """How many rows a rule judged, and its breaches, one line of text each."""
+    """The number of rows that a rule judged, and the breaches found, one line of text each."""
 
     judged: int
     breaches: list[str]
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -1,4 +1,4 @@
-"""One live call of a simulated client at one edge, and how the history records answers."""
+"""A live call of a simulated client at one edge, and the form of responses in the history."""
 
 import json
 from collections.abc import Callable
@@ -16,10 +16,22 @@
 
 
 class LiveCall:
-    """A call from its start to its outcome; what the client sees is written into `row`.
-
-    `resend` sends the call again through another edge if it may have run; `done` gets the row at
-    the end. A client that disconnects does so `hangs_up_ms` after the start; 0 means never.
+    """A call from its start to its outcome.
+
+    Parameters
+    ----------
+    time
+        The virtual clock.
+    host
+        The edge's host.
+    row
+        The call's row in the history, into which events and the outcome are written.
+    resend
+        Sends the call again through another edge; called if the call may have run.
+    done
+        Receives the row once it has an outcome.
+    hangs_up_ms
+        Time from the start after which the client disconnects; 0 means never.
     """
 
     __slots__ = ("_done", "_hangs_up_ms", "_host", "_resend", "_row", "_stream", "_time")
@@ -38,25 +50,30 @@
         self._stream = row["path"] in _STREAMED
 
     def begin(self) -> None:
-        """Send the call to the edge."""
+        """Pass the call to the edge's service."""
         row, host = self._row, self._host
         key = row["key"]
         prompt = f"key {key} asked {row['question']}" if key else f"call {row['call']}"
         begun = host.node.edge_service.complete(
-            row["path"], key, {"prompt": prompt}, self._stream, self._receive_event, self._answered
+            row["path"],
+            key,
+            {"prompt": prompt},
+            self._stream,
+            self._receive_event,
+            self._receive_response,
         )
         if isinstance(begun, ServiceResponse):
             self._conclude("error", begun.verdict, begun.code)
             return
         row["transaction"] = begun.lifecycle.edge_request_id
         if self._hangs_up_ms:
-            self._time.after(self._hangs_up_ms, lambda: self._hang_up(begun, host.incarnation))
+            self._time.after(self._hangs_up_ms, lambda: self._disconnect(begun, host.incarnation))
 
     def give_up(self) -> None:
-        """Record the call as lost, unless it has an outcome."""
+        """Record the call as lost, unless it has an outcome already."""
         self._conclude("lost", "may_have_run")
 
-    def _hang_up(self, request: Any, incarnation: int) -> None:
+    def _disconnect(self, request: Any, incarnation: int) -> None:
         host = self._host
         if self._row["outcome"] == "none" and host.up and host.incarnation == incarnation:
             self._conclude("hung-up", "may_have_run")
@@ -66,7 +83,7 @@
         self._row.setdefault("first_ms", self._time.now_ms)
         self._row["events"].append(flat_events(event.decode()))
 
-    def _answered(self, step: Step, answer: ServiceResponse[None]) -> None:
+    def _receive_response(self, step: Step, answer: ServiceResponse[None]) -> None:
         row = self._row
         if answer.refusal is not None:
             row["back_ms"] = answer.refusal.retry_after_ms
@@ -80,7 +97,7 @@
             self._conclude(step.kind, "ran", "", body)
 
     def _conclude(self, outcome: str, verdict: str, code: str = "", body: str = "") -> None:
-        """Record the outcome, once; send the call again if it may have run and is to be resent."""
+        """Record the first outcome; later ones are ignored. Resend the call if it may have run."""
         row = self._row
         if row["outcome"] != "none":
             return
@@ -94,7 +111,7 @@
 
 
 def flat_events(text: str) -> str:
-    """Return a stream's events as TRANSACTION:INDEX, joined by bars."""
+    """Return the events of a stream as TRANSACTION:INDEX, separated by vertical bars."""
     found = []
     for event in text.split("\n\n"):
         fields = dict(line.split(": ", 1) for line in event.splitlines())
@@ -104,7 +121,7 @@
 
 
 def flat_body(text: str) -> str:
-    """Return a plain answer in the same form, an index for each word."""
+    """Return a response that is not streamed in the form of `flat_events`, a word as an event."""
     body = json.loads(text)
     words = body["choices"][0]["text"].split()
     return "|".join(f"{body['id']}:{index}" for index in range(len(words)))
--- a/libs/simulator/src/simulator/operators.py
+++ b/libs/simulator/src/simulator/operators.py
@@ -1,6 +1,6 @@
-"""Simulated operators, who change the profiles, sometimes two at once.
+"""Simulated operators, who change the profiles, sometimes concurrently.
 
-What they see of their changes is recorded in the history.
+Changes and their outcomes are recorded in the history.
 """
 
 import json
@@ -14,10 +14,10 @@
 __all__ = ["BACKLOG_LIMIT", "Operators", "profiles_tree"]
 
 BACKLOG_LIMIT = 3
-"""How many jobs may wait on a path."""
+"""The number of jobs that may wait on a path."""
 
 _PROFILES_KEY = "profiles"
-_DECIDED = ("ok", "lost")
+_DECIDED_OUTCOMES = ("ok", "lost")
 _SEND_DELAY_MS = 1.0
 _RESEND_MS = 100
 _FINAL_ROUNDS = 4
@@ -25,7 +25,7 @@
 
 
 def profiles_tree(change_id: str, backlog: int = BACKLOG_LIMIT) -> dict[str, Any]:
-    """Return a tree of profiles that names its change; `backlog` jobs may wait on each path."""
+    """Return a profile tree with the id of its change; `backlog` jobs may wait on each path."""
     return {
         "profiles": {
             "base": {"abstract": True, "workers": {"labels": ["gpu"]}, "deadline_ms": 3000},
@@ -40,10 +40,10 @@
 
 
 class Operators:
-    """All operators of a run; `extra_profiles` go into every tree.
+    """All operators of a run; `extra_profiles` are added to every tree.
 
-    `version` is the highest that they know, `acknowledged` the base version and body of each change
-    that was acknowledged, by its id.
+    `version` is the highest version that they know. `acknowledged` has the base version and body of
+    each acknowledged change by its id.
     """
 
     __slots__ = (
@@ -63,8 +63,6 @@
         self.extra_profiles: dict[str, Any] = {}
         self.acknowledged: dict[str, tuple[int, str]] = {}
 
-    # -- changes -------------------------------------------------------------------------------
-
     def change(
         self,
         tries: int = 3,
@@ -72,9 +70,12 @@
         version: int | None = None,
         done: Callable[[Row], None] | None = None,
     ) -> None:
-        """Send a change to a control node; a change in doubt is sent again up to `tries` times.
+        """Send a change to a random running control node; do nothing if there is none.
 
-        It names the highest known version unless `version` is given; `done` gets the row.
+        If a response says neither that the change is acknowledged nor that it is lost, the change
+        is sent again under the same id, at most `tries` times in all. The base version is the
+        highest known one unless `version` is given. `done` receives the row of each try that gets a
+        response.
         """
         hosts = self._fleet.running("control")
         if not hosts:
@@ -105,8 +106,8 @@
             row.update(
                 outcome=response.outcome, version=response.version, answered_ms=self._time.now_ms
             )
-            if response.outcome in _DECIDED:
-                self._learn(message, response)
+            if response.outcome in _DECIDED_OUTCOMES:
+                self._record_response(message, response)
             elif tries > 1:
                 self._time.after(_RESEND_MS, resend)
             if done is not None:
@@ -123,18 +124,17 @@
         tree["profiles"].update(self.extra_profiles)
         return json.dumps(tree, sort_keys=True)
 
-    def _learn(self, change: Change, response: Any) -> None:
-        """Note the version that an answer shows, and an acknowledged change."""
+    def _record_response(self, change: Change, response: Any) -> None:
+        """Update the highest known version and the acknowledged changes from a response."""
         self.version = max(self.version, response.version)
         if response.outcome == "ok":
             self.acknowledged[change.change_id] = (change.version, change.body)
 
-    # -- the end of a run ----------------------------------------------------------------------
-
     def resend_acknowledged(self, count: int) -> None:
-        """Send the last `count` acknowledged changes once more under their ids.
+        """Send the last `count` acknowledged changes again under their ids.
 
-        The final answers are recorded for the oracle; rounds end when all are known.
+        Decided outcomes are recorded for the oracle. Changes without one are sent up to 4 times,
+        3 s apart.
         """
         changes = list(self.acknowledged.items())[-count:]
         unanswered = {change_id for change_id, _ in changes}
@@ -145,10 +145,10 @@
             self._fleet.run_until_true(lambda: not unanswered, _FINAL_ROUND_MS)
 
     def _resend(self, change: Change, unanswered: set[str]) -> None:
-        """Send an acknowledged change again; its final answer takes it off `unanswered`."""
+        """Send an acknowledged change again; a decided outcome removes it from `unanswered`."""
 
         def answered(response: Any) -> None:
-            if change.change_id in unanswered and response.outcome in _DECIDED:
+            if change.change_id in unanswered and response.outcome in _DECIDED_OUTCOMES:
                 unanswered.discard(change.change_id)
                 self._history.add(
                     RowKind.FINAL_CHANGE,
