--- a/libs/simulator/src/simulator/oracle.py
+++ b/libs/simulator/src/simulator/oracle.py
@@ -1,7 +1,7 @@
-"""The oracle: judges a recorded history against every rule of what must never happen.
+"""The oracle: judges a recorded history by the rules for batch jobs, calls, changes and timing.
 
-It also says how many rows each rule judged. A rule that was expected to judge some and judged none
-counts as broken.
+It also counts the rows that each rule judged, so that a rule that should have judged some and
+judged none can be reported as broken.
 """
 
 from collections.abc import Callable, Iterable
@@ -37,17 +37,17 @@
 
 
 def rows_judged(history: History) -> dict[str, int]:
-    """Return how many rows each rule judged."""
+    """Return the number of rows that each rule judged."""
     return {name: int(rule(history).judged) for name, rule in RULES.items()}
 
 
 def judge(history: History, due: Iterable[str] = ()) -> dict[str, list[str]]:
-    """Return the breaches by rule; empty when the history breaks none.
+    """Return the breaches by rule, without the rules that the history keeps.
 
-    `due` names rules that must have had something to judge.
+    `due` names the rules that must have judged at least one row.
     """
     judgements = {name: rule(history) for name, rule in RULES.items()}
     for name in set(due):
         if not judgements[name].judged:
-            judgements[name].breaches.append("nothing to judge, though some was due")
+            judgements[name].breaches.append("no rows to judge, though some are required")
     return {name: breaches for name, (_, breaches) in judgements.items() if breaches}
--- a/libs/simulator/src/simulator/reading_workers.py
+++ b/libs/simulator/src/simulator/reading_workers.py
@@ -1,7 +1,7 @@
-"""Simulated workers with what rollouts depend on.
+"""Simulated workers with the behaviour that rollouts depend on.
 
-Prompts are read one at a time, calls beyond the slots wait in a short queue, and each answer names
-the weights in force. A worker may be lent whole; it then runs no calls.
+Prefills take time and are done one at a time, calls beyond the slots wait in a short queue, and
+each response names the weights in force. A worker may be lent to a borrower.
 """
 
 from typing import Any
@@ -12,14 +12,15 @@
 __all__ = ["ReadingWorker"]
 
 _ROLLOUT_PATH = "rollouts"
-_SAMPLE_LENGTH = 4
-"""How many times as many events a rollout's sample has."""
+_SAMPLE_EVENT_FACTOR = 4
+"""The number of events of a rollout's sample, as a multiple of that of other runs."""
 
 
 class ReadingWorker(SimWorker):
-    """A worker that reads prompts for `prefill_ms` each, one after another.
+    """A worker whose prefills take `prefill_ms` each and are done one after another.
 
-    `borrower` is who has it whole, as the worker knows; `weights` are those that it has loaded.
+    `borrower` is the loan under which the whole worker is lent, or empty; `weights` names the
+    weights that are loaded.
     """
 
     watches_connections = True
@@ -44,19 +45,23 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many calls wait for a slot."""
+        """The number of calls that wait for a slot."""
         return len(self._waiting)
 
     def events_of(self, path: str) -> int:
-        """Return how many events a run on `path` has; samples of rollouts are longer."""
-        return self.event_count * (_SAMPLE_LENGTH if path == _ROLLOUT_PATH else 1)
+        """Return the number of events of a run on `path`; samples of rollouts have more."""
+        return self.event_count * (_SAMPLE_EVENT_FACTOR if path == _ROLLOUT_PATH else 1)
 
     def extra_headers(self) -> list[tuple[str, str]]:
-        """Return the header that names the weights in force."""
+        """Return the header that names the loaded weights."""
         return [("X-Vaneledge-Weights", self.weights)]
 
     def refusal(self, headers: dict[str, str]) -> tuple[int, str] | None:
-        """Return status and code with which a request is refused, or None if it is accepted."""
+        """Return the status and code of a refusal, or None if the request is accepted.
+
+        Requests for another incarnation or other weights are refused, and all requests while the
+        worker leaves or as many calls wait as there are slots.
+        """
         if headers["X-Vaneledge-Worker"] != self.instance_id:
             return 409, "wrong-worker"
         if headers.get("X-Vaneledge-Weights", "") not in ("", self.weights):
@@ -66,14 +71,14 @@
         return None
 
     def accept(self, run: WorkerRun) -> None:
-        """Start a run, or let it wait for a slot."""
+        """Start a run, or queue it if no slot is free."""
         if self._running_count < self.slots:
             self._start(run)
         else:
             self._waiting.append(run)
 
     def _start(self, run: WorkerRun) -> None:
-        """Start a run; its first output follows once its prompt has been read."""
+        """Start a run; its first output follows once its prefill is done."""
         self._running_count += 1
         self._runs.append(run)
         self.record_run(run, borrower=self.borrower)
@@ -81,20 +86,23 @@
         self.time.after(self._prefill_until_ms - self.time.now_ms, lambda: run.write_event(0))
 
     def check_connections(self) -> None:
-        """End runs whose caller has disconnected."""
+        """End the runs whose caller has disconnected."""
         for run in [run for run in self._runs if not run.is_open()]:
             self.finish(run)
 
     def is_running(self, run: WorkerRun) -> bool:
-        """Return whether a run that was started has not been finished."""
+        """Return whether a run has been started and not finished."""
         return run in self._runs
 
     def is_abandoned(self, run: WorkerRun, index: int) -> bool:
-        """Return whether the caller has gone."""
+        """Return whether the caller has disconnected."""
         return not run.is_open()
 
     def finish(self, run: WorkerRun) -> None:
-        """Take a run off and start those that wait, as far as slots and callers allow."""
+        """Remove a run and start queued ones in the freed slots.
+
+        Queued runs whose caller has disconnected are dropped.
+        """
         if run not in self._runs:
             return
         self._runs.remove(run)
--- a/libs/simulator/src/simulator/rules_calls.py
+++ b/libs/simulator/src/simulator/rules_calls.py
@@ -1,6 +1,6 @@
-"""Rules about requests: how often they ran, what clients were told, and what they received.
+"""Rules about requests: how often they run, what clients are told, and what they receive.
 
-Each rule takes a history and returns its judgement.
+Each rule takes a history and returns a Judgement.
 """
 
 from collections import defaultdict
@@ -21,7 +21,7 @@
 
 
 def unsafe_runs_once(history: History) -> Judgement:
-    """A request that isn't safe to repeat runs at most once."""
+    """A request that is not safe to repeat runs at most once."""
     runs: dict[str, list[str]] = defaultdict(list)
     for run in history.rows_of(RowKind.RUN):
         if not run["safe"]:
@@ -37,19 +37,21 @@
 
 
 def not_run_is_true(history: History) -> Judgement:
-    """A request that was reported not run never ran.
+    """A request that is reported as not run never runs.
 
-    Runs are found by the call's name, which reaches the worker in the prompt, by its key, and by
-    the job.
+    A request's runs are found by the call's name, by its key and by its job, all of which the
+    prompt carries to the worker. For a key, only runs before the report count.
     """
     ran = {run["call"] for run in history.rows_of(RowKind.RUN)}
     refused = [call for call in history.rows_of(RowKind.CALL) if call["verdict"] == "not_run"]
     breaches = [
-        f"{call['call']} was told not_run and ran" for call in refused if call["call"] in ran
+        f"{call['call']} was reported as not_run, but ran"
+        for call in refused
+        if call["call"] in ran
     ]
     by_key = {run["key"]: run["at_ms"] for run in history.rows_of(RowKind.RUN) if run["key"]}
     breaches += [
-        f"key {call['key']} was told not_run at {call['answered_ms']} after it had run"
+        f"key {call['key']} was reported as not_run at {call['answered_ms']} ms, but had run"
         for call in refused
         if call["key"] in by_key
         and by_key[call["key"]] < call["answered_ms"]
@@ -62,12 +64,12 @@
         job for job, verdicts in verdicts_by_job.items() if set(verdicts) == {"not_run"}
     ]
     jobs = {run["lot"] for run in history.rows_of(RowKind.RUN) if run["lot"]}
-    breaches += [f"{job} was refused at every try and ran" for job in refused_jobs if job in jobs]
+    breaches += [f"{job} was refused at every try, but ran" for job in refused_jobs if job in jobs]
     return Judgement(len(refused) + len(refused_jobs), breaches)
 
 
 def streams_complete(history: History) -> Judgement:
-    """A stream has the events of one run, in order and, if it ended well, all of them."""
+    """A stream has the events of one run in order, and all of them if it ended normally."""
     ended = {row["transaction"]: row["event_count"] for row in history.rows_of(RowKind.RUN_ENDED)}
     breaches, judged = [], 0
     for call in history.rows_of(RowKind.CALL):
@@ -79,16 +81,18 @@
         if len(names) > 1:
             breaches.append(f"{call['call']}: events of {len(names)} runs")
         if indexes != list(range(len(indexes))):
-            breaches.append(f"{call['call']}: events {indexes}")
+            breaches.append(f"{call['call']}: event indexes out of order: {indexes}")
         if call["outcome"] == "finish" and (
             call["transaction"] not in ended or len(indexes) != ended[call["transaction"]]
         ):
-            breaches.append(f"{call['call']}: looked complete with {len(indexes)} events")
+            breaches.append(
+                f"{call['call']}: ended normally with {len(indexes)} events, not those of its run"
+            )
     return Judgement(judged, breaches)
 
 
 def _complete_output(history: History) -> Callable[[str], str]:
-    """Return a function that names the run of which a text is the complete output, or ""."""
+    """Return a function that returns the run whose complete output is a text, or ""."""
     ended = {row["transaction"]: row["event_count"] for row in history.rows_of(RowKind.RUN_ENDED)}
 
     def run_of(text: str) -> str:
@@ -101,7 +105,7 @@
 
 
 def bodies_complete(history: History) -> Judgement:
-    """An answer or a result is the whole output of the run that it belongs to."""
+    """A response or a job's result is the complete output of a run of that call or item."""
     runs = {run["transaction"]: run for run in history.rows_of(RowKind.RUN)}
     breaches, judged, run_of = [], 0, _complete_output(history)
     for call in history.rows_of(RowKind.CALL):
@@ -113,19 +117,23 @@
                 or runs[name]["key"] != call["key"]
                 or (not call["key"] and runs[name]["call"] != call["call"])
             ):
-                breaches.append(f"{call['call']}: body {call['body']!r}")
+                breaches.append(
+                    f"{call['call']}: body {call['body']!r} is not the output of its run"
+                )
     for read in history.rows_of(RowKind.READ):
         for index, outcome, text in read["results"]:
             if outcome == "ran":
                 judged += 1
                 name = run_of(text)
                 if not name or (runs[name]["lot"], runs[name]["index"]) != (read["lot"], index):
-                    breaches.append(f"{read['lot']}#{index}: result {text!r}")
+                    breaches.append(
+                        f"{read['lot']}#{index}: result {text!r} is not the output of its run"
+                    )
     return Judgement(judged, breaches)
 
 
 def keys_one_body(history: History) -> Judgement:
-    """A key is answered with one body for ever, and with the answer to what was asked."""
+    """All calls with a key get the same body, which is the response to what they asked."""
     runs = {run["transaction"]: run for run in history.rows_of(RowKind.RUN)}
     by_key: dict[str, str] = {}
     breaches, judged = [], 0
@@ -134,23 +142,24 @@
             continue
         judged += 1
         if by_key.setdefault(call["key"], call["body"]) != call["body"]:
-            breaches.append(f"{call['call']}: key {call['key']} had another answer before")
+            breaches.append(f"{call['call']}: key {call['key']} got another body before")
         run = runs.get(call["body"].partition(":")[0])
         if run is not None and run["question"] != call["question"]:
             breaches.append(
-                f"{call['call']}: asked {call['question']!r}, answered what {run['question']!r} got"
+                f"{call['call']}: asked {call['question']!r}, got the response to "
+                f"{run['question']!r}"
             )
     return Judgement(judged, breaches)
 
 
 def workers_allowed(history: History) -> Judgement:
-    """A request reaches only workers that its profile allows."""
+    """A request runs only at workers that its profile allows."""
     allowed = set(history.settings.get("allowed", ["gpu"]))
     runs = history.rows_of(RowKind.RUN)
     return Judgement(
         len(runs),
         [
-            f"{run['transaction']} reached {run['worker']}"
+            f"{run['transaction']} ran at {run['worker']}, which its profile does not allow"
             for run in runs
             if not allowed & ({run["identity"]} | set(run["labels"]))
         ],
@@ -158,18 +167,18 @@
 
 
 def departed_workers_get_nothing(history: History) -> Judgement:
-    """A worker gets nothing once an edge has known for `force_ms` that it is gone.
+    """No request is sent to a worker later than `force_ms` after its departure.
 
-    An edge knows from a leave that it took, a crash, or silence, which a worker that was only
-    unreachable ends with its next heartbeat.
+    A departure is a leave that an edge received, a crash, or the start of unresponsiveness. The
+    latter ends at `until_ms`; the worker's next heartbeat makes it available again.
     """
     limit_ms = history.settings.get("force_ms", 2000) + SLACK_MS
-    gone: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    departures: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for row in history.rows_of(RowKind.WORKER_LEFT):
-        gone[row["worker"]].append((row["at_ms"] + limit_ms, row.get("until_ms", 1e12)))
+        departures[row["worker"]].append((row["at_ms"] + limit_ms, row.get("until_ms", 1e12)))
     breaches = [
-        f"{row['transaction']} was sent to {row['worker']} after it was gone"
+        f"{row['transaction']} was sent to {row['worker']} after its departure"
         for row in history.rows_of(RowKind.SENT)
-        if any(from_ms < row["at_ms"] < to_ms for from_ms, to_ms in gone[row["worker"]])
+        if any(from_ms < row["at_ms"] < to_ms for from_ms, to_ms in departures[row["worker"]])
     ]
     return Judgement(len(history.rows_of(RowKind.WORKER_LEFT)), breaches)
--- a/libs/simulator/src/simulator/rules_jobs.py
+++ b/libs/simulator/src/simulator/rules_jobs.py
@@ -1,6 +1,6 @@
-"""Rules about batch jobs: accepted ones are kept, cancelled ones stop, the backlog is limited.
+"""Rules about batch jobs: accepted jobs are kept, cancelled ones stop, backlogs are limited.
 
-Each rule takes a history and returns its judgement.
+Each rule takes a history and returns a Judgement.
 """
 
 from collections import defaultdict
@@ -19,7 +19,10 @@
 
 
 def accepted_jobs_kept(history: History) -> Judgement:
-    """A read begun after the acknowledgement finds the job, and a result never changes."""
+    """A read that begins after a job's acknowledgement finds the job.
+
+    Results are listed without gaps from the index asked for, and a result never changes.
+    """
     acked: dict[str, float] = {}
     for row in history.rows_of(RowKind.SUBMISSION):
         if row["outcome"] in _ACCEPTED:
@@ -31,20 +34,20 @@
         judged += job in acked and read["began_ms"] > acked[job]
         if read["outcome"] == "missing" and job in acked and read["began_ms"] > acked[job]:
             breaches.append(
-                f"{job} was accepted at {acked[job]} "
-                f"and missing for a read begun at {read['began_ms']}"
+                f"{job} was accepted at {acked[job]} ms, "
+                f"but missing in a read that began at {read['began_ms']} ms"
             )
         indexes = [index for index, _, _ in read["results"]]
         if indexes != list(range(read["start"], read["start"] + len(indexes))):
-            breaches.append(f"{job}: listed {indexes} from {read['start']}")
+            breaches.append(f"{job}: read from index {read['start']}, listed indexes {indexes}")
         for index, outcome, text in read["results"]:
             if results.setdefault((job, index), f"{outcome} {text}") != f"{outcome} {text}":
-                breaches.append(f"{job}#{index} changed")
+                breaches.append(f"{job}#{index}: the result changed")
     return Judgement(judged, breaches)
 
 
 def jobs_kept_at_end(history: History) -> Judgement:
-    """At the end each accepted job is known, with at least the results listed before."""
+    """At the end, each accepted job exists and lists at least all results that were read."""
     final = {row["lot"]: row for row in history.rows_of(RowKind.FINAL_READ)}
     breaches, judged = [], 0
     listed: dict[str, int] = defaultdict(int)
@@ -57,17 +60,17 @@
             last = final.get(row["lot"])
             if last is None or last["outcome"] != "known":
                 breaches.append(
-                    f"{row['lot']} was accepted and at the end is {last and last['outcome']}"
+                    f"{row['lot']} was accepted, but at the end: {last and last['outcome']}"
                 )
             elif last["listed"] < listed[row["lot"]]:
                 breaches.append(
-                    f"{row['lot']} lists {last['listed']}, {listed[row['lot']]} were read"
+                    f"{row['lot']} lists {last['listed']} results, {listed[row['lot']]} were read"
                 )
     return Judgement(judged, breaches)
 
 
 def cancelled_jobs_stop(history: History) -> Judgement:
-    """No item of a job starts later than `end_ms` after the job was cancelled."""
+    """No item of a job starts later than `end_ms` after its cancellation was acknowledged."""
     limit_ms = history.settings.get("end_ms", 3000) + SLACK_MS
     ended: dict[str, float] = {}
     for row in history.rows_of(RowKind.CANCELLATION):
@@ -76,7 +79,7 @@
         len(ended),
         [
             f"{run['lot']}#{run['index']} ran {run['at_ms'] - ended[run['lot']]:.0f} ms "
-            "after the end"
+            "after its cancellation"
             for run in history.rows_of(RowKind.RUN)
             if run["lot"] in ended and run["at_ms"] > ended[run["lot"]] + limit_ms
         ],
@@ -84,15 +87,15 @@
 
 
 def backlog_limited(history: History) -> Judgement:
-    """No more jobs wait on a path at once than its backlog limit allows.
+    """The number of open jobs of a path never exceeds its backlog limit.
 
-    This is judged by the leader's own count, and from outside: a job was open from its
-    acknowledgement until the start of the last read that still showed it open.
+    This is judged by the leaders' own counts, and by what clients observed: a job was open at least
+    from its acknowledgement until the start of the last read that showed it open.
     """
     limit = history.settings.get("room", 3)
     samples = history.rows_of(RowKind.BACKLOG)
     breaches = [
-        f"{row['store']} at {row['at_ms']}: {row['used']} lots wait on {row['path']}"
+        f"{row['store']} at {row['at_ms']} ms: {row['used']} jobs wait on {row['path']}"
         for row in samples
         if row["used"] > limit
     ]
@@ -102,12 +105,12 @@
         for at_ms, step in sorted(steps):
             waiting += step
             if waiting > limit:
-                breaches.append(f"{waiting} lots were open on {path} at {at_ms:.0f}")
+                breaches.append(f"{waiting} jobs were open on {path} at {at_ms:.0f} ms")
     return Judgement(len(samples) + len(open_until), breaches)
 
 
 def _last_shown_open(history: History) -> dict[str, float]:
-    """Return by job when the last read began that showed it open."""
+    """Return by job the start of the last read that showed it open."""
     open_until: dict[str, float] = {}
     for read in history.rows_of(RowKind.READ):
         if read["outcome"] == "known" and not read["ended"] and read["listed"] < read["total"]:
@@ -118,7 +121,10 @@
 def _steps_of_backlog(
     history: History, open_until: dict[str, float]
 ) -> dict[str, list[tuple[float, int]]]:
-    """Return by path the times at which the number of open jobs rose (1) or fell (-1)."""
+    """Return by path the times at which the number of open jobs rose (1) or fell (-1).
+
+    Only jobs that a read showed open after their acknowledgement are counted.
+    """
     accepted: dict[str, tuple[str, float]] = {}
     for row in history.rows_of(RowKind.SUBMISSION):
         if row["outcome"] in _ACCEPTED and row["lot"] not in accepted:
--- a/libs/simulator/src/simulator/run_digest.py
+++ b/libs/simulator/src/simulator/run_digest.py
@@ -1,7 +1,8 @@
-"""A digest of one simulated run: of every message sent and of every byte written to a disk.
+"""A digest of a simulated run: of all messages sent between hosts and all writes to disks.
 
-Two versions of the code that give the same digests for the same seeds behave alike in these runs,
-byte for byte and at the same virtual times. A change that only renames or moves code keeps them.
+If two versions of the code give the same digests for the same seeds, they send and write the same
+bytes at the same virtual times in these runs. A change that only renames or moves code has to keep
+the digests.
 """
 
 import hashlib
@@ -20,7 +21,10 @@
 
 
 class RunDigest:
-    """Hashes what the hosts of a run send and write, in order, with the virtual time."""
+    """Hashes the messages and writes of a run's hosts in order, with their virtual times.
+
+    `count` is the number of messages and writes that were hashed.
+    """
 
     __slots__ = ("_hash", "count")
 
@@ -28,19 +32,22 @@
         self._hash = hashlib.sha256()
         self.count = 0
 
-    def add(self, time_ms: float, what: str, data: bytes) -> None:
-        """Add one message or one write."""
-        self._hash.update(f"{time_ms:.6f} {what} ".encode())
+    def add(self, time_ms: float, label: str, data: bytes) -> None:
+        """Hash a message or a write; `label` says which, with addresses or the file and offset."""
+        self._hash.update(f"{time_ms:.6f} {label} ".encode())
         self._hash.update(data)
         self.count += 1
 
     def text(self) -> str:
-        """Return the digest in hexadecimal, shortened."""
+        """Return the first 16 hexadecimal digits of the digest."""
         return self._hash.hexdigest()[:_DIGEST_CHARACTERS]
 
     @contextmanager
     def recording(self) -> Iterator[None]:
-        """Record all simulated networks and disks of this process meanwhile."""
+        """Hash all messages and writes on simulated networks and disks within this context.
+
+        It patches `Network` and `SimDisk`, and so covers all runs of the process.
+        """
         send, write, replace = Network.send, SimDisk.write, SimDisk.replace
 
         def send_and_add(
@@ -77,7 +84,7 @@
 
 @contextmanager
 def _replaced(owner: type, name: str, method: Callable[..., None]) -> Iterator[None]:
-    """Replace a method of a class meanwhile."""
+    """Replace a method of a class within this context."""
     original = getattr(owner, name)
     setattr(owner, name, method)
     try:
@@ -87,7 +94,7 @@
 
 
 def digest_of_run(shape: str, seed: int, faults: int) -> str:
-    """Return the digest of one run, how much it hashed, and the rules that the run broke."""
+    """Return a run's digest, the number of messages and writes, and the rules that it broke."""
     digest = RunDigest()
     with digest.recording():
         breaches, _ = run_seed(seed, faults=faults, shape=shape)
