--- a/libs/simulator/src/simulator/reading_workers.py
+++ b/libs/simulator/src/simulator/reading_workers.py
@@ -48,7 +48,7 @@
         """The number of calls that wait for a slot."""
         return len(self._waiting)
 
-    def events_of(self, path: str) -> int:
+    def event_count_of(self, path: str) -> int:
         """Return the number of events of a run on `path`; samples of rollouts have more."""
         return self.event_count * (_SAMPLE_EVENT_FACTOR if path == _ROLLOUT_PATH else 1)
 
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -1,7 +1,8 @@
-"""One simulated run, from the start of a fleet to the oracle's judgement.
+"""A simulated run, from the start of a fleet to the oracle's judgement.
 
-Traffic and faults run for a time; then all machines return, each kind of request is tried once the
-fleet must have recovered, and everything is read again.
+Random requests are sent and faults are injected for a time. Then all faults are undone, each kind
+of request is tried once the fleet has to have recovered, all jobs are read, and acknowledged
+changes are sent again.
 """
 
 from collections.abc import Callable
@@ -30,8 +31,8 @@
         "every_ms": 40.0,
     },
 }
-_LIVE_PATHS = ("rulings", "rulings", "narrations")
-"""Paths of live calls, each as often as it is named."""
+_LIVE_CALL_PATHS = ("rulings", "rulings", "narrations")
+"""The paths of random live calls; one that is listed twice is drawn twice as often."""
 
 _START_LIMIT_MS = 12_000
 _SETTLE_MS = 600
@@ -45,11 +46,23 @@
     "lot": ("admitted", "waiting-room-full"),
     "change": ("ok", "lost"),
 }
-"""What is probed, and the outcomes that show that it works."""
+"""The kinds of requests that are probed, with the outcomes that show that they work."""
 
 
 class Run:
-    """A fleet with its clients and operators; `items` bounds the size of jobs."""
+    """A fleet with its clients and operators.
+
+    Parameters
+    ----------
+    seed
+        The seed of all random decisions.
+    settings
+        Settings of the hosts that differ from those of SimFleet.
+    items
+        The range from which the number of items of a job is drawn, without its end.
+    **sizes
+        Numbers of hosts and workers, as for SimFleet.
+    """
 
     __slots__ = ("clients", "fleet", "items", "operators", "stopped")
 
@@ -72,45 +85,49 @@
         self.stopped = False
 
     def start(self) -> None:
-        """Start the fleet; AssertionError if it does not get ready in time."""
+        """Start the fleet and its samples; AssertionError if it is not ready in time."""
         fleet = self.fleet
         if not fleet.run_until_true(
             lambda: all(host.node.has_quorum() for host in fleet.with_role("control")),
             _START_LIMIT_MS,
         ):
-            raise AssertionError("control was not bootstrapped")
+            raise AssertionError(f"control nodes have no quorum within {_START_LIMIT_MS} ms")
         self.operators.change()
         if not fleet.run_until_true(fleet.ready, _START_LIMIT_MS):
-            raise AssertionError("the fleet did not get ready")
+            raise AssertionError(f"the fleet is not ready within {_START_LIMIT_MS} ms")
         if not fleet.run_until_true(fleet.in_serving_set, _START_LIMIT_MS):
-            raise AssertionError("edges and stores did not get into the serving set")
+            raise AssertionError(
+                f"edges and stores are not in the serving set within {_START_LIMIT_MS} ms"
+            )
         fleet.run_until_true(lambda: False, _SETTLE_MS)
         fleet.start_sampling()
 
     def traffic(self, every_ms: float) -> None:
-        """Send a random request about every `every_ms`, until `stopped`."""
+        """Send a random request every 0.5 to 1.5 times `every_ms`, until `stopped` is set."""
         if self.stopped:
             return
         rng, clients = self.fleet.time.rng, self.clients
-        dice = rng.random()
-        if dice < 0.42:
-            clients.live(rng.choice(_LIVE_PATHS), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0)
-        elif dice < 0.65:
-            self._move()
-        elif dice < 0.72:
+        draw = rng.random()
+        if draw < 0.42:
+            clients.live(
+                rng.choice(_LIVE_CALL_PATHS), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0
+            )
+        elif draw < 0.65:
+            self._send_call_with_key()
+        elif draw < 0.72:
             clients.submit(rng.choice(("summaries", "claims")), rng.randrange(*self.items))
-        elif dice < 0.93 and clients.jobs:
+        elif draw < 0.93 and clients.jobs:
             clients.read(rng.choice(list(clients.jobs)[-6:]))
-        elif dice < 0.95 and clients.jobs:
+        elif draw < 0.95 and clients.jobs:
             clients.cancel(rng.choice(list(clients.jobs)[-3:]))
-        elif dice >= 0.95:
+        elif draw >= 0.95:
             self.operators.change()
             if rng.random() < 0.5:
                 self.operators.change()
         self.fleet.time.after(every_ms * (0.5 + rng.random()), lambda: self.traffic(every_ms))
 
-    def _move(self) -> None:
-        """Send a call with a key of its own; now and then reuse the key for another prompt."""
+    def _send_call_with_key(self) -> None:
+        """Send a call with a new key; one time in five, reuse the key for another prompt."""
         clients, key = self.clients, f"key{len(self.fleet.history.rows)}"
         clients.live("moves", key, 3)
         if self.fleet.time.rng.random() < 0.2:
@@ -120,7 +137,7 @@
             )
 
     def schedule_faults(self, rows: FaultSchedule) -> None:
-        """Schedule faults, given as rows of time and name."""
+        """Schedule the injection of faults at their times."""
         for at_ms, name in rows:
             self.fleet.time.after(at_ms - self.fleet.time.now_ms, partial(self._inject, name))
 
@@ -130,7 +147,7 @@
         FAULTS[name](self.fleet)
 
     def undo_faults(self) -> None:
-        """Undo all faults: heal the network and bring every machine back."""
+        """Undo all faults; workers that crashed or left do not return."""
         fleet = self.fleet
         fleet.network.heal()
         for host in fleet.hosts.values():
@@ -145,9 +162,10 @@
                 row["until_ms"] = min(row["until_ms"], fleet.time.now_ms)
 
     def probe(self, after_ms: float) -> None:
-        """Try each kind of request once `after_ms` have passed; each must work at the first try.
+        """Try each kind of request once, after `after_ms`, and record whether it worked.
 
-        These are live calls at as many edges as there are, a keyed call, a job and a change.
+        The requests are as many live calls as there are edges, a call with a key, a job and a
+        change. None is retried. Of the live calls, the last outcome is recorded.
         """
         fleet = self.fleet
         fleet.time.run_until(fleet.time.now_ms + after_ms)
@@ -164,7 +182,7 @@
             )
 
     def _send_probes(self) -> dict[str, str]:
-        """Send one request of each kind; return what will have the outcomes as they come."""
+        """Send the requests and return a dict that is filled with their outcomes by kind."""
         outcomes: dict[str, str] = {}
 
         def note_call(what: str, row: Row) -> None:
@@ -182,7 +200,7 @@
         return outcomes
 
     def read_all(self) -> None:
-        """Read every acknowledged job at the end and record what is listed."""
+        """Read every acknowledged job and record what it lists, in up to 4 rounds of 3 s."""
         fleet = self.fleet
         unread = {job_id for job_id, job in self.clients.jobs.items() if job.acknowledged}
 
@@ -214,10 +232,26 @@
     shape: str = "small",
     watch: Callable[[Run], None] = lambda run: None,
 ) -> tuple[dict[str, list[str]], Run]:
-    """Run one seed and return the breaches by rule, and the run.
+    """Simulate a run and judge it; return the breaches by rule, and the run.
 
-    `rows` is a schedule of faults; without one, `faults` of them are drawn, from the names in
-    `only` if given. `shape` names a row of SHAPES. `watch` is given the run once it has started.
+    Parameters
+    ----------
+    seed
+        The seed of all random decisions.
+    faults
+        The number of faults that are drawn; ignored if `rows` is given.
+    span_ms
+        How long requests are sent and faults injected.
+    only
+        The names of the faults that may be drawn, by default all.
+    rows
+        A schedule of faults, with times from the start of the requests.
+    settings
+        Settings of the hosts that differ from those of SimFleet.
+    shape
+        The name of an entry of SHAPES.
+    watch
+        Called with the run once its fleet has started.
     """
     shaped = SHAPES[shape]
     run = Run(seed, settings, shaped["items"], **shaped["sizes"])
--- a/libs/simulator/src/simulator/trainers.py
+++ b/libs/simulator/src/simulator/trainers.py
@@ -1,7 +1,7 @@
 """Simulated trainers, which submit rollouts, read the samples, and borrow whole workers.
 
-Submissions are sometimes repeated; workers are returned after a while, or when they are recalled.
-What trainers see is recorded in the history.
+Each accepted rollout is submitted once more. Workers are returned after a fixed time, or earlier if
+they are recalled. Responses and loans are recorded in the history.
 """
 
 import json
@@ -16,9 +16,9 @@
 __all__ = ["RolloutProgress", "Trainers"]
 
 _RESUBMIT_MS = 2500
-_FOLLOW_MS = 400
-_WATCH_MS = 50
-_REPORT_MS = 400
+_READ_INTERVAL_MS = 400
+_LOAN_POLL_MS = 50
+_REPORT_RETRY_MS = 400
 _READ_LIMIT = 1000
 _LEASE_MS = 6000
 _RECALL_MS = 1500
@@ -26,7 +26,11 @@
 
 
 class RolloutProgress:
-    """What trainers know of one rollout: its samples by index, and when it was complete."""
+    """The state of a rollout as its trainer knows it.
+
+    `results` has the samples read so far by index; `done_ms` is the time at which all had been
+    read, or 0.
+    """
 
     __slots__ = ("acknowledged", "done_ms", "prompts", "results", "samples", "weights")
 
@@ -38,12 +42,12 @@
 
     @property
     def total(self) -> int:
-        """How many samples the whole rollout has."""
+        """The number of samples of the rollout."""
         return self.prompts * self.samples
 
 
 class Trainers:
-    """All trainers of a run; `hold_ms` is how long they keep a worker."""
+    """All trainers of a run; `hold_ms` is the time for which they keep a borrowed worker."""
 
     __slots__ = ("_fleet", "_history", "_rng", "_time", "hold_ms", "rollouts", "stopped")
 
@@ -58,12 +62,10 @@
         edges = self._fleet.running("edge")
         return self._rng.choice(edges) if edges else None
 
-    # -- rollouts ------------------------------------------------------------------------------
-
     def submit(self, prompts: int, samples: int, weights: str = "w1") -> str:
-        """Submit a rollout until it is certainly accepted; return its id.
+        """Submit a rollout every 2.5 s until it is acknowledged, and return its id.
 
-        After the first acknowledgement it is sent once more through another edge.
+        After the first acknowledgement it is submitted once more, through a random edge.
         """
         rollout_id = f"r{len(self.rollouts) + 1}"
         self.rollouts[rollout_id] = RolloutProgress(prompts, samples, weights)
@@ -75,19 +77,21 @@
 
         def answered(answer: ServiceResponse[None]) -> None:
             if answer.status in (_OK, _CREATED) and not rollout.acknowledged:
-                self._acknowledged(rollout_id)
+                self._record_acknowledgement(rollout_id)
 
         def resend() -> None:
             if not rollout.acknowledged and not self.stopped:
                 self._send(rollout_id)
 
         if host is not None:
-            host.node.rollout_service.submit(rollout_id, _body(rollout_id, rollout), answered)
+            host.node.rollout_service.submit(
+                rollout_id, _rollout_body(rollout_id, rollout), answered
+            )
         if not rollout.acknowledged:
             self._time.after(_RESUBMIT_MS, resend)
 
-    def _acknowledged(self, rollout_id: str) -> None:
-        """Note the first acknowledgement, send the rollout once more, and begin to read."""
+    def _record_acknowledgement(self, rollout_id: str) -> None:
+        """Record the first acknowledgement, submit the rollout again, and start reading."""
         rollout = self.rollouts[rollout_id]
         rollout.acknowledged = True
         self._history.add(
@@ -97,15 +101,15 @@
         self.follow(rollout_id)
 
     def follow(self, rollout_id: str) -> None:
-        """Read on every 400 ms until all samples are there."""
+        """Read further samples every 400 ms until all have been read."""
         rollout = self.rollouts[rollout_id]
         if rollout.done_ms or self.stopped:
             return
         self.read(rollout_id, len(rollout.results))
-        self._time.after(_FOLLOW_MS, lambda: self.follow(rollout_id))
+        self._time.after(_READ_INTERVAL_MS, lambda: self.follow(rollout_id))
 
     def read(self, rollout_id: str, start: int) -> None:
-        """Read samples from an index on and record them."""
+        """Read and record the samples from the index `start` on."""
         rollout, host = self.rollouts[rollout_id], self._choose_edge()
 
         def answered(answer: ServiceResponse[None]) -> None:
@@ -132,10 +136,8 @@
         if host is not None:
             host.node.rollout_service.results(rollout_id, start, _READ_LIMIT, answered)
 
-    # -- whole workers -------------------------------------------------------------------------
-
     def borrow(self, every_ms: float, weights: str, until_ms: float) -> None:
-        """Ask for a random worker every `every_ms` until a time is reached."""
+        """Request a loan of a random worker every `every_ms`, until the time `until_ms`."""
         if self.stopped or self._time.now_ms > until_ms:
             return
         hosts = self._fleet.running("control")
@@ -162,13 +164,13 @@
         host.node.loans.grant(identity, "trainer", weights, _LEASE_MS, _RECALL_MS, answered)
 
     def watch(self) -> None:
-        """Follow the loans at control: take lent workers and return recalled ones."""
+        """Poll the loans every 50 ms, take over lent workers and return recalled ones."""
         for host in self._fleet.running("control"):
             for identity, row in host.node.loans.rows().items():
                 worker = self._running_worker(identity)
                 if worker is not None and row["state"] in (LoanState.LENT, LoanState.RECALLED):
                     self._observe_loan(worker, row)
-        self._time.after(_WATCH_MS, self.watch)
+        self._time.after(_LOAN_POLL_MS, self.watch)
 
     def _running_worker(self, identity: str) -> Any:
         return next(
@@ -181,7 +183,7 @@
         )
 
     def _observe_loan(self, worker: Any, row: dict[str, Any]) -> None:
-        """Take a worker whose loan is new, or return it if it is recalled."""
+        """Take over the worker of a new loan, or return it if the loan is recalled."""
         loan = f"loan{row['loan']}"
         if worker.borrower == loan:
             if row["state"] == LoanState.RECALLED:
@@ -200,7 +202,7 @@
         self._time.after(self.hold_ms, lambda: self._return(worker, row, "done"))
 
     def _return(self, worker: Any, row: dict[str, Any], why: str) -> None:
-        """Return a worker with the agreed weights; the worker reports it until control knows."""
+        """Return a worker with the agreed weights, and report this to control until it succeeds."""
         loan = f"loan{row['loan']}"
         if worker.borrower != loan:
             return
@@ -222,10 +224,10 @@
             self._rng.choice(hosts).node.loans.return_worker(
                 worker.identity, loan, worker.weights, outcomes.append
             )
-        self._time.after(_REPORT_MS, report_again)
+        self._time.after(_REPORT_RETRY_MS, report_again)
 
 
-def _body(rollout_id: str, rollout: RolloutProgress) -> RolloutBody:
+def _rollout_body(rollout_id: str, rollout: RolloutProgress) -> RolloutBody:
     prompts = [
         {"prompt": f"lot {rollout_id} item {index} call sample:{rollout_id}:{index}"}
         for index in range(rollout.prompts)
--- a/libs/simulator/src/simulator/virtual.py
+++ b/libs/simulator/src/simulator/virtual.py
@@ -1,8 +1,9 @@
 """Virtual time and the simulated network.
 
-Events happen in the order of their times, then of their creation, so a seed gives the same run
-every time. The network delays, loses and duplicates messages, and partitions hosts; messages to
-a frozen host wait in its buffers until it wakes, as on a real link.
+Events are processed in the order of their times, and events of the same time in the order of their
+scheduling, so that a seed always gives the same run. The network delays, loses and duplicates
+messages, and partitions hosts. Messages to a frozen host are buffered until it wakes, as in the
+socket buffers of a real connection.
 """
 
 import heapq
@@ -16,7 +17,7 @@
 __all__ = ["Network", "VirtualTime"]
 
 _BUFFER_LIMIT = 2000
-"""How many messages wait for a frozen host; further ones are lost."""
+"""The number of messages that are buffered for a frozen host; further ones are dropped."""
 
 
 class VirtualTime:
@@ -31,12 +32,12 @@
         self._count = 0
 
     def after(self, wait_ms: float, action: Callable[[], object]) -> None:
-        """Run `action` after `wait_ms`; no earlier than the end of the present event."""
+        """Schedule `action` in `wait_ms`; it never runs before the current event has ended."""
         self._count += 1
         heapq.heappush(self._heap, (self.now_ms + max(0.0, wait_ms), self._count, action))
 
     def run_until(self, end_ms: float) -> None:
-        """Run all events up to a time, which is then the present."""
+        """Run all events up to `end_ms`, and advance the clock to it."""
         while self._heap and self._heap[0][0] <= end_ms:
             self.now_ms, _, action = heapq.heappop(self._heap)
             action()
@@ -44,10 +45,11 @@
 
 
 class Network:
-    """Links between all hosts; messages on one link stay in order while none are lost.
+    """The links between all hosts.
 
-    Delays are about 0.2 to 0.7 ms within a zone and 1 to 2 ms between zones, plus what `slow_ms`
-    adds for a host. `zones` gives the zone of each address.
+    Messages on a link are delivered in order unless losses or duplicates are injected. Delays are
+    0.2 to 0.7 ms within a zone and 1 to 2 ms between zones, plus up to `slow_ms` of both hosts.
+    `zones` has the zone of each address. `sent` counts all messages, also lost ones.
     """
 
     __slots__ = (
@@ -92,14 +94,14 @@
         self.isolated_hosts.add(address)
 
     def heal(self) -> None:
-        """Undo all partitions, losses and delays."""
+        """Undo all partitions, losses, duplicates and added delays."""
         self.partitioned_pairs.clear()
         self.isolated_hosts.clear()
         self.loss_rate = self.duplicate_rate = 0.0
         self.slow_ms.clear()
 
     def passes(self, one: str, other: str) -> bool:
-        """Return whether messages pass between two addresses."""
+        """Return whether two addresses are connected, that is neither partitioned nor isolated."""
         if one == other:
             return True
         return (one, other) not in self.partitioned_pairs and not self.isolated_hosts & {one, other}
@@ -107,17 +109,21 @@
     def delay(self, one: str, other: str) -> float:
         """Draw the delay of a message in milliseconds."""
         slow_ms = self.slow_ms.get(one, 0.0) + self.slow_ms.get(other, 0.0)
-        near = self.zones.get(one) == self.zones.get(other)
+        same_zone = self.zones.get(one) == self.zones.get(other)
         return (
-            (0.2 if near else 1.0)
-            + self.time.rng.random() * (0.5 if near else 1.0)
+            (0.2 if same_zone else 1.0)
+            + self.time.rng.random() * (0.5 if same_zone else 1.0)
             + slow_ms * self.time.rng.random()
         )
 
     def send(
         self, sender: str, to: str, request_id: int, in_reply_to: int, message: Message
     ) -> None:
-        """Send a copy of a message, which may be lost, duplicated or delayed."""
+        """Send a copy of a message, subject to the network's faults.
+
+        It is also dropped if the hosts are no longer connected at its delivery, or if the
+        receiver's process is down then.
+        """
         self.sent += 1
         rng = self.time.rng
         if not self.passes(sender, to) or (
--- a/libs/simulator/src/simulator/worker_runs.py
+++ b/libs/simulator/src/simulator/worker_runs.py
@@ -1,4 +1,4 @@
-"""One run of a simulated worker: the events that it writes until it ends or is abandoned."""
+"""A run of a request at a simulated worker, and the response that it writes."""
 
 import json
 from collections.abc import Callable
@@ -13,35 +13,35 @@
 __all__ = ["UNSAFE_PATHS", "Reply", "ReplyPart", "WorkerRun", "prompt_fields"]
 
 UNSAFE_PATHS = ("moves", "claims")
-"""Paths whose requests aren't safe to repeat."""
+"""The paths whose requests are not safe to repeat."""
 
 _UNRESPONSIVE_POLL_MS = 50.0
 _WORD = "w "
 
 Reply = Callable[..., None]
-"""Called as `reply(part, *arguments)` for each part of an answer."""
+"""Called as `reply(part, *arguments)` for each part of a response."""
 
 
 class ReplyPart(StrEnum):
-    """What a worker tells the edge on a connection."""
+    """A part of a response on the connection to the edge, or a failure of the connection."""
 
     HEAD = "head"
-    """Status, headers and length (None for a stream)."""
+    """The status, the headers and the length of the body (None for a stream)."""
     DATA = "data"
-    """Bytes of the body."""
+    """A part of the body, as bytes."""
     END = "end"
     """The body is complete."""
     NO_CONNECTION = "no connection"
     """Nothing listens at the address."""
     CONNECTION_LOST = "connection lost"
-    """The connection broke after it had been made."""
+    """The connection was lost after it had been established."""
 
 
 class WorkerRun:
-    """A request at a worker: it is refused, or runs and writes `event_count` events.
+    """A request at a worker, which is refused or runs and writes `event_count` events.
 
-    `is_open` says whether the edge still holds its end of the connection; a run whose caller has
-    gone is ended.
+    `is_open` returns whether the edge still holds the connection open. A run is ended once its
+    worker notices that the edge has closed it.
     """
 
     __slots__ = ("_reply", "_worker", "body", "event_count", "is_open", "path", "transaction")
@@ -72,14 +72,17 @@
         self._reply(ReplyPart.DATA, data)
 
     def refuse(self, status: int, code: str) -> None:
-        """Answer with a refusal; the request doesn't run."""
+        """Respond with a refusal; the request does not run."""
         data = json.dumps({"error": {"verdict": "not_run", "code": code}}).encode()
         self._write_head(status, len(data))
         self._reply(ReplyPart.DATA, data)
         self._reply(ReplyPart.END)
 
     def write_event(self, index: int) -> None:
-        """Write the event at `index` and schedule the next; after the last one, end the run."""
+        """Write the event at `index` and schedule the next; after the last one, end the run.
+
+        If the worker has crashed or the caller has disconnected, the connection is lost instead.
+        """
         worker = self._worker
         if not worker.is_running(self):
             return
@@ -124,9 +127,9 @@
 
 
 def prompt_fields(body: dict[str, Any]) -> dict[str, Any]:
-    """Return what the oracle needs to know of a run, which clients put into the prompt.
+    """Return the fields of a run's row that identify its request, from the body's prompt.
 
-    The prompt consists of `name value` pairs.
+    Clients write prompts as a sequence of `name value` pairs for this purpose.
     """
     words = body["prompt"].split()
     fields = dict(zip(words[::2], words[1::2], strict=True))
--- a/libs/simulator/src/simulator/worker_transport.py
+++ b/libs/simulator/src/simulator/worker_transport.py
@@ -1,8 +1,8 @@
-"""The simulator's replacement for an edge's sockets to workers.
+"""The simulator's replacement for an edge's connections to workers.
 
-What the edge's request router sends goes over the simulated network to a simulated worker, and what
-the worker writes comes back in parts that need not end where events do. Only sockets are replaced;
-requests, the request router, items and handlers are those that serve.
+Requests of the edge's request router go over the simulated network to simulated workers, and the
+data of responses comes back in parts that are split at any byte, also within events. Only the
+connections are simulated; request router and handlers are the production code.
 """
 
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 __all__ = ["SimSender"]
 
-_CONNECT_MS = 300.0
+_CONNECT_TIMEOUT_MS = 300.0
 
 
 class SimSender:
-    """An edge's sender: a call sends one request to a worker and returns how to abort it."""
+    """Sends an edge's requests to simulated workers; implements `AttemptTransport`."""
 
     __slots__ = ("_fleet", "_host")
 
@@ -35,7 +35,7 @@
         body: dict[str, Any],
         method: str = "POST",
     ) -> Callable[[], None]:
-        """Send a request to the worker at `address`; the returned function aborts it."""
+        """Send a request to the worker at `address`, and return a function that aborts it."""
         connection = _Connection(self._fleet, self._host, attempt, address)
         self._fleet.history.add(
             RowKind.SENT,
@@ -48,7 +48,7 @@
 
 
 class _Connection:
-    """One request on its way to a worker, and the answer."""
+    """The connection for one request and its response."""
 
     __slots__ = (
         "_address",
@@ -58,38 +58,48 @@
         "_incarnation",
         "_last_ms",
         "_open",
-        "_target",
+        "_worker",
     )
 
     def __init__(self, fleet: Any, host: Any, attempt: Attempt, address: str) -> None:
         self._fleet, self._host, self._incarnation = fleet, host, host.incarnation
         self._attempt, self._address = attempt, address
-        self._target = fleet.worker_at(address)
+        self._worker = fleet.worker_at(address)
         self._last_ms = 0.0
         self._open = True
 
     def open(self, headers: dict[str, str], body: dict[str, Any]) -> None:
-        """Deliver the request, or find that nothing listens at the address."""
+        """Deliver the request after the network delay.
+
+        If no worker listens at the address or the network is partitioned, the attempt fails after
+        300 ms.
+        """
         time, network = self._fleet.time, self._fleet.network
-        if self._target is None or not network.passes(self._host.address, self._address):
-            time.after(_CONNECT_MS, lambda: self._arrive(ReplyPart.NO_CONNECTION))
+        if self._worker is None or not network.passes(self._host.address, self._address):
+            time.after(_CONNECT_TIMEOUT_MS, lambda: self._arrive(ReplyPart.NO_CONNECTION))
             return
         time.after(
             network.delay(self._host.address, self._address),
-            lambda: self._target.call(headers, body, self._reply, lambda: self._open),
+            lambda: self._worker.call(headers, body, self._reply, lambda: self._open),
         )
 
     def abort(self) -> None:
-        """Close the connection; a worker that watches its connections notices a moment later."""
+        """Close the connection.
+
+        A worker that watches its connections notices this after the network delay.
+        """
         was_open, self._open = self._open, False
-        target, network = self._target, self._fleet.network
+        target, network = self._worker, self._fleet.network
         if was_open and target is not None and target.watches_connections:
             self._fleet.time.after(
                 network.delay(self._host.address, self._address), target.check_connections
             )
 
     def _reply(self, part: ReplyPart, *arguments: Any) -> None:
-        """Deliver in order, as on one connection; what is cut off on the way never arrives."""
+        """Deliver a part of the response after the network delay, in order with the others.
+
+        It is lost if the network is partitioned when it is sent.
+        """
         time, network = self._fleet.time, self._fleet.network
         if not network.passes(self._address, self._host.address):
             return
@@ -98,7 +108,7 @@
         time.after(self._last_ms - time.now_ms, lambda: self._arrive(part, *arguments))
 
     def _arrive(self, part: ReplyPart, *arguments: Any) -> None:
-        """Hand over what arrived once the edge is awake, if it is still the same process."""
+        """Handle a part of the response once the edge is awake, unless its process has ended."""
         host, incarnation = self._host, self._incarnation
 
         def take() -> None:
@@ -120,7 +130,7 @@
             self._attempt.connection_failed(part.value, part is not ReplyPart.NO_CONNECTION)
 
     def _deliver(self, data: bytes) -> None:
-        """Deliver data in two parts, split at any byte."""
+        """Pass data on in two parts, split at a random byte."""
         at = self._fleet.time.rng.randrange(len(data) + 1)
         for part in (data[:at], data[at:]):
             if part:
--- a/libs/simulator/src/simulator/workers.py
+++ b/libs/simulator/src/simulator/workers.py
@@ -1,6 +1,6 @@
-"""A simulated model worker, with slots, heartbeats to any edge, and runs that stream events.
+"""A simulated model worker, with slots, heartbeats to random edges, and runs that stream events.
 
-It can crash in the middle of a run, fall silent, leave, or be replaced at the same address.
+It can crash in the middle of a run, become unresponsive, leave, or be replaced at its address.
 """
 
 from collections.abc import Callable
@@ -13,16 +13,17 @@
 
 __all__ = ["SimWorker"]
 
-_HEARTBEAT_MS = 300.0
+_HEARTBEAT_INTERVAL_MS = 300.0
 _EVENT_COUNT = 6
 _EVENT_MS = 12.0
 
 
 class SimWorker:
-    """A worker; `incarnation` distinguishes it from earlier ones of its identity.
+    """A worker; `incarnation` distinguishes it from earlier workers with the same identity.
 
-    A run has `event_count` events of about `event_ms` each. While `unresponsive` the worker is
-    silent and stands still; `watches_connections` says whether it notices closed ones at once.
+    A run has `event_count` events, each of which takes 0.5 to 1.5 times `event_ms`. While
+    `unresponsive`, the worker sends no heartbeats, ignores requests and makes no progress.
+    `watches_connections` is whether it is told when an edge closes a connection.
     """
 
     watches_connections = False
@@ -61,31 +62,31 @@
 
     @property
     def instance_id(self) -> str:
-        """Identity and incarnation, by which requests are addressed."""
+        """The identity and incarnation, which requests have to name."""
         return f"{self.identity}/{self.incarnation}"
 
     @property
     def waiting_count(self) -> int:
-        """How many calls wait for a slot; this worker has no queue."""
+        """The number of calls that wait for a slot; 0, as this worker has no queue."""
         return 0
 
     @property
     def busy(self) -> int:
-        """How many calls run or wait."""
+        """The number of calls that run or wait."""
         return self._running_count + self.waiting_count
 
-    # -- heartbeats ----------------------------------------------------------------------------
-
     def _send_heartbeats(self) -> None:
         if self.crashed or self.leaving:
             return
         self._heartbeat_count += 1
         if not self.unresponsive:
             self._report(leaving=False)
-        self.time.after(_HEARTBEAT_MS * (0.9 + 0.2 * self.time.rng.random()), self._send_heartbeats)
+        self.time.after(
+            _HEARTBEAT_INTERVAL_MS * (0.9 + 0.2 * self.time.rng.random()), self._send_heartbeats
+        )
 
     def _report(self, leaving: bool) -> bool:
-        """Report to a random edge that can be reached; return whether there is one."""
+        """Report to a random reachable edge; return whether there is one."""
         edges = [
             host
             for host in self._fleet.running("edge")
@@ -112,21 +113,22 @@
         return True
 
     def leave(self) -> None:
-        """Announce that the worker takes no more requests."""
+        """Refuse further requests, and report this to an edge.
+
+        The departure is recorded only if an edge is reachable.
+        """
         self.leaving = True
         if self._report(leaving=True):
             self._record_departure("left")
 
     def crash(self) -> None:
-        """End the worker at once; its runs are cut off."""
+        """End the worker at once; the connections of its runs are lost."""
         self.crashed = True
         self._record_departure("crashed")
 
     def _record_departure(self, how: str) -> None:
         self.history.add(RowKind.WORKER_LEFT, self.time.now_ms, worker=self.instance_id, how=how)
 
-    # -- requests ------------------------------------------------------------------------------
-
     def call(
         self,
         headers: dict[str, str],
@@ -134,12 +136,21 @@
         reply: Reply,
         is_open: Callable[[], bool],
     ) -> None:
-        """Take a request: run it, refuse it, or nothing at all while unresponsive.
-
-        `reply(part, *arguments)` gets the parts of the answer, or how the connection broke.
-        `is_open` says whether the edge still holds its end.
+        """Run a request, refuse it, or ignore it while unresponsive.
+
+        Parameters
+        ----------
+        headers
+            The headers of the request.
+        body
+            The JSON object of its body.
+        reply
+            Called as `reply(part, *arguments)` for each part of the response, or for the failure of
+            the connection; see ReplyPart.
+        is_open
+            Returns whether the edge still holds the connection open.
         """
-        run = WorkerRun(self, headers, body, reply, is_open, self.events_of(body["model"]))
+        run = WorkerRun(self, headers, body, reply, is_open, self.event_count_of(body["model"]))
         if self.crashed:
             reply(ReplyPart.NO_CONNECTION)
         elif self.unresponsive:
@@ -149,16 +160,20 @@
         else:
             self.accept(run)
 
-    def events_of(self, path: str) -> int:
-        """Return how many events a run on `path` has."""
+    def event_count_of(self, path: str) -> int:
+        """Return the number of events of a run on `path`."""
         return self.event_count
 
     def extra_headers(self) -> list[tuple[str, str]]:
-        """Return headers of each answer besides the worker's and the request's identity."""
+        """Return headers of all responses in addition to the worker's and the request's ids."""
         return []
 
     def refusal(self, headers: dict[str, str]) -> tuple[int, str] | None:
-        """Return status and code with which a request is refused, or None if it is accepted."""
+        """Return the status and code of a refusal, or None if the request is accepted.
+
+        Requests for another incarnation are refused, and all requests while the worker leaves or
+        has twice as many calls as slots.
+        """
         if headers["X-Vaneledge-Worker"] != self.instance_id:
             return 409, "wrong-worker"
         if self.busy >= 2 * self.slots or self.leaving:
@@ -166,13 +181,13 @@
         return None
 
     def accept(self, run: WorkerRun) -> None:
-        """Start a run; its first output follows after the time of one event."""
+        """Start a run; its first output follows after `event_ms`."""
         self._running_count += 1
         self.record_run(run)
         self.time.after(self.event_ms, lambda: run.write_event(0))
 
     def record_run(self, run: WorkerRun, **details: Any) -> None:
-        """Record that a run has begun."""
+        """Record the start of a run."""
         self.history.add(
             RowKind.RUN,
             self.time.now_ms,
@@ -187,11 +202,11 @@
         )
 
     def is_running(self, run: WorkerRun) -> bool:
-        """Return whether a run that was accepted has not been finished."""
+        """Return whether an accepted run has not been finished; always true for this worker."""
         return True
 
     def is_abandoned(self, run: WorkerRun, index: int) -> bool:
-        """Return whether the caller has gone; this is not noticed before the first event."""
+        """Return whether the caller has disconnected; not noticed before the first event."""
         return index > 0 and not run.is_open()
 
     def finish(self, run: WorkerRun) -> None:
