--- a/libs/simulator/src/simulator/__init__.py
+++ b/libs/simulator/src/simulator/__init__.py
@@ -15,7 +15,7 @@
 Modules:
 
 * `virtual`, `hosts`, `disks`, `worker_transport`: the simulated environment of a node.
-* `workers`, `worker_runs`, `reading_workers`: simulated model workers.
+* `workers`, `worker_runs`, `prefill_workers`: simulated model workers.
 * `clients`, `live_calls`, `operators`, `trainers`: simulated users of the system.
 * `faults`: the faults, and the drawing of random fault schedules.
 * `runs`, `evening`: the phases of a run; `fleet` has the hosts, the workers and the samples.
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -14,7 +14,7 @@
 
 from simulator.clients import Clients
 from simulator.history import RowKind
-from simulator.reading_workers import ReadingWorker
+from simulator.prefill_workers import PrefillWorker
 from simulator.runs import Run
 from simulator.trainers import Trainers
 
@@ -91,7 +91,7 @@
     def _add_worker(self, name: str) -> None:
         fleet = self.fleet
         zone = _ZONES[len(fleet.workers) % len(_ZONES)]
-        fleet.attach(ReadingWorker(fleet, name, fleet.new_address(), _SLOTS, zone))
+        fleet.attach(PrefillWorker(fleet, name, fleet.new_address(), _SLOTS, zone))
 
     def start(self) -> None:
         """Start the fleet; AssertionError if it is not ready in time."""
--- a/libs/simulator/src/simulator/reading_workers.py
+++ b/libs/simulator/src/simulator/prefill_workers.py
@@ -9,14 +9,14 @@
 from simulator.worker_runs import WorkerRun
 from simulator.workers import SimWorker
 
-__all__ = ["ReadingWorker"]
+__all__ = ["PrefillWorker"]
 
 _ROLLOUT_PATH = "rollouts"
 _SAMPLE_EVENT_FACTOR = 4
 """The number of events of a rollout's sample, as a multiple of that of other runs."""
 
 
-class ReadingWorker(SimWorker):
+class PrefillWorker(SimWorker):
     """A worker whose prefills take `prefill_ms` each and are done one after another.
 
     `borrower` is the loan under which the whole worker is lent, or empty; `weights` names the
