--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -4,7 +4,7 @@
 there are few calls and one large job. Optionally, rollouts run and whole workers are lent.
 
 The same seed gives the same calls, jobs and faults with and without rollouts, so that the runs can
-be compared. Runs that differ only in `chance` have the same calls, jobs and faults but different
+be compared. Runs that differ only in `variant` have the same calls, jobs and faults but different
 delays and choices of workers; they show how much runs differ without any change of the load.
 """
 
@@ -18,7 +18,7 @@
 from simulator.runs import Run
 from simulator.trainers import Trainers
 
-__all__ = ["FAULTS_OF_AN_EVENING", "Evening", "play_evening"]
+__all__ = ["EVENING_FAULTS", "Evening", "run_evening"]
 
 _ZONES = ("north", "south")
 _SLOTS = 6
@@ -36,7 +36,7 @@
 _PROCESS_DOWN_MS = 1500
 _WORKER_DOWN_MS = 600
 _FINAL_READ_MS = 9000
-FAULTS_OF_AN_EVENING = (
+EVENING_FAULTS = (
     (2500, "worker"),
     (4200, "edge"),
     (6000, "holder"),
@@ -55,10 +55,10 @@
     rollouts
         Whether rollouts run and workers are lent.
     faulty
-        Whether the faults of FAULTS_OF_AN_EVENING are injected.
+        Whether the faults of EVENING_FAULTS are injected.
     share
         The share of the workers' slots that rollouts may use.
-    chance
+    variant
         Varies everything that `seed` does not determine.
     """
 
@@ -74,9 +74,9 @@
     )
 
     def __init__(
-        self, seed: int, rollouts: bool, faulty: bool = False, share: float = 1.0, chance: int = 0
+        self, seed: int, rollouts: bool, faulty: bool = False, share: float = 1.0, variant: int = 0
     ) -> None:
-        self.run = Run(seed + 1000 * chance, settings=_SETTINGS, workers=0, control=3)
+        self.run = Run(seed + 1000 * variant, settings=_SETTINGS, workers=0, control=3)
         self.fleet, self.faulty, self.share = self.run.fleet, faulty, share if rollouts else 0.0
         self.run.operators.extra_profiles = {
             "rollouts": {"parent": "base", "loan_share": self.share, "deadline_ms": 5000}
@@ -122,7 +122,7 @@
                 self._schedule_keyed_call(at_ms, f"move{int(at_ms * 10)}", draw < 0.85)
         for at_ms, count in _JOBS:
             after(at_ms, partial(clients.submit, "summaries", count))
-        for at_ms, fault in FAULTS_OF_AN_EVENING if self.faulty else ():
+        for at_ms, fault in EVENING_FAULTS if self.faulty else ():
             after(at_ms, partial(self._inject, fault, rng.randrange(3)))
 
     def _schedule_keyed_call(self, at_ms: float, key: str, repeated: bool) -> None:
@@ -164,7 +164,7 @@
         control = {host.node.acceptor.identity: host for host in fleet.running("control")}
         return control.get(next(iter(control.values())).node.owner.owner_of("loans"))
 
-    def play(self, drain_limit_ms: float = 25_000) -> None:
+    def run_to_end(self, drain_limit_ms: float = 25_000) -> None:
         """Run evening and night, and then until all jobs and rollouts are done.
 
         The latter takes at most `drain_limit_ms`. Finally all rollouts are read again from their
@@ -189,11 +189,11 @@
         )
 
 
-def play_evening(
-    seed: int, rollouts: bool, faulty: bool = False, share: float = 1.0, chance: int = 0
+def run_evening(
+    seed: int, rollouts: bool, faulty: bool = False, share: float = 1.0, variant: int = 0
 ) -> Evening:
     """Run an Evening to its end and return it."""
-    evening = Evening(seed, rollouts, faulty, share, chance)
+    evening = Evening(seed, rollouts, faulty, share, variant)
     evening.start()
-    evening.play()
+    evening.run_to_end()
     return evening
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -12,7 +12,7 @@
 from data_plane.rollout_service import RolloutBody
 from simulator import judge
 from simulator.clients import Clients
-from simulator.evening import Evening, play_evening
+from simulator.evening import Evening, run_evening
 from simulator.rules_rollouts import LOAN_RULES, judge_loans
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -40,19 +40,19 @@
 }
 RUNS = [(seed, faulty, "with", 0) for seed, faulty in ((1, False), (2, True))]
 RUNS += [
-    (seed, faulty, "without", chance)
+    (seed, faulty, "without", variant)
     for seed, faulty in ((1, False), (2, True))
-    for chance in range(3)
+    for variant in range(3)
 ]
 RUNS += [(1, False, name, 0) for name in FAULTS]
 
 
 def simulate(run):
-    seed, faulty, name, chance = run
+    seed, faulty, name, variant = run
     with ExitStack() as stack:
         for owner, attribute, replacement in FAULTS.get(name, ()):
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        return run, play_evening(seed, name != "without", faulty, chance=chance).fleet.history
+        return run, run_evening(seed, name != "without", faulty, variant=variant).fleet.history
 
 
 class SimulatedEvenings(TestCase):
@@ -61,10 +61,10 @@
             histories = dict(pool.map(simulate, RUNS))
         for seed, faulty in ((1, False), (2, True)):
             with_rollouts = histories[seed, faulty, "with", 0]
-            without = [histories[seed, faulty, "without", chance] for chance in range(3)]
+            without = [histories[seed, faulty, "without", variant] for variant in range(3)]
             self.assertThat(judge_loans(with_rollouts, without), Equals({}), f"seed {seed}")
             self.assertThat(judge(with_rollouts), Equals({}), f"seed {seed}")
-        without = [histories[1, False, "without", chance] for chance in range(3)]
+        without = [histories[1, False, "without", variant] for variant in range(3)]
         for name, rule in EXPECTED_RULES.items():
             self.assertThat(
                 rule in judge_loans(histories[1, False, name, 0], without), Equals(True), name
