--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -71,7 +71,7 @@
         avoid: str = "",
         done: Callable[[Row], None] | None = None,
         question: str = "",
-        hangs_up_ms: float = 0.0,
+        disconnect_after_ms: float = 0.0,
     ) -> None:
         """Make a live call through a random running edge; do nothing if there is none.
 
@@ -90,7 +90,7 @@
             Receives the call's row once it has an outcome; not called for retries.
         question
             Text that tells apart prompts with the same key; by default the key.
-        hangs_up_ms
+        disconnect_after_ms
             Time after which the client disconnects; 0, or a call with a key, means never.
         """
         host = self.choose_edge(avoid)
@@ -119,7 +119,12 @@
 
         resends = bool(key) and tries > 1
         call = LiveCall(
-            self._time, host, row, resend if resends else None, done, 0.0 if key else hangs_up_ms
+            self._time,
+            host,
+            row,
+            resend if resends else None,
+            done,
+            0.0 if key else disconnect_after_ms,
         )
         self._deliver(host, call.begin)
         self._time.after(_CALL_TIMEOUT_MS, call.give_up)
--- a/libs/simulator/src/simulator/live_calls.py
+++ b/libs/simulator/src/simulator/live_calls.py
@@ -30,11 +30,11 @@
         Sends the call again through another edge; called if the call may have run.
     done
         Receives the row once it has an outcome.
-    hangs_up_ms
+    disconnect_after_ms
         Time from the start after which the client disconnects; 0 means never.
     """
 
-    __slots__ = ("_done", "_hangs_up_ms", "_host", "_resend", "_row", "_stream", "_time")
+    __slots__ = ("_disconnect_after_ms", "_done", "_host", "_resend", "_row", "_stream", "_time")
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         row: Row,
         resend: Callable[[], None] | None,
         done: Callable[[Row], None] | None,
-        hangs_up_ms: float,
+        disconnect_after_ms: float,
     ) -> None:
         self._time, self._host, self._row = time, host, row
-        self._resend, self._done, self._hangs_up_ms = resend, done, hangs_up_ms
+        self._resend, self._done, self._disconnect_after_ms = resend, done, disconnect_after_ms
         self._stream = row["path"] in _STREAMED
 
     def begin(self) -> None:
@@ -66,8 +66,10 @@
             self._conclude("error", begun.verdict, begun.code)
             return
         row["transaction"] = begun.lifecycle.edge_request_id
-        if self._hangs_up_ms:
-            self._time.after(self._hangs_up_ms, lambda: self._disconnect(begun, host.incarnation))
+        if self._disconnect_after_ms:
+            self._time.after(
+                self._disconnect_after_ms, lambda: self._disconnect(begun, host.incarnation)
+            )
 
     def give_up(self) -> None:
         """Record the call as lost, unless it has an outcome already."""
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -110,7 +110,8 @@
         draw = rng.random()
         if draw < 0.42:
             clients.live(
-                rng.choice(_LIVE_CALL_PATHS), hangs_up_ms=40.0 if rng.random() < 0.05 else 0.0
+                rng.choice(_LIVE_CALL_PATHS),
+                disconnect_after_ms=40.0 if rng.random() < 0.05 else 0.0,
             )
         elif draw < 0.65:
             self._send_call_with_key()
