--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -137,9 +137,9 @@
                 lambda: clients.live("moves", key, question=f"{key}-other"),
             )
 
-    def schedule_faults(self, rows: FaultSchedule) -> None:
+    def schedule_faults(self, fault_schedule: FaultSchedule) -> None:
         """Schedule the injection of faults at their times."""
-        for at_ms, name in rows:
+        for at_ms, name in fault_schedule:
             self.fleet.time.after(at_ms - self.fleet.time.now_ms, partial(self._inject, name))
 
     def _inject(self, name: str) -> None:
@@ -228,10 +228,10 @@
     faults: int = 6,
     span_ms: float = 12_000,
     only: list[str] | None = None,
-    rows: FaultSchedule | None = None,
+    fault_schedule: FaultSchedule | None = None,
     settings: dict[str, Any] | None = None,
     shape: str = "small",
-    watch: Callable[[Run], None] = lambda run: None,
+    on_started: Callable[[Run], None] = lambda run: None,
 ) -> tuple[dict[str, list[str]], Run]:
     """Simulate a run and judge it; return the breaches by rule, and the run.
 
@@ -240,28 +240,30 @@
     seed
         The seed of all random decisions.
     faults
-        The number of faults that are drawn; ignored if `rows` is given.
+        The number of faults that are drawn; ignored if `fault_schedule` is given.
     span_ms
         How long requests are sent and faults injected.
     only
         The names of the faults that may be drawn, by default all.
-    rows
+    fault_schedule
         A schedule of faults, with times from the start of the requests.
     settings
         Settings of the hosts that differ from those of SimFleet.
     shape
         The name of an entry of SHAPES.
-    watch
+    on_started
         Called with the run once its fleet has started.
     """
     shaped = SHAPES[shape]
     run = Run(seed, settings, shaped["items"], **shaped["sizes"])
     run.start()
-    watch(run)
+    on_started(run)
     fleet = run.fleet
     start_ms = fleet.time.now_ms
     planned = (
-        rows if rows is not None else schedule(fleet.time.rng, 500, span_ms - 1000, faults, only)
+        fault_schedule
+        if fault_schedule is not None
+        else schedule(fleet.time.rng, 500, span_ms - 1000, faults, only)
     )
     run.schedule_faults([(start_ms + at_ms, name) for at_ms, name in planned])
     run.traffic(shaped["every_ms"])
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -177,6 +177,10 @@
 ) -> HistoryResult:
     """Runs one seed of the simulator with readings of the key, and checks its history."""
     _, run = run_seed(
-        seed, faults, shape=shape, rows=rows, watch=lambda run: KeyReader(run, seed).begin()
+        seed,
+        faults,
+        shape=shape,
+        fault_schedule=rows,
+        on_started=lambda run: KeyReader(run, seed).begin(),
     )
     return check_history(run.fleet.history, seed)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -78,7 +78,7 @@
 
 def judged(job):
     name, seed, shape = job
-    found, run = run_seed(seed, faults=7, rows=SCHEDULES.get(name), shape=shape)
+    found, run = run_seed(seed, faults=7, fault_schedule=SCHEDULES.get(name), shape=shape)
     return (name, seed, shape, found), rows_judged(run.fleet.history)
 
 
