--- a/libs/simulator/src/simulator/oracle.py
+++ b/libs/simulator/src/simulator/oracle.py
@@ -41,13 +41,13 @@
     return {name: int(rule(history).judged) for name, rule in RULES.items()}
 
 
-def judge(history: History, due: Iterable[str] = ()) -> dict[str, list[str]]:
+def judge(history: History, required: Iterable[str] = ()) -> dict[str, list[str]]:
     """Return the breaches by rule, without the rules that the history keeps.
 
-    `due` names the rules that must have judged at least one row.
+    `required` names the rules that must have judged at least one row.
     """
     judgements = {name: rule(history) for name, rule in RULES.items()}
-    for name in set(due):
+    for name in set(required):
         if not judgements[name].judged:
             judgements[name].breaches.append("no rows to judge, though some are required")
     return {name: breaches for name, (_, breaches) in judgements.items() if breaches}
--- a/libs/simulator/src/simulator/rules_rollouts.py
+++ b/libs/simulator/src/simulator/rules_rollouts.py
@@ -221,15 +221,15 @@
 
 
 def judge_loans(
-    with_rollouts: History, baselines: list[History], due: Iterable[str] = LOAN_RULES
+    with_rollouts: History, baselines: list[History], required: Iterable[str] = LOAN_RULES
 ) -> dict[str, list[str]]:
     """Return the breaches by rule, without the rules that are kept.
 
-    Rules in `due` must have judged at least one row.
+    Rules in `required` must have judged at least one row.
     """
     judgements = {name: rule(with_rollouts, baselines) for name, rule in LOAN_RULES.items()}
     return {
         name: breaches or ["no rows to judge, though some are required"]
         for name, (judged, breaches) in judgements.items()
-        if breaches or (name in due and not judged)
+        if breaches or (name in required and not judged)
     }
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -250,11 +250,11 @@
 
 class OracleTest(TestCase):
     def test_clean_history(self):
-        self.assertThat(judge(history(CLEAN), due=RULES), Equals({}))
+        self.assertThat(judge(history(CLEAN), required=RULES), Equals({}))
 
     def test_nothing_to_judge_is_a_failure_where_some_is_due(self):
         for name in RULES:
-            self.assertThat(sorted(judge(history([]), due=[name])), Equals([name]))
+            self.assertThat(sorted(judge(history([]), required=[name])), Equals([name]))
 
     def test_each_rule_catches_what_breaks_it(self):
         self.assertThat(sorted(BROKEN), Equals(sorted(RULES)))
