--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -1,4 +1,4 @@
-"""The oracle itself: a clean history passes, and for each rule a history that breaks it is caught."""
+"""The oracle passes a clean history, and catches histories that break each of its rules."""
 
 from simulator import History, judge
 from simulator.oracle import RULES
@@ -59,7 +59,7 @@
     )
 
 
-def hand_in(outcome="admitted", verdict="ran", at_ms=100.0, answered_ms=110.0, job="l"):
+def submission(outcome="admitted", verdict="ran", at_ms=100.0, answered_ms=110.0, job="l"):
     return (
         "hand-in",
         at_ms,
@@ -127,7 +127,7 @@
     run(),
     ended(),
     call(),
-    hand_in(),
+    submission(),
     *ITEM,
     read([(0, "ran", "i0:0")]),
     change("ok", 1),
@@ -156,7 +156,7 @@
     "not-run-is-true": [
         [run(at_ms=500.0), call(verdict="not_run", outcome="error", events=[])],
         [run(key="k", call="call0"), call(verdict="not_run", outcome="error", events=[], key="k")],
-        [hand_in("no_room", "not_run"), *ITEM],
+        [submission("no_room", "not_run"), *ITEM],
     ],
     "streams-are-whole": [
         [run(), ended(), call(events=["t1:0", "t2:1"])],
@@ -196,20 +196,20 @@
         ],
     ],
     "accepted-is-kept": [
-        [hand_in(), read([], 118.0, "missing")],
+        [submission(), read([], 118.0, "missing")],
         [read([(1, "ran", "a"), (0, "ran", "b")])],
         [read([(0, "may_have_run", "a")]), read([(0, "may_have_run", "b")], 600.0)],
         [read([(0, "may_have_run", "a")], start=1)],
     ],
     "kept-at-the-end": [
-        [hand_in(), ("final", 9000.0, {"lot": "l", "outcome": "missing", "listed": 0})],
+        [submission(), ("final", 9000.0, {"lot": "l", "outcome": "missing", "listed": 0})],
         [
-            hand_in(),
-            hand_in(job="m"),
+            submission(),
+            submission(job="m"),
             ("final", 9000.0, {"lot": "l", "outcome": "known", "listed": 1}),
         ],
         [
-            hand_in(),
+            submission(),
             read([(0, "may_have_run", "a")]),
             ("final", 9000.0, {"lot": "l", "outcome": "known", "listed": 0}),
         ],
@@ -217,7 +217,7 @@
     "ended-lots-stop": [[("end", 100.0, {"lot": "l"}), run("i", 3400.0, lot="l", index=1)]],
     "waiting-room-is-exact": [
         [("room", 200.0, {"store": "s", "path": "p", "epoch": 1, "used": 4})],
-        [hand_in(job=name) for name in "abcd"] + [read([], 300.0, job=name) for name in "abcd"],
+        [submission(job=name) for name in "abcd"] + [read([], 300.0, job=name) for name in "abcd"],
     ],
     "keys-one-body": [
         [run(key="k"), ended(), call(key="k"), call(key="k", call="call2", body="t9:0")],
@@ -242,24 +242,24 @@
 
 
 def history(rows):
-    made = History(allowed=["gpu"], room=3, limits_ms={"p": 2000})
+    result = History(allowed=["gpu"], room=3, limits_ms={"p": 2000})
     for kind, at_ms, fields in sorted(rows, key=lambda row: row[1]):
-        made.add(kind, at_ms, **fields)
-    return made
+        result.add(kind, at_ms, **fields)
+    return result
 
 
 class OracleTest(TestCase):
     def test_clean_history(self):
         self.assertThat(judge(history(CLEAN), required=RULES), Equals({}))
 
-    def test_nothing_to_judge_is_a_failure_where_some_is_due(self):
+    def test_a_required_rule_without_rows_to_judge_is_broken(self):
         for name in RULES:
             self.assertThat(sorted(judge(history([]), required=[name])), Equals([name]))
 
-    def test_each_rule_catches_what_breaks_it(self):
+    def test_each_rule_catches_all_histories_that_break_it(self):
         self.assertThat(sorted(BROKEN), Equals(sorted(RULES)))
         for name, histories in BROKEN.items():
-            for place, rows in enumerate(histories):
+            for position, rows in enumerate(histories):
                 self.assertThat(
-                    name in judge(history(rows)), Equals(True), f"{name}, history {place}"
+                    name in judge(history(rows)), Equals(True), f"{name}, history {position}"
                 )
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -1,5 +1,7 @@
-"""Simulated fleets under faults, judged by the oracle: a schedule for each failure that was found or
-that the brief names, over several seeds, and seeds with faults drawn at random.
+"""Simulated fleets with injected faults, judged by the oracle.
+
+Each failure that was found or that the requirements name has a schedule of faults, which is run
+with several seeds. Further seeds have faults drawn at random.
 """
 
 from concurrent.futures import ProcessPoolExecutor
@@ -73,10 +75,10 @@
     "disk damaged": [(1500, "damage-store"), (6000, "damage-control")],
 }
 SEEDS = range(3)
-DRAWN = range(1000, 1012)
+RANDOM_FAULT_SEEDS = range(1000, 1012)
 
 
-def judged(job):
+def run_and_judge(job):
     name, seed, shape = job
     found, run = run_seed(seed, faults=7, fault_schedule=SCHEDULES.get(name), shape=shape)
     return (name, seed, shape, found), rows_judged(run.fleet.history)
@@ -90,10 +92,10 @@
             for shape in ("jade", "swan")
         ]
         jobs += [(name, seed, "small") for name in SCHEDULES for seed in SEEDS] + [
-            ("drawn", seed, "small") for seed in DRAWN
+            ("drawn", seed, "small") for seed in RANDOM_FAULT_SEEDS
         ]
         with ProcessPoolExecutor() as pool:
-            rows = list(pool.map(judged, jobs))
+            rows = list(pool.map(run_and_judge, jobs))
         self.assertThat([row for row, _ in rows if row[3]], Equals([]))
         self.assertThat(
             [name for name in RULES if not sum(seen[name] for _, seen in rows)], Equals([])
