--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -43,6 +43,7 @@
     (9500, "edge"),
     (11_500, "owner"),
 )
+"""The time from the start in milliseconds, and the target, of each fault."""
 
 
 class Evening:
--- a/libs/simulator/src/simulator/faults.py
+++ b/libs/simulator/src/simulator/faults.py
@@ -1,8 +1,8 @@
-"""Fault injection: the faults, each of which ends by itself, and random schedules of them.
+"""Fault injection: functions that each inject a fault and, if it lasts, end it after a set time.
 
-A random schedule loses or damages at most one disk, since the fleet has to tolerate the loss of one
-machine with a disk. The end of a network fault also ends any other network fault (`Network.heal`).
-Times are milliseconds of virtual time.
+`schedule` draws random schedules of them. A schedule loses or damages at most one disk, since the
+fleet has to tolerate the loss of one machine with a disk. The end of a network fault also ends any
+other network fault (`Network.heal`). Times are milliseconds of virtual time.
 """
 
 from collections.abc import Callable
@@ -151,7 +151,7 @@
 
 
 def fill(fleet: Any, role: str, for_ms: float) -> None:
-    """Reduce the free space of all disks of a role to almost nothing for `for_ms`."""
+    """Reduce the capacity of all disks of a role to 110% of the space in use for `for_ms`."""
     for host in fleet.with_role(role):
         host.disk.fill()
         fleet.time.after(for_ms, host.disk.restore_capacity)
