--- a/libs/simulator/src/simulator/clients.py
+++ b/libs/simulator/src/simulator/clients.py
@@ -63,7 +63,7 @@
 
         self._time.after(_SEND_DELAY_MS, arrive)
 
-    def live(
+    def make_live_call(
         self,
         path: str,
         key: str = "",
@@ -115,7 +115,7 @@
         )
 
         def resend() -> None:
-            self.live(path, key, tries - 1, host.name, question=question)
+            self.make_live_call(path, key, tries - 1, host.name, question=question)
 
         resends = bool(key) and tries > 1
         call = LiveCall(
--- a/libs/simulator/src/simulator/evening.py
+++ b/libs/simulator/src/simulator/evening.py
@@ -118,7 +118,7 @@
             draw = rng.random()
             if draw < 0.8:
                 path = rng.choice(("rulings", "rulings", "narrations"))
-                after(at_ms, partial(self.live_clients.live, path))
+                after(at_ms, partial(self.live_clients.make_live_call, path))
             else:
                 self._schedule_keyed_call(at_ms, f"move{int(at_ms * 10)}", draw < 0.85)
         for at_ms, count in _JOBS:
@@ -129,7 +129,9 @@
     def _schedule_keyed_call(self, at_ms: float, key: str, repeated: bool) -> None:
         """Schedule a call that isn't safe to repeat; `repeated` sends it again after 150 ms."""
         for wait_ms in (0.0, 150.0) if repeated else (0.0,):
-            self.fleet.time.after(at_ms + wait_ms, partial(self.live_clients.live, "moves", key, 3))
+            self.fleet.time.after(
+                at_ms + wait_ms, partial(self.live_clients.make_live_call, "moves", key, 3)
+            )
 
     def schedule_rollouts(self) -> None:
         """Schedule the rollouts, and the requests for whole workers."""
--- a/libs/simulator/src/simulator/runs.py
+++ b/libs/simulator/src/simulator/runs.py
@@ -109,7 +109,7 @@
         rng, clients = self.fleet.time.rng, self.clients
         draw = rng.random()
         if draw < 0.42:
-            clients.live(
+            clients.make_live_call(
                 rng.choice(_LIVE_CALL_PATHS),
                 disconnect_after_ms=40.0 if rng.random() < 0.05 else 0.0,
             )
@@ -130,11 +130,11 @@
     def _send_call_with_key(self) -> None:
         """Send a call with a new key; one time in five, reuse the key for another prompt."""
         clients, key = self.clients, f"key{len(self.fleet.history.rows)}"
-        clients.live("moves", key, 3)
+        clients.make_live_call("moves", key, 3)
         if self.fleet.time.rng.random() < 0.2:
             self.fleet.time.after(
                 200 * self.fleet.time.rng.random(),
-                lambda: clients.live("moves", key, question=f"{key}-other"),
+                lambda: clients.make_live_call("moves", key, question=f"{key}-other"),
             )
 
     def schedule_faults(self, fault_schedule: FaultSchedule) -> None:
@@ -193,9 +193,9 @@
             outcomes[what] = row["outcome"]
 
         for _ in self.fleet.with_role("edge"):
-            self.clients.live("rulings", done=partial(note_call, "live"))
+            self.clients.make_live_call("rulings", done=partial(note_call, "live"))
         key = f"probe{self.fleet.time.now_ms}"
-        self.clients.live("moves", key, done=partial(note_call, "move"))
+        self.clients.make_live_call("moves", key, done=partial(note_call, "move"))
         self.clients.submit("summaries", 2, 1, done=partial(note, "lot"))
         self.operators.change(1, done=partial(note, "change"))
         return outcomes
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,7 +20,7 @@
         rows = []
         for index in range(count):
             run.fleet.time.after(
-                span_ms * index / count, lambda: run.clients.live(path, done=rows.append)
+                span_ms * index / count, lambda: run.clients.make_live_call(path, done=rows.append)
             )
         run.fleet.run_until_true(lambda: len(rows) == count, 7000)
         self.assertThat(len(rows), Equals(count))
@@ -93,7 +93,7 @@
     def test_a_client_disconnect_frees_the_slot_and_counts_as_no_failure(self):
         run, fleet = self.started_fleet()
         for _ in range(12):
-            run.clients.live("rulings", disconnect_after_ms=30.0)
+            run.clients.make_live_call("rulings", disconnect_after_ms=30.0)
         fleet.time.run_until(fleet.time.now_ms + 120)
         nodes = [host.node for host in fleet.with_role("edge")]
         self.assertThat(sum(node.router.counts.get("steps_gone", 0) for node in nodes), Equals(12))
--- a/tests/test_archive.py
+++ b/tests/test_archive.py
@@ -22,7 +22,7 @@
                 Equals(True),
             )
         moves = []
-        run.clients.live("moves", "kept", done=moves.append)
+        run.clients.make_live_call("moves", "kept", done=moves.append)
         fleet.run_until_true(lambda: moves, 4000)
         fleet.run_until_true(lambda: False, 600)
         for host in fleet.with_role("store"):
@@ -69,7 +69,7 @@
         fleet.leader().kill()
         fleet.run_until_true(lambda: False, 3000)
         again = []
-        run.clients.live("moves", "kept", 5, done=again.append)
+        run.clients.make_live_call("moves", "kept", 5, done=again.append)
         fleet.run_until_true(lambda: again and again[-1]["outcome"] == "replay", 8000)
         self.assertThat(again[-1]["outcome"], Equals("replay"))
         self.check_nothing_lost(run)
--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -105,7 +105,7 @@
             edge = max(fleet.with_role("edge"), key=lambda host: host.node.sample_runner.running())
             with mock.patch.object(Clients, "choose_edge", lambda self, avoid="", edge=edge: edge):
                 for _ in range(23):
-                    evening.live_clients.live("rulings")
+                    evening.live_clients.make_live_call("rulings")
             fleet.run_until_true(
                 lambda fleet=fleet: all(
                     "first_ms" in call for call in fleet.history.rows_of("call")
@@ -203,7 +203,7 @@
         for each in fleet.workers.values():
             each.event_ms = 250.0
         for _ in range(14):
-            evening.live_clients.live("narrations")
+            evening.live_clients.make_live_call("narrations")
         self.wait(fleet, lambda: worker.busy > 0, 500)
         transactions = {
             run["transaction"]
@@ -234,7 +234,7 @@
         )
         worker.borrower = "t"
         for _ in range(30):
-            evening.live_clients.live("rulings")
+            evening.live_clients.make_live_call("rulings")
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
         for request, outcome in (
             (lambda loans, done: loans.return_worker("worker1", loan, "w1", done), "refused"),
@@ -278,7 +278,7 @@
         for worker in fleet.workers.values():
             worker.event_ms = 200.0
         for _ in range(16):
-            evening.live_clients.live("narrations")
+            evening.live_clients.make_live_call("narrations")
         self.wait(fleet, lambda: self.loan_state(fleet) == "recalled", 800)
         reasons = [
             fields["reason"]
--- a/tests/test_member_change.py
+++ b/tests/test_member_change.py
@@ -84,7 +84,7 @@
             host.disk.flush_ms = 40.0
         for number in range(600):
             fleet.time.after(
-                10 * number, lambda number=number: run.clients.live("moves", f"m{number}")
+                10 * number, lambda number=number: run.clients.make_live_call("moves", f"m{number}")
             )
         ready_at_request, original = [], ConfigurationKey.change
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -150,7 +150,7 @@
     def test_clocks_moved_over_a_restart_hide_nobody_and_forget_nothing(self):
         run, fleet = self.bootstrapped()
         seen = []
-        run.clients.live("moves", "kept", done=seen.append)
+        run.clients.make_live_call("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: seen, 5000)
         day = 2 * fleet.leader().settings.keep_ms
         for host in fleet.with_role("store"):
@@ -167,7 +167,7 @@
         for host in fleet.with_role("store"):
             host.wall_step_ms += 8 * day
         fleet.run_until_true(lambda: False, 2 * leader.settings.resume_ms)
-        run.clients.live("moves", "kept", done=seen.append)
+        run.clients.make_live_call("moves", "kept", done=seen.append)
         fleet.run_until_true(lambda: len(seen) == 2, 5000)
         self.assertThat([row["outcome"] for row in seen], Equals(["finish", "replay"]))
         self.check_nothing_lost(run)
@@ -177,7 +177,7 @@
         run.start()
         fleet = run.fleet
         seen = []
-        run.clients.live("moves", "old", done=seen.append)
+        run.clients.make_live_call("moves", "old", done=seen.append)
         run.clients.submit("summaries", 2)
 
         def state():
--- a/tests/test_second_losses.py
+++ b/tests/test_second_losses.py
@@ -210,4 +210,7 @@
         for number in range(jobs):
             after(50 * number, lambda: clients.submit("summaries", 50, 20))
         for number in range(10 * jobs):
-            after(1500 + 10 * number, lambda number=number: clients.live("moves", f"m{number}"))
+            after(
+                1500 + 10 * number,
+                lambda number=number: clients.make_live_call("moves", f"m{number}"),
+            )
