--- a/tests/test_capacity_sharing_evening.py
+++ b/tests/test_capacity_sharing_evening.py
@@ -13,7 +13,7 @@
 from data_plane.rollout_service import RolloutBody
 from simulator import judge
 from simulator.clients import Clients
-from simulator.evening import Evening, play_evening
+from simulator.evening import Evening, run_evening
 from simulator.rules_rollouts import LOAN_RULES, judge_loans
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -41,19 +41,19 @@
 }
 RUNS = [(seed, faulty, "with", 0) for seed, faulty in ((1, False), (2, True))]
 RUNS += [
-    (seed, faulty, "without", chance)
+    (seed, faulty, "without", variant)
     for seed, faulty in ((1, False), (2, True))
-    for chance in range(3)
+    for variant in range(3)
 ]
 RUNS += [(1, False, name, 0) for name in FAULTS]
 
 
 def simulate(run):
-    seed, faulty, name, chance = run
+    seed, faulty, name, variant = run
     with ExitStack() as stack:
         for owner, attribute, replacement in FAULTS.get(name, ()):
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        return run, play_evening(seed, name != "without", faulty, chance=chance).fleet.history
+        return run, run_evening(seed, name != "without", faulty, variant=variant).fleet.history
 
 
 class SimulatedEvenings(TestCase):
@@ -62,10 +62,10 @@
             histories = dict(pool.map(simulate, RUNS))
         for seed, faulty in ((1, False), (2, True)):
             with_rollouts = histories[seed, faulty, "with", 0]
-            without = [histories[seed, faulty, "without", chance] for chance in range(3)]
+            without = [histories[seed, faulty, "without", variant] for variant in range(3)]
             self.assertThat(judge_loans(with_rollouts, without), Equals({}), f"seed {seed}")
             self.assertThat(judge(with_rollouts), Equals({}), f"seed {seed}")
-        without = [histories[1, False, "without", chance] for chance in range(3)]
+        without = [histories[1, False, "without", variant] for variant in range(3)]
         for name, rule in EXPECTED_RULES.items():
             self.assertThat(
                 rule in judge_loans(histories[1, False, name, 0], without), Equals(True), name
@@ -110,7 +110,7 @@
             edge = max(fleet.with_role("edge"), key=lambda host: host.node.sample_runner.running())
             with mock.patch.object(Clients, "choose_edge", lambda self, avoid="", edge=edge: edge):
                 for _ in range(23):
-                    evening.live_clients.live("rulings")
+                    evening.live_clients.make_live_call("rulings")
             fleet.run_until_true(
                 lambda fleet=fleet: all(
                     "first_ms" in call for call in fleet.history.rows_of("call")
@@ -208,7 +208,7 @@
         for each in fleet.workers.values():
             each.event_ms = 250.0
         for _ in range(14):
-            evening.live_clients.live("narrations")
+            evening.live_clients.make_live_call("narrations")
         self.wait(fleet, lambda: worker.busy > 0, 500)
         transactions = {
             run["transaction"]
@@ -239,7 +239,7 @@
         )
         worker.borrower = "t"
         for _ in range(30):
-            evening.live_clients.live("rulings")
+            evening.live_clients.make_live_call("rulings")
         loan = fleet.running("control")[0].node.loans.rows()["worker1"]["loan"]
         for request, outcome in (
             (lambda loans, done: loans.return_worker("worker1", loan, "w1", done), "refused"),
@@ -283,7 +283,7 @@
         for worker in fleet.workers.values():
             worker.event_ms = 200.0
         for _ in range(16):
-            evening.live_clients.live("narrations")
+            evening.live_clients.make_live_call("narrations")
         self.wait(fleet, lambda: self.loan_state(fleet) == "recalled", 800)
         reasons = [
             fields["reason"]
