--- a/libs/testbed/src/testbed/environment_faults.py
+++ b/libs/testbed/src/testbed/environment_faults.py
@@ -10,7 +10,7 @@
 import shutil
 from typing import Any
 
-from testbed.fleet import Fleet, until
+from testbed.fleet import Fleet, wait_until
 from testbed.fleet_operations import find_leader, restart_after, shrink_disks
 from testbed.traffic import Traffic
 
@@ -53,7 +53,7 @@
 async def power_loss_everywhere(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Take the power from all nodes while a job and a change are under way."""
     await asyncio.gather(traffic.submit(), traffic.change())
-    members = [member for member in fleet.members.values() if member.runs]
+    members = [member for member in fleet.members.values() if member.is_running]
     for member in members:
         member.kill()
     await asyncio.gather(*[restart_after(member, 500 + rng.randrange(1500)) for member in members])
@@ -63,14 +63,14 @@
     """Partition two control nodes from the rest for 4 s."""
     control = fleet.with_role("control")
     rng.shuffle(control)
-    await with_faults(fleet, 4, cuts=fleet.apart(control[:2], control[2:]))
+    await with_faults(fleet, 4, cuts=fleet.cuts_between(control[:2], control[2:]))
 
 
 async def partition_control_from_fleet(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Partition control from all others, and meanwhile restart edges."""
     others = [member for member in fleet.members.values() if member.role != "control"]
     cut = asyncio.ensure_future(
-        with_faults(fleet, 5, cuts=fleet.apart(fleet.with_role("control"), others))
+        with_faults(fleet, 5, cuts=fleet.cuts_between(fleet.with_role("control"), others))
     )
     for member in fleet.with_role("edge")[:2]:
         await asyncio.sleep(1)
@@ -86,7 +86,7 @@
         await with_faults(
             fleet,
             3,
-            cuts=fleet.apart(
+            cuts=fleet.cuts_between(
                 [one], [member for member in fleet.all_processes() if member is not one]
             ),
         )
@@ -123,7 +123,9 @@
     await with_faults(
         fleet,
         8,
-        cuts=fleet.apart(side, [member for member in fleet.members.values() if member not in side]),
+        cuts=fleet.cuts_between(
+            side, [member for member in fleet.members.values() if member not in side]
+        ),
     )
 
 
@@ -167,7 +169,7 @@
             for _ in range(4)
         ]
         if turn == 30:
-            rng.choice([member for member in fleet.workers.values() if member.runs]).kill()
+            rng.choice([member for member in fleet.workers.values() if member.is_running]).kill()
         if turn == 70:
             fleet.add_worker(f"worker{len(fleet.workers) + 1}").start()
             fleet.inject()
@@ -190,9 +192,9 @@
 
 async def retire_leader(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Retire the leader while jobs run and no standby is there; one starts later."""
-    member = await until(lambda: find_leader(fleet), 10_000, "there is a leader")
+    member = await wait_until(lambda: find_leader(fleet), 10_000, "there is a leader")
     _, shown = await fleet.get(member, "/status")
-    await fleet.ask(
+    await fleet.request(
         "POST", fleet.with_role("control")[0].http, "/retired", {"identity": shown["identity"]}
     )
     await asyncio.sleep(3)
@@ -206,5 +208,5 @@
             row["identity"] for row in (body["log"] or {"members": []})["members"]
         }
 
-    await until(replaced, 20_000, "the retired leader is out of the log")
+    await wait_until(replaced, 20_000, "the retired leader is out of the log")
     member.kill()
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -17,7 +17,7 @@
 
 from testbed.fault_injection.injected_faults import write_faults
 
-__all__ = ["SHAPES", "Fleet", "NodeProcess", "until"]
+__all__ = ["SHAPES", "Fleet", "FleetProcess", "wait_until"]
 
 SHAPES = {
     "jade": {"edges": 6, "stores": 3, "control": 5, "workers": 7},
@@ -27,10 +27,10 @@
 ZONES = ("north", "south", "west")
 
 
-class NodeProcess:
+class FleetProcess:
     """One process of the fleet; `away` has the times (Unix seconds) for which it was frozen."""
 
-    __slots__ = ("away", "command", "http", "link", "log_file", "name", "process", "role")
+    __slots__ = ("command", "frozen_spans", "http", "link", "log_file", "name", "process", "role")
 
     def __init__(
         self, name: str, role: str, link: str, http: str, command: list[str], log_file: Path
@@ -38,7 +38,7 @@
         self.name, self.role, self.link, self.http = name, role, link, http
         self.command, self.log_file = command, log_file
         self.process: subprocess.Popen | None = None
-        self.away: list[tuple[float, float]] = []
+        self.frozen_spans: list[tuple[float, float]] = []
 
     def start(self) -> None:
         """Start the process; its output is appended to the log file."""
@@ -59,12 +59,14 @@
             self.process.wait()
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
 
-async def until(check: Callable[[], Any], deadline_ms: int, what: str, every_ms: int = 50) -> Any:
+async def wait_until(
+    check: Callable[[], Any], deadline_ms: int, what: str, every_ms: int = 50
+) -> Any:
     """Poll a coroutine function until what it returns is true, and return that.
 
     AssertionError after `deadline_ms`, with what it returned or raised last.
@@ -110,8 +112,8 @@
         self.shape, self.host = shape, host
         self._port = base_port
         self._settings = settings or {}
-        self.members: dict[str, NodeProcess] = {}
-        self.workers: dict[str, NodeProcess] = {}
+        self.members: dict[str, FleetProcess] = {}
+        self.workers: dict[str, FleetProcess] = {}
         self.session: aiohttp.ClientSession | None = None
         self.seeds = [f"{host}:{base_port + 2 * index}" for index in range(3)]
         for index in range(shape["control"]):
@@ -129,10 +131,10 @@
 
     def _live_seeds(self) -> list[str]:
         """Return the seeds for a machine that is added later: three that run now."""
-        running = [member.link for member in self.members.values() if member.runs]
+        running = [member.link for member in self.members.values() if member.is_running]
         return running[:3] if len(running) >= 3 else self.seeds
 
-    def add(self, role: str, name: str) -> NodeProcess:
+    def add(self, role: str, name: str) -> FleetProcess:
         """Add a node with its settings file, without starting it."""
         link, http = self._address(), self._address()
         zone = ZONES[len(self.members) % len(ZONES)]
@@ -168,11 +170,11 @@
             ]
         if role != "control" or self.injection:
             command += ["--role", role]
-        member = NodeProcess(name, role, link, http, command, self.folder / f"{name}.log")
+        member = FleetProcess(name, role, link, http, command, self.folder / f"{name}.log")
         self.members[name] = member
         return member
 
-    def add_worker(self, name: str, *extra: str) -> NodeProcess:
+    def add_worker(self, name: str, *extra: str) -> FleetProcess:
         """Add a stand-in worker, without starting it; `extra` are further arguments."""
         http = self._address()
         edges = [member.http for member in self.members.values() if member.role == "edge"]
@@ -197,15 +199,17 @@
             command += ["--weather", str(self.faults_file)]
         for edge in edges:
             command += ["--edge", edge]
-        member = NodeProcess(name, "worker", "", http, command, self.folder / f"{name}.log")
+        member = FleetProcess(name, "worker", "", http, command, self.folder / f"{name}.log")
         self.workers[name] = member
         return member
 
-    def with_role(self, role: str) -> list[NodeProcess]:
+    def with_role(self, role: str) -> list[FleetProcess]:
         """Return the running nodes of a role."""
-        return [member for member in self.members.values() if member.role == role and member.runs]
+        return [
+            member for member in self.members.values() if member.role == role and member.is_running
+        ]
 
-    def all_processes(self) -> list[NodeProcess]:
+    def all_processes(self) -> list[FleetProcess]:
         """Return all nodes and workers, running or not."""
         return [*self.members.values(), *self.workers.values()]
 
@@ -237,35 +241,37 @@
         }
         write_faults(self.faults_file, machines, cuts or [], slow or {}, loss, self._steps)
 
-    def apart(self, one: list[NodeProcess], other: list[NodeProcess]) -> list[tuple[str, str]]:
+    def cuts_between(
+        self, one: list[FleetProcess], other: list[FleetProcess]
+    ) -> list[tuple[str, str]]:
         """Return the cuts that separate two groups in both directions."""
         return [pair for a in one for b in other for pair in ((a.name, b.name), (b.name, a.name))]
 
     # -- asking --------------------------------------------------------------------------------
 
-    async def get(self, member: NodeProcess, address: str) -> tuple[int, Any]:
+    async def get(self, member: FleetProcess, address: str) -> tuple[int, Any]:
         """Send a GET request to a member; return status and body."""
-        return await self.ask("GET", member.http, address)
+        return await self.request("GET", member.http, address)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         http: str,
         address: str,
         body: Any = None,
         headers: dict[str, str] | None = None,
-        wait_ms: int = 15000,
+        timeout_ms: int = 15000,
     ) -> tuple[int, Any]:
         """Send a request; return status and body, parsed if it is JSON.
 
-        Raises the errors of aiohttp, and TimeoutError after `wait_ms`.
+        Raises the errors of aiohttp, and TimeoutError after `timeout_ms`.
         """
         async with self.session.request(
             method,
             f"http://{http}{address}",
             json=body,
             headers=headers,
-            timeout=aiohttp.ClientTimeout(total=wait_ms / 1000),
+            timeout=aiohttp.ClientTimeout(total=timeout_ms / 1000),
         ) as answer:
             text = await answer.text()
             try:
@@ -306,9 +312,9 @@
 
         Return the tree's version; AssertionError if that fails.
         """
-        await until(lambda: self.all_ready(("control",)), deadline_ms, "control is ready")
-        await until(lambda: self.all_ready(("store",)), deadline_ms, "stores are ready")
-        status, body = await self.ask(
+        await wait_until(lambda: self.all_ready(("control",)), deadline_ms, "control is ready")
+        await wait_until(lambda: self.all_ready(("store",)), deadline_ms, "stores are ready")
+        status, body = await self.request(
             "PUT",
             self.with_role("control")[0].http,
             "/profiles",
@@ -316,10 +322,10 @@
         )
         if status != 200:
             raise AssertionError(f"the first tree was answered {status}: {body}")
-        await until(self.all_ready, deadline_ms, "all are ready")
+        await wait_until(self.all_ready, deadline_ms, "all are ready")
         return body["version"]
 
-    async def workers_known(self, count: int, deadline_ms: int = 15000) -> None:
+    async def wait_for_workers(self, count: int, deadline_ms: int = 15000) -> None:
         """Wait until every edge knows so many workers that it may use."""
 
         async def known() -> bool:
@@ -329,4 +335,4 @@
                     return False
             return True
 
-        await until(known, deadline_ms, f"{count} workers known at every edge")
+        await wait_until(known, deadline_ms, f"{count} workers known at every edge")
--- a/libs/testbed/src/testbed/fleet_operations.py
+++ b/libs/testbed/src/testbed/fleet_operations.py
@@ -4,7 +4,7 @@
 import signal
 import time
 
-from testbed.fleet import Fleet, NodeProcess
+from testbed.fleet import Fleet, FleetProcess
 
 __all__ = ["find_leader", "find_owner", "freeze_for", "restart_after", "shrink_disks"]
 
@@ -12,23 +12,23 @@
 _SHRUNK_S = 4
 
 
-async def restart_after(member: NodeProcess, after_ms: int) -> None:
+async def restart_after(member: FleetProcess, after_ms: int) -> None:
     """Start a process that has ended, after a time."""
     await asyncio.sleep(after_ms / 1000)
     member.start()
 
 
-async def freeze_for(member: NodeProcess | None, for_ms: int) -> None:
+async def freeze_for(member: FleetProcess | None, for_ms: int) -> None:
     """Stop a process for a time; nothing if there is none."""
     if member is not None:
         began_at = time.time()
         member.signal(signal.SIGSTOP)
         await asyncio.sleep(for_ms / 1000)
         member.signal(signal.SIGCONT)
-        member.away.append((began_at, time.time()))
+        member.frozen_spans.append((began_at, time.time()))
 
 
-async def find_leader(fleet: Fleet) -> NodeProcess | None:
+async def find_leader(fleet: Fleet) -> FleetProcess | None:
     """Return the store that leads the log, or None if none reports that it does."""
     for member in fleet.with_role("store"):
         status, body = await fleet.get(member, "/status")
@@ -37,7 +37,7 @@
     return None
 
 
-async def find_owner(fleet: Fleet) -> NodeProcess | None:
+async def find_owner(fleet: Fleet) -> FleetProcess | None:
     """Return the control node that owns the profiles' key, or None if it doesn't run."""
     _, body = await fleet.get(fleet.with_role("control")[0], "/members")
     owner = body["keys"].get("profiles", {}).get("owner")
@@ -45,7 +45,7 @@
     return next((member for member in fleet.with_role("control") if member.link == link), None)
 
 
-async def shrink_disks(fleet: Fleet, members: list[NodeProcess]) -> None:
+async def shrink_disks(fleet: Fleet, members: list[FleetProcess]) -> None:
     """Shrink the disks of nodes below what is used, by SIGHUP, and restore them after 4 s."""
     for setting in (_SMALL_DISK, ""):
         for member in members:
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -20,7 +20,7 @@
 from runtime import Settings, boot_ms, wall_ms
 from storage import FolderDisk
 
-from testbed.fleet import SHAPES, Fleet, until
+from testbed.fleet import SHAPES, Fleet, wait_until
 from testbed.fleet_operations import find_leader
 from testbed.report import spread
 from testbed.traffic import TREE, Traffic
@@ -201,10 +201,10 @@
         row = await traffic.submit(1)
         return row["outcome"] in ("admitted", "known", "waiting-room-full")
 
-    await until(accepted, 15_000, "lots are accepted again", 20)
+    await wait_until(accepted, 15_000, "lots are accepted again", 20)
     took = (time.time() - began) * 1000
     holder.start()
-    await until(lambda: fleet.all_ready(("store",)), 20_000, "the store is back")
+    await wait_until(lambda: fleet.all_ready(("store",)), 20_000, "the store is back")
     return took
 
 
@@ -220,7 +220,7 @@
                 return False
         return True
 
-    await until(everywhere, 5000, "the version is in force", 2)
+    await wait_until(everywhere, 5000, "the version is in force", 2)
     return acked, (time.time() - began) * 1000
 
 
@@ -228,7 +228,7 @@
     lines = []
     async with Fleet(folder, SHAPES["thin"], 28000) as fleet:
         await fleet.bootstrap(TREE)
-        await fleet.workers_known(2)
+        await fleet.wait_for_workers(2)
         traffic = Traffic(fleet, 1, 1.0)
         for repeat in range(repeats):
             lines.append(f"run {repeat + 1}, live alone")
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -10,7 +10,7 @@
 
 from request_routing import Worker, WorkerUpdate, choose_by_prefix
 
-from testbed.fleet import SHAPES, Fleet, until
+from testbed.fleet import SHAPES, Fleet, wait_until
 from testbed.report import spread
 from testbed.traffic import TREE, Traffic
 
@@ -54,7 +54,7 @@
         ]
         return min(shown) >= version
 
-    await until(everywhere, 10_000, f"version {version} is in force", 2)
+    await wait_until(everywhere, 10_000, f"version {version} is in force", 2)
 
 
 async def _metric(fleet: Fleet, role: str, name: str) -> int:
@@ -85,10 +85,10 @@
             )
             for place in range(5)
         ]:
-            _, shown = await fleet.ask("GET", control, "/profiles")
+            _, shown = await fleet.request("GET", control, "/profiles")
             before = await _metric(fleet, "control", "feed_sent_bytes_total")
             began = time.perf_counter()
-            status, answer = await fleet.ask(
+            status, answer = await fleet.request(
                 method, control, "/profiles", {"version": shown["version"], **body}
             )
             acked = (time.perf_counter() - began) * 1000
@@ -176,7 +176,7 @@
     lines = []
     async with Fleet(folder, SHAPES["thin"], 28600) as fleet:
         await fleet.bootstrap(TREE)
-        await fleet.workers_known(2)
+        await fleet.wait_for_workers(2)
         for rate in rates:
             traffic = Traffic(fleet, 1, 1.0)
             traffic.job_name = f"rate{rate}-lot"
@@ -224,7 +224,7 @@
                 )
                 return all(job["done_ms"] for job in traffic.jobs.values() if job["acked"])
 
-            await until(jobs_done, 30_000, "lots are done")
+            await wait_until(jobs_done, 30_000, "lots are done")
             lines.append(
                 f"  lots handed in at the start: {sum(listed)} of {80 * len(listed)} results "
                 "listed by the crowd's "
--- a/libs/testbed/src/testbed/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from testbed.fleet import Fleet, until
+from testbed.fleet import Fleet, wait_until
 from testbed.report import spread
 from testbed.traffic import TREE
 
@@ -52,7 +52,7 @@
 async def _move(fleet: Fleet, rng: random.Random, key: str, told: Counter) -> None:
     """Sent twice, as a client does who got no answer in time."""
     for _ in range(2):
-        status, _ = await fleet.ask(
+        status, _ = await fleet.request(
             "POST",
             rng.choice(fleet.with_role("edge")).http,
             "/v1/completions",
@@ -66,7 +66,7 @@
     """Ask for a worker until it is lent, hold it for a second, and have it handed back."""
     control, steps = fleet.with_role("control")[0].http, []
     while time.perf_counter() < until_s:
-        status, body = await fleet.ask(
+        status, body = await fleet.request(
             "PUT", control, "/loans/worker1", {"borrower": "trainer", "weights": "w1"}
         )
         if status == 200:
@@ -81,7 +81,7 @@
         if row["state"] in ("lent", "recalled"):
             took_ms = (time.perf_counter() - began) * 1000
             await asyncio.sleep(1.0)
-            status, _ = await fleet.ask(
+            status, _ = await fleet.request(
                 "POST", control, "/loans/worker1/returned", {"loan": row["loan"], "weights": "w1"}
             )
             return [*steps, f"lent after {took_ms:.0f} ms, handed back: {status}"]
@@ -97,7 +97,7 @@
         for place in range(_SHAPE["workers"]):
             fleet.add_worker(f"worker{place + 1}", *_WORKER).start()
         await fleet.bootstrap(_tree(lends))
-        await fleet.workers_known(_SHAPE["workers"])
+        await fleet.wait_for_workers(_SHAPE["workers"])
         edge = fleet.with_role("edge")[0].http
         if lends:
             call = {
@@ -110,12 +110,12 @@
                 ],
             }
             for _ in range(2):
-                assert (await fleet.ask("PUT", edge, "/rollouts/r1", call))[0] in (200, 201)
+                assert (await fleet.request("PUT", edge, "/rollouts/r1", call))[0] in (200, 201)
         began = time.perf_counter()
         loan = asyncio.ensure_future(_loan(fleet, began + seconds + _NIGHT_S)) if lends else None
         items = [{"prompt": f"item {place}"} for place in range(60)]
         assert (
-            await fleet.ask(
+            await fleet.request(
                 "PUT",
                 edge,
                 "/lots/overnight",
@@ -134,7 +134,7 @@
             await asyncio.sleep(rng.expovariate(_RATE_S * (1.3 if now % 2 < 0.6 else 0.9)))
         job_ms = 0.0
         while not job_ms:
-            _, shown = await fleet.ask("GET", edge, "/lots/overnight")
+            _, shown = await fleet.request("GET", edge, "/lots/overnight")
             job_ms = (
                 (time.perf_counter() - job_began) * 1000 if shown.get("state") == "done" else 0.0
             )
@@ -175,13 +175,13 @@
     edge = fleet.with_role("edge")[-1].http
 
     async def whole() -> Any:
-        shown = (await fleet.ask("GET", edge, "/rollouts/r1"))[1]
+        shown = (await fleet.request("GET", edge, "/rollouts/r1"))[1]
         return shown if shown.get("state") == "done" else None
 
-    shown = await until(whole, 90_000, "the rollout is done", 200)
+    shown = await wait_until(whole, 90_000, "the rollout is done", 200)
     rows: list[dict[str, Any]] = []
     while len(rows) < shown["total"]:
-        rows += (await fleet.ask("GET", edge, f"/rollouts/r1/results?from={len(rows)}"))[1][
+        rows += (await fleet.request("GET", edge, f"/rollouts/r1/results?from={len(rows)}"))[1][
             "results"
         ]
     right = sum(
--- a/libs/testbed/src/testbed/process_faults.py
+++ b/libs/testbed/src/testbed/process_faults.py
@@ -7,7 +7,7 @@
 import random
 import signal
 
-from testbed.fleet import Fleet, NodeProcess, until
+from testbed.fleet import Fleet, FleetProcess, wait_until
 from testbed.fleet_operations import (
     find_leader,
     find_owner,
@@ -64,7 +64,7 @@
     """End an edge by SIGTERM and start it once it has ended."""
     member = rng.choice(fleet.with_role("edge"))
     member.signal(signal.SIGTERM)
-    while member.runs:
+    while member.is_running:
         await asyncio.sleep(0.1)
     member.start()
 
@@ -109,7 +109,7 @@
         old.kill()
 
         async def settled(
-            replacement: NodeProcess = replacement, gone: str = shown["identity"]
+            replacement: FleetProcess = replacement, gone: str = shown["identity"]
         ) -> bool:
             status, body = await fleet.get(replacement, "/status")
             return (
@@ -119,7 +119,7 @@
                 and gone not in body["voters"]
             )
 
-        await until(settled, 30_000, f"{replacement.name} votes in index of {old.name}")
+        await wait_until(settled, 30_000, f"{replacement.name} votes in index of {old.name}")
 
 
 async def add_slow_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
@@ -136,7 +136,7 @@
     """Add an empty store, then retire one that is in use."""
     fleet.add("store", f"store{len(fleet.members) + 1}").start()
     _, body = await fleet.get(rng.choice(fleet.with_role("store")[:3]), "/status")
-    await fleet.ask(
+    await fleet.request(
         "POST", fleet.with_role("control")[0].http, "/retired", {"identity": body["identity"]}
     )
 
@@ -151,7 +151,7 @@
 
 async def kill_everything(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Kill all nodes at once and start them again one after another."""
-    members = [member for member in fleet.members.values() if member.runs]
+    members = [member for member in fleet.members.values() if member.is_running]
     for member in members:
         member.kill()
     rng.shuffle(members)
@@ -162,18 +162,20 @@
 
 async def kill_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Kill a worker; another starts at a new address."""
-    rng.choice([member for member in fleet.workers.values() if member.runs]).kill()
+    rng.choice([member for member in fleet.workers.values() if member.is_running]).kill()
     fleet.add_worker(f"worker{len(fleet.workers) + 1}").start()
 
 
 async def freeze_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Let a worker fall silent: its connections stay open and nothing is sent."""
-    await freeze_for(rng.choice([member for member in fleet.workers.values() if member.runs]), 5000)
+    await freeze_for(
+        rng.choice([member for member in fleet.workers.values() if member.is_running]), 5000
+    )
 
 
 async def replace_all_workers(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
     """Replace every worker, one after another."""
-    for member in [member for member in fleet.workers.values() if member.runs]:
+    for member in [member for member in fleet.workers.values() if member.is_running]:
         member.signal(signal.SIGTERM)
         fleet.add_worker(f"worker{len(fleet.workers) + 1}").start()
         await asyncio.sleep(0.7)
--- a/libs/testbed/src/testbed/scenario_run.py
+++ b/libs/testbed/src/testbed/scenario_run.py
@@ -13,7 +13,7 @@
 from simulator.history import RowKind
 from simulator.oracle import judge
 
-from testbed.fleet import SHAPES, Fleet, until
+from testbed.fleet import SHAPES, Fleet, wait_until
 from testbed.scenarios import DAYS, DUE, DUE_ON, Scenario
 from testbed.traffic import TREE, Traffic
 
@@ -72,7 +72,7 @@
     """Read every acknowledged job at the end; AssertionError if one can't be read."""
     for job_id, job in traffic.jobs.items():
         if job["acked"]:
-            await until(
+            await wait_until(
                 lambda job_id=job_id: traffic.read(job_id, 0, True),
                 _FINAL_READ_MS,
                 f"{job_id} can be read",
@@ -92,7 +92,7 @@
     scenario = DAYS[day]
     async with Fleet(folder, SHAPES[shape], base_port, injection=scenario.injection) as fleet:
         await fleet.bootstrap(TREE)
-        await fleet.workers_known(SHAPES[shape]["workers"])
+        await fleet.wait_for_workers(SHAPES[shape]["workers"])
         traffic = Traffic(fleet, seed, rate)
         traffic.start()
         await _play(scenario, fleet, rng, traffic, last_s)
--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -195,7 +195,7 @@
         )
         edge = self._edge(avoid)
         try:
-            status, body = await self.fleet.ask(
+            status, body = await self.fleet.request(
                 "PUT",
                 edge,
                 f"/lots/{job_id}",
@@ -234,7 +234,7 @@
         start = start if start is not None else self.rng.choice((0, job["seen"]))
         began_ms = self.now_ms()
         try:
-            status, body = await self.fleet.ask(
+            status, body = await self.fleet.request(
                 "GET", self._edge(), f"/lots/{job_id}/results?from={start}"
             )
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -278,7 +278,7 @@
         if live:
             job_id = self.rng.choice(live)
             try:
-                status, _ = await self.fleet.ask("DELETE", self._edge(), f"/lots/{job_id}")
+                status, _ = await self.fleet.request("DELETE", self._edge(), f"/lots/{job_id}")
             except (aiohttp.ClientError, OSError, TimeoutError):
                 return
             if status == 200:
@@ -316,7 +316,7 @@
         )
         self._sent[change_id] = (base_version, tree)
         try:
-            status, body = await self.fleet.ask(
+            status, body = await self.fleet.request(
                 "PUT",
                 control,
                 "/profiles",
@@ -325,7 +325,7 @@
             outcome = {200: "ok", 409: "lost"}.get(status, "doubt")
             row.update(outcome=outcome, version=body.get("version", 0))
             if outcome == "lost":
-                _, shown = await self.fleet.ask("GET", control, "/profiles")
+                _, shown = await self.fleet.request("GET", control, "/profiles")
                 self.version = max(self.version, shown.get("version", 0))
             self.version = max(self.version, row["version"])
         except (aiohttp.ClientError, OSError, TimeoutError):
@@ -351,7 +351,9 @@
         for member in self.fleet.with_role("edge"):
             began_ms = self.now_ms()
             try:
-                status, body = await self.fleet.ask("GET", member.http, "/status", wait_ms=800)
+                status, body = await self.fleet.request(
+                    "GET", member.http, "/status", timeout_ms=800
+                )
             except (aiohttp.ClientError, OSError, TimeoutError):
                 continue
             self.history.add(
@@ -365,7 +367,9 @@
             )
         for member in self.fleet.with_role("store"):
             try:
-                status, body = await self.fleet.ask("GET", member.http, "/status", wait_ms=800)
+                status, body = await self.fleet.request(
+                    "GET", member.http, "/status", timeout_ms=800
+                )
             except (aiohttp.ClientError, OSError, TimeoutError):
                 continue
             for path, used in body.get("waiting_rooms", {}).items():
@@ -385,7 +389,7 @@
         ][-count:]
         for change_id in acked:
             base_version, tree = self._sent[change_id]
-            status, body = await self.fleet.ask(
+            status, body = await self.fleet.request(
                 "PUT",
                 self._control(),
                 "/profiles",
--- a/libs/testbed/src/testbed/traffic_runs.py
+++ b/libs/testbed/src/testbed/traffic_runs.py
@@ -43,7 +43,7 @@
             else:
                 history.add("worker-left", at_ms, worker=row["worker"], how=row["kind"])
     for member in fleet.members.values():
-        for from_at, to_at in member.away:
+        for from_at, to_at in member.frozen_spans:
             history.add(
                 "away",
                 (from_at - started_at) * 1000,
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-from testbed.fleet import Fleet, until
+from testbed.fleet import Fleet, wait_until
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -67,7 +67,7 @@
                 async with Fleet(
                     folder, {"control": 3, "stores": 3, "edges": 1, "workers": 1}, 23500
                 ) as fleet:
-                    await until(
+                    await wait_until(
                         lambda: fleet.all_ready(("control", "store")),
                         30000,
                         "control and stores are ready",
@@ -75,11 +75,11 @@
                     count = 0
                     for method, role, path, headers, body, status, expected in examples():
                         if role == "edge":
-                            await until(
+                            await wait_until(
                                 lambda: fleet.all_ready(("edge",)), 10000, "the edge is ready"
                             )
-                            await fleet.workers_known(1)
-                        actual_status, value = await fleet.ask(
+                            await fleet.wait_for_workers(1)
+                        actual_status, value = await fleet.request(
                             method, fleet.with_role(role)[0].http, path, body, headers
                         )
                         self.assertThat(
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,7 +15,7 @@
 from profile_tree import TREE
 from runtime import load_settings
 from runtime.settings import changed_settings
-from testbed.fleet import Fleet, until
+from testbed.fleet import Fleet, wait_until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
@@ -175,7 +175,7 @@
                     folder, {"control": 3, "stores": 3, "edges": 1, "workers": 1}, 23000
                 ) as fleet:
                     await fleet.bootstrap(TREE)
-                    await fleet.workers_known(1)
+                    await fleet.wait_for_workers(1)
                     await self.bad_input(fleet)
                     await self.jobs(fleet)
                     await self.operators(fleet)
@@ -201,21 +201,21 @@
         edge = fleet.with_role("edge")[0].http
         job = {"path": "summaries", "items": [{"prompt": f"p{index}"} for index in range(3)]}
         answers = [
-            await fleet.ask("PUT", edge, "/lots/one", body)
+            await fleet.request("PUT", edge, "/lots/one", body)
             for body in (job, job, {**job, "due_ms": 500})
         ]
         self.assertThat([status for status, _ in answers], Equals([201, 200, 409]))
 
         async def done():
-            _, body = await fleet.ask("GET", edge, "/lots/one")
+            _, body = await fleet.request("GET", edge, "/lots/one")
             return body["state"] == "done"
 
-        await until(done, 15000, "the job is done")
-        status, body = await fleet.ask("GET", edge, "/lots/one/results?from=4")
+        await wait_until(done, 15000, "the job is done")
+        status, body = await fleet.request("GET", edge, "/lots/one/results?from=4")
         self.assertThat((status, body["error"]["field"]), Equals((416, "from")))
         responses = await asyncio.gather(
             *[
-                fleet.ask(
+                fleet.request(
                     "PUT",
                     edge,
                     f"/lots/crowd{index}",
@@ -228,17 +228,17 @@
         full = next(body["error"] for status, body in responses if status == 429)
         self.assertThat((full["verdict"], full["retry_after_ms"] > 0), Equals(("not_run", True)))
         for index in range(12):
-            await fleet.ask("DELETE", edge, f"/lots/crowd{index}")
+            await fleet.request("DELETE", edge, f"/lots/crowd{index}")
 
         async def no_items():
-            _, body = await fleet.ask("GET", edge, "/status")
+            _, body = await fleet.request("GET", edge, "/status")
             return body["items"] == 0
 
-        await until(no_items, 3000, "the items of cancelled jobs stop")
+        await wait_until(no_items, 3000, "the items of cancelled jobs stop")
 
     async def operators(self, fleet):
         control = [member.http for member in fleet.with_role("control")]
-        status, body = await fleet.ask(
+        status, body = await fleet.request(
             "PUT",
             control[0],
             "/profiles",
@@ -254,7 +254,7 @@
         patch = {"profiles": {"rulings": {"deadline_ms": 1500}}}
         both = await asyncio.gather(
             *[
-                fleet.ask(
+                fleet.request(
                     "PATCH",
                     control[index],
                     "/profiles",
@@ -265,21 +265,21 @@
         )
         self.assertThat(sorted(status for status, _ in both), Equals([200, 409]))
         winner = next(index for index in range(2) if both[index][0] == 200)
-        again = await fleet.ask(
+        again = await fleet.request(
             "PATCH",
             control[2],
             "/profiles",
             {"version": 1, "change_id": f"c{winner}", "patch": patch},
         )
         self.assertThat(again, Equals(both[winner]))
-        _, explained = await fleet.ask("GET", control[0], "/profiles/rulings/explained")
+        _, explained = await fleet.request("GET", control[0], "/profiles/rulings/explained")
         self.assertThat(
             (explained["values"]["deadline_ms"], explained["values"]["workers.labels"]["from"]),
             Equals(({"value": 1500, "from": "rulings"}, "base")),
         )
         _, edge = await fleet.get(fleet.with_role("edge")[0], "/status")
         self.assertThat(edge["feed"]["profiles"], Equals(2))
-        _, members = await fleet.ask("GET", control[0], "/members")
+        _, members = await fleet.request("GET", control[0], "/members")
         self.assertThat(
             sorted(row["role"] for row in members["members"]),
             Equals(["control"] * 3 + ["edge"] + ["store"] * 3),
@@ -299,10 +299,10 @@
                 if line.startswith("{")
             )
 
-        await until(lambda: logged("settings-refused"), 5000, "a bad file is refused")
+        await wait_until(lambda: logged("settings-refused"), 5000, "a bad file is refused")
         path.write_text(good + "delta_ms = 60\n" + "view_size = 9\n")
         edge.signal(signal.SIGHUP)
-        await until(lambda: logged("settings-reread"), 5000, "a good file is applied")
+        await wait_until(lambda: logged("settings-reread"), 5000, "a good file is applied")
         row = next(
             json.loads(line)
             for line in edge.log_file.read_text().splitlines()
@@ -313,7 +313,7 @@
         )
         # `operators` shortened the deadline of `rulings`; here only the stop itself can cut the stream.
         streaming = asyncio.ensure_future(
-            fleet.ask(
+            fleet.request(
                 "POST",
                 edge.http,
                 "/v1/completions",
@@ -325,14 +325,14 @@
             _, body = await fleet.get(edge, "/status")
             return body["live"] == 1
 
-        await until(is_streaming, 3000, "the stream has begun")
+        await wait_until(is_streaming, 3000, "the stream has begun")
         edge.signal(signal.SIGTERM)
 
         async def unready():
             status, _ = await fleet.get(edge, "/ready")
             return status == 503
 
-        await until(unready, 500, "unready at once", 5)
+        await wait_until(unready, 500, "unready at once", 5)
         status, text = await streaming
         self.assertThat((status, text.endswith("data: [DONE]\n\n")), Equals((200, True)))
         self.assertThat(edge.process.wait(8), Equals(0))
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -8,7 +8,7 @@
 from data_plane.recording_file import load_recording
 from data_plane.replay import ReplayedCall, compare_outcomes, replay_calls
 from profile_tree import TREE
-from testbed.fleet import Fleet, until
+from testbed.fleet import Fleet, wait_until
 from testtools import TestCase
 from testtools.matchers import Contains, Equals
 
@@ -89,16 +89,16 @@
                     folder, shape, 23800, settings={"record_folder": str(recordings)}
                 ) as fleet:
                     await fleet.bootstrap(TREE)
-                    await fleet.workers_known(1)
+                    await fleet.wait_for_workers(1)
                     edge = fleet.with_role("edge")[0]
                     await self.make_calls(fleet, edge.http)
                     edge.signal(15)
-                    await until(
-                        lambda: asyncio.sleep(0, not edge.runs), 8000, "the edge has stopped"
+                    await wait_until(
+                        lambda: asyncio.sleep(0, not edge.is_running), 8000, "the edge has stopped"
                     )
                     edge.start()
-                    await until(lambda: fleet.all_ready(("edge",)), 10000, "the edge is ready")
-                    await fleet.workers_known(1)
+                    await wait_until(lambda: fleet.all_ready(("edge",)), 10000, "the edge is ready")
+                    await fleet.wait_for_workers(1)
                     (path,) = recordings.glob("*.jsonl")
                     recording = load_recording(path)
                     rows = recording.calls
@@ -110,7 +110,7 @@
                     calls = await replay_calls(rows, [edge.http], 1.0, 7)
                     report, differing = compare_outcomes(calls)
                     self.assertThat((differing, "; replayed " in report), Equals((0, True)), report)
-                    status, _ = await fleet.ask("GET", edge.http, "/lots/day.r7")
+                    status, _ = await fleet.request("GET", edge.http, "/lots/day.r7")
                     self.assertThat(status, Equals(200))
                     rows[0]["status"] = 503
                     _, differing = compare_outcomes([ReplayedCall(rows[0], calls[0].replayed)])
@@ -125,11 +125,11 @@
             ({"model": "moves", "prompt": "m"}, "k"),
             ({"model": "nowhere", "prompt": "x"}, None),
         ):
-            await fleet.ask(
+            await fleet.request(
                 "POST", edge, "/v1/completions", body, {"Idempotency-Key": key} if key else None
             )
-        await fleet.ask(
+        await fleet.request(
             "PUT", edge, "/lots/day", {"path": "summaries", "items": [{"prompt": "secret"}] * 3}
         )
-        await fleet.ask("GET", edge, "/lots/day/results?from=0")
-        await fleet.ask("DELETE", edge, "/lots/day")
+        await fleet.request("GET", edge, "/lots/day/results?from=0")
+        await fleet.request("DELETE", edge, "/lots/day")
--- a/tests/test_smoke.py
+++ b/tests/test_smoke.py
@@ -9,7 +9,7 @@
 import tempfile
 
 from profile_tree import TREE
-from testbed.fleet import SHAPES, Fleet, until
+from testbed.fleet import SHAPES, Fleet, wait_until
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -20,7 +20,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 async with Fleet(folder, SHAPES["thin"], base_port) as fleet:
                     await fleet.bootstrap(TREE)
-                    await fleet.workers_known(2)
+                    await fleet.wait_for_workers(2)
                     await body(fleet)
 
         asyncio.run(run())
@@ -29,11 +29,11 @@
         """Wait until the job is done, and check that each of its items ran and has one result."""
 
         async def done():
-            status, body = await fleet.ask("GET", edge, f"/lots/{job_id}")
+            status, body = await fleet.request("GET", edge, f"/lots/{job_id}")
             return status == 200 and body["state"] == "done"
 
-        await until(done, 30000, f"{job_id} is done")
-        status, body = await fleet.ask("GET", edge, f"/lots/{job_id}/results?from=0")
+        await wait_until(done, 30000, f"{job_id} is done")
+        status, body = await fleet.request("GET", edge, f"/lots/{job_id}/results?from=0")
         self.assertThat(
             [row["index"] for row in body["results"]], Equals(list(range(body["total"])))
         )
@@ -68,18 +68,18 @@
             await self.begin_and_disconnect(edge, move, "left")
 
             async def disconnect_counted():
-                _, text = await fleet.ask("GET", edge, "/metrics")
+                _, text = await fleet.request("GET", edge, "/metrics")
                 return (
                     "vaneledge_edge_steps_gone_total 1.0" in text
                     and "vaneledge_edge_steps_finish_total 1.0" in text
                 )
 
-            await until(
+            await wait_until(
                 disconnect_counted, 8000, "the safe request is stopped, the unsafe one ends"
             )
-            _, text = await fleet.ask("GET", edge, "/metrics")
+            _, text = await fleet.request("GET", edge, "/metrics")
             self.assertThat("sends_failed" in text or "steps_cut" in text, Equals(False))
-            status, again = await fleet.ask(
+            status, again = await fleet.request(
                 "POST",
                 fleet.with_role("edge")[1].http,
                 "/v1/completions",
@@ -98,7 +98,7 @@
     def test_completions_jobs_and_a_killed_leader(self):
         async def body(fleet):
             first, second = [member.http for member in fleet.with_role("edge")]
-            status, text = await fleet.ask(
+            status, text = await fleet.request(
                 "POST",
                 first,
                 "/v1/completions",
@@ -110,7 +110,7 @@
             )
             move = {"model": "moves", "prompt": "knight"}
             answers = [
-                await fleet.ask("POST", edge, "/v1/completions", move, {"Idempotency-Key": "k"})
+                await fleet.request("POST", edge, "/v1/completions", move, {"Idempotency-Key": "k"})
                 for edge in (first, second)
             ]
             self.assertThat(answers[0], Equals(answers[1]))
@@ -118,7 +118,7 @@
                 "path": "summaries",
                 "items": [{"prompt": f"item {index}"} for index in range(80)],
             }
-            status, _ = await fleet.ask("PUT", first, "/lots/one", job)
+            status, _ = await fleet.request("PUT", first, "/lots/one", job)
             self.assertThat(status, Equals(201))
             leader = None
             for member in fleet.with_role("store"):
@@ -129,12 +129,12 @@
             await self.wait_until_done(fleet, second, "one")
 
             async def accepted():
-                status, _ = await fleet.ask(
+                status, _ = await fleet.request(
                     "PUT", second, "/lots/two", {**job, "items": job["items"][:5]}
                 )
                 return status in (200, 201)
 
-            await until(accepted, 12000, "jobs are accepted again")
+            await wait_until(accepted, 12000, "jobs are accepted again")
             await self.wait_until_done(fleet, first, "two")
             runs = []
             for worker in fleet.workers.values():
