--- a/libs/testbed/src/testbed/__init__.py
+++ b/libs/testbed/src/testbed/__init__.py
@@ -1,7 +1,7 @@
-"""Test tools: stand-ins, a simulator with fault injection, an oracle, and fleets of real processes.
+"""Test tools: fleets of real processes, fault injection, measurements, model checks, mutations.
 
-Stand-ins replace the clients and machines that can't be had here; the oracle judges recorded
-histories.
+Stand-in clients and workers replace the real ones, which a test machine lacks. Recorded histories
+are judged by the oracle of `simulator`.
 """
 
 __all__: tuple[str, ...] = ()
--- a/libs/testbed/src/testbed/cli.py
+++ b/libs/testbed/src/testbed/cli.py
@@ -1,4 +1,4 @@
-"""The test tools' command line; each command is in the module of its concern."""
+"""The command line `vaneledge-testbed`; its commands are defined in the modules imported here."""
 
 from cyclopts import App
 
--- a/libs/testbed/src/testbed/environment_faults.py
+++ b/libs/testbed/src/testbed/environment_faults.py
@@ -1,8 +1,9 @@
-"""Faults that need fault injection around the programs' processes.
+"""Faults that need processes with fault injection.
 
-Power losses, network partitions, stepped clocks, full and lost disks. Here killing a process is a
-power loss: what it had not flushed is gone. Each takes the fleet, a generator that draws what is
-struck, and the traffic of the run.
+They are power losses, network partitions, stepped clocks, and full and lost disks. Killing a
+process acts as a power loss here: writes that it had not flushed are lost, except for those that
+were drawn to reach the disk early. Each fault takes the fleet, the random generator that draws its
+targets, and the traffic of the run.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 
 async def with_faults(fleet: Fleet, seconds: float, **faults: Any) -> None:
-    """Inject faults, as `Fleet.inject` takes them, for a time."""
+    """Inject faults for a time; `faults` are the arguments of `Fleet.inject`."""
     fleet.inject(**faults)
     await asyncio.sleep(seconds)
     fleet.inject()
@@ -42,7 +43,10 @@
 async def power_loss_after_acknowledgement(
     fleet: Fleet, rng: random.Random, traffic: Traffic
 ) -> None:
-    """Take the power from all stores as soon as a job is accepted and a keyed call answered."""
+    """Cut the power of all stores once a submitted job and a keyed call are answered.
+
+    Each starts again 0.5 to 1.3 s later.
+    """
     await asyncio.gather(traffic.submit(), traffic.live("moves", False))
     stores = fleet.with_role("store")
     for member in stores:
@@ -51,7 +55,10 @@
 
 
 async def power_loss_everywhere(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Take the power from all nodes while a job and a change are under way."""
+    """Cut the power of all nodes once a submitted job and a change are answered.
+
+    Each starts again 0.5 to 2 s later.
+    """
     await asyncio.gather(traffic.submit(), traffic.change())
     members = [member for member in fleet.members.values() if member.is_running]
     for member in members:
@@ -60,14 +67,14 @@
 
 
 async def partition_control(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Partition two control nodes from the rest for 4 s."""
+    """Partition two control nodes from the other control nodes for 4 s."""
     control = fleet.with_role("control")
     rng.shuffle(control)
     await with_faults(fleet, 4, cuts=fleet.cuts_between(control[:2], control[2:]))
 
 
 async def partition_control_from_fleet(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Partition control from all others, and meanwhile restart edges."""
+    """Partition control from edges and stores for 5 s, and kill and restart two edges meanwhile."""
     others = [member for member in fleet.members.values() if member.role != "control"]
     cut = asyncio.ensure_future(
         with_faults(fleet, 5, cuts=fleet.cuts_between(fleet.with_role("control"), others))
@@ -80,7 +87,7 @@
 
 
 async def isolate_each_role(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Isolate one machine of each role in turn, for 3 s each."""
+    """Isolate one node of each role in turn from all other processes, for 3 s each."""
     for role in ("edge", "store", "control"):
         one = rng.choice(fleet.with_role(role))
         await with_faults(
@@ -94,7 +101,10 @@
 
 
 async def partition_one_way(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Let a machine of each role be heard by nobody, then another hear nobody."""
+    """Cut links in one direction, for 2.5 s each and for each role in turn.
+
+    First no other node receives messages of one node, then another node receives none.
+    """
     for role in ("edge", "store", "control"):
         one, other = rng.sample(fleet.with_role(role), 2)
         await with_faults(
@@ -118,7 +128,10 @@
 
 
 async def partition_most_edges(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Partition most edges and a store from control, for longer than any timeout."""
+    """Partition all edges but one, with one store, from all other nodes for 8 s.
+
+    That is longer than any time-out.
+    """
     side = fleet.with_role("edge")[1:] + fleet.with_role("store")[:1]
     await with_faults(
         fleet,
@@ -130,7 +143,7 @@
 
 
 async def step_clocks(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Step every wall clock by up to an hour either way, twice, then restart the stores."""
+    """Step all nodes' clocks by up to an hour either way, twice, then cut the stores' power."""
     for _ in range(2):
         fleet.inject(steps={name: rng.randrange(-3_600_000, 3_600_000) for name in fleet.members})
         await asyncio.sleep(2)
@@ -138,17 +151,17 @@
 
 
 async def lose_messages(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Lose a tenth of all messages for 5 s, with one slow store."""
+    """Lose a tenth of all messages for 5 s, and delay those to and from one store by 80 ms."""
     await with_faults(fleet, 5, loss=0.1, slow={rng.choice(fleet.with_role("store")).name: 80})
 
 
 async def fill_all_disks(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Shrink the disks of stores and control nodes for 4 s."""
+    """Set the disks of stores and control nodes below what they use, for 4 s."""
     await shrink_disks(fleet, fleet.with_role("store") + fleet.with_role("control"))
 
 
 async def lose_disk(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Take the power from a store after an acknowledgement, and start it with an empty disk."""
+    """Cut the power of a store after an acknowledgement, and start it with an empty disk."""
     await asyncio.gather(traffic.submit(), traffic.live("moves", False))
     member = rng.choice(fleet.with_role("store"))
     member.kill()
@@ -157,9 +170,9 @@
 
 
 async def overload_workers(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Overload all workers for four seconds, with jobs beside the calls.
+    """Overload all workers for 4 s with live calls, in addition to four jobs.
 
-    A worker is lost in the middle, and another one starts two seconds later.
+    A worker is killed after 1.5 s, and another one starts 2 s after that.
     """
     calls = [asyncio.ensure_future(traffic.submit()) for _ in range(4)]
     for turn in range(80):
@@ -178,7 +191,10 @@
 
 
 async def change_from_two_operators(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Send two trees on the same version at once, six times, while the key's owner is lost."""
+    """Send two changes based on the same version at once, six times.
+
+    A control node is killed after the third pair and restarted 1.5 s later.
+    """
     for turn in range(6):
         version = traffic.version
         await asyncio.gather(
@@ -191,11 +207,14 @@
 
 
 async def retire_leader(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
-    """Retire the leader while jobs run and no standby is there; one starts later."""
+    """Retire the log's leader while jobs run; its replacement starts only 3 s later."""
     member = await wait_until(lambda: find_leader(fleet), 10_000, "there is a leader")
-    _, shown = await fleet.get(member, "/status")
+    _, status_body = await fleet.get(member, "/status")
     await fleet.request(
-        "POST", fleet.with_role("control")[0].http, "/retired", {"identity": shown["identity"]}
+        "POST",
+        fleet.with_role("control")[0].http,
+        "/retired",
+        {"identity": status_body["identity"]},
     )
     await asyncio.sleep(3)
     replacement = fleet.add("store", f"store{len(fleet.members) + 1}")
@@ -204,7 +223,7 @@
 
     async def replaced() -> bool:
         status, body = await fleet.get(fleet.with_role("control")[0], "/members")
-        return status == 200 and shown["identity"] not in {
+        return status == 200 and status_body["identity"] not in {
             row["identity"] for row in (body["log"] or {"members": []})["members"]
         }
 
--- a/libs/testbed/src/testbed/fleet.py
+++ b/libs/testbed/src/testbed/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of real processes on loopback addresses of this machine, for trials and tests.
+"""Runs a fleet of real processes on loopback addresses of this machine, for trials and tests.
 
-Only this runner starts processes; it ends, stops and resumes what it started, by process id.
+`Fleet` sends signals only to processes that it started, by process id.
 """
 
 import asyncio
@@ -24,11 +24,17 @@
     "swan": {"edges": 8, "stores": 3, "control": 5, "workers": 6},
     "thin": {"edges": 2, "stores": 3, "control": 5, "workers": 2},
 }
+"""The number of nodes and workers of each shape, by role."""
 ZONES = ("north", "south", "west")
 
 
 class FleetProcess:
-    """One process of the fleet; `away` has the times (Unix seconds) for which it was frozen."""
+    """A node or a stand-in worker of the fleet, and its process once it was started.
+
+    `link` is the address for messages between nodes, empty for a worker, and `http` that of the
+    HTTP server. `frozen_spans` has the begin and end, in Unix seconds, of each time that the
+    process was stopped by SIGSTOP.
+    """
 
     __slots__ = ("command", "frozen_spans", "http", "link", "log_file", "name", "process", "role")
 
@@ -48,7 +54,7 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process, if it is running."""
         if self.process is not None and self.process.poll() is None:
             os.kill(self.process.pid, number)
 
@@ -67,9 +73,10 @@
 async def wait_until(
     check: Callable[[], Any], deadline_ms: int, what: str, every_ms: int = 50
 ) -> Any:
-    """Poll a coroutine function until what it returns is true, and return that.
+    """Poll a coroutine function every `every_ms` until its result is truthy, and return it.
 
-    AssertionError after `deadline_ms`, with what it returned or raised last.
+    A connection error or a time-out counts as a falsy result. Raises AssertionError after
+    `deadline_ms`, with the condition `what` and the last result or error.
     """
     loop = asyncio.get_running_loop()
     end_at = loop.time() + deadline_ms / 1000
@@ -85,15 +92,27 @@
         if seen:
             return seen
         if loop.time() >= end_at:
-            raise AssertionError(f"not within {deadline_ms} ms: {what} (last seen: {last[:500]})")
+            raise AssertionError(f"not within {deadline_ms} ms: {what} (last result: {last[:500]})")
         await asyncio.sleep(every_ms / 1000)
 
 
 class Fleet:
-    """A fleet of a shape; as a context manager it starts all processes and kills them at the end.
-
-    `shape` is a row of SHAPES; `settings` go into every node's file. With `injection`, processes
-    run with fault injection, which `inject` sets.
+    """A fleet of nodes and stand-in workers.
+
+    As a context manager it starts all processes and kills them at the end.
+
+    Parameters
+    ----------
+    folder
+        The directory of settings files, logs, the nodes' data and the workers' records of runs.
+    shape
+        The number of processes by role, as in SHAPES.
+    base_port
+        The first port that is used; a node takes two, a worker one.
+    settings
+        Settings that are written into the file of every node.
+    injection
+        Whether processes run with fault injection, which `inject` controls.
     """
 
     def __init__(
@@ -130,12 +149,12 @@
         return f"{self.host}:{self._port - 1}"
 
     def _live_seeds(self) -> list[str]:
-        """Return the seeds for a machine that is added later: three that run now."""
+        """Return the links of three running nodes, or the first seeds if fewer are running."""
         running = [member.link for member in self.members.values() if member.is_running]
         return running[:3] if len(running) >= 3 else self.seeds
 
     def add(self, role: str, name: str) -> FleetProcess:
-        """Add a node with its settings file, without starting it."""
+        """Add a node and write its settings file, without starting it."""
         link, http = self._address(), self._address()
         zone = ZONES[len(self.members) % len(ZONES)]
         values = {
@@ -175,7 +194,10 @@
         return member
 
     def add_worker(self, name: str, *extra: str) -> FleetProcess:
-        """Add a stand-in worker, without starting it; `extra` are further arguments."""
+        """Add a stand-in worker, without starting it.
+
+        `extra` are further arguments of its command line.
+        """
         http = self._address()
         edges = [member.http for member in self.members.values() if member.role == "edge"]
         command = [
@@ -213,11 +235,9 @@
         """Return all nodes and workers, running or not."""
         return [*self.members.values(), *self.workers.values()]
 
-    # -- injected faults -------------------------------------------------------------------------
-
     @property
     def faults_file(self) -> Path:
-        """The file that says which faults are injected."""
+        """The file of the faults to inject, which all processes read again when it changes."""
         return self.folder / "weather.json"
 
     def inject(
@@ -227,10 +247,20 @@
         loss: float = 0.0,
         slow: dict[str, int] | None = None,
     ) -> None:
-        """Set the faults that are injected; what isn't named ends.
-
-        Clocks stay as they were stepped. `cuts` are pairs of names, from and to; `steps` and `slow`
-        are milliseconds by name, `loss` is a part of all messages.
+        """Set the faults that are injected; earlier ones end, except that clocks stay stepped.
+
+        Faults apply to an added process once this has been called after `add` or `add_worker`.
+
+        Parameters
+        ----------
+        cuts
+            Pairs of names, sender and receiver, between which nothing passes.
+        steps
+            The milliseconds by which wall clocks are off, by name.
+        loss
+            The share of messages between nodes that is lost, from 0 to 1.
+        slow
+            The milliseconds by which messages to and from a node are delayed, by name.
         """
         self._steps.update(steps or {})
         machines = {
@@ -244,13 +274,11 @@
     def cuts_between(
         self, one: list[FleetProcess], other: list[FleetProcess]
     ) -> list[tuple[str, str]]:
-        """Return the cuts that separate two groups in both directions."""
+        """Return the cuts that separate two groups of processes in both directions."""
         return [pair for a in one for b in other for pair in ((a.name, b.name), (b.name, a.name))]
 
-    # -- asking --------------------------------------------------------------------------------
-
     async def get(self, member: FleetProcess, address: str) -> tuple[int, Any]:
-        """Send a GET request to a member; return status and body."""
+        """Send a GET request to a node; return status and body, as `request` does."""
         return await self.request("GET", member.http, address)
 
     async def request(
@@ -262,9 +290,10 @@
         headers: dict[str, str] | None = None,
         timeout_ms: int = 15000,
     ) -> tuple[int, Any]:
-        """Send a request; return status and body, parsed if it is JSON.
+        """Send an HTTP request; return the status and the body, parsed if it is JSON.
 
-        Raises the errors of aiohttp, and TimeoutError after `timeout_ms`.
+        `http` is the server's address and `address` the path. Raises aiohttp.ClientError, and
+        TimeoutError after `timeout_ms`.
         """
         async with self.session.request(
             method,
@@ -272,15 +301,15 @@
             json=body,
             headers=headers,
             timeout=aiohttp.ClientTimeout(total=timeout_ms / 1000),
-        ) as answer:
-            text = await answer.text()
+        ) as response:
+            text = await response.text()
             try:
-                return answer.status, json.loads(text)
+                return response.status, json.loads(text)
             except ValueError:
-                return answer.status, text
+                return response.status, text
 
     async def all_ready(self, roles: tuple[str, ...] = ("control", "store", "edge")) -> bool:
-        """Return whether all running nodes of these roles are ready."""
+        """Return whether all running nodes of these roles report that they are ready."""
         for role in roles:
             for member in self.with_role(role):
                 status, _ = await self.get(member, "/ready")
@@ -288,8 +317,6 @@
                     return False
         return True
 
-    # -- life ----------------------------------------------------------------------------------
-
     async def __aenter__(self) -> "Fleet":
         self.session = aiohttp.ClientSession()
         if self.injection:
@@ -308,9 +335,10 @@
                 member.process.wait()
 
     async def bootstrap(self, tree: dict[str, Any], deadline_ms: int = 30000) -> int:
-        """Wait for control, send the first tree, and wait until every edge and store is ready.
+        """Put the first profile tree in force and wait until all nodes are ready.
 
-        Return the tree's version; AssertionError if that fails.
+        Returns the tree's version. Raises AssertionError if the tree is not accepted, or if control
+        nodes, stores or, with the tree, all nodes are not ready within `deadline_ms` each.
         """
         await wait_until(lambda: self.all_ready(("control",)), deadline_ms, "control is ready")
         await wait_until(lambda: self.all_ready(("store",)), deadline_ms, "stores are ready")
@@ -321,18 +349,18 @@
             {"version": 0, "change_id": "first", "tree": tree},
         )
         if status != 200:
-            raise AssertionError(f"the first tree was answered {status}: {body}")
-        await wait_until(self.all_ready, deadline_ms, "all are ready")
+            raise AssertionError(f"the first profile tree was refused with status {status}: {body}")
+        await wait_until(self.all_ready, deadline_ms, "all nodes are ready")
         return body["version"]
 
     async def wait_for_workers(self, count: int, deadline_ms: int = 15000) -> None:
-        """Wait until every edge knows so many workers that it may use."""
+        """Wait until every edge reports at least `count` workers that are usable and allowed."""
 
-        async def known() -> bool:
+        async def all_reported() -> bool:
             for member in self.with_role("edge"):
                 _, body = await self.get(member, "/status")
                 if sum(1 for row in body["workers"] if row["usable"] and row["allowed"]) < count:
                     return False
             return True
 
-        await wait_until(known, deadline_ms, f"{count} workers known at every edge")
+        await wait_until(all_reported, deadline_ms, f"{count} workers usable at every edge")
--- a/libs/testbed/src/testbed/fleet_commands.py
+++ b/libs/testbed/src/testbed/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands that run processes: stand-in workers, nodes with injected faults, whole fleets."""
+"""Commands that run processes: a stand-in worker, a node with injected faults, or a fleet."""
 
 import asyncio
 import signal
@@ -11,15 +11,15 @@
 from runtime import load_settings
 
 from testbed.fault_injection import InjectedFaults, run_node
-from testbed.report import day_report
-from testbed.scenario_run import run_day
-from testbed.scenarios import DAYS
+from testbed.report import scenario_report
+from testbed.scenario_run import run_scenario
+from testbed.scenarios import SCENARIOS
 from testbed.worker import StandInWorker
 
 __all__ = ["fleet", "node", "platform", "worker"]
 
 
-async def _work(worker: StandInWorker) -> None:
+async def _run_worker(worker: StandInWorker) -> None:
     stopping = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
     await worker.start()
@@ -43,25 +43,25 @@
     runs_file: str = "",
     weather: str = "",
 ) -> None:
-    """Run a stand-in model worker until SIGTERM, on which it leaves.
+    """Run a stand-in model worker until SIGTERM; it then announces to an edge that it leaves.
 
     Parameters
     ----------
-    identity: its name, which profiles may allow.
-    http: its own address, IP:PORT.
-    edge: an edge's HTTP address for heartbeats; may be given several times.
-    zone: the zone it is in.
+    identity: the worker's name, which profiles may allow.
+    http: the worker's address, IP:PORT.
+    edge: HTTP address of an edge to send heartbeats to; may be given several times.
+    zone: the worker's zone.
     label: a label that profiles may allow; may be given several times.
-    slots: how many completions run at a time.
-    token_ms: time for one token.
-    tokens: how many tokens an answer has unless the call says otherwise.
-    prefill_ms: what a prompt whose prefix is not cached costs.
-    cache_prefixes: how many prefixes the cache holds.
-    runs_file: where each run is noted as a JSON line, for the oracle.
-    weather: a file of faults, which says which edges its heartbeats can't reach.
+    slots: number of completions that run at once.
+    token_ms: time for one token, in milliseconds.
+    tokens: tokens of a completion whose request does not set max_tokens.
+    prefill_ms: added time for a prompt whose prefix is not cached, in milliseconds.
+    cache_prefixes: number of prefixes that the cache holds.
+    runs_file: file to which runs are appended as JSON lines, for the oracle.
+    weather: file of injected faults, whose cuts keep heartbeats from edges.
     """
     asyncio.run(
-        _work(
+        _run_worker(
             StandInWorker(
                 identity,
                 http,
@@ -88,15 +88,15 @@
     weather: str,
     seed: int = 1,
 ) -> None:
-    """Run a program's process with the faults that a file names; SIGKILL is a power cut.
+    """Run a node with the faults that a file names; SIGKILL then acts as a power loss.
 
     Parameters
     ----------
     role: control, edge or store.
-    settings: the process's TOML file.
-    name: the machine's name in the file of faults.
-    weather: the file of faults, read again whenever it changes.
-    seed: draws which unflushed writes reach the disk early.
+    settings: the node's settings file, in TOML.
+    name: the node's name in the file of faults.
+    weather: file of injected faults, read again whenever it changes.
+    seed: seed of the draw which unflushed writes reach the disk early.
     """
     flags = {"role": role}
     run_node(
@@ -118,27 +118,30 @@
     seconds: float = 15.0,
     base_port: int = 24000,
 ) -> None:
-    """Run a whole fleet on this machine with a day's faults under traffic, and print a report.
+    """Run a fleet of real processes under traffic with a scenario's faults, and print a report.
 
     Parameters
     ----------
     shape: jade (six edges, seven workers), swan (eight edges, six workers) or thin.
-    day: one of those that docs/proof.md names, such as calm, weather, members, power or isolated.
-    seed: for traffic and faults.
-    folder: where data and logs go; it is emptied first.
-    rate: rulings and flags a second, each; other live calls come at half of it.
-    seconds: how long traffic goes on at the least.
+    day: scenario named in docs/proof.md, such as calm, weather, members, power or isolated.
+    seed: seed of traffic and faults.
+    folder: directory for data and logs; it is emptied first.
+    rate: rulings a second, and as many flags; narrations and reasons come at half the rate, moves
+        at 0.3 of it.
+    seconds: least duration of the traffic.
     base_port: first loopback port to use.
     """
-    if day not in DAYS:
-        sys.stderr.write(f"day: one of {', '.join(DAYS)}\n")
+    if day not in SCENARIOS:
+        sys.stderr.write(f"day: must be one of {', '.join(SCENARIOS)}\n")
         raise SystemExit(2)
     try:
-        traffic, broken = asyncio.run(run_day(shape, day, seed, folder, rate, seconds, base_port))
+        traffic, broken = asyncio.run(
+            run_scenario(shape, day, seed, folder, rate, seconds, base_port)
+        )
     except AssertionError as error:
         sys.stderr.write(f"{error}\n")
         raise SystemExit(1) from error
-    sys.stdout.write(day_report(traffic, broken) + "\n")
+    sys.stdout.write(scenario_report(traffic, broken) + "\n")
     if broken:
         raise SystemExit(1)
 
@@ -151,19 +154,19 @@
     folder: str = "platform-data",
     history: str = "",
 ) -> None:
-    """Play a day of the platform with real processes on loopback, and print a report.
+    """Run a scenario of the platform with real processes on loopback, and print a report.
 
     Parameters
     ----------
     shape: small, wide, one-zone or two-faults.
-    day: one of those that docs/proof.md names, such as calm, faults, power-off, retire or races.
-    seed: for names, traffic and faults.
-    folder: where settings, data and logs go; it is emptied first.
-    history: a file for the day's rows, one JSON line each.
+    day: scenario named in docs/proof.md, such as calm, faults, power-off, retire or races.
+    seed: seed of names, traffic and faults.
+    folder: directory for settings, data and logs; it is emptied first.
+    history: file for the rows of the recorded history, one JSON line each.
     """
     for name, value, known in (("shape", shape, ALL_SHAPES), ("day", day, PLATFORM_DAYS)):
         if value not in known:
-            sys.stderr.write(f"{name}: one of {', '.join(known)}\n")
+            sys.stderr.write(f"{name}: must be one of {', '.join(known)}\n")
             raise SystemExit(2)
     try:
         text, broken = asyncio.run(play_day(shape, day, seed, folder, history))
--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -22,7 +22,7 @@
 
 from testbed.fleet import SHAPES, Fleet, wait_until
 from testbed.fleet_operations import find_leader
-from testbed.report import spread
+from testbed.report import quantiles
 from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_fleet", "measure_log"]
@@ -189,7 +189,9 @@
         pending.add(asyncio.ensure_future(traffic.live("reasons", False)))
         await asyncio.sleep(0.04)
     await asyncio.gather(*pending)
-    return [f"  {path:10} {spread(values)}" for path, values in sorted(traffic.latency_ms.items())]
+    return [
+        f"  {path:10} {quantiles(values)}" for path, values in sorted(traffic.latency_ms.items())
+    ]
 
 
 async def _recovery(fleet: Fleet, traffic: Traffic) -> float:
@@ -236,13 +238,13 @@
             lines.append(f"run {repeat + 1}, live with a lot of 80 each second")
             lines += await _live(traffic, seconds, True)
         changes = [await _in_force(fleet, traffic) for _ in range(10)]
-        lines.append(f"a version acknowledged: {spread([acked for acked, _ in changes])}")
+        lines.append(f"a version acknowledged: {quantiles([acked for acked, _ in changes])}")
         lines.append(
-            f"a version seen in force at every edge: {spread([seen for _, seen in changes])}"
+            f"a version seen in force at every edge: {quantiles([seen for _, seen in changes])}"
         )
         lines.append(
             "lots accepted after the holder is killed: "
-            f"{spread([await _recovery(fleet, traffic) for _ in range(5)])}"
+            f"{quantiles([await _recovery(fleet, traffic) for _ in range(5)])}"
         )
     return lines
 
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_more.py
@@ -11,7 +11,7 @@
 from request_routing import Worker, WorkerUpdate, choose_by_prefix
 
 from testbed.fleet import SHAPES, Fleet, wait_until
-from testbed.report import spread
+from testbed.report import quantiles
 from testbed.traffic import TREE, Traffic
 
 __all__ = ["measure_crowd", "measure_prefix", "measure_routes", "wide_tree"]
@@ -105,7 +105,7 @@
         worst = next(
             line for line in text.splitlines() if line.startswith("vaneledge_worst_tick_ms")
         )
-        lines.append(f"  /ready meanwhile: {spread(taken)}")
+        lines.append(f"  /ready meanwhile: {quantiles(taken)}")
         lines.append(f"  an edge's memory after {_memory_mb(edge.process.pid)} MB; {worst}")
     return lines
 
@@ -210,8 +210,8 @@
                     refused.append(row["answered_ms"] - row["at_ms"])
             lines.append(f"{rate} rulings a second: {dict(outcomes)}")
             lines.append(
-                f"  answered: {spread(traffic.latency_ms.get('rulings', []))}; refused: "
-                f"{spread(refused)}"
+                f"  answered: {quantiles(traffic.latency_ms.get('rulings', []))}; refused: "
+                f"{quantiles(refused)}"
             )
 
             async def jobs_done(traffic: Traffic = traffic) -> bool:
@@ -228,7 +228,7 @@
             lines.append(
                 f"  lots handed in at the start: {sum(listed)} of {80 * len(listed)} results "
                 "listed by the crowd's "
-                f"end; {spread(traffic.latency_ms.get('lots of 80', []))}"
+                f"end; {quantiles(traffic.latency_ms.get('lots of 80', []))}"
             )
     return lines
 
--- a/libs/testbed/src/testbed/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from testbed.fleet import Fleet, wait_until
-from testbed.report import spread
+from testbed.report import quantiles
 from testbed.traffic import TREE
 
 __all__ = ["measure_rollouts"]
@@ -148,7 +148,7 @@
             f"{'with' if lends else 'without'} rollouts: {len(seen)} streams, "
             f"{Counter(outcome for _, outcome in seen)}; "
             f"moves {dict(moves)}; lot done by {job_ms:.0f} ms",
-            f"  first events ms: {spread(good)}; over 300 ms: {sum(one > 300 for one in good)}",
+            f"  first events ms: {quantiles(good)}; over 300 ms: {sum(one > 300 for one in good)}",
             *lines,
             *([f"  loan: {told}"] if told else []),
         ]
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -8,7 +8,7 @@
 
 from simulator.oracle import rows_judged
 
-__all__ = ["day_report", "spread"]
+__all__ = ["quantiles", "scenario_report"]
 
 _LATE_MS = {
     "rulings": 2000,
@@ -20,7 +20,7 @@
 }
 
 
-def spread(values: list[float]) -> str:
+def quantiles(values: list[float]) -> str:
     """Return the number of values and their 50%, 90%, 99% and 100% quantiles as text."""
     rows = sorted(values)
     if not rows:
@@ -32,7 +32,7 @@
     )
 
 
-def day_report(traffic: Any, broken: dict[str, list[str]]) -> str:
+def scenario_report(traffic: Any, broken: dict[str, list[str]]) -> str:
     """Return the report as text; `broken` has the breaches by rule."""
     lines = ["faults:"]
     lines += [
@@ -58,7 +58,7 @@
     lines.append("time to the last byte:")
     for path, values in sorted(traffic.latency_ms.items()):
         lines.append(
-            f"  {path:16} {spread(values)}; "
+            f"  {path:16} {quantiles(values)}; "
             f"{sum(1 for value in values if value > _LATE_MS.get(path, 1e9))} late"
         )
     back = list(traffic.history.rows_of("probe"))
--- a/libs/testbed/src/testbed/scenarios.py
+++ b/libs/testbed/src/testbed/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios (days) for a fleet of real processes on this machine: the faults and when they come."""
+"""The scenarios (days) of a fleet of real processes: their faults, and when each begins."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -9,19 +9,22 @@
 from testbed.fleet import Fleet
 from testbed.traffic import Traffic
 
-__all__ = ["DAYS", "DUE", "DUE_ON", "Fault", "Scenario"]
+__all__ = ["REQUIRED_RULES", "REQUIRED_RULES_BY_SCENARIO", "SCENARIOS", "Fault", "Scenario"]
 
 Fault = Callable[[Fleet, random.Random, Traffic], Awaitable[None]]
 
 
 class Scenario(NamedTuple):
-    """Faults by the second at which they begin; `injection` if processes run with injected ones."""
+    """The faults of a scenario, each with the second at which it begins.
+
+    `injection` says whether the processes run with fault injection.
+    """
 
     faults: list[tuple[float, Fault]]
     injection: bool
 
 
-DAYS: dict[str, Scenario] = {
+SCENARIOS: dict[str, Scenario] = {
     "calm": Scenario([], injection=False),
     "owner-and-holder": Scenario(
         [(4, processes.kill_leader), (9, processes.kill_owner)], injection=False
@@ -87,9 +90,9 @@
         injection=True,
     ),
 }
-"""Each scenario by its name on the command line and in docs/proof.md."""
+"""The scenarios by their names on the command line and in docs/proof.md."""
 
-DUE = (
+REQUIRED_RULES = (
     "unsafe-runs-once",
     "streams-are-whole",
     "bodies-are-whole",
@@ -103,7 +106,7 @@
     "service-resumes",
     "live-in-time",
 )
-"""Rules that must have had something to judge in each scenario."""
+"""Rules of the oracle that must have judged some row in every scenario."""
 
-DUE_ON = {"calm": ("lots-in-time",), "members": ("gone-workers-get-nothing",)}
-"""Further such rules by scenario."""
+REQUIRED_RULES_BY_SCENARIO = {"calm": ("lots-in-time",), "members": ("gone-workers-get-nothing",)}
+"""Further rules that must have judged some row, by scenario."""
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -8,7 +8,7 @@
 
 from storage import FolderDisk
 from testbed.fault_injection import PowerDisk
-from testbed.scenario_run import run_day
+from testbed.scenario_run import run_scenario
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -17,7 +17,7 @@
     def test_power_lost_after_a_receipt_and_machines_cut_off(self):
         with tempfile.TemporaryDirectory() as folder:
             traffic, broken = asyncio.run(
-                run_day("thin", "short-power", 1, folder, 6.0, 8.0, 25400)
+                run_scenario("thin", "short-power", 1, folder, 6.0, 8.0, 25400)
             )
         self.assertThat(broken, Equals({}))
         self.assertThat(len(traffic.history.rows_of("fault")), Equals(2))
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -11,7 +11,7 @@
 from test_sim import SCHEDULES
 from testbed.mutations import BREAKS
 from testbed.mutations.runner import applied
-from testbed.scenarios import DAYS
+from testbed.scenarios import SCENARIOS
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -35,7 +35,7 @@
     def test_everything_named_exists(self):
         for kind, held in (
             ("schedule", SCHEDULES),
-            ("day", DAYS),
+            ("day", SCENARIOS),
             ("rule", RULES),
             ("break", BREAKS),
             ("platform-day", PLATFORM_DAYS),
