--- a/libs/testbed/src/testbed/traffic.py
+++ b/libs/testbed/src/testbed/traffic.py
@@ -1,6 +1,6 @@
-"""Traffic of clients and operators against a real fleet, and the history that the oracle judges.
+"""Clients and operators of a fleet of real processes, and the history that the oracle judges.
 
-What a worker ran comes from the lines that it wrote, so a killed worker's runs count too.
+What workers ran is added from the files that they write, so runs of killed workers count too.
 """
 
 import asyncio
@@ -15,37 +15,39 @@
 from simulator.history import History
 
 from testbed.fleet import Fleet
-from testbed.traffic_answers import flat_result, take_answer
+from testbed.traffic_responses import encode_result, read_response
 from testbed.traffic_runs import add_worker_runs
-from testbed.traffic_tree import ROOM, TREE
+from testbed.traffic_tree import TREE, WAITING_ROOM_JOBS
 
 __all__ = ["TREE", "Traffic"]
 
-_LIVE = (
+_LIVE_CALLS = (
     ("rulings", True, 1.0),
     ("flags", False, 1.0),
     ("narrations", True, 0.5),
     ("reasons", False, 0.5),
     ("moves", False, 0.3),
 )
-_PATIENCE_S = 12.0
+"""Live calls: the path, whether the response is streamed, and the share of the rate."""
+_CALL_TIMEOUT_S = 12.0
 
 
 class Traffic:
-    """All traffic of a day; `rate` is that of the most frequent live calls, a second.
+    """The traffic of a run, with `rate` calls a second on the most frequent paths.
 
-    `jobs` is what clients know of their batches, `outcomes` counts answers by path, verdict and
-    code, `latency_ms` has the times of answers that came.
+    `jobs` has what clients know of their jobs, by id. `outcomes` counts requests by path, verdict
+    and code or outcome. `latency_ms` has the durations of live calls that ran and of jobs whose
+    results were all read, by path.
     """
 
     def __init__(self, fleet: Fleet, seed: int, rate: float) -> None:
         self.fleet, self.rng, self.rate = fleet, random.Random(seed), rate
         self.history = History(
             seed=seed,
-            room=ROOM,
+            room=WAITING_ROOM_JOBS,
             allowed=["gpu"],
             limits_ms={
-                path: 2000 if path in ("rulings", "flags") else 5000 for path, _, _ in _LIVE
+                path: 2000 if path in ("rulings", "flags") else 5000 for path, _, _ in _LIVE_CALLS
             },
         )
         self._change_ids: dict[str, str] = {}
@@ -75,8 +77,8 @@
         return self.rng.choice(edges) if edges else ""
 
     def start(self) -> None:
-        """Start live calls, batches, reads, changes, ends and samples."""
-        for path, stream, share in _LIVE:
+        """Start live calls, requests about jobs, changes of the profiles, and samples of nodes."""
+        for path, stream, share in _LIVE_CALLS:
             self._spawn(
                 self._every(
                     1.0 / (self.rate * share),
@@ -86,7 +88,7 @@
         self._spawn(self._every(1.2, lambda: self.submit()))
         self._spawn(self._every(0.3, lambda: self.read()))
         self._spawn(self._every(2.5, lambda: self.change()))
-        self._spawn(self._every(4.0, lambda: self.end()))
+        self._spawn(self._every(4.0, lambda: self.cancel()))
         self._spawn(self._every(0.25, self.sample))
 
     async def _every(self, seconds: float, work: Any) -> None:
@@ -95,13 +97,11 @@
             await asyncio.sleep(seconds * (0.5 + self.rng.random()))
 
     async def stop(self) -> None:
-        """Start nothing new and wait for what is open."""
+        """Start no further requests and wait for those that are open."""
         self.stopping = True
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
-    # -- live ----------------------------------------------------------------------------------
-
     async def live(
         self,
         path: str,
@@ -111,9 +111,10 @@
         tries: int = 3,
         question: str = "",
     ) -> dict[str, Any]:
-        """Make a live call and return its row.
+        """Make a live call and return its row of the history.
 
-        Calls on `moves` have a key; one in doubt is sent again at another edge up to `tries` times.
+        Calls on `moves` have an idempotency key. One that may have run is sent again with its key
+        to another edge than the last, up to `tries` times in all.
         """
         self._count += 1
         number = self._count
@@ -148,9 +149,9 @@
                 f"http://{row['edge']}/v1/completions",
                 json=call,
                 headers={"Idempotency-Key": key} if key else None,
-                timeout=aiohttp.ClientTimeout(total=_PATIENCE_S),
-            ) as answer:
-                await take_answer(row, answer, stream)
+                timeout=aiohttp.ClientTimeout(total=_CALL_TIMEOUT_S),
+            ) as response:
+                await read_response(row, response, stream)
         except (aiohttp.ClientError, OSError, TimeoutError):
             row["outcome"] = "cut" if row["events"] else "lost"
         row["answered_ms"] = self.now_ms()
@@ -163,14 +164,15 @@
         return row
 
     async def _reuse(self, key: str) -> None:
-        """Use a key again for another prompt, which must never get the first one's answer."""
+        """Use a key again for another prompt, which must never get the response to the first."""
         await asyncio.sleep(0.3 * self.rng.random())
         await self.live("moves", False, key, tries=1, question="another")
 
-    # -- lots ----------------------------------------------------------------------------------
-
     async def submit(self, tries: int = 3, job_id: str = "", avoid: str = "") -> dict[str, Any]:
-        """Submit a batch of 80 items and return its row; one in doubt is sent again."""
+        """Submit a job of 80 items and return its row of the history.
+
+        A submission that may have been accepted is sent again, up to `tries` times in all.
+        """
         if not job_id:
             job_id = f"{self.job_name}{len(self.jobs) + 1}"
             path = self.rng.choice(("summaries", "summaries", "claims"))
@@ -221,15 +223,15 @@
         return row
 
     async def read(self, job_id: str = "", start: int | None = None, final: bool = False) -> bool:
-        """Read results of a batch, by default of a random open one; return whether that worked.
+        """Read results of a job, by default of a random open one; return whether that worked.
 
-        The last read of a day is recorded as `final` too.
+        With `final`, the read is recorded as the last one of the run, too.
         """
-        live = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
+        open_jobs = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
         if not job_id:
-            if not live:
+            if not open_jobs:
                 return False
-            job_id = self.rng.choice(live)
+            job_id = self.rng.choice(open_jobs)
         job = self.jobs[job_id]
         start = start if start is not None else self.rng.choice((0, job["seen"]))
         began_ms = self.now_ms()
@@ -241,7 +243,9 @@
             return False
         if status not in (200, 404):
             return False
-        rows = [(row["index"], row["verdict"], flat_result(row)) for row in body.get("results", [])]
+        rows = [
+            (row["index"], row["verdict"], encode_result(row)) for row in body.get("results", [])
+        ]
         outcome = "known" if status == 200 else "missing"
         self.history.add(
             "read",
@@ -272,11 +276,11 @@
                     )
         return True
 
-    async def end(self) -> None:
-        """End a random open batch."""
-        live = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
-        if live:
-            job_id = self.rng.choice(live)
+    async def cancel(self) -> None:
+        """Cancel a random open job."""
+        open_jobs = [name for name, job in self.jobs.items() if job["acked"] and not job["done_ms"]]
+        if open_jobs:
+            job_id = self.rng.choice(open_jobs)
             try:
                 status, _ = await self.fleet.request("DELETE", self._edge(), f"/lots/{job_id}")
             except (aiohttp.ClientError, OSError, TimeoutError):
@@ -284,10 +288,8 @@
             if status == 200:
                 self.history.add("end", self.now_ms(), lot=job_id)
 
-    # -- operators, samples ----------------------------------------------------------------------
-
     def _control(self) -> str:
-        """Return the address of a random control node, of one that is down if none runs."""
+        """Return the HTTP address of a random control node, a running one if there is any."""
         running = self.fleet.with_role("control") or [
             member for member in self.fleet.members.values() if member.role == "control"
         ]
@@ -296,7 +298,10 @@
     async def change(
         self, tries: int = 3, change_id: str = "", base_version: int = 0
     ) -> dict[str, Any]:
-        """Send a change of the profiles and return its row; one in doubt is sent again."""
+        """Send a change of the profiles and return its row of the history.
+
+        A change that may have been made is sent again, up to `tries` times in all.
+        """
         self._count += 1
         change_id = change_id or f"change{self._count}"
         base_version = base_version or self.version
@@ -344,9 +349,9 @@
         return row
 
     async def sample(self) -> None:
-        """Record each edge's state and the waiting rooms of stores.
+        """Record the state of each edge, and how much of the waiting rooms is used at each store.
 
-        A sample has the time at which it was asked for, since what it shows may be as old as that.
+        The sample of an edge has the time of the request, because its content may be as old.
         """
         for member in self.fleet.with_role("edge"):
             began_ms = self.now_ms()
@@ -383,7 +388,7 @@
                 )
 
     async def resend_acknowledged(self, count: int) -> None:
-        """Send the last `count` acknowledged changes once more under their ids."""
+        """Send the last `count` acknowledged changes again under their ids; record the answers."""
         acked = [
             row["change_id"] for row in self.history.rows_of("change") if row["outcome"] == "ok"
         ][-count:]
@@ -405,5 +410,5 @@
                 )
 
     def take_worker_runs(self) -> None:
-        """Add what the workers wrote to the history."""
+        """Add what the workers recorded, and when nodes were frozen, to the history."""
         add_worker_runs(self.history, self.fleet, self._started_at)
--- a/libs/testbed/src/testbed/traffic_runs.py
+++ b/libs/testbed/src/testbed/traffic_runs.py
@@ -1,6 +1,6 @@
-"""What the workers of a real fleet ran, from the lines that they wrote.
+"""What the workers of a fleet of real processes ran, from the files that they write.
 
-A killed worker's runs are there too.
+These have the runs of killed workers too.
 """
 
 import json
@@ -15,10 +15,11 @@
 
 
 def add_worker_runs(history: History, fleet: Fleet, started_at: float) -> None:
-    """Add the workers' runs to the history, and the times for which members were frozen.
+    """Add the workers' runs to the history, and the times for which nodes were frozen.
 
-    A run's call is found by the transaction that each call was given. `started_at` is the start of
-    the history in Unix seconds.
+    The call of a run is named by the prompt, or else found by the transaction of the response.
+    Lines that are not JSON are passed over, such as one that a killed worker had begun.
+    `started_at` is the start of the history in Unix seconds.
     """
     by_transaction = {
         row["transaction"]: row for row in history.rows_of("call") if row["transaction"]
--- a/libs/testbed/src/testbed/traffic_tree.py
+++ b/libs/testbed/src/testbed/traffic_tree.py
@@ -1,10 +1,11 @@
-"""The first tree of profiles of a fleet under traffic, and the size of its waiting rooms."""
+"""The first profile tree of a fleet under traffic, and the capacity of its waiting rooms."""
 
 from typing import Any
 
-__all__ = ["ROOM", "TREE"]
+__all__ = ["TREE", "WAITING_ROOM_JOBS"]
 
-ROOM = 6
+WAITING_ROOM_JOBS = 6
+"""The setting `waiting_room` of the profiles that take jobs."""
 TREE: dict[str, Any] = {
     "profiles": {
         "base": {"abstract": True, "workers": {"labels": ["gpu"]}},
@@ -13,7 +14,7 @@
         "narrations": {"parent": "base", "deadline_ms": 5000},
         "reasons": {"parent": "base", "deadline_ms": 5000},
         "moves": {"parent": "base", "repeatable": False, "deadline_ms": 5000},
-        "summaries": {"parent": "base", "waiting_room": ROOM},
-        "claims": {"parent": "base", "repeatable": False, "waiting_room": ROOM},
+        "summaries": {"parent": "base", "waiting_room": WAITING_ROOM_JOBS},
+        "claims": {"parent": "base", "repeatable": False, "waiting_room": WAITING_ROOM_JOBS},
     }
 }
--- a/libs/testbed/src/testbed/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -1,8 +1,9 @@
-"""A stand-in model worker with an API as of OpenAI, for completions whole or streamed.
+"""A stand-in model worker, with completions and chat completions like those of OpenAI's API.
 
-It has a bounded number of slots and a cache of prompt prefixes that makes a known start cheaper,
-sends heartbeats and leaves in order. It returns identity, incarnation and transaction, refuses what
-was meant for another worker, and keeps a list of its runs.
+Requests run in a bounded number of slots, and a prompt whose prefix is in the cache skips the
+prefill. The worker sends heartbeats to edges and announces that it leaves. Responses, whole or
+streamed, carry its identity, incarnation and weights and the request's transaction. A request for
+another worker, another incarnation or other weights is refused. All runs are recorded.
 """
 
 import asyncio
@@ -22,10 +23,26 @@
 
 
 class StandInWorker(Service):
-    """One worker, whose runs are also written to `runs_file` as JSON lines.
+    """A stand-in worker; `hits` and `misses` count prompts by whether their prefix was cached.
 
-    `hits` and `misses` count prompts whose prefix was in the cache or not. `faults` gives the
-    faults that keep heartbeats from edges.
+    Parameters
+    ----------
+    edges
+        HTTP addresses of edges. A heartbeat goes to one of them, or to the next if it fails.
+    token_ms
+        Time for each token.
+    tokens
+        Tokens of a completion whose request does not set `max_tokens`.
+    prefill_ms
+        Added time for a prompt whose prefix is not cached.
+    cache_prefixes
+        Number of prefixes that the cache holds; the least recently used is evicted.
+    beat_ms
+        Time between heartbeats.
+    runs_file
+        File to which the begin and end of each run is appended as a JSON line; none if empty.
+    faults
+        The injected faults, whose cuts keep heartbeats from edges.
     """
 
     def __init__(
@@ -56,16 +73,16 @@
         self._cache_length = cache_prefixes
         self._beat_ms = beat_ms
         self._faults = faults
-        self._beat = 0
+        self._heartbeat_number = 0
         self._running = 0
-        self._gate = asyncio.Semaphore(slots)
+        self._slot_semaphore = asyncio.Semaphore(slots)
         self._waiting = 0
         self._leaving = False
-        self._runs_page = open(runs_file, "a", buffering=1) if runs_file else None  # noqa: SIM115 -- kept open
+        self._runs_file = open(runs_file, "a", buffering=1) if runs_file else None  # noqa: SIM115 -- kept open
 
-    def _note(self, kind: str, **fields: Any) -> None:
-        if self._runs_page is not None:
-            self._runs_page.write(
+    def _record(self, kind: str, **fields: Any) -> None:
+        if self._runs_file is not None:
+            self._runs_file.write(
                 json.dumps(
                     {
                         "kind": kind,
@@ -78,7 +95,7 @@
             )
 
     async def on_start(self) -> None:
-        """Listen, and start the heartbeats."""
+        """Start the HTTP server and the heartbeats."""
         app = web.Application()
         app.router.add_post("/v1/completions", self._complete)
         app.router.add_post("/v1/chat/completions", self._complete)
@@ -88,33 +105,31 @@
         host, _, port = self.address.rpartition(":")
         await web.TCPSite(self._runner, host, int(port), reuse_address=True).start()
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0))
-        self.add_future(self._beats())
+        self.add_future(self._send_heartbeats())
 
     async def on_stop(self) -> None:
-        """Close all connections and stop listening."""
+        """Close all connections and stop the HTTP server."""
         await self._session.close()
         await self._runner.cleanup()
 
     async def leave(self) -> None:
-        """Announce to an edge that the worker takes no more requests."""
+        """Refuse further requests, and announce to an edge that the worker leaves."""
         self._leaving = True
-        self._note("left")
-        await self._tell(
+        self._record("left")
+        await self._post_to_edge(
             "/workers/leave", {"identity": self.identity, "incarnation": self.incarnation}
         )
 
-    # -- beats ---------------------------------------------------------------------------------
-
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while not self.should_stop and not self._leaving:
-            self._beat += 1
-            await self._tell(
+            self._heartbeat_number += 1
+            await self._post_to_edge(
                 "/workers/beat",
                 {
                     "identity": self.identity,
                     "incarnation": self.incarnation,
                     "address": self.address,
-                    "beat": self._beat,
+                    "beat": self._heartbeat_number,
                     "zone": self.zone,
                     "labels": self.labels,
                     "running": self._running,
@@ -125,24 +140,22 @@
             )
             await asyncio.sleep(self._beat_ms / 1000)
 
-    async def _tell(self, address: str, body: dict[str, Any]) -> None:
+    async def _post_to_edge(self, address: str, body: dict[str, Any]) -> None:
         if self._faults is not None:
             self._faults.read()
         for attempt in range(len(self.edges)):
-            edge = self.edges[(self._beat + attempt) % len(self.edges)]
+            edge = self.edges[(self._heartbeat_number + attempt) % len(self.edges)]
             if self._faults is not None and not (
                 self._faults.lets_out(edge) and self._faults.lets_in(edge)
             ):
                 continue
             try:
-                async with self._session.post(f"http://{edge}{address}", json=body) as answer:
-                    await answer.read()
+                async with self._session.post(f"http://{edge}{address}", json=body) as response:
+                    await response.read()
                     return
             except (aiohttp.ClientError, OSError, TimeoutError):
                 continue
 
-    # -- completions ---------------------------------------------------------------------------
-
     def _refuse(self, code: str, status: int, headers: dict[str, str]) -> web.Response:
         return web.json_response(
             {"error": {"verdict": "not_run", "code": code, "message": code}},
@@ -151,14 +164,14 @@
         )
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
-        stamp = f"{self.identity}/{self.incarnation}"
+        worker_id = f"{self.identity}/{self.incarnation}"
         transaction = request.headers.get("X-Vaneledge-Transaction", "")
         headers = {
-            "X-Vaneledge-Worker": stamp,
+            "X-Vaneledge-Worker": worker_id,
             "X-Vaneledge-Transaction": transaction,
             "X-Vaneledge-Weights": self.weights,
         }
-        if request.headers.get("X-Vaneledge-Worker") != stamp:
+        if request.headers.get("X-Vaneledge-Worker") != worker_id:
             return self._refuse("wrong-worker", 409, headers)
         if request.headers.get("X-Vaneledge-Weights", "") not in ("", self.weights):
             return self._refuse("wrong-weights", 409, headers)
@@ -166,7 +179,7 @@
             return self._refuse("busy", 429, headers)
         body = await request.json()
         self._waiting += 1
-        async with self._gate:
+        async with self._slot_semaphore:
             self._waiting -= 1
             self._running += 1
             run = {
@@ -177,74 +190,76 @@
                 "prompt": str(body.get("prompt") or body.get("messages"))[-80:],
             }
             self.runs.append(run)
-            self._note(
+            self._record(
                 "run", identity=self.identity, labels=self.labels, address=self.address, **run
             )
             try:
                 await self._prefill(prefix_of(body))
-                answer = await (self._stream if body.get("stream") else self._whole)(
+                response = await (self._respond_streamed if body.get("stream") else self._respond)(
                     request, body, transaction, headers
                 )
                 run["ended"] = True
-                self._note("run-ended", transaction=transaction, pieces=len(self._words(body)))
-                return answer
+                self._record(
+                    "run-ended", transaction=transaction, pieces=len(self._tokens_of(body))
+                )
+                return response
             finally:
                 self._running -= 1
 
     async def _prefill(self, prefix: str) -> None:
-        known = prefix in self._cache
+        is_cached = prefix in self._cache
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
         if len(self._cache) > self._cache_length:
             self._cache.popitem(last=False)
-        self.hits += known
-        self.misses += not known
-        if not known:
+        self.hits += is_cached
+        self.misses += not is_cached
+        if not is_cached:
             await asyncio.sleep(self._prefill_ms / 1000)
 
-    def _words(self, body: dict[str, Any]) -> list[str]:
+    def _tokens_of(self, body: dict[str, Any]) -> list[str]:
         count = min(int(body.get("max_tokens") or self._tokens), 512)
         seed = sum(map(ord, str(body.get("prompt") or body.get("messages"))))
-        return [_WORDS[(seed + place) % len(_WORDS)] + " " for place in range(count)]
+        return [_WORDS[(seed + index) % len(_WORDS)] + " " for index in range(count)]
 
-    async def _whole(
+    async def _respond(
         self, request: web.Request, body: dict, transaction: str, headers: dict
     ) -> web.Response:
-        words = self._words(body)
-        await asyncio.sleep(len(words) * self._token_ms / 1000)
+        tokens = self._tokens_of(body)
+        await asyncio.sleep(len(tokens) * self._token_ms / 1000)
         choice: dict[str, Any] = {"index": 0, "finish_reason": "stop"}
         if "messages" in body:
-            choice["message"] = {"role": "assistant", "content": "".join(words)}
+            choice["message"] = {"role": "assistant", "content": "".join(tokens)}
         else:
-            choice["text"] = "".join(words)
+            choice["text"] = "".join(tokens)
         return web.json_response(
             {
                 "id": transaction,
                 "object": "text_completion",
                 "model": body.get("model", ""),
                 "choices": [choice],
-                "usage": {"completion_tokens": len(words)},
+                "usage": {"completion_tokens": len(tokens)},
             },
             headers=headers,
         )
 
-    async def _stream(
+    async def _respond_streamed(
         self, request: web.Request, body: dict, transaction: str, headers: dict
     ) -> web.StreamResponse:
-        answer = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
-        await answer.prepare(request)
-        for place, word in enumerate(self._words(body)):
+        response = web.StreamResponse(headers={**headers, "Content-Type": "text/event-stream"})
+        await response.prepare(request)
+        for index, token in enumerate(self._tokens_of(body)):
             await asyncio.sleep(self._token_ms / 1000)
             choice = (
-                {"index": 0, "delta": {"content": word}}
+                {"index": 0, "delta": {"content": token}}
                 if "messages" in body
-                else {"index": 0, "text": word}
+                else {"index": 0, "text": token}
             )
             data = json.dumps({"id": transaction, "object": "text_completion", "choices": [choice]})
-            await answer.write(f"id: {place}\ndata: {data}\n\n".encode())
-        await answer.write(b"data: [DONE]\n\n")
-        await answer.write_eof()
-        return answer
+            await response.write(f"id: {index}\ndata: {data}\n\n".encode())
+        await response.write(b"data: [DONE]\n\n")
+        await response.write_eof()
+        return response
 
     async def _show_runs(self, request: web.Request) -> web.Response:
         return web.json_response(
