--- a/libs/testbed/src/testbed/fault_injection/__init__.py
+++ b/libs/testbed/src/testbed/fault_injection/__init__.py
@@ -1,11 +1,11 @@
-"""Fault injection around the real programs' processes.
+"""Runs the nodes' own processes with fault injection.
 
-Links and HTTP can be cut, slow or lossy, a disk forgets what was not flushed, and the wall clock
-can be stepped. The programs' own code is unchanged.
+Messages between nodes can be cut off, delayed or lost, requests to workers cut off, the wall clock
+stepped, and a kill loses what was not flushed to the disk. The nodes' own code is unchanged.
 """
 
-from testbed.fault_injection.disks import PowerDisk
+from testbed.fault_injection.disks import PowerLossDisk
 from testbed.fault_injection.injected_faults import InjectedFaults, write_faults
 from testbed.fault_injection.nodes import run_node
 
-__all__ = ["InjectedFaults", "PowerDisk", "run_node", "write_faults"]
+__all__ = ["InjectedFaults", "PowerLossDisk", "run_node", "write_faults"]
--- a/libs/testbed/src/testbed/fault_injection/injected_faults.py
+++ b/libs/testbed/src/testbed/fault_injection/injected_faults.py
@@ -1,7 +1,7 @@
-"""The faults in force, in one file that the fleet's runner rewrites and every process follows.
+"""The faults in force, in a JSON file that the fleet's runner rewrites and every process rereads.
 
-It says which machine can't send to which, how slow and how lossy links are, and how far each
-machine's wall clock is off. Machines are known by name, whichever of their addresses is meant.
+It has the pairs of processes that are cut off from each other, the delay and loss of messages, and
+how far each wall clock is off. Processes are named, and the file has the name at each address.
 """
 
 import asyncio
@@ -25,12 +25,21 @@
 ) -> None:
     """Write the file atomically.
 
-    `machines` gives the name at each address; `cuts` are pairs of names, from and to. `slow` gives
-    added milliseconds by machine, `loss` the part of messages lost, `steps` the milliseconds by
-    which wall clocks are off.
+    Parameters
+    ----------
+    machines
+        The name of the process at each address.
+    cuts
+        Pairs of names, sender and receiver, between which nothing passes.
+    slow
+        The milliseconds by which messages to and from a process are delayed, by name.
+    loss
+        The share of messages between nodes that is lost, from 0 to 1.
+    steps
+        The milliseconds by which wall clocks are off, by name.
     """
-    fresh = path.with_suffix(".tmp")
-    fresh.write_text(
+    temporary = path.with_suffix(".tmp")
+    temporary.write_text(
         json.dumps(
             {
                 "machines": machines,
@@ -41,20 +50,20 @@
             }
         )
     )
-    os.replace(fresh, path)
+    os.replace(temporary, path)
 
 
 class InjectedFaults:
-    """The faults in force as the machine called `name` sees them.
+    """The faults in force for the process called `name`.
 
-    `loss` is the part of messages to lose, `step_ms` how far the wall clock is off.
+    `loss` is the share of messages to lose, and `step_ms` is added to the wall clock.
     """
 
-    __slots__ = ("_cuts", "_machines", "_path", "_seen", "_slow", "loss", "name", "step_ms")
+    __slots__ = ("_cuts", "_machines", "_mtime_ns", "_path", "_slow", "loss", "name", "step_ms")
 
     def __init__(self, path: str, name: str) -> None:
         self._path, self.name = Path(path), name
-        self._seen = 0
+        self._mtime_ns = 0
         self._machines: dict[str, str] = {}
         self._cuts: set[tuple[str, str]] = set()
         self._slow: dict[str, int] = {}
@@ -63,20 +72,20 @@
         self.read()
 
     def read(self) -> None:
-        """Read the file if it has changed; an unreadable one leaves the faults as they are."""
+        """Read the file if it has changed; if it can't be read, the faults stay as they are."""
         try:
-            stamp_ns = self._path.stat().st_mtime_ns
-            if stamp_ns == self._seen:
+            mtime_ns = self._path.stat().st_mtime_ns
+            if mtime_ns == self._mtime_ns:
                 return
-            told: dict[str, Any] = json.loads(self._path.read_text())
+            content: dict[str, Any] = json.loads(self._path.read_text())
         except (OSError, ValueError):
             return
-        self._seen = stamp_ns
-        self._machines = told["machines"]
-        self._cuts = {(one, other) for one, other in told["cuts"]}
-        self._slow = told["slow"]
-        self.loss = told["loss"]
-        self.step_ms = told["steps"].get(self.name, 0)
+        self._mtime_ns = mtime_ns
+        self._machines = content["machines"]
+        self._cuts = {(one, other) for one, other in content["cuts"]}
+        self._slow = content["slow"]
+        self.loss = content["loss"]
+        self.step_ms = content["steps"].get(self.name, 0)
 
     async def follow(self) -> None:
         """Read the file again every 20 ms, for as long as the process runs."""
@@ -84,17 +93,17 @@
             self.read()
             await asyncio.sleep(_POLL_S)
 
-    def _name(self, address: str) -> str:
+    def _name_at(self, address: str) -> str:
         return self._machines.get(address, address)
 
-    def lets_out(self, address: str) -> bool:
-        """Return whether messages to an address leave this machine."""
-        return (self.name, self._name(address)) not in self._cuts
+    def can_send_to(self, address: str) -> bool:
+        """Return whether messages to an address leave this process."""
+        return (self.name, self._name_at(address)) not in self._cuts
 
-    def lets_in(self, address: str) -> bool:
-        """Return whether messages from an address reach this machine."""
-        return (self._name(address), self.name) not in self._cuts
+    def can_receive_from(self, address: str) -> bool:
+        """Return whether messages from an address reach this process."""
+        return (self._name_at(address), self.name) not in self._cuts
 
-    def wait_ms(self, address: str) -> int:
-        """Return the added delay of messages to an address, in milliseconds."""
-        return self._slow.get(self.name, 0) + self._slow.get(self._name(address), 0)
+    def delay_ms(self, address: str) -> int:
+        """Return the added delay of messages to an address: the delays of both ends."""
+        return self._slow.get(self.name, 0) + self._slow.get(self._name_at(address), 0)
--- a/libs/testbed/src/testbed/fault_injection/nodes.py
+++ b/libs/testbed/src/testbed/fault_injection/nodes.py
@@ -1,6 +1,7 @@
-"""The programs' own processes with fault injection around them.
+"""Runs a node's own process with fault injection.
 
-Only what touches the outside is replaced: the clock, the disk, the links, and an edge's sender.
+Only the interfaces to the outside are replaced: the wall clock, the disk, the links to other nodes,
+and the sender of an edge's requests to workers.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 from request_routing import Attempt
 from runtime import Settings
 
-from testbed.fault_injection.disks import PowerDisk
+from testbed.fault_injection.disks import PowerLossDisk
 from testbed.fault_injection.injected_faults import InjectedFaults
 
 __all__ = ["run_node"]
@@ -27,7 +28,7 @@
 _POLL_S = 0.02
 
 
-class _Env(ProcessEnvironment):
+class _SteppedEnvironment(ProcessEnvironment):
     def __init__(self, address: str, faults: InjectedFaults) -> None:
         super().__init__(address)
         self._faults = faults
@@ -36,8 +37,8 @@
         return super().wall() + self._faults.step_ms
 
 
-class _Links(LinkTransport):
-    """Drops messages that a cut stops, loses some, and delays those on slow links."""
+class _FaultyLinks(LinkTransport):
+    """Drops messages that are cut off or drawn to be lost, and delays those of slow processes."""
 
     def __init__(
         self,
@@ -49,64 +50,66 @@
         super().__init__(
             address,
             wait_ms,
-            lambda sender, *rest: deliver(sender, *rest) if faults.lets_in(sender) else None,
+            lambda sender, *rest: (
+                deliver(sender, *rest) if faults.can_receive_from(sender) else None
+            ),
         )
         self._faults = faults
         self._rng = random.Random()
 
     def send(self, to: str, request_id: int, in_reply_to: int, message: Message) -> None:
         faults = self._faults
-        if not faults.lets_out(to) or (to != self._address and self._rng.random() < faults.loss):
+        if not faults.can_send_to(to) or (to != self._address and self._rng.random() < faults.loss):
             return
-        if to == self._address or not faults.wait_ms(to):
+        if to == self._address or not faults.delay_ms(to):
             super().send(to, request_id, in_reply_to, message)
         else:
             asyncio.get_running_loop().call_later(
-                faults.wait_ms(to) / 1000, super().send, to, request_id, in_reply_to, message
+                faults.delay_ms(to) / 1000, super().send, to, request_id, in_reply_to, message
             )
 
 
-class _Held:
-    """Holds a worker's answer back during a cut, as sockets do, until the cut is over."""
+class _HeldResponse:
+    """Holds a worker's response back until a cut is over, as a TCP connection does."""
 
     def __init__(self, send: Attempt, address: str, faults: InjectedFaults) -> None:
         self._send, self._address, self._faults = send, address, faults
-        self._rows: list[tuple[str, tuple[Any, ...]]] = []
+        self._pending: list[tuple[str, tuple[Any, ...]]] = []
 
-    def _tell(self, name: str, *values: Any) -> None:
-        self._rows.append((name, values))
-        if len(self._rows) == 1:
-            self._pass_on()
+    def _enqueue(self, name: str, *values: Any) -> None:
+        self._pending.append((name, values))
+        if len(self._pending) == 1:
+            self._deliver()
 
-    def _pass_on(self) -> None:
+    def _deliver(self) -> None:
         while (
-            self._rows
-            and self._faults.lets_in(self._address)
-            and self._faults.lets_out(self._address)
+            self._pending
+            and self._faults.can_receive_from(self._address)
+            and self._faults.can_send_to(self._address)
         ):
-            name, values = self._rows.pop(0)
+            name, values = self._pending.pop(0)
             getattr(self._send, name)(*values)
-        if self._rows:
-            asyncio.get_running_loop().call_later(_POLL_S, self._pass_on)
+        if self._pending:
+            asyncio.get_running_loop().call_later(_POLL_S, self._deliver)
 
     def head(self, *values: Any) -> None:
-        """Pass the head of the answer on once the link is open."""
-        self._tell("head", *values)
+        """Pass the head of the response on, once there is no cut."""
+        self._enqueue("head", *values)
 
     def data(self, chunk: bytes) -> None:
-        """Pass a chunk on once the link is open."""
-        self._tell("data", chunk)
+        """Pass a chunk of the response on, once there is no cut."""
+        self._enqueue("data", chunk)
 
     def end(self) -> None:
-        """Pass the end on once the link is open."""
-        self._tell("end")
+        """Pass the end of the response on, once there is no cut."""
+        self._enqueue("end")
 
     def connection_failed(self, *values: Any) -> None:
-        """Pass the failure on once the link is open."""
-        self._tell("connection_failed", *values)
+        """Pass the failure of the connection on, once there is no cut."""
+        self._enqueue("connection_failed", *values)
 
 
-class _Sender(HttpSender):
+class _FaultySender(HttpSender):
     __slots__ = ("_connect_ms", "_faults")
 
     def __init__(self, connect_ms: int, faults: InjectedFaults) -> None:
@@ -122,46 +125,52 @@
         body: dict[str, Any],
         method: str = "POST",
     ) -> Callable[[], None]:
-        if not (self._faults.lets_out(address) and self._faults.lets_in(address)):
+        if not (self._faults.can_send_to(address) and self._faults.can_receive_from(address)):
             return (
                 asyncio.get_running_loop()
                 .call_later(self._connect_ms / 1000, send.connection_failed, "no connection", False)
                 .cancel
             )
         return super().__call__(
-            _Held(send, address, self._faults), address, kind, headers, body, method
+            _HeldResponse(send, address, self._faults), address, kind, headers, body, method
         )
 
 
-def _surrounded(base: type, faults: InjectedFaults, seed: int) -> type:
-    class Surrounded(base):
-        def make_environment(self) -> _Env:
-            return _Env(self.settings.link, faults)
+def _with_faults(base: type, faults: InjectedFaults, seed: int) -> type:
+    class FaultyProcess(base):
+        def make_environment(self) -> _SteppedEnvironment:
+            return _SteppedEnvironment(self.settings.link, faults)
 
-        def make_transport(self, deliver: Any) -> _Links:
-            return _Links(self.settings.link, self.settings.request_timeout_ms, deliver, faults)
+        def make_transport(self, deliver: Any) -> _FaultyLinks:
+            return _FaultyLinks(
+                self.settings.link, self.settings.request_timeout_ms, deliver, faults
+            )
 
-        def make_sender(self) -> _Sender:
-            return _Sender(self.settings.request_timeout_ms, faults)
+        def make_sender(self) -> _FaultySender:
+            return _FaultySender(self.settings.request_timeout_ms, faults)
 
-        def open_disk(self) -> PowerDisk:
-            self.disk = PowerDisk(super().open_disk(), seed)
+        def open_disk(self) -> PowerLossDisk:
+            self.disk = PowerLossDisk(super().open_disk(), seed)
             return self.disk
 
         async def on_start(self) -> None:
             await super().on_start()
             self.add_future(faults.follow())
 
-    return Surrounded
+    return FaultyProcess
 
 
 def run_node(
     settings: Settings, path: str, flags: dict[str, Any], faults: InjectedFaults, seed: int
 ) -> None:
-    """Run the program of the role in `settings` until it ends.
-
-    `path` and `flags` are where the settings came from; `seed` draws which unflushed writes
-    survive.
+    """Run the process of the role in `settings` until it ends.
+
+    Parameters
+    ----------
+    path, flags
+        The file and the command-line flags that the settings were read from.
+    seed
+        Draws which unflushed writes reach the disk early.
     """
     base = {"edge": EdgeProcess, "store": StoreProcess, "control": ControlProcess}[settings.role]
-    run_process(_surrounded(base, faults, seed), settings, path, flags)
+    run_process(_with_faults(base, faults, seed), settings, path, flags)
--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -1,8 +1,8 @@
-"""Histories of drawn simulator runs, held against sequential objects by `modelcheck`.
+"""Checks histories of simulator runs for linearizability, with `modelcheck`.
 
-The profiles' key is a versioned register, and each lot has the positions of its results. This knows
-nothing of the oracle's rules; it takes only when each call began, when it was answered, and what
-was said.
+The profiles' key is specified as a versioned register, and each job by the positions of its
+results. The check does not depend on the oracle's rules: it uses only the request and the begin of
+each call, and the time and content of its answer.
 """
 
 import json
@@ -27,36 +27,39 @@
 
 __all__ = ["HistoryResult", "KeyReader", "check_history", "check_seed", "job_calls", "key_calls"]
 
-_READ_EVERY_MS = 120.0
+_READ_INTERVAL_MS = 120.0
 _NO_EFFECT = "not_run"
-_HANDED_IN = {"admitted": "admitted", "known": "known", "waiting-room-full": "full"}
+_SUBMIT_RESPONSES = {"admitted": "admitted", "known": "known", "waiting-room-full": "full"}
 
 
 class KeyReader:
-    """Reads the profiles' key through control nodes drawn by its own dice, all through a run."""
+    """Reads the profiles' key at random control nodes until a run's traffic stops.
 
-    __slots__ = ("_dice", "_run")
+    It draws from a random generator of its own.
+    """
+
+    __slots__ = ("_rng", "_run")
 
     def __init__(self, run: Any, seed: int) -> None:
         self._run = run
-        self._dice = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def begin(self) -> None:
-        """Reads now, and again after a while, until the run's traffic stops."""
+        """Read now, and again every 60 to 180 ms of virtual time until the run's traffic stops."""
         if self._run.stopped:
             return
         fleet = self._run.fleet
         hosts = fleet.running("control")
         if hosts:
-            self._read(self._dice.choice(hosts))
-        fleet.time.after(_READ_EVERY_MS * (0.5 + self._dice.random()), self.begin)
+            self._read(self._rng.choice(hosts))
+        fleet.time.after(_READ_INTERVAL_MS * (0.5 + self._rng.random()), self.begin)
 
     def _read(self, host: Any) -> None:
-        fleet, life = self._run.fleet, host.incarnation
+        fleet, incarnation = self._run.fleet, host.incarnation
         row = fleet.history.begin_call("read-key", fleet.time.now_ms)
 
-        def told(receipt: Any) -> None:
-            if host.incarnation == life and host.up and row["outcome"] == "none":
+        def on_receipt(receipt: Any) -> None:
+            if host.incarnation == incarnation and host.up and row["outcome"] == "none":
                 row.update(
                     outcome=receipt.outcome,
                     version=receipt.version,
@@ -64,14 +67,15 @@
                     answered_ms=fleet.time.now_ms,
                 )
 
-        host.node.owner.submit(ReadKey(key="profiles", hops=0), told)
+        host.node.owner.submit(ReadKey(key="profiles", hops=0), on_receipt)
 
 
 class HistoryResult:
-    """What the check of one run's history gave.
+    """The result of checking the history of one run.
 
-    `violations` names the object and the calls that fit nowhere; `undecided` the objects whose
-    search met its limit.
+    `violations` has a text for each object that is not linearizable, with the calls that fit
+    nowhere in its order. `undecided` names the objects whose search reached its limit.
+    `configurations` counts the configurations that were searched.
     """
 
     __slots__ = ("calls", "configurations", "objects", "seconds", "seed", "undecided", "violations")
@@ -92,7 +96,7 @@
 
 
 def key_calls(history: History) -> list[Call]:
-    """All that operators asked of the profiles' key."""
+    """Return the changes and reads of the profiles' key, without changes that were refused."""
     calls = []
     for row in history.rows_of("change"):
         request = ChangeKey(row["change_id"], row["base_version"])
@@ -109,7 +113,7 @@
 
 
 def _final_changes(history: History) -> list[Call]:
-    """Changes asked for again at the end; they began at some time after the last probe."""
+    """Return the changes sent again at the end; they began at some time after the last probe."""
     base_versions = {row["change_id"]: row["base_version"] for row in history.rows_of("change")}
     invoked_ms = max((row["at_ms"] for row in history.rows_of("probe")), default=0.0)
     return [
@@ -124,12 +128,12 @@
 
 
 def job_calls(history: History) -> dict[str, list[Call]]:
-    """All that was asked about each lot."""
+    """Return the calls on each job by its id, without submissions that had no effect."""
     found: dict[str, list[Call]] = {}
     for row in history.rows_of("hand-in"):
         calls = found.setdefault(row["lot"], [])
-        if row["outcome"] in _HANDED_IN:
-            answer = _HANDED_IN[row["outcome"]]
+        if row["outcome"] in _SUBMIT_RESPONSES:
+            answer = _SUBMIT_RESPONSES[row["outcome"]]
             calls.append(Call(SubmitJob(), row["at_ms"], answer, row["answered_ms"]))
         elif row["verdict"] != _NO_EFFECT:
             calls.append(Call(SubmitJob(), row["at_ms"]))
@@ -148,7 +152,7 @@
 
 
 def check_history(history: History, seed: int = 0) -> HistoryResult:
-    """Looks for a linearization of each object's calls."""
+    """Check that the calls on each object of a history are linearizable."""
     result, began = HistoryResult(seed), time.monotonic()
     _check(result, "profiles", key_calls(history), RegisterSpecification())
     totals = {row["lot"]: row["count"] for row in history.rows_of("hand-in")}
@@ -175,7 +179,7 @@
 def check_seed(
     seed: int, faults: int, shape: str, rows: list[tuple[float, str]] | None = None
 ) -> HistoryResult:
-    """Runs one seed of the simulator with readings of the key, and checks its history."""
+    """Run one seed of the simulator with a KeyReader, and check its history."""
     _, run = run_seed(
         seed, faults, shape=shape, rows=rows, watch=lambda run: KeyReader(run, seed).begin()
     )
--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -1,7 +1,4 @@
-"""The report of a day.
-
-What was answered, refused, doubtful and late, by path; how long it took; and the oracle's result.
-"""
+"""The report of a scenario: outcomes and durations by path, and breaches of the oracle's rules."""
 
 from collections import Counter
 from typing import Any
@@ -18,10 +15,11 @@
     "moves": 5000,
     "lots of 80": 10_000,
 }
+"""Durations in milliseconds above which an answer counts as late, by path."""
 
 
 def quantiles(values: list[float]) -> str:
-    """Return the number of values and their 50%, 90%, 99% and 100% quantiles as text."""
+    """Return the number of durations in ms and their 50%, 90%, 99% and 100% quantiles as text."""
     rows = sorted(values)
     if not rows:
         return "none"
@@ -33,7 +31,7 @@
 
 
 def scenario_report(traffic: Any, broken: dict[str, list[str]]) -> str:
-    """Return the report as text; `broken` has the breaches by rule."""
+    """Return the report of a run's traffic as text; `broken` has the breaches by rule."""
     lines = ["faults:"]
     lines += [
         f"  {row['at_ms'] / 1000:6.1f} s  {row['what']}" for row in traffic.history.rows_of("fault")
--- a/libs/testbed/src/testbed/worker.py
+++ b/libs/testbed/src/testbed/worker.py
@@ -146,7 +146,7 @@
         for attempt in range(len(self.edges)):
             edge = self.edges[(self._heartbeat_number + attempt) % len(self.edges)]
             if self._faults is not None and not (
-                self._faults.lets_out(edge) and self._faults.lets_in(edge)
+                self._faults.can_send_to(edge) and self._faults.can_receive_from(edge)
             ):
                 continue
             try:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 import tempfile
 
 from storage import FolderDisk
-from testbed.fault_injection import PowerDisk
+from testbed.fault_injection import PowerLossDisk
 from testbed.scenario_run import run_scenario
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -26,7 +26,7 @@
         with tempfile.TemporaryDirectory() as folder:
 
             def disk():
-                return PowerDisk(FolderDisk(folder, 10_000, lambda call: call()), 3)
+                return PowerLossDisk(FolderDisk(folder, 10_000, lambda call: call()), 3)
 
             first, told = disk(), []
             first.write("a", 0, b"flushed")
