--- a/libs/testbed/src/testbed/diagnosis_commands.py
+++ b/libs/testbed/src/testbed/diagnosis_commands.py
@@ -1,4 +1,4 @@
-"""The commands that look into things: mutations of the code, and one thing's way through logs."""
+"""The commands of diagnosis: mutations of the code, and the traces of requests in logs."""
 
 import json
 import sys
@@ -11,17 +11,20 @@
 
 
 def try_mutations(*names: str, root: Path = Path("."), jobs: int = 8) -> None:
-    """Break the code in one place at a time, in a copy of the tree; a test has to fail.
+    """Change the code in one place at a time, in a copy of the tree; a test has to fail each time.
 
     Parameters
     ----------
-    names: which breaks, as docs/proof.md names them; all if none is named.
-    root: the source tree.
-    jobs: how many at a time.
+    names
+        mutations (breaks) named in docs/proof.md; all if none is given.
+    root
+        root of the source tree.
+    jobs
+        mutations tried at once.
     """
     unknown = [name for name in names if name not in BREAKS]
     if unknown:
-        sys.stderr.write(f"no such break: {', '.join(unknown)}\n")
+        sys.stderr.write(f"unknown breaks: {', '.join(unknown)}\n")
         raise SystemExit(2)
     rows = run_breaks(root, names or BREAKS, jobs)
     for name, result in rows:
@@ -33,18 +36,21 @@
 
 
 def show_trace(what: str, *files: Path) -> None:
-    """Follow one thing through JSON logs, as KIND:ID.
+    """Print the log lines of one thing, given as KIND:ID, from many processes.
 
     Parameters
     ----------
-    what: such as lot:cafe-3-round-9; kinds are transaction, key, lot, change, worker, loan, epoch.
-    files: the logs of any number of processes.
+    what
+        such as lot:cafe-3-round-9; kinds are transaction, key, job, lot, change, worker, loan and
+        epoch.
+    files
+        JSON logs of any number of processes.
     """
     kind, colon, name = what.partition(":")
     if not colon or not name or kind not in KINDS or not files:
-        sys.stderr.write(f"wanted KIND:ID and files; kinds: {', '.join(KINDS)}\n")
+        sys.stderr.write(f"expected KIND:ID and log files; kinds: {', '.join(KINDS)}\n")
         raise SystemExit(2)
-    rows, unread = trace(kind, name, files)
+    rows, unreadable = trace(kind, name, files)
     for row in rows:
         fields = {
             key: value
@@ -54,7 +60,7 @@
         sys.stdout.write(
             f"{row['at'][11:23]} {row['file']:16} {row['event']:22} {json.dumps(fields)}\n"
         )
-    if unread:
-        sys.stderr.write(f"{unread} lines could not be read\n")
+    if unreadable:
+        sys.stderr.write(f"{unreadable} lines were not valid JSON\n")
     if not rows:
         raise SystemExit(1)
--- a/libs/testbed/src/testbed/digest_comparison.py
+++ b/libs/testbed/src/testbed/digest_comparison.py
@@ -25,7 +25,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "RunKey":
-        """Return the key that a text names; ValueError if it names none."""
+        """Return the key from its text form; ValueError if that is malformed."""
         shape, seed, faults = text.split()
         if shape not in SHAPES:
             raise ValueError(f"no such shape: {shape}")
--- a/libs/testbed/src/testbed/fleet_commands.py
+++ b/libs/testbed/src/testbed/fleet_commands.py
@@ -47,18 +47,30 @@
 
     Parameters
     ----------
-    identity: the worker's name, which profiles may allow.
-    http: the worker's address, IP:PORT.
-    edge: HTTP address of an edge to send heartbeats to; may be given several times.
-    zone: the worker's zone.
-    label: a label that profiles may allow; may be given several times.
-    slots: number of completions that run at once.
-    token_ms: time for one token, in milliseconds.
-    tokens: tokens of a completion whose request does not set max_tokens.
-    prefill_ms: added time for a prompt whose prefix is not cached, in milliseconds.
-    cache_prefixes: number of prefixes that the cache holds.
-    runs_file: file to which runs are appended as JSON lines, for the oracle.
-    weather: file of injected faults, whose cuts keep heartbeats from edges.
+    identity
+        the worker's name, which profiles may allow.
+    http
+        the worker's address, IP:PORT.
+    edge
+        HTTP address of an edge to send heartbeats to; may be given several times.
+    zone
+        the worker's zone.
+    label
+        a label that profiles may allow; may be given several times.
+    slots
+        number of completions that run at once.
+    token_ms
+        time for one token, in milliseconds.
+    tokens
+        tokens of a completion whose request does not set max_tokens.
+    prefill_ms
+        added time for a prompt whose prefix is not cached, in milliseconds.
+    cache_prefixes
+        number of prefixes that the cache holds.
+    runs_file
+        file to which runs are appended as JSON lines, for the oracle.
+    weather
+        file of injected faults, whose cuts keep heartbeats from edges.
     """
     asyncio.run(
         _run_worker(
@@ -92,11 +104,16 @@
 
     Parameters
     ----------
-    role: control, edge or store.
-    settings: the node's settings file, in TOML.
-    name: the node's name in the file of faults.
-    weather: file of injected faults, read again whenever it changes.
-    seed: seed of the draw which unflushed writes reach the disk early.
+    role
+        control, edge or store.
+    settings
+        the node's settings file, in TOML.
+    name
+        the node's name in the file of faults.
+    weather
+        file of injected faults, read again whenever it changes.
+    seed
+        seed of the draw which unflushed writes reach the disk early.
     """
     flags = {"role": role}
     run_node(
@@ -122,14 +139,21 @@
 
     Parameters
     ----------
-    shape: jade (six edges, seven workers), swan (eight edges, six workers) or thin.
-    day: scenario named in docs/proof.md, such as calm, weather, members, power or isolated.
-    seed: seed of traffic and faults.
-    folder: directory for data and logs; it is emptied first.
-    rate: rulings a second, and as many flags; narrations and reasons come at half the rate, moves
+    shape
+        jade (six edges, seven workers), swan (eight edges, six workers) or thin.
+    day
+        scenario named in docs/proof.md, such as calm, weather, members, power or isolated.
+    seed
+        seed of traffic and faults.
+    folder
+        directory for data and logs; it is emptied first.
+    rate
+        rulings a second, and as many flags; narrations and reasons come at half the rate, moves
         at 0.3 of it.
-    seconds: least duration of the traffic.
-    base_port: first loopback port to use.
+    seconds
+        least duration of the traffic.
+    base_port
+        first loopback port to use.
     """
     if day not in SCENARIOS:
         sys.stderr.write(f"day: must be one of {', '.join(SCENARIOS)}\n")
@@ -158,11 +182,16 @@
 
     Parameters
     ----------
-    shape: small, wide, one-zone or two-faults.
-    day: scenario named in docs/proof.md, such as calm, faults, power-off, retire or races.
-    seed: seed of names, traffic and faults.
-    folder: directory for settings, data and logs; it is emptied first.
-    history: file for the rows of the recorded history, one JSON line each.
+    shape
+        small, wide, one-zone or two-faults.
+    day
+        scenario named in docs/proof.md, such as calm, faults, power-off, retire or races.
+    seed
+        seed of names, traffic and faults.
+    folder
+        directory for settings, data and logs; it is emptied first.
+    history
+        file for the rows of the recorded history, one JSON line each.
     """
     for name, value, known in (("shape", shape, ALL_SHAPES), ("day", day, PLATFORM_DAYS)):
         if value not in known:
--- a/libs/testbed/src/testbed/measure_command.py
+++ b/libs/testbed/src/testbed/measure_command.py
@@ -1,4 +1,4 @@
-"""The command of measurements."""
+"""The command that runs measurements."""
 
 import sys
 from typing import Annotated, Literal
@@ -27,17 +27,26 @@
     sync_ms: float = 0.0,
     nodes: Annotated[list[int] | None, Parameter(consume_multiple=True, negative=())] = None,
 ) -> None:
-    """Measure the log, a fleet, routes, placement, overload, the ledger, rollouts or costs.
+    """Run a measurement and print its report.
 
     Parameters
     ----------
-    what: log (against syncs), fleet, routes, prefix, crowd, ledger, rollouts, scale or units.
-    repeats: how many paired runs, or seeds.
-    count: appends in a run, how many profiles there are, or how many lots.
-    body_bytes: size of an entry.
-    seconds: length of a live run.
-    sync_ms: time added to each sync, for disks slower than this machine's.
-    nodes: sizes of simulated fleets.
+    what
+        log (appends, compared with plain syncs), fleet (live calls, recovery, changes), routes
+        (many profiles), prefix (placement), crowd (overload), ledger (batch state of one store),
+        rollouts, scale (cost of a node by fleet size) or units (cost of single operations).
+    repeats
+        paired runs, or seeds.
+    count
+        appends in a run, profiles, or jobs.
+    body_bytes
+        size of an entry's body.
+    seconds
+        duration of a run with live calls, or of the metered span.
+    sync_ms
+        milliseconds added to each sync, for disks slower than this machine's.
+    nodes
+        sizes of simulated fleets.
     """
     sizes = nodes or [20, 60, 120]
     ways = {
--- a/libs/testbed/src/testbed/model_checking.py
+++ b/libs/testbed/src/testbed/model_checking.py
@@ -1,7 +1,7 @@
 """The commands of model checking.
 
-`explore` tries all schedules of small groups of nodes; `histories` draws simulator runs and checks
-what callers saw for linearizability.
+`explore` searches all schedules of small groups of nodes for a broken invariant. `histories` runs
+the simulator with faults drawn from seeds and checks the histories for linearizability.
 """
 
 import sys
@@ -19,8 +19,8 @@
 __all__ = ["explore", "histories"]
 
 
-def _explored(job: tuple[str, dict]) -> tuple[str, str, bool]:
-    """Return one search's figures, its violation with the counterexample, and whether all held."""
+def _search(job: tuple[str, dict]) -> tuple[str, str, bool]:
+    """Search; return the figures, the violation and its schedule, and whether there was none."""
     name, bounds = job
     model = INITIAL_STATES[name].model(**bounds)
     explorer = Explorer(model)
@@ -56,35 +56,52 @@
     replay: Path | None = None,
     jobs: int = 2,
 ) -> None:
-    """Try all schedules of small groups of nodes up to bounds; print the shortest that breaks one.
+    """Search all schedules within bounds; print the shortest one that breaks an invariant.
 
     Parameters
     ----------
-    start: starting states, as docs/model-checking.md names them; all if none is named.
-    states: distinct states after which a search is cut off, for each start.
-    depth: the most steps in a schedule.
-    seconds: the longest that each search takes.
-    duplicates: how many messages may arrive twice; each start has its own number of this and next.
-    losses: how many messages may be lost.
-    ticks: how many times a node's timers may run where its clock stands.
-    timeouts: how many times a clock may move on by what an asking waits.
-    freezes: how many times a node may find that it stood still.
-    kills: how many times a process may be started again with all that it wrote.
-    powers: how many times with only what was flushed.
-    wipes: how many times with an empty disk.
-    cuts: how many times all that is in flight to and from a node may be lost.
-    slow_disk: the end of each flush is a step of its own.
-    replay: a file with a written schedule, which is run instead of a search; wants one start.
-    jobs: how many searches at a time.
+    start
+        initial states named in docs/model-checking.md; all if none is given.
+    states
+        distinct states after which the search from an initial state is cut off.
+    depth
+        most steps of a schedule.
+    seconds
+        longest duration of each search.
+    duplicates
+        messages that may arrive twice. For this and the next nine, each initial state has
+        its own default.
+    losses
+        messages that may be lost.
+    ticks
+        times that a node's timers may run without an advance of its clock.
+    timeouts
+        times that a clock may advance by the time-out of a request.
+    freezes
+        times that a node may find that its process was paused.
+    kills
+        times that a process may be restarted with all that it wrote.
+    powers
+        times that a process may be restarted with only what it flushed.
+    wipes
+        times that a process may be restarted with an empty disk.
+    cuts
+        times that all messages in flight to and from a node may be lost.
+    slow_disk
+        whether the end of each flush is a separate step.
+    replay
+        file of a schedule to run instead of a search; requires one initial state.
+    jobs
+        searches that run at once.
     """
-    given = locals()
+    arguments = locals()
     counts = ("duplicates", "losses", "ticks", "timeouts", "freezes", "kills", "powers", "wipes")
-    bounds = {name: given[name] for name in (*counts, "cuts", "slow_disk")}
+    bounds = {name: arguments[name] for name in (*counts, "cuts", "slow_disk")}
     bounds = {name: count for name, count in bounds.items() if count is not None}
     bounds.update(states=states, depth=depth, seconds=seconds)
     unknown = [name for name in start if name not in INITIAL_STATES]
     if unknown or (replay is not None and len(start) != 1):
-        sys.stderr.write(f"start: one of {', '.join(INITIAL_STATES)}\n")
+        sys.stderr.write(f"start: must be one of {', '.join(INITIAL_STATES)}\n")
         raise SystemExit(2)
     if replay is not None:
         _replay(start[0], bounds, replay)
@@ -92,7 +109,7 @@
     all_hold = True
     with ProcessPoolExecutor(jobs) as pool:
         for line, violation, ok in pool.map(
-            _explored, [(name, bounds) for name in start or INITIAL_STATES]
+            _search, [(name, bounds) for name in start or INITIAL_STATES]
         ):
             sys.stdout.write(f"{line}\n{violation}")
             sys.stdout.flush()
@@ -113,7 +130,7 @@
     sys.stdout.write("every step was possible and every invariant held\n")
 
 
-def _checked(job: tuple[int, int, str]) -> HistoryResult:
+def _check(job: tuple[int, int, str]) -> HistoryResult:
     try:
         return check_seed(*job)
     except Exception as error:
@@ -130,21 +147,26 @@
     shape: Literal["small", "jade", "swan"] = "small",
     jobs: int = 2,
 ) -> None:
-    """Draw simulator runs and check what callers saw of profiles and lots for linearizability.
+    """Run the simulator and check calls on profiles and jobs for linearizability.
 
     Parameters
     ----------
-    first: the first seed.
-    count: how many seeds.
-    faults: how many faults in each run.
-    shape: small (three edges, small lots), or the users' shapes with lots of about eighty.
-    jobs: how many runs at a time.
+    first
+        first seed.
+    count
+        number of seeds.
+    faults
+        faults in each run.
+    shape
+        small (three edges, small jobs), or jade or swan with jobs of about 80 items.
+    jobs
+        runs that go on at once.
     """
     began = time.monotonic()
     broken = undecided = objects = calls = 0
     with ProcessPoolExecutor(jobs) as pool:
         for result in pool.map(
-            _checked, [(seed, faults, shape) for seed in range(first, first + count)]
+            _check, [(seed, faults, shape) for seed in range(first, first + count)]
         ):
             objects += result.objects
             calls += result.calls
--- a/libs/testbed/src/testbed/simulation_commands.py
+++ b/libs/testbed/src/testbed/simulation_commands.py
@@ -1,4 +1,4 @@
-"""The command of simulated runs: drawn seeds judged by the oracle, and digests compared."""
+"""The command of simulated runs, which are judged by the oracle or compared by their digests."""
 
 import json
 import sys
@@ -18,7 +18,7 @@
 
 
 class _SeedResult:
-    """What one seed gave: breaches by rule, the faults, and how many rows each rule judged."""
+    """The result of one seed: breaches by rule, the faults, and the rows judged by each rule."""
 
     __slots__ = ("breaches", "faults", "judged", "seed")
 
@@ -53,17 +53,24 @@
     digests: Path | None = None,
     compare: Path | None = None,
 ) -> None:
-    """Run simulated fleets with faults drawn from seeds, and print broken rules.
+    """Run simulated fleets with faults drawn from seeds, and print the breaches of rules.
 
     Parameters
     ----------
-    first: the first seed.
-    count: how many seeds.
-    faults: how many faults in each run.
-    shape: small (three edges, small lots), or the users' shapes with lots of about eighty.
-    jobs: how many runs at a time.
-    digests: write a digest of each run to this JSON file, instead of judging the runs.
-    compare: run what this file of digests names, print the runs that differ and exit 1 if any does.
+    first
+        first seed.
+    count
+        number of seeds.
+    faults
+        faults in each run.
+    shape
+        small (three edges, small jobs), or jade or swan with jobs of about 80 items.
+    jobs
+        runs that go on at once.
+    digests
+        JSON file to write a digest of each run to, instead of judging the runs.
+    compare
+        file of digests whose runs are run again; exits 1 if any digest differs.
     """
     keys = [RunKey(shape, seed, faults) for seed in range(first, first + count)]
     if compare is not None:
