--- a/libs/testbed/src/testbed/diagnosis_commands.py
+++ b/libs/testbed/src/testbed/diagnosis_commands.py
@@ -4,7 +4,7 @@
 import sys
 from pathlib import Path
 
-from testbed.mutations import BREAKS, run_breaks
+from testbed.mutations import MUTATIONS, run_mutations
 from testbed.trace import KINDS, trace
 
 __all__ = ["show_trace", "try_mutations"]
@@ -22,11 +22,11 @@
     jobs
         mutations tried at once.
     """
-    unknown = [name for name in names if name not in BREAKS]
+    unknown = [name for name in names if name not in MUTATIONS]
     if unknown:
         sys.stderr.write(f"unknown breaks: {', '.join(unknown)}\n")
         raise SystemExit(2)
-    rows = run_breaks(root, names or BREAKS, jobs)
+    rows = run_mutations(root, names or MUTATIONS, jobs)
     for name, result in rows:
         sys.stdout.write(f"{result:10} {name}\n")
     bad = sum(result != "caught" for _, result in rows)
--- a/libs/testbed/src/testbed/mutations/__init__.py
+++ b/libs/testbed/src/testbed/mutations/__init__.py
@@ -1,6 +1,6 @@
-"""Deliberate breaks: the system's code broken in one place at a time, to see that a test fails."""
+"""Mutations: the code is changed in one place at a time, to see that a test fails each time."""
 
-from testbed.mutations.runner import run_breaks
-from testbed.mutations.table import BREAKS
+from testbed.mutations.runner import run_mutations
+from testbed.mutations.table import MUTATIONS
 
-__all__ = ["BREAKS", "run_breaks"]
+__all__ = ["MUTATIONS", "run_mutations"]
--- a/libs/testbed/src/testbed/mutations/control.py
+++ b/libs/testbed/src/testbed/mutations/control.py
@@ -1,6 +1,6 @@
-"""Breaks of the control keys, their voters and the configuration feed."""
+"""Mutations of the control keys, their voters, the configuration feed and their HTTP interface."""
 
-__all__ = ["BREAKS"]
+__all__ = ["MUTATIONS"]
 
 _CONTROL = "tests/test_control.py -k "
 _FEED = "tests/test_feed.py -k "
@@ -15,7 +15,7 @@
 _ISOLATED = "tests/test_isolated_control_node.py -k "
 _VOTER_LOSSES = "tests/test_voter_losses.py -k "
 
-BREAKS: dict[str, tuple[str, str, str, str]] = {
+MUTATIONS: dict[str, tuple[str, str, str, str]] = {
     "a cut-off control node hands out settings": (
         "config_feed/src/config_feed/feed.py",
         'if message.role == "control" or self.serves_updates():',
--- a/libs/testbed/src/testbed/mutations/log.py
+++ b/libs/testbed/src/testbed/mutations/log.py
@@ -1,13 +1,13 @@
-"""Breaks of the replicated log, its disks and the batch state on top of it."""
+"""Mutations of the replicated log, its disks and the batch state that is built on it."""
 
-__all__ = ["BREAKS"]
+__all__ = ["MUTATIONS"]
 
 _BATCH_JOBS = "tests/test_batch_jobs.py -k "
 _LOG = "tests/test_log_conformance.py -k "
 _MEMBERS = "tests/test_members.py -k "
 _EXPLORE = "tests/test_explore_log.py -k "
 
-BREAKS: dict[str, tuple[str, str, str, str]] = {
+MUTATIONS: dict[str, tuple[str, str, str, str]] = {
     "one job too many": (
         "batch_state/src/batch_state/admission.py",
         "state.backlog(message.path) >= capacity",
--- a/libs/testbed/src/testbed/mutations/runner.py
+++ b/libs/testbed/src/testbed/mutations/runner.py
@@ -1,7 +1,7 @@
-"""Tries each break on a copy of the tree.
+"""Applies each mutation to a copy of the source tree and runs the test that has to fail.
 
-The copy's packages come before the installed ones, the named test is run, and it has to fail. A
-break whose place is no longer found counts as a failure too.
+The copy's packages take precedence over the installed ones. A mutation whose original code isn't
+found in exactly one place counts as not caught.
 """
 
 import io
@@ -16,11 +16,11 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from testbed.mutations.table import BREAKS
+from testbed.mutations.table import MUTATIONS
 
-__all__ = ["applied", "run_breaks"]
+__all__ = ["apply_mutation", "run_mutations"]
 
-_LIMIT_S = 300
+_TEST_TIMEOUT_S = 300
 _CLOSING = ([")"], ["]"], ["}"])
 _LAYOUT = (
     tokenize.NL,
@@ -32,19 +32,22 @@
 
 
 def _tokens(text: str) -> list[tokenize.TokenInfo]:
-    """The tokens of a piece of code, without those that only lay it out."""
+    """Return the tokens of a piece of code, without those of its layout and comments."""
     tokens = []
     try:
         for token in tokenize.generate_tokens(io.StringIO(text).readline):
             if token.type not in _LAYOUT and token.string:
                 tokens.append(token)
     except (tokenize.TokenError, IndentationError):
-        pass  # a fragment may end inside a bracket; what came before has been read
+        pass  # a fragment may end inside a bracket; the tokens before that have been read
     return tokens
 
 
-def _words(tokens: list[tokenize.TokenInfo]) -> list[str]:
-    """Token texts; a comma before a closing bracket is the formatter's and is left out."""
+def _texts(tokens: list[tokenize.TokenInfo]) -> list[str]:
+    """Return the tokens' texts, empty for a comma before a closing bracket.
+
+    Such commas are left to the formatter, so they don't count in a comparison.
+    """
     texts = [token.string for token in tokens]
     return [
         "" if text == "," and texts[place + 1 : place + 2] in _CLOSING else text
@@ -52,32 +55,34 @@
     ]
 
 
-def applied(text: str, old: str, new: str) -> str:
-    """Return the source with its one place that reads as `old`, in any layout, replaced by `new`.
+def apply_mutation(text: str, old: str, new: str) -> str:
+    """Return the source with the code `old`, in any layout, replaced by `new`.
 
-    ValueError if there is no such place, or more than one.
+    Raises ValueError unless `old` is found in exactly one place.
     """
     tokens = _tokens(text)
-    words = [(word, token) for word, token in zip(_words(tokens), tokens, strict=True) if word]
-    wanted = [word for word in _words(_tokens(textwrap.dedent(old).strip())) if word]
+    texts_and_tokens = [
+        (word, token) for word, token in zip(_texts(tokens), tokens, strict=True) if word
+    ]
+    sought = [word for word in _texts(_tokens(textwrap.dedent(old).strip())) if word]
     places = [
         start
-        for start in range(len(words) - len(wanted) + 1)
-        if [word for word, _ in words[start : start + len(wanted)]] == wanted
+        for start in range(len(texts_and_tokens) - len(sought) + 1)
+        if [word for word, _ in texts_and_tokens[start : start + len(sought)]] == sought
     ]
     if len(places) != 1:
-        raise ValueError(f"{len(places)} places instead of one: {old!r}")
+        raise ValueError(f"found in {len(places)} places instead of one: {old!r}")
     starts = [0]
     for line in text.splitlines(keepends=True):
         starts.append(starts[-1] + len(line))
-    first, last = words[places[0]][1], words[places[0] + len(wanted) - 1][1]
+    first, last = texts_and_tokens[places[0]][1], texts_and_tokens[places[0] + len(sought) - 1][1]
     begin = starts[first.start[0] - 1] + first.start[1]
     end = starts[last.end[0] - 1] + last.end[1]
     return text[:begin] + new.strip() + text[end:]
 
 
-def _try(root: Path, name: str) -> tuple[str, str]:
-    path, old, new, test = BREAKS[name]
+def _run_mutated(root: Path, name: str) -> tuple[str, str]:
+    path, old, new, test = MUTATIONS[name]
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
         for part in ("libs", "tests", "docs", "platform", "deploy"):
@@ -87,12 +92,12 @@
         shutil.copy(root / "README.md", copy)
         target = copy / "libs" / path
         try:
-            target.write_text(applied(target.read_text(), old, new))
+            target.write_text(apply_mutation(target.read_text(), old, new))
         except (OSError, ValueError) as error:
             return name, f"not applied: {error}"
         sources = os.pathsep.join(str(place) for place in sorted(copy.glob("libs/*/src")))
         try:
-            ended = subprocess.run(
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -107,19 +112,23 @@
                 env={**os.environ, "PYTHONPATH": sources},
                 capture_output=True,
                 text=True,
-                timeout=_LIMIT_S,
+                timeout=_TEST_TIMEOUT_S,
             )
         except subprocess.TimeoutExpired:
             return name, "caught"
-        if ended.returncode == 1:
+        if completed.returncode == 1:
             return name, "caught"
-        return name, "SURVIVED" if ended.returncode == 0 else f"no test ran: {ended.stdout[-300:]}"
+        return (
+            name,
+            "SURVIVED" if completed.returncode == 0 else f"no test ran: {completed.stdout[-300:]}",
+        )
 
 
-def run_breaks(root: Path, names: Iterable[str], jobs: int) -> list[tuple[str, str]]:
-    """Try the named breaks, `jobs` at a time; return each name with its result.
+def run_mutations(root: Path, names: Iterable[str], jobs: int) -> list[tuple[str, str]]:
+    """Try the named mutations, `jobs` at once; return each name with its result.
 
-    The result is `caught` if the test failed, `SURVIVED` if it passed, or why nothing was tried.
+    The result is `caught` if the test failed or took more than 300 s, `SURVIVED` if it passed, or
+    the reason why no test ran.
     """
     with ThreadPoolExecutor(jobs) as pool:
-        return list(pool.map(lambda name: _try(root, name), names))
+        return list(pool.map(lambda name: _run_mutated(root, name), names))
--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -1,17 +1,17 @@
-"""Breaks of the data plane: routing of calls, streams, and what a process tells its callers."""
+"""Mutations of request routing, edges, shared capacity, and messages between nodes."""
 
-__all__ = ["BREAKS"]
+__all__ = ["MUTATIONS"]
 
 _BATCH_JOBS = "tests/test_batch_jobs.py -k "
 _FEED = "tests/test_feed.py -k "
-_CIRC = "tests/test_request_routing.py -k "
+_ROUTING = "tests/test_request_routing.py -k "
 _EXCHANGES = "tests/test_exchanges.py"
 _DAYS = "tests/test_platform_days.py -k "
 _CLAIMS = "tests/test_late_claims.py -k "
 _KEPT = "tests/test_kept_connections.py -k "
 _WIRE = "tests/test_wire_faults.py -k "
 
-BREAKS: dict[str, tuple[str, str, str, str]] = {
+MUTATIONS: dict[str, tuple[str, str, str, str]] = {
     "a cut-off edge stays ready": (
         "data_plane/src/data_plane/edge_readiness.py",
         "if not (self._hears_control(now_ms) or self._hears_most(now_ms)):",
@@ -40,7 +40,7 @@
         "request_routing/src/request_routing/lifecycle.py",
         "(free or self._budget.spend())",
         "self._budget.spend()",
-        _CIRC + "free_once",
+        _ROUTING + "free_once",
     ),
     "a visitor who hangs up is a failure": (
         "request_routing/src/request_routing/request_router.py",
@@ -52,49 +52,49 @@
         "request_routing/src/request_routing/worker_registry.py",
         "if worker.leaving or self.is_silent(worker):",
         "if self.is_silent(worker):",
-        _CIRC + "leave",
+        _ROUTING + "leave",
     ),
     "a silent worker is used": (
         "request_routing/src/request_routing/worker_registry.py",
         "if worker.leaving or self.is_silent(worker):",
         "if worker.leaving:",
-        _CIRC + "silence",
+        _ROUTING + "silence",
     ),
     "a stranger is used": (
         "request_routing/src/request_routing/worker_registry.py",
         "if self.is_usable(worker) and self._allowed(worker.identity, worker.labels)]",
         "if self.is_usable(worker)]",
-        _CIRC + "not_allowed",
+        _ROUTING + "not_allowed",
     ),
     "doubt resends an unsafe one": (
         "request_routing/src/request_routing/lifecycle.py",
         "safe = not may_have_run or self.idempotent",
         "safe = True",
-        _CIRC + "event_sequence",
+        _ROUTING + "event_sequence",
     ),
     "doubt is told as not run": (
         "request_routing/src/request_routing/lifecycle.py",
         "if self._may_have_run:\n            refusal.verdict",
         "if False:\n            refusal.verdict",
-        _CIRC + "event_sequence",
+        _ROUTING + "event_sequence",
     ),
     "a cut stream looks whole": (
         "request_routing/src/request_routing/stream_checks.py",
         "if not self.fault and (not self.ended or self._buffer.strip()):",
         "if False:",
-        _CIRC + "stream_faults",
+        _ROUTING + "stream_faults",
     ),
     "two runs are spliced": (
         "request_routing/src/request_routing/stream_checks.py",
         'self.fault = "another run"',
         "pass",
-        _CIRC + "stream_faults",
+        _ROUTING + "stream_faults",
     ),
     "a short body passes": (
         "request_routing/src/request_routing/stream_checks.py",
         "if announced_bytes is None or announced_bytes != len(data):",
         "if False:",
-        _CIRC + "body_faults",
+        _ROUTING + "body_faults",
     ),
     "another's body passes": (
         "request_routing/src/request_routing/worker_exchange.py",
--- a/libs/testbed/src/testbed/mutations/table.py
+++ b/libs/testbed/src/testbed/mutations/table.py
@@ -1,11 +1,15 @@
-"""All deliberate breaks.
+"""All mutations, which docs/proof.md calls breaks and assigns to rules.
 
-A break has a name, the file under libs, the code that stands there, its replacement, and the test
-that has to fail. docs/proof.md says which rule each belongs to.
+A mutation has a name, the file under `libs`, the original code, its replacement, and the arguments
+of pytest that select the test that has to fail.
 """
 
 from testbed.mutations import control, log, serving
 
-__all__ = ["BREAKS"]
+__all__ = ["MUTATIONS"]
 
-BREAKS: dict[str, tuple[str, str, str, str]] = {**control.BREAKS, **log.BREAKS, **serving.BREAKS}
+MUTATIONS: dict[str, tuple[str, str, str, str]] = {
+    **control.MUTATIONS,
+    **log.MUTATIONS,
+    **serving.MUTATIONS,
+}
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -9,8 +9,8 @@
 from simulator.oracle import RULES
 from test_platform_bench import BREAKS as FAKE_PLATFORM_FAULTS
 from test_sim import SCHEDULES
-from testbed.mutations import BREAKS
-from testbed.mutations.runner import applied
+from testbed.mutations import MUTATIONS
+from testbed.mutations.runner import apply_mutation
 from testbed.scenarios import SCENARIOS
 from testtools import TestCase
 from testtools.matchers import Equals
@@ -37,7 +37,7 @@
             ("schedule", SCHEDULES),
             ("day", SCENARIOS),
             ("rule", RULES),
-            ("break", BREAKS),
+            ("break", MUTATIONS),
             ("platform-day", PLATFORM_DAYS),
             ("platform-rule", PLATFORM_RULES),
             ("fake", FAKE_PLATFORM_FAULTS),
@@ -49,9 +49,9 @@
 
     def test_every_rule_is_claimed_and_every_break_applies(self):
         self.assertThat(set(RULES) - self.named("rule"), Equals(set()))
-        for name, (path, old, new, test) in BREAKS.items():
+        for name, (path, old, new, test) in MUTATIONS.items():
             text = (ROOT / "libs" / path).read_text()
-            self.assertThat(applied(text, old, new) != text, Equals(True), name)
+            self.assertThat(apply_mutation(text, old, new) != text, Equals(True), name)
             self.assertThat((ROOT / test.split()[0]).exists(), Equals(True), name)
 
     def test_every_rule_of_the_platform_has_a_day_and_a_break(self):
