--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -1,9 +1,9 @@
-"""Measurements of the log and of a small fleet.
+"""Measurements of the replicated log and of a small fleet.
 
-The log: the real holder, peers and disks with a message delay as between zones; appends
-acknowledged in memory, settled, and, for comparison, each one synced by itself. The fleet: live
-calls with and without batches, the time to replace a killed holder, the time until a version is in
-force.
+The log has a real leader, followers and disks, and a message delay as between zones. Appends are
+measured that are acknowledged once replicated in memory, once committed and, for comparison, once
+synced one by one. The fleet is measured with live calls with and without jobs, the time until jobs
+are accepted after the leader was killed, and the time until a change of the profiles is in force.
 """
 
 import asyncio
@@ -28,10 +28,11 @@
 __all__ = ["measure_fleet", "measure_log"]
 
 _DELAY_S = 0.0015
+"""The delay of a message between stores, in each direction."""
 
 
 class _SlowDisk(FolderDisk):
-    """A disk whose syncs take as long as those of the machines that are meant."""
+    """A disk whose flushes take `sync_ms` longer, to stand for that of a slower machine."""
 
     sync_ms = 0.0
 
@@ -54,15 +55,15 @@
         self.disk = _SlowDisk(os.path.join(folder, name), 1 << 30, loop.call_soon_threadsafe)
         self.disk.sync_ms = sync_ms
         self.log = LocalLog(self.disk, self.settings, boot_ms, lambda: name)
-        self.peer = Follower(self.log)
+        self.follower = Follower(self.log)
 
 
 async def _appends(
     append: Callable[[Callable[[], None]], None], count: int, at_once: int
 ) -> list[float]:
-    """`count` appends, `at_once` of them under way at any time; how long each took, in ms."""
+    """Make `count` appends, `at_once` of them concurrently; return their durations in ms."""
     loop = asyncio.get_running_loop()
-    taken: list[float] = []
+    times_ms: list[float] = []
 
     async def worker(share: int) -> None:
         for _ in range(share):
@@ -70,10 +71,10 @@
             began = time.perf_counter()
             append(lambda future=future: future.done() or future.set_result(None))
             await future
-            taken.append((time.perf_counter() - began) * 1000)
+            times_ms.append((time.perf_counter() - began) * 1000)
 
     await asyncio.gather(*[worker(count // at_once) for _ in range(at_once)])
-    return taken
+    return times_ms
 
 
 async def _measure_log(count: int, body_bytes: int, sync_ms: float) -> list[str]:
@@ -81,39 +82,39 @@
     with tempfile.TemporaryDirectory() as folder:
         stores = {name: _Store(folder, name, sync_ms) for name in ("a", "b", "c")}
         loop = asyncio.get_running_loop()
-        holder: Leader | None = None
+        leader: Leader | None = None
 
-        def post(to: str, message: Any) -> None:
+        def send(to: str, message: Any) -> None:
             loop.call_later(
                 _DELAY_S,
-                stores[to].peer.receive,
+                stores[to].follower.receive,
                 message,
-                lambda receipt: loop.call_later(_DELAY_S, holder.handle_response, receipt, to),
+                lambda receipt: loop.call_later(_DELAY_S, leader.handle_response, receipt, to),
             )
 
         own = stores["a"].log
         ready = loop.create_future()
         own.save_metadata(lambda ok: ready.set_result(ok), fence=1, log_epoch=1)
         await ready
-        holder = Leader(
+        leader = Leader(
             own,
             1,
             [ReplicaAddress(store.log.identity, name) for name, store in stores.items()],
             stores["a"].settings,
             boot_ms,
             wall_ms,
-            post,
+            send,
             lambda fence: None,
         )
         stopping = asyncio.Event()
 
         async def tick() -> None:
             while not stopping.is_set():
-                holder.tick()
+                leader.tick()
                 await asyncio.sleep(0.02)
 
         ticking = asyncio.ensure_future(tick())
-        while not holder.adopted():
+        while not leader.adopted():
             await asyncio.sleep(0.01)
         entry = entries.KeyClosed(
             key="k", request_id="t", state="done", status=200, body="x" * body_bytes, at_ms=0
@@ -130,20 +131,20 @@
             os.write(handle, b"x" * body_bytes)
             loop.run_in_executor(disk, sync).add_done_callback(lambda _: done())
 
-        ways = {
-            "held at f peers": lambda done: holder.append([entry], False, lambda outcome: done()),
-            "settled on f+1 disks": lambda done: holder.append(
+        methods = {
+            "held at f peers": lambda done: leader.append([entry], False, lambda outcome: done()),
+            "settled on f+1 disks": lambda done: leader.append(
                 [entry], True, lambda outcome: done()
             ),
             "one sync for each, one disk": synced,
         }
         for at_once in (1, 16):
-            for name, append in ways.items():
+            for name, append in methods.items():
                 began = time.perf_counter()
-                taken = await _appends(append, count, at_once)
-                rate = len(taken) / (time.perf_counter() - began)
+                times_ms = await _appends(append, count, at_once)
+                rate = len(times_ms) / (time.perf_counter() - began)
                 lines.append(
-                    f"  {at_once:2} at once, {name:28} {spread_fine(taken)}; {rate:.0f} a second"
+                    f"  {at_once:2} at once, {name:28} {_quantiles(times_ms)}; {rate:.0f} a second"
                 )
         stopping.set()
         await ticking
@@ -153,7 +154,7 @@
     return lines
 
 
-def spread_fine(values: list[float]) -> str:
+def _quantiles(values: list[float]) -> str:
     rows = sorted(values)
     return ", ".join(
         f"{name} {rows[min(len(rows) - 1, int(len(rows) * share))]:.1f} ms"
@@ -162,9 +163,9 @@
 
 
 def measure_log(count: int, body_bytes: int, repeats: int, sync_ms: float) -> str:
-    """Measure appends; return the report as text.
+    """Measure `count` appends of each kind, `repeats` times; return the report as text.
 
-    `sync_ms` is added to each sync, for disks slower than this machine's.
+    `sync_ms` is added to the duration of each sync, for disks slower than this machine's.
     """
     lines = [
         f"{count} appends of {body_bytes} bytes, {_DELAY_S * 1000:.1f} ms each way, {sync_ms:.1f} "
@@ -176,7 +177,7 @@
     return "\n".join(lines)
 
 
-async def _live(traffic: Traffic, seconds: float, jobs: bool) -> list[str]:
+async def _measure_live(traffic: Traffic, seconds: float, jobs: bool) -> list[str]:
     traffic.latency_ms.clear()
     end_at = time.time() + seconds
     pending: set[asyncio.Task] = set()
@@ -194,9 +195,9 @@
     ]
 
 
-async def _recovery(fleet: Fleet, traffic: Traffic) -> float:
-    holder = await find_leader(fleet)
-    holder.kill()
+async def _measure_recovery(fleet: Fleet, traffic: Traffic) -> float:
+    leader = await find_leader(fleet)
+    leader.kill()
     began = time.time()
 
     async def accepted() -> bool:
@@ -205,12 +206,12 @@
 
     await wait_until(accepted, 15_000, "lots are accepted again", 20)
     took = (time.time() - began) * 1000
-    holder.start()
+    leader.start()
     await wait_until(lambda: fleet.all_ready(("store",)), 20_000, "the store is back")
     return took
 
 
-async def _in_force(fleet: Fleet, traffic: Traffic) -> tuple[float, float]:
+async def _measure_change(fleet: Fleet, traffic: Traffic) -> tuple[float, float]:
     began = time.time()
     row = await traffic.change(1)
     acked = (time.time() - began) * 1000
@@ -234,22 +235,25 @@
         traffic = Traffic(fleet, 1, 1.0)
         for repeat in range(repeats):
             lines.append(f"run {repeat + 1}, live alone")
-            lines += await _live(traffic, seconds, False)
+            lines += await _measure_live(traffic, seconds, False)
             lines.append(f"run {repeat + 1}, live with a lot of 80 each second")
-            lines += await _live(traffic, seconds, True)
-        changes = [await _in_force(fleet, traffic) for _ in range(10)]
+            lines += await _measure_live(traffic, seconds, True)
+        changes = [await _measure_change(fleet, traffic) for _ in range(10)]
         lines.append(f"a version acknowledged: {quantiles([acked for acked, _ in changes])}")
         lines.append(
             f"a version seen in force at every edge: {quantiles([seen for _, seen in changes])}"
         )
         lines.append(
             "lots accepted after the holder is killed: "
-            f"{quantiles([await _recovery(fleet, traffic) for _ in range(5)])}"
+            f"{quantiles([await _measure_recovery(fleet, traffic) for _ in range(5)])}"
         )
     return lines
 
 
 def measure_fleet(seconds: float, repeats: int) -> str:
-    """Measure a fleet of real processes; return the report as text."""
+    """Measure a fleet of real processes; return the report as text.
+
+    Each of the `repeats` runs has live calls for `seconds` alone, and then beside jobs.
+    """
     with tempfile.TemporaryDirectory() as folder:
         return "\n".join(asyncio.run(_measure_fleet(seconds, repeats, folder)))
--- a/libs/testbed/src/testbed/measure_command.py
+++ b/libs/testbed/src/testbed/measure_command.py
@@ -7,8 +7,8 @@
 
 from testbed.measure import measure_fleet, measure_log
 from testbed.measure_ledger import measure_ledger
-from testbed.measure_more import measure_crowd, measure_prefix, measure_routes
 from testbed.measure_rollouts import measure_rollouts
+from testbed.measure_routing import measure_overload, measure_prefix, measure_routes
 from testbed.measure_scale import measure_scale
 from testbed.measure_units import measure_units
 
@@ -54,7 +54,7 @@
         "prefix": measure_prefix,
         "fleet": lambda: measure_fleet(seconds, repeats),
         "routes": lambda: measure_routes(count),
-        "crowd": measure_crowd,
+        "crowd": measure_overload,
         "ledger": lambda: measure_ledger(count, body_bytes),
         "rollouts": lambda: measure_rollouts(seconds, repeats),
         "scale": lambda: measure_scale(sizes, repeats, seconds),
--- a/libs/testbed/src/testbed/measure_ledger.py
+++ b/libs/testbed/src/testbed/measure_ledger.py
@@ -1,7 +1,7 @@
-"""How the ledger scales with what is kept, on one store's own copy and this machine's disk.
+"""How the batch state scales with the jobs that it keeps, on one replica and this machine's disk.
 
-Memory for batches that are over, the time of a snapshot, of reading everything back, and of an
-edge's heartbeat with open batches.
+Measured are the memory and disk space of finished jobs, the time of a snapshot, of reading the log
+back, and of an edge's heartbeat with open jobs.
 """
 
 import gc
@@ -24,8 +24,8 @@
 _ITEMS = 80
 
 
-class _Alone:
-    """A holder's place: what is appended is settled at once."""
+class _SingleReplica:
+    """A leader without followers: appended entries are applied and committed at once."""
 
     def __init__(self, log: LocalLog) -> None:
         self.log, self.epoch = log, 1
@@ -52,12 +52,12 @@
         return True
 
 
-def _mega() -> float:
-    with open("/proc/self/statm") as page:
-        return int(page.read().split()[1]) * resource.getpagesize() / 1e6
+def _resident_mb() -> float:
+    with open("/proc/self/statm") as statm:
+        return int(statm.read().split()[1]) * resource.getpagesize() / 1e6
 
 
-def _job(rng: random.Random, number: int, body_bytes: int, over: bool) -> list[Any]:
+def _job_entries(rng: random.Random, number: int, body_bytes: int, finished: bool) -> list[Any]:
     name = f"lot{number}"
     texts = [rng.randbytes(body_bytes // 2).hex() for _ in range(2)]
     rows: list[Any] = [
@@ -68,19 +68,19 @@
             safe=True,
             due_ms=number,
             at_ms=number,
-            items=[f'{{"prompt": "{place} {texts[0]}"}}' for place in range(_ITEMS)],
+            items=[f'{{"prompt": "{index} {texts[0]}"}}' for index in range(_ITEMS)],
         )
     ]
-    if over:
-        for place in range(_ITEMS):
-            rows.append(e.ItemClaimed(job_id=name, index=place, edge="edge-1", claim_number=1))
+    if finished:
+        for index in range(_ITEMS):
+            rows.append(e.ItemClaimed(job_id=name, index=index, edge="edge-1", claim_number=1))
             rows.append(
                 e.ItemFinished(
                     job_id=name,
-                    index=place,
+                    index=index,
                     outcome="ran",
                     worker="w/1",
-                    body=f'{{"id": "{number}-{place}", "text": "{texts[1]}"}}',
+                    body=f'{{"id": "{number}-{index}", "text": "{texts[1]}"}}',
                 )
             )
         rows.append(e.ListingLeaseGranted(job_id=name, edge="edge-1", epoch=1))
@@ -88,7 +88,7 @@
     return rows
 
 
-def _wait(disk: FolderDisk, check: Any) -> float:
+def _wait_until(disk: FolderDisk, check: Any) -> float:
     began_at = time.perf_counter()
     while not check():
         disk._worker.submit(lambda: None).result()
@@ -96,9 +96,9 @@
 
 
 def measure_ledger(jobs: int, body_bytes: int, keys: int = 0) -> str:
-    """Measure with `jobs` batches that are over; return the report as text.
+    """Measure with `jobs` finished jobs; return the report as text.
 
-    `keys` is unused.
+    `body_bytes` is the size of each item's body and of its result. `keys` is unused.
     """
     rng = random.Random(1)
     lines = []
@@ -114,10 +114,10 @@
         )
         disk = FolderDisk(folder, settings.disk_bytes, lambda call: call())
         log = LocalLog(disk, settings, lambda: time.monotonic_ns() // 1_000_000, lambda: "a")
-        before_mb = _mega()
+        before_mb = _resident_mb()
         worst_ms = 0.0
         for number in range(jobs):
-            for row in _job(rng, number, body_bytes, True):
+            for row in _job_entries(rng, number, body_bytes, True):
                 log.append(log.next_record(Stamp(1, log.last_stamp.time_ms + 1), encode(row)))
             log.flusher.flushed_seq = log.last_seq
             log.commit(log.last_seq)
@@ -125,17 +125,17 @@
                 began_at = time.perf_counter()
                 log.maintain_snapshot()
                 worst_ms = max(worst_ms, (time.perf_counter() - began_at) * 1000)
-                _wait(disk, lambda: not log.snapshot_in_progress())
+                _wait_until(disk, lambda: not log.snapshot_in_progress())
                 received_ms = log.buffer.received_ms
                 received_ms[:-1] = [-1 << 40] * (len(received_ms) - 1)
                 log.trim()
         log.maintain_snapshot(True)
-        _wait(disk, lambda: not log.snapshot_in_progress())
+        _wait_until(disk, lambda: not log.snapshot_in_progress())
         del log.records[:-1], log.buffer.received_ms[:-1]
         gc.collect()
         lines.append(
             f"{jobs} lots of {_ITEMS} that are over, bodies and results of {body_bytes} bytes: "
-            f"{_mega() - before_mb:.0f} MB "
+            f"{_resident_mb() - before_mb:.0f} MB "
             f"in memory, {sum(disk._sizes.values()) / 1e6:.0f} MB on disk"
         )
         began_at = time.perf_counter()
@@ -146,27 +146,27 @@
             f"longest step of tidying {worst_ms:.0f} ms"
         )
         began_at = time.perf_counter()
-        again = LocalLog(disk, settings, lambda: 0, lambda: "a")
+        reopened = LocalLog(disk, settings, lambda: 0, lambda: "a")
         lines.append(
             f"  read back in {(time.perf_counter() - began_at) * 1000:.0f} ms, "
-            f"{len(again.state.jobs)} lots"
+            f"{len(reopened.state.jobs)} lots"
         )
         for count in (10, 100):
             lines.append(
                 f"  an edge's beat with {count} open lots of {_ITEMS}: "
-                f"{_beat_ms(log, rng, count, body_bytes):.2f} ms"
+                f"{_heartbeat_ms(log, rng, count, body_bytes):.2f} ms"
             )
         disk.close()
     return "\n".join(lines)
 
 
-def _beat_ms(log: LocalLog, rng: random.Random, count: int, body_bytes: int) -> float:
-    alone = _Alone(log)
+def _heartbeat_ms(log: LocalLog, rng: random.Random, count: int, body_bytes: int) -> float:
+    replica = _SingleReplica(log)
     for number in range(count):
-        for row in _job(rng, 10_000_000 + number, body_bytes, False):
+        for row in _job_entries(rng, 10_000_000 + number, body_bytes, False):
             log.state.apply(row)
-    dispatcher = ItemDispatcher(alone, alone)
-    took = []
+    dispatcher = ItemDispatcher(replica, replica)
+    durations_ms = []
     for _ in range(20):
         began_at = time.perf_counter()
         dispatcher.heartbeat(
@@ -176,7 +176,7 @@
             lambda receipt: None,
         )
         dispatcher.tick()
-        took.append((time.perf_counter() - began_at) * 1000)
+        durations_ms.append((time.perf_counter() - began_at) * 1000)
     for number in range(count):
         log.state.apply(e.JobExpired(job_id=f"lot{10_000_000 + number}"))
-    return sorted(took)[len(took) // 2]
+    return sorted(durations_ms)[len(durations_ms) // 2]
--- a/libs/testbed/src/testbed/measure_rollouts.py
+++ b/libs/testbed/src/testbed/measure_rollouts.py
@@ -1,7 +1,7 @@
-"""Measurement of live calls beside rollouts and the loan of a whole worker, with real processes.
+"""Measurement of live calls beside rollouts and a loan of a whole worker, with real processes.
 
-Runs have bursts and an overnight batch, and are paired with runs without rollouts. What counts is
-what clients saw and what the workers recorded that they ran.
+Runs have bursts of live calls and an overnight job, and are paired with runs without rollouts. The
+figures come from the responses to clients, and from the workers' records of what they ran.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 __all__ = ["measure_rollouts"]
 
 _SHAPE = {"edges": 2, "stores": 3, "control": 3, "workers": 4}
-_RATE_S = 22.0
+_CALLS_PER_S = 22.0
 _NIGHT_S = 12.0
 _WORKER = ("--slots", "4", "--token-ms", "15", "--tokens", "16")
 _SETTINGS = {"load_window_ms": 3000}
@@ -31,7 +31,7 @@
     return {"profiles": {**TREE["profiles"], **rows}}
 
 
-async def _first_event(
+async def _measure_first_event(
     fleet: Fleet, rng: random.Random, number: int, seen: list[tuple[float, str]]
 ) -> None:
     edge, began = rng.choice(fleet.with_role("edge")).http, time.perf_counter()
@@ -49,8 +49,8 @@
         seen.append((first_ms, type(error).__name__))
 
 
-async def _move(fleet: Fleet, rng: random.Random, key: str, told: Counter) -> None:
-    """Sent twice, as a client does who got no answer in time."""
+async def _send_keyed_call(fleet: Fleet, rng: random.Random, key: str, statuses: Counter) -> None:
+    """Send a keyed call twice, as a client does after a time-out; count the statuses."""
     for _ in range(2):
         status, _ = await fleet.request(
             "POST",
@@ -59,11 +59,15 @@
             {"model": "moves", "prompt": f"key {key}"},
             {"Idempotency-Key": key},
         )
-        told[status] += 1
+        statuses[status] += 1
 
 
-async def _loan(fleet: Fleet, until_s: float) -> list[str]:
-    """Ask for a worker until it is lent, hold it for a second, and have it handed back."""
+async def _borrow_worker(fleet: Fleet, until_s: float) -> list[str]:
+    """Borrow a worker and return it one second after it is lent; return the steps seen.
+
+    A loan is requested every 0.5 s until `until_s`, a time of `perf_counter`, or until it is
+    accepted.
+    """
     control, steps = fleet.with_role("control")[0].http, []
     while time.perf_counter() < until_s:
         status, body = await fleet.request(
@@ -91,11 +95,11 @@
     return steps
 
 
-async def _evening(folder: str, seconds: float, seed: int, lends: bool, port: int) -> str:
+async def _measure_run(folder: str, seconds: float, seed: int, lends: bool, port: int) -> str:
     rng, seen, moves, tasks = random.Random(seed), [], Counter(), []
     async with Fleet(folder, {**_SHAPE, "workers": 0}, port, settings=_SETTINGS) as fleet:
-        for place in range(_SHAPE["workers"]):
-            fleet.add_worker(f"worker{place + 1}", *_WORKER).start()
+        for index in range(_SHAPE["workers"]):
+            fleet.add_worker(f"worker{index + 1}", *_WORKER).start()
         await fleet.bootstrap(_tree(lends))
         await fleet.wait_for_workers(_SHAPE["workers"])
         edge = fleet.with_role("edge")[0].http
@@ -105,15 +109,19 @@
                 "weights": "w1",
                 "samples": 4,
                 "prompts": [
-                    {"prompt": f"sample {place}", "max_tokens": 60}
-                    for place in range(int(6 * seconds))
+                    {"prompt": f"sample {index}", "max_tokens": 60}
+                    for index in range(int(6 * seconds))
                 ],
             }
             for _ in range(2):
                 assert (await fleet.request("PUT", edge, "/rollouts/r1", call))[0] in (200, 201)
         began = time.perf_counter()
-        loan = asyncio.ensure_future(_loan(fleet, began + seconds + _NIGHT_S)) if lends else None
-        items = [{"prompt": f"item {place}"} for place in range(60)]
+        loan = (
+            asyncio.ensure_future(_borrow_worker(fleet, began + seconds + _NIGHT_S))
+            if lends
+            else None
+        )
+        items = [{"prompt": f"item {index}"} for index in range(60)]
         assert (
             await fleet.request(
                 "PUT",
@@ -126,12 +134,12 @@
         while (now := time.perf_counter() - began) < seconds:
             number += 1
             work = (
-                _move(fleet, rng, f"m{seed}-{number}", moves)
+                _send_keyed_call(fleet, rng, f"m{seed}-{number}", moves)
                 if number % 6 == 0
-                else _first_event(fleet, rng, number, seen)
+                else _measure_first_event(fleet, rng, number, seen)
             )
             tasks.append(asyncio.ensure_future(work))
-            await asyncio.sleep(rng.expovariate(_RATE_S * (1.3 if now % 2 < 0.6 else 0.9)))
+            await asyncio.sleep(rng.expovariate(_CALLS_PER_S * (1.3 if now % 2 < 0.6 else 0.9)))
         job_ms = 0.0
         while not job_ms:
             _, shown = await fleet.request("GET", edge, "/lots/overnight")
@@ -140,8 +148,8 @@
             )
             await asyncio.sleep(0.1)
         await asyncio.gather(*tasks)
-        lines = await _judged(fleet, lends, Path(folder))
-        told = "; ".join(await loan) if loan is not None else ""
+        lines = await _check_results(fleet, lends, Path(folder))
+        loan_steps = "; ".join(await loan) if loan is not None else ""
     good = sorted(first_ms for first_ms, outcome in seen if outcome == "whole")
     return "\n".join(
         [
@@ -150,7 +158,7 @@
             f"moves {dict(moves)}; lot done by {job_ms:.0f} ms",
             f"  first events ms: {quantiles(good)}; over 300 ms: {sum(one > 300 for one in good)}",
             *lines,
-            *([f"  loan: {told}"] if told else []),
+            *([f"  loan: {loan_steps}"] if loan_steps else []),
         ]
     )
 
@@ -164,7 +172,7 @@
     ]
 
 
-async def _judged(fleet: Fleet, lends: bool, folder: Path) -> list[str]:
+async def _check_results(fleet: Fleet, lends: bool, folder: Path) -> list[str]:
     keys = Counter(row["prompt"] for row in _runs(folder) if row["prompt"].startswith("key "))
     lines = [
         f"  moves that ran: {len(keys)}, more than once: "
@@ -174,41 +182,45 @@
         return lines
     edge = fleet.with_role("edge")[-1].http
 
-    async def whole() -> Any:
+    async def done_rollout() -> Any:
         shown = (await fleet.request("GET", edge, "/rollouts/r1"))[1]
         return shown if shown.get("state") == "done" else None
 
-    shown = await wait_until(whole, 90_000, "the rollout is done", 200)
+    shown = await wait_until(done_rollout, 90_000, "the rollout is done", 200)
     rows: list[dict[str, Any]] = []
     while len(rows) < shown["total"]:
         rows += (await fleet.request("GET", edge, f"/rollouts/r1/results?from={len(rows)}"))[1][
             "results"
         ]
-    right = sum(
-        row["index"] == place
-        and (row["body"]["prompt"], row["body"]["sample"]) == divmod(place, 4)
+    correct = sum(
+        row["index"] == index
+        and (row["body"]["prompt"], row["body"]["sample"]) == divmod(index, 4)
         and row["body"]["weights"] == "w1"
         and len(row["body"]["text"].split()) == 60
-        for place, row in enumerate(rows)
+        for index, row in enumerate(rows)
     )
-    given_up = sum(
+    cancelled = sum(
         line.count('"sample-given-up"')
         for path in folder.glob("edge*.log")
         for line in path.read_text().splitlines()
     )
     return [
         *lines,
-        f"  samples: {shown['total']} handed in, {len(rows)} listed, {right} whole and at their "
+        f"  samples: {shown['total']} handed in, {len(rows)} listed, {correct} whole and at their "
         "place; runs begun: "
-        f"{sum(row['path'] == 'rollouts' for row in _runs(folder))}, given up: {given_up}",
+        f"{sum(row['path'] == 'rollouts' for row in _runs(folder))}, given up: {cancelled}",
     ]
 
 
 def measure_rollouts(seconds: float, repeats: int) -> str:
-    """Pairs of runs, the order changing from pair to pair."""
+    """Measure pairs of runs, whose order alternates; return the report as text.
+
+    Live calls are made for `seconds`, 22 a second times 1.3 in bursts of 0.6 s every 2 s and times
+    0.9 in between.
+    """
     lines = []
     for pair in range(repeats):
         for lends in (True, False) if pair % 2 else (False, True):
             with tempfile.TemporaryDirectory() as folder:
-                lines.append(asyncio.run(_evening(folder, seconds, pair, lends, 29_500)))
+                lines.append(asyncio.run(_measure_run(folder, seconds, pair, lends, 29_500)))
     return "\n".join(lines)
--- a/libs/testbed/src/testbed/measure_more.py
+++ b/libs/testbed/src/testbed/measure_routing.py
@@ -1,4 +1,4 @@
-"""Measurements of many routes, of placement by prefix against load alone, and of overload."""
+"""Measurements of many profiles, of placement by prefix or by load alone, and of overload."""
 
 import asyncio
 import random
@@ -14,17 +14,20 @@
 from testbed.report import quantiles
 from testbed.traffic import TREE, Traffic
 
-__all__ = ["measure_crowd", "measure_prefix", "measure_routes", "wide_tree"]
+__all__ = ["measure_overload", "measure_prefix", "measure_routes", "wide_tree"]
 
 
 def wide_tree(count: int) -> dict[str, Any]:
-    """The test tree and a group of ten under each tenth of `count` further profiles."""
+    """Return the tree of the traffic with `count` further profiles.
+
+    Each tenth of them is the parent of the next nine.
+    """
     rows = {
-        f"route-{place}": {
-            "parent": "base" if place % 10 == 0 else f"route-{place - place % 10}",
-            "deadline_ms": 1000 + place,
+        f"route-{index}": {
+            "parent": "base" if index % 10 == 0 else f"route-{index - index % 10}",
+            "deadline_ms": 1000 + index,
         }
-        for place in range(count)
+        for index in range(count)
     }
     return {"profiles": {**TREE["profiles"], **rows}}
 
@@ -38,21 +41,21 @@
     return int(line.split()[1]) // 1024
 
 
-async def _poll_ready(fleet: Fleet, taken: list[float], stopping: asyncio.Event) -> None:
+async def _poll_ready(fleet: Fleet, durations_ms: list[float], stopping: asyncio.Event) -> None:
     while not stopping.is_set():
         began = time.perf_counter()
         await fleet.get(fleet.with_role("edge")[0], "/ready")
-        taken.append((time.perf_counter() - began) * 1000)
+        durations_ms.append((time.perf_counter() - began) * 1000)
         await asyncio.sleep(0.01)
 
 
-async def _in_force_at(fleet: Fleet, version: int) -> None:
+async def _wait_in_force(fleet: Fleet, version: int) -> None:
     async def everywhere() -> bool:
-        shown = [
+        reported = [
             (await fleet.get(member, "/status"))[1]["feed"]["profiles"]
             for member in fleet.with_role("edge")
         ]
-        return min(shown) >= version
+        return min(reported) >= version
 
     await wait_until(everywhere, 10_000, f"version {version} is in force", 2)
 
@@ -69,30 +72,30 @@
     return total
 
 
-async def _routes(count: int, folder: str) -> list[str]:
+async def _measure_routes(count: int, folder: str) -> list[str]:
     async with Fleet(folder, SHAPES["thin"], 28300) as fleet:
         await fleet.bootstrap(TREE)
         edge, control = fleet.with_role("edge")[0], fleet.with_role("control")[0].http
         lines = [f"{count} profiles; an edge's memory before {_memory_mb(edge.process.pid)} MB"]
-        taken: list[float] = []
+        durations_ms: list[float] = []
         stopping = asyncio.Event()
-        polling = asyncio.ensure_future(_poll_ready(fleet, taken, stopping))
+        polling = asyncio.ensure_future(_poll_ready(fleet, durations_ms, stopping))
         for what, method, body in [("whole tree", "PUT", {"tree": wide_tree(count)})] + [
             (
                 "small patch",
                 "PATCH",
-                {"patch": {"profiles": {f"route-{place}": {"deadline_ms": 77}}}},
+                {"patch": {"profiles": {f"route-{index}": {"deadline_ms": 77}}}},
             )
-            for place in range(5)
+            for index in range(5)
         ]:
-            _, shown = await fleet.request("GET", control, "/profiles")
+            _, reported = await fleet.request("GET", control, "/profiles")
             before = await _metric(fleet, "control", "feed_sent_bytes_total")
             began = time.perf_counter()
-            status, answer = await fleet.request(
-                method, control, "/profiles", {"version": shown["version"], **body}
+            status, response = await fleet.request(
+                method, control, "/profiles", {"version": reported["version"], **body}
             )
             acked = (time.perf_counter() - began) * 1000
-            await _in_force_at(fleet, shown["version"] + 1)
+            await _wait_in_force(fleet, reported["version"] + 1)
             seen = (time.perf_counter() - began) * 1000
             sent = await _metric(fleet, "control", "feed_sent_bytes_total") - before
             lines.append(
@@ -105,15 +108,15 @@
         worst = next(
             line for line in text.splitlines() if line.startswith("vaneledge_worst_tick_ms")
         )
-        lines.append(f"  /ready meanwhile: {quantiles(taken)}")
+        lines.append(f"  /ready meanwhile: {quantiles(durations_ms)}")
         lines.append(f"  an edge's memory after {_memory_mb(edge.process.pid)} MB; {worst}")
     return lines
 
 
 def measure_routes(count: int) -> str:
-    """Measure a fleet with `count` profiles; return the report as text."""
+    """Measure changes of a fleet with `count` further profiles; return the report as text."""
     with tempfile.TemporaryDirectory() as folder:
-        return "\n".join(asyncio.run(_routes(count, folder)))
+        return "\n".join(asyncio.run(_measure_routes(count, folder)))
 
 
 def measure_prefix(
@@ -121,8 +124,8 @@
 ) -> str:
     """Measure placement alone, by prefix and by load; return the report as text.
 
-    It gives cache hits and the spread of calls over workers. A worker's cache is a bounded set of
-    prefixes from which the oldest is dropped; calls end in the order in which they began.
+    It reports cache hits and how evenly calls are distributed. A worker's cache holds `cached`
+    prefixes and evicts the least recently used. Calls end in the order in which they began.
     """
     lines = [
         f"{calls} calls, {prefixes} prefixes, {workers} workers with room for {cached} each, 20 "
@@ -131,11 +134,11 @@
     for by_prefix in (True, False):
         rng = random.Random(1)
         pool = []
-        for place in range(workers):
-            news = WorkerUpdate(
-                identity=f"w{place}",
+        for index in range(workers):
+            update = WorkerUpdate(
+                identity=f"w{index}",
                 incarnation=1,
-                address=f"w{place}:1",
+                address=f"w{index}:1",
                 zone="a",
                 labels=[],
                 beat=1,
@@ -145,17 +148,17 @@
                 cache_use=0.0,
                 leaving=False,
             )
-            pool.append(Worker(news, 0))
+            pool.append(Worker(update, 0))
         caches: dict[str, list[str]] = {worker.identity: [] for worker in pool}
-        hits, placed, under_way = 0, Counter(), []
+        hits, call_counts, open_calls = 0, Counter(), []
         for _ in range(calls):
             prefix = f"p{min(rng.randrange(prefixes), rng.randrange(prefixes))}"
-            if len(under_way) >= 20:
-                under_way.pop(0).in_flight -= 1
+            if len(open_calls) >= 20:
+                open_calls.pop(0).in_flight -= 1
             worker = choose_by_prefix(pool, prefix, False, "a", True, 0.0, by_prefix=by_prefix)
             worker.in_flight += 1
-            under_way.append(worker)
-            placed[worker.identity] += 1
+            open_calls.append(worker)
+            call_counts[worker.identity] += 1
             cache = caches[worker.identity]
             hits += prefix in cache
             if prefix in cache:
@@ -166,13 +169,13 @@
         lines.append(
             f"  {'by prefix' if by_prefix else 'by load alone':14} {100 * hits / calls:5.1f}% "
             "hits; busiest worker "
-            f"{max(placed.values()) / mean:.2f} of the mean, idlest "
-            f"{min(placed.values()) / mean:.2f}"
+            f"{max(call_counts.values()) / mean:.2f} of the mean, idlest "
+            f"{min(call_counts.values()) / mean:.2f}"
         )
     return "\n".join(lines)
 
 
-async def _crowd(folder: str, rates: tuple[int, ...], seconds: float) -> list[str]:
+async def _measure_overload(folder: str, rates: tuple[int, ...], seconds: float) -> list[str]:
     lines = []
     async with Fleet(folder, SHAPES["thin"], 28600) as fleet:
         await fleet.bootstrap(TREE)
@@ -233,7 +236,7 @@
     return lines
 
 
-def measure_crowd(rates: tuple[int, ...] = (50, 150, 300, 450), seconds: float = 4.0) -> str:
-    """Measure a fleet at each rate of calls a second; return the report as text."""
+def measure_overload(rates: tuple[int, ...] = (50, 150, 300, 450), seconds: float = 4.0) -> str:
+    """Measure a fleet at each of `rates`, in calls a second; return the report as text."""
     with tempfile.TemporaryDirectory() as folder:
-        return "\n".join(asyncio.run(_crowd(folder, rates, seconds)))
+        return "\n".join(asyncio.run(_measure_overload(folder, rates, seconds)))
--- a/libs/testbed/src/testbed/measure_scale.py
+++ b/libs/testbed/src/testbed/measure_scale.py
@@ -1,9 +1,9 @@
-"""How the cost of a node grows with the fleet.
+"""How the cost of a node grows with the size of the fleet.
 
-Simulated fleets of several sizes do nothing but keep in touch, with their workers' heartbeats, and
-meters in the network and the hosts. A node's processor time is what its own ticks, messages and
-reports took, and the encoding of its messages as for a link; sockets are not in it. Slopes are
-least squares over the sizes, one for each seed.
+Simulated fleets of several sizes serve no requests: nodes exchange their heartbeats and workers
+report theirs. The simulated network and hosts meter each node. A node's processor time is that of
+its ticks, messages and reports, and of encoding and decoding its messages as a link does; sockets
+are not included. Slopes are fitted by least squares over the sizes, one for each seed.
 """
 
 import gc
@@ -28,11 +28,11 @@
 __all__ = [
     "SETTINGS",
     "MeteredFleet",
-    "founded",
+    "create_fleet",
+    "fit_line",
     "held_bytes",
-    "line_through",
     "measure_scale",
-    "sample",
+    "meter_span",
 ]
 
 SETTINGS: dict[str, Any] = {
@@ -45,11 +45,11 @@
     "seeds": ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"],
 }
 _CONTROL, _STORES = 3, 3
-_FOUND_MS, _SETTLE_MS = 30_000, 5000
+_BOOTSTRAP_TIMEOUT_MS, _SETTLE_MS = 30_000, 5000
 _ENVELOPE_BYTES = 32
 _WORKERS_PER_NODE = 690 / 340
 _ROLES = ("control", "store", "edge")
-_SHARED = (
+_EXCLUDED_TYPES = (
     type,
     ModuleType,
     BuiltinFunctionType,
@@ -67,26 +67,26 @@
 class Meter:
     """Processor time by address and kind of work, and messages and bytes by address.
 
-    `beside_s` is the meter's and the network's own time, which counts for no node.
+    `excluded_s` is the processor time of sending in the simulated network, which `run` leaves out.
     """
 
-    __slots__ = ("beside_s", "counts", "work_s")
+    __slots__ = ("counts", "excluded_s", "work_s")
 
     def __init__(self) -> None:
         self.work_s: dict[tuple[str, str], float] = defaultdict(float)
         self.counts: dict[tuple[str, str], int] = defaultdict(int)
-        self.beside_s = 0.0
+        self.excluded_s = 0.0
 
     def clear(self) -> None:
-        """Set all figures to zero, except `beside_s`."""
+        """Set all figures to zero, except `excluded_s`."""
         self.work_s.clear()
         self.counts.clear()
 
-    def run(self, address: str, kind: str, work: Callable[..., Any], *given: Any) -> None:
-        """Do work and add its processor time to an address."""
-        beside_s, began_s = self.beside_s, process_time()
-        work(*given)
-        self.work_s[address, kind] += process_time() - began_s - (self.beside_s - beside_s)
+    def run(self, address: str, kind: str, work: Callable[..., Any], *arguments: Any) -> None:
+        """Call `work` and add its processor time to an address, without that of `excluded_s`."""
+        excluded_s, began_s = self.excluded_s, process_time()
+        work(*arguments)
+        self.work_s[address, kind] += process_time() - began_s - (self.excluded_s - excluded_s)
 
 
 class MeteredNetwork(Network):
@@ -100,17 +100,17 @@
         meter, began_s = self.meter, process_time()
         if sender != to:
             data = encode(message)
-            packed_s = process_time()
+            encoded_s = process_time()
             decode(data)
-            meter.work_s[sender, "packing"] += packed_s - began_s
-            meter.work_s[to, "packing"] += process_time() - packed_s
+            meter.work_s[sender, "packing"] += encoded_s - began_s
+            meter.work_s[to, "packing"] += process_time() - encoded_s
             meter.counts[sender, "sent"] += 1
             meter.counts[to, "received"] += 1
             meter.counts[sender, "bytes"] += len(data) + _ENVELOPE_BYTES
             if self.zones.get(sender) != self.zones.get(to):
                 meter.counts["", "zone_bytes"] += len(data) + _ENVELOPE_BYTES
         super().send(sender, to, request_id, in_reply_to, message)
-        meter.beside_s += process_time() - began_s
+        meter.excluded_s += process_time() - began_s
 
     def _arrive(
         self, sender: str, to: str, request_id: int, in_reply_to: int, message: Any
@@ -139,19 +139,23 @@
         """The meter of the whole fleet."""
         return self.network.meter
 
-    def start_beats(self, count: int) -> None:
-        """Start heartbeats of `count` workers to random control nodes; they change nothing else."""
-        beat_ms = SETTINGS["worker_beat_ms"]
-        for place in range(count):
+    def start_worker_reports(self, count: int) -> None:
+        """Start the periodic reports of `count` workers, each to a random control node.
+
+        The reports of a worker differ only in their sequence number.
+        """
+        interval_ms = SETTINGS["worker_beat_ms"]
+        for index in range(count):
             self.time.after(
-                beat_ms * self.time.rng.random(), lambda place=place: self._beat(place, 1, beat_ms)
+                interval_ms * self.time.rng.random(),
+                lambda index=index: self._send_report(index, 1, interval_ms),
             )
 
-    def _beat(self, place: int, seq: int, beat_ms: int) -> None:
+    def _send_report(self, index: int, seq: int, interval_ms: int) -> None:
         host = self.time.rng.choice(self.running("control"))
         report = WorkerReport(
-            identity=f"worker-{place}",
-            address=f"10.9.{place >> 8}.{place & 255}:8080",
+            identity=f"worker-{index}",
+            address=f"10.9.{index >> 8}.{index & 255}:8080",
             zone="north",
             label="gpu",
             slots=8,
@@ -163,11 +167,11 @@
             host.address, "report", host.node.worker_list.report, report, lambda outcome: None
         )
         self.meter.counts[host.address, "reports"] += 1
-        self.time.after(beat_ms, lambda: self._beat(place, seq + 1, beat_ms))
+        self.time.after(interval_ms, lambda: self._send_report(index, seq + 1, interval_ms))
 
 
-def founded(seed: int, nodes: int, settings: dict[str, Any] | None = None) -> MeteredFleet:
-    """Return a fleet in contact, with profiles in force at every edge."""
+def create_fleet(seed: int, nodes: int, settings: dict[str, Any] | None = None) -> MeteredFleet:
+    """Return a fleet that is ready, with profiles in force at every edge."""
     fleet = MeteredFleet(
         seed,
         edges=nodes - _CONTROL - _STORES,
@@ -177,19 +181,22 @@
         settings={**SETTINGS, **(settings or {})},
     )
     if not fleet.run_until_true(
-        lambda: all(host.node.has_quorum() for host in fleet.with_role("control")), _FOUND_MS
+        lambda: all(host.node.has_quorum() for host in fleet.with_role("control")),
+        _BOOTSTRAP_TIMEOUT_MS,
     ):
-        raise AssertionError("control was not founded")
+        raise AssertionError("no quorum of control nodes within 30 s of virtual time")
     Operators(fleet).change()
-    if not fleet.run_until_true(lambda: fleet.ready() and fleet.leader() is not None, _FOUND_MS):
-        raise AssertionError("the fleet did not get ready")
+    if not fleet.run_until_true(
+        lambda: fleet.ready() and fleet.leader() is not None, _BOOTSTRAP_TIMEOUT_MS
+    ):
+        raise AssertionError("fleet not ready within 30 s of virtual time")
     return fleet
 
 
-def sample(fleet: MeteredFleet, span_ms: float) -> None:
-    """Meter this span alone, without the garbage collector.
+def meter_span(fleet: MeteredFleet, span_ms: float) -> None:
+    """Run and meter a fleet for a span, with the garbage collector disabled.
 
-    The collector's time would be that of the whole simulator.
+    The collector would also spend time on the objects of the simulator.
     """
     gc.collect()
     gc.disable()
@@ -199,12 +206,12 @@
 
 
 def held_bytes(node: Any) -> int:
-    """Return what a node keeps alive, without what it shares with others in this process."""
+    """Return the bytes of objects that a node refers to, without those that the fleet shares."""
     seen: set[int] = set()
     rows, size = [node], 0
     while rows:
         row = rows.pop()
-        if id(row) in seen or isinstance(row, _SHARED):
+        if id(row) in seen or isinstance(row, _EXCLUDED_TYPES):
             continue
         seen.add(id(row))
         size += sys.getsizeof(row)
@@ -215,27 +222,31 @@
     return size
 
 
-def line_through(points: Iterable[tuple[float, float]]) -> tuple[float, float]:
-    """Return slope and intercept by least squares."""
+def fit_line(points: Iterable[tuple[float, float]]) -> tuple[float, float]:
+    """Return the slope and intercept of the least-squares line; slope 0 if all x are equal."""
     points = list(points)
-    mid_x, mid_y = fmean(x for x, _ in points), fmean(y for _, y in points)
-    across = sum((x - mid_x) ** 2 for x, _ in points)
-    slope = sum((x - mid_x) * (y - mid_y) for x, y in points) / across if across else 0.0
-    return slope, mid_y - slope * mid_x
+    mean_x, mean_y = fmean(x for x, _ in points), fmean(y for _, y in points)
+    sum_of_squares = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = (
+        sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares
+        if sum_of_squares
+        else 0.0
+    )
+    return slope, mean_y - slope * mean_x
 
 
 def _row(fleet: MeteredFleet, role: str, span_s: float) -> dict[str, float]:
-    """Return the figures of a node of this role, for a second.
+    """Return the means of the nodes of a role, for one second of the span.
 
-    `cpu_ms_most` is that of the busiest.
+    `cpu_ms_most` is the processor time of the busiest node. `held_kb` is the mean of three nodes.
     """
     meter, hosts = fleet.meter, fleet.with_role(role)
     kinds = ("tick", "receive", "packing", "report", "disk")
-    spent = {
+    cpu_ms = {
         host.address: sum(meter.work_s[host.address, kind] for kind in kinds) * 1000 / span_s
         for host in hosts
     }
-    row = {"cpu_ms": fmean(spent.values()), "cpu_ms_most": max(spent.values())}
+    row = {"cpu_ms": fmean(cpu_ms.values()), "cpu_ms_most": max(cpu_ms.values())}
     for kind in kinds:
         row[f"cpu_ms_{kind}"] = (
             sum(meter.work_s[host.address, kind] for host in hosts) * 1000 / span_s / len(hosts)
@@ -254,17 +265,17 @@
 
 
 def measure_one(seed: int, nodes: int, span_s: float) -> dict[str, dict[str, float]]:
-    fleet = founded(seed, nodes)
-    fleet.start_beats(round(nodes * _WORKERS_PER_NODE))
+    fleet = create_fleet(seed, nodes)
+    fleet.start_worker_reports(round(nodes * _WORKERS_PER_NODE))
     fleet.time.run_until(fleet.time.now_ms + _SETTLE_MS)
-    sample(fleet, span_s * 1000)
+    meter_span(fleet, span_s * 1000)
     rows = {role: _row(fleet, role, span_s) for role in _ROLES}
     rows["control"]["zone_kb"] = fleet.meter.counts["", "zone_bytes"] / 1000 / span_s
     return rows
 
 
 def measure_scale(sizes: Iterable[int], seeds: int, span_s: float) -> str:
-    """Measure fleets of several sizes; return the report as text."""
+    """Measure fleets of `sizes` nodes, each with several seeds; return the report as text."""
     sizes = list(sizes)
     found = {
         (nodes, seed): measure_one(seed, nodes, span_s)
@@ -286,7 +297,7 @@
                 cells.append(f"{nodes}: {min(values):.4g} to {max(values):.4g}")
             if any(row[role][name] for row in found.values()):
                 fits = [
-                    line_through((nodes, found[nodes, seed][role][name]) for nodes in sizes)
+                    fit_line((nodes, found[nodes, seed][role][name]) for nodes in sizes)
                     for seed in range(1, seeds + 1)
                 ]
                 slopes, starts = [fit[0] for fit in fits], [fit[1] for fit in fits]
--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -1,8 +1,9 @@
-"""What single operations cost, in processor time alone.
+"""The processor time that single operations cost.
 
-An append at the holder and at a peer, an item's way through the ledger, an event of a stream at an
-edge, a version of a wide configuration. Fleets are simulated and metered, and what they spend when
-idle is subtracted; sockets and real disks are not in it, except for messages over a real link.
+Operations are an append at the leader and at a follower, the submission, run and listing of an
+item, an event of a stream at an edge, a message over a link, a worker's report, and a new version
+of a wide configuration. Fleets are simulated and metered, and their idle cost is subtracted.
+Sockets and real disks are not included, except for messages over a real link.
 """
 
 import asyncio
@@ -21,14 +22,14 @@
 from request_routing.forward_exchange import ForwardExchange
 from simulator.operators import Operators, profiles_tree
 
-from testbed.measure_scale import founded, held_bytes
-from testbed.metered_costs import NODES, EdgeClient, MeteredCosts, big_disks, store_groups
+from testbed.measure_scale import create_fleet, held_bytes
+from testbed.metered_costs import NODES, EdgeClient, MeteredCosts, large_disk_settings, store_groups
 
-__all__ = ["item_costs", "measure_units", "wide_rows"]
+__all__ = ["item_costs", "measure_units", "wide_profiles"]
 
-_LOT_ITEMS = 80
-_APART_MS = 3000
-_DIALECT = WorkerHeaderNames(
+_JOB_ITEMS = 80
+_CHANGE_INTERVAL_MS = 3000
+_HEADER_NAMES = WorkerHeaderNames(
     request_id="Id",
     worker="Worker",
     signature="Stamp",
@@ -39,12 +40,12 @@
 )
 
 
-def _told(rows: dict[str, float]) -> str:
+def _format_costs(rows: dict[str, float]) -> str:
     return ", ".join(f"{name} {value:.3f}" for name, value in rows.items())
 
 
 def append_costs(seed: int, count: int, body_bytes: int) -> dict[str, float]:
-    fleet = founded(seed, NODES, big_disks())
+    fleet = create_fleet(seed, NODES, large_disk_settings())
     costs = MeteredCosts(fleet, store_groups(fleet))
     host, done = fleet.leader(), []
     entry = e.KeyClosed(
@@ -62,11 +63,11 @@
     return costs.of(work, count)
 
 
-def _hand_in(client: EdgeClient, job_id: str, items: int, body_bytes: int) -> None:
+def _submit(client: EdgeClient, job_id: str, items: int, body_bytes: int) -> None:
     calls = [
         encode(
             m.ForwardItem(
-                item_id=f"{job_id}-{place}",
+                item_id=f"{job_id}-{index}",
                 target="/x",
                 host="h",
                 headers=["Model", "m"],
@@ -77,13 +78,13 @@
                 tokens_out=400,
             )
         )
-        for place in range(items)
+        for index in range(items)
     ]
     values = {
         "lot_id": job_id,
         "digest": "d" * 32,
         "path": "summaries",
-        "item_ids": [f"{job_id}-{place}" for place in range(items)],
+        "item_ids": [f"{job_id}-{index}" for index in range(items)],
         "tokens": [900] * items,
         "calls": calls,
         "attempts": 3,
@@ -91,19 +92,19 @@
         "keep_ms": 900_000,
         "version": 1,
     }
-    answer = client.ask(m.SubmitForwardJob(epoch=0, leader_ms=0, **values))
-    if isinstance(answer, m.StaleRequest):
-        answer = client.ask(
-            m.SubmitForwardJob(epoch=answer.epoch, leader_ms=answer.leader_ms, **values)
+    response = client.request(m.SubmitForwardJob(epoch=0, leader_ms=0, **values))
+    if isinstance(response, m.StaleRequest):
+        response = client.request(
+            m.SubmitForwardJob(epoch=response.epoch, leader_ms=response.leader_ms, **values)
         )
-    if answer.outcome != "admitted":
-        raise AssertionError(f"a lot was not admitted: {answer.outcome}")
+    if response.outcome != "admitted":
+        raise AssertionError(f"job {job_id} not admitted: outcome {response.outcome}")
 
 
-def _run_all(client: EdgeClient, items: int, at_once: int, text: bytes) -> None:
+def _run_items(client: EdgeClient, items: int, at_once: int, text: bytes) -> None:
     ended = 0
     while ended < items:
-        beat = client.ask(
+        heartbeat_response = client.request(
             m.EdgeHeartbeat(
                 edge="hollow",
                 address=client.address,
@@ -112,9 +113,9 @@
                 running=[],
             )
         )
-        work = [decode(row) for row in beat.work]
+        work = [decode(row) for row in heartbeat_response.work]
         if work:
-            client.ask(
+            client.request(
                 m.ReportItemOutcomes(
                     edge="hollow",
                     rows=[
@@ -138,11 +139,12 @@
 def item_costs(
     seed: int, jobs: int, items: int, body_bytes: int, at_once: int
 ) -> list[tuple[str, dict[str, float]]]:
-    """Measure an item's submission, its run and its reading, for one item.
+    """Measure the submission, the run and the listing of items; return the cost of one item.
 
-    Items are dealt `at_once` at the most and end together; results are read once, in pages.
+    At most `at_once` items are dispatched with a heartbeat, and they finish together. Results are
+    read once, in pages of 256 KiB.
     """
-    fleet = founded(seed, NODES, big_disks())
+    fleet = create_fleet(seed, NODES, large_disk_settings())
     client = EdgeClient(fleet)
     costs = MeteredCosts(fleet, store_groups(fleet))
     names = [f"lot{number}" for number in range(jobs)]
@@ -150,7 +152,7 @@
     def read(name: str) -> None:
         position, over = 0, False
         while not over:
-            page = client.ask(
+            page = client.request(
                 m.ListForwardResults(
                     job_id=name, from_position=position, limit_bytes=1 << 18, wait_ms=0
                 )
@@ -163,7 +165,7 @@
         (
             "admitted",
             costs.of(
-                lambda: [_hand_in(client, name, items, body_bytes) for name in names], jobs * items
+                lambda: [_submit(client, name, items, body_bytes) for name in names], jobs * items
             ),
         )
     ]
@@ -173,7 +175,7 @@
         (
             f"dealt and ended, {at_once} at once",
             costs.of(
-                lambda: [_run_all(client, items, at_once, b"y" * body_bytes) for _ in names],
+                lambda: [_run_items(client, items, at_once, b"y" * body_bytes) for _ in names],
                 jobs * items,
             ),
         )
@@ -183,8 +185,8 @@
 
 
 def event_cost_us(count: int) -> float:
-    """Return the cost of one event through an edge's exchange: parsed, checked, passed on."""
-    exchange = ForwardExchange(_DIALECT, "w", "r", "POST", True, 1 << 20)
+    """Return the time to parse, check and pass on one event of a stream in an edge's exchange."""
+    exchange = ForwardExchange(_HEADER_NAMES, "w", "r", "POST", True, 1 << 20)
     exchange.head(
         200,
         [
@@ -204,51 +206,51 @@
 
 async def _link_us(count: int, size_bytes: int) -> float:
     arrived = 0
-    full = asyncio.Event()
+    all_arrived = asyncio.Event()
 
     def deliver(sender: str, request_id: int, in_reply_to: int, message: Any) -> None:
         nonlocal arrived
         arrived += 1
         if arrived == count:
-            full.set()
+            all_arrived.set()
 
     ports = []
     for _ in range(2):
         with socket.socket() as probe:
             probe.bind(("127.0.0.1", 0))
             ports.append(probe.getsockname()[1])
-    boards = [LinkTransport(f"127.0.0.1:{port}", 2000, deliver) for port in ports]
-    for board in boards:
-        await board.start()
+    links = [LinkTransport(f"127.0.0.1:{port}", 2000, deliver) for port in ports]
+    for link in links:
+        await link.start()
     message = m.GetItemResponse(outcome="x", call=b"x" * size_bytes)
     began_s = process_time()
     for number in range(count):
-        boards[0].send(f"127.0.0.1:{ports[1]}", number, 0, message)
+        links[0].send(f"127.0.0.1:{ports[1]}", number, 0, message)
         await asyncio.sleep(0.001)
-    await full.wait()
-    spent_s = process_time() - began_s
-    for board in boards:
-        await board.stop()
+    await all_arrived.wait()
+    busy_s = process_time() - began_s
+    for link in links:
+        await link.stop()
     began_s = process_time()
     for _ in range(count):
         await asyncio.sleep(0.001)
-    return (spent_s - (process_time() - began_s)) * 1e6 / count
+    return (busy_s - (process_time() - began_s)) * 1e6 / count
 
 
-def wide_rows(routes: int, tenants: int) -> dict[str, Any]:
-    """Return routes that each have a place of their own, and tenants as further profiles."""
+def wide_profiles(routes: int, tenants: int) -> dict[str, Any]:
+    """Return profiles of routes, each with a distinct prefix, and of tenants, without routes."""
     rows: dict[str, Any] = {
-        f"route-{place}": {
+        f"route-{index}": {
             "parent": "base",
-            "deadline_ms": 1000 + place,
-            "match": {"host": f"h{place % 40}.example", "prefix": f"/p{place}/"},
+            "deadline_ms": 1000 + index,
+            "match": {"host": f"h{index % 40}.example", "prefix": f"/p{index}/"},
         }
-        for place in range(routes)
+        for index in range(routes)
     }
     rows.update(
         {
-            f"tenant-{place}": {"parent": "base", "waiting_room": 4, "urgency": place % 10}
-            for place in range(tenants)
+            f"tenant-{index}": {"parent": "base", "waiting_room": 4, "urgency": index % 10}
+            for index in range(tenants)
         }
     )
     return rows
@@ -257,32 +259,35 @@
 def version_costs(
     seed: int, routes: int, tenants: int, changes: int, nodes: int = NODES
 ) -> dict[str, float]:
-    """Measure a version in which one profile has changed, until it is used at every edge."""
-    fleet = founded(seed, nodes)
+    """Measure a version in which one profile has changed, until it is used at every edge.
+
+    The first change is not measured. Costs are for one node of each role.
+    """
+    fleet = create_fleet(seed, nodes)
     operators = Operators(fleet)
     operators.version = 1
-    operators.extra_profiles = wide_rows(routes, tenants)
-    told: list[Any] = []
+    operators.extra_profiles = wide_profiles(routes, tenants)
+    outcomes: list[Any] = []
     groups = {
         role: [host.address for host in fleet.with_role(role)]
         for role in ("control", "store", "edge")
     }
 
     def change() -> None:
-        count = len(told)
-        operators.change(1, done=told.append)
+        count = len(outcomes)
+        operators.change(1, done=outcomes.append)
         if (
-            not fleet.run_until_true(lambda: len(told) > count, 20_000)
-            or told[-1]["outcome"] != "ok"
+            not fleet.run_until_true(lambda: len(outcomes) > count, 20_000)
+            or outcomes[-1]["outcome"] != "ok"
         ):
-            raise AssertionError(f"a change was not acknowledged: {told[-1:]}")
+            raise AssertionError(f"change not acknowledged as made: {outcomes[-1:]}")
         for host in fleet.with_role("edge"):
             fleet.meter.run(
                 host.address,
                 "tick",
                 lambda host=host: host.node.profile_tree().route("h1.example", "/p1/x"),
             )
-        fleet.time.run_until(fleet.time.now_ms + _APART_MS)
+        fleet.time.run_until(fleet.time.now_ms + _CHANGE_INTERVAL_MS)
 
     change()
     costs = MeteredCosts(fleet, groups)
@@ -297,18 +302,20 @@
     tree.route("h1.example", "/p1/x")
     rows["a parsed tree kB"] = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
-    rows["acknowledged in virtual ms"] = max(row["answered_ms"] - row["at_ms"] for row in told[1:])
+    rows["acknowledged in virtual ms"] = max(
+        row["answered_ms"] - row["at_ms"] for row in outcomes[1:]
+    )
     return rows
 
 
 def report_cost_us(seed: int, workers: int) -> float:
-    fleet = founded(seed, NODES)
+    fleet = create_fleet(seed, NODES)
     host = fleet.with_role("control")[0]
     began_s = process_time()
-    for place in range(workers):
+    for index in range(workers):
         host.node.worker_list.report(
             WorkerReport(
-                identity=f"w{place}",
+                identity=f"w{index}",
                 address="10.9.0.1:1",
                 zone="z",
                 label="gpu",
@@ -323,20 +330,20 @@
 
 
 def measure_units(count: int, body_bytes: int, repeats: int) -> str:
-    """Measure all units `repeats` times; return the report as text."""
+    """Measure all operations `repeats` times; return the report as text."""
     lines = [
         f"processor time alone; {repeats} runs each; a fleet of {NODES}; bodies and results of "
         f"{body_bytes} bytes"
     ]
     for seed in range(1, repeats + 1):
         lines.append(f"run {seed}")
-        lines.append(f"  an append: {_told(append_costs(seed, count, body_bytes))}")
+        lines.append(f"  an append: {_format_costs(append_costs(seed, count, body_bytes))}")
         for at_once in (1, 8, 32):
             for name, rows in item_costs(
-                seed, max(1, count // _LOT_ITEMS), _LOT_ITEMS, body_bytes, at_once
+                seed, max(1, count // _JOB_ITEMS), _JOB_ITEMS, body_bytes, at_once
             ):
                 if at_once == 8 or name.startswith("dealt"):
-                    lines.append(f"  an item {name}: {_told(rows)}")
+                    lines.append(f"  an item {name}: {_format_costs(rows)}")
         lines.append(f"  an event of a stream in the core: {event_cost_us(20_000):.1f} us")
         lines.append(
             f"  a message over a link, both ends: {asyncio.run(_link_us(2000, 100)):.0f} us of "
@@ -347,6 +354,6 @@
         for routes, tenants in ((100, 820), (1000, 8200)):
             lines.append(
                 f"  a version, {routes} routes, {tenants} tenants, one node: "
-                f"{_told(version_costs(seed, routes, tenants, 3))}"
+                f"{_format_costs(version_costs(seed, routes, tenants, 3))}"
             )
     return "\n".join(lines)
--- a/tests/test_measure_scale.py
+++ b/tests/test_measure_scale.py
@@ -1,6 +1,6 @@
 """What the capacity page is worked out from: meters that count each node's own work, and lines through it."""
 
-from testbed.measure_scale import founded, held_bytes, line_through, measure_one, sample
+from testbed.measure_scale import create_fleet, fit_line, held_bytes, measure_one, meter_span
 from testbed.measure_units import event_cost_us
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan
@@ -14,7 +14,7 @@
             ([(0, 1.0), (9, 1.0)], (0.0, 1.0)),
         ):
             self.assertThat(
-                tuple(round(value, 9) for value in line_through(points)), Equals(wanted), points
+                tuple(round(value, 9) for value in fit_line(points)), Equals(wanted), points
             )
 
     def test_a_fleet_is_metered_by_role(self):
@@ -26,8 +26,8 @@
         self.assertThat(rows["edge"]["reports"], Equals(0))
 
     def test_every_message_sent_is_received_where_nothing_is_lost(self):
-        fleet = founded(2, 8)
-        sample(fleet, 1000)
+        fleet = create_fleet(2, 8)
+        meter_span(fleet, 1000)
         sums = {
             name: sum(count for (_, kind), count in fleet.meter.counts.items() if kind == name)
             for name in ("sent", "received")
@@ -35,7 +35,7 @@
         self.assertThat(sums["sent"], Equals(sums["received"]))
 
     def test_what_a_node_holds_leaves_out_the_fleet(self):
-        fleet = founded(1, 8)
+        fleet = create_fleet(1, 8)
         self.assertThat(held_bytes(fleet.with_role("edge")[0].node), LessThan(1 << 20))
 
     def test_an_event_costs_something(self):
