--- a/libs/testbed/src/testbed/mutations/serving.py
+++ b/libs/testbed/src/testbed/mutations/serving.py
@@ -16,7 +16,7 @@
         "data_plane/src/data_plane/edge_readiness.py",
         "if not (self._hears_control(now_ms) or self._hears_most(now_ms)):",
         "if False:",
-        _FEED + "cut_off",
+        _FEED + "disconnected_edge",
     ),
     "a cut-off edge keeps its claims": (
         "request_routing/src/request_routing/batch_execution/job_runner.py",
