--- a/libs/testbed/src/testbed/fault_injection/disks.py
+++ b/libs/testbed/src/testbed/fault_injection/disks.py
@@ -96,7 +96,7 @@
             self._inner.remove(name)
 
     def flush(self, names: list[str], done: Callable[[bool], None]) -> None:
-        """Flush these files and all removals made so far; `done` gets whether it worked."""
+        """Flush these files and all removals made so far; `done` is called with the success."""
         removed = [
             name
             for name, rows in self._pending.items()
--- a/libs/testbed/src/testbed/metered_costs.py
+++ b/libs/testbed/src/testbed/metered_costs.py
@@ -17,7 +17,7 @@
 class EdgeClient:
     """A stand-in for an edge that sends requests to the log's leader.
 
-    It answers no messages and keeps the responses that it gets.
+    It answers no messages, and keeps each response until `request` returns it.
     """
 
     up, frozen = True, False
