--- a/libs/testbed/src/testbed/measure.py
+++ b/libs/testbed/src/testbed/measure.py
@@ -36,9 +36,9 @@
 
     sync_ms = 0.0
 
-    def _flush(self, steps: list[Any], names: list[str], done: Callable[[bool], None]) -> None:
+    def _flush(self, handles: list[int], done: Callable[[bool], None]) -> None:
         time.sleep(self.sync_ms / 1000)
-        super()._flush(steps, names, done)
+        super()._flush(handles, done)
 
 
 class _Store:
