--- a/libs/testbed/src/testbed/measure_units.py
+++ b/libs/testbed/src/testbed/measure_units.py
@@ -81,7 +81,7 @@
         for index in range(items)
     ]
     values = {
-        "job_id": job_id,
+        "lot_id": job_id,
         "digest": "d" * 32,
         "path": "summaries",
         "item_ids": [f"{job_id}-{index}" for index in range(items)],
