--- a/libs/testbed/src/testbed/report.py
+++ b/libs/testbed/src/testbed/report.py
@@ -1,14 +1,11 @@
-"""The report of a day.
-
-What was answered, refused, doubtful and late, by path; how long it took; and the oracle's result.
-"""
+"""The report of a scenario: outcomes and durations by path, and breaches of the oracle's rules."""
 
 from collections import Counter
 from typing import Any
 
 from simulator.oracle import rows_judged
 
-__all__ = ["day_report", "spread"]
+__all__ = ["quantiles", "scenario_report"]
 
 _LATE_MS = {
     "rulings": 2000,
@@ -18,10 +15,11 @@
     "moves": 5000,
     "lots of 80": 10_000,
 }
+"""Durations in milliseconds above which an answer counts as late, by path."""
 
 
-def spread(values: list[float]) -> str:
-    """Return the number of values and their 50%, 90%, 99% and 100% quantiles as text."""
+def quantiles(values: list[float]) -> str:
+    """Return the number of durations in ms and their 50%, 90%, 99% and 100% quantiles as text."""
     rows = sorted(values)
     if not rows:
         return "none"
@@ -32,8 +30,8 @@
     )
 
 
-def day_report(traffic: Any, broken: dict[str, list[str]]) -> str:
-    """Return the report as text; `broken` has the breaches by rule."""
+def scenario_report(traffic: Any, broken: dict[str, list[str]]) -> str:
+    """Return the report of a run's traffic as text; `broken` has the breaches by rule."""
     lines = ["faults:"]
     lines += [
         f"  {row['at_ms'] / 1000:6.1f} s  {row['what']}" for row in traffic.history.rows_of("fault")
@@ -58,7 +56,7 @@
     lines.append("time to the last byte:")
     for path, values in sorted(traffic.latency_ms.items()):
         lines.append(
-            f"  {path:16} {spread(values)}; "
+            f"  {path:16} {quantiles(values)}; "
             f"{sum(1 for value in values if value > _LATE_MS.get(path, 1e9))} late"
         )
     back = list(traffic.history.rows_of("probe"))
