--- a/libs/control_store/src/control_store/worker_changes.py
+++ b/libs/control_store/src/control_store/worker_changes.py
@@ -62,7 +62,7 @@
 class WorkerChanges:
     """A node's copy of the worker list, and its changes if the node owns the key.
 
-    `records` is the list and `number` its version. Times are in ms on the node's clock.
+    `records` and `version` are the list and its version. Times are in ms on the node's clock.
 
     Parameters
     ----------
@@ -83,8 +83,8 @@
         "_owner",
         "_reports",
         "node",
-        "number",
         "records",
+        "version",
     )
     node: Node
 
@@ -92,7 +92,7 @@
         self._owner = owner
         self._config_feed = config_feed
         self.records = WorkerRecords()
-        self.number = 0
+        self.version = 0
         self._owned_since_ms = NOT_OWNED_MS
         self._heartbeat_ms: dict[str, int] = {}
         self._reports: dict[str, WorkerReport] = {}
@@ -101,10 +101,10 @@
         self._callers: list[WaitingCaller] = []
         self._decided: dict[str, _DecidedChange] = {}
 
-    def on_published(self, key: str, number: int, body: str) -> None:
+    def on_published(self, key: str, version: int, body: str) -> None:
         """Store a newer version of the list from the config feed."""
         if key == WORKERS_KEY and body:
-            self.records, self.number = WorkerRecords.from_json(json.loads(body)), number
+            self.records, self.version = WorkerRecords.from_json(json.loads(body)), version
 
     def record_heartbeats(self, identities: Iterable[str], reports: Iterable[WorkerReport]) -> None:
         """Record workers that sent heartbeats to a control node, and add reports to the batch."""
@@ -164,27 +164,27 @@
         self,
         reports: dict[str, WorkerReport],
         callers: list[WaitingCaller],
-        read_number: int,
+        read_version: int,
     ) -> None:
         """Propose the list with the reports applied, based on this node's copy.
 
         If the reports change nothing but callers wait, the copy may be outdated. The list is then
-        read through a quorum, unless `read_number`, the version just read, is the copy's.
+        read through a quorum, unless `read_version`, the version just read, is the copy's.
         """
-        number = self.number
+        version = self.version
         records, changed = apply_reports(self.records, reports.values())
         if changed:
             self._owner.submit(
                 Change(
                     key=WORKERS_KEY,
-                    version=number,
+                    version=version,
                     change_id=self.node.env.token(),
                     body=json.dumps(records.to_json(), sort_keys=True),
                     hops=0,
                 ),
                 lambda result: self._on_changed(reports, callers, changed, result),
             )
-        elif callers and read_number != number:
+        elif callers and read_version != version:
             self._read_and_retry(reports, callers)
         else:
             self._finish_change(callers)
@@ -234,7 +234,7 @@
     def _finish_change(self, callers: list[WaitingCaller]) -> None:
         self._change_in_progress = False
         self._callers += callers
-        unchanged = _DecidedChange(self.number, self.node.env.now())
+        unchanged = _DecidedChange(self.version, self.node.env.now())
         for caller in callers:
             self._decided.setdefault(caller.identity, unchanged)
         self._finish_callers()
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -90,7 +90,7 @@
     @property
     def number(self) -> int:
         """The version of this node's copy of the list."""
-        return self._changes.number
+        return self._changes.version
 
     def rows(self) -> dict[str, dict[str, Any]]:
         """Return the rows of the list by identity, for operators.
