--- a/tests/test_wire_faults.py
+++ b/tests/test_wire_faults.py
@@ -283,7 +283,7 @@
                 if left:
                     loop.call_soon(leave, protocol, left - 1)
                 else:
-                    protocol.leave()
+                    protocol.close_when_idle()
 
             def received(protocol, data, leave=leave, turns=turns):
                 real(protocol, data)
