--- a/libs/config_feed/src/config_feed/digest_targets.py
+++ b/libs/config_feed/src/config_feed/digest_targets.py
@@ -61,7 +61,8 @@
 
     Parameters
     ----------
-    node: the node, of which the clock, the settings and the address are used.
+    node
+        The node, of which the clock, the settings and the address are used.
     """
 
     __slots__ = (
@@ -168,8 +169,10 @@
 
         Parameters
         ----------
-        address: the address of the sender.
-        in_contact: whether the sender is in contact with a majority of the voters.
+        address
+            The address of the sender.
+        in_contact
+            Whether the sender is in contact with a majority of the voters.
         """
         if not in_contact:
             if address in self._targets and len(self._preference) > len(self._targets):
--- a/libs/config_feed/src/config_feed/feed.py
+++ b/libs/config_feed/src/config_feed/feed.py
@@ -36,21 +36,31 @@
 
     Parameters
     ----------
-    identity: the identity of this node.
-    peer_addresses: returns the addresses of the peers to relay to and exchange digests with.
-    extra_addresses: returns further such addresses: those of the voters or control nodes.
-    is_current: returns whether this node knows its versions to be the newest. True for a control
-        node in contact with a majority of the voters, and for a ready edge.
+    identity
+        The identity of this node.
+    peer_addresses
+        Returns the addresses of the peers to relay to and exchange digests with.
+    extra_addresses
+        Returns further such addresses: those of the voters or control nodes.
+    is_current
+        Returns whether this node knows its versions to be the newest. True for a control node in
+        contact with a majority of the voters, and for a ready edge.
 
     Attributes
     ----------
-    serves_updates: returns whether this node answers digests of edges and stores with updates. A
-        control node without contact with a majority does not, since its versions may be stale.
-    target_candidates: returns the control nodes that may be selected as digest targets.
-    control_quorum_heard_ms: when the last digest came from a control node that is current.
-    current_edge_heard_ms: when the last digest came from an edge that is current.
-    digest_heard_ms: when the last digest came from each node, by identity.
-    sent_bytes: the total size of the updates sent.
+    serves_updates
+        Returns whether this node answers digests of edges and stores with updates. A control node
+        without contact with a majority does not, since its versions may be stale.
+    target_candidates
+        Returns the control nodes that may be selected as digest targets.
+    control_quorum_heard_ms
+        When the last digest came from a control node that is current.
+    current_edge_heard_ms
+        When the last digest came from an edge that is current.
+    digest_heard_ms
+        When the last digest came from each node, by identity.
+    sent_bytes
+        The total size of the updates sent.
     """
 
     __slots__ = (
--- a/libs/config_feed/src/config_feed/messages.py
+++ b/libs/config_feed/src/config_feed/messages.py
@@ -33,14 +33,19 @@
 
     Attributes
     ----------
-    is_current: whether the sender knows its versions to be the newest.
-    keys, versions: the keys held and, in the same order, their versions.
-    low_keys, low_versions: the confirmed keys and, in the same order, the lowest version of each
-        among the nodes that report to the sender.
-    rank: how the sender ranks the receiver as a target of its digests: 1 for the voter that has to
+    is_current
+        Whether the sender knows its versions to be the newest.
+    keys, versions
+        The keys held and, in the same order, their versions.
+    low_keys, low_versions
+        The confirmed keys and, in the same order, the lowest version of each among the nodes that
+        report to the sender.
+    rank
+        How the sender ranks the receiver as a target of its digests: 1 for the voter that has to
         relay updates to it at once, 2 for any other target, 0 for all other nodes.
-    edge_count: in a digest to another voter, how many live edges report to the sender with rank 1;
-        in a voter's digest to any other node, how many edges are live in all; otherwise 0.
+    edge_count
+        In a digest to another voter, how many live edges report to the sender with rank 1; in a
+        voter's digest to any other node, how many edges are live in all; otherwise 0.
     """
 
     identity: str
--- a/libs/config_feed/src/config_feed/version_tracker.py
+++ b/libs/config_feed/src/config_feed/version_tracker.py
@@ -55,8 +55,10 @@
 
     Attributes
     ----------
-    is_voter: returns whether this node is a voter.
-    reports: the newest digest of each node, by its identity.
+    is_voter
+        Returns whether this node is a voter.
+    reports
+        The newest digest of each node, by its identity.
     """
 
     __slots__ = (
--- a/libs/membership/src/membership/partial_view.py
+++ b/libs/membership/src/membership/partial_view.py
@@ -37,11 +37,15 @@
 
     Attributes
     ----------
-    identity: the identity of this node.
-    is_ready: returns the value of `NodeInfo.ready` for this node.
-    is_isolated: returns the value of `NodeInfo.isolated` for this node.
-    extra_addresses: returns further addresses to send heartbeats to, such as those of the members
-        listed in a control key.
+    identity
+        The identity of this node.
+    is_ready
+        Returns the value of `NodeInfo.ready` for this node.
+    is_isolated
+        Returns the value of `NodeInfo.isolated` for this node.
+    extra_addresses
+        Returns further addresses to send heartbeats to, such as those of the members listed in a
+        control key.
     """
 
     __slots__ = (
--- a/libs/messaging/src/messaging/environment.py
+++ b/libs/messaging/src/messaging/environment.py
@@ -38,10 +38,14 @@
 
         Parameters
         ----------
-        to: the address of the receiver, IP:PORT.
-        request_id: the number of the request that the message makes, or 0 if it is no request.
-        in_reply_to: the number of the request that the message answers, or 0 if it is no reply.
-        message: the message.
+        to
+            The address of the receiver, IP:PORT.
+        request_id
+            The number of the request that the message makes, or 0 if it is no request.
+        in_reply_to
+            The number of the request that the message answers, or 0 if it is no reply.
+        message
+            The message.
         """
         ...
 
--- a/libs/messaging/src/messaging/links.py
+++ b/libs/messaging/src/messaging/links.py
@@ -56,10 +56,13 @@
 
     Parameters
     ----------
-    address: the process's own address, IP:PORT.
-    timeout_ms: the longest time that a message waits in its queue, and that an outgoing connection
-        may go without progress; the other time-outs are multiples of it.
-    deliver: called with each received message.
+    address
+        The process's own address, IP:PORT.
+    timeout_ms
+        The longest time that a message waits in its queue, and that an outgoing connection may go
+        without progress; the other time-outs are multiples of it.
+    deliver
+        Called with each received message.
     """
 
     def __init__(self, address: str, timeout_ms: int, deliver: Deliver) -> None:
--- a/libs/runtime/src/runtime/verdicts.py
+++ b/libs/runtime/src/runtime/verdicts.py
@@ -22,13 +22,20 @@
 
     Parameters
     ----------
-    verdict: whether the request may have run.
-    code: the kind of error, a stable name for programs.
-    message: the description of the error for people.
-    status: the HTTP status.
-    retry_after_ms: when to retry, in milliseconds from now; 0 to suggest no time.
-    field: the member of the request that is invalid, or empty.
-    problems: the problems found, where there may be several.
+    verdict
+        Whether the request may have run.
+    code
+        The kind of error, a stable name for programs.
+    message
+        The description of the error for people.
+    status
+        The HTTP status.
+    retry_after_ms
+        When to retry, in milliseconds from now; 0 to suggest no time.
+    field
+        The member of the request that is invalid, or empty.
+    problems
+        The problems found, where there may be several.
     """
 
     __slots__ = ("code", "field", "message", "problems", "retry_after_ms", "status", "verdict")
