--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -46,14 +46,22 @@
 
     Parameters
     ----------
-    settings: a TOML file; flags take precedence over it, and SIGHUP reloads it.
-    link: address for messages between the nodes of the fleet, IP:PORT.
-    http: address of the HTTP interface, IP:PORT.
-    zone: the zone of this machine.
-    seed: link address of another node to join through; up to three times.
-    data_folder: the folder for this node's files.
-    control_count: how many control nodes bootstrap the fleet.
-    log_level: DEBUG, INFO, WARNING or ERROR.
+    settings
+        A TOML file; flags take precedence over it, and SIGHUP reloads it.
+    link
+        Address for messages between the nodes of the fleet, IP:PORT.
+    http
+        Address of the HTTP interface, IP:PORT.
+    zone
+        The zone of this machine.
+    seed
+        Link address of another node to join through; up to three times.
+    data_folder
+        The folder for this node's files.
+    control_count
+        How many control nodes bootstrap the fleet.
+    log_level
+        DEBUG, INFO, WARNING or ERROR.
     """
     flags = {
         **serve_flags(link, http, zone, seed, data_folder, control_count, log_level),
@@ -73,9 +81,12 @@
 
     Parameters
     ----------
-    logs: the log files of all edges.
-    out: the file to write.
-    form: the file format, parquet or csv.
+    logs
+        The log files of all edges.
+    out
+        The file to write.
+    form
+        The file format, parquet or csv.
     """
     try:
         counts = export_usage(logs, out, form)
@@ -164,12 +175,18 @@
 
     Parameters
     ----------
-    worker: the identity of the worker.
-    server: a control node's HTTP address, IP:PORT.
-    borrower: the name of the borrower.
-    weights: the weights that the worker must have when it is returned; any if empty.
-    lease_ms: the duration of the loan in ms, after which the worker is recalled.
-    recall_ms: the time in ms that the borrower has to return the worker after a recall.
+    worker
+        The identity of the worker.
+    server
+        A control node's HTTP address, IP:PORT.
+    borrower
+        The name of the borrower.
+    weights
+        The weights that the worker must have when it is returned; any if empty.
+    lease_ms
+        The duration of the loan in ms, after which the worker is recalled.
+    recall_ms
+        The time in ms that the borrower has to return the worker after a recall.
     """
     request_and_print(
         "PUT",
--- a/libs/control_plane/src/control_plane/configuration_changes.py
+++ b/libs/control_plane/src/control_plane/configuration_changes.py
@@ -68,10 +68,14 @@
 
     Parameters
     ----------
-    base: the revision that the change is based on.
-    revision: the revision that the change creates; NO_BASE if the request has no readable one.
-    change_id: identifies the change when it is sent again.
-    make: returns the new configuration for the one in force, or the problems with the request; a
+    base
+        The revision that the change is based on.
+    revision
+        The revision that the change creates; NO_BASE if the request has no readable one.
+    change_id
+        Identifies the change when it is sent again.
+    make
+        Returns the new configuration for the one in force, or the problems with the request; a
         problem has the members `at` and `message`.
     """
 
@@ -142,8 +146,10 @@
 
     Parameters
     ----------
-    owner: executes the operations on the control key, or forwards them to the owner of the key.
-    in_contact: returns whether this node is in contact with a majority of the voters.
+    owner
+        Executes the operations on the control key, or forwards them to the owner of the key.
+    in_contact
+        Returns whether this node is in contact with a majority of the voters.
     """
 
     __slots__ = ("_calls", "_in_contact", "_owner")
--- a/libs/control_plane/src/control_plane/member_status.py
+++ b/libs/control_plane/src/control_plane/member_status.py
@@ -15,10 +15,14 @@
 
     Parameters
     ----------
-    node: the control node.
-    role: the role of the member: control, store or edge.
-    identity: the identity of the member.
-    link: the link address of the member; used for edges only.
+    node
+        The control node.
+    role
+        The role of the member: control, store or edge.
+    identity
+        The identity of the member.
+    link
+        The link address of the member; used for edges only.
     """
     config_feed, settings = node.config_feed, node.settings
     if role == "edge":
@@ -51,13 +55,20 @@
 
     Parameters
     ----------
-    role: control or store.
-    identity: the identity of the node to describe.
-    members: the identities of the voters, or of the members of the log.
-    leader: the identity of the coordinator of the voters, or of the leader of the log.
-    retired: the identities of retired nodes.
-    spares: the identities of live nodes that are neither members nor retired.
-    full_count: the configured number of members.
+    role
+        control or store.
+    identity
+        The identity of the node to describe.
+    members
+        The identities of the voters, or of the members of the log.
+    leader
+        The identity of the coordinator of the voters, or of the leader of the log.
+    retired
+        The identities of retired nodes.
+    spares
+        The identities of live nodes that are neither members nor retired.
+    full_count
+        The configured number of members.
     """
     members, spares = list(members), sorted(set(spares) - {identity})
     group = "the log" if role == "store" else "the voters"
--- a/libs/control_plane/src/control_plane/retirement.py
+++ b/libs/control_plane/src/control_plane/retirement.py
@@ -75,10 +75,14 @@
 
     Parameters
     ----------
-    owner: executes the operations on control keys, or forwards them to the owner of the key.
-    membership: provides the live stores with their names and identities.
-    config_feed: provides the retired machines that this node knows of.
-    in_contact: returns whether this node is in contact with a majority of the voters.
+    owner
+        Executes the operations on control keys, or forwards them to the owner of the key.
+    membership
+        Provides the live stores with their names and identities.
+    config_feed
+        Provides the retired machines that this node knows of.
+    in_contact
+        Returns whether this node is in contact with a majority of the voters.
     """
 
     __slots__ = (
--- a/libs/control_plane/src/control_plane/usage.py
+++ b/libs/control_plane/src/control_plane/usage.py
@@ -86,8 +86,10 @@
 
     Raises
     ------
-    ModuleNotFoundError: pyarrow is not installed.
-    OSError: a log file cannot be read, or `out` cannot be written.
+    ModuleNotFoundError
+        pyarrow is not installed.
+    OSError
+        A log file cannot be read, or `out` cannot be written.
     """
     import pyarrow
     from pyarrow import csv, parquet
