--- a/libs/replicated_log/src/replicated_log/archive.py
+++ b/libs/replicated_log/src/replicated_log/archive.py
@@ -39,9 +39,9 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         The log of the replica; its archive files are on the same disk.
-    token : callable
+    token
         Returns a new unique string, which becomes a part of a file name.
     """
 
--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -69,9 +69,9 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         The log of this replica; its `fetch_archives` is set to `fetch`.
-    others : callable
+    others
         Returns the addresses of the other members of the log.
     """
 
--- a/libs/replicated_log/src/replicated_log/configuration_key.py
+++ b/libs/replicated_log/src/replicated_log/configuration_key.py
@@ -15,11 +15,11 @@
 
     Parameters
     ----------
-    client : KeyClient
+    client
         Changes the control key.
-    fleet : FleetView
+    fleet
         Provides the versions that arrive by the configuration feed.
-    on_new_epoch : callable
+    on_new_epoch
         Called after each change of the epoch.
     """
 
--- a/libs/replicated_log/src/replicated_log/failure_detector.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -36,11 +36,11 @@
 
     Parameters
     ----------
-    own_identity : str
+    own_identity
         The identity of this member.
-    settings : Settings
+    settings
         The settings of the process.
-    now : callable
+    now
         Returns this store's clock in milliseconds.
     """
 
@@ -134,11 +134,11 @@
 
         Parameters
         ----------
-        names : list of str
+        names
             The identities of the members, in their configured order.
-        leader, epoch : str, int
+        leader, epoch
             The leader and the epoch that the control key names.
-        retired : list of str
+        retired
             The stores that are being retired; they claim only if no other member can.
         """
         now_ms, leader_heartbeat_ms = self._now(), self._settings.leader_heartbeat_ms
--- a/libs/replicated_log/src/replicated_log/follower_progress.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -12,16 +12,16 @@
 
     Attributes
     ----------
-    last_seq, flushed_seq : int
+    last_seq, flushed_seq
         The last records that the follower has reported to have in memory and on disk. They count
         only once it has `adopted` the leader's epoch.
-    next_seq : int
+    next_seq
         The next record to send.
-    sent_prev_seq : int
+    sent_prev_seq
         `prev_seq` of the latest AppendRequest, or -1.
-    probe : int
+    probe
         The highest probe that the follower has returned.
-    snapshot : bytes
+    snapshot
         The snapshot that is being sent, empty if there is none; the follower has acknowledged its
         first `snapshot_acknowledged_bytes`.
     """
--- a/libs/replicated_log/src/replicated_log/leader.py
+++ b/libs/replicated_log/src/replicated_log/leader.py
@@ -45,23 +45,23 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         The recovered log of this store.
-    epoch : int
+    epoch
         The epoch to lead.
-    members : list of ReplicaAddress
+    members
         The members of the log, including this store.
-    settings : Settings
+    settings
         The settings of the process.
-    now : callable
+    now
         Returns the leader's clock in milliseconds.
-    wall : callable
+    wall
         Returns the time of day in milliseconds, from which the stamps of records are made.
-    send : callable
+    send
         Sends a message to an address.
-    on_deposed : callable
+    on_deposed
         Called with the fence of the first response whose fence is higher than `epoch`.
-    on_adopted : callable
+    on_adopted
         Called once when f followers have the recovered log on disk under this epoch.
     """
 
@@ -154,14 +154,14 @@
 
         Parameters
         ----------
-        entries : list of Message
+        entries
             The entries, each of which becomes one record.
-        durable : bool
+        durable
             Acknowledge the append only once it is committed.
-        done : callable
+        done
             Called once with the outcome; at once if the append is rejected, with FULL if a disk has
             no space and with UNKNOWN if the leader has been deposed.
-        urgent : bool
+        urgent
             Allow the append to use the reserved part of this disk, also while fewer than f other
             members have disk space.
         """
--- a/libs/replicated_log/src/replicated_log/local_log.py
+++ b/libs/replicated_log/src/replicated_log/local_log.py
@@ -39,13 +39,13 @@
 
     Parameters
     ----------
-    disk : Disk
+    disk
         The disk with the files of this replica.
-    settings : Settings
+    settings
         The settings of the process.
-    now : callable
+    now
         Returns the replica's clock in milliseconds.
-    token : callable
+    token
         Returns a new unique string, for the replica's identity and the names of archive files.
     """
 
@@ -189,11 +189,11 @@
 
         Parameters
         ----------
-        record : Record
+        record
             The record after the last one.
-        urgent : bool
+        urgent
             Whether the record may use the reserved part of the disk.
-        entry : Message or None
+        entry
             The decoded entry of the record, if known; `commit` then needn't decode it again.
         """
         self._queue_files.write(record, urgent)
@@ -299,14 +299,14 @@
 
         Parameters
         ----------
-        data : bytes
+        data
             The snapshot.
-        done : callable
+        done
             Called with True once the snapshot is on disk, and with False if an archive file could
             not be fetched, if the snapshot is no longer wanted, or if it could not be written.
-        source : str
+        source
             The address from which to fetch archive files.
-        is_wanted : callable
+        is_wanted
             Called once archive files have been fetched; the log is replaced only if it returns
             True.
         """
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -52,13 +52,13 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         This replica's copy of the log.
-    client : KeyClient
+    client
         Changes the control key of the log.
-    fleet : FleetView
+    fleet
         Lists the live and the retired stores.
-    on_role : callable
+    on_role
         Called with the Leader when this store begins to serve, and with None when it steps down.
     """
 
--- a/libs/replicated_log/src/replicated_log/record_buffer.py
+++ b/libs/replicated_log/src/replicated_log/record_buffer.py
@@ -11,11 +11,11 @@
 
     Attributes
     ----------
-    records : list of Record
+    records
         The records in sequence. Some of them may be covered by the snapshot on disk too.
-    received_ms : list of int
+    received_ms
         The time at which each of the records arrived, in milliseconds of the replica's clock.
-    snapshot_seq, snapshot_stamp : int, Stamp
+    snapshot_seq, snapshot_stamp
         The last record that the snapshot on disk covers, or 0 and NO_STAMP.
     """
 
--- a/libs/replicated_log/src/replicated_log/records.py
+++ b/libs/replicated_log/src/replicated_log/records.py
@@ -23,13 +23,13 @@
 
     Parameters
     ----------
-    entry : StoredEntry
+    entry
         The entry.
-    payload : bytes
+    payload
         The encoded entry, which becomes the payload of the record's frame.
-    file, offset : str, int
+    file, offset
         The queue file and the absolute byte offset in it at which the frame is stored.
-    flags : int
+    flags
         TRUNCATE for the first record of a file, otherwise 0.
     """
     data = frame(payload)
--- a/libs/replicated_log/src/replicated_log/recovery.py
+++ b/libs/replicated_log/src/replicated_log/recovery.py
@@ -58,19 +58,19 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         This store's copy of the log, which is replaced by the recovered log.
-    epoch : int
+    epoch
         The new epoch.
-    members : list of ReplicaAddress
+    members
         The members to recover from.
-    settings : Settings
+    settings
         The settings of the process.
-    request : callable
+    request
         Sends a request to an address; see RequestCallback.
-    now : callable
+    now
         Returns this store's clock in milliseconds.
-    done : callable
+    done
         Called once: with True when the recovered log is on this store's disk under the new epoch,
         with False if the recovery failed. Not called after `stop`.
     """
--- a/libs/replicated_log/src/replicated_log/replica_health.py
+++ b/libs/replicated_log/src/replicated_log/replica_health.py
@@ -39,15 +39,15 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         The leader's copy of the log.
-    followers : dict
+    followers
         The followers by identity, both members and standby replicas.
-    quorums : Quorums
+    quorums
         The members of the log.
-    settings : Settings
+    settings
         The settings of the process.
-    now : callable
+    now
         Returns the leader's clock in milliseconds.
     """
 
--- a/libs/replicated_log/src/replicated_log/tail_fetch.py
+++ b/libs/replicated_log/src/replicated_log/tail_fetch.py
@@ -26,24 +26,24 @@
 
     Parameters
     ----------
-    log : LocalLog
+    log
         This store's copy of the log. Only a snapshot of the source changes it.
-    epoch : int
+    epoch
         The epoch of the recovery, with which all requests are sent.
-    source : ReplicaAddress
+    source
         The replica to fetch from.
-    settings : Settings
+    settings
         The settings of the process.
-    request : callable
+    request
         Sends a request to an address; see RequestCallback.
-    now : callable
+    now
         Returns this store's clock in milliseconds.
-    started_ms : int
+    started_ms
         The time from which `force_ms` counts.
-    is_wanted : callable
+    is_wanted
         Called with each response and before a snapshot whose archive files had to be fetched is
         installed. Once it returns False the fetch stops.
-    done : callable
+    done
         Called with all of the source's records after this store's snapshot, or with None if the
         fetch failed. After `is_wanted` has returned False, it isn't called or is called with None.
     """
