--- a/libs/testbed/src/testbed/histories.py
+++ b/libs/testbed/src/testbed/histories.py
@@ -58,16 +58,16 @@
         fleet, incarnation = self._run.fleet, host.incarnation
         row = fleet.history.begin_call("read-key", fleet.time.now_ms)
 
-        def on_receipt(receipt: Any) -> None:
+        def on_result(result: Any) -> None:
             if host.incarnation == incarnation and host.up and row["outcome"] == "none":
                 row.update(
-                    outcome=receipt.outcome,
-                    version=receipt.version,
-                    change_id=_change_id_in(receipt.body),
+                    outcome=result.outcome,
+                    version=result.version,
+                    change_id=_change_id_in(result.body),
                     answered_ms=fleet.time.now_ms,
                 )
 
-        host.node.owner.submit(ReadKey(key="profiles", hops=0), on_receipt)
+        host.node.owner.submit(ReadKey(key="profiles", hops=0), on_result)
 
 
 class HistoryResult:
--- a/libs/testbed/src/testbed/process_faults.py
+++ b/libs/testbed/src/testbed/process_faults.py
@@ -108,7 +108,7 @@
         _, status_body = await fleet.get(old, "/status")
         old.kill()
 
-        async def settled(
+        async def is_replaced(
             replacement: FleetProcess = replacement, gone: str = status_body["identity"]
         ) -> bool:
             status, body = await fleet.get(replacement, "/status")
@@ -119,7 +119,7 @@
                 and gone not in body["voters"]
             )
 
-        await wait_until(settled, 30_000, f"{replacement.name} votes in place of {old.name}")
+        await wait_until(is_replaced, 30_000, f"{replacement.name} votes in place of {old.name}")
 
 
 async def add_slow_worker(fleet: Fleet, rng: random.Random, traffic: Traffic) -> None:
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -55,8 +55,8 @@
     ]
 )
 
-# Packages that still use some of these words. No package may be added.
-NOT_YET = frozenset({"platform_testbed", "testbed"})
+# A package that still uses some of these words. No package may be added.
+NOT_YET = frozenset({"platform_testbed"})
 
 KEPT = {
     "beat": "a field of the JSON body with which a worker reports",
