--- a/libs/storage/src/storage/disk.py
+++ b/libs/storage/src/storage/disk.py
@@ -114,14 +114,14 @@
 
     Parameters
     ----------
-    folder : str
+    folder
         The path of the folder, which is created if it doesn't exist. Temporary files of
         interrupted replacements are removed from it.
-    capacity_bytes : int
+    capacity_bytes
         The limit on the space used.
-    call : callable
+    call
         Runs a function on the caller's event loop. Callbacks are called through it.
-    on_broken : callable
+    on_broken
         Called once when the disk breaks: after a failed flush, or after an I/O error in lazy work
         other than a full device.
     """
