--- a/libs/request_routing/src/request_routing/idempotency.py
+++ b/libs/request_routing/src/request_routing/idempotency.py
@@ -103,14 +103,14 @@
                 "WARNING",
                 request=lifecycle.edge_request_id,
                 key=lifecycle.key,
-                state=str(step.key_outcome),
+                state=str(step.key_state),
             )
         done()
 
     message = messages.CloseKey(
         key=lifecycle.key,
         request_id=lifecycle.edge_request_id,
-        state=str(step.key_outcome),
+        state=str(step.key_state),
         status=recorded.status,
         body=str(recorded.body),
     )
--- a/libs/request_routing/src/request_routing/lifecycle.py
+++ b/libs/request_routing/src/request_routing/lifecycle.py
@@ -13,7 +13,7 @@
 from request_routing import request_refusals
 from request_routing.request_refusals import OpenKeyOutcome
 from request_routing.retry_budget import RetryBudget
-from request_routing.steps import FinalResponse, KeyOutcome, Step, StepKind
+from request_routing.steps import FinalResponse, KeyState, Step, StepKind
 from request_routing.worker import Worker
 
 __all__ = ["BUSY", "AttemptRecord", "ItemKey", "RequestLifecycle", "State"]
@@ -253,7 +253,7 @@
         if self.current_worker:
             self.attempts.append(AttemptRecord(self.current_worker, _ATTEMPT_DONE))
         response = FinalResponse(status, body)
-        return self._end_with(Step(StepKind.FINISH, response=response), KeyOutcome.DONE)
+        return self._end_with(Step(StepKind.FINISH, response=response), KeyState.DONE)
 
     def worker_failed(self, worker: str, status: int, body: str | bytes, now_ms: int) -> Step:
         """Handle a worker's error response.
@@ -284,17 +284,17 @@
     def _give_up(self, refusal: Refusal) -> Step:
         if self._may_have_run:
             refusal.verdict = Verdict.MAY_HAVE_RUN
-        key_outcome = KeyOutcome.DOUBT if self._may_have_run else KeyOutcome.VOID
-        return self._end_with(Step(StepKind.REFUSE, refusal), key_outcome)
+        key_state = KeyState.DOUBT if self._may_have_run else KeyState.VOID
+        return self._end_with(Step(StepKind.REFUSE, refusal), key_state)
 
     def _cut(self, reason: str) -> Step:
         step = Step(StepKind.CUT, request_refusals.stream_cut(reason))
-        return self._end_with(step, KeyOutcome.DOUBT)
+        return self._end_with(step, KeyState.DOUBT)
 
-    def _end_with(self, step: Step, key_outcome: KeyOutcome) -> Step:
+    def _end_with(self, step: Step, key_state: KeyState) -> Step:
         """End with this step; an open idempotency key is closed first."""
         if not self.key_is_open:
             return self._enter(_FINAL_STATES[step.kind], step)
         self._step_after_close = step
-        close = Step(StepKind.CLOSE_KEY, key_outcome=key_outcome, response=step.response)
+        close = Step(StepKind.CLOSE_KEY, key_state=key_state, response=step.response)
         return self._enter(State.CLOSING_KEY, close)
--- a/libs/request_routing/src/request_routing/steps.py
+++ b/libs/request_routing/src/request_routing/steps.py
@@ -7,7 +7,7 @@
 
 from request_routing.worker import Worker
 
-__all__ = ["FinalResponse", "KeyOutcome", "Step", "StepKind"]
+__all__ = ["FinalResponse", "KeyState", "Step", "StepKind"]
 
 
 class StepKind(StrEnum):
@@ -26,11 +26,12 @@
     CLIENT_DISCONNECTED = "gone"
 
 
-class KeyOutcome(StrEnum):
-    """The state in which an idempotency key is closed; the values are stored in the log.
+class KeyState(StrEnum):
+    """The state in which an idempotency key is closed.
 
     DONE: a response is recorded. VOID: the request did not run, so the key is free again. DOUBT:
-    the request may have run, but no response is recorded. NONE: the step closes no key.
+    the request may have run, but no response is recorded. NONE: the step closes no key. The values
+    are those of `batch_state.outcomes.KeyState`, which are stored in the log.
     """
 
     NONE = ""
@@ -55,7 +56,7 @@
         The action.
     refusal
         The error for the client; set for REFUSE and CUT.
-    key_outcome
+    key_state
         The state to close the key in; set for CLOSE_KEY.
     response
         The response; set for REPLAY, for FINISH, and for a CLOSE_KEY that records a response.
@@ -63,18 +64,18 @@
         The worker of the next attempt; set for SEND.
     """
 
-    __slots__ = ("key_outcome", "kind", "refusal", "response", "worker")
+    __slots__ = ("key_state", "kind", "refusal", "response", "worker")
 
     def __init__(
         self,
         kind: StepKind,
         refusal: Refusal | None = None,
-        key_outcome: KeyOutcome = KeyOutcome.NONE,
+        key_state: KeyState = KeyState.NONE,
         response: FinalResponse | None = None,
         worker: Worker | None = None,
     ) -> None:
         self.kind = kind
         self.refusal = refusal
-        self.key_outcome = key_outcome
+        self.key_state = key_state
         self.response = response
         self.worker = worker
--- a/tests/test_request_routing.py
+++ b/tests/test_request_routing.py
@@ -95,7 +95,7 @@
             lifecycle = new_lifecycle(path, "k")
             step, closed = lifecycle.begin(), ""
             for event in events:
-                closed = step.key_outcome or closed
+                closed = step.key_state or closed
                 if event == "place":
                     step = lifecycle.worker_selected(FakeWorker(f"w{len(lifecycle.attempts)}"))
                 elif event == "wait":
@@ -111,7 +111,7 @@
                 elif event == "end":
                     step = lifecycle.completed(200, "body")
                 elif event == "closed":
-                    closed = step.key_outcome
+                    closed = step.key_state
                     step = lifecycle.key_closed()
                 elif isinstance(event, tuple):
                     step = lifecycle.attempt_failed(
@@ -155,7 +155,7 @@
             lifecycle.worker_selected(FakeWorker(worker))
             attempts += 1
             step = lifecycle.attempt_failed(worker, False, "x", 1)
-        self.assertThat((attempts, step.key_outcome), Equals((5 + 2 + 1, "void")))
+        self.assertThat((attempts, step.key_state), Equals((5 + 2 + 1, "void")))
 
 
 def event(place, run="r", data=None):
