--- a/libs/request_routing/src/request_routing/attempt.py
+++ b/libs/request_routing/src/request_routing/attempt.py
@@ -96,7 +96,7 @@
     started_ms, last_event_ms
         When the attempt started or its connection was made, and when its last event came, in
         milliseconds of the node's clock.
-    unread_tokens
+    uncached_tokens
         Number of the prompt's tokens that the worker has probably not cached.
     prefilling
         True for a forwarded request until the worker's first event.
@@ -112,7 +112,7 @@
         "prefilling",
         "request",
         "started_ms",
-        "unread_tokens",
+        "uncached_tokens",
         "worker",
     )
 
@@ -127,7 +127,7 @@
         self.request, self.worker, self.exchange = request, worker, exchange
         self.abort: Callable[[], None] = _no_op
         self.over = self.connecting = self.prefilling = False
-        self.unread_tokens = 0
+        self.uncached_tokens = 0
         self.started_ms: int = observer.node.env.now()
         self.last_event_ms: int = self.started_ms
 
--- a/libs/request_routing/src/request_routing/request_router.py
+++ b/libs/request_routing/src/request_routing/request_router.py
@@ -312,7 +312,7 @@
             self._admission.queue.worker_seen(lifecycle.profile.name, now_ms)
         self._count_attempt(call)
         self._occupy_slot(worker, call)
-        unread_tokens = self._prompt_sent(worker, request)
+        uncached_tokens = self._prompt_sent(worker, request)
         self.node.env.log(
             "attempt-started",
             "DEBUG",
@@ -323,7 +323,7 @@
         exchange = new_exchange(call, self, lifecycle, worker)
         attempt = request.attempt = Attempt(self, request, worker, exchange)
         attempt.prefilling = not call.survives_disconnect
-        attempt.unread_tokens = unread_tokens
+        attempt.uncached_tokens = uncached_tokens
         attempt.abort = self.transport(
             attempt, worker.address, *worker_request(call, self, lifecycle, worker)
         )
@@ -346,17 +346,17 @@
         Returns the estimated number of its tokens that the worker has not cached; 0 if the call is
         not forwarded or prefill is not tracked.
         """
-        call, unread_tokens = request.call, 0
+        call, uncached_tokens = request.call, 0
         if isinstance(call, ForwardCall):
             self._count_prefill(worker, call, 1)
             if self.prefill is not None:
-                unread_share = 1 - self.prefix_affinity.share(worker.identity, call.parts)
-                unread_tokens = int(call.tokens_in * unread_share)
-                self.prefill.record_prompt(worker.identity, unread_tokens)
+                uncached_share = 1 - self.prefix_affinity.share(worker.identity, call.parts)
+                uncached_tokens = int(call.tokens_in * uncached_share)
+                self.prefill.record_prompt(worker.identity, uncached_tokens)
         if call.parts:
             cache_tokens = request.lifecycle.profile.cache_tokens
             self.prefix_affinity.record_prompt(worker.identity, call.parts, cache_tokens)
-        return unread_tokens
+        return uncached_tokens
 
     def _count_prefill(self, worker: Worker, call: Call | ForwardCall, change: int) -> None:
         """Change the counts of prompts that a worker is processing, in total and of batch items."""
@@ -388,7 +388,7 @@
         """Record that an event of a stream came, and learn the latency and prefill rate from it."""
         now_ms = self.node.env.now()
         if attempt.prefilling and self.prefill is not None:
-            self.prefill.prefill_finished(attempt.unread_tokens, now_ms - attempt.started_ms)
+            self.prefill.prefill_finished(attempt.uncached_tokens, now_ms - attempt.started_ms)
         if attempt.request.call.stream:
             self._stalls.add_event(attempt, now_ms)
         attempt.last_event_ms = now_ms
