--- a/libs/control_plane/src/control_plane/workers_api.py
+++ b/libs/control_plane/src/control_plane/workers_api.py
@@ -60,7 +60,7 @@
 
     async def _show(self, request: web.Request) -> web.Response:
         workers = self._node.worker_list
-        return json_response({"version": workers.number, "workers": workers.rows()})
+        return json_response({"version": workers.version, "workers": workers.rows()})
 
     async def _heartbeat(self, request: web.Request) -> web.Response:
         body = await read_json_body(request, self._node.settings.max_body_bytes, _HeartbeatBody)
--- a/libs/control_store/src/control_store/voter_list_manager.py
+++ b/libs/control_store/src/control_store/voter_list_manager.py
@@ -49,7 +49,7 @@
         """Return the identity of the coordinator, or None if no voter is live."""
         return self._coordinator.identity()
 
-    def _on_published(self, key: str, number: int, body: str) -> None:
+    def _on_published(self, key: str, version: int, body: str) -> None:
         if key == CONTROL_KEY:
             self._acceptor.adopt_list(body, lambda ok: None)
 
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -88,7 +88,7 @@
         self._changes.node = node
 
     @property
-    def number(self) -> int:
+    def version(self) -> int:
         """The version of this node's copy of the list."""
         return self._changes.version
 
--- a/libs/data_plane/src/data_plane/store_node.py
+++ b/libs/data_plane/src/data_plane/store_node.py
@@ -137,7 +137,7 @@
             and now_ms - self.config_feed.control_quorum_heard_ms < timeout_ms
         )
 
-    def learned(self, version: int, body: str) -> None:
+    def record_log_key(self, version: int, body: str) -> None:
         """Record a version of the log's control key that a control node returned directly.
 
         It is published in the feed, which may not have it yet.
--- a/libs/modelcheck/src/modelcheck/log_stubs.py
+++ b/libs/modelcheck/src/modelcheck/log_stubs.py
@@ -40,9 +40,9 @@
         batch = cast(KeyUpdates, message)
         for data in batch.updates:
             update = decode_as(KeyUpdate, data)
-            self.learned(update.version, update.body)
+            self.record_log_key(update.version, update.body)
 
-    def learned(self, version: int, body: str) -> None:
+    def record_log_key(self, version: int, body: str) -> None:
         """Record a version of the log's key, unless a newer one is known."""
         if version > self._version:
             self._version, self._body = version, body
--- a/libs/replicated_log/src/replicated_log/configuration_key.py
+++ b/libs/replicated_log/src/replicated_log/configuration_key.py
@@ -61,7 +61,7 @@
             self.changing = False
             if version:
                 self.update(version, body)
-                self._fleet.learned(version, body)
+                self._fleet.record_log_key(version, body)
             done(outcome)
 
         self._client.change(LOG_KEY, self.version, configuration.to_json(), changed)
--- a/libs/replicated_log/src/replicated_log/interfaces.py
+++ b/libs/replicated_log/src/replicated_log/interfaces.py
@@ -48,6 +48,6 @@
         """
         ...
 
-    def learned(self, number: int, body: str) -> None:
+    def record_log_key(self, version: int, body: str) -> None:
         """Record a version of the log's control key that a control node returned directly."""
         ...
