--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -2,8 +2,8 @@
 
 The new leader recovers the log from the previous members, has the members adopt it, announces
 changed members in the control key, and then serves. A failed takeover is logged with the members
-that didn't respond. The next attempt is then delayed with exponential backoff, so that a store
-whose peers are gone doesn't raise the epoch without end.
+that didn't respond. If there are any, the next attempt is delayed with exponential backoff, so that
+a store whose peers are gone doesn't raise the epoch without end.
 """
 
 from typing import TYPE_CHECKING
