--- a/libs/control_plane/src/control_plane/cli.py
+++ b/libs/control_plane/src/control_plane/cli.py
@@ -27,7 +27,7 @@
 app.command(loans)
 app.command(usage)
 
-Server = Annotated[str, Parameter(name="--server", help="a control node's HTTP address, IP:PORT")]
+Server = Annotated[str, Parameter(name="--server", help="A control node's HTTP address, IP:PORT")]
 
 
 @app.command
--- a/libs/data_plane/src/data_plane/cli.py
+++ b/libs/data_plane/src/data_plane/cli.py
@@ -33,7 +33,7 @@
 
 _TIMEOUT_S = 60
 
-Server = Annotated[str, Parameter(name="--server", help="an edge's HTTP address, IP:PORT")]
+Server = Annotated[str, Parameter(name="--server", help="An edge's HTTP address, IP:PORT")]
 
 
 def serve_flags(
@@ -75,21 +75,21 @@
     Parameters
     ----------
     role
-        edge or store.
+        The role of the node, edge or store.
     settings
-        a TOML file; flags take precedence over it, and SIGHUP rereads it.
+        A TOML file; flags take precedence over it, and SIGHUP rereads it.
     link
-        address for messages between the fleet's nodes, IP:PORT.
+        Address for messages between the fleet's nodes, IP:PORT.
     http
-        address for clients, workers and operators, IP:PORT.
+        Address for clients, workers and operators, IP:PORT.
     zone
-        the zone of this machine.
+        The zone of this machine.
     seed
-        link address of another node to join through; may be given up to three times.
+        Link address of another node to join through; may be given up to three times.
     data_folder
-        folder of the node's files.
+        Folder of the node's files.
     control_count
-        how many control nodes bootstrap the fleet.
+        How many control nodes bootstrap the fleet.
     log_level
         DEBUG, INFO, WARNING or ERROR.
     """
@@ -152,11 +152,11 @@
     Parameters
     ----------
     prompt
-        text of the prompt.
+        Text of the prompt.
     profile
-        profile to use, sent as the request's model.
+        Profile to use, sent as the request's model.
     stream
-        print the events of the response as they arrive.
+        Print the events of the response as they arrive.
     key
         Idempotency-Key, for profiles whose requests are not safe to repeat.
     """
@@ -184,15 +184,15 @@
     Parameters
     ----------
     files
-        recordings, written by edges that have the setting record_folder.
+        Recordings, written by edges that have the setting record_folder.
     server
         HTTP address of an edge; may be given several times, one is drawn for each call.
     pace
-        replay speed; 2 replays a recording in half its time.
+        Replay speed; 2 replays a recording in half its time.
     seed
-        seed of the draws, also a suffix of keys and lot ids; use a new one for each run.
+        Seed of the draws, also a suffix of keys and lot ids; use a new one for each run.
     check
-        only check that the recordings are complete, without making calls.
+        Only check that the recordings are complete, without making calls.
     """
     calls: list[dict[str, Any]] = []
     problems = [] if files and pace > 0 else ["replay needs at least one file and a pace above 0"]
