--- a/libs/platform_testbed/src/platform_testbed/worker_pool.py
+++ b/libs/platform_testbed/src/platform_testbed/worker_pool.py
@@ -106,8 +106,9 @@
     async def rolling_replace(self, gap_s: float = 0.5, count: int = 99) -> None:
         """Replace workers of the first service, up to `count`, one after another.
 
-        Each replacement starts before its predecessor drains. At the end, after `reuseAfterS`, a
-        worker of the second service starts at the address of the last one that left.
+        Each replacement starts before its predecessor drains, and a pause of `gap_s` seconds
+        follows once the predecessor has stopped. At the end, after `reuseAfterS`, a worker of the
+        second service starts at the address of the last one that left.
         """
         for worker in self.serving(self.deployment.services[0])[:count]:
             await self.add(worker.service, worker.zone)
