--- a/tests/platform_calls.py
+++ b/tests/platform_calls.py
@@ -61,7 +61,7 @@
 }
 
 
-def beat(**values):
+def heartbeat_body(**values):
     return {
         "backend": "huvo11a",
         "address": "10.128.0.9:8080",
@@ -138,23 +138,23 @@
         response: web.Response = task.result()
         return response.status, json.loads(response.text) if response.text else None, duration_ms
 
-    async def ask(self, name, method, path, body=None, headers=None, wait_ms=2000):
+    async def request(self, name, method, path, body=None, headers=None, wait_ms=2000):
         return (await self.finish(self.start(name, method, path, body, headers), wait_ms=wait_ms))[
             0
         ]
 
     async def put(self, name, base, settings, **more):
-        return await self.ask(
+        return await self.request(
             name, "PUT", "/vaneledge/settings", settings, {"If-Match": str(base)}, **more
         )
 
     async def patch(self, name, base, settings, **more):
-        return await self.ask(
+        return await self.request(
             name, "PATCH", "/vaneledge/settings", settings, {"If-Match": str(base)}, **more
         )
 
-    async def shown(self, name, **more):
-        return await self.ask(name, "GET", "/vaneledge/settings", **more)
+    async def get_configuration(self, name, **more):
+        return await self.request(name, "GET", "/vaneledge/settings", **more)
 
     def run(self, for_ms):
         self.fleet.time.run_until(self.fleet.time.now_ms + for_ms)
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -189,7 +189,9 @@
             late = await self.delayed_response(platform, make_settings(5), 3, during)
             self.assertThat(late is None or late[0] in (200, 503), Equals(True), str(late))
             self.assertThat((self.version(platform)), Equals(3))
-            self.assertThat((await platform.shown("control1"))[1], Equals(make_settings(6)))
+            self.assertThat(
+                (await platform.get_configuration("control1"))[1], Equals(make_settings(6))
+            )
             self.assertThat((await platform.put("control1", 3, make_settings(5)))[0], Equals(200))
 
         for seed in range(1, 5):
@@ -214,7 +216,7 @@
             late = await self.delayed_response(platform, make_settings(5, note="other"), 3, during)
             self.assertThat(late is None or late[0] in (200, 412, 503), Equals(True), str(late))
             for host in platform.fleet.with_role("control"):
-                shown = (await platform.shown(host.name))[1]
+                shown = (await platform.get_configuration(host.name))[1]
                 self.assertThat(shown["note"] != refused[0]["note"], Equals(True))
                 self.assertThat((await platform.put(host.name, 3, refused[0]))[0], Equals(412))
 
@@ -268,7 +270,7 @@
                 rows = [(0, one, 200), (0, other, 412), (0, one, 200), (3, one, 412), (5, one, 400)]
                 for base, sent, status in rows:
                     self.assertThat((await platform.put(host, base, sent))[0], Equals(status))
-            self.assertThat((await platform.shown("control3"))[1], Equals(one))
+            self.assertThat((await platform.get_configuration("control3"))[1], Equals(one))
 
         self.run_test(body, edges=1)
 
--- a/tests/test_configuration_histories.py
+++ b/tests/test_configuration_histories.py
@@ -137,7 +137,9 @@
 
     async def read(self):
         call = {"operation": "read", "start": self.fleet.time.now_ms, "outcome": "ok"}
-        status, shown, _ = await self.platform.shown(self.rng.choice(self.running_hosts()))
+        status, shown, _ = await self.platform.get_configuration(
+            self.rng.choice(self.running_hosts())
+        )
         call["seen"] = {200: lambda: (shown["revision"], shown["note"]), 404: lambda: (0, "")}[
             status
         ]()
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -68,7 +68,7 @@
         async def body(platform):
             for index, (method, base, sent, status) in enumerate(rows):
                 headers = None if base is None else {"If-Match": base}
-                response = await platform.ask(
+                response = await platform.request(
                     f"control{index % 5 + 1}", method, "/vaneledge/settings", sent, headers
                 )
                 self.assertThat(
@@ -78,9 +78,11 @@
                 )
             wanted = revised(15, routes=[{**ROUTE, "tries": 9}, SETTINGS["routes"][1]])
             for host in platform.fleet.with_role("control"):
-                self.assertThat((await platform.shown(host.name))[:2], Equals((200, wanted)))
+                self.assertThat(
+                    (await platform.get_configuration(host.name))[:2], Equals((200, wanted))
+                )
             self.assertThat(
-                (await platform.ask("control1", "GET", "/vaneledge/other"))[0], Equals(404)
+                (await platform.request("control1", "GET", "/vaneledge/other"))[0], Equals(404)
             )
 
         self.run_test(body)
@@ -119,7 +121,7 @@
                     await platform.put(rng.choice(names), base, settings) for settings in sent
                 ]
                 self.assertThat([row[0] for row in retries], Equals([row[0] for row in responses]))
-                self.assertThat((await platform.shown(names[0]))[1], Equals(sent[won]))
+                self.assertThat((await platform.get_configuration(names[0]))[1], Equals(sent[won]))
                 base = sent[won]["revision"]
 
         self.run_test(body)
@@ -173,7 +175,7 @@
                 platform.run(1500)
                 for host in hosts:
                     self.assertThat(
-                        (await platform.shown(host.name))[:2],
+                        (await platform.get_configuration(host.name))[:2],
                         Equals((200, sent[won])),
                         f"seed {seed}",
                     )
@@ -199,13 +201,16 @@
             response = await platform.put("control1", 3, revised(5), wait_ms=1000)
             self.assertThat((response[0], response[2] <= 750), Equals((503, True)), str(response))
             platform.run(1500)
-            for call in (platform.put("control2", 3, revised(6)), platform.shown("control1")):
+            for call in (
+                platform.put("control2", 3, revised(6)),
+                platform.get_configuration("control1"),
+            ):
                 response = await call
                 self.assertThat((response[0], response[2]), Equals((503, 0.0)))
             self.assertThat((await platform.put("control3", 3, revised(7)))[0], Equals(200))
             platform.fleet.network.heal()
             platform.run(2500)
-            self.assertThat((await platform.shown("control1"))[1], Equals(revised(7)))
+            self.assertThat((await platform.get_configuration("control1"))[1], Equals(revised(7)))
             for sent in (revised(5), revised(6)):
                 self.assertThat((await platform.put("control1", 3, sent))[0], Equals(412))
 
@@ -234,7 +239,9 @@
                 host.start()
             self.assertThat(platform.fleet.run_until_true(platform.ready, 6000), Equals(True))
             for host in platform.fleet.with_role("control"):
-                self.assertThat((await platform.shown(host.name))[:2], Equals((200, revised(3))))
+                self.assertThat(
+                    (await platform.get_configuration(host.name))[:2], Equals((200, revised(3)))
+                )
             self.assertThat((await platform.put("control4", 0, revised(3)))[0], Equals(200))
             self.assertThat((await platform.put("control4", 3, revised(4)))[0], Equals(200))
 
@@ -253,7 +260,7 @@
                 "upsert": {"routes": [{**ROUTE, "name": "r7", "pathStart": "/new/"}]},
             }
             self.assertThat((await platform.patch("control2", 3, patch))[0], Equals(200))
-            shown = (await platform.shown("control3"))[1]
+            shown = (await platform.get_configuration("control3"))[1]
             self.assertThat(
                 (shown["routes"], self.edges_have(platform, 4)),
                 Equals(([*routes[:7], patch["upsert"]["routes"][0], *routes[8:]], True)),
@@ -264,7 +271,9 @@
 
 class Stores(TestCase):
     async def call(self, platform, method, host, name, **more):
-        return await platform.ask(host, method, f"/vaneledge/retire/{name}", {"overS": 10}, **more)
+        return await platform.request(
+            host, method, f"/vaneledge/retire/{name}", {"overS": 10}, **more
+        )
 
     def log_is_complete(self, platform):
         log = platform.fleet.hosts["control1"].node.config_feed.value("log")
--- a/tests/test_profiles_and_retirements.py
+++ b/tests/test_profiles_and_retirements.py
@@ -108,7 +108,7 @@
             host.start()
             statuses = []
             while not statuses or statuses[-1] == 503:
-                response = await platform.ask(
+                response = await platform.request(
                     host.name, "POST", f"/vaneledge/retire/{name}", {"overS": 10}
                 )
                 statuses.append(response[0])
@@ -135,7 +135,7 @@
                 with mock.patch.object(Membership, "nodes_in_role", lambda *args: heard):
                     platform.run(250)
                     return (
-                        await platform.ask(
+                        await platform.request(
                             host.name, "POST", f"/vaneledge/retire/{name}", {"overS": 10}
                         )
                     )[0]
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from control_store import WorkerRecords, WorkerReport, apply_reports
-from platform_calls import Platform, beat
+from platform_calls import Platform, heartbeat_body
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength
 
@@ -134,8 +134,8 @@
         asyncio.run(run())
 
     async def heartbeat(self, platform, host, name, wait_ms=2000, **values):
-        return await platform.ask(
-            host, "PUT", f"/vaneledge/servers/{name}", beat(**values), wait_ms=wait_ms
+        return await platform.request(
+            host, "PUT", f"/vaneledge/servers/{name}", heartbeat_body(**values), wait_ms=wait_ms
         )
 
     def listed(self, platform, host="edge1"):
@@ -202,7 +202,7 @@
             )
             platform.run(1500)
             self.assertThat(self.listed(platform), Equals({"w": "draining"}))
-            status, _, _ = await platform.ask("control5", "DELETE", "/vaneledge/servers/w")
+            status, _, _ = await platform.request("control5", "DELETE", "/vaneledge/servers/w")
             self.assertThat(
                 (status, self.listed(platform), self.listed(platform, "edge2")),
                 Equals((200, {}, {})),
@@ -341,19 +341,19 @@
                 b"{",
                 b"[]",
                 {},
-                beat(backend=3),
-                beat(backend=""),
-                beat(address=None),
-                beat(zone=3),
-                beat(state="odd"),
-                beat(capacity="x"),
-                beat(callCount=-1),
-                beat(callCount=None),
-                beat(models={}),
-                beat(address="x" * 300),
+                heartbeat_body(backend=3),
+                heartbeat_body(backend=""),
+                heartbeat_body(address=None),
+                heartbeat_body(zone=3),
+                heartbeat_body(state="odd"),
+                heartbeat_body(capacity="x"),
+                heartbeat_body(callCount=-1),
+                heartbeat_body(callCount=None),
+                heartbeat_body(models={}),
+                heartbeat_body(address="x" * 300),
             ]
             for sent in rows:
-                response = await platform.ask("control1", "PUT", "/vaneledge/servers/w", sent)
+                response = await platform.request("control1", "PUT", "/vaneledge/servers/w", sent)
                 self.assertThat(response[0], Equals(400), str(sent)[:100])
             platform.run(400)
             self.assertThat(self.listed(platform), HasLength(0))
--- a/tests/test_worker_list_faults.py
+++ b/tests/test_worker_list_faults.py
@@ -6,7 +6,7 @@
 import asyncio
 import random
 
-from platform_calls import Platform, beat
+from platform_calls import Platform, heartbeat_body
 from testtools import TestCase
 from testtools.matchers import Equals
 
@@ -43,7 +43,7 @@
                 host.name,
                 "PUT",
                 f"/vaneledge/servers/{worker.name}",
-                beat(address=worker.address, state=worker.state, callCount=worker.count),
+                heartbeat_body(address=worker.address, state=worker.state, callCount=worker.count),
             )
         self.calls.append((worker, worker.state, task, now_ms))
 
