--- a/libs/control_store/src/control_store/key_sweep.py
+++ b/libs/control_store/src/control_store/key_sweep.py
@@ -21,7 +21,7 @@
 RETIRED_KEY = "retired"
 LOG_KEY = "log"
 NOT_FORWARDED_HOPS = 9  # above the forwarder's MAX_HOPS, so that the operation stays at this node
-NEVER_MS = -1 << 40
+LONG_AGO_MS = -1 << 40
 
 
 class KeySweep:
@@ -34,7 +34,7 @@
         self._acceptor = acceptor
         self._owner = owner
         self._config_feed = config_feed
-        self._swept_ms = NEVER_MS
+        self._swept_ms = LONG_AGO_MS
         self._read_ms: dict[str, int] = {}
 
     def attach(self, node: Node) -> None:
@@ -58,7 +58,7 @@
         return (CONTROL_KEY, *CONFIRMING_ROLES, RETIRED_KEY, LOG_KEY, *serving_set)
 
     def _is_read_due(self, key: str) -> bool:
-        since_ms = self._node.env.now() - self._read_ms.get(key, NEVER_MS)
+        since_ms = self._node.env.now() - self._read_ms.get(key, LONG_AGO_MS)
         return bool(since_ms > self._node.settings.removal_timeout_ms)
 
     def _read(self, key: str) -> None:
--- a/libs/control_store/src/control_store/read_barrier.py
+++ b/libs/control_store/src/control_store/read_barrier.py
@@ -17,7 +17,7 @@
 
 __all__ = ["ReadBarrier"]
 
-NEVER_MS = -1 << 40
+LONG_AGO_MS = -1 << 40
 
 
 class ReadBarrier(Component):
@@ -48,7 +48,7 @@
         self._passed = False
         self._attempt = 0
         self._missing: set[str] = set()
-        self._retry_at_ms = NEVER_MS
+        self._retry_at_ms = LONG_AGO_MS
 
     def passed(self) -> bool:
         """Whether every key has been read since contact with a majority was last regained."""
@@ -73,7 +73,7 @@
         """Require all keys to be read again; replies to earlier attempts are ignored."""
         self._passed = False
         self._attempt += 1
-        self._retry_at_ms = NEVER_MS
+        self._retry_at_ms = LONG_AGO_MS
 
     def _read_all(self) -> None:
         settings = self.node.settings
--- a/libs/control_store/src/control_store/worker_list.py
+++ b/libs/control_store/src/control_store/worker_list.py
@@ -28,7 +28,7 @@
 __all__ = ["WorkerList"]
 
 SEQ_AFTER_END = 1 << 62  # above all sequence numbers: later reports of an ended worker are stale
-NEVER_MS = -1 << 40
+LONG_AGO_MS = -1 << 40
 ACKNOWLEDGED_PERIODS = 3  # periods for which an acknowledgement of heartbeats by the owner counts
 
 
@@ -79,7 +79,7 @@
         self._last_seq: dict[str, int] = {}
         self._pending: dict[str, WorkerReport] = {}
         self._callers: list[WaitingCaller] = []
-        self._sent_ms = self._acknowledged_ms = NEVER_MS
+        self._sent_ms = self._acknowledged_ms = LONG_AGO_MS
         config_feed.watch(self._changes.on_published)
 
     def attach(self, node: Node) -> None:
@@ -272,7 +272,7 @@
 
     def resumed(self, gap_ms: int) -> None:
         """Finish all waiting calls with DOUBT after the process was paused for `gap_ms`."""
-        self._acknowledged_ms = NEVER_MS
+        self._acknowledged_ms = LONG_AGO_MS
         for caller in self._callers:
             caller.finish(Outcome.DOUBT)
         self._callers = []
--- a/libs/replicated_log/src/replicated_log/failure_detector.py
+++ b/libs/replicated_log/src/replicated_log/failure_detector.py
@@ -15,7 +15,7 @@
 
 __all__ = ["LeaderFailureDetector"]
 
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 _NOT_ELIGIBLE = -1
 
 
@@ -58,7 +58,7 @@
     def __init__(self, own_identity: str, settings: Settings, now: Callable[[], int]) -> None:
         self._own_identity, self._settings, self._now = own_identity, settings, now
         self._answers: dict[str, _PollAnswer] = {}
-        self._polled_ms = _NEVER_MS
+        self._polled_ms = _LONG_AGO_MS
         self._eligible_since_ms = _NOT_ELIGIBLE
         self._last_tick_ms = now()
         self.silent_ms = 0
--- a/libs/replicated_log/src/replicated_log/follower_progress.py
+++ b/libs/replicated_log/src/replicated_log/follower_progress.py
@@ -2,7 +2,7 @@
 
 __all__ = ["FollowerProgress"]
 
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 
 
 class FollowerProgress:
@@ -56,5 +56,5 @@
         self.adopted = False
         self.disk_full = False
         self.snapshot = b""
-        self.snapshot_sent_ms = _NEVER_MS
+        self.snapshot_sent_ms = _LONG_AGO_MS
         self.snapshot_acknowledged_bytes = 0
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -41,7 +41,7 @@
 
 __all__ = ["LOG_KEY", "LogReplica"]
 
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 
 
 class LogReplica(Component):
@@ -108,7 +108,7 @@
         self.role = Role.FOLLOWER
         self.changed_ms = 0
         self.leaving = False
-        self._heartbeat_sent_ms = _NEVER_MS
+        self._heartbeat_sent_ms = _LONG_AGO_MS
         self._caught_up_reported = 0
 
     def attach(self, node: Node) -> None:
--- a/libs/replicated_log/src/replicated_log/membership_manager.py
+++ b/libs/replicated_log/src/replicated_log/membership_manager.py
@@ -23,7 +23,7 @@
 
 __all__ = ["MembershipManager"]
 
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 _NO_REPLACEMENT_WANTED = -1
 
 
@@ -45,8 +45,8 @@
     def __init__(self, replica: "LogReplica", fleet: FleetView) -> None:
         self._replica = replica
         self._fleet = fleet
-        self._checked_ms = _NEVER_MS
-        self._had_space_ms = _NEVER_MS
+        self._checked_ms = _LONG_AGO_MS
+        self._had_space_ms = _LONG_AGO_MS
         self._replacement_wanted_since_ms = _NO_REPLACEMENT_WANTED
         self._change: MembershipChange | None = None
 
--- a/libs/replicated_log/src/replicated_log/snapshot_writer.py
+++ b/libs/replicated_log/src/replicated_log/snapshot_writer.py
@@ -13,7 +13,7 @@
 __all__ = ["SNAPSHOT_FILE", "SnapshotWriter"]
 
 SNAPSHOT_FILE = "snapshot"
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 
 
 class SnapshotWriter:
@@ -30,7 +30,7 @@
         self._log = log
         self._now = now
         self._builder: SnapshotBuilder | None = None
-        self._not_before_ms = _NEVER_MS
+        self._not_before_ms = _LONG_AGO_MS
         self._written_bytes = 0
         self.in_progress = False
 
--- a/libs/replicated_log/src/replicated_log/takeover.py
+++ b/libs/replicated_log/src/replicated_log/takeover.py
@@ -23,7 +23,7 @@
 # The longest backoff, as a multiple of `force_ms`.
 _MAX_BACKOFF_FACTOR = 4
 _MAX_BACKOFF_DOUBLINGS = 10
-_NEVER_MS = -1 << 40
+_LONG_AGO_MS = -1 << 40
 
 
 class LeaderTakeover:
@@ -35,8 +35,8 @@
         self._replica = replica
         self._recovery: Recovery | None = None
         self._failures = 0
-        self._not_before_ms = _NEVER_MS
-        self._warned_ms = _NEVER_MS
+        self._not_before_ms = _LONG_AGO_MS
+        self._warned_ms = _LONG_AGO_MS
 
     def may_claim(self) -> bool:
         """Whether the backoff after the last takeover that lacked responses has passed."""
