--- a/libs/replicated_log/src/replicated_log/archive_repair.py
+++ b/libs/replicated_log/src/replicated_log/archive_repair.py
@@ -91,7 +91,7 @@
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
         """Respond to a request of another replica."""
-        raise TypeError(f"ArchiveRepair cannot handle a {type(message).__name__} message")
+        raise TypeError(f"expected FetchArchive or ReadArchived, got {type(message).__name__}")
 
     @receive.register
     def _(self, message: FetchArchive, origin: Origin) -> None:
--- a/libs/replicated_log/src/replicated_log/follower.py
+++ b/libs/replicated_log/src/replicated_log/follower.py
@@ -83,7 +83,10 @@
 
     @singledispatchmethod
     def _handle(self, message: Message, reply: ReplyCallback) -> None:
-        raise TypeError(f"Follower cannot handle a {type(message).__name__} message")
+        raise TypeError(
+            "expected AppendRequest, InstallSnapshot, StartRecovery, FetchRecords or FetchTail, "
+            f"got {type(message).__name__}"
+        )
 
     @_handle.register
     def _(self, message: StartRecovery, reply: ReplyCallback) -> None:
--- a/libs/replicated_log/src/replicated_log/log_replica.py
+++ b/libs/replicated_log/src/replicated_log/log_replica.py
@@ -135,7 +135,11 @@
     @singledispatchmethod
     def receive(self, message: Message, origin: Origin) -> None:
         """Handle a message from another store."""
-        raise TypeError(f"LogReplica cannot handle a {type(message).__name__} message")
+        raise TypeError(
+            "expected AppendRequest, AppendResponse, InstallSnapshot, StartRecovery, FetchRecords, "
+            "FetchTail, LeaderHeartbeat, LeaderPoll or TransferLeadership, "
+            f"got {type(message).__name__}"
+        )
 
     @receive.register
     def _(self, message: AppendResponse, origin: Origin) -> None:
